--- a/bench/charts.py
+++ b/bench/charts.py
@@ -38,8 +38,13 @@
     ax.loglog(at, [r["calm"]["physical_ms"] for r in rows], "k:", label="line pace, to the last")
     for kind, style in (("calm", "o-"), ("hostile", "s--")):
         for q in ("p50", "p99"):
-            ax.loglog(at, [r[kind]["drain_ms"][q] for r in rows], style, label=f"{kind}, {q}",
-                      alpha=1.0 if q == "p99" else 0.5)  # fmt: skip
+            ax.loglog(
+                at,
+                [r[kind]["drain_ms"][q] for r in rows],
+                style,
+                label=f"{kind}, {q}",
+                alpha=1.0 if q == "p99" else 0.5,
+            )
     ax.set(xlabel="forwarders", ylabel="ms", title="a drain's way to a forwarder; hostile: one more link for every ten")
     ax.grid(True, which="both", alpha=0.3)
     ax.legend(fontsize=8)
--- a/bench/fanout.py
+++ b/bench/fanout.py
@@ -155,16 +155,27 @@
 def figures(ms: list[float]) -> dict[str, float]:
     if not ms:
         return {}
-    return {"p50": round(float(np.percentile(ms, 50)), 2), "p99": round(float(np.percentile(ms, 99)), 2),
-            "last": round(max(ms), 2)}  # fmt: skip
+    return {
+        "p50": round(float(np.percentile(ms, 50)), 2),
+        "p99": round(float(np.percentile(ms, 99)), 2),
+        "last": round(max(ms), 2),
+    }
 
 
 async def play(size: tuple[int, int, int], folder: str, hostiles: int, storm: bool) -> dict[str, Any]:
     hosts, forwarders, slices = size
     roster, port = await listed(hosts), free_port()
     rate = LINES_A_FORWARDER * forwarders
-    text = CONFIG.format(port=port, folder=folder, roster=roster.port, slices=slices, forwarders=forwarders,
-                         rate=rate, queue=rate, lines=hosts + 2 * slices)  # fmt: skip
+    text = CONFIG.format(
+        port=port,
+        folder=folder,
+        roster=roster.port,
+        slices=slices,
+        forwarders=forwarders,
+        rate=rate,
+        queue=rate,
+        lines=hosts + 2 * slices,
+    )
     text = text.replace("forwarders {\n", f"forwarders {{\n  most = {forwarders * 2}\n")
     text = text.replace("every_ms = 500", "every_ms = 1000")
     (Path(folder) / "s.hcl").write_text(text)
@@ -176,8 +187,10 @@
     await asyncio.sleep(settle / 2)
     seconds = settle + DRAINS * 1.0 + 4.0 + (25.0 if storm else 0.0)
     parts = split(forwarders)
-    children = [await child("links", port, first, count, hosts, slices, seconds, f"{folder}/{first}.json")
-                for first, count in parts]  # fmt: skip
+    children = [
+        await child("links", port, first, count, hosts, slices, seconds, f"{folder}/{first}.json")
+        for first, count in parts
+    ]
     if hostiles:
         children.append(await child("hostile", port, forwarders, hostiles, seconds))
     await asyncio.sleep(settle)
@@ -222,19 +235,26 @@
             last.append((max(first.values()) - at) * 1000.0)
     lines = float(np.median(cost)) if cost else 0.0
     found = {
-        "hosts": hosts, "forwarders": forwarders, "slices": slices, "hostile": hostiles, "drain_ms": figures(delays),
-        "last_forwarder_p50_ms": round(float(np.median(last)), 2) if last else None, "drains_not_seen": missed,
-        "lines_a_drain": lines, "physical_ms": round((lines + 8.0) * 1000.0 / LINES_A_FORWARDER, 2),
-    }  # fmt: skip
+        "hosts": hosts,
+        "forwarders": forwarders,
+        "slices": slices,
+        "hostile": hostiles,
+        "drain_ms": figures(delays),
+        "last_forwarder_p50_ms": round(float(np.median(last)), 2) if last else None,
+        "drains_not_seen": missed,
+        "lines_a_drain": lines,
+        "physical_ms": round((lines + 8.0) * 1000.0 / LINES_A_FORWARDER, 2),
+    }
     if storm:
         back: dict[int, float] = {}
         for t, link, what, _ in log:
             if what == -1 and t > killed:
                 back.setdefault(link, t)
         found["storm"] = {
-            "listening_after_ms": round((restarted - killed) * 1000.0), "back": len(back),
+            "listening_after_ms": round((restarted - killed) * 1000.0),
+            "back": len(back),
             "all_hold_tables_after_ms": round((max(back.values()) - killed) * 1000.0) if back else None,
-        }  # fmt: skip
+        }
     else:
         phases = json.loads(out.read_text())
         found |= {k: phases[1][k] for k in ("turn_ms", "late_ms", "ack_ms", "resident_mib", "cpu_share")}
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -35,13 +35,17 @@
     hosts, forwarders, slices, per_s, seconds = size
     fleet = s.fleet.model_copy(update={"hosts": hosts, "forwarders": forwarders, "slices": slices})
     lines = {"rate_lines_per_s": 400.0 * forwarders, "queue_most_lines": 500.0 * forwarders}
-    return s.model_copy(update={
-        "fleet": fleet, "seconds": seconds, "traffic": s.traffic.model_copy(update={"per_s": per_s}),
-        "channel": s.channel.model_copy(update=lines),
-        "reports": s.reports.model_copy(update={"lines_per_s": float(4 * slices + 4 * hosts)}),
-        "forwarders": s.forwarders.model_copy(update={"most": 4096}),
-        "fault": [f for f in s.fault if f.at_s + f.for_s < seconds],
-    })  # fmt: skip
+    return s.model_copy(
+        update={
+            "fleet": fleet,
+            "seconds": seconds,
+            "traffic": s.traffic.model_copy(update={"per_s": per_s}),
+            "channel": s.channel.model_copy(update=lines),
+            "reports": s.reports.model_copy(update={"lines_per_s": float(4 * slices + 4 * hosts)}),
+            "forwarders": s.forwarders.model_copy(update={"most": 4096}),
+            "fault": [f for f in s.fault if f.at_s + f.for_s < seconds],
+        }
+    )
 
 
 def per_second(work: Callable[[], object]) -> float:
@@ -116,8 +120,11 @@
 
 
 def loops() -> dict[str, float]:
-    found = {"bare heap and calls": per_second(heap), "SimLoop, timers": per_second(timers),
-             "SimLoop, tasks that sleep": per_second(sleepers)}  # fmt: skip
+    found = {
+        "bare heap and calls": per_second(heap),
+        "SimLoop, timers": per_second(timers),
+        "SimLoop, tasks that sleep": per_second(sleepers),
+    }
     try:
         found["simpy, processes"] = per_second(simpys)
     except ImportError:
@@ -137,12 +144,18 @@
         s = grown(SIZES[name])
         e = emulate(s, 1)
         row = {
-            "hosts": s.fleet.hosts, "forwarders": s.fleet.forwarders, "slices": s.fleet.slices,
-            "invocations": e.result["invocations"], "simulated_s": round(e.simulated, 1), "took_s": round(e.took, 2),
-            "callbacks_per_s": round(e.events / e.took), "invocations_per_s": round(e.result["invocations"] / e.took),
-            "times_real_time": round(e.simulated / e.took, 2), "service": e.result["service"],
+            "hosts": s.fleet.hosts,
+            "forwarders": s.fleet.forwarders,
+            "slices": s.fleet.slices,
+            "invocations": e.result["invocations"],
+            "simulated_s": round(e.simulated, 1),
+            "took_s": round(e.took, 2),
+            "callbacks_per_s": round(e.events / e.took),
+            "invocations_per_s": round(e.result["invocations"] / e.took),
+            "times_real_time": round(e.simulated / e.took, 2),
+            "service": e.result["service"],
             "rules_kept": sum(r["kept"] is True for r in e.result["rules"]),
-        }  # fmt: skip
+        }
         if name == "24":
             begun = time.perf_counter()
             with tempfile.TemporaryDirectory() as folder, pool(Path(folder) / "runs.db", 8) as p:
--- a/bench/handover.py
+++ b/bench/handover.py
@@ -61,8 +61,16 @@
     hosts, forwarders, slices = size
     roster, port = await listed(hosts), free_port()
     rate = LINES_A_FORWARDER * forwarders
-    text = CONFIG.format(port=port, folder=folder, roster=roster.port, slices=slices, forwarders=forwarders,
-                         rate=rate, queue=rate, lines=hosts + 2 * slices)  # fmt: skip
+    text = CONFIG.format(
+        port=port,
+        folder=folder,
+        roster=roster.port,
+        slices=slices,
+        forwarders=forwarders,
+        rate=rate,
+        queue=rate,
+        lines=hosts + 2 * slices,
+    )
     text = text.replace("forwarders {\n", f"forwarders {{\n  most = {forwarders * 2}\n  beat_ms = {BEAT:g}\n")
     text = text.replace("steward {\n", f'steward {{\n  control = "{folder}/c"\n  upgrade_within_ms = 20000\n')
     text = text.replace("every_ms = 500", "every_ms = 1000") + 'log {\n  level = "info"\n  format = "json"\n}\n'
@@ -75,8 +83,9 @@
     seconds = settle + UPGRADES * 9.0 + 10.0
     parts = split(forwarders)
     words = [["links", port, first, count, hosts, slices, seconds, f"{folder}/{first}.json"] for first, count in parts]
-    children = [await asyncio.create_subprocess_exec(sys.executable, "-m", "bench.handover", *map(str, w))
-                for w in words]  # fmt: skip
+    children = [
+        await asyncio.create_subprocess_exec(sys.executable, "-m", "bench.handover", *map(str, w)) for w in words
+    ]
     await asyncio.sleep(settle)
     drains: dict[str, list[tuple[float, int]]] = {"calm": [], "upgrade": []}
     spans: dict[str, list[tuple[float, float]]] = {"calm": [], "upgrade": []}
@@ -118,11 +127,14 @@
             at.setdefault(link, []).append(t)
     said = [json.loads(x) for x in Path(f"{folder}/log").read_text().splitlines() if x.startswith("{")]
     found: dict[str, Any] = {
-        "hosts": hosts, "forwarders": forwarders, "slices": slices, "handed_over": answers.count("ok"),
+        "hosts": hosts,
+        "forwarders": forwarders,
+        "slices": slices,
+        "handed_over": answers.count("ok"),
         "joined_anew": sum(1 for t, _, what, _ in rows if what == -1 and t >= spans["calm"][0][0]),
         "silent_ms": [x["silent_ms"] for x in said if x["event"] == "handed over"],
         "whole_ms": [x["ms"] for x in said if x["event"] == "handed over"],
-    }  # fmt: skip
+    }
     for kind in ("calm", "upgrade"):
         delays, missed, empty = [], 0, 0
         for told, h in drains[kind]:
@@ -137,8 +149,10 @@
             delays += [(t - told) * 1000.0 for t in first.values()]
         found[kind] = {
             "longest_gap_ms": figures([g for a, b in spans[kind] for g in gaps(at, a, b)]),
-            "drain_ms": figures(delays), "drains": len(drains[kind]) - empty, "not_seen": missed,
-        }  # fmt: skip
+            "drain_ms": figures(delays),
+            "drains": len(drains[kind]) - empty,
+            "not_seen": missed,
+        }
     return found
 
 
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -1,6 +1,6 @@
 """Tasks of a fleet by its size, simulated stewards on simulated ways: words and bytes a second, takeovers, moves.
 
-    python -m bench.leases [--sizes 3,5,20,60,200] [--tasks 10000]
+python -m bench.leases [--sizes 3,5,20,60,200] [--tasks 10000]
 """
 
 from __future__ import annotations
@@ -53,12 +53,21 @@
     w.run(w.now + 12_000.0)
     found = judge(w.acts, w.takings)
     return {
-        "stewards": stewards, "tasks": tasks, "seed": seed, "words_per_s": round(words, 1), "bytes_per_s": round(size),
-        "largest_over_mean": round(spread, 3), "takeover_ms": takeover, "moved_by_a_death": dead,
-        "least_by_a_death": min(SHARDS, tasks) // stewards, "moved_by_a_newcomer": dealer.moves - moves,
-        "least_by_a_newcomer": min(SHARDS, tasks) // stewards, "overlaps": found["overlaps"], "falls": found["falls"],
+        "stewards": stewards,
+        "tasks": tasks,
+        "seed": seed,
+        "words_per_s": round(words, 1),
+        "bytes_per_s": round(size),
+        "largest_over_mean": round(spread, 3),
+        "takeover_ms": takeover,
+        "moved_by_a_death": dead,
+        "least_by_a_death": min(SHARDS, tasks) // stewards,
+        "moved_by_a_newcomer": dealer.moves - moves,
+        "least_by_a_newcomer": min(SHARDS, tasks) // stewards,
+        "overlaps": found["overlaps"],
+        "falls": found["falls"],
         "cpu_ms_per_s_each": round(took * 1000.0 / (CALM / 1000.0) / stewards, 2),
-    }  # fmt: skip
+    }
 
 
 def faulty(days: int) -> dict[str, Any]:
--- a/bench/link.py
+++ b/bench/link.py
@@ -91,8 +91,9 @@
 
 async def steward_rounds(seconds: float) -> float:
     with tempfile.TemporaryDirectory() as folder:
-        text = CONFIG.format(port=0, folder=folder, roster=1, slices=LINES, forwarders=FORWARDERS, rate=1e9,
-                             queue=1e8, lines=1000)  # fmt: skip
+        text = CONFIG.format(
+            port=0, folder=folder, roster=1, slices=LINES, forwarders=FORWARDERS, rate=1e9, queue=1e8, lines=1000
+        )
         text = text.replace("forwarders {", "forwarders {\n  frames_per_s = 100000\n  silence_ms = 60000")
         text = text.replace("steward {", "steward {\n  turn_ms = 0.01")
         (Path(folder) / "s.hcl").write_text(text)
@@ -134,11 +135,14 @@
     rows.sort(key=lambda r: r[0] / r[1])
     ours, bare = rows[1]
     return {
-        "forwarders": FORWARDERS, "lines_a_message": LINES,
-        "messages_per_s": round(ours * FORWARDERS), "lines_per_s": round(ours * FORWARDERS * LINES),
-        "bare_messages_per_s": round(bare * FORWARDERS), "ratio": round(ours / bare, 3),
+        "forwarders": FORWARDERS,
+        "lines_a_message": LINES,
+        "messages_per_s": round(ours * FORWARDERS),
+        "lines_per_s": round(ours * FORWARDERS * LINES),
+        "bare_messages_per_s": round(bare * FORWARDERS),
+        "ratio": round(ours / bare, 3),
         "ratios": [round(a / b, 3) for a, b in rows],
-    }  # fmt: skip
+    }
 
 
 if __name__ == "__main__":
--- a/bench/load_reports.py
+++ b/bench/load_reports.py
@@ -89,8 +89,12 @@
         key.write_bytes(KEY)
         more = BLOCK.format(port=port, key=key, processes=PROCESSES)
         usual = HOSTS * PROCESSES * 1.0
-        phases = [(seconds, lambda: None), (seconds, send(usual, 1)), (seconds, send(usual * 10, 3)),
-                  (seconds, send(usual, 1))]  # fmt: skip
+        phases = [
+            (seconds, lambda: None),
+            (seconds, send(usual, 1)),
+            (seconds, send(usual * 10, 3)),
+            (seconds, send(usual, 1)),
+        ]
         found = uvloop.run(measure(HOSTS, 12, 468, phases, more))
     for p, _ in procs:
         p.join(5)
@@ -110,8 +114,12 @@
         "resident": high["resident_mib"] / base["resident_mib"],
         "lines_waiting": high["most_lines_waiting"] / max(base["most_lines_waiting"], 1.0),
     }
-    return {"senders": HOSTS * PROCESSES, "per_s": usual, "phases": out,
-            "ten_times_over_normal": {k: round(v, 3) for k, v in ratios.items()}}  # fmt: skip
+    return {
+        "senders": HOSTS * PROCESSES,
+        "per_s": usual,
+        "phases": out,
+        "ten_times_over_normal": {k: round(v, 3) for k, v in ratios.items()},
+    }
 
 
 class Drop(asyncio.DatagramProtocol):
@@ -137,9 +145,17 @@
     port = free_port()
     ours, theirs = socket.socketpair()
     theirs.set_inheritable(True)
-    conf = {"listen": f"127.0.0.1:{port}", "sender_rate": 1000.0, "sender_burst": 1000.0, "processes_most": PROCESSES,
-            "reports_per_s": 5000.0, "tick_ms": 20.0, "streams_most": 4, "buffer_bytes": 4 << 20,
-            "key": KEY.hex() if signed else ""}  # fmt: skip
+    conf = {
+        "listen": f"127.0.0.1:{port}",
+        "sender_rate": 1000.0,
+        "sender_burst": 1000.0,
+        "processes_most": PROCESSES,
+        "reports_per_s": 5000.0,
+        "tick_ms": 20.0,
+        "streams_most": 4,
+        "buffer_bytes": 4 << 20,
+        "key": KEY.hex() if signed else "",
+    }
     command = [sys.executable, "-m", "corallanding.reports.intake", str(theirs.fileno()), json.dumps(conf)]
     process = subprocess.Popen(command, pass_fds=[theirs.fileno()])
     theirs.close()
@@ -180,9 +196,7 @@
 def begin(port: int, seconds: float) -> None:
     for _ in range(4):
         sent = multiprocessing.Value("q", 0)
-        multiprocessing.Process(
-            target=blast, args=(port, 1e6, seconds, HOSTS * PROCESSES, sent), daemon=True
-        ).start()
+        multiprocessing.Process(target=blast, args=(port, 1e6, seconds, HOSTS * PROCESSES, sent), daemon=True).start()
 
 
 def drop(seconds: float) -> float:
@@ -199,9 +213,14 @@
     rows = [(take(True, 6.0), take(False, 6.0), drop(6.0)) for _ in range(3)]
     rows.sort()
     signed, plain, dropped = rows[1]
-    return {"signed_per_s": round(signed), "unsigned_per_s": round(plain), "receive_and_drop_per_s": round(dropped),
-            "signed_ratio": round(signed / dropped, 3), "unsigned_ratio": round(plain / dropped, 3),
-            "senders_limit": "four sending processes; the receive side is the bound"}  # fmt: skip
+    return {
+        "signed_per_s": round(signed),
+        "unsigned_per_s": round(plain),
+        "receive_and_drop_per_s": round(dropped),
+        "signed_ratio": round(signed / dropped, 3),
+        "unsigned_ratio": round(plain / dropped, 3),
+        "senders_limit": "four sending processes; the receive side is the bound",
+    }
 
 
 DAYS = {
@@ -228,8 +247,15 @@
     lines = sum(1 for f in frames for row in f[4] if row[2] > 0)
     first = s.fleet.slices  # the first placement is no move
     kept = all(x["kept"] for x in r["rules"])
-    return {"day": name, "reports": reports, "seed": seed, "service": r["service"], "worst_10_s": r["worst_10_s"],
-            "moves_a_slice": round((lines - first) / first, 4), "rules_kept": kept}  # fmt: skip
+    return {
+        "day": name,
+        "reports": reports,
+        "seed": seed,
+        "service": r["service"],
+        "worst_10_s": r["worst_10_s"],
+        "moves_a_slice": round((lines - first) / first, 4),
+        "rules_kept": kept,
+    }
 
 
 def days() -> list[dict[str, Any]]:
@@ -296,8 +322,12 @@
         writer.close()
         steward.stop()
         await asyncio.sleep(0.1)
-    return {"expiry_ms": 6000, "half_life_ms": 1500, "lowest_weight": 0.59,
-            "weight_on_the_socket_whole_after_ms": round((gone - fell) * 1000) if gone else None}  # fmt: skip
+    return {
+        "expiry_ms": 6000,
+        "half_life_ms": 1500,
+        "lowest_weight": 0.59,
+        "weight_on_the_socket_whole_after_ms": round((gone - fell) * 1000) if gone else None,
+    }
 
 
 def chart(found: dict[str, Any]) -> None:
--- a/bench/machine.py
+++ b/bench/machine.py
@@ -8,5 +8,10 @@
 
 def machine() -> dict[str, object]:
     pages = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
-    return {"cores": os.cpu_count(), "memory_gib": round(pages / 2**30, 1), "python": platform.python_version(),
-            "system": platform.system(), "arch": platform.machine()}  # fmt: skip
+    return {
+        "cores": os.cpu_count(),
+        "memory_gib": round(pages / 2**30, 1),
+        "python": platform.python_version(),
+        "system": platform.system(),
+        "arch": platform.machine(),
+    }
--- a/bench/measured.py
+++ b/bench/measured.py
@@ -48,13 +48,18 @@
 
     def phase(self) -> None:
         spent = time.monotonic() - self.begun
-        self.phases.append({
-            "turn_ms": figures(self.turns), "late_ms": figures(self.late), "ack_ms": figures(self.acks),
-            "most_lines_waiting": self.channel.most, "resident_mib": round(resident_mib(), 1),
-            "cpu_share": round((time.process_time() - self.cpu) / spent, 3),
-            "intake": dict(self.feed.counts) if self.feed else {},
-            "worth": dict(vars(self.feed.worth.counts)) if self.feed else {},
-        })  # fmt: skip
+        self.phases.append(
+            {
+                "turn_ms": figures(self.turns),
+                "late_ms": figures(self.late),
+                "ack_ms": figures(self.acks),
+                "most_lines_waiting": self.channel.most,
+                "resident_mib": round(resident_mib(), 1),
+                "cpu_share": round((time.process_time() - self.cpu) / spent, 3),
+                "intake": dict(self.feed.counts) if self.feed else {},
+                "worth": dict(vars(self.feed.worth.counts)) if self.feed else {},
+            }
+        )
         self.begin()
 
     def step(self) -> None:
--- a/bench/one_fleet.py
+++ b/bench/one_fleet.py
@@ -1,6 +1,6 @@
 """Runs and waiting work: faulty days by the hundred (simulated stewards), sizes, times, and two baselines.
 
-    python -m bench.one_fleet [--days 500] [--workers 8] [--jobs 1000000] [--runs 100000]
+python -m bench.one_fleet [--days 500] [--workers 8] [--jobs 1000000] [--runs 100000]
 """
 
 from __future__ import annotations
@@ -77,8 +77,18 @@
     terms, kinds = replace(TERMS, rate=40.0), (Kind("claim", 4.0, 2_000.0, 1e9), Kind("rank", 0.0, 1_000.0, 1e9))
     if way == "no ageing":
         kinds = tuple(replace(k, patience=1e9) for k in kinds)
-    w = WaitWorld(seed, 5, 5, per_s=30, rate=40, skew=2.0, terms=terms, kinds=kinds, lone=way == "alone",
-                  mix=lambda t, c: int(c.random() < (0.1 if 8_000 < t < 20_000 else 0.5)))  # fmt: skip
+    w = WaitWorld(
+        seed,
+        5,
+        5,
+        per_s=30,
+        rate=40,
+        skew=2.0,
+        terms=terms,
+        kinds=kinds,
+        lone=way == "alone",
+        mix=lambda t, c: int(c.random() < (0.1 if 8_000 < t < 20_000 else 0.5)),
+    )
     w.run(30_000.0)
     ends = [at - w.jobs[job].came for at, job, _, _ in w.went]
     ends += [w.now - j.came for j in w.jobs.values() if not j.done]
@@ -181,8 +191,9 @@
         for way in ("fleet", "alone", "no ageing"):
             rows = list(pool.map(way_day, [(way, s) for s in range(24)]))
             out[f"flood_{way.replace(' ', '_')}"] = {
-                "longest_wait_ms": interval([r[0] for r in rows]), "let_go": interval([r[1] for r in rows]),
-            }  # fmt: skip
+                "longest_wait_ms": interval([r[0] for r in rows]),
+                "let_go": interval([r[1] for r in rows]),
+            }
     with ProcessPoolExecutor(1, max_tasks_per_child=1) as pool:  # a process each, so that memory is its own
         sizes = ((a.runs // 10, True), (a.runs, True), (a.runs, False))
         out["live_runs"] = [pool.submit(live_runs, n, file).result() for n, file in sizes]
--- a/bench/ready.py
+++ b/bench/ready.py
@@ -36,21 +36,43 @@
 NEWS = b'{"seq":1,"whole":false,"hosts":[]}'  # none
 HB = b"*1\r\n$2\r\nhb\r\n"
 SETTINGS = {
-    "zones": ["a", "b", "c", "d"], "kinds": ["std"], "zone": 0, "balancers": 5, "me": 0,
-    "discovery": "pushed", "period": 2000,
+    "zones": ["a", "b", "c", "d"],
+    "kinds": ["std"],
+    "zone": 0,
+    "balancers": 5,
+    "me": 0,
+    "discovery": "pushed",
+    "period": 2000,
     "classes": [
         {"name": "quote", "idempotency": "repeatable", "aim": 1200000, "giveUp": 3000000, "worth": 3.0},
         {"name": "claim", "idempotency": "once", "aim": 1500000, "giveUp": 5000000, "worth": 2.0},
     ],
-    "familyInfo": {"keyRanges": SLICES, "proxies": PROXIES, "reportEvery": 500000, "channelRate": 400000.0,
-                   "mostWaiting": 600000, "pushesAllowed": 20, "intakePerS": 200},
-    "limits": {"mayProbe": True, "dialTimeout": 300000}, "rules": {"drainGrace": 3000000}, "loadReport": {"fields": []},
-}  # fmt: skip
+    "familyInfo": {
+        "keyRanges": SLICES,
+        "proxies": PROXIES,
+        "reportEvery": 500000,
+        "channelRate": 400000.0,
+        "mostWaiting": 600000,
+        "pushesAllowed": 20,
+        "intakePerS": 200,
+    },
+    "limits": {"mayProbe": True, "dialTimeout": 300000},
+    "rules": {"drainGrace": 3000000},
+    "loadReport": {"fields": []},
+}
 
 
 def row(n: int) -> dict[str, Any]:
-    return {"host": f"s-{n:08x}", "dial": "127.0.0.1:9", "site": "abcd"[n % 4], "class": "std", "block": n // 8,
-            "health": "in_service", "share": 1.0, "born_ms": 0}  # fmt: skip
+    return {
+        "host": f"s-{n:08x}",
+        "dial": "127.0.0.1:9",
+        "site": "abcd"[n % 4],
+        "class": "std",
+        "block": n // 8,
+        "health": "in_service",
+        "share": 1.0,
+        "born_ms": 0,
+    }
 
 
 def line(method: str, **params: Any) -> bytes:
@@ -104,9 +126,12 @@
     os.mkfifo(path)
     begun = time.perf_counter()
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "corallanding.node", env={**os.environ, "LB_CONFIG": str(path)},
+        sys.executable,
+        "-m",
+        "corallanding.node",
+        env={**os.environ, "LB_CONFIG": str(path)},
         stderr=asyncio.subprocess.DEVNULL,
-    )  # fmt: skip
+    )
     throttling = asyncio.create_task(throttle(process.pid, share))
     try:
         pipe = await asyncio.to_thread(os.open, path, os.O_WRONLY)
@@ -149,8 +174,14 @@
     peers = Peers()
     servers = [await asyncio.start_server(serve, "127.0.0.1", 0) for serve in (peers.relay, peers.agent)]
     relay, agent = (f"127.0.0.1:{s.sockets[0].getsockname()[1]}" for s in servers)
-    config = {"name": "n0", "discovery": agent, "store": {"address": relay}, "seed": "1", "settings": SETTINGS,
-              "known": {"seq": 1, "whole": True, "hosts": [row(n) for n in range(HOSTS)]}}  # fmt: skip
+    config = {
+        "name": "n0",
+        "discovery": agent,
+        "store": {"address": relay},
+        "seed": "1",
+        "settings": SETTINGS,
+        "known": {"seq": 1, "whole": True, "hosts": [row(n) for n in range(HOSTS)]},
+    }
     found: dict[str, Any] = {}
     with tempfile.TemporaryDirectory() as folder:
         for share in shares:
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -58,9 +58,16 @@
     roster, port = await listed(HOSTS), free_port()
     firsts, levels, before, killed = list[float](), list[float](), list[float](), 0.0
     with tempfile.TemporaryDirectory() as folder:
-        text = CONFIG.format(port=port, folder=folder, roster=roster.port, slices=SLICES, forwarders=FORWARDERS,
-                             rate=1e5, queue=(8 + 2 * SLICES) * FORWARDERS * 2,
-                             lines=2 * HOSTS + 4 * SLICES)  # fmt: skip
+        text = CONFIG.format(
+            port=port,
+            folder=folder,
+            roster=roster.port,
+            slices=SLICES,
+            forwarders=FORWARDERS,
+            rate=1e5,
+            queue=(8 + 2 * SLICES) * FORWARDERS * 2,
+            lines=2 * HOSTS + 4 * SLICES,
+        )
         if snapshot:
             text = text.replace('s.db"\n', f's.db"\n  snapshot_path = "{folder}/s.snap"\n  snapshot_every_ms = 2000\n')
         text = text.replace("forwarders {\n", "forwarders {\n  accepts_per_s = 5000\n  reads_per_s = 1000\n")
@@ -97,9 +104,13 @@
             steward = await asyncio.create_subprocess_exec(*command)
         steward.kill()
         await steward.wait()
-    return {"kills": len(firsts), "killed_to_tables_at_the_last_p50_ms": round(float(np.median(firsts))),
-            "worst_ms": round(max(firsts)), "let_in_before": [round(x, 2) for x in before[:-1]],
-            "let_in_by_the_first_tables": [round(x, 2) for x in levels]}  # fmt: skip
+    return {
+        "kills": len(firsts),
+        "killed_to_tables_at_the_last_p50_ms": round(float(np.median(firsts))),
+        "worst_ms": round(max(firsts)),
+        "let_in_before": [round(x, 2) for x in before[:-1]],
+        "let_in_by_the_first_tables": [round(x, 2) for x in levels],
+    }
 
 
 def sizes() -> list[dict[str, Any]]:
@@ -117,8 +128,14 @@
             begun = time.perf_counter()
             load(settings(*size), file.unpack(data, ModuleState))
             took["load"].append((time.perf_counter() - begun) * 1000.0)
-        rows.append({"hosts": size[0], "slices": size[1], "bytes": len(data),
-                     **{f"{k}_p50_ms": round(float(np.median(v)), 2) for k, v in took.items()}})  # fmt: skip
+        rows.append(
+            {
+                "hosts": size[0],
+                "slices": size[1],
+                "bytes": len(data),
+                **{f"{k}_p50_ms": round(float(np.median(v)), 2) for k, v in took.items()},
+            }
+        )
     return rows
 
 
--- a/bench/registry.py
+++ b/bench/registry.py
@@ -76,8 +76,11 @@
 
 
 def quantiles(values: list[float]) -> dict[str, float]:
-    return {"count": len(values), "p50_ms": round(float(np.percentile(values, 50)), 1),
-            "p99_ms": round(float(np.percentile(values, 99)), 1)}  # fmt: skip
+    return {
+        "count": len(values),
+        "p50_ms": round(float(np.percentile(values, 50)), 1),
+        "p99_ms": round(float(np.percentile(values, 99)), 1),
+    }
 
 
 async def until(wanted: Any, within: float = 60.0) -> float:
@@ -103,9 +106,16 @@
     with tempfile.TemporaryDirectory() as folder:
         processes, ports = [], [free_port() for _ in range(STEWARDS)]
         for me in range(STEWARDS):
-            text = CONFIG.format(port=ports[me], folder=folder, roster=1, slices=slices, forwarders=forwarders,
-                                 rate=1e3 * forwarders, queue=(8 + 2 * slices) * forwarders * 2,
-                                 lines=2000)  # fmt: skip
+            text = CONFIG.format(
+                port=ports[me],
+                folder=folder,
+                roster=1,
+                slices=slices,
+                forwarders=forwarders,
+                rate=1e3 * forwarders,
+                queue=(8 + 2 * slices) * forwarders * 2,
+                lines=2000,
+            )
             block = f'registry {{\n  address = "127.0.0.1:{r.port}"\n  charge = true\n  lease_ms = 3000\n}}\n'
             text = text.replace('roster {\n  address = "127.0.0.1:1"\n}\n', block).replace("/s.db", f"/{me}.db")
             text = text.replace("steward {", f"steward {{\n  number = {me}\n  stewards = {STEWARDS}")
@@ -165,9 +175,15 @@
                 if p.returncode is None:
                     p.kill()
             await r.stop()
-    return {"hosts": hosts, "forwarders": forwarders, "slices": slices, "change_to_every_forwarder": quantiles(drains),
-            "slices_of_the_killed_steward": len(before),
-            "killed_to_all_slices_spoken_for_ms": round(takeover), "lease_ms": 3000}  # fmt: skip
+    return {
+        "hosts": hosts,
+        "forwarders": forwarders,
+        "slices": slices,
+        "change_to_every_forwarder": quantiles(drains),
+        "slices_of_the_killed_steward": len(before),
+        "killed_to_all_slices_spoken_for_ms": round(takeover),
+        "lease_ms": 3000,
+    }
 
 
 class Seat:
@@ -221,8 +237,14 @@
             await asyncio.sleep(seconds)
             await r.start()
             took = await until(lambda: seat.view == truth(r))  # noqa: B023
-            out.append({"break_s": seconds, "compacted": compacted, "true_view_after_ms": round(took),
-                        "full_reads": r.store.calls["Range"]})  # fmt: skip
+            out.append(
+                {
+                    "break_s": seconds,
+                    "compacted": compacted,
+                    "true_view_after_ms": round(took),
+                    "full_reads": r.store.calls["Range"],
+                }
+            )
             s.stop()
             await r.stop()
     return out
@@ -276,6 +298,7 @@
                 s = source(r, seat, 1)
                 await until(lambda: seat.view)  # noqa: B023
             else:
+
                 async def watch(conn: Etcd = conn, count: Count = count, at: int = r.store.revision + 1) -> None:
                     try:
                         await conn.watch(PREFIX.encode(), at, count)
--- a/bench/run.py
+++ b/bench/run.py
@@ -28,10 +28,16 @@
         for seed in seeds:
             for publisher in ("corallanding", "hashing"):
                 r = day(seed, publisher, Path(folder) / f"{seed}-{publisher}")
-                rows.append({
-                    "seed": seed, "publisher": publisher, "service": r["service"], "worst_10_s": r["worst_10_s"],
-                    "doubles": r["doubles"], "rules_kept": sum(x["kept"] is True for x in r["rules"]),
-                })  # fmt: skip
+                rows.append(
+                    {
+                        "seed": seed,
+                        "publisher": publisher,
+                        "service": r["service"],
+                        "worst_10_s": r["worst_10_s"],
+                        "doubles": r["doubles"],
+                        "rules_kept": sum(x["kept"] is True for x in r["rules"]),
+                    }
+                )
     return rows
 
 
--- a/bench/turn.py
+++ b/bench/turn.py
@@ -30,9 +30,14 @@
 
 def settings(hosts: int, slices: int, proxies: int) -> api.Settings:
     return api.Settings(
-        operations=(QUOTE,), slices=slices, proxies=proxies, queue_most=(8.0 + 2 * slices) * proxies * 2,
-        reports_per_s=hosts + 2.0 * slices, channel_rate=10.0 * slices * proxies, cold=5_000.0,
-    )  # fmt: skip
+        operations=(QUOTE,),
+        slices=slices,
+        proxies=proxies,
+        queue_most=(8.0 + 2 * slices) * proxies * 2,
+        reports_per_s=hosts + 2.0 * slices,
+        channel_rate=10.0 * slices * proxies,
+        cold=5_000.0,
+    )
 
 
 class Fleet:
@@ -76,8 +81,9 @@
         ]
         came = r.poisson(8, self.slices)
         self.now += 1.0
-        self.module.step(self.now, [*events, *(api.SliceSums(s, 0, int(came[s]), 0, 1000.0)
-                                               for s in range(self.slices))])  # fmt: skip
+        self.module.step(
+            self.now, [*events, *(api.SliceSums(s, 0, int(came[s]), 0, 1000.0) for s in range(self.slices))]
+        )
 
     def turn(self) -> float:
         self.now += 500.0
@@ -99,8 +105,16 @@
         while f.module.ranks.warm(range(slices), 100_000):
             pass
         warming = (time.perf_counter() - begun) * 1000.0
-        rows.append({"hosts": hosts, "slices": slices, "forwarders": proxies, "turns": turns,
-                     "marks_ms": round(warming, 1), "first_step_ms": round(f.first, 1)})  # fmt: skip
+        rows.append(
+            {
+                "hosts": hosts,
+                "slices": slices,
+                "forwarders": proxies,
+                "turns": turns,
+                "marks_ms": round(warming, 1),
+                "first_step_ms": round(f.first, 1),
+            }
+        )
     took: list[dict[str, list[float]]] = [{"turn": [], "strained": [], "drain": []} for _ in fleets]
     for k in range(2 * turns):
         for f, mine in zip(fleets, took, strict=True):
--- a/bench/turns.py
+++ b/bench/turns.py
@@ -113,17 +113,26 @@
 
 
 async def measure(
-    hosts: int, forwarders: int, slices: int, phases: list[tuple[float, Callable[[], Any]]], more: str = "",
+    hosts: int,
+    forwarders: int,
+    slices: int,
+    phases: list[tuple[float, Callable[[], Any]]],
+    more: str = "",
     started: float = 0.0,
-) -> list[dict[str, Any]]:  # fmt: skip
+) -> list[dict[str, Any]]:
     """A steward process under a fleet of raw links; each phase is (seconds, what begins it). Figures a phase."""
     with tempfile.TemporaryDirectory() as folder:
         roster, port = await listed(hosts, started), free_port()
         text = CONFIG.format(
-            port=port, folder=folder, roster=roster.port, slices=slices, forwarders=forwarders,
-            rate=max(10_000, slices * forwarders), queue=(8 + 2 * slices) * forwarders * 2,
+            port=port,
+            folder=folder,
+            roster=roster.port,
+            slices=slices,
+            forwarders=forwarders,
+            rate=max(10_000, slices * forwarders),
+            queue=(8 + 2 * slices) * forwarders * 2,
             lines=hosts + 2 * slices,
-        )  # fmt: skip
+        )
         (Path(folder) / "s.hcl").write_text(text + more)
         out = Path(folder) / "out.json"
         command = [sys.executable, "-m", "bench.measured", f"{folder}/s.hcl", str(out)]
@@ -139,9 +148,13 @@
 
 
 async def drive(
-    steward: asyncio.subprocess.Process, roster: Roster, port: int, hosts: int, forwarders: int,
+    steward: asyncio.subprocess.Process,
+    roster: Roster,
+    port: int,
+    hosts: int,
+    forwarders: int,
     phases: list[tuple[float, Callable[[], Any]]],
-) -> None:  # fmt: skip
+) -> None:
     loop, chance = asyncio.get_running_loop(), np.random.default_rng(1)
     links: list[Raw] = []
     for number in range(forwarders):
--- a/corallanding/balance/assigner.py
+++ b/corallanding/balance/assigner.py
@@ -36,9 +36,15 @@
             self.turn = max(self.turn, settings.messages_span / (settings.messages_most * SPARE))
         known, pending = self.known, self.pending
         self.hears: dict[type, Callable[..., None]] = {
-            api.HostSums: known.heard, api.SliceSums: self.survey.demand, api.ProbeDone: known.probed,
-            api.Membership: known.listed, api.SliceGiven: self.given, api.OnRecord: self.recorded,
-            api.Acked: pending.acked, api.ProxyLeft: pending.left, api.ProxyJoined: pending.joined,
+            api.HostSums: known.heard,
+            api.SliceSums: self.survey.demand,
+            api.ProbeDone: known.probed,
+            api.Membership: known.listed,
+            api.SliceGiven: self.given,
+            api.OnRecord: self.recorded,
+            api.Acked: pending.acked,
+            api.ProxyLeft: pending.left,
+            api.ProxyJoined: pending.joined,
         }
 
     def step(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
--- a/corallanding/channel/core.py
+++ b/corallanding/channel/core.py
@@ -109,9 +109,15 @@
     # ---- in --------------------------------------------------------------------------------------------
 
     def submit(
-        self, now: float, frame: bytes, lines: int, mark: int, to: Iterable[int], orders: Orders | None = None,
+        self,
+        now: float,
+        frame: bytes,
+        lines: int,
+        mark: int,
+        to: Iterable[int],
+        orders: Orders | None = None,
         urgent: bool = False,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Queue one message for each forwarder of `to` that is joined; an urgent one overtakes those that wait.
 
         Raises `Overrun` with the forwarders for which there is no room; the others' messages are queued.
--- a/corallanding/channel/merge.py
+++ b/corallanding/channel/merge.py
@@ -53,10 +53,12 @@
     left: list[Orders | None] = []
     for o in waiting:
         rest = msgspec.structs.replace(
-            o, lines=[row for row in o.lines if row[:2] not in lines], cordons=[],
+            o,
+            lines=[row for row in o.lines if row[:2] not in lines],
+            cordons=[],
             levels=[row for row in o.levels if row[:2] not in levels],
             addresses={h: a for h, a in o.addresses.items() if h not in addresses},
-        )  # fmt: skip
+        )
         left.append(None if empty(rest) else rest)
     last = None
     if any(left):
@@ -67,9 +69,13 @@
     rows = sorted(((t, h, w) for (t, h), w in lines.items()), key=lambda row: row[2] <= 0)  # the new ones first
     numbers = [base, *(max(base, o.seq) for o in waiting[1:]), urgent.seq]
     ahead = msgspec.structs.replace(
-        urgent, seq=numbers[0] if last else urgent.seq, mark=-1 if last else urgent.mark, lines=rows,
-        cordons=list(cordons.items()), addresses=addresses,
-    )  # fmt: skip
+        urgent,
+        seq=numbers[0] if last else urgent.seq,
+        mark=-1 if last else urgent.mark,
+        lines=rows,
+        cordons=list(cordons.items()),
+        addresses=addresses,
+    )
     out: list[Orders | None] = []
     for part, number in zip(left, numbers[1:], strict=True):
         if part is None:
--- a/corallanding/collector/door.py
+++ b/corallanding/collector/door.py
@@ -84,9 +84,14 @@
     """
 
     def __init__(
-        self, where: tuple[str, int], intake: Intake, strangers_most: int,
-        heard: Callable[[list[api.HostSums | api.SliceSums]], None], said: Callable[[str], None], zone_most: int = 4,
-    ) -> None:  # fmt: skip
+        self,
+        where: tuple[str, int],
+        intake: Intake,
+        strangers_most: int,
+        heard: Callable[[list[api.HostSums | api.SliceSums]], None],
+        said: Callable[[str], None],
+        zone_most: int = 4,
+    ) -> None:
         self.intake, self.heard, self.strangers_most, self.zone_most = intake, heard, strangers_most, zone_most
         self.strangers: dict[Link, None] = {}
         self.collectors: dict[int, list[Link]] = {}
--- a/corallanding/config/budgets.py
+++ b/corallanding/config/budgets.py
@@ -10,9 +10,12 @@
 
 # What can be limited, for whom, and how it is counted: each is enforced where the thing is done.
 KINDS = {
-    "probes": ("host", "per_s"), "moves": ("fleet", "per_s"), "cold_slices": ("host", "count"),
-    "emptied": ("fleet", "count"), "releases": ("fleet", "per_s"),
-}  # fmt: skip
+    "probes": ("host", "per_s"),
+    "moves": ("fleet", "per_s"),
+    "cold_slices": ("host", "count"),
+    "emptied": ("fleet", "count"),
+    "releases": ("fleet", "per_s"),
+}
 
 
 class BudgetBlock(Block):
--- a/corallanding/config/hcl.py
+++ b/corallanding/config/hcl.py
@@ -18,9 +18,7 @@
 from pydantic import BaseModel, ValidationError
 
 Model = TypeVar("Model", bound=BaseModel)
-OPTIONS = hcl2.SerializationOptions(
-    with_comments=False, strip_string_quotes=True, preserve_scientific_notation=False
-)
+OPTIONS = hcl2.SerializationOptions(with_comments=False, strip_string_quotes=True, preserve_scientific_notation=False)
 
 
 class ConfigFault(Exception):
--- a/corallanding/config/models.py
+++ b/corallanding/config/models.py
@@ -25,7 +25,7 @@
     RulesBlock,
     SlicesBlock,
     StoreBlock,
-)  # fmt: skip
+)
 from .sources import LoadReportsBlock, ProbeBlock, RegistryBlock, RosterBlock
 from .tasks import WHOLE, TaskBlock, TaskGroupBlock, TasksBlock
 from .waits import JOBS, WaitingBlock
--- a/corallanding/config/module.py
+++ b/corallanding/config/module.py
@@ -10,11 +10,19 @@
     """What the module is given of it."""
     operations = tuple(
         api.Operation(
-            name, api.Repeat(o.repeat), o.group, o.window_ms, o.billed_value, o.late_value,
-            o.latency_objective_ms, o.integration_timeout_ms, o.writes, o.zone_bound,
+            name,
+            api.Repeat(o.repeat),
+            o.group,
+            o.window_ms,
+            o.billed_value,
+            o.late_value,
+            o.latency_objective_ms,
+            o.integration_timeout_ms,
+            o.writes,
+            o.zone_bound,
         )
         for name, o in c.operation.items()
-    )  # fmt: skip
+    )
     return api.Settings(
         operations=operations,
         zone=c.zones.index(c.steward.zone) if c.steward.zone else 0,
--- a/corallanding/config/pins.py
+++ b/corallanding/config/pins.py
@@ -47,9 +47,14 @@
 
 
 def fault(
-    pins: PinsBlock | None, releases: dict[str, ReleaseBlock], operations: Collection[str], tasks: Collection[str],
-    groups: Collection[str], lease: float, records: RecordsBlock | None,
-) -> str | None:  # fmt: skip
+    pins: PinsBlock | None,
+    releases: dict[str, ReleaseBlock],
+    operations: Collection[str],
+    tasks: Collection[str],
+    groups: Collection[str],
+    lease: float,
+    records: RecordsBlock | None,
+) -> str | None:
     """What is wrong with them, as a sentence that names the key."""
     if pins is None:
         return "release: it needs a pins block" if releases else None
--- a/corallanding/config/waits.py
+++ b/corallanding/config/waits.py
@@ -36,9 +36,13 @@
 
 
 def fault(
-    waits: Collection[str], budgets: dict[str, BudgetBlock], groups: Collection[str], records: bool, stale: float,
+    waits: Collection[str],
+    budgets: dict[str, BudgetBlock],
+    groups: Collection[str],
+    records: bool,
+    stale: float,
     tell: float,
-) -> str | None:  # fmt: skip
+) -> str | None:
     """What is wrong with them, as a sentence that names the key. waits: operations that may wait."""
     if not waits:
         return None
--- a/corallanding/discovery/agent.py
+++ b/corallanding/discovery/agent.py
@@ -33,9 +33,14 @@
     """
 
     def __init__(
-        self, where: Address, listener: Listener, on_request: bool = False, wait: float = 1_000.0,
-        late: float = 400.0, again_most: float = 400.0,
-    ) -> None:  # fmt: skip
+        self,
+        where: Address,
+        listener: Listener,
+        on_request: bool = False,
+        wait: float = 1_000.0,
+        late: float = 400.0,
+        again_most: float = 400.0,
+    ) -> None:
         self.where, self.listener, self.wait, self.late, self.again_most = where, listener, wait, late, again_most
         self.loop = asyncio.get_running_loop()
         self.dialer = Dialer(lambda at: Conversation(at, self.answered, self.lost), self.adopted, self.unreached, late)
--- a/corallanding/interface/actions.py
+++ b/corallanding/interface/actions.py
@@ -81,7 +81,4 @@
     text: str
 
 
-Action = (
-    SetLine | Level | Cordon | ResetTable | Point
-    | Mark | Remind | Probe | Follow | FetchList | Tell | Note
-)  # fmt: skip
+Action = SetLine | Level | Cordon | ResetTable | Point | Mark | Remind | Probe | Follow | FetchList | Tell | Note
--- a/corallanding/interface/events.py
+++ b/corallanding/interface/events.py
@@ -129,7 +129,16 @@
 
 
 Event = (
-    Membership | ProbeDone | HostSums | SliceSums | ProxySums | SliceGiven | OnRecord | ProxyJoined
+    Membership
+    | ProbeDone
+    | HostSums
+    | SliceSums
+    | ProxySums
+    | SliceGiven
+    | OnRecord
+    | ProxyJoined
     | ProxyLeft
-    | Acked | PeerMessage | Due
-)  # fmt: skip
+    | Acked
+    | PeerMessage
+    | Due
+)
--- a/corallanding/lab/audit.py
+++ b/corallanding/lab/audit.py
@@ -258,9 +258,7 @@
     return Verdict(RULES[2], worst <= limits.drain_grace, worst, limits.drain_grace, where)
 
 
-def rule_cold(
-    records: Sequence[Any], views: list[ForwarderView], listed: dict[int, Listed], limits: Limits
-) -> Verdict:
+def rule_cold(records: Sequence[Any], views: list[ForwarderView], listed: dict[int, Listed], limits: Limits) -> Verdict:
     """Work sent to a cold host within any window, over its present capacity; only what came knowingly counts."""
     cold: dict[str, tuple[float, float, float, float]] = {}  # host: start, capacity, from, cold time
     takes: dict[str, list[tuple[float, float, str]]] = defaultdict(list)
--- a/corallanding/lab/clients.py
+++ b/corallanding/lab/clients.py
@@ -58,9 +58,14 @@
 
 
 def draw(
-    seed: int, length: float, per_s: float, rates: np.ndarray, slices: np.ndarray, operations: list[OperationSpec],
+    seed: int,
+    length: float,
+    per_s: float,
+    rates: np.ndarray,
+    slices: np.ndarray,
+    operations: list[OperationSpec],
     hots: list[Hot],
-) -> Traffic:  # fmt: skip
+) -> Traffic:
     """rates: each forwarder's share; slices: each slice's share. Both sum to 1."""
     chance = np.random.default_rng([seed, 77])
     most = max([1.0] + [h.more for h in hots])
--- a/corallanding/lab/commands.py
+++ b/corallanding/lab/commands.py
@@ -79,9 +79,7 @@
 
 
 @lab.command("audit")
-def audit(
-    trace: Path, scenario: Annotated[Path, typer.Option("--scenario")]
-) -> None:
+def audit(trace: Path, scenario: Annotated[Path, typer.Option("--scenario")]) -> None:
     """Judge a kept trace again."""
     from .audit import judge
     from .scenario import load_scenario
--- a/corallanding/lab/fleet/commands.py
+++ b/corallanding/lab/fleet/commands.py
@@ -51,9 +51,14 @@
     from .runs import pool
 
     bar = Progress(
-        TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn(),
-        console=Console(stderr=True), disable=not sys.stderr.isatty(), transient=True,
-    )  # fmt: skip
+        TextColumn("{task.description}"),
+        BarColumn(),
+        MofNCompleteColumn(),
+        TimeRemainingColumn(),
+        console=Console(stderr=True),
+        disable=not sys.stderr.isatty(),
+        transient=True,
+    )
     with bar:
         task = bar.add_task("runs", total=total)
 
@@ -105,9 +110,17 @@
         if loopback and (one.config or two.config or two.module):
             raise ConfigFault("--loopback: goes with scenarios and the module as it is")
         with making(kept, workers, runs * 2) as by:
-            found = play(one, two, runs, by, margin, error, seed, lambda w, n: print(
-                f"{n:4} pairs: {w.verdict}, {page.signed(w.difference)}", file=sys.stderr),
-                LOOPBACK if loopback else EMULATED)  # fmt: skip
+            found = play(
+                one,
+                two,
+                runs,
+                by,
+                margin,
+                error,
+                seed,
+                lambda w, n: print(f"{n:4} pairs: {w.verdict}, {page.signed(w.difference)}", file=sys.stderr),
+                LOOPBACK if loopback else EMULATED,
+            )
         print(page.verdict(found))
         for name, i in found.others.items():
             print(f"  {name.replace('_', ' '):16} {page.signed(i)}")
@@ -171,8 +184,10 @@
             found = play(base, budget, by, most=most, kinds=kind, seed=seed, told=lambda t: print(t, file=sys.stderr))
         out.parent.mkdir(parents=True, exist_ok=True)
         out.write_text(scenario_hcl(found.scenario))
-        print(f"{out}: service {found.score:.4f} by {len(found.without)} faults, {found.quiet:.4f} without any; "
-              f"{found.runs} emulated runs")  # fmt: skip
+        print(
+            f"{out}: service {found.score:.4f} by {len(found.without)} faults, {found.quiet:.4f} without any; "
+            f"{found.runs} emulated runs"
+        )
         for f, without in found.without:
             print(f"  {f.kind} at {f.at_s:g} s for {f.for_s:g} s: without it {without:.4f}")
         if found.broken:
@@ -266,6 +281,10 @@
 
 
 COMMANDS: dict[str, Callable[..., None]] = {
-    "compare": compare, "sweep": sweep, "search": search, "predict": predict, "replay-day": replay_day,
+    "compare": compare,
+    "sweep": sweep,
+    "search": search,
+    "predict": predict,
+    "replay-day": replay_day,
     "report": report,
-}  # fmt: skip
+}
--- a/corallanding/lab/fleet/compare.py
+++ b/corallanding/lab/fleet/compare.py
@@ -55,9 +55,16 @@
 
 
 def compare(
-    a: Setting, b: Setting, runs: int, pool: Pool, margin: float = 0.002, error: float = 0.05, first: int = 1,
-    looked: Callable[[Word, int], None] = lambda *_: None, model: str = EMULATED,
-) -> Compared:  # fmt: skip
+    a: Setting,
+    b: Setting,
+    runs: int,
+    pool: Pool,
+    margin: float = 0.002,
+    error: float = 0.05,
+    first: int = 1,
+    looked: Callable[[Word, int], None] = lambda *_: None,
+    model: str = EMULATED,
+) -> Compared:
     """Pairs of seeds from `first` on. Raises `RunFault`."""
     counts = looks(min(LEAST, runs), runs)
     rows_a: list[Row] = []
@@ -75,8 +82,9 @@
             break
     others = {
         f: interval([getattr(y, f) - getattr(x, f) for x, y in zip(rows_a, rows_b, strict=True)], 1.0 - error)
-        for f in FIGURES if f != "service"
-    }  # fmt: skip
+        for f in FIGURES
+        if f != "service"
+    }
     return Compared(
         a, b, rows_a, rows_b, word, n, others, outcomes(service_a), outcomes(service_b), tipping(service_a, service_b)
     )
--- a/corallanding/lab/fleet/emulate.py
+++ b/corallanding/lab/fleet/emulate.py
@@ -63,10 +63,16 @@
     """config: the steward's, where it is not what the lab would write; addresses in it do not matter."""
 
     def __init__(
-        self, loop: SimLoop, scenario: Scenario, seed: int, config: StewardConfig | None = None,
-        decider: Callable[[api.Settings, int], Decider] = Assigner, record: str | None = None,
-        recorded: Day | None = None, out: Path = Path("."),
-    ) -> None:  # fmt: skip
+        self,
+        loop: SimLoop,
+        scenario: Scenario,
+        seed: int,
+        config: StewardConfig | None = None,
+        decider: Callable[[api.Settings, int], Decider] = Assigner,
+        record: str | None = None,
+        recorded: Day | None = None,
+        out: Path = Path("."),
+    ) -> None:
         """recorded: a day in place of the scenario's hosts, arrivals and faults. out: a folder for the key of load
         reports, if there are any."""
         if scenario.budget or scenario.pins:
@@ -140,8 +146,15 @@
 
     def config_of(self, me: int, reports_key: str) -> StewardConfig:
         s, base = self.scenario, self.base
-        own = {"listen": f"127.0.0.1:{self.ports[me]}", "seed": self.seed, "zone": s.zones[0], "control": None,
-               "peer_listen": None, "number": me, "stewards": s.stewards}  # fmt: skip
+        own = {
+            "listen": f"127.0.0.1:{self.ports[me]}",
+            "seed": self.seed,
+            "zone": s.zones[0],
+            "control": None,
+            "peer_listen": None,
+            "number": me,
+            "stewards": s.stewards,
+        }
         roster, registry, loads = base.roster, None, None
         if s.stewards > 1:
             registry = base.registry
@@ -152,10 +165,16 @@
             listen = f"127.0.0.1:{self.reports_port}"
             loads = base.load_reports.model_copy(update={"listen": listen, "key_file": reports_key or None})
         return base.model_copy(
-            update={"steward": base.steward.model_copy(update=own), "roster": roster, "registry": registry,
-                    "store": base.store.model_copy(update={"snapshot_path": None}), "door": None,
-                    "load_reports": loads, "zones": s.zones}
-        )  # fmt: skip
+            update={
+                "steward": base.steward.model_copy(update=own),
+                "roster": roster,
+                "registry": registry,
+                "store": base.store.model_copy(update={"snapshot_path": None}),
+                "door": None,
+                "load_reports": loads,
+                "zones": s.zones,
+            }
+        )
 
     def make_reporter(self, conf: LoadReportsTraffic, key: bytes) -> Reporter:
         return SimReporter(self, conf, self.reports_port, key)
@@ -248,10 +267,14 @@
 
 
 def emulate(
-    scenario: Scenario, seed: int, config: StewardConfig | None = None,
-    decider: Callable[[api.Settings, int], Decider] | None = None, record: str | None = None,
-    latency: float = LATENCY, recorded: Day | None = None,
-) -> Emulated:  # fmt: skip
+    scenario: Scenario,
+    seed: int,
+    config: StewardConfig | None = None,
+    decider: Callable[[api.Settings, int], Decider] | None = None,
+    record: str | None = None,
+    latency: float = LATENCY,
+    recorded: Day | None = None,
+) -> Emulated:
     """Plays the scenario; the same arguments give the same result and records. Raises `NotEmulated`."""
     refuse(scenario)
     configure("json", "critical")
--- a/corallanding/lab/fleet/page.py
+++ b/corallanding/lab/fleet/page.py
@@ -162,10 +162,12 @@
 def days(ax: Any, c: Compared) -> None:
     for label, rows, color in ((c.a.label, c.rows_a, "C0"), (c.b.label, c.rows_b, "C1")):
         span = min(len(r.asked) for r in rows)
-        shares = np.array([
-            np.divide(r.answered[:span], r.asked[:span], out=np.ones(span), where=np.array(r.asked[:span]) > 0)
-            for r in rows
-        ])  # fmt: skip
+        shares = np.array(
+            [
+                np.divide(r.answered[:span], r.asked[:span], out=np.ones(span), where=np.array(r.asked[:span]) > 0)
+                for r in rows
+            ]
+        )
         ax.plot(shares.mean(axis=0), color=color, label=label)
         ax.fill_between(range(span), shares.min(axis=0), shares.max(axis=0), color=color, alpha=0.15)
     for f in c.a.scenario.fault:
@@ -185,12 +187,17 @@
     page.table(
         (key, "service", "worst 10 s", "worst operation", "moves", "difference of service", "broken rules"),
         [
-            (r.value, told(r.outcomes), *(f"{mean(r.rows, f):.4f}" for f in ("worst_10_s", "worst_operation")),
-             f"{mean(r.rows, 'moves'):.1f}", signed(r.against) if r.against else "",
-             sum(bool(x.broken) for x in r.rows))
+            (
+                r.value,
+                told(r.outcomes),
+                *(f"{mean(r.rows, f):.4f}" for f in ("worst_10_s", "worst_operation")),
+                f"{mean(r.rows, 'moves'):.1f}",
+                signed(r.against) if r.against else "",
+                sum(bool(x.broken) for x in r.rows),
+            )
             for r in rows
         ],
-    )  # fmt: skip
+    )
 
     def draw(ax: Any) -> None:
         at = range(len(rows))
@@ -216,11 +223,18 @@
     page.table(
         ("day", "figure", "emulated runs", "predicted", "on loopback", "inside", "chance"),
         [
-            (p.scenario, p.figure.replace("_", " "), len(p.emulated), f"{p.low:.4f} to {p.high:.4f} ({p.level:.0%})",
-             told(outcomes(p.loopback)), f"{p.hits} of {len(p.loopback)}", f"{p.chance:.3f}")
+            (
+                p.scenario,
+                p.figure.replace("_", " "),
+                len(p.emulated),
+                f"{p.low:.4f} to {p.high:.4f} ({p.level:.0%})",
+                told(outcomes(p.loopback)),
+                f"{p.hits} of {len(p.loopback)}",
+                f"{p.chance:.3f}",
+            )
             for p in found
         ],
-    )  # fmt: skip
+    )
 
     def draw(ax: Any) -> None:
         rows = [p for p in found if p.figure == "service"]
@@ -319,12 +333,20 @@
     page.table(
         ("scenario", "setting", "version", "model", "runs", "service", "its mean", "worst 10 s", "broken"),
         [
-            (scenario, label, code[:8], model, len(found), told(outcomes([r.service for r in found])),
-             span(interval([r.service for r in found])), f"{mean(found, 'worst_10_s'):.4f}",
-             sum(bool(r.broken) for r in found))
+            (
+                scenario,
+                label,
+                code[:8],
+                model,
+                len(found),
+                told(outcomes([r.service for r in found])),
+                span(interval([r.service for r in found])),
+                f"{mean(found, 'worst_10_s'):.4f}",
+                sum(bool(r.broken) for r in found),
+            )
             for (scenario, label, _, code, model), found in sorted(groups.items())
         ],
-    )  # fmt: skip
+    )
 
     def draw(ax: Any) -> None:
         for k, (_, found) in enumerate(sorted(groups.items())):
--- a/corallanding/lab/fleet/recorded.py
+++ b/corallanding/lab/fleet/recorded.py
@@ -103,17 +103,28 @@
         told[0, at] += e.invocations
         told[1, at] += e.unanswered
     proxies = {
-        e.proxy: (e.zone, max(e.rate, 1e-6)) for _, events, _ in rec.steps for e in events
+        e.proxy: (e.zone, max(e.rate, 1e-6))
+        for _, events, _ in rec.steps
+        for e in events
         if isinstance(e, api.ProxyJoined)
-    }  # fmt: skip
+    }
     if not proxies:
         raise NoDay("no forwarder joined in it")
     return Day(
-        end - begin, rec.settings.slices, len(rec.settings.operations), windows + more, late, gaps, first,
-        sorted(seen + slow_of(rec, begin), key=lambda x: (x.at, x.host)), proxies,
-        sum(e.unanswered for _, e in sums) / max(came, 1.0), sum(w.count for w in more), rec.torn,
+        end - begin,
+        rec.settings.slices,
+        len(rec.settings.operations),
+        windows + more,
+        late,
+        gaps,
+        first,
+        sorted(seen + slow_of(rec, begin), key=lambda x: (x.at, x.host)),
+        proxies,
+        sum(e.unanswered for _, e in sums) / max(came, 1.0),
+        sum(w.count for w in more),
+        rec.torn,
         [round(float(1.0 - u / c), 4) if c else 1.0 for c, u in told.T],
-    )  # fmt: skip
+    )
 
 
 def fill(windows: list[Window], gap: tuple[float, float], around: float) -> list[Window]:
--- a/corallanding/lab/fleet/runs.py
+++ b/corallanding/lab/fleet/runs.py
@@ -154,11 +154,25 @@
     asked, answered = report.service_by_second(records, started)
     broken = [r["rule"] for r in result["rules"] if r["kept"] is not True]
     return Row(
-        s.scenario.name, job.seed, job.model, result["service"], result["worst_10_s"], result["worst_operation"],
-        result["by_operation"], result["moves"], broken, result["invocations"], result["succeeded"], result["doubles"],
-        result["lives"], np.round(asked, 6).tolist(), np.round(answered, 6).tolist(), round(simulated, 3),
-        round(time.perf_counter() - begun, 3), events,
-    )  # fmt: skip
+        s.scenario.name,
+        job.seed,
+        job.model,
+        result["service"],
+        result["worst_10_s"],
+        result["worst_operation"],
+        result["by_operation"],
+        result["moves"],
+        broken,
+        result["invocations"],
+        result["succeeded"],
+        result["doubles"],
+        result["lives"],
+        np.round(asked, 6).tolist(),
+        np.round(answered, 6).tolist(),
+        round(simulated, 3),
+        round(time.perf_counter() - begun, 3),
+        events,
+    )
 
 
 def first_asked(records: Iterable[Any]) -> float:
@@ -195,9 +209,19 @@
         code, scenario, config = job.setting.named
         self.db.execute(
             "insert or replace into run values (?, (select coalesce(max(made), 0) + 1 from run)" + ", ?" * 9 + ")",
-            (job.key, job.setting.label, code, scenario, config, row.scenario, row.seed, row.model, row.service,
-             msgspec.msgpack.encode(row)),
-        )  # fmt: skip
+            (
+                job.key,
+                job.setting.label,
+                code,
+                scenario,
+                config,
+                row.scenario,
+                row.seed,
+                row.model,
+                row.service,
+                msgspec.msgpack.encode(row),
+            ),
+        )
         self.db.execute("delete from run where made <= (select max(made) from run) - ?", (self.most,))
 
     def rows(self, name: str = "") -> list[tuple[str, str, str, Row]]:
@@ -255,9 +279,7 @@
 
 
 @contextmanager
-def pool(
-    path: Path, workers: int, tell: Callable[[Job, Row, bool], None] = lambda *_: None
-) -> Iterator[Pool]:
+def pool(path: Path, workers: int, tell: Callable[[Job, Row, bool], None] = lambda *_: None) -> Iterator[Pool]:
     runs = Runs(path)
     made_by = Pool(runs, workers, tell)
     try:
--- a/corallanding/lab/fleet/search.py
+++ b/corallanding/lab/fleet/search.py
@@ -90,9 +90,16 @@
 
 
 def search(
-    base: Setting, budget: int, pool: Pool, seeds: tuple[int, ...] = (1, 2), most: int = 4, keep: float = 0.9,
-    kinds: list[str] | None = None, seed: int = 1, told: Callable[[str], None] = lambda _: None,
-) -> Worst:  # fmt: skip
+    base: Setting,
+    budget: int,
+    pool: Pool,
+    seeds: tuple[int, ...] = (1, 2),
+    most: int = 4,
+    keep: float = 0.9,
+    kinds: list[str] | None = None,
+    seed: int = 1,
+    told: Callable[[str], None] = lambda _: None,
+) -> Worst:
     """budget: runs for drawing and breeding; cutting down takes about as many again at most. Days are tried on the
     same seeds. The chances of the search itself go by `seed`. Raises `RunFault`."""
     chance, s = np.random.default_rng([seed, 9]), base.scenario
@@ -113,10 +120,12 @@
     while spent + wave * len(seeds) <= budget or not known:
         if len(known) < budget // len(seeds) // 3:
             days = [
-                [drawn(kinds[int(chance.integers(len(kinds)))], s.seconds, chance)
-                 for _ in range(int(chance.integers(1, most + 1)))]
+                [
+                    drawn(kinds[int(chance.integers(len(kinds)))], s.seconds, chance)
+                    for _ in range(int(chance.integers(1, most + 1)))
+                ]
                 for _ in range(wave)
-            ]  # fmt: skip
+            ]
         else:
             best = [f for _, _, f in known[:6]]
             days = [bred(best[int(chance.integers(len(best)))], most, kinds, s.seconds, chance) for _ in range(wave)]
--- a/corallanding/lab/fleet/steward.py
+++ b/corallanding/lab/fleet/steward.py
@@ -125,9 +125,14 @@
     feed_kind = SimFeed
 
     def __init__(
-        self, loop: SimLoop, config: StewardConfig, decider: Callable[[api.Settings, int], Decider], store: MemoryStore,
-        record: str | None = None, registry: LocalRegistry | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        loop: SimLoop,
+        config: StewardConfig,
+        decider: Callable[[api.Settings, int], Decider],
+        store: MemoryStore,
+        record: str | None = None,
+        registry: LocalRegistry | None = None,
+    ) -> None:
         self.registry = registry
         super().__init__(config, decider, record, None, Handle(store), loop.time, loop.time)
         self.loop = loop
@@ -146,4 +151,3 @@
         await self.start()
         assert self.stopped is not None
         await self.stopped
-
--- a/corallanding/lab/forwarder.py
+++ b/corallanding/lab/forwarder.py
@@ -29,9 +29,19 @@
     """parts: what else of the link it speaks."""
 
     def __init__(
-        self, number: int, zone: int, rate: float, stewards: list[tuple[str, int]], steward_zone: int, rules: Rules,
-        zones: dict[int, int], net: Net, trace: Trace, seed: int, parts: int = 0,
-    ) -> None:  # fmt: skip
+        self,
+        number: int,
+        zone: int,
+        rate: float,
+        stewards: list[tuple[str, int]],
+        steward_zone: int,
+        rules: Rules,
+        zones: dict[int, int],
+        net: Net,
+        trace: Trace,
+        seed: int,
+        parts: int = 0,
+    ) -> None:
         self.number, self.zone, self.rate, self.parts = number, zone, rate, parts
         self.steward_zone, self.rules, self.zones, self.net = steward_zone, rules, zones, net
         self.chance, self.ways = np.random.default_rng([seed, number]), np.random.default_rng([seed, number, 1])
--- a/corallanding/lab/host.py
+++ b/corallanding/lab/host.py
@@ -208,5 +208,3 @@
     host.paused = paused
     if not paused:
         host.fill()
-
-
--- a/corallanding/lab/hosts.py
+++ b/corallanding/lab/hosts.py
@@ -26,9 +26,15 @@
     def spec(self, kind: int) -> HostSpec:
         k, r = list(self.scenario.host.values())[kind], self.scenario.rules
         return HostSpec(
-            k.cores, k.speed, k.waiting_room, r.cold_ms, r.cold_from, k.warm_gain, fall_ms=r.fall_ms,
+            k.cores,
+            k.speed,
+            k.waiting_room,
+            r.cold_ms,
+            r.cold_from,
+            k.warm_gain,
+            fall_ms=r.fall_ms,
             fall_multiple=r.fall_multiple,
-        )  # fmt: skip
+        )
 
     async def first(self) -> None:
         """Of each kind its share, one zone after the other."""
@@ -60,9 +66,14 @@
         late = self.scenario.roster.notice_ms if late is None else late
         kind = list(self.scenario.host).index(self.kind_of(h)) if self.kind_of(h) else 0
         row = {
-            "state": state, "address": h.address, "zone": h.zone, "kind": kind, "cell": h.zone, "weight": 1.0,
+            "state": state,
+            "address": h.address,
+            "zone": h.zone,
+            "kind": kind,
+            "cell": h.zone,
+            "weight": 1.0,
             "started": h.started,
-        }  # fmt: skip
+        }
         if h.versions:
             row["versions"] = {name: h.versions[n] for n, name in enumerate(self.scenario.operation)}
         if late <= 0:
--- a/corallanding/lab/make.py
+++ b/corallanding/lab/make.py
@@ -16,15 +16,25 @@
 
 
 def forwarder_of(
-    s: Scenario, number: int, share: float, stewards: list[tuple[str, int]], zones: dict[int, int], net: Net,
-    trace: Trace, seed: int,
-) -> Forwarder:  # fmt: skip
+    s: Scenario,
+    number: int,
+    share: float,
+    stewards: list[tuple[str, int]],
+    zones: dict[int, int],
+    net: Net,
+    trace: Trace,
+    seed: int,
+) -> Forwarder:
     """share: of the traffic."""
     rules = Rules(
-        s.forwarders.pick, s.forwarders.usual_retry, s.forwarders.try_aims, s.forwarders.ejects,
-        transit=s.fleet.transit_ms, report_late=s.fleet.sums_late_ms,
+        s.forwarders.pick,
+        s.forwarders.usual_retry,
+        s.forwarders.try_aims,
+        s.forwarders.ejects,
+        transit=s.fleet.transit_ms,
+        report_late=s.fleet.sums_late_ms,
         aims=tuple(o.latency_objective_ms for o in s.operation.values()),
-    )  # fmt: skip
+    )
     parts = (RUNS if s.pins else 0) | (WAITS if s.jobs else 0)
     rate = share * s.traffic.per_s
     return Forwarder(number, number % len(s.zones), rate, stewards, 0, rules, zones, net, trace, seed, parts)
@@ -42,11 +52,18 @@
     """Those that wait come by clients of their own."""
     found = [
         OperationSpec(
-            name, 0.0 if o.waits else o.share, o.work_ms, o.cv, o.latency_objective_ms, o.integration_timeout_ms,
-            o.billed_value, o.late_value, o.repeat == "idempotent",
+            name,
+            0.0 if o.waits else o.share,
+            o.work_ms,
+            o.cv,
+            o.latency_objective_ms,
+            o.integration_timeout_ms,
+            o.billed_value,
+            o.late_value,
+            o.repeat == "idempotent",
         )
         for name, o in s.operation.items()
-    ]  # fmt: skip
+    ]
     total = sum(o.share for o in found)
     return [OperationSpec(**{**vars(o), "share": o.share / total}) for o in found]
 
--- a/corallanding/lab/order.py
+++ b/corallanding/lab/order.py
@@ -20,9 +20,14 @@
 
 
 def judge(
-    kinds: Sequence[Kind], came: Mapping[Any, tuple[float, int]], held: Iterable[Held], went: Iterable[Went],
-    bound: float, twins: Iterable[Any] = (), dry: Iterable[tuple[int, float, float]] = (),
-) -> dict[str, Any]:  # fmt: skip
+    kinds: Sequence[Kind],
+    came: Mapping[Any, tuple[float, int]],
+    held: Iterable[Held],
+    went: Iterable[Went],
+    bound: float,
+    twins: Iterable[Any] = (),
+    dry: Iterable[tuple[int, float, float]] = (),
+) -> dict[str, Any]:
     """bound: ms. A job may go before one that stands higher by up to that; what another steward has held for less than
     that need not be known. twins: jobs whose client was told that they went elsewhere.
 
@@ -72,8 +77,14 @@
             late.append((round(float(t), 1), job, steward, round(ahead, 1)))
     left = {r[0] for r in rows if r[3] > end}
     return {
-        "released": len(gone), "doubled": sum(n - 1 for n in times.values()),
-        "lost": len(set(came) - set(times) - left - set(twins)), "inversions_over_bound": int(over),
-        "worst_inversion_ms": round(float(worst), 1), "bound_ms": bound, "longest_wait_ms": round(longest, 1),
-        "apart": int(apart), "left": len(left - set(times)), "first_over": late[:5],
-    }  # fmt: skip
+        "released": len(gone),
+        "doubled": sum(n - 1 for n in times.values()),
+        "lost": len(set(came) - set(times) - left - set(twins)),
+        "inversions_over_bound": int(over),
+        "worst_inversion_ms": round(float(worst), 1),
+        "bound_ms": bound,
+        "longest_wait_ms": round(longest, 1),
+        "apart": int(apart),
+        "left": len(left - set(times)),
+        "first_over": late[:5],
+    }
--- a/corallanding/lab/publishers.py
+++ b/corallanding/lab/publishers.py
@@ -123,6 +123,11 @@
 
 
 PUBLISHERS: dict[str, Callable[[api.Settings, int], Decider]] = {
-    "corallanding": Assigner, "hashing": Hashing, "barer": Barer, "doubler": Doubler, "clinger": Clinger,
-    "pusher": Pusher, "flooder": Flooder,
-}  # fmt: skip
+    "corallanding": Assigner,
+    "hashing": Hashing,
+    "barer": Barer,
+    "doubler": Doubler,
+    "clinger": Clinger,
+    "pusher": Pusher,
+    "flooder": Flooder,
+}
--- a/corallanding/lab/registry.py
+++ b/corallanding/lab/registry.py
@@ -175,9 +175,7 @@
         now = max(1, s.revision - s.faults.lag) if request.serializable or s.faults.lag else s.revision
         at = request.revision or now
         if request.revision and at < s.compacted:  # a member that lags knows of no compaction yet
-            await context.abort(
-                grpc.StatusCode.OUT_OF_RANGE, "etcdserver: mvcc: required revision has been compacted"
-            )
+            await context.abort(grpc.StatusCode.OUT_OF_RANGE, "etcdserver: mvcc: required revision has been compacted")
         view = s.keys if at == s.revision else s.at(at)
         keys = self.rows(request, view)
         limit = request.limit or len(keys)
@@ -203,9 +201,13 @@
         }
         have, want = figures[c.target]
         return bool(
-            {rpc_pb2.Compare.EQUAL: have == want, rpc_pb2.Compare.GREATER: have > want,
-             rpc_pb2.Compare.LESS: have < want, rpc_pb2.Compare.NOT_EQUAL: have != want}[c.result]
-        )  # fmt: skip
+            {
+                rpc_pb2.Compare.EQUAL: have == want,
+                rpc_pb2.Compare.GREATER: have > want,
+                rpc_pb2.Compare.LESS: have < want,
+                rpc_pb2.Compare.NOT_EQUAL: have != want,
+            }[c.result]
+        )
 
     async def Txn(self, request: Any, context: Any) -> Any:
         await self.enter("Txn", context)
@@ -261,9 +263,13 @@
         await context.write(rpc_pb2.WatchResponse(header=self.header(), created=True))
         if at < s.compacted:
             await context.write(
-                rpc_pb2.WatchResponse(header=self.header(), canceled=True, compact_revision=s.compacted,
-                                      cancel_reason="etcdserver: mvcc: required revision has been compacted")
-            )  # fmt: skip
+                rpc_pb2.WatchResponse(
+                    header=self.header(),
+                    canceled=True,
+                    compact_revision=s.compacted,
+                    cancel_reason="etcdserver: mvcc: required revision has been compacted",
+                )
+            )
             return
         asks = asyncio.create_task(self.progress_asked(request_iterator, context))
         try:
@@ -290,10 +296,11 @@
 
     async def send(self, rows: list[tuple[int, bytes, Version | None]], context: Any) -> None:
         events = [
-            kv_pb2.Event(type=kv_pb2.Event.PUT, kv=kv(k, v)) if v
+            kv_pb2.Event(type=kv_pb2.Event.PUT, kv=kv(k, v))
+            if v
             else kv_pb2.Event(type=kv_pb2.Event.DELETE, kv=kv_pb2.KeyValue(key=k, mod_revision=r))
             for r, k, v in rows
-        ]  # fmt: skip
+        ]
         most = self.store.faults.fragment or len(events)
         for k in range(0, len(events), most):
             last = k + most >= len(events)
@@ -343,9 +350,10 @@
 
     async def start(self) -> None:
         limits = [
-            ("grpc.so_reuseport", 0), ("grpc.http2.min_recv_ping_interval_without_data_ms", 5_000),
+            ("grpc.so_reuseport", 0),
+            ("grpc.http2.min_recv_ping_interval_without_data_ms", 5_000),
             ("grpc.http2.min_ping_interval_without_data_ms", 5_000),
-        ]  # fmt: skip
+        ]
         self.server = grpc.aio.server(options=limits)
         etcd = Etcd(self.store, self.faults)
         rpc_pb2_grpc.add_KVServicer_to_server(etcd, self.server)
@@ -408,10 +416,13 @@
         s = self.store
         view = s.at(max(1, s.revision - s.faults.lag)) if s.faults.lag else s.keys
         rows = [
-            {"Key": k.decode(), "Value": base64.b64encode(v.value).decode(), "ModifyIndex": v.mod,
-             "CreateIndex": v.create}
-            for k, v in sorted(view.items()) if k.startswith(prefix)
-        ]  # fmt: skip
+            {
+                "Key": k.decode(),
+                "Value": base64.b64encode(v.value).decode(),
+                "ModifyIndex": v.mod,
+                "CreateIndex": v.create,
+            }
+            for k, v in sorted(view.items())
+            if k.startswith(prefix)
+        ]
         return (200, json.dumps(rows).encode()) if rows else (404, b"")
-
-
--- a/corallanding/lab/report.py
+++ b/corallanding/lab/report.py
@@ -27,9 +27,14 @@
 
 
 def summary(
-    records: Sequence[Any], begun: float, seed: int, name: str, verdicts: list[Verdict], doubled: int,
+    records: Sequence[Any],
+    begun: float,
+    seed: int,
+    name: str,
+    verdicts: list[Verdict],
+    doubled: int,
     operations: list[str],
-) -> dict[str, Any]:  # fmt: skip
+) -> dict[str, Any]:
     asked, answered = service_by_second(records, begun)
     worth = [[0.0, 0.0] for _ in operations]
     moved, forwarders = 0, set()
@@ -52,7 +57,9 @@
     spans = [slice(k, k + window) for k in range(len(asked) - window + 1)]
     rolls = [answered[s].sum() / max(asked[s].sum(), 1e-9) for s in spans]
     return {
-        "scenario": name, "seed": seed, "invocations": total,
+        "scenario": name,
+        "seed": seed,
+        "invocations": total,
         "succeeded": sum(e.get("ok", 0) for e in ends.values()),
         "service": round(float(answered.sum() / max(asked.sum(), 1e-9)), 4),
         "worst_10_s": round(float(min(rolls, default=0.0)), 4),
@@ -65,7 +72,7 @@
             {"rule": v.rule, "kept": v.kept, "worst": round(v.worst, 3), "limit": v.limit, "note": v.note}
             for v in verdicts
         ],
-    }  # fmt: skip
+    }
 
 
 FIGURES = ("invocations", "succeeded", "service", "worst_10_s", "worst_operation", "moves", "doubles")
@@ -74,15 +81,23 @@
 def markdown(result: dict[str, Any], faults: list[str]) -> str:
     word, rules = {True: "kept", False: "BROKEN", None: "not judged"}, result["rules"]
     out = [
-        f"# {result['scenario']}, seed {result['seed']} (stand-in hosts on loopback)", "",
-        "| figure | value |", "| --- | --- |",
+        f"# {result['scenario']}, seed {result['seed']} (stand-in hosts on loopback)",
+        "",
+        "| figure | value |",
+        "| --- | --- |",
         *(f"| {k.replace('_', ' ')} | {result[k]} |" for k in FIGURES),
-        "", "| rule | verdict | worst | limit | note |", "| --- | --- | --- | --- | --- |",
+        "",
+        "| rule | verdict | worst | limit | note |",
+        "| --- | --- | --- | --- | --- |",
         *(f"| {r['rule']} | {word[r['kept']]} | {r['worst']:g} | {r['limit']:g} | {r['note']} |" for r in rules),
-        "", "| operation | ends |", "| --- | --- |",
+        "",
+        "| operation | ends |",
+        "| --- | --- |",
         *(f"| {o} | {', '.join(f'{k} {n}' for k, n in ends.items())} |" for o, ends in result["ends"].items()),
-        "", "Faults: " + (", ".join(faults) or "none") + ".", "",
-    ]  # fmt: skip
+        "",
+        "Faults: " + (", ".join(faults) or "none") + ".",
+        "",
+    ]
     return "\n".join(out)
 
 
--- a/corallanding/lab/reporter.py
+++ b/corallanding/lab/reporter.py
@@ -102,9 +102,14 @@
         up = clock() - h.since if h.started else clock() + 1e7
         echo = self.sockets[h.number].echo if self.conf.echo and not way.late else NO_ECHO
         head = Head(
-            h.number, process, round(h.started), next(self.numbers), max(0.0, up - way.late),
-            wall() - way.late + skew, echo,
-        )  # fmt: skip
+            h.number,
+            process,
+            round(h.started),
+            next(self.numbers),
+            max(0.0, up - way.late),
+            wall() - way.late + skew,
+            echo,
+        )
         json_form = self.conf.form == "json"
         data = body(load if way.says is None else way.says, json_form)
         packet = pack_json(head, data, self.key) if json_form else pack(head, data, self.key)
--- a/corallanding/lab/roster.py
+++ b/corallanding/lab/roster.py
@@ -73,9 +73,7 @@
     def changed(self) -> None:
         """Push what differs from what was shown last."""
         rows = self.shown()
-        gone = {
-            h: {"host": h, "state": "removed", "started": 0.0, "address": ""} for h in self.last if h not in rows
-        }
+        gone = {h: {"host": h, "state": "removed", "started": 0.0, "address": ""} for h in self.last if h not in rows}
         changes = {**gone, **{h: r for h, r in rows.items() if self.last.get(h) != r}}
         self.last = {h: dict(r) for h, r in rows.items()}
         if not changes:
--- a/corallanding/lab/run_clients.py
+++ b/corallanding/lab/run_clients.py
@@ -27,9 +27,14 @@
 
 class RunClients:
     def __init__(
-        self, forwarders: list[Forwarder], operations: list[OperationSpec], spec: RunSpec, slices: int, trace: Trace,
+        self,
+        forwarders: list[Forwarder],
+        operations: list[OperationSpec],
+        spec: RunSpec,
+        slices: int,
+        trace: Trace,
         seed: int,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.forwarders, self.operations, self.spec, self.slices = forwarders, operations, spec, slices
         self.witness = trace.witness("clients")
         self.chance = np.random.default_rng([seed, 91])
--- a/corallanding/lab/runner.py
+++ b/corallanding/lab/runner.py
@@ -163,10 +163,21 @@
             listen, door, roster = (f"127.0.0.1:{p}" for p in (self.ports[me], self.doors[me], self.roster.port))
             store = str(self.named("store", me, ".db").resolve())
             text = steward_hcl(
-                s, listen, door, roster, store, self.seed, self.laxer, reports, reports_key, me, self.control,
-                f"127.0.0.1:{self.peer_ports[me]}" if self.ways else "", self.ways.peers(me) if self.ways else None,
+                s,
+                listen,
+                door,
+                roster,
+                store,
+                self.seed,
+                self.laxer,
+                reports,
+                reports_key,
+                me,
+                self.control,
+                f"127.0.0.1:{self.peer_ports[me]}" if self.ways else "",
+                self.ways.peers(me) if self.ways else None,
                 *witnesses(s, self.named, me),
-            )  # fmt: skip
+            )
             self.named("steward", me, ".hcl").write_text(text)
 
     async def run(self) -> dict[str, Any]:
--- a/corallanding/lab/scenario.py
+++ b/corallanding/lab/scenario.py
@@ -18,17 +18,52 @@
 from ..config.waits import WaitingBlock
 
 PEER_FAULTS = (
-    "peer_cut", "peer_loss", "peer_slow", "peer_repeat", "steward_stop", "steward_restart", "steward_grow",
+    "peer_cut",
+    "peer_loss",
+    "peer_slow",
+    "peer_repeat",
+    "steward_stop",
+    "steward_restart",
+    "steward_grow",
     "steward_shrink",
-)  # fmt: skip
+)
 KINDS = (
-    "crash", "deploy", "drain", "preempt", "shrink", "grow", "hang", "slow", "neighbour", "pauses", "hot_key",
-    "heavy_tail", "counter_down", "zone_cut", "zone_loss", "one_sided", "slow_link", "answer_lost",
-    "balancer_roll", "balancer_stall", "wrong_list", "give_up", "steward_kill", "roster_down", "store_down",
-    "upgrade", "release", "upgrade_hosts",
-    "report_flood", "report_stale", "report_silent", "report_lying", "report_skew", "report_loss",
+    "crash",
+    "deploy",
+    "drain",
+    "preempt",
+    "shrink",
+    "grow",
+    "hang",
+    "slow",
+    "neighbour",
+    "pauses",
+    "hot_key",
+    "heavy_tail",
+    "counter_down",
+    "zone_cut",
+    "zone_loss",
+    "one_sided",
+    "slow_link",
+    "answer_lost",
+    "balancer_roll",
+    "balancer_stall",
+    "wrong_list",
+    "give_up",
+    "steward_kill",
+    "roster_down",
+    "store_down",
+    "upgrade",
+    "release",
+    "upgrade_hosts",
+    "report_flood",
+    "report_stale",
+    "report_silent",
+    "report_lying",
+    "report_skew",
+    "report_loss",
     *PEER_FAULTS,
-)  # fmt: skip
+)
 
 
 class HostKind(Block):
--- a/corallanding/lab/scenario_text.py
+++ b/corallanding/lab/scenario_text.py
@@ -19,10 +19,24 @@
 
 
 def steward_hcl(
-    s: Scenario, listen: str, door: str, roster: str, store: str, seed: int, laxer: bool, reports: str = "",
-    key: str = "", me: int = 0, control: str = "", peer_listen: str = "", peers: dict[str, str] | None = None,
-    witness: str = "", acts: str = "", runs: str = "", waits: str = "",
-) -> str:  # fmt: skip
+    s: Scenario,
+    listen: str,
+    door: str,
+    roster: str,
+    store: str,
+    seed: int,
+    laxer: bool,
+    reports: str = "",
+    key: str = "",
+    me: int = 0,
+    control: str = "",
+    peer_listen: str = "",
+    peers: dict[str, str] | None = None,
+    witness: str = "",
+    acts: str = "",
+    runs: str = "",
+    waits: str = "",
+) -> str:
     """The configuration of the steward that serves this scenario. laxer: a sabotage may lift the channel's limits."""
     channel = s.channel.model_dump()
     if laxer:
@@ -40,8 +54,19 @@
     warm = any(h.warm_gain > 0 for h in s.host.values())
     return (
         f"zones = {hcl_value(s.zones)}\n"
-        + block("steward", {"listen": listen, "seed": seed, "zone": s.zones[0], "number": me, "stewards": s.numbers,
-                            "control": control or None, "peer_listen": peer_listen or None, "peers": peers})
+        + block(
+            "steward",
+            {
+                "listen": listen,
+                "seed": seed,
+                "zone": s.zones[0],
+                "number": me,
+                "stewards": s.numbers,
+                "control": control or None,
+                "peer_listen": peer_listen or None,
+                "peers": peers,
+            },
+        )
         + block("store", {"path": store})
         + (block("roster", {"address": roster, "mode": s.roster.mode}) if s.stewards == 1 else shared)
         + block("slices", {"count": s.fleet.slices, "warm_keys": warm})
--- a/corallanding/lab/stewards/figures.py
+++ b/corallanding/lab/stewards/figures.py
@@ -100,8 +100,11 @@
         begun = w.now
         w.run(begun + 15_000.0)
         w.uses = [u for u in w.uses if u[1] > begun - SPAN]
-        low = [t for t in range(0, 14_000, 100)
-               if share_in_use(w, begun + t, begun + t + SPAN, own["moves"].whole) < ENOUGH]  # fmt: skip
+        low = [
+            t
+            for t in range(0, 14_000, 100)
+            if share_in_use(w, begun + t, begun + t + SPAN, own["moves"].whole) < ENOUGH
+        ]
         out.append(Change(what, low[-1] + 100.0 if low else 0.0))
     return out
 
@@ -117,8 +120,10 @@
 
 def table(seeds: int, sizes: list[int]) -> str:
     """The page's figures as Markdown."""
-    out = ["| stewards | words/s | bytes/s | a fifth dies, ms p50 / p99 | the divider | two halves | a newcomer |",
-           "| --- | --- | --- | --- | --- | --- | --- |"]  # fmt: skip
+    out = [
+        "| stewards | words/s | bytes/s | a fifth dies, ms p50 / p99 | the divider | two halves | a newcomer |",
+        "| --- | --- | --- | --- | --- | --- | --- |",
+    ]
     for n in sizes:
         words, size = cost(1, n)
         found: dict[str, list[float]] = {}
@@ -132,8 +137,10 @@
 
 def compared(seeds: int, stewards: int) -> str:
     """Division by demand, half in floors, and static parts, under the same demands and faults."""
-    out = ["| day | division | wishes granted, mean | worst day | days with an instant too many |",
-           "| --- | --- | --- | --- | --- |"]  # fmt: skip
+    out = [
+        "| day | division | wishes granted, mean | worst day | days with an instant too many |",
+        "| --- | --- | --- | --- | --- |",
+    ]
     for faults in (False, True):
         for name, floors in (("by demand", 0.0), ("half in floors", 0.5), ("static parts", 1.0)):
             days = [day(seed, stewards, floors, faults) for seed in range(seeds)]
--- a/corallanding/lab/stewards/runs.py
+++ b/corallanding/lab/stewards/runs.py
@@ -62,9 +62,16 @@
     """Clients ask for runs at any steward; `told` has every answer: (at, run, steward, what, set)."""
 
     def __init__(
-        self, seed: int, numbers: int, voters: int, groups: int = 4, per_s: float = 20.0, runs: int = 60,
-        terms: PinTerms = TERMS, lease: Terms = LEASE,
-    ) -> None:  # fmt: skip
+        self,
+        seed: int,
+        numbers: int,
+        voters: int,
+        groups: int = 4,
+        per_s: float = 20.0,
+        runs: int = 60,
+        terms: PinTerms = TERMS,
+        lease: Terms = LEASE,
+    ) -> None:
         self.disks = [Disk() for _ in range(numbers)]
         self.pins: dict[int, Pins] = {}
         self.told: list[tuple[float, int, int, int, int]] = []
@@ -88,9 +95,17 @@
         disk = self.disks[n]
         disk.opened += 1
         fleet = FleetRecords(
-            leases, self.voters, record_terms(self.pin_terms, again=ASKS.again), ASKS, born, disk.opened, disk.blank,
-            (RUNS, RELEASE), (RUNS,), (RELEASE,),
-        )  # fmt: skip
+            leases,
+            self.voters,
+            record_terms(self.pin_terms, again=ASKS.again),
+            ASKS,
+            born,
+            disk.opened,
+            disk.blank,
+            (RUNS, RELEASE),
+            (RUNS,),
+            (RELEASE,),
+        )
         pins = pins_on(fleet, self.pin_terms, SETS, self.goal, lambda s: self.strong[s])
         pins.records.peers.update(disk.peers)
         disk.load(pins.records.shelf, lambda real: born - (self.now - real))
@@ -161,8 +176,13 @@
         def strike() -> None:
             nonlocal saved
             n = chance.choice(self.voters)
-            whole = all(not self.disks[k].blank and k in self.processes and not self.processes[k].stopped
-                        and self.pins[k].records.catch.ready for k in self.voters)  # fmt: skip
+            whole = all(
+                not self.disks[k].blank
+                and k in self.processes
+                and not self.processes[k].stopped
+                and self.pins[k].records.catch.ready
+                for k in self.voters
+            )
             if whole and not self.ways and self.usual is self.rest:
                 self.kill(n)
                 self.disks[n] = copy.deepcopy(saved[n]) if chance.random() < 0.5 else Disk()
@@ -186,6 +206,7 @@
     def revived(self) -> list[tuple[int, int]]:
         """Runs that were told a set after somebody knew that it was retired."""
         return [
-            (key, number) for at, key, _, what, number in self.told
+            (key, number)
+            for at, key, _, what, number in self.told
             if what == PINNED and at > self.retired_at.get(number, float("inf"))
-        ]  # fmt: skip
+        ]
--- a/corallanding/lab/stewards/tasks.py
+++ b/corallanding/lab/stewards/tasks.py
@@ -21,9 +21,17 @@
     real time; it may step. lag: mean ms from the look at the clock to the place."""
 
     def __init__(
-        self, seed: int, numbers: int, voters: int, tasks: Tasks, terms: Terms, acting: int = 3,
-        first: int | None = None, wall: Callable[[float], float] = lambda t: WALL + t, lag: float = 5.0,
-    ) -> None:  # fmt: skip
+        self,
+        seed: int,
+        numbers: int,
+        voters: int,
+        tasks: Tasks,
+        terms: Terms,
+        acting: int = 3,
+        first: int | None = None,
+        wall: Callable[[float], float] = lambda t: WALL + t,
+        lag: float = 5.0,
+    ) -> None:
         self.tasks, self.task_terms, self.acting, self.wall, self.lag = tasks, terms, acting, wall, lag
         self.place = Place(tasks.count)
         self.acts: list[Act] = []
--- a/corallanding/lab/stewards/waits.py
+++ b/corallanding/lab/stewards/waits.py
@@ -38,11 +38,20 @@
     """per_s: jobs that come a second, in all. rate: releases a second. lone: each looks at its own jobs only."""
 
     def __init__(
-        self, seed: int, numbers: int, voters: int, per_s: float = 18.0, forwarders: int = 6, rate: int = 20,
-        floor: int = 1, terms: WaitTerms = TERMS, kinds: tuple[Kind, ...] = KINDS, lone: bool = False,
+        self,
+        seed: int,
+        numbers: int,
+        voters: int,
+        per_s: float = 18.0,
+        forwarders: int = 6,
+        rate: int = 20,
+        floor: int = 1,
+        terms: WaitTerms = TERMS,
+        kinds: tuple[Kind, ...] = KINDS,
+        lone: bool = False,
         mix: Callable[[float, random.Random], int] = lambda t, c: c.randrange(2),
         skew: float = 1.0,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.kinds, self.wait_terms, self.lone, self.mix, self.skew = kinds, terms, lone, mix, skew
         self.drawn = random.Random(f"jobs {seed}")
         self.waits: dict[int, Waiting] = {}
@@ -64,9 +73,14 @@
 
         start = self.now
         self.waits[n] = Waiting(
-            others, life, self.kinds, self.wait_terms, born,
-            lambda: self.right(n, quota), lambda k: quota.aim(clock(), "releases", k),
-        )  # fmt: skip
+            others,
+            life,
+            self.kinds,
+            self.wait_terms,
+            born,
+            lambda: self.right(n, quota),
+            lambda k: quota.aim(clock(), "releases", k),
+        )
         return quota
 
     def rate_of(self, n: int) -> float:
--- a/corallanding/lab/stewards/walk.py
+++ b/corallanding/lab/stewards/walk.py
@@ -69,9 +69,18 @@
         disk.opened += 1
         leases = self.leases[n] = Anyone(n, tuple(k for k in self.keepers if k != n), life)
         fleet = self.fleets[n] = FleetRecords(
-            leases, self.keepers, record_terms(TERMS, again=ASKS.again), ASKS, self.now, disk.opened, disk.blank,  # type: ignore[arg-type]
-            (RUNS, RELEASE), (RUNS,), (RELEASE,), 1e9,
-        )  # fmt: skip
+            leases,
+            self.keepers,
+            record_terms(TERMS, again=ASKS.again),
+            ASKS,
+            self.now,
+            disk.opened,
+            disk.blank,  # type: ignore[arg-type]
+            (RUNS, RELEASE),
+            (RUNS,),
+            (RELEASE,),
+            1e9,
+        )
         pins = self.pins[n] = pins_on(fleet, TERMS, SETS, self.goal, lambda s: 1.0)
         pins.records.peers.update(disk.peers)
         disk.load(pins.records.shelf, lambda real: real)
--- a/corallanding/lab/stewards/world.py
+++ b/corallanding/lab/stewards/world.py
@@ -49,9 +49,17 @@
     baseline. wish(t, steward): budgets and subjects that it would use now, asked every tick."""
 
     def __init__(
-        self, seed: int, numbers: int, voters: int, budgets: dict[str, Budget], terms: Terms, wish: Demand,
-        first: int | None = None, static: bool = False, make: Callable[..., Quota] = Quota,
-    ) -> None:  # fmt: skip
+        self,
+        seed: int,
+        numbers: int,
+        voters: int,
+        budgets: dict[str, Budget],
+        terms: Terms,
+        wish: Demand,
+        first: int | None = None,
+        static: bool = False,
+        make: Callable[..., Quota] = Quota,
+    ) -> None:
         self.chance = random.Random(seed)
         self.numbers, self.voters, self.budgets, self.terms = numbers, tuple(range(voters)), budgets, terms
         self.wish, self.static, self.make = wish, static, make
@@ -207,9 +215,10 @@
                 world.part(some, both=False)
             elif kind in ("loss", "slow", "repeat"):
                 world.usual = {
-                    "loss": Way(loss=0.3), "slow": Way(mean=longest * c.choice((0.002, 0.03, 0.16))),
+                    "loss": Way(loss=0.3),
+                    "slow": Way(mean=longest * c.choice((0.002, 0.03, 0.16))),
                     "repeat": Way(repeat=0.5, mean=longest * 0.02),
-                }[kind]  # fmt: skip
+                }[kind]
             elif kind == "stop":
                 for n in up:
                     world.stop(n)
--- a/corallanding/lab/verdict.py
+++ b/corallanding/lab/verdict.py
@@ -16,10 +16,18 @@
 def limits(s: Scenario) -> Limits:
     unsafe = tuple(k for k, o in enumerate(s.operation.values()) if o.repeat == "side-effecting")
     return Limits(
-        s.rules.bare_most_ms, s.rules.drain_grace_ms, s.rules.drain_binds_alone, s.rules.fall_ms,
-        s.rules.fall_multiple, s.channel.queue_most_lines, s.channel.head_lines, s.channel.messages_most,
-        s.channel.messages_span_ms, s.fleet.slices, unsafe,
-    )  # fmt: skip
+        s.rules.bare_most_ms,
+        s.rules.drain_grace_ms,
+        s.rules.drain_binds_alone,
+        s.rules.fall_ms,
+        s.rules.fall_multiple,
+        s.channel.queue_most_lines,
+        s.channel.head_lines,
+        s.channel.messages_most,
+        s.channel.messages_span_ms,
+        s.fleet.slices,
+        unsafe,
+    )
 
 
 def verdict(s: Scenario, records: Sequence[Any], begun: float, seed: int, named: Named) -> dict[str, Any]:
@@ -47,8 +55,9 @@
     """Operations that wait, by number: priority, patience, the longest."""
     return {
         n: (o.waits.priority, o.waits.patience_ms, o.waits.most_ms)
-        for n, o in enumerate(s.operation.values()) if o.waits
-    }  # fmt: skip
+        for n, o in enumerate(s.operation.values())
+        if o.waits
+    }
 
 
 def bound_of(s: Scenario) -> float:
@@ -66,9 +75,11 @@
         return str(named(stem, me, ending).resolve()) if wanted else ""
 
     return (
-        path("uses", ".jsonl", bool(s.budget)), path("acts", ".jsonl", bool(s.task or s.task_group)),
-        path("runs", ".db", bool(s.records)), path("waits", ".jsonl", bool(s.jobs)),
-    )  # fmt: skip
+        path("uses", ".jsonl", bool(s.budget)),
+        path("acts", ".jsonl", bool(s.task or s.task_group)),
+        path("runs", ".db", bool(s.records)),
+        path("waits", ".jsonl", bool(s.jobs)),
+    )
 
 
 def clear(out: Path) -> None:
--- a/corallanding/lab/versions.py
+++ b/corallanding/lab/versions.py
@@ -51,17 +51,21 @@
         fits = [s for s, versions in sets.items() if all(versions[o] == v for o, v in seen)]
         if fits:
             continue
-        over = any(
-            all(v in (sets[s][o], sets[to][o]) for o, v in seen) for to, olds in carries.items() for s in olds
-        )
+        over = any(all(v in (sets[s][o], sets[to][o]) for o, v in seen) for to, olds in carries.items() for s in olds)
         carried += over
         if not over:
             split.append(run)
     told = [run for run, found in first.items() if len(found) > 1]
     return {
-        "runs": len(runs), "steps": steps, "split_runs": len({*split, *told}), "wrong_version": wrong,
-        "refused_by_host": refused, "refused_by_fence": behind,
+        "runs": len(runs),
+        "steps": steps,
+        "split_runs": len({*split, *told}),
+        "wrong_version": wrong,
+        "refused_by_host": refused,
+        "refused_by_fence": behind,
         "stranded": sum(n for end, n in ends.items() if end != "ok"),
-        "ends": dict(sorted(ends.items())), "carried_over": carried,
-        "retired": sorted(retired), "sets_used": sorted({s for run in first.values() for s in run}),
-    }  # fmt: skip
+        "ends": dict(sorted(ends.items())),
+        "carried_over": carried,
+        "retired": sorted(retired),
+        "sets_used": sorted({s for run in first.values() for s in run}),
+    }
--- a/corallanding/lab/wait_clients.py
+++ b/corallanding/lab/wait_clients.py
@@ -31,9 +31,14 @@
 
 class WaitClients:
     def __init__(
-        self, forwarders: list[Forwarder], operations: list[OperationSpec], spec: JobSpec, slices: int, trace: Trace,
+        self,
+        forwarders: list[Forwarder],
+        operations: list[OperationSpec],
+        spec: JobSpec,
+        slices: int,
+        trace: Trace,
         seed: int,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.forwarders, self.operations, self.spec, self.slices = forwarders, operations, spec, slices
         self.witness = trace.witness("jobs")
         self.chance = np.random.default_rng([seed, 92])
--- a/corallanding/lab/ways.py
+++ b/corallanding/lab/ways.py
@@ -72,9 +72,11 @@
         """Ways from the group to the rest, and back unless one_way."""
         some = set(group)
         return [
-            (a, b) for a in self.listen for b in self.listen
+            (a, b)
+            for a in self.listen
+            for b in self.listen
             if a != b and (a in some) != (b in some) and (not one_way or a in some)
-        ]  # fmt: skip
+        ]
 
     def every(self) -> list[tuple[int, int]]:
         return [(a, b) for a in self.listen for b in self.listen if a != b]
--- a/corallanding/lease/core.py
+++ b/corallanding/lease/core.py
@@ -24,10 +24,19 @@
     """
 
     def __init__(
-        self, me: int, others: tuple[int, ...], voters: tuple[int, ...], tasks: Tasks, terms: Terms, life: int,
-        born: float, chance: Callable[[], float], wall: float = 0.0, words_per_s: float = 200.0,
+        self,
+        me: int,
+        others: tuple[int, ...],
+        voters: tuple[int, ...],
+        tasks: Tasks,
+        terms: Terms,
+        life: int,
+        born: float,
+        chance: Callable[[], float],
+        wall: float = 0.0,
+        words_per_s: float = 200.0,
         chair: Desk | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.me, self.others, self.tasks, self.terms, self.life = me, others, tasks, terms, life
         self.wall, self.shared = wall, chair is not None
         self.desk: Desk = chair or Office(me, others, voters, terms, life, born, chance, words_per_s)
@@ -138,7 +147,12 @@
         h = self.holder
         held = [self.tasks.label(n) for n in self.tasks.within(h.bits)] if now < h.until else []
         return {
-            "dealer": self.desk.holder[0], "held": held[:1_000], "held_count": len(held), "fence": h.fence,
-            "lease_left_ms": max(0.0, round(h.until - now, 1)), "behind": h.behind, "stale": h.stale,
+            "dealer": self.desk.holder[0],
+            "held": held[:1_000],
+            "held_count": len(held),
+            "fence": h.fence,
+            "lease_left_ms": max(0.0, round(h.until - now, 1)),
+            "behind": h.behind,
+            "stale": h.stale,
             "turns_lost": {self.tasks.label(n): round(end - now) for n, end in h.barred.items() if end > now},
-        }  # fmt: skip
+        }
--- a/corallanding/lease/office.py
+++ b/corallanding/lease/office.py
@@ -75,9 +75,16 @@
     """me, others, voters: numbers. life: drawn at the start. All times in ms by one clock."""
 
     def __init__(
-        self, me: int, others: tuple[int, ...], voters: tuple[int, ...], terms: OfficeTerms, life: int, born: float,
-        chance: Callable[[], float], words_per_s: float = 200.0,
-    ) -> None:  # fmt: skip
+        self,
+        me: int,
+        others: tuple[int, ...],
+        voters: tuple[int, ...],
+        terms: OfficeTerms,
+        life: int,
+        born: float,
+        chance: Callable[[], float],
+        words_per_s: float = 200.0,
+    ) -> None:
         self.me, self.others, self.voters, self.terms, self.life = me, others, voters, terms, life
         self.voter = Voter(terms, born, electorate(voters))
         self.candidate = Candidate(me, life, voters, terms, chance, born)
--- a/corallanding/lease/plan.py
+++ b/corallanding/lease/plan.py
@@ -8,9 +8,12 @@
 
 
 def plan(
-    has: Mapping[int, int], wants: Mapping[int, int], weights: Sequence[int],
-    turns: Mapping[tuple[int, int], float], sticky: int = 0,
-) -> dict[int, int]:  # fmt: skip
+    has: Mapping[int, int],
+    wants: Mapping[int, int],
+    weights: Sequence[int],
+    turns: Mapping[tuple[int, int], float],
+    sticky: int = 0,
+) -> dict[int, int]:
     """has, wants: steward to a set of shards; no shard is had twice. turns: (shard, steward) to when it last had it.
     sticky: shards that go over only when they are given back.
 
--- a/corallanding/membership/__init__.py
+++ b/corallanding/membership/__init__.py
@@ -5,6 +5,19 @@
 from .words import Ack, Ask, Ping, Word, decode, encode
 
 __all__ = [
-    "ALIVE", "DEAD", "LEFT", "SUSPECT", "UNKNOWN", "Ack", "Ask", "Changed", "Members", "Ping", "Send", "Terms", "Word",
-    "decode", "encode",
-]  # fmt: skip
+    "ALIVE",
+    "DEAD",
+    "LEFT",
+    "SUSPECT",
+    "UNKNOWN",
+    "Ack",
+    "Ask",
+    "Changed",
+    "Members",
+    "Ping",
+    "Send",
+    "Terms",
+    "Word",
+    "decode",
+    "encode",
+]
--- a/corallanding/membership/core.py
+++ b/corallanding/membership/core.py
@@ -25,7 +25,7 @@
     Probe,
     Send,
     Terms,
-)  # fmt: skip
+)
 from .words import NEWS_MOST, Ack, Ask, News, Ping
 
 
--- a/corallanding/node/config.py
+++ b/corallanding/node/config.py
@@ -145,12 +145,19 @@
     classes, limits = top.settings.get("classes"), top.limits or Limits()
     names = [c.get("name") if isinstance(c, dict) else None for c in classes] if isinstance(classes, list) else None
     return Config(
-        top.name, where("listen", top.listen), where("discovery", top.discovery),
-        where("store.address", top.store.address), seed, max(0, int(limits.sockets)), max(0.0, limits.memory_mb),
-        top.known or Answer(0, True, []), settings,
+        top.name,
+        where("listen", top.listen),
+        where("discovery", top.discovery),
+        where("store.address", top.store.address),
+        seed,
+        max(0, int(limits.sockets)),
+        max(0.0, limits.memory_mb),
+        top.known or Answer(0, True, []),
+        settings,
         Places(places(top.settings.get("zones"), "settings.zones"), places(names, "settings.classes")),
-        places(top.settings.get("kinds"), "settings.kinds"), dial_timeout,
-    )  # fmt: skip
+        places(top.settings.get("kinds"), "settings.kinds"),
+        dial_timeout,
+    )
 
 
 def read(path: str) -> Config:
--- a/corallanding/node/service.py
+++ b/corallanding/node/service.py
@@ -53,9 +53,14 @@
         self.gaps = Gaps(s, self.news, self.clock, self.tell)
         self.news_link.gap = self.gaps.bridged
         self.prober = Prober(
-            self.probed, self.clock, "/load" if s.load_in_probe else "/healthz", 2.0 * config.dial_timeout, PROBES_MOST,
-            where=address, load_in_body=True,
-        )  # fmt: skip
+            self.probed,
+            self.clock,
+            "/load" if s.load_in_probe else "/healthz",
+            2.0 * config.dial_timeout,
+            PROBES_MOST,
+            where=address,
+            load_in_body=True,
+        )
         self.door: Door | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.due_at, self.stepped_at, self.took, self.took_most = float("inf"), 0.0, 0.0, 0.0
@@ -95,8 +100,13 @@
             self.door.open()
             gc.collect()
             gc.freeze()
-            log.info("ready after %.0f ms: %d hosts, %d proxies, %d slices", self.clock() - self.begun,
-                     len(self.view.entries), len(self.news.proxies), len(self.news.tables))  # fmt: skip
+            log.info(
+                "ready after %.0f ms: %d hosts, %d proxies, %d slices",
+                self.clock() - self.begun,
+                len(self.view.entries),
+                len(self.news.proxies),
+                len(self.news.tables),
+            )
 
     def reload(self) -> None:
         """SIGHUP: the new addresses; what else the file says is for the next start."""
--- a/corallanding/once/catch_up.py
+++ b/corallanding/once/catch_up.py
@@ -32,9 +32,16 @@
     """opened: of our file, this opening counted. `ready`: we count as a keeper."""
 
     def __init__(
-        self, me: int, others: tuple[int, ...], keepers: tuple[int, ...], life: int, terms: RecordTerms,
-        groups: frozenset[int], opened: int, shelf: Shelf,
-    ) -> None:  # fmt: skip
+        self,
+        me: int,
+        others: tuple[int, ...],
+        keepers: tuple[int, ...],
+        life: int,
+        terms: RecordTerms,
+        groups: frozenset[int],
+        opened: int,
+        shelf: Shelf,
+    ) -> None:
         self.life, self.terms, self.opened, self.shelf = life, terms, opened, shelf
         self.others = tuple(n for n in keepers if n != me)
         self.groups = sorted(groups)
--- a/corallanding/once/core.py
+++ b/corallanding/once/core.py
@@ -35,10 +35,21 @@
     """
 
     def __init__(
-        self, me: int, others: tuple[int, ...], keepers: tuple[int, ...], life: int, terms: RecordTerms, born: float,
-        groups: Iterable[int], opened: int, blank: bool, may: May = anything, counted: Iterable[int] = (),
-        lasting: Iterable[int] = (), words_per_s: float = 2_000.0,
-    ) -> None:  # fmt: skip
+        self,
+        me: int,
+        others: tuple[int, ...],
+        keepers: tuple[int, ...],
+        life: int,
+        terms: RecordTerms,
+        born: float,
+        groups: Iterable[int],
+        opened: int,
+        blank: bool,
+        may: May = anything,
+        counted: Iterable[int] = (),
+        lasting: Iterable[int] = (),
+        words_per_s: float = 2_000.0,
+    ) -> None:
         self.me, self.others, self.keepers, self.life, self.terms = me, others, keepers, life, terms
         self.groups = frozenset(groups)
         self.shelf = Shelf(terms, may, frozenset(counted), frozenset(lasting))
--- a/corallanding/once/fleet.py
+++ b/corallanding/once/fleet.py
@@ -23,10 +23,19 @@
     """
 
     def __init__(
-        self, leases: Leases, keepers: tuple[int, ...], terms: RecordTerms, asks: AskTerms, born: float, opened: int,
-        blank: bool, names: tuple[str, ...], counted: tuple[str, ...] = (), lasting: tuple[str, ...] = (),
+        self,
+        leases: Leases,
+        keepers: tuple[int, ...],
+        terms: RecordTerms,
+        asks: AskTerms,
+        born: float,
+        opened: int,
+        blank: bool,
+        names: tuple[str, ...],
+        counted: tuple[str, ...] = (),
+        lasting: tuple[str, ...] = (),
         words_per_s: float = 2_000.0,
-    ) -> None:  # fmt: skip
+    ) -> None:
         tasks = leases.tasks
         self.numbers = {name: [tasks.number(name, n) for n in range(tasks.by_name[name].count)] for name in names}
         self.of = {name: tuple(group_of(tasks.label(n)) for n in rows) for name, rows in self.numbers.items()}
@@ -35,9 +44,20 @@
         self.rules: dict[int, Callable[[int, bool], bool]] = {}  # by group: what a keeper takes in
         may: May = lambda group, value, first: group not in self.rules or self.rules[group](value, first)  # noqa: E731
         self.records = Records(
-            leases.me, leases.others, keepers, leases.life, terms, born, every, opened, blank, may, some, more,
+            leases.me,
+            leases.others,
+            keepers,
+            leases.life,
+            terms,
+            born,
+            every,
+            opened,
+            blank,
+            may,
+            some,
+            more,
             words_per_s,
-        )  # fmt: skip
+        )
         self.groups = Groups(leases, self.records, [n for rows in self.numbers.values() for n in rows])
         self.asking = Asking(leases.me, leases.others, leases.life, self.records, asks)
 
@@ -78,7 +98,10 @@
         """What the door shows."""
         shelf = self.records.shelf
         return {
-            "records": shelf.count, "counts": self.records.catch.ready, "blank": shelf.blank,
-            "waits_for": self.records.catch.waits_for(), "groups_held": len(self.records.held),
+            "records": shelf.count,
+            "counts": self.records.catch.ready,
+            "blank": shelf.blank,
+            "waits_for": self.records.catch.waits_for(),
+            "groups_held": len(self.records.held),
             "questions": len(self.asking.asked),
-        }  # fmt: skip
+        }
--- a/corallanding/once/shelf.py
+++ b/corallanding/once/shelf.py
@@ -57,9 +57,12 @@
     nothing until it has caught up."""
 
     def __init__(
-        self, terms: RecordTerms, may: May = anything, counted: frozenset[int] = frozenset(),
+        self,
+        terms: RecordTerms,
+        may: May = anything,
+        counted: frozenset[int] = frozenset(),
         lasting: frozenset[int] = frozenset(),
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.terms, self.may, self.counted, self.lasting = terms, may, counted, lasting
         self.tallies: Counter[int] = Counter()
         self.groups: dict[int, dict[int, Record]] = {}
--- a/corallanding/pins/choose.py
+++ b/corallanding/pins/choose.py
@@ -41,15 +41,18 @@
 
 def strength(versions: Versions, servers: Iterable[Server]) -> float:
     """The work that hosts can do now which serve all of the set."""
-    return sum(
-        s.weight * s.able for s in servers if s.sound and all(s.serves(o, v) for o, v in versions.items())
-    )
+    return sum(s.weight * s.able for s in servers if s.sound and all(s.serves(o, v) for o, v in versions.items()))
 
 
 def lines_for(
-    slice: int, operation: str, version: int, lines: Mapping[int, float], servers: Mapping[int, Server],
-    may: Callable[[int], bool], whole: float = 1.0,
-) -> dict[int, float] | None:  # fmt: skip
+    slice: int,
+    operation: str,
+    version: int,
+    lines: Mapping[int, float],
+    servers: Mapping[int, Server],
+    may: Callable[[int], bool],
+    whole: float = 1.0,
+) -> dict[int, float] | None:
     """Host to weight; None: the slice's own lines as they stand, since all serve it. may: whether a cold host may take
     one more slice than its lines give it.
 
--- a/corallanding/pins/core.py
+++ b/corallanding/pins/core.py
@@ -26,9 +26,13 @@
 
 
 def pins_on(
-    fleet: FleetRecords, terms: PinTerms, sets: Mapping[int, Versions], wanted: int,
-    strength: Callable[[int], float], said: Callable[[str], None] = lambda text: None,
-) -> Pins:  # fmt: skip
+    fleet: FleetRecords,
+    terms: PinTerms,
+    sets: Mapping[int, Versions],
+    wanted: int,
+    strength: Callable[[int], float],
+    said: Callable[[str], None] = lambda text: None,
+) -> Pins:
     """Runs and releases on records that have groups for both; their values are tallied, and the register lasts."""
     groups = fleet.of[RUNS]
     pins = Pins(fleet.asking, groups, fleet.of[RELEASE][0], terms, sets, wanted, strength, said)
@@ -41,9 +45,16 @@
     operation. wanted: the set that is to be current. strength: of each set, asked when a run begins."""
 
     def __init__(
-        self, asking: Asking, groups: tuple[int, ...], release: int, terms: PinTerms, sets: Mapping[int, Versions],
-        wanted: int, strength: Callable[[int], float], said: Callable[[str], None] = lambda text: None,
-    ) -> None:  # fmt: skip
+        self,
+        asking: Asking,
+        groups: tuple[int, ...],
+        release: int,
+        terms: PinTerms,
+        sets: Mapping[int, Versions],
+        wanted: int,
+        strength: Callable[[int], float],
+        said: Callable[[str], None] = lambda text: None,
+    ) -> None:
         self.sets, self.wanted, self.strength, self.terms = sets, wanted, strength, terms
         self.asking, self.records = asking, asking.records
         self.releases = Releases(asking.me, asking.others, asking.life, self.records, release, terms, said)
@@ -81,8 +92,12 @@
         register, shelf = self.releases.register, self.records.shelf
         live = {str(s): n for s, n in sorted(shelf.tallies.items()) if not s & END}
         return {
-            "current": register.current if register else None, "open": register.opens if register else [],
-            "alive": register.alive if register else [], "version": register.version if register else 0,
-            "wanted": self.wanted, "in_the_way": self.releases.blocked, "live_runs_here": live,
+            "current": register.current if register else None,
+            "open": register.opens if register else [],
+            "alive": register.alive if register else [],
+            "version": register.version if register else 0,
+            "wanted": self.wanted,
+            "in_the_way": self.releases.blocked,
+            "live_runs_here": live,
             "groups_held": sum(g in self.records.held for g in self.runs.groups),
-        }  # fmt: skip
+        }
--- a/corallanding/pins/releases.py
+++ b/corallanding/pins/releases.py
@@ -28,9 +28,15 @@
     """said: what has changed, or stands in the way, in words."""
 
     def __init__(
-        self, me: int, others: tuple[int, ...], life: int, records: Records, group: int, terms: PinTerms,
+        self,
+        me: int,
+        others: tuple[int, ...],
+        life: int,
+        records: Records,
+        group: int,
+        terms: PinTerms,
         said: Callable[[str], None] = lambda text: None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.me, self.others, self.life, self.records, self.group = me, others, life, records, group
         self.terms, self.said = terms, said
         self.register: Register | None = None  # in force, as far as we heard
--- a/corallanding/pins/routes.py
+++ b/corallanding/pins/routes.py
@@ -24,9 +24,13 @@
     one more slice now (`cold_slices`), asked once for each that it is given beyond its lines."""
 
     def __init__(
-        self, operations: tuple[str, ...], sets: Mapping[int, Versions], carries: Mapping[int, Iterable[int]],
-        no_host: Mapping[str, NoHost], may: Callable[[int], bool],
-    ) -> None:  # fmt: skip
+        self,
+        operations: tuple[str, ...],
+        sets: Mapping[int, Versions],
+        carries: Mapping[int, Iterable[int]],
+        no_host: Mapping[str, NoHost],
+        may: Callable[[int], bool],
+    ) -> None:
         self.operations, self.sets, self.carries, self.no_host, self.may = operations, sets, carries, no_host, may
         self.given: dict[tuple[int, int], set[int]] = {}  # (slice, operation): cold hosts, beyond their lines
         self.stranded = 0  # rows without a host, as last planned
@@ -55,9 +59,17 @@
         return out
 
     def row(
-        self, slice: int, at: int, operation: str, version: int, number: int, alive: list[int],
-        lines: Mapping[int, float], servers: Mapping[int, Server], given: Mapping[tuple[int, int], set[int]],
-    ) -> Row | None:  # fmt: skip
+        self,
+        slice: int,
+        at: int,
+        operation: str,
+        version: int,
+        number: int,
+        alive: list[int],
+        lines: Mapping[int, float],
+        servers: Mapping[int, Server],
+        given: Mapping[tuple[int, int], set[int]],
+    ) -> Row | None:
         key = (slice, at)
 
         def may(host: int) -> bool:
--- a/corallanding/pins/runs.py
+++ b/corallanding/pins/runs.py
@@ -21,9 +21,13 @@
     while it is not known. strength: of each set."""
 
     def __init__(
-        self, asking: Asking, groups: tuple[int, ...], terms: PinTerms, register: Callable[[], Register | None],
+        self,
+        asking: Asking,
+        groups: tuple[int, ...],
+        terms: PinTerms,
+        register: Callable[[], Register | None],
         strength: Callable[[int], float],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.asking, self.groups, self.terms, self.register, self.strength = asking, groups, terms, register, strength
         self.records = asking.records
         self.buckets: dict[int, Allowance] = {}
--- a/corallanding/probe/prober.py
+++ b/corallanding/probe/prober.py
@@ -91,10 +91,16 @@
     beyond `most_waiting` a probe ends OTHER at once, so that a question is never left open."""
 
     def __init__(
-        self, done: Callable[[api.ProbeDone], None], clock: Callable[[], float], path: str = "/health",
-        timeout: float = 250.0, most_in_flight: int = 16, most_waiting: int = 1_000,
-        where: Callable[[str], tuple[str, int]] = loopback, load_in_body: bool = False,
-    ) -> None:  # fmt: skip
+        self,
+        done: Callable[[api.ProbeDone], None],
+        clock: Callable[[], float],
+        path: str = "/health",
+        timeout: float = 250.0,
+        most_in_flight: int = 16,
+        most_waiting: int = 1_000,
+        where: Callable[[str], tuple[str, int]] = loopback,
+        load_in_body: bool = False,
+    ) -> None:
         """where: what an address may be; raises ValueError on one that is not allowed."""
         self.where, self.load_in_body = where, load_in_body
         self.done, self.clock, self.path, self.timeout = done, clock, path, timeout
--- a/corallanding/quota/__init__.py
+++ b/corallanding/quota/__init__.py
@@ -11,6 +11,21 @@
 from .words import Give, Want, Words, decode, encode
 
 __all__ = [
-    "Budget", "Candidate", "Divider", "Give", "Holder", "Quit", "Quota", "Send", "Stand", "Terms", "Vote",
-    "Voter", "Want", "Words", "decode", "encode", "share",
-]  # fmt: skip
+    "Budget",
+    "Candidate",
+    "Divider",
+    "Give",
+    "Holder",
+    "Quit",
+    "Quota",
+    "Send",
+    "Stand",
+    "Terms",
+    "Vote",
+    "Voter",
+    "Want",
+    "Words",
+    "decode",
+    "encode",
+    "share",
+]
--- a/corallanding/registry/charge.py
+++ b/corallanding/registry/charge.py
@@ -72,6 +72,7 @@
 
 def owner(slice: int, members: Iterable[int]) -> int | None:
     """Whom a slice should belong to among live stewards: the top of a rendezvous, the same for all that ask."""
+
     def mark(steward: int) -> tuple[bytes, int]:
         return hashlib.blake2b(f"{slice}:{steward}".encode(), digest_size=8).digest(), steward
 
--- a/corallanding/registry/etcd.py
+++ b/corallanding/registry/etcd.py
@@ -50,10 +50,13 @@
     def __init__(self, address: str, timeout: float, tls: Tls | None = None, token: str = "") -> None:
         # Pings more often than every 5 s are an offence to etcd as it comes: it would end the connection.
         options: list[tuple[str, Any]] = [
-            ("grpc.keepalive_time_ms", 10_000), ("grpc.keepalive_timeout_ms", 3_000),
-            ("grpc.http2.max_pings_without_data", 0), ("grpc.max_receive_message_length", 64 << 20),
-            ("grpc.initial_reconnect_backoff_ms", 100), ("grpc.max_reconnect_backoff_ms", 1_000),
-        ]  # fmt: skip
+            ("grpc.keepalive_time_ms", 10_000),
+            ("grpc.keepalive_timeout_ms", 3_000),
+            ("grpc.http2.max_pings_without_data", 0),
+            ("grpc.max_receive_message_length", 64 << 20),
+            ("grpc.initial_reconnect_backoff_ms", 100),
+            ("grpc.max_reconnect_backoff_ms", 1_000),
+        ]
         if tls:
             credentials = grpc.ssl_channel_credentials(tls.ca, tls.key, tls.certificate)
             options += [("grpc.ssl_target_name_override", tls.name)] if tls.name else []
--- a/corallanding/registry/follow.py
+++ b/corallanding/registry/follow.py
@@ -27,10 +27,16 @@
     """
 
     def __init__(
-        self, dial: Callable[[], Conn], prefix: bytes, sync: Sync, clock: Callable[[], float],
-        delta: Callable[[Delta], None], said: Callable[[str], None], up: Callable[[], None],
+        self,
+        dial: Callable[[], Conn],
+        prefix: bytes,
+        sync: Sync,
+        clock: Callable[[], float],
+        delta: Callable[[Delta], None],
+        said: Callable[[str], None],
+        up: Callable[[], None],
         down: Callable[[], None] = lambda: None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.dial, self.prefix, self.sync, self.clock = dial, prefix, sync, clock
         self.delta, self.said, self.up, self.down = delta, said, up, down
         self.conn: Conn | None = None
--- a/corallanding/registry/keeper.py
+++ b/corallanding/registry/keeper.py
@@ -46,16 +46,30 @@
     """dial: a new connection; clock: ms. `write` raises `Fenced` or `Lost`; nothing is written without a charge."""
 
     def __init__(
-        self, dial: Callable[[], Etcd], base: str, me: int, slices: range, holder: Holder,
-        clock: Callable[[], float], chance: Callable[[], float], terms: Terms, limits: Limits,
-    ) -> None:  # fmt: skip
+        self,
+        dial: Callable[[], Etcd],
+        base: str,
+        me: int,
+        slices: range,
+        holder: Holder,
+        clock: Callable[[], float],
+        chance: Callable[[], float],
+        terms: Terms,
+        limits: Limits,
+    ) -> None:
         self.base, self.holder, self.clock = base.encode(), holder, clock
         self.watched = self.base + b"who/"
         self.charge = Charge(me, slices, terms)
         self.follower = Follower(
-            dial, self.watched, Sync(limits, chance), clock, self.took, holder.said,
-            lambda: self.charge.connection(True), lambda: self.charge.connection(False),
-        )  # fmt: skip
+            dial,
+            self.watched,
+            Sync(limits, chance),
+            clock,
+            self.took,
+            holder.said,
+            lambda: self.charge.connection(True),
+            lambda: self.charge.connection(False),
+        )
         self.found: dict[int, bytes] = {}  # tables that came with claims, until the slice is given
         self.tasks: set[asyncio.Task[Any]] = set()
 
@@ -137,10 +151,13 @@
                     self.carry(c.claimed(self.clock(), slice, lease, await self.claim(conn, slice, lease)))
                 case Release(slice, fence):
                     key = self.key("who/charge", slice)
-                    await conn.call(conn.kv.Txn, rpc_pb2.TxnRequest(
-                        compare=[self.same(key, fence)],
-                        success=[rpc_pb2.RequestOp(request_delete_range=rpc_pb2.DeleteRangeRequest(key=key))],
-                    ))  # fmt: skip
+                    await conn.call(
+                        conn.kv.Txn,
+                        rpc_pb2.TxnRequest(
+                            compare=[self.same(key, fence)],
+                            success=[rpc_pb2.RequestOp(request_delete_range=rpc_pb2.DeleteRangeRequest(key=key))],
+                        ),
+                    )
                     self.carry(c.released(slice))
         except Lost as fault:
             self.holder.said(f"{type(a).__name__.lower()}: {fault}")
@@ -176,10 +193,13 @@
         key = self.key("who/charge", slice)
         put = rpc_pb2.PutRequest(key=key, value=str(self.charge.me).encode(), lease=lease)
         table = rpc_pb2.RangeRequest(key=self.key("tables", slice))
-        answer = await conn.call(conn.kv.Txn, rpc_pb2.TxnRequest(
-            compare=[self.same(key, 0)],
-            success=[rpc_pb2.RequestOp(request_put=put), rpc_pb2.RequestOp(request_range=table)],
-        ))  # fmt: skip
+        answer = await conn.call(
+            conn.kv.Txn,
+            rpc_pb2.TxnRequest(
+                compare=[self.same(key, 0)],
+                success=[rpc_pb2.RequestOp(request_put=put), rpc_pb2.RequestOp(request_range=table)],
+            ),
+        )
         if not answer.succeeded:
             return 0
         kvs = answer.responses[1].response_range.kvs
@@ -217,15 +237,21 @@
             raise Fenced(gone)
         if conn is None:
             raise Lost("the registry is not reached")
-        answer = await conn.call(conn.kv.Txn, rpc_pb2.TxnRequest(
-            compare=[self.same(self.key("who/charge", s), held[s]) for s in slices],
-            success=[
-                rpc_pb2.RequestOp(request_put=rpc_pb2.PutRequest(
-                    key=self.key("tables", s), value=msgspec.json.encode(dict(tables[s])),
-                ))
-                for s in slices
-            ],
-        ))  # fmt: skip
+        answer = await conn.call(
+            conn.kv.Txn,
+            rpc_pb2.TxnRequest(
+                compare=[self.same(self.key("who/charge", s), held[s]) for s in slices],
+                success=[
+                    rpc_pb2.RequestOp(
+                        request_put=rpc_pb2.PutRequest(
+                            key=self.key("tables", s),
+                            value=msgspec.json.encode(dict(tables[s])),
+                        )
+                    )
+                    for s in slices
+                ],
+            ),
+        )
         if not answer.succeeded:
             raise Fenced(slices)
 
--- a/corallanding/registry/source.py
+++ b/corallanding/registry/source.py
@@ -47,14 +47,17 @@
     """dial(): a new connection. clock: ms. listener: the steward, told rows and failures."""
 
     def __init__(
-        self, dial: Callable[[], Connection], prefix: str, listener: Listener, clock: Callable[[], float],
-        chance: Callable[[], float], limits: Limits,
-    ) -> None:  # fmt: skip
+        self,
+        dial: Callable[[], Connection],
+        prefix: str,
+        listener: Listener,
+        clock: Callable[[], float],
+        chance: Callable[[], float],
+        limits: Limits,
+    ) -> None:
         self.prefix, self.listener = prefix.encode(), listener
         self.sync = Sync(limits, chance)
-        self.follower = Follower(
-            dial, self.prefix, self.sync, clock, self.tell, listener.roster_failed, self.whole
-        )
+        self.follower = Follower(dial, self.prefix, self.sync, clock, self.tell, listener.roster_failed, self.whole)
         self.task: asyncio.Task[None] | None = None
         self.told = False  # the first whole list of this life
 
@@ -138,9 +141,12 @@
 
 
 def make(
-    c: RegistryBlock, listener: Listener, clock: Callable[[], float], chance: Callable[[], float],
+    c: RegistryBlock,
+    listener: Listener,
+    clock: Callable[[], float],
+    chance: Callable[[], float],
     to_etcd: Callable[[RegistryBlock, Callable[[str], None]], Callable[[], Etcd]] | None = None,
-) -> RegistrySource:  # fmt: skip
+) -> RegistrySource:
     """The source that a configuration names. Raises OSError if one of its files cannot be read."""
 
     rate = c.reads_per_min
--- a/corallanding/relay/call_link.py
+++ b/corallanding/relay/call_link.py
@@ -19,9 +19,15 @@
     """
 
     def __init__(
-        self, where: Address, calls: Calls, clock: Callable[[], float], stood: Callable[[list[Order]], None],
-        answer_within: float = 100.0, dial_within: float = 300.0, idle_most: float = 2_000.0,
-    ) -> None:  # fmt: skip
+        self,
+        where: Address,
+        calls: Calls,
+        clock: Callable[[], float],
+        stood: Callable[[list[Order]], None],
+        answer_within: float = 100.0,
+        dial_within: float = 300.0,
+        idle_most: float = 2_000.0,
+    ) -> None:
         self.where, self.calls, self.clock, self.stood = where, calls, clock, stood
         self.answer_within, self.idle_most = answer_within, idle_most
         self.loop = asyncio.get_running_loop()
--- a/corallanding/relay/lines.py
+++ b/corallanding/relay/lines.py
@@ -13,9 +13,7 @@
 class Lines(Dialled):
     """A connection that brings lines: `heard(self, lines)` for each read."""
 
-    def __init__(
-        self, where: Address, heard: Callable[[Any, list[bytes]], None], lost: Callable[[Any], None]
-    ) -> None:
+    def __init__(self, where: Address, heard: Callable[[Any, list[bytes]], None], lost: Callable[[Any], None]) -> None:
         super().__init__(where, lost)
         self.heard = heard
         self.rest = b""
--- a/corallanding/relay/news_link.py
+++ b/corallanding/relay/news_link.py
@@ -39,10 +39,18 @@
     """
 
     def __init__(
-        self, where: Address, news: News, clock: Callable[[], float], tell: Callable[[list[api.Event]], None],
-        under_way: Callable[[], list[TableOrder]], said: Callable[[str], None], silence: float = 2_500.0,
-        whole_after: float = 150.0, lines_after: float = 30.0, dial_within: float = 300.0,
-    ) -> None:  # fmt: skip
+        self,
+        where: Address,
+        news: News,
+        clock: Callable[[], float],
+        tell: Callable[[list[api.Event]], None],
+        under_way: Callable[[], list[TableOrder]],
+        said: Callable[[str], None],
+        silence: float = 2_500.0,
+        whole_after: float = 150.0,
+        lines_after: float = 30.0,
+        dial_within: float = 300.0,
+    ) -> None:
         self.where, self.news, self.clock, self.tell = where, news, clock, tell
         self.under_way, self.said = under_way, said
         self.silence, self.whole_after, self.lines_after = silence, whole_after, lines_after
--- a/corallanding/relay/orders.py
+++ b/corallanding/relay/orders.py
@@ -55,8 +55,13 @@
             said = {"op": "OUT" if o.on else "IN", "endpoint": name(o.host)}
         case api.Level():
             chosen = [x for k, x in enumerate(operations) if o.operations >> k & 1]
-            said = {"op": "LIMIT", "table": "*" if o.slice == api.ALL_TABLES else o.slice, "for": chosen or "*",
-                    "gate": o.amount, "again": int(o.retry)}  # fmt: skip
+            said = {
+                "op": "LIMIT",
+                "table": "*" if o.slice == api.ALL_TABLES else o.slice,
+                "for": chosen or "*",
+                "gate": o.amount,
+                "again": int(o.retry),
+            }
         case api.Mark():
             said = {"op": "SYNC", "stamp": o.number, "set": int(o.everyone)}
     return msgspec.json.encode(said)
--- a/corallanding/reports/envelope.py
+++ b/corallanding/reports/envelope.py
@@ -150,9 +150,11 @@
 def load_of(cpu: float, application: float, rps: float, eps: float) -> Load:
     """Application utilization where a host states one (as ORCA's consumers do), else CPU's."""
     for name, value, most in (
-        ("cpu_utilization", cpu, MOST_LOAD), ("application_utilization", application, MOST_LOAD),
-        ("rps_fractional", rps, 1e9), ("eps", eps, 1e9),
-    ):  # fmt: skip
+        ("cpu_utilization", cpu, MOST_LOAD),
+        ("application_utilization", application, MOST_LOAD),
+        ("rps_fractional", rps, 1e9),
+        ("eps", eps, 1e9),
+    ):
         if not 0.0 <= value <= most:  # also what is no number
             raise BadReport(f"{name} {value:g} is not within 0 and {most:g}")
     return Load(application or cpu, rps, eps)
@@ -165,10 +167,12 @@
         get = [
             float(raw.get(a, raw.get(b, 0.0)))
             for a, b in (
-                ("cpu_utilization", "cpuUtilization"), ("application_utilization", "applicationUtilization"),
-                ("rps_fractional", "rpsFractional"), ("eps", "eps"),
+                ("cpu_utilization", "cpuUtilization"),
+                ("application_utilization", "applicationUtilization"),
+                ("rps_fractional", "rpsFractional"),
+                ("eps", "eps"),
             )
-        ]  # fmt: skip
+        ]
     except (msgspec.DecodeError, ValueError, TypeError, UnicodeDecodeError) as fault:
         raise BadReport(f"orca: {fault}"[:120]) from None
     return load_of(*get)
--- a/corallanding/reports/feed.py
+++ b/corallanding/reports/feed.py
@@ -26,9 +26,16 @@
     """
 
     def __init__(
-        self, conf: dict[str, Any], policy: Policy, clock: Callable[[], float], wall: Callable[[], float],
-        zero: float, changed: Callable[[], None], log: Any, restart_most: float = 10_000.0,
-    ) -> None:  # fmt: skip
+        self,
+        conf: dict[str, Any],
+        policy: Policy,
+        clock: Callable[[], float],
+        wall: Callable[[], float],
+        zero: float,
+        changed: Callable[[], None],
+        log: Any,
+        restart_most: float = 10_000.0,
+    ) -> None:
         self.conf, self.clock, self.wall, self.zero, self.changed, self.log = conf, clock, wall, zero, changed, log
         self.worth, self.counts, self.restart_most = Worth(policy), dict[str, int](), restart_most
         self.hosts: list[int] = []
--- a/corallanding/roster/source.py
+++ b/corallanding/roster/source.py
@@ -52,10 +52,17 @@
     """One roster at ADDRESS:PORT, as a `Source`. Limits: bytes of a line, milliseconds of waits."""
 
     def __init__(
-        self, address: str, listener: Listener, version: Callable[[], int], on_request: bool = False,
-        line_most: int = 4 << 20, wait: float = 100.0, wait_most: float = 2_000.0, timeout: float = 2_000.0,
+        self,
+        address: str,
+        listener: Listener,
+        version: Callable[[], int],
+        on_request: bool = False,
+        line_most: int = 4 << 20,
+        wait: float = 100.0,
+        wait_most: float = 2_000.0,
+        timeout: float = 2_000.0,
         seed: int = 0,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.where, self.listener, self.version, self.on_request = loopback(address), listener, version, on_request
         self.line_most, self.wait, self.wait_most, self.timeout = line_most, wait, wait_most, timeout
         self.chance = random.Random(seed)
--- a/corallanding/roster/view.py
+++ b/corallanding/roster/view.py
@@ -98,9 +98,14 @@
         return self.origins[key]
 
     def restore(
-        self, now: float, wall: float, version: int, entries: Sequence[api.HostEntry],
-        addresses: dict[int, str], starts: dict[int, float],
-    ) -> api.Membership:  # fmt: skip
+        self,
+        now: float,
+        wall: float,
+        version: int,
+        entries: Sequence[api.HostEntry],
+        addresses: dict[int, str],
+        starts: dict[int, float],
+    ) -> api.Membership:
         """The saved list, as the first event of a life."""
         rows = []
         for e in entries:
@@ -128,9 +133,7 @@
                 self.bad.append(f"entry of host {row.host}: more than {self.hosts_most} hosts")
                 continue
             since = self.since(now, wall, row.host, row.started)
-            entries[row.host] = api.HostEntry(
-                row.host, row.zone, row.kind, row.cell, row.state, row.weight, since
-            )
+            entries[row.host] = api.HostEntry(row.host, row.zone, row.kind, row.cell, row.state, row.weight, since)
             self.known.add(row.host)
             self.starts[row.host] = row.started
             if row.address:
--- a/corallanding/simhost/codec.py
+++ b/corallanding/simhost/codec.py
@@ -9,13 +9,19 @@
 
 MOST_TIME_US = 71 * 60 * 1_000_000
 FORMS: dict[str, object] = {
-    "INCREMENTAL": api.ListForm.CHANGES, "FULL": api.ListForm.FULL,
-    "SAVED": api.ListForm.SAVED, "FAILED": api.ListForm.FAILED,
-}  # fmt: skip
+    "INCREMENTAL": api.ListForm.CHANGES,
+    "FULL": api.ListForm.FULL,
+    "SAVED": api.ListForm.SAVED,
+    "FAILED": api.ListForm.FAILED,
+}
 PROBE_ENDS = {
-    0: api.ProbeEnd.OK, 255: api.ProbeEnd.ERROR, 254: api.ProbeEnd.FULL, 253: api.ProbeEnd.TIMEOUT,
-    252: api.ProbeEnd.UNREACHABLE, 251: api.ProbeEnd.RESET,
-}  # fmt: skip
+    0: api.ProbeEnd.OK,
+    255: api.ProbeEnd.ERROR,
+    254: api.ProbeEnd.FULL,
+    253: api.ProbeEnd.TIMEOUT,
+    252: api.ProbeEnd.UNREACHABLE,
+    251: api.ProbeEnd.RESET,
+}
 STATES = ("up", "draining", "removed")
 
 
@@ -36,15 +42,18 @@
 
 def host_sums(f: Fields) -> api.HostSums:
     return api.HostSums(
-        zone=count(f, "zone"), host=whole(f, "host"), tries=whole(f, "total"), errored=count(f, "unanswered"),
-        latency=ms(f, "lag"), span=ms(f, "elapsed"), load=load(f),
-    )  # fmt: skip
+        zone=count(f, "zone"),
+        host=whole(f, "host"),
+        tries=whole(f, "total"),
+        errored=count(f, "unanswered"),
+        latency=ms(f, "lag"),
+        span=ms(f, "elapsed"),
+        load=load(f),
+    )
 
 
 def slice_sums(f: Fields) -> api.SliceSums:
-    return api.SliceSums(
-        whole(f, "tbl"), count(f, "kind"), whole(f, "total"), count(f, "unanswered"), ms(f, "elapsed")
-    )
+    return api.SliceSums(whole(f, "tbl"), count(f, "kind"), whole(f, "total"), count(f, "unanswered"), ms(f, "elapsed"))
 
 
 def proxy_sums(f: Fields) -> api.ProxySums:
@@ -74,9 +83,7 @@
     "HEARD": peer_message,
     "ON_RECORD": lambda f: api.OnRecord(whole(f, "tbl"), whole(f, "host"), number(f, "weight", 1.0)),
     "TENURE": lambda f: api.SliceGiven(whole(f, "tbl"), flag(f, "on")),
-    "ATTACHED": lambda f: api.ProxyJoined(
-        whole(f, "edge"), count(f, "zone"), number(f, "weight", 0.0), flag(f, "on")
-    ),
+    "ATTACHED": lambda f: api.ProxyJoined(whole(f, "edge"), count(f, "zone"), number(f, "weight", 0.0), flag(f, "on")),
     "DETACHED": lambda f: api.ProxyLeft(whole(f, "edge")),
     "APPLIED": lambda f: api.Acked(whole(f, "edge"), whole(f, "number"), ms(f, "lag")),
     "TICK_DUE": lambda f: api.Due(whole(f, "handle")),
@@ -109,8 +116,7 @@
             return f"SET_LINE\t{to}\ttbl={a.slice}\thost={a.host}\tweight={a.weight:g}"
         case api.Level():
             return (
-                f"LEVEL\t{to}\ttbl={a.slice}\tclassBits={a.operations}\tamount={a.amount:g}"
-                f"\tonFailure={int(a.retry)}"
+                f"LEVEL\t{to}\ttbl={a.slice}\tclassBits={a.operations}\tamount={a.amount:g}\tonFailure={int(a.retry)}"
             )
         case api.Cordon():
             return f"CORDON\t{to}\thost={a.host}\ton={int(a.on)}"
--- a/corallanding/snapshot/module.py
+++ b/corallanding/snapshot/module.py
@@ -60,19 +60,27 @@
 def dump(a: Assigner) -> ModuleState:
     values = {k: v for part in parts(a) for k, v in plain(part).items()}
     return ModuleState(
-        a.seed, values, [(p, list(out)) for p, out in a.pending.proxies.items()], list(a.pending.sent),
-        list(a.figures.typical.items()), HOST, SLICE,
+        a.seed,
+        values,
+        [(p, list(out)) for p, out in a.pending.proxies.items()],
+        list(a.pending.sent),
+        list(a.figures.typical.items()),
+        HOST,
+        SLICE,
         [HostState(h.entry, [getattr(h, k) for k in HOST]) for h in a.hosts.values()],
         [
             SliceState(
-                [(h.id, w) for h, w in s.lines.items()], s.owner.id if s.owner else None, [h.id for h in s.helpers],
-                s.want.id if s.want else None, s.held.id if s.held else None,
+                [(h.id, w) for h, w in s.lines.items()],
+                s.owner.id if s.owner else None,
+                [h.id for h in s.helpers],
+                s.want.id if s.want else None,
+                s.held.id if s.held else None,
                 [list(s.rates.items()) if k == "rates" else getattr(s, k) for k in SLICE],
             )
             for s in a.slices.values()
         ],
         [h.id for h in a.ranks.servers],
-    )  # fmt: skip
+    )
 
 
 def load(settings: api.Settings, state: ModuleState) -> Assigner:
--- a/corallanding/steward/budgets.py
+++ b/corallanding/steward/budgets.py
@@ -23,7 +23,7 @@
             name, b.whole, b.floor, c.stewards_most, 1_000.0 if b.unit == "per_s" else b.span_ms or cold, b.per
         )
         for name, b in c.budget.items()
-    }  # fmt: skip
+    }
 
 
 class Budgets:
@@ -33,16 +33,29 @@
     sound = staticmethod(sound)
 
     def __init__(
-        self, c: StewardConfig, office: Desk, say: Callable[[Iterable[Send]], None], clock: Callable[[], float],
-        metrics: Metrics, gate: Any,
-    ) -> None:  # fmt: skip
+        self,
+        c: StewardConfig,
+        office: Desk,
+        say: Callable[[Iterable[Send]], None],
+        clock: Callable[[], float],
+        metrics: Metrics,
+        gate: Any,
+    ) -> None:
         self.say, self.clock, self.metrics, self.gate, self.cold = say, clock, metrics, gate, c.rules.cold_ms
         b, o = c.budgets, office
         terms = quota.Terms(office=b.office_ms, drift=b.drift, lease=b.lease_ms, keys_most=b.keys_most)
         self.core = quota.Quota(
-            o.me, o.others, (), budgets_of(c), terms, o.life, clock(), random.random,
-            words_per_s=b.words_per_s, chair=office,
-        )  # fmt: skip
+            o.me,
+            o.others,
+            (),
+            budgets_of(c),
+            terms,
+            o.life,
+            clock(),
+            random.random,
+            words_per_s=b.words_per_s,
+            chair=office,
+        )
         self.witness = Witness(b.witness)
         self.since: float | None = None  # of the office, as last told
 
--- a/corallanding/steward/daemon.py
+++ b/corallanding/steward/daemon.py
@@ -60,9 +60,14 @@
             state = self.last_state(life.number)
         now, wall = self.clock(), self.wall() * 1000.0
         self.engine = core.Engine(
-            self.settings, self.seed(life.number), life, () if shared else charge, self.view.addresses, self.decider,
+            self.settings,
+            self.seed(life.number),
+            life,
+            () if shared else charge,
+            self.view.addresses,
+            self.decider,
             OverloadLimits(c.steward.late_ms, c.steward.busy_share, c.steward.put_off_most_ms),
-        )  # fmt: skip
+        )
         self.engine.recall_until = now + c.forwarders.silence_ms * 2 if not shared else now - 1.0
         self.engine.gather.keys_most = c.reports.keys_most
         saved = self.view.restore(now, wall, life.roster_version, life.roster, life.addresses, life.starts)
@@ -99,8 +104,12 @@
         self.listener = self.make_listener(host, port, given.listening(host, port))
         self.servers.append(self.listener)
         if c.door:
-            routes = {"/healthz": self.healthz, "/metrics": self.metrics_page, "/tables": self.tables_page,
-                      "/stewards": self.stewards_page}  # fmt: skip
+            routes = {
+                "/healthz": self.healthz,
+                "/metrics": self.metrics_page,
+                "/tables": self.tables_page,
+                "/stewards": self.stewards_page,
+            }
             self.door = Door(routes, c.door.connections_most, c.door.header_most_bytes, c.door.request_within_ms)
             host, port = loopback(c.door.listen)
             if sock := given.listening(host, port):
@@ -144,9 +153,13 @@
         self.wake()
         self.ready = True
         log.info(
-            "ready", life=life.number, listen=[s.sockets[0].getsockname()[:2] for s in self.servers],
-            slices=len(self.engine.charge), tables=len(life.tables), hosts=len(life.roster),
-        )  # fmt: skip
+            "ready",
+            life=life.number,
+            listen=[s.sockets[0].getsockname()[:2] for s in self.servers],
+            slices=len(self.engine.charge),
+            tables=len(life.tables),
+            hosts=len(life.roster),
+        )
 
     def open_shared(self) -> None:
         """Members, budgets and tasks of the fleet, where any is configured. Raises OSError."""
@@ -156,8 +169,9 @@
         say = lambda to, data: self.peers.say(to, data) if self.peers else None  # noqa: E731
         self.peer_door = PeerDoor(say, self.metrics.peer_drops.inc)
         keeper = self.office_keeper(c.registry) if c.registry and c.budgets.office == "registry" else None
-        self.shared = Shared(c, self.peer_door, self.clock, lambda: self.paused, self.metrics, self.gate, Sight(self),
-                             keeper)  # fmt: skip
+        self.shared = Shared(
+            c, self.peer_door, self.clock, lambda: self.paused, self.metrics, self.gate, Sight(self), keeper
+        )
         if self.shared.budgets and isinstance(self.engine.module, Assigner):
             self.engine.module.orders.may = self.shared.budgets.may
         self.shared.start()
--- a/corallanding/steward/engine.py
+++ b/corallanding/steward/engine.py
@@ -81,9 +81,7 @@
     points: dict[int, dict[int, int]] = field(default_factory=dict)  # forwarder: {table: bits}
 
 
-def urgent(
-    lines: Sequence[tuple[int, int, float]], cordons: Sequence[tuple[int, bool]], going: Container[int]
-) -> bool:
+def urgent(lines: Sequence[tuple[int, int, float]], cordons: Sequence[tuple[int, bool]], going: Container[int]) -> bool:
     """Whether an order takes a host out that is dead, draining or shut out, as its lines show.
 
     A host that the list calls draining or removed, or one that is replaced in a single step, without the hold of an
@@ -102,9 +100,15 @@
     """
 
     def __init__(
-        self, settings: api.Settings, seed: int, life: Life, charge: Iterable[int], addresses: dict[int, str],
-        decider: Callable[[api.Settings, int], Decider], overload: OverloadLimits | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        settings: api.Settings,
+        seed: int,
+        life: Life,
+        charge: Iterable[int],
+        addresses: dict[int, str],
+        decider: Callable[[api.Settings, int], Decider],
+        overload: OverloadLimits | None = None,
+    ) -> None:
         super().__init__(decider(settings, seed))
         self.set = settings
         self.can_wait: int | None = getattr(self.module, "can_wait", None)
@@ -177,9 +181,7 @@
         Guards against a store that stopped writing before the steward died; could bring back lines of hosts
         that have left since, which the module takes out by its list as at any start.
         """
-        return (
-            now <= self.recall_until and hello.life == self.life.number - 1 and hello.seq > self.recalled_seq
-        )
+        return now <= self.recall_until and hello.life == self.life.number - 1 and hello.seq > self.recalled_seq
 
     def held(self, now: float, held: frames.Held) -> list[int]:
         """Takes what a forwarder held of the former life. Returns the slices that were given anew."""
@@ -323,9 +325,15 @@
         lines[host] = weight
 
     def messages(
-        self, lines: list[tuple[int, int, float]], resets: list[int], levels: list[frames.LevelRow],
-        cordons: list[tuple[int, bool]], points: dict[int, list[tuple[int, int]]], mark: int, everyone: bool,
-    ) -> list[Output]:  # fmt: skip
+        self,
+        lines: list[tuple[int, int, float]],
+        resets: list[int],
+        levels: list[frames.LevelRow],
+        cordons: list[tuple[int, bool]],
+        points: dict[int, list[tuple[int, int]]],
+        mark: int,
+        everyone: bool,
+    ) -> list[Output]:
         """One message a forwarder concerned; forwarders with the same tables share one frame."""
         if not (lines or resets or levels or cordons or points or (mark >= 0 and everyone)):
             return []
@@ -351,15 +359,27 @@
         ]
 
     def order(
-        self, to: tuple[int, ...], mark: int = -1, resets: Sequence[int] = (),
-        lines: Sequence[tuple[int, int, float]] = (), levels: Sequence[frames.LevelRow] = (),
-        cordons: Sequence[tuple[int, bool]] = (), points: Sequence[tuple[int, int]] = (),
+        self,
+        to: tuple[int, ...],
+        mark: int = -1,
+        resets: Sequence[int] = (),
+        lines: Sequence[tuple[int, int, float]] = (),
+        levels: Sequence[frames.LevelRow] = (),
+        cordons: Sequence[tuple[int, bool]] = (),
+        points: Sequence[tuple[int, int]] = (),
         withdrawn: Sequence[int] = (),
-    ) -> Send:  # fmt: skip
+    ) -> Send:
         frame = frames.Orders(
-            self.seq, mark, list(resets), list(lines), list(levels), list(cordons), list(points),
-            {h: self.addresses[h] for _, h, w in lines if w > 0 and h in self.addresses}, list(withdrawn),
-        )  # fmt: skip
+            self.seq,
+            mark,
+            list(resets),
+            list(lines),
+            list(levels),
+            list(cordons),
+            list(points),
+            {h: self.addresses[h] for _, h, w in lines if w > 0 and h in self.addresses},
+            list(withdrawn),
+        )
         return Send(frames.encode(frame), cost(frame), mark, to, frame, urgent(lines, cordons, self.going))
 
     def reconcile(self, now: float, life: Life) -> None:
@@ -396,11 +416,14 @@
         named = {h for _, lines in rows for h, _ in lines}
         frame = frames.encode(
             frames.Tables(
-                self.seq, rows, [(t, bits, a, r) for (t, bits), (a, r) in self.state.levels.items()],
-                sorted(self.state.cordons), {h: self.addresses[h] for h in sorted(named) if h in self.addresses},
+                self.seq,
+                rows,
+                [(t, bits, a, r) for (t, bits), (a, r) in self.state.levels.items()],
+                sorted(self.state.cordons),
+                {h: self.addresses[h] for h in sorted(named) if h in self.addresses},
                 list(points.items()),
             )
-        )  # fmt: skip
+        )
         if not points:
             self.snapshot = (self.seq, frame)
         return frame
@@ -411,9 +434,11 @@
         rows = [(s, sorted(self.state.tables.get(s, {}).items())) for s in slices]
         named = {h for _, lines in rows for h, _ in lines}
         frame = frames.Tables(
-            self.seq, rows, addresses={h: self.addresses[h] for h in sorted(named) if h in self.addresses},
+            self.seq,
+            rows,
+            addresses={h: self.addresses[h] for h in sorted(named) if h in self.addresses},
             given=slices,
-        )  # fmt: skip
+        )
         return Send(frames.encode(frame), sum(1 + len(lines) for _, lines in rows), -1, tuple(self.joined))
 
     def fenced(self, now: float) -> None:
--- a/corallanding/steward/handed.py
+++ b/corallanding/steward/handed.py
@@ -102,9 +102,12 @@
         ports.append(PortState(p.forwarder, rows[0], rows[1], p.turns, list(p.sent), p.blocked))
     turns = tuple([p.forwarder for p in row if c.ports.get(p.forwarder) is p] for row in c.turns)
     return ChannelState(
-        [MessageState(m.frame, m.lines, m.mark, m.at, m.orders) for m in messages], ports, (turns[0], turns[1]),
-        c.free_at, c.most,
-    )  # fmt: skip
+        [MessageState(m.frame, m.lines, m.mark, m.at, m.orders) for m in messages],
+        ports,
+        (turns[0], turns[1]),
+        c.free_at,
+        c.most,
+    )
 
 
 def put_channel(c: Channel, s: ChannelState) -> None:
@@ -127,9 +130,19 @@
 
 def link_state(k: Link, joined: bool, paused: bool, beat_at: float) -> LinkState:
     return LinkState(
-        k.now, k.hello, joined, paused, k.heard, list(k.marks), k.recalled, k.allowance, k.flow, k.counted,
-        bytes(k.reader.held), beat_at,
-    )  # fmt: skip
+        k.now,
+        k.hello,
+        joined,
+        paused,
+        k.heard,
+        list(k.marks),
+        k.recalled,
+        k.allowance,
+        k.flow,
+        k.counted,
+        bytes(k.reader.held),
+        beat_at,
+    )
 
 
 def put_link(k: Link, s: LinkState) -> None:
@@ -139,25 +152,43 @@
 
 
 def hand(
-    e: Engine, state: StewardState, channel: Channel, links: list[LinkState], joins: Joins,
+    e: Engine,
+    state: StewardState,
+    channel: Channel,
+    links: list[LinkState],
+    joins: Joins,
     roster: tuple[int, list[api.HostEntry], dict[int, str], dict[int, float], list[int]],
-    factors: dict[int, float], feed: FeedState | None, recording: tuple[str, int] | None = None,
-) -> Handed:  # fmt: skip
+    factors: dict[int, float],
+    feed: FeedState | None,
+    recording: tuple[str, int] | None = None,
+) -> Handed:
     g = e.gather
     return Handed(
-        state, e.seq, e.counter, [(t, list(row.items())) for t, row in e.state.tables.items()],
-        [(t, list(row.items())) for t, row in e.unsaved.items()], sorted(e.unsaved_resets),
-        [(at, n, pack(x)) for at, n, x in e.inbox], list(e.joined.items()), sorted(e.going), e.gather_at,
-        [(*key, t.since, t.total, t.errored, t.weighed) for key, t in g.tallies.items()], (g.allowance, g.counted),
-        channel_state(channel), links, [(f, h.last, h.wait) for f, h in joins.habits.items()],
+        state,
+        e.seq,
+        e.counter,
+        [(t, list(row.items())) for t, row in e.state.tables.items()],
+        [(t, list(row.items())) for t, row in e.unsaved.items()],
+        sorted(e.unsaved_resets),
+        [(at, n, pack(x)) for at, n, x in e.inbox],
+        list(e.joined.items()),
+        sorted(e.going),
+        e.gather_at,
+        [(*key, t.since, t.total, t.errored, t.weighed) for key, t in g.tallies.items()],
+        (g.allowance, g.counted),
+        channel_state(channel),
+        links,
+        [(f, h.last, h.wait) for f, h in joins.habits.items()],
         [(f, at, n) for at, n, f in sorted(joins.queue) if joins.waiting.get(f) == at],
-        (joins.allowance, joins.counted), *roster, factors, feed, recording,
-    )  # fmt: skip
+        (joins.allowance, joins.counted),
+        *roster,
+        factors,
+        feed,
+        recording,
+    )
 
 
-def take(
-    e: Engine, h: Handed, channel: Channel, joins: Joins, now: float, module: Assigner | None = None
-) -> None:
+def take(e: Engine, h: Handed, channel: Channel, joins: Joins, now: float, module: Assigner | None = None) -> None:
     """Puts a new process's engine, channel and joins where the old one's were. Raises `Unfit`, nothing touched."""
     stored = e.state.tables
     e.state.tables = {t: dict(row) for t, row in h.tables}  # what is not kept yet, too
--- a/corallanding/steward/hosts.py
+++ b/corallanding/steward/hosts.py
@@ -49,9 +49,16 @@
             return make(g, self, self.clock, chance, self.dial_registry)
         assert r.address is not None
         return LineRoster(
-            r.address, self, self.list_known, r.mode == "on_request", r.line_most_bytes, r.wait_ms,
-            r.wait_most_ms, r.timeout_ms, seed,
-        )  # fmt: skip
+            r.address,
+            self,
+            self.list_known,
+            r.mode == "on_request",
+            r.line_most_bytes,
+            r.wait_ms,
+            r.wait_most_ms,
+            r.timeout_ms,
+            seed,
+        )
 
     def list_known(self) -> int:
         """The version to go on from. Which versions hosts serve is not kept: where runs need it the whole list is."""
@@ -67,9 +74,7 @@
         """The office of the fleet's budgets and tasks, held by the registry's compare-and-swap."""
         return self.keeper_of(g, f"{g.base}office/", range(1), OfficeHolder(self.said), random.SystemRandom())
 
-    def keeper_of(
-        self, g: RegistryBlock, base: str, slices: range, holder: Holder, chance: random.Random
-    ) -> Keeper:
+    def keeper_of(self, g: RegistryBlock, base: str, slices: range, holder: Holder, chance: random.Random) -> Keeper:
         from ..registry.charge import Terms
         from ..registry.keeper import Keeper
         from ..registry.sync import Limits as SyncLimits
@@ -103,9 +108,19 @@
         names = ("listen", "sender_rate", "sender_burst", "processes_most", "reports_per_s", "tick_ms")
         conf = {n: getattr(c, n) for n in (*names, "streams_most", "buffer_bytes")}
         policy = Policy(
-            c.half_life_ms, c.expiry_ms, c.window_ms, c.step, c.floor, c.busy_from, c.tolerance, c.gain,
-            c.reporting_least, c.changes_most, c.stuck_after_ms, processes_most=c.processes_most,
-        )  # fmt: skip
+            c.half_life_ms,
+            c.expiry_ms,
+            c.window_ms,
+            c.step,
+            c.floor,
+            c.busy_from,
+            c.tolerance,
+            c.gain,
+            c.reporting_least,
+            c.changes_most,
+            c.stuck_after_ms,
+            processes_most=c.processes_most,
+        )
         zero = ORIGIN - self.clock.zero * 1000.0
         conf["key"] = key
         return self.feed_kind(conf, policy, self.clock, lambda: self.wall() * 1000.0, zero, self.reweigh, log)
--- a/corallanding/steward/joining.py
+++ b/corallanding/steward/joining.py
@@ -120,9 +120,14 @@
     def greet(self, link: LinkProtocol) -> None:
         c = self.config
         welcome = frames.Welcome(
-            frames.VERSION, c.steward.number, self.engine.life.number, c.forwarders.beat_ms,
-            c.forwarders.silence_ms, c.reports.every_ms, self.settings.slices,
-        )  # fmt: skip
+            frames.VERSION,
+            c.steward.number,
+            self.engine.life.number,
+            c.forwarders.beat_ms,
+            c.forwarders.silence_ms,
+            c.reports.every_ms,
+            self.settings.slices,
+        )
         link.send(frames.encode(welcome))
 
     def greet_all(self) -> None:
@@ -187,8 +192,11 @@
         if self.engine.overload.strained != self.strained:
             self.strained = not self.strained
             o = self.engine.overload
-            log.warning("late: ordinary moves wait" if self.strained else "in time again",
-                        lag_ms=round(o.lag, 1), busy=round(o.busy, 2))  # fmt: skip
+            log.warning(
+                "late: ordinary moves wait" if self.strained else "in time again",
+                lag_ms=round(o.lag, 1),
+                busy=round(o.busy, 2),
+            )
         data = frames.encode(frames.Beat(now))
         for link in () if self.paused else list(self.links):
             if why := link.link.overdue(now):
--- a/corallanding/steward/keeping.py
+++ b/corallanding/steward/keeping.py
@@ -124,9 +124,11 @@
         except StoreFault as fault:
             self.store_failed(now, str(fault), self.store_faults)
             log.error(
-                "store does not write; tables go out unsaved", why=str(fault), faults=self.store_faults,
+                "store does not write; tables go out unsaved",
+                why=str(fault),
+                faults=self.store_faults,
                 unsaved=len(self.engine.unsaved),
-            )  # fmt: skip
+            )
             return False
         if self.store_faults:
             log.info("store writes again", faults=self.store_faults)
--- a/corallanding/steward/listen.py
+++ b/corallanding/steward/listen.py
@@ -21,9 +21,15 @@
     """factory: a protocol a connection. rate: connections a second. said: what staff should know."""
 
     def __init__(
-        self, host: str, port: int, backlog: int, rate: float, factory: Callable[[], asyncio.Protocol],
-        said: Callable[[str], None], given: socket.socket | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        host: str,
+        port: int,
+        backlog: int,
+        rate: float,
+        factory: Callable[[], asyncio.Protocol],
+        said: Callable[[str], None],
+        given: socket.socket | None = None,
+    ) -> None:
         """given: a socket that listens already, from the process before this one."""
         self.rate, self.factory, self.said = rate, factory, said
         self.loop = asyncio.get_running_loop()
--- a/corallanding/steward/pages.py
+++ b/corallanding/steward/pages.py
@@ -35,8 +35,10 @@
     def tables_page(self) -> Answer:
         state = self.engine.state
         page = {
-            "life": self.engine.life.number, "seq": self.engine.seq, "cordons": sorted(state.cordons),
+            "life": self.engine.life.number,
+            "seq": self.engine.seq,
+            "cordons": sorted(state.cordons),
             "levels": [[t, bits, a, r] for (t, bits), (a, r) in state.levels.items()],
             "tables": {str(t): {str(h): w for h, w in sorted(row.items())} for t, row in state.tables.items()},
-        }  # fmt: skip
+        }
         return Answer(200, json.dumps(page).encode() + b"\n")
--- a/corallanding/steward/parts.py
+++ b/corallanding/steward/parts.py
@@ -58,9 +58,14 @@
 def link_limits(c: StewardConfig) -> Limits:
     f = c.forwarders
     return Limits(
-        f.frame_most_bytes, f.hello_within_ms, f.silence_ms, f.frames_per_s,
-        buffer_most=f.buffer_most_bytes, bytes_per_s=f.bytes_per_s, ack_within=f.ack_within_ms,
-    )  # fmt: skip
+        f.frame_most_bytes,
+        f.hello_within_ms,
+        f.silence_ms,
+        f.frames_per_s,
+        buffer_most=f.buffer_most_bytes,
+        bytes_per_s=f.bytes_per_s,
+        ack_within=f.ack_within_ms,
+    )
 
 
 class Parts(ABC):
@@ -73,10 +78,15 @@
     door: Door
 
     def __init__(
-        self, config: StewardConfig, decider: Callable[[api.Settings, int], Decider] = Assigner,
-        record: str | None = None, path: str | None = None, store: Store | None = None,
-        monotonic: Callable[[], float] = time.monotonic, wall: Callable[[], float] = time.time,
-    ) -> None:  # fmt: skip
+        self,
+        config: StewardConfig,
+        decider: Callable[[api.Settings, int], Decider] = Assigner,
+        record: str | None = None,
+        path: str | None = None,
+        store: Store | None = None,
+        monotonic: Callable[[], float] = time.monotonic,
+        wall: Callable[[], float] = time.time,
+    ) -> None:
         """monotonic, wall: s."""
         self.config, self.path, self.decider, self.wall = config, path, decider, wall
         self.clock, self.metrics = Clock(monotonic), Metrics()
@@ -94,15 +104,17 @@
         self.admitting: asyncio.TimerHandle | None = None
         c = config.channel
         self.channel = Channel(
-            ChannelLimits(
-                c.rate_lines_per_s, c.head_lines, c.queue_most_lines, c.messages_most, c.messages_span_ms
-            )
+            ChannelLimits(c.rate_lines_per_s, c.head_lines, c.queue_most_lines, c.messages_most, c.messages_span_ms)
         )
         self.view = View(config.roster.hosts_most)
         self.prober = Prober(
-            self.probed, self.clock, config.probe.path, config.probe.timeout_ms, config.probe.most_in_flight,
+            self.probed,
+            self.clock,
+            config.probe.path,
+            config.probe.timeout_ms,
+            config.probe.most_in_flight,
             config.probe.most_waiting,
-        )  # fmt: skip
+        )
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at = float("inf")
         self.pump_timer: asyncio.TimerHandle | None = None
--- a/corallanding/steward/peers.py
+++ b/corallanding/steward/peers.py
@@ -23,9 +23,14 @@
     """
 
     def __init__(
-        self, me: int, listen: str, peers: Mapping[str, str], heard: Callable[[int, bytes], None],
-        dropped: Callable[[], None], given: socket.socket | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        me: int,
+        listen: str,
+        peers: Mapping[str, str],
+        heard: Callable[[int, bytes], None],
+        dropped: Callable[[], None],
+        given: socket.socket | None = None,
+    ) -> None:
         self.me, self.heard, self.dropped = me, heard, dropped
         self.at = {number: loopback(address) for number, address in peers.items()}
         host, port = loopback(listen)
--- a/corallanding/steward/record.py
+++ b/corallanding/steward/record.py
@@ -20,11 +20,32 @@
 KINDS: dict[str, type] = {
     k.__name__: k
     for k in (
-        api.Membership, api.ProbeDone, api.HostSums, api.SliceSums, api.ProxySums, api.SliceGiven, api.OnRecord,
-        api.ProxyJoined, api.ProxyLeft, api.Acked, api.PeerMessage, api.Due, api.SetLine, api.Level, api.Cordon,
-        api.ResetTable, api.Point, api.Mark, api.Remind, api.Probe, api.Follow, api.FetchList, api.Tell, api.Note,
+        api.Membership,
+        api.ProbeDone,
+        api.HostSums,
+        api.SliceSums,
+        api.ProxySums,
+        api.SliceGiven,
+        api.OnRecord,
+        api.ProxyJoined,
+        api.ProxyLeft,
+        api.Acked,
+        api.PeerMessage,
+        api.Due,
+        api.SetLine,
+        api.Level,
+        api.Cordon,
+        api.ResetTable,
+        api.Point,
+        api.Mark,
+        api.Remind,
+        api.Probe,
+        api.Follow,
+        api.FetchList,
+        api.Tell,
+        api.Note,
     )
-}  # fmt: skip
+}
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder()
 
--- a/corallanding/steward/records.py
+++ b/corallanding/steward/records.py
@@ -27,19 +27,37 @@
     sound = staticmethod(sound)
 
     def __init__(
-        self, c: StewardConfig, tasks: TaskRoom, voters: tuple[int, ...], names: tuple[str, ...], terms: RecordTerms,
-        counted: tuple[str, ...], lasting: tuple[str, ...], say: Callable[[Iterable[Send]], None],
-        clock: Callable[[], float], metrics: Metrics, gate: Any,
-    ) -> None:  # fmt: skip
+        self,
+        c: StewardConfig,
+        tasks: TaskRoom,
+        voters: tuple[int, ...],
+        names: tuple[str, ...],
+        terms: RecordTerms,
+        counted: tuple[str, ...],
+        lasting: tuple[str, ...],
+        say: Callable[[Iterable[Send]], None],
+        clock: Callable[[], float],
+        metrics: Metrics,
+        gate: Any,
+    ) -> None:
         r = c.records
         assert r is not None
         self.say, self.clock, self.metrics, self.gate = say, clock, metrics, gate
         self.file = RecordFile(r.path, clock)
         asks = AskTerms(r.answer_within_ms, r.again_ms, r.questions_most)
         self.fleet = FleetRecords(
-            tasks.core, voters, terms, asks, clock(), self.file.opened, self.file.blank, names, counted, lasting,
+            tasks.core,
+            voters,
+            terms,
+            asks,
+            clock(),
+            self.file.opened,
+            self.file.blank,
+            names,
+            counted,
+            lasting,
             r.words_per_s,
-        )  # fmt: skip
+        )
         self.fleet.records.peers.update(self.file.load(self.fleet.records.shelf))
         self.unwritten: list[Keep] = []  # while the file does not take them, nothing that rests on them is said
         self.failed_at = float("-inf")
--- a/corallanding/steward/reloading.py
+++ b/corallanding/steward/reloading.py
@@ -10,11 +10,24 @@
 
 # What a reload can change while the steward runs; all else needs a restart, and is said to.
 RELOADABLE = (
-    "log.", "door.connections_most", "door.header_most_bytes", "door.request_within_ms", "probe.timeout_ms",
-    "probe.most_in_flight", "probe.most_waiting", "forwarders.frame_most_bytes", "forwarders.hello_within_ms",
-    "forwarders.frames_per_s", "forwarders.buffer_most_bytes", "forwarders.bytes_per_s", "forwarders.ack_within_ms",
-    "forwarders.reads_per_s", "forwarders.accepts_per_s", "forwarders.strangers_most", "store.retry",
-)  # fmt: skip
+    "log.",
+    "door.connections_most",
+    "door.header_most_bytes",
+    "door.request_within_ms",
+    "probe.timeout_ms",
+    "probe.most_in_flight",
+    "probe.most_waiting",
+    "forwarders.frame_most_bytes",
+    "forwarders.hello_within_ms",
+    "forwarders.frames_per_s",
+    "forwarders.buffer_most_bytes",
+    "forwarders.bytes_per_s",
+    "forwarders.ack_within_ms",
+    "forwarders.reads_per_s",
+    "forwarders.accepts_per_s",
+    "forwarders.strangers_most",
+    "store.retry",
+)
 
 
 def flat(value: Any, path: str = "") -> dict[str, Any]:
--- a/corallanding/steward/revive.py
+++ b/corallanding/steward/revive.py
@@ -61,11 +61,20 @@
         return None
     s = engine.state
     return StewardState(
-        number, digest(engine.set), boot, zero, engine.now, engine.life.number, log, dump(engine.module),
-        [(t, bits, a, r) for (t, bits), (a, r) in s.levels.items()], sorted(s.cordons),
-        [(f, list(rows.items())) for f, rows in s.points.items()], [(at, h) for at, _, h in sorted(engine.timers)],
+        number,
+        digest(engine.set),
+        boot,
+        zero,
+        engine.now,
+        engine.life.number,
+        log,
+        dump(engine.module),
+        [(t, bits, a, r) for (t, bits), (a, r) in s.levels.items()],
+        sorted(s.cordons),
+        [(f, list(rows.items())) for f, rows in s.points.items()],
+        [(at, h) for at, _, h in sorted(engine.timers)],
         [(h, started, since) for (h, started), since in origins.items()],
-    )  # fmt: skip
+    )
 
 
 def check(state: StewardState, number: int, settings: api.Settings, boot: str, life: int) -> None:
@@ -81,9 +90,13 @@
 
 
 def revive(
-    engine: Engine, state: StewardState, steps: Iterable[Step], now: float, gone: bool = True,
+    engine: Engine,
+    state: StewardState,
+    steps: Iterable[Step],
+    now: float,
+    gone: bool = True,
     module: Assigner | None = None,
-) -> tuple[int, list[int]]:  # fmt: skip
+) -> tuple[int, list[int]]:
     """Puts a new life's engine where the last one was. (steps replayed, slices told anew from the store).
 
     gone: forwarders have lost their links; false where these were handed over. module: if it was loaded already.
--- a/corallanding/steward/running.py
+++ b/corallanding/steward/running.py
@@ -25,9 +25,11 @@
 
 
 async def serve(
-    path: str, record: str | None, decider: Callable[[api.Settings, int], Decider] = Assigner,
+    path: str,
+    record: str | None,
+    decider: Callable[[api.Settings, int], Decider] = Assigner,
     take_over: int | None = None,
-) -> int:  # fmt: skip
+) -> int:
     config = load_steward(path)
     configure(config.log.format, config.log.level)
     steward = Steward(config, decider, record, path)
@@ -74,9 +76,11 @@
 
 
 def run(
-    path: str, record: str | None = None, decider: Callable[[api.Settings, int], Decider] = Assigner,
+    path: str,
+    record: str | None = None,
+    decider: Callable[[api.Settings, int], Decider] = Assigner,
     take_over: int | None = None,
-) -> int:  # fmt: skip
+) -> int:
     """The daemon until it ends; its exit code: 0 clean, 2 configuration, 3 module, 4 store, 5 address, 6 nothing came
     of a handover. take_over: the descriptor of a pipe to the process that hands over."""
     try:
--- a/corallanding/steward/shared.py
+++ b/corallanding/steward/shared.py
@@ -43,9 +43,16 @@
     """Made only where a budget or a task is configured. halted: whether this process says nothing just now."""
 
     def __init__(
-        self, c: StewardConfig, door: PeerDoor, clock: Callable[[], float], halted: Callable[[], bool],
-        metrics: Metrics, gate: Any, sight: Sight, keeper: Keeper | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        c: StewardConfig,
+        door: PeerDoor,
+        clock: Callable[[], float],
+        halted: Callable[[], bool],
+        metrics: Metrics,
+        gate: Any,
+        sight: Sight,
+        keeper: Keeper | None = None,
+    ) -> None:
         """sight: of hosts and forwarders.
         keeper: of the office in the registry, in place of votes. Raises OSError if a witness cannot be written."""
         self.clock, self.halted, self.metrics, self.door, self.gate = clock, halted, metrics, door, gate
@@ -100,9 +107,18 @@
             terms = replace(mine, keep=max(mine.keep, terms.keep))
         counted = (RUNS,) if c.pins else ()
         self.records = RecordRoom(
-            c, self.tasks, voters, names, terms, counted, (RELEASE,) if c.pins else (), self.say, now, self.metrics,
+            c,
+            self.tasks,
+            voters,
+            names,
+            terms,
+            counted,
+            (RELEASE,) if c.pins else (),
+            self.say,
+            now,
+            self.metrics,
             self.gate,
-        )  # fmt: skip
+        )
         if c.pins is None:
             return
 
@@ -185,10 +201,13 @@
         """For the door."""
         m, now = self.members, self.clock()
         states = {str(n): STATES[m.state(n)] for n in sorted([m.me, *m.table])}
-        return {"stewards": states, **({"tasks": self.tasks.core.page(now)} if self.tasks else {}),
-                **({"pins": self.pins.page()} if self.pins else {}),
-                **({"waiting": self.waiting.page()} if self.waiting else {}),
-                **({"records": self.records.fleet.page()} if self.records else {})}  # fmt: skip
+        return {
+            "stewards": states,
+            **({"tasks": self.tasks.core.page(now)} if self.tasks else {}),
+            **({"pins": self.pins.page()} if self.pins else {}),
+            **({"waiting": self.waiting.page()} if self.waiting else {}),
+            **({"records": self.records.fleet.page()} if self.records else {}),
+        }
 
     def reload(self, c: StewardConfig) -> None:
         for room in (self.budgets, self.pins):
--- a/corallanding/steward/sight.py
+++ b/corallanding/steward/sight.py
@@ -75,4 +75,3 @@
     def publish(self, frame: frames.Frame, lines: int, to: list[int]) -> None:
         """Paced and counted like any order."""
         self.s.submit(frames.encode(frame), lines, tuple(to))
-
--- a/corallanding/steward/taker.py
+++ b/corallanding/steward/taker.py
@@ -27,9 +27,13 @@
     name = "new"
 
     def __init__(
-        self, pipe: Pipe, within: float, store: str, check: Callable[[Handed], None],
+        self,
+        pipe: Pipe,
+        within: float,
+        store: str,
+        check: Callable[[Handed], None],
         start: Callable[[Handed | None, list[int], list[marks.Row]], Awaitable[None]],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.pipe, self.core = pipe, New(within)
         self.arbiter, self.check, self.start = Arbiter(f"{store}.handover"), check, start
         self.old, self.user = peer_of(pipe.sock)
--- a/corallanding/steward/tasks.py
+++ b/corallanding/steward/tasks.py
@@ -20,11 +20,9 @@
 
 def tasks_of(c: StewardConfig) -> Tasks:
     """What the configuration asks for, as the core knows it."""
-    found = {
-        name: Task(name, 1, t.work_most_ms, t.idle_ms, name != UPGRADE) for name, t in c.task.items()
-    } | {
+    found = {name: Task(name, 1, t.work_most_ms, t.idle_ms, name != UPGRADE) for name, t in c.task.items()} | {
         name: Task(name, g.count, g.work_most_ms, g.idle_ms) for name, g in c.task_group.items()
-    }  # fmt: skip
+    }
     return Tasks(found)
 
 
@@ -36,16 +34,29 @@
     sound = staticmethod(sound)
 
     def __init__(
-        self, c: StewardConfig, office: Desk, say: Callable[[Iterable[Send]], None], clock: Callable[[], float],
-        metrics: Metrics, gate: Any,
-    ) -> None:  # fmt: skip
+        self,
+        c: StewardConfig,
+        office: Desk,
+        say: Callable[[Iterable[Send]], None],
+        clock: Callable[[], float],
+        metrics: Metrics,
+        gate: Any,
+    ) -> None:
         self.say, self.clock, self.metrics, self.gate = say, clock, metrics, gate
         t, o = c.tasks, office
         terms = Terms(office=c.budgets.office_ms, drift=c.budgets.drift, lease=t.lease_ms, turn=t.turn_leases)
         self.core = Leases(
-            o.me, o.others, (), tasks_of(c), terms, o.life, clock(), random.random,
-            words_per_s=c.budgets.words_per_s, chair=office,
-        )  # fmt: skip
+            o.me,
+            o.others,
+            (),
+            tasks_of(c),
+            terms,
+            o.life,
+            clock(),
+            random.random,
+            words_per_s=c.budgets.words_per_s,
+            chair=office,
+        )
         self.core.holder.said = self.said
         self.beats = {**{n: b.beat_ms for n, b in c.task.items()}, **{n: b.beat_ms for n, b in c.task_group.items()}}
         self.next: dict[int, float] = {}
--- a/corallanding/steward/waiting.py
+++ b/corallanding/steward/waiting.py
@@ -32,9 +32,17 @@
     sound = staticmethod(sound)
 
     def __init__(
-        self, c: StewardConfig, office: Desk, budgets: Budgets, records: RecordRoom | None, pins: PinRoom | None,
-        say: Callable[[Iterable[Send]], None], clock: Callable[[], float], metrics: Metrics, sight: Sight,
-    ) -> None:  # fmt: skip
+        self,
+        c: StewardConfig,
+        office: Desk,
+        budgets: Budgets,
+        records: RecordRoom | None,
+        pins: PinRoom | None,
+        say: Callable[[Iterable[Send]], None],
+        clock: Callable[[], float],
+        metrics: Metrics,
+        sight: Sight,
+    ) -> None:
         self.say, self.clock, self.metrics, self.sight, self.pins = say, clock, metrics, sight, pins
         self.records = records
         w, rate = c.waiting, float(c.budget[RELEASES].whole)
@@ -42,14 +50,21 @@
         self.names = [name for name, o in c.operation.items() if o.waits]
         kinds = [
             Kind(name, o.waits.priority, o.waits.patience_ms, o.waits.most_ms, o.waits.most_jobs)
-            for name, o in c.operation.items() if o.waits
-        ]  # fmt: skip
+            for name, o in c.operation.items()
+            if o.waits
+        ]
         terms = WaitTerms(w.tell_ms, w.stale_ms, w.slack_ms, w.hold_ms, w.rise, rate, w.batch, w.claims_most)
         quota = budgets.core
         self.core = Waiting(
-            office.others, office.life, kinds, terms, clock(), lambda: budgets.may(RELEASES, 0, True),
-            lambda n: quota.aim(clock(), RELEASES, n), c.budgets.words_per_s,
-        )  # fmt: skip
+            office.others,
+            office.life,
+            kinds,
+            terms,
+            clock(),
+            lambda: budgets.may(RELEASES, 0, True),
+            lambda n: quota.aim(clock(), RELEASES, n),
+            c.budgets.words_per_s,
+        )
         self.claims: Claims | None = None
         if records and "jobs" in records.fleet.of:
             self.claims = Claims(records.fleet.asking, records.fleet.of["jobs"])
@@ -95,9 +110,7 @@
         waited = min(frame.waited + now - came, self.sessions.age(now, forwarder))
         key = key_of(f"job {frame.fingerprint}") if frame.fingerprint and self.claims else 0
         new = (forwarder, frame.ticket) not in self.core.tickets
-        job, why, longest = self.core.take_in(
-            now, self.alive, forwarder, frame.ticket, kind, waited, key, frame.set
-        )
+        job, why, longest = self.core.take_in(now, self.alive, forwarder, frame.ticket, kind, waited, key, frame.set)
         self.tell(forwarder, frame.ticket, why or "waiting", longest)
         if job and new:
             self.metrics.jobs.labels(self.names[kind], "taken").inc()
--- a/corallanding/store/sqlite.py
+++ b/corallanding/store/sqlite.py
@@ -140,9 +140,14 @@
             self.halt("between roster rows")
             for e in entries:
                 row = {
-                    "zone": e.zone, "kind": e.kind, "cell": e.cell, "state": e.state, "weight": e.weight,
-                    "address": addresses.get(e.host, ""), "started": starts.get(e.host, 0.0),
-                }  # fmt: skip
+                    "zone": e.zone,
+                    "kind": e.kind,
+                    "cell": e.cell,
+                    "state": e.state,
+                    "weight": e.weight,
+                    "address": addresses.get(e.host, ""),
+                    "started": starts.get(e.host, 0.0),
+                }
                 db.execute("insert into roster values (?, ?)", (e.host, json.dumps(row)))
             self.put("roster_version", str(version))
 
--- a/corallanding/waiting/core.py
+++ b/corallanding/waiting/core.py
@@ -44,9 +44,16 @@
     is one. aim: says how many a second would be used here."""
 
     def __init__(
-        self, others: tuple[int, ...], life: int, kinds: Sequence[Kind], terms: WaitTerms, born: float,
-        right: Callable[[], bool], aim: Callable[[int], None], words_per_s: float = 200.0,
-    ) -> None:  # fmt: skip
+        self,
+        others: tuple[int, ...],
+        life: int,
+        kinds: Sequence[Kind],
+        terms: WaitTerms,
+        born: float,
+        right: Callable[[], bool],
+        aim: Callable[[int], None],
+        words_per_s: float = 200.0,
+    ) -> None:
         self.others, self.life, self.kinds, self.terms = others, life, kinds, terms
         self.right, self.aim = right, aim
         self.queue = Queue(kinds, terms.rise)
@@ -70,9 +77,16 @@
         return (len(self.queue.jobs) + self.lines.total(now, alive) + 1) / self.terms.rate * 1000.0
 
     def take_in(
-        self, now: float, alive: Iterable[int], forwarder: int, ticket: int, kind: int, waited: float, key: int = 0,
+        self,
+        now: float,
+        alive: Iterable[int],
+        forwarder: int,
+        ticket: int,
+        kind: int,
+        waited: float,
+        key: int = 0,
         set: int = 0,
-    ) -> tuple[Job | None, str, float]:  # fmt: skip
+    ) -> tuple[Job | None, str, float]:
         """The job, or why not; and the longest that it will wait from now on. A ticket that is held already is the same
         job, and keeps its age."""
         k = self.kinds[kind]
@@ -215,9 +229,14 @@
             oldest[name] = max(oldest.get(name, 0.0), round(now - job.since, 1))
         return {
             "waiting": {k.name: n for k, n in zip(self.kinds, self.queue.by_kind, strict=True)},
-            "oldest_ms": oldest, "highest_here": round(best[0], 3) if best else None,
+            "oldest_ms": oldest,
+            "highest_here": round(best[0], 3) if best else None,
             "waterline_elsewhere": round(water, 3) if water > float("-inf") else None,
-            "counted": self.lines.counted(now, alive), "waiting_elsewhere": self.lines.total(now, alive),
-            "claiming": self.claiming, "ready": sum(self.queue.counts.values()),
-            "gone": int(self.gone), "refused": int(self.refused), "longest_ms": round(self.longest, 1),
-        }  # fmt: skip
+            "counted": self.lines.counted(now, alive),
+            "waiting_elsewhere": self.lines.total(now, alive),
+            "claiming": self.claiming,
+            "ready": sum(self.queue.counts.values()),
+            "gone": int(self.gone),
+            "refused": int(self.refused),
+            "longest_ms": round(self.longest, 1),
+        }
--- a/corallanding/wire/frames.py
+++ b/corallanding/wire/frames.py
@@ -27,10 +27,35 @@
 from .fleet import Enter, Go, Pinned, Routes, Unwait, Wait, Waits
 
 __all__ = [
-    "HEAD", "VERSION", "Ack", "Beat", "Bye", "Enter", "Frame", "Go", "Held", "Hello", "LinkFault", "Malformed",
-    "Orders", "OutOfPlace", "Oversized", "Pinned", "Read", "Reader", "Recall", "Routes", "Sums", "Tables",
-    "UnknownVersion", "Unwait", "Wait", "Waits", "Welcome", "encode",
-]  # fmt: skip
+    "HEAD",
+    "VERSION",
+    "Ack",
+    "Beat",
+    "Bye",
+    "Enter",
+    "Frame",
+    "Go",
+    "Held",
+    "Hello",
+    "LinkFault",
+    "Malformed",
+    "Orders",
+    "OutOfPlace",
+    "Oversized",
+    "Pinned",
+    "Read",
+    "Reader",
+    "Recall",
+    "Routes",
+    "Sums",
+    "Tables",
+    "UnknownVersion",
+    "Unwait",
+    "Wait",
+    "Waits",
+    "Welcome",
+    "encode",
+]
 
 # ---- from a forwarder --------------------------------------------------------------------------------
 
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -28,8 +28,10 @@
     dict(zones=3, transit=600.0, queue_most=900.0),
     dict(admission="fraction", drain_binds_alone=True, fall_multiple=2.0, cold=4000.0),
 ]
-DAYS = [(seed, VARIANTS[seed % len(VARIANTS)], (6, 14, 40, 25)[seed % 4], (12, 30, 90, 160)[seed // 2 % 4])
-        for seed in range(16)]  # fmt: skip
+DAYS = [
+    (seed, VARIANTS[seed % len(VARIANTS)], (6, 14, 40, 25)[seed % 4], (12, 30, 90, 160)[seed // 2 % 4])
+    for seed in range(16)
+]
 
 
 @dataclasses.dataclass
@@ -41,11 +43,19 @@
 
 
 class Day:
-    def __init__(self, decider: Callable[[api.Settings, int], Any], seed: int, over: dict[str, Any], hosts: int,
-                 slices: int) -> None:  # fmt: skip
+    def __init__(
+        self, decider: Callable[[api.Settings, int], Any], seed: int, over: dict[str, Any], hosts: int, slices: int
+    ) -> None:
         self.r = random.Random(seed)
-        base = dict(operations=(QUOTE, CLAIM), slices=slices, proxies=6, queue_most=20_000.0, may_probe=True,
-                    cold=16_000.0, reports_per_s=400.0)  # fmt: skip
+        base = dict(
+            operations=(QUOTE, CLAIM),
+            slices=slices,
+            proxies=6,
+            queue_most=20_000.0,
+            may_probe=True,
+            cold=16_000.0,
+            reports_per_s=400.0,
+        )
         self.set = api.Settings(**{**base, **over})
         self.module, self.now, self.slices = decider(self.set, seed), 100_000.0, slices
         self.fleet: dict[int, Machine] = {}
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -13,9 +13,15 @@
 QUOTE = api.Operation("quote", api.Repeat.IDEMPOTENT, "all", 5000, 3, 0.1, 1200, 3000)
 CLAIM = api.Operation("claim", api.Repeat.SIDE_EFFECTING, "all", 5000, 2, 0.2, 1500, 5000, writes=True)
 SETTINGS = dict(
-    operations=(QUOTE, CLAIM), slices=8, proxies=2, drain_grace=3000.0, cold=16000.0, report_every=1000.0,
-    queue_most=4000.0, may_probe=True,
-)  # fmt: skip
+    operations=(QUOTE, CLAIM),
+    slices=8,
+    proxies=2,
+    drain_grace=3000.0,
+    cold=16000.0,
+    report_every=1000.0,
+    queue_most=4000.0,
+    may_probe=True,
+)
 
 
 def up(host: int, state: str = "up", since: float = 0.0) -> api.HostEntry:
@@ -45,9 +51,7 @@
             shown = ", ".join(f"{k}={getattr(v, 'name', v)}" for k, v in vars(a).items())
             self.lines.append(f"{self.now / 1000 - 100:8.3f} s  {type(a).__name__}({shown})")
 
-    def start(
-        self, hosts: list[api.HostEntry], owners: dict[int, int] | None = None, proxies: int = 2
-    ) -> None:
+    def start(self, hosts: list[api.HostEntry], owners: dict[int, int] | None = None, proxies: int = 2) -> None:
         events: list[api.Event] = [api.Membership(api.ListForm.SAVED, 1, tuple(hosts))]
         for s in range(8):
             events.append(api.SliceGiven(s, True))
@@ -55,9 +59,7 @@
                 events.append(api.OnRecord(s, owners[s], 1.0))
         self.step(*events, *(api.ProxyJoined(p, p % 2, 10.0, True) for p in range(proxies)))
 
-    def run(
-        self, seconds: float, each: Callable[[], list[api.Event]] | None = None, ack: bool = True
-    ) -> None:
+    def run(self, seconds: float, each: Callable[[], list[api.Event]] | None = None, ack: bool = True) -> None:
         """Timers fall due; proxies ack and probes end at the next; `each` speaks once a second."""
         end, beat = self.now + seconds * 1000, self.now + 1000
         while True:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -53,9 +53,10 @@
     file, _, rest = red.test.partition("::")
     path, function = root / file, rest.partition("[")[0].rpartition("::")[2]
     defined = {
-        node.name for node in ast.walk(ast.parse(path.read_text() if path.is_file() else ""))
+        node.name
+        for node in ast.walk(ast.parse(path.read_text() if path.is_file() else ""))
         if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef)
-    }  # fmt: skip
+    }
     if function not in defined:
         raise BadList(f"{FILE}: there is no test {red.test}")
 
--- a/tests/test_audits.py
+++ b/tests/test_audits.py
@@ -10,9 +10,15 @@
 
 
 def test_the_audit_of_tasks_finds_two_at_once_a_fence_that_falls_and_a_torn_record(tmp_path: Path) -> None:
-    rows = [["act", 0.0, 100.0, 7, 1, 11, 5], ["act", 90.0, 190.0, 7, 2, 22, 6], ["act", 300.0, 400.0, 7, 1, 11, 6],
-            ["act", 0.0, 100.0, 8, 1, 11, 5], ["took", 1.0, "p", 7, 1, 11, 6, True],
-            ["took", 2.0, "p", 7, 1, 11, 5, True], ["took", 3.0, "p", 7, 1, 11, 5, False]]  # fmt: skip
+    rows = [
+        ["act", 0.0, 100.0, 7, 1, 11, 5],
+        ["act", 90.0, 190.0, 7, 2, 22, 6],
+        ["act", 300.0, 400.0, 7, 1, 11, 6],
+        ["act", 0.0, 100.0, 8, 1, 11, 5],
+        ["took", 1.0, "p", 7, 1, 11, 6, True],
+        ["took", 2.0, "p", 7, 1, 11, 5, True],
+        ["took", 3.0, "p", 7, 1, 11, 5, False],
+    ]
     (tmp_path / "a").write_text("\n".join(json.dumps(r) for r in rows) + '\n["act", 1.0')
     found = fences.judged([tmp_path / "a"])
     assert (found["acts"], found["overlaps"], found["falls"], found["shared"]) == (4, 1, 1, 1)
@@ -23,8 +29,12 @@
 
 
 def test_the_audit_of_budgets_finds_an_instant_too_many_and_a_torn_record(tmp_path: Path) -> None:
-    uses = [(0.0, 100.0, "probes", 7, 1), (50.0, 150.0, "probes", 7, 1), (90.0, 120.0, "probes", 7, 1),
-            (100.0, 200.0, "probes", 8, 3)]  # fmt: skip
+    uses = [
+        (0.0, 100.0, "probes", 7, 1),
+        (50.0, 150.0, "probes", 7, 1),
+        (90.0, 120.0, "probes", 7, 1),
+        (100.0, 200.0, "probes", 8, 3),
+    ]
     row = most(uses, {"probes": 2, "moves": 1})[0]
     assert (row["most"], row["over_ms"], row["uses"]) == (3, 110.0, 6), "10 ms on host 7 and 100 on host 8"
     rows = [json.dumps([a, b - a, name, host, n]) for a, b, name, host, n in uses]
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -270,9 +270,13 @@
     def block(self, f: int, on: bool) -> None:
         self.channel.block(f, on)
 
-    @rule(rows=st.lists(st.tuples(st.integers(0, 3), st.integers(0, 5), st.booleans()), max_size=6),
-          cordon=st.one_of(st.none(), st.tuples(st.integers(0, 5), st.booleans())), level=st.floats(0.1, 1.0),
-          urgent=st.booleans(), moved=st.integers(0, 5))  # fmt: skip
+    @rule(
+        rows=st.lists(st.tuples(st.integers(0, 3), st.integers(0, 5), st.booleans()), max_size=6),
+        cordon=st.one_of(st.none(), st.tuples(st.integers(0, 5), st.booleans())),
+        level=st.floats(0.1, 1.0),
+        urgent=st.booleans(),
+        moved=st.integers(0, 5),
+    )
     def give(self, rows: Any, cordon: Any, level: float, urgent: bool, moved: int) -> None:
         self.seq += 1
         after = copy.deepcopy(self.model)
@@ -324,8 +328,10 @@
     def bounds(self) -> None:
         waits = sum(self.channel.cost(m) for p in self.channel.ports.values() for m in (*p.urgent, *p.plain))
         assert abs(waits - self.channel.waiting) < 1e-6 and waits <= self.channel.limits.queue_most
-        assert all(abs(p.lines - sum(self.channel.cost(m) for m in (*p.urgent, *p.plain))) < 1e-6
-                   for p in self.channel.ports.values())  # fmt: skip
+        assert all(
+            abs(p.lines - sum(self.channel.cost(m) for m in (*p.urgent, *p.plain))) < 1e-6
+            for p in self.channel.ports.values()
+        )
 
 
 Overtaking.TestCase.settings = settings(
@@ -349,6 +355,14 @@
     monkeypatch.setattr("corallanding.channel.core.overtake", wrong)
     with pytest.raises(AssertionError):
         run_state_machine_as_test(  # type: ignore[no-untyped-call]
-            Overtaking, settings=settings(max_examples=3000, stateful_step_count=40, deadline=None, derandomize=True,
-                                          database=None, phases=[Phase.generate], report_multiple_bugs=False),
-        )  # fmt: skip
+            Overtaking,
+            settings=settings(
+                max_examples=3000,
+                stateful_step_count=40,
+                deadline=None,
+                derandomize=True,
+                database=None,
+                phases=[Phase.generate],
+                report_multiple_bugs=False,
+            ),
+        )
--- a/tests/test_collector.py
+++ b/tests/test_collector.py
@@ -57,7 +57,7 @@
         (["range_stats"], "shard missing"),
         (["assign", "shard", "1"], "unknown kind"),
     ],
-)  # fmt: skip
+)
 def test_a_spoilt_report_costs_itself_alone(report: list[str], reason: str) -> None:
     peer = collector(intake({3}))
     heard = peer.feed(encode(host_report()) + encode(report) + encode(slice_report()))
@@ -72,10 +72,17 @@
 
 @pytest.mark.parametrize(
     "said",
-    [encode(["telemetry", "locality", "nowhere"]), encode(["telemetry"]), encode(slice_report()), encode(["assign"]),
-     encode(["attach", "node", "1", "locality", "a", "w", "1", "cold", "1"]), b"GET / HTTP/1.1\r\n\r\n", b"\x00\xff",
-     b"*1\r\n$1048576\r\n"],
-)  # fmt: skip
+    [
+        encode(["telemetry", "locality", "nowhere"]),
+        encode(["telemetry"]),
+        encode(slice_report()),
+        encode(["assign"]),
+        encode(["attach", "node", "1", "locality", "a", "w", "1", "cold", "1"]),
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"\x00\xff",
+        b"*1\r\n$1048576\r\n",
+    ],
+)
 def test_strangers_are_told_and_go(said: bytes) -> None:
     heard = Peer(intake({3})).feed(said)
     assert heard.over and heard.answer == REJECT and not heard.events
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -44,22 +44,25 @@
     return str(caught.value).replace(f"{path}", "s.hcl")
 
 
-@pytest.mark.parametrize(("old", "new", "said"), [
-    ("127.0.0.1:7000", "10.0.0.1:7000", "s.hcl:3: steward.listen: 10.0.0.1 is not a loopback address"),
-    ("127.0.0.1:7000", "localhost", "s.hcl:3: steward.listen: 'localhost' is no ADDRESS:PORT"),
-    ('zone = "b"', 'zone = "c"', "s.hcl:4: steward.zone: steward.zone 'c' is not one of zones"),
-    ("count = 12", "cuont = 12", "s.hcl:14: slices.cuont: unknown key; did you mean count?"),
-    ("count = 12", "count = -1", "s.hcl:14: slices.count: input should be greater than or equal to 0 (found -1)"),
-    ('  path = "tables.db"\n', "", "s.hcl:6: store.path: is missing"),
-    ("= 1200", '= "soon"', "s.hcl:18: operation.quote.latency_objective_ms: input should be a valid number"),
-    ("= 1200", "= 9000", "s.hcl:16: operation.quote: latency_objective_ms is above integration_timeout_ms"),
-    ("idempotent", "twice", "s.hcl:17: operation.quote.repeat: input should be 'idempotent', 'fingerprinted' or"),
-    ("on_request", "asked", "s.hcl:11: roster.mode: input should be 'pushed' or 'on_request' (found 'asked')"),
-    ("slices {", "slices {\n  count = 1\n}\nslices {", "s.hcl:16: slices: this block may stand once"),
-    ('operation "quote" {', "operation {", 's.hcl:16: operation: a label is expected, as in operation "NAME" {'),
-    ("steward {", "steward = {{", "s.hcl:5: not HCL"),
-    ("slices {", "channel {\n  queue_most_lines = 3\n}\nslices {", "channel.queue_most_lines holds no message"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("old", "new", "said"),
+    [
+        ("127.0.0.1:7000", "10.0.0.1:7000", "s.hcl:3: steward.listen: 10.0.0.1 is not a loopback address"),
+        ("127.0.0.1:7000", "localhost", "s.hcl:3: steward.listen: 'localhost' is no ADDRESS:PORT"),
+        ('zone = "b"', 'zone = "c"', "s.hcl:4: steward.zone: steward.zone 'c' is not one of zones"),
+        ("count = 12", "cuont = 12", "s.hcl:14: slices.cuont: unknown key; did you mean count?"),
+        ("count = 12", "count = -1", "s.hcl:14: slices.count: input should be greater than or equal to 0 (found -1)"),
+        ('  path = "tables.db"\n', "", "s.hcl:6: store.path: is missing"),
+        ("= 1200", '= "soon"', "s.hcl:18: operation.quote.latency_objective_ms: input should be a valid number"),
+        ("= 1200", "= 9000", "s.hcl:16: operation.quote: latency_objective_ms is above integration_timeout_ms"),
+        ("idempotent", "twice", "s.hcl:17: operation.quote.repeat: input should be 'idempotent', 'fingerprinted' or"),
+        ("on_request", "asked", "s.hcl:11: roster.mode: input should be 'pushed' or 'on_request' (found 'asked')"),
+        ("slices {", "slices {\n  count = 1\n}\nslices {", "s.hcl:16: slices: this block may stand once"),
+        ('operation "quote" {', "operation {", 's.hcl:16: operation: a label is expected, as in operation "NAME" {'),
+        ("steward {", "steward = {{", "s.hcl:5: not HCL"),
+        ("slices {", "channel {\n  queue_most_lines = 3\n}\nslices {", "channel.queue_most_lines holds no message"),
+    ],
+)
 def test_errors_name_file_line_and_key(tmp_path: Path, old: str, new: str, said: str) -> None:
     assert said in fault(tmp_path, old, new)
 
@@ -73,8 +76,9 @@
     """A configuration with no default left gives settings with no default left."""
     path = tmp_path / "s.hcl"
     path.write_text(
-        GOOD.replace("count = 12", 'count = 12\n  sole_owner = true\n  lease_ms = 5\n  in_flight_most_ms = 6\n'
-                     "  warm_keys = true")
+        GOOD.replace(
+            "count = 12", "count = 12\n  sole_owner = true\n  lease_ms = 5\n  in_flight_most_ms = 6\n  warm_keys = true"
+        )
         .replace('zone = "b"', 'zone = "b"\n  number = 2\n  stewards = 3\n  turn_ms = 4')
         .replace('"on_request"', '"on_request"\n  ask_within_ms = 77\n  weights = "live"')
         + """
@@ -118,7 +122,7 @@
   move = 0.3
 }
 """
-    )  # fmt: skip
+    )
     got, usual = settings(load_steward(path)), api.Settings(())
     same = [f.name for f in dataclasses.fields(got) if getattr(got, f.name) == getattr(usual, f.name)]
     assert same == []
