--- a/tests/test_crossings_answers.py
+++ b/tests/test_crossings_answers.py
@@ -130,9 +130,16 @@
     play(scene)
 
 
-@pytest.mark.parametrize("raw", [b"\x00\xff", b"SMTP ready\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
-                                 b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
-                                 b"HTTP/1.1 503 Unavailable\r\nContent-Length: 1\r\n\r\n9"])  # fmt: skip
+@pytest.mark.parametrize(
+    "raw",
+    [
+        b"\x00\xff",
+        b"SMTP ready\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+        b"HTTP/1.1 503 Unavailable\r\nContent-Length: 1\r\n\r\n9",
+    ],
+)
 def test_what_is_no_answer_is_named_and_asked_again(raw: bytes) -> None:
     async def scene() -> None:
         listener, said = Listed(), list[str]()
--- a/tests/test_crossings_call_answers.py
+++ b/tests/test_crossings_call_answers.py
@@ -99,10 +99,20 @@
     play(scene)
 
 
-@pytest.mark.parametrize("raw", [
-    b"}\n", b"[1]\n", b"null\n", b'{"id":1}x\n', b"[" * 5_000 + b"\n", b'{"id":"1"}\n', b"\xff\n",
-    b'{"id":1,"result":{"taken":1.0}}\n', b'{"id":-4,"result":{"taken":1}}\n',
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "raw",
+    [
+        b"}\n",
+        b"[1]\n",
+        b"null\n",
+        b'{"id":1}x\n',
+        b"[" * 5_000 + b"\n",
+        b'{"id":"1"}\n',
+        b"\xff\n",
+        b'{"id":1,"result":{"taken":1.0}}\n',
+        b'{"id":-4,"result":{"taken":1}}\n',
+    ],
+)
 def test_what_is_no_answer_leaves_the_call_unknown_and_it_goes_again_once(raw: bytes) -> None:
     async def scene() -> None:
         async with Stand() as stand:
--- a/tests/test_crossings_calls.py
+++ b/tests/test_crossings_calls.py
@@ -170,8 +170,9 @@
             self.end("answered")
 
 
-@pytest.mark.parametrize(("fate", "carried"), [("answered", True), ("unknown", True), ("unknown", False),
-                                               ("throttled", False)])  # fmt: skip
+@pytest.mark.parametrize(
+    ("fate", "carried"), [("answered", True), ("unknown", True), ("unknown", False), ("throttled", False)]
+)
 def test_a_slice_taken_away_and_given_back_around_a_call_in_every_order(fate: str, carried: bool) -> None:
     """All interleavings of the call's life and the slice's: in the end the table is what the module believes."""
     for places in combinations(range(5), 2):
--- a/tests/test_crossings_door.py
+++ b/tests/test_crossings_door.py
@@ -199,11 +199,26 @@
     play(scene)
 
 
-@pytest.mark.parametrize("raw", [
-    b"\x00", b"GET / HTTP/1.1\r\n\r\n", b"*0\r\n", b"*-1\r\n", b"*1\r\n$-1\r\n", b"*1\r\n:3\r\n", b"*99999999999\r\n",
-    b"*1\r\n$1048577\r\n", encode(["attach"]), encode(host_report()), encode(["telemetry", "locality", "z"]),
-    encode(["telemetry", "zone", "a"]), b"*1\r\n$2\r\n\xff\xfe\r\n", b"+OK\r\n", b"*1\r\n*1\r\n$1\r\na\r\n",
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "raw",
+    [
+        b"\x00",
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"*0\r\n",
+        b"*-1\r\n",
+        b"*1\r\n$-1\r\n",
+        b"*1\r\n:3\r\n",
+        b"*99999999999\r\n",
+        b"*1\r\n$1048577\r\n",
+        encode(["attach"]),
+        encode(host_report()),
+        encode(["telemetry", "locality", "z"]),
+        encode(["telemetry", "zone", "a"]),
+        b"*1\r\n$2\r\n\xff\xfe\r\n",
+        b"+OK\r\n",
+        b"*1\r\n*1\r\n$1\r\na\r\n",
+    ],
+)
 def test_what_no_collector_says_gets_the_word_and_a_close_and_disturbs_nobody(raw: bytes) -> None:
     async def scene() -> None:
         async with opened() as o:
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -36,10 +36,21 @@
     assert held(view) == {name: "up"} and view.bad
 
 
-@pytest.mark.parametrize("entry", [
-    {"host": "\ud800"}, {"host": "x" * 99}, {"host": 7}, {"host": ["s-1"]}, {}, [], None, 3,
-    {"host": "s-1", "health": ["terminating"]}, {"host": "s-1", "health": {}},
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "entry",
+    [
+        {"host": "\ud800"},
+        {"host": "x" * 99},
+        {"host": 7},
+        {"host": ["s-1"]},
+        {},
+        [],
+        None,
+        3,
+        {"host": "s-1", "health": ["terminating"]},
+        {"host": "s-1", "health": {}},
+    ],
+)
 def test_an_entry_of_any_shape_is_named_and_costs_only_itself(entry: Any) -> None:
     view = View(ZONES, KINDS)
     take(view, True, row("s-1"))
--- a/tests/test_crossings_news.py
+++ b/tests/test_crossings_news.py
@@ -229,8 +229,17 @@
     play(scene)
 
 
-@pytest.mark.parametrize("line", [b"[" * 5_000, b'{"method":"attach","params":' + b"[" * 5_000, b"{", b'{"method":7}',
-                                  b'{"method":"attach","params":[]}', b"\xff"])  # fmt: skip
+@pytest.mark.parametrize(
+    "line",
+    [
+        b"[" * 5_000,
+        b'{"method":"attach","params":' + b"[" * 5_000,
+        b"{",
+        b'{"method":7}',
+        b'{"method":"attach","params":[]}',
+        b"\xff",
+    ],
+)
 def test_a_line_of_news_that_cannot_be_read_is_named_and_costs_no_connection(line: bytes) -> None:
     with pytest.raises(BadNews):
         News(SETTINGS, ZONES).read(line)
--- a/tests/test_crossings_planted.py
+++ b/tests/test_crossings_planted.py
@@ -188,45 +188,69 @@
 
 
 PLANTED: list[tuple[Callable[[Patch], None], Callable[[Path], None]]] = [
-    (adopted_late,
-     lambda tmp: call_scenes.test_a_connection_that_breaks_as_it_comes_up_is_not_kept_for_the_next_call(Side.reset)),
-    (adopted_late,
-     lambda tmp: news_scenes.test_news_that_break_as_they_come_up_are_asked_for_again_at_once(Side.close)),
-    (dial_that_outlives_the_close,
-     lambda tmp: call_scenes.test_a_dial_that_comes_up_after_the_close_leaves_no_connection()),
-    (dial_that_outlives_the_close,
-     lambda tmp: news_scenes.test_a_dial_of_news_that_comes_up_after_the_close_leaves_no_connection()),
-    (every_dial_adopted,
-     lambda tmp: agent_scenes.test_a_dial_of_the_old_address_that_comes_up_after_the_new_one_is_not_used()),
+    (
+        adopted_late,
+        lambda tmp: call_scenes.test_a_connection_that_breaks_as_it_comes_up_is_not_kept_for_the_next_call(Side.reset),
+    ),
+    (
+        adopted_late,
+        lambda tmp: news_scenes.test_news_that_break_as_they_come_up_are_asked_for_again_at_once(Side.close),
+    ),
+    (
+        dial_that_outlives_the_close,
+        lambda tmp: call_scenes.test_a_dial_that_comes_up_after_the_close_leaves_no_connection(),
+    ),
+    (
+        dial_that_outlives_the_close,
+        lambda tmp: news_scenes.test_a_dial_of_news_that_comes_up_after_the_close_leaves_no_connection(),
+    ),
+    (
+        every_dial_adopted,
+        lambda tmp: agent_scenes.test_a_dial_of_the_old_address_that_comes_up_after_the_new_one_is_not_used(),
+    ),
     (cancelled_after_adoption, lambda tmp: dial_scenes.test_one_that_is_adopted_outlives_every_later_dial()),
     (limits_before_reads, lambda tmp: answer_scenes.test_an_answer_that_is_there_when_the_limit_passes_is_taken()),
     (limits_before_reads, lambda tmp: call_answer_scenes.test_an_answer_that_is_there_when_the_limit_passes_counts()),
     (limits_before_reads, lambda tmp: dial_scenes.test_a_connection_that_is_up_when_its_limit_passes_is_adopted()),
-    (short_joining,
-     lambda tmp: door_scenes.test_a_collector_whose_joining_waits_in_the_kernel_as_its_time_ends_is_taken(None)),
+    (
+        short_joining,
+        lambda tmp: door_scenes.test_a_collector_whose_joining_waits_in_the_kernel_as_its_time_ends_is_taken(None),
+    ),
     (whole_list_forgotten, lambda tmp: agent_scenes.test_a_whole_list_asked_for_is_asked_for_again_until_it_comes()),
-    (old_lines_after_a_slice_came_back,
-     lambda tmp: call_scenes.test_a_slice_taken_away_and_given_back_around_a_call_in_every_order("unknown", False)),
+    (
+        old_lines_after_a_slice_came_back,
+        lambda tmp: call_scenes.test_a_slice_taken_away_and_given_back_around_a_call_in_every_order("unknown", False),
+    ),
     (echoes_counted, lambda tmp: call_answer_scenes.test_two_answers_cost_the_next_call_nothing()),
-    (move_forgotten,
-     lambda tmp: call_scenes.test_a_call_in_flight_ends_at_the_old_address_and_the_next_goes_to_the_new_one()),
+    (
+        move_forgotten,
+        lambda tmp: call_scenes.test_a_call_in_flight_ends_at_the_old_address_and_the_next_goes_to_the_new_one(),
+    ),
     (calls_after_the_last, lambda tmp: call_scenes.test_no_call_begins_after_the_last_one_which_is_whole()),
     (lines_for_ever, lambda tmp: news_scenes.test_a_slice_is_told_though_lines_of_others_never_cease()),
-    (half_said_kept,
-     lambda tmp: news_scenes.test_a_break_before_the_first_sign_of_life_tells_nothing_of_what_was_half_said()),
+    (
+        half_said_kept,
+        lambda tmp: news_scenes.test_a_break_before_the_first_sign_of_life_tells_nothing_of_what_was_half_said(),
+    ),
     (ready_at_any_time, lambda tmp: life_scenes.test_one_that_ends_before_it_is_ready_gives_no_sign_of_life(tmp)),
     (turns_after_the_end, lambda tmp: life_scenes.test_after_the_end_is_told_there_is_no_turn_no_call_and_no_dial(tmp)),
-    (second_answers_taken,
-     lambda tmp: answer_scenes.test_a_second_answer_is_not_taken_for_that_of_the_next_question(False)),
-    (lengths_wanted,
-     lambda tmp: answer_scenes.test_a_body_without_a_length_ends_with_the_connection_unless_that_was_reset(
-         Side.close, [b"17"])),
-    (deep_json_raises,
-     lambda tmp: list_scenes.test_objects_nested_without_end_are_an_answer_that_cannot_be_read()),
-    (drains_in_damaged_entries_passed_over,
-     lambda tmp: list_scenes.test_a_damaged_entry_that_says_its_host_leaves_is_believed_in_that("terminating", True)),
+    (
+        second_answers_taken,
+        lambda tmp: answer_scenes.test_a_second_answer_is_not_taken_for_that_of_the_next_question(False),
+    ),
+    (
+        lengths_wanted,
+        lambda tmp: answer_scenes.test_a_body_without_a_length_ends_with_the_connection_unless_that_was_reset(
+            Side.close, [b"17"]
+        ),
+    ),
+    (deep_json_raises, lambda tmp: list_scenes.test_objects_nested_without_end_are_an_answer_that_cannot_be_read()),
+    (
+        drains_in_damaged_entries_passed_over,
+        lambda tmp: list_scenes.test_a_damaged_entry_that_says_its_host_leaves_is_believed_in_that("terminating", True),
+    ),
     (ends_told, lambda tmp: dial_scenes.test_its_end_is_told_once_and_never_after_it_was_dropped(Side.close)),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize(("plant", "scene"), PLANTED, ids=[plant.__name__ for plant, _ in PLANTED])
--- a/tests/test_crossings_probes.py
+++ b/tests/test_crossings_probes.py
@@ -19,14 +19,20 @@
     return Prober(ends.append, clock, "/load", load_in_body=True, **{"timeout": FOR_EVER, **more})
 
 
-@pytest.mark.parametrize(("said", "end", "wanted"), [
-    ([GOOD], Side.close, api.ProbeEnd.OK), ([GOOD[:-9]], Side.close, api.ProbeEnd.RESET),
-    ([], Side.reset, api.ProbeEnd.RESET), ([b"+OK\r\n"], Side.close, api.ProbeEnd.OTHER),
-    ([GOOD, GOOD], Side.reset, api.ProbeEnd.OK), ([b"HTTP/1.1 503 No\r\n\r\n"], Side.close, api.ProbeEnd.FULL),
-    ([b"HTTP/1.1 200 OK\r\n\r\nbusy=0.5"], Side.close, api.ProbeEnd.OK),
-    ([b"HTTP/1.1 200 OK\r\n\r\nbusy=0.5"], Side.reset, api.ProbeEnd.RESET),
-    ([b"HTTP/1.1"], Side.close, api.ProbeEnd.RESET),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("said", "end", "wanted"),
+    [
+        ([GOOD], Side.close, api.ProbeEnd.OK),
+        ([GOOD[:-9]], Side.close, api.ProbeEnd.RESET),
+        ([], Side.reset, api.ProbeEnd.RESET),
+        ([b"+OK\r\n"], Side.close, api.ProbeEnd.OTHER),
+        ([GOOD, GOOD], Side.reset, api.ProbeEnd.OK),
+        ([b"HTTP/1.1 503 No\r\n\r\n"], Side.close, api.ProbeEnd.FULL),
+        ([b"HTTP/1.1 200 OK\r\n\r\nbusy=0.5"], Side.close, api.ProbeEnd.OK),
+        ([b"HTTP/1.1 200 OK\r\n\r\nbusy=0.5"], Side.reset, api.ProbeEnd.RESET),
+        ([b"HTTP/1.1"], Side.close, api.ProbeEnd.RESET),
+    ],
+)
 def test_a_probe_ends_once_whatever_comes_first(said: list[bytes], end: Any, wanted: api.ProbeEnd) -> None:
     async def scene() -> None:
         ends: list[api.ProbeDone] = []
--- a/tests/test_crossings_start.py
+++ b/tests/test_crossings_start.py
@@ -76,8 +76,7 @@
         async with Stand() as relay, Stand() as agent, Stand() as new_relay, Stand() as new_agent:
             steward = Reading({**TOP, "listen": "127.0.0.1:1"}, tmp_path / "config.json")
             pipe = await steward.begin()
-            old = {**TOP, "listen": free(), "discovery": text(agent.where),
-                   "store": {"address": text(relay.where)}}  # fmt: skip
+            old = {**TOP, "listen": free(), "discovery": text(agent.where), "store": {"address": text(relay.where)}}
             new = {**old, "discovery": text(new_agent.where), "store": {"address": text(new_relay.where)}}
             (tmp_path / "new.json").write_bytes(msgspec.json.encode(new))
             os.replace(tmp_path / "new.json", steward.path)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -166,9 +166,7 @@
 
 def test_repeats_are_no_demand() -> None:
     rig = calm()
-    rig.say(
-        "half of what went unanswered is clients' repeats: slice 2 weighs as before, no move for its load"
-    )
+    rig.say("half of what went unanswered is clients' repeats: slice 2 weighs as before, no move for its load")
     jam: list[api.Event] = [api.SliceSums(2, 0, 20, 20, 1000.0)]
     rig.run(4, lambda: sums(dict.fromkeys((11, 12, 13, 14), 20)) + jam)
     rig.say(f"slice 2 counts as {rig.assigner.slices[2].rate:.1f} a second")
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -93,9 +93,14 @@
     reached = all(p.stat().st_mode & 0o005 == 0o005 for p in [python, *python.parents, *tree.parents])
     other: dict[str, int] = {"user": 65_534, "group": 65_534} if os.getuid() == 0 and reached else {}
     done = subprocess.run(
-        [sys.executable, "-m", "corallanding.node"], cwd=tree, env={"LB_CONFIG": str(config)}, capture_output=True,
-        text=True, timeout=30, **other,
-    )  # fmt: skip
+        [sys.executable, "-m", "corallanding.node"],
+        cwd=tree,
+        env={"LB_CONFIG": str(config)},
+        capture_output=True,
+        text=True,
+        timeout=30,
+        **other,
+    )
     try:
         # So far it came: its modules were read, its configuration was not.
         assert done.returncode == 2 and done.stderr.startswith(f"corallanding: {config}: listen: missing"), done.stderr
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -138,8 +138,9 @@
     assert gather.due(300.0) == []
     first = gather.due(1000.0)
     assert [(e.host, e.tries, e.errored, e.latency) for e in first if isinstance(e, api.HostSums)] == [
-        (10, 6, 1, 32.0), (11, 4, 1, 20.0),
-    ]  # fmt: skip
+        (10, 6, 1, 32.0),
+        (11, 4, 1, 20.0),
+    ]
     assert [e.host for e in gather.due(1500.0) if isinstance(e, api.HostSums)] == [12]
 
 
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -31,7 +31,7 @@
     looks,
     outcomes,
     prediction,
-)  # fmt: skip
+)
 from corallanding.lab.scenario import Fault, load_scenario
 from corallanding.lab.scenario_text import scenario_hcl
 from corallanding.steward.record import Recording, read
@@ -43,8 +43,26 @@
 
 def row(seed: int, service: float, **more: Any) -> Row:
     given = {"broken": [], "worst_10_s": service, "worst_operation": service, "moves": 1.0, **more}
-    return Row("s", seed, "emulated", service, given["worst_10_s"], given["worst_operation"], {}, given["moves"],
-               given["broken"], 10, 10, 0, 1, [1.0], [service], 1.0, 1.0, 1)  # fmt: skip
+    return Row(
+        "s",
+        seed,
+        "emulated",
+        service,
+        given["worst_10_s"],
+        given["worst_operation"],
+        {},
+        given["moves"],
+        given["broken"],
+        10,
+        10,
+        0,
+        1,
+        [1.0],
+        [service],
+        1.0,
+        1.0,
+        1,
+    )
 
 
 # ---- statistics --------------------------------------------------------------------------------------------
@@ -187,7 +205,7 @@
     once = (tmp_path / "p.html").read_bytes()
     CliRunner().invoke(lab, [*base, "--set", "traffic.retries=0", "--out", str(tmp_path / "p.html")])
     assert (tmp_path / "p.html").read_bytes() == once, "the same runs give the same bytes"
-    told = CliRunner().invoke(lab, [*base, "--set", "name=\"x\"", "--out", str(tmp_path / "p.md")])
+    told = CliRunner().invoke(lab, [*base, "--set", 'name="x"', "--out", str(tmp_path / "p.md")])
     assert told.exit_code == 0 and "same within the margin" in told.output, "a name changes nothing"
     assert "| service |" in (tmp_path / "p.md").read_text()
 
@@ -274,8 +292,11 @@
     assert [(w.slice, w.count) for w in filled] == [(0, pytest.approx(30.0)), (1, pytest.approx(60.0))]
     assert d.filled == pytest.approx(90.0) and d.forwarders == {4: (1, 9.0)}
     assert [(x.at, x.what, x.host) for x in d.seen] == [
-        (4_100.0, "draining", 1), (4_100.0, "dead", 2), (6_300.0, "up", 7), (6_500.0, "gone", 1)
-    ]  # fmt: skip
+        (4_100.0, "draining", 1),
+        (4_100.0, "dead", 2),
+        (6_300.0, "up", 7),
+        (6_500.0, "gone", 1),
+    ]
     spec = [recorded.OperationSpec("o", 1.0, 100.0, 0.5, 1000.0, 3000.0, 1.0, 0.0, True)]
     t = recorded.arrivals(d, 1, spec)
     assert len(t.at) == pytest.approx(70 + 140 + 40 + 90, abs=1) and (np.diff(t.at) >= 0).all()
@@ -317,8 +338,20 @@
     assert kinds.count("dead") >= 1 and kinds.count("gone") >= 1
     assert kinds.count("dead") + kinds.count("gone") == pytest.approx(died, abs=1)
     (tmp_path / "day.hcl").write_text(scenario_hcl(day))
-    words = ["replay-day", str(tmp_path / "s-1.rec"), "--like", str(tmp_path / "day.hcl"), "--set",
-             "reports.every_ms=2000", "--runs", "1", "--every", "5", "--workers", "1"]  # fmt: skip
+    words = [
+        "replay-day",
+        str(tmp_path / "s-1.rec"),
+        "--like",
+        str(tmp_path / "day.hcl"),
+        "--set",
+        "reports.every_ms=2000",
+        "--runs",
+        "1",
+        "--every",
+        "5",
+        "--workers",
+        "1",
+    ]
     pages = []
     for k in (1, 2):
         out = tmp_path / f"{k}.html"
@@ -370,8 +403,22 @@
 def test_a_search_finds_a_day_worse_than_quiet_and_keeps_it(tmp_path: Path) -> None:
     (tmp_path / "day.hcl").write_text(scenario_hcl(SHORT.model_copy(update={"seconds": 6.0, "fault": []})))
     out = tmp_path / "worst.hcl"
-    words = ["search", str(tmp_path / "day.hcl"), "--out", str(out), "--budget", "24", "--workers", "1",
-             "--kind", "crash", "--kind", "hang", "--kept", str(tmp_path / "runs.db")]  # fmt: skip
+    words = [
+        "search",
+        str(tmp_path / "day.hcl"),
+        "--out",
+        str(out),
+        "--budget",
+        "24",
+        "--workers",
+        "1",
+        "--kind",
+        "crash",
+        "--kind",
+        "hang",
+        "--kept",
+        str(tmp_path / "runs.db"),
+    ]
     told = CliRunner().invoke(lab, words)
     assert told.exit_code == 0, told.output
     found = load_scenario(out)
@@ -389,8 +436,18 @@
     tips = [row(k, 0.9 if k % 2 else 0.4) for k in range(10)]
     good = [row(k, 0.9) for k in range(10)]
     word = judge([r.service for r in tips], [r.service for r in good], 0.002, 0.05, 1, True)
-    c = compare.Compared(a, b, tips, good, word, 1, {}, outcomes([r.service for r in tips]), outcomes([0.9] * 10),
-                         compare.tipping([r.service for r in tips], [r.service for r in good]))  # fmt: skip
+    c = compare.Compared(
+        a,
+        b,
+        tips,
+        good,
+        word,
+        1,
+        {},
+        outcomes([r.service for r in tips]),
+        outcomes([0.9] * 10),
+        compare.tipping([r.service for r in tips], [r.service for r in good]),
+    )
     said = page.compared(c, 0.002, 0.05).markdown()
     assert "two outcomes: 0.4000 in 50% of the runs; 0.9000 in 50%" in said
     assert "ended 5 of 10 runs under a and 0 under b" in said and "no day looks like the mean" in said
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -177,11 +177,14 @@
     )
     said = {
         subprocess.run(
-            [sys.executable, "-c", code], env={**os.environ, "PYTHONHASHSEED": n}, capture_output=True, text=True,
+            [sys.executable, "-c", code],
+            env={**os.environ, "PYTHONHASHSEED": n},
+            capture_output=True,
+            text=True,
             check=True,
         ).stdout
         for n in ("1", "2")
-    }  # fmt: skip
+    }
     e = emulate(load_scenario(file), 3)
     assert [r["kept"] for r in e.result["rules"]] == [True] * 5, e.result
     assert said == {hashlib.sha256(repr((e.result, e.records, e.polls, e.events)).encode()).hexdigest() + "\n"}
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -64,8 +64,10 @@
     r = random.Random(seed)
     hosts, slices = r.choice(((120, 60), (200, 40), (60, 90))), 0
     a = Assigner(api.Settings(operations=(golden.QUOTE,), slices=hosts[1], queue_most=1e6), seed)
-    entries = tuple(api.HostEntry(h, weight=r.choice((0.5, 1.0, 4.0)), online_since=r.choice((0.0, 99_000.0)))
-                    for h in range(hosts[0]))  # fmt: skip
+    entries = tuple(
+        api.HostEntry(h, weight=r.choice((0.5, 1.0, 4.0)), online_since=r.choice((0.0, 99_000.0)))
+        for h in range(hosts[0])
+    )
     events: list[api.Event] = [api.Membership(api.ListForm.FULL, 1, entries), api.ProxyJoined(0, 0, 1.0, True)]
     for s in range(hosts[1]):
         events += [api.SliceGiven(s, True), api.OnRecord(s, r.randrange(hosts[0]), 1.0)]
@@ -141,9 +143,12 @@
         for _ in range(8):
             out = a.step(now, events)
             log += [repr(x) for x in out]
-            events = [api.Due(0), *(api.HostSums(0, h, 20, 0, 100.0, 500.0) for h in range(hosts)),
-                      *(api.SliceSums(s, 0, 9, 0, 500.0) for s in range(slices)),
-                      *(api.Acked(0, x.number) for x in out if isinstance(x, api.Mark))]  # fmt: skip
+            events = [
+                api.Due(0),
+                *(api.HostSums(0, h, 20, 0, 100.0, 500.0) for h in range(hosts)),
+                *(api.SliceSums(s, 0, 9, 0, 500.0) for s in range(slices)),
+                *(api.Acked(0, x.number) for x in out if isinstance(x, api.Mark)),
+            ]
             looked = sum(s.looked > 0 for s in a.slices.values())
             assert looked == min(slices, 600 * (1 + round((now - 100_000.0) / 500.0)))
             now += 500.0
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -31,10 +31,22 @@
         (tmp_path / "KNOWN-RED.txt").write_text(listed)
     at = str(Path(known_red.__file__).parent)
     done = subprocess.run(
-        [sys.executable, "-c", f"import sys, pytest; sys.path.insert(0, {at!r}); sys.exit(pytest.main())",
-         "-p", "known_red", "-q", "-p", "no:cacheprovider", *more],
-        cwd=tmp_path, capture_output=True, text=True, timeout=60,
-    )  # fmt: skip
+        [
+            sys.executable,
+            "-c",
+            f"import sys, pytest; sys.path.insert(0, {at!r}); sys.exit(pytest.main())",
+            "-p",
+            "known_red",
+            "-q",
+            "-p",
+            "no:cacheprovider",
+            *more,
+        ],
+        cwd=tmp_path,
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
     return done.returncode, done.stdout + done.stderr
 
 
@@ -51,13 +63,16 @@
     assert code == 1 and failed in said, said
 
 
-@pytest.mark.parametrize(("line", "why", "more"), [
-    ("tests/test_x.py::test_good | slow | issue 34", "XPASS(strict)", ("-n", "2")),
-    ("tests/test_x.py::test_each[1] | slow | issue 34", "XPASS(strict)", ()),
-    ("tests/test_x.py::test_each[3] | slow | issue 34", "there is no test", ("-n", "2")),
-    ("tests/test_x.py::test_gone | slow | issue 34", "there is no test", ("-n", "2")),
-    ("tests/test_x.py::test_good | slow | soon", "is expected", ()),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("line", "why", "more"),
+    [
+        ("tests/test_x.py::test_good | slow | issue 34", "XPASS(strict)", ("-n", "2")),
+        ("tests/test_x.py::test_each[1] | slow | issue 34", "XPASS(strict)", ()),
+        ("tests/test_x.py::test_each[3] | slow | issue 34", "there is no test", ("-n", "2")),
+        ("tests/test_x.py::test_gone | slow | issue 34", "there is no test", ("-n", "2")),
+        ("tests/test_x.py::test_good | slow | soon", "is expected", ()),
+    ],
+)
 def test_a_line_that_should_not_be_there_fails_the_run(
     tmp_path: Path, line: str, why: str, more: tuple[str, ...]
 ) -> None:
@@ -65,11 +80,17 @@
     assert code != 0 and why in said, said
 
 
-@pytest.mark.parametrize(("line", "why"), [
-    (f"{BAD} | again | issue 34", "listed twice"), (f"{BAD}[1]: no form", "is expected"), ("| |", "is expected"),
-    ("tests/test_x.py::a |  | issue 3", "is expected"), ("tests/test_x.py | all of it | issue 3", "is expected"),
-    ("tests/test_x.py::a | b | issue 3\ntests/test_x.py::b | b | issue 3", "4 lines, 3 at most"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("line", "why"),
+    [
+        (f"{BAD} | again | issue 34", "listed twice"),
+        (f"{BAD}[1]: no form", "is expected"),
+        ("| |", "is expected"),
+        ("tests/test_x.py::a |  | issue 3", "is expected"),
+        ("tests/test_x.py | all of it | issue 3", "is expected"),
+        ("tests/test_x.py::a | b | issue 3\ntests/test_x.py::b | b | issue 3", "4 lines, 3 at most"),
+    ],
+)
 def test_a_list_that_cannot_be_used_says_why(line: str, why: str) -> None:
     with pytest.raises(known_red.BadList, match=why):
         known_red.parse(LISTED + line)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -177,7 +177,7 @@
         ('fault "slow"', 'fault "sloth"', "fault 'sloth' is not one of crash, deploy"),
         ("seconds = 7", "seconds = -7", "s.hcl:3: seconds: input should be greater than 0"),
         ("  hosts = 4\n", "", "s.hcl:6: fleet.hosts: is missing"),
-    ):  # fmt: skip
+    ):
         path.write_text(text.replace(old, new).replace(str(tmp_path), ""))
         told = run.invoke(lab, ["run", str(path), "--out", str(tmp_path / "out")])
         assert told.exit_code == 2 and said in told.output.replace(str(tmp_path) + "/", ""), told.output
@@ -189,27 +189,58 @@
 def day() -> dict[str, Any]:
     """A day as the bench prints it, written here: the fields that the conversion reads."""
     return {
-        "zones": ["x", "y"], "length": 30_000_000, "drain_grace": 2_000_000, "fall_for": 3_000_000,
+        "zones": ["x", "y"],
+        "length": 30_000_000,
+        "drain_grace": 2_000_000,
+        "fall_for": 3_000_000,
         "fall_multiple": 4.0,
-        "servers": [{"kind": k % 2, "speed": 1.0, "up": k < 8} for k in range(10)], "balancers": [{}] * 7,
-        "tiers": [{"kinds": [
-            {"name": n, "cores": 4, "queue": 40, "cold": 9_000_000, "cold_from": 0.3} for n in ("k1", "k2")
-        ]}],
-        "classes": [{
-            "name": "c", "share": 1.0, "work": 100_000, "aim": 800_000, "deadline": 2_000_000, "worth": 1.0,
-            "late_worth": 0.1, "effect": "unsafe", "cv": 0.5,
-        }],
+        "servers": [{"kind": k % 2, "speed": 1.0, "up": k < 8} for k in range(10)],
+        "balancers": [{}] * 7,
+        "tiers": [
+            {"kinds": [{"name": n, "cores": 4, "queue": 40, "cold": 9_000_000, "cold_from": 0.3} for n in ("k1", "k2")]}
+        ],
+        "classes": [
+            {
+                "name": "c",
+                "share": 1.0,
+                "work": 100_000,
+                "aim": 800_000,
+                "deadline": 2_000_000,
+                "worth": 1.0,
+                "late_worth": 0.1,
+                "effect": "unsafe",
+                "cv": 0.5,
+            }
+        ],
         "clients": {"retries": 1, "try_share": 0.9, "backoff_us": 50_000.0},
-        "discovery": {"ask": False, "notice": 900_000, "add": 100_000}, "allow": {"probes": True},
+        "discovery": {"ask": False, "notice": 900_000, "add": 100_000},
+        "allow": {"probes": True},
         "traffic": {"load": 0.5},
         "fam": {
-            "slices": 40, "slice_cv": 0.4, "late": 100_000, "heard_late": 400_000, "bare": 3_000_000, "head": 8.0,
-            "rate": 9000.0, "backlog": 9000.0, "messages_most": 20, "period": 500_000, "intake": 300.0,
-            "pick": "two", "admit": "share", "usual_how": 1, "try_aims": 1.2, "ejects": 0, "controllers": [0],
+            "slices": 40,
+            "slice_cv": 0.4,
+            "late": 100_000,
+            "heard_late": 400_000,
+            "bare": 3_000_000,
+            "head": 8.0,
+            "rate": 9000.0,
+            "backlog": 9000.0,
+            "messages_most": 20,
+            "period": 500_000,
+            "intake": 300.0,
+            "pick": "two",
+            "admit": "share",
+            "usual_how": 1,
+            "try_aims": 1.2,
+            "ejects": 0,
+            "controllers": [0],
         },
-        "troubles": [{"kind": k, "at": 1_000_000, "len": 2_000_000, "size": 0.5, "extra": 0.3, "on": [0, 9]}
-                     for k in KINDS if k not in NOT_OF_DAYS],
-    }  # fmt: skip
+        "troubles": [
+            {"kind": k, "at": 1_000_000, "len": 2_000_000, "size": 0.5, "extra": 0.3, "on": [0, 9]}
+            for k in KINDS
+            if k not in NOT_OF_DAYS
+        ],
+    }
 
 
 def test_a_bench_day_becomes_a_scenario_that_reads_back_the_same(tmp_path: Path) -> None:
--- a/tests/test_lab_stewards.py
+++ b/tests/test_lab_stewards.py
@@ -67,8 +67,7 @@
 
 
 def test_an_office_in_the_registry_gives_one_holder_a_task_and_fences_that_rise(runs: dict[str, Any]) -> None:
-    """Words lost, one stopped past every lease, one killed, all anew; the registry's revisions are its terms.
-    """
+    """Words lost, one stopped past every lease, one killed, all anew; the registry's revisions are its terms."""
     code, folder, said = runs["registry_leases"]
     assert code == 0 and rules(folder) == [True] * 5, said
     found = json.loads((folder / "result.json").read_text())["leases"]
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -173,8 +173,14 @@
     big = 2**62
     ask = Ask(big, 2**40, big, 2**40, b"\xff" * BITS, b"\xff" * BITS, 2**40, 2**32 - 1, big)
     assert len(encode(ask)) <= 250 and decode(encode(ask)) == ask
-    for odd in (Ask(1, 1, 0, 0, b"x", b"x"), Deal(1, 1, b"\0" * (BITS - 1), 1), Act(1, 1, 0), Stand(-1, 1), Vote(1, -1),
-                Deal(1, 1, b"\0" * BITS, 1 << 63)):  # fmt: skip
+    for odd in (
+        Ask(1, 1, 0, 0, b"x", b"x"),
+        Deal(1, 1, b"\0" * (BITS - 1), 1),
+        Act(1, 1, 0),
+        Stand(-1, 1),
+        Vote(1, -1),
+        Deal(1, 1, b"\0" * BITS, 1 << 63),
+    ):
         assert decode(encode(odd)) is None, odd
     assert unpack(pack(1 << 255 | 5)) == 1 << 255 | 5
 
@@ -309,8 +315,12 @@
     return found
 
 
-SCENES = [an_older_answer_after_a_newer, a_process_that_came_after_another, a_word_to_a_former_office,
-          a_dealer_that_slept]  # fmt: skip
+SCENES = [
+    an_older_answer_after_a_newer,
+    a_process_that_came_after_another,
+    a_word_to_a_former_office,
+    a_dealer_that_slept,
+]
 
 
 @pytest.mark.parametrize("scene", SCENES, ids=lambda f: f.__name__)
@@ -430,11 +440,21 @@
 
 
 MISTAKES: list[Callable[[pytest.MonkeyPatch], None]] = [
-    counted_from_the_answer, margin_on_the_wrong_side, deals_without_learning, a_former_life_forgotten,
-    answers_in_any_order, acts_outlast_the_lease, what_is_under_way_not_said, answers_on_their_way_forgotten,
-    a_word_to_a_former_office_counts, half_is_enough,
-    the_last_entry_alone_is_out, fences_do_not_rise, a_new_dealer_counts_from_nothing, a_place_takes_all,
-]  # fmt: skip
+    counted_from_the_answer,
+    margin_on_the_wrong_side,
+    deals_without_learning,
+    a_former_life_forgotten,
+    answers_in_any_order,
+    acts_outlast_the_lease,
+    what_is_under_way_not_said,
+    answers_on_their_way_forgotten,
+    a_word_to_a_former_office_counts,
+    half_is_enough,
+    the_last_entry_alone_is_out,
+    fences_do_not_rise,
+    a_new_dealer_counts_from_nothing,
+    a_place_takes_all,
+]
 
 
 @pytest.mark.parametrize("mistake", MISTAKES, ids=lambda f: f.__name__)
--- a/tests/test_lease_small.py
+++ b/tests/test_lease_small.py
@@ -97,8 +97,10 @@
     def key(self) -> str:
         """Two worlds of one key go on alike."""
         book = [(w, x.round, x.wanted, x.at, x.fence, sorted(x.entries)) for w, x in sorted(self.dealer.book.items())]
-        holders = [(h.life, h.bits, h.fence, h.until, h.taken, h.round, sorted(h.asked.items()), sorted(h.busy.items()))
-                   for h in self.holders]  # fmt: skip
+        holders = [
+            (h.life, h.bits, h.fence, h.until, h.taken, h.round, sorted(h.asked.items()), sorted(h.busy.items()))
+            for h in self.holders
+        ]
         ends = sorted((w, e) for w, e in self.ends.items() if e > self.now)
         return repr((self.now, book, self.dealer.fence, holders, self.words, self.looks, ends, self.place.seen))
 
@@ -147,9 +149,11 @@
 
 
 FOUND: dict[Callable[..., None], str] = {
-    test_lease.counted_from_the_answer: "answered late", test_lease.acts_outlast_the_lease: "near its end",
-    test_lease.a_former_life_forgotten: "started anew", test_lease.a_place_takes_all: "looked and stopped",
-}  # fmt: skip
+    test_lease.counted_from_the_answer: "answered late",
+    test_lease.acts_outlast_the_lease: "near its end",
+    test_lease.a_former_life_forgotten: "started anew",
+    test_lease.a_place_takes_all: "looked and stopped",
+}
 
 
 @pytest.mark.parametrize("mistake", FOUND, ids=lambda f: f.__name__)
@@ -238,14 +242,22 @@
 
     def key(self) -> str:
         voters = [(v.born, v.to, v.until, v.round, sorted(v.idle.items())) for v in self.voters]
-        candidates = [(c.round, sorted(c.asked.items()), sorted(c.votes.items()), c.since, c.standing, c.next_at)
-                      for c in self.candidates]  # fmt: skip
+        candidates = [
+            (c.round, sorted(c.asked.items()), sorted(c.votes.items()), c.since, c.standing, c.next_at)
+            for c in self.candidates
+        ]
         return repr((self.now, voters, candidates, self.stands, self.votes, self.starts))
 
 
 OFFICE: tuple[tuple[str, int, int], ...] = (
-    ("stand", 0, 0), ("ask", 0, 0), ("ask", 0, 2), ("vote", 0, 0), ("vote", 0, 0), ("time", 0, 0), ("time", 0, 0),
-)  # fmt: skip
+    ("stand", 0, 0),
+    ("ask", 0, 0),
+    ("ask", 0, 2),
+    ("vote", 0, 0),
+    ("vote", 0, 0),
+    ("time", 0, 0),
+    ("time", 0, 0),
+)
 
 
 ENDING = (*OFFICE, ("time", 0, 0), ("time", 0, 0), ("stand", 1, 0), ("ask", 1, 1))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -22,7 +22,7 @@
     Terms,
     decode,
     encode,
-)  # fmt: skip
+)
 from corallanding.membership.words import NEWS_MOST
 from corallanding.quota import Terms as QuotaTerms
 
--- a/tests/test_mutation.py
+++ b/tests/test_mutation.py
@@ -36,8 +36,13 @@
 
 LEASE = Terms(lease=600.0, office=400.0)
 UNTIL = 5_000.0
-ODD: dict[type, tuple[Any, ...]] = {int: (0, -1, 1 << 40, 1 << 70), bool: (), bytes: (b"", b"\0" * 32, b"\xff" * 32),
-                                    list: ([],), float: (0.0, -1.0, 1e18)}  # fmt: skip
+ODD: dict[type, tuple[Any, ...]] = {
+    int: (0, -1, 1 << 40, 1 << 70),
+    bool: (),
+    bytes: (b"", b"\0" * 32, b"\xff" * 32),
+    list: ([],),
+    float: (0.0, -1.0, 1e18),
+}
 
 
 def fields(word: Any) -> Iterator[Any]:
@@ -200,9 +205,11 @@
 # Its acts still meet the fences at the place. So is a grant that lies, and an answer on a record that says another
 # value. Datagrams carry a checksum of their own against harm on the way.
 BELIEVED = {
-    "lease": {("Deal", "a field")}, "quota": {("Give", "a field")}, "runs": {("Answer", "a field")},
+    "lease": {("Deal", "a field")},
+    "quota": {("Give", "a field")},
+    "runs": {("Answer", "a field")},
     "waiting": set[Any](),
-}  # fmt: skip
+}
 NEW = {
     "runs": ("Copy", "Copied", "Fetch", "Page", "Question", "Answer", "Settled", "Tally", "Tallied"),
     "waiting": ("Line",),
--- a/tests/test_mutation_platform.py
+++ b/tests/test_mutation_platform.py
@@ -46,9 +46,15 @@
 
 STANDS = [attach(3), attach(4), owner(1), entry(1, 0), entry(1, 1), owner(2), entry(2, 2)]
 SINCE: list[tuple[str, dict[str, Any]]] = [
-    attach(5), ("done", {"node": 3, "nonce": 7, "latency": 3.5}), owner(6), entry(6, 3), ("detach", {"node": 4}),
-    owner(2, False), ("ping", {}), attach(6),
-]  # fmt: skip
+    attach(5),
+    ("done", {"node": 3, "nonce": 7, "latency": 3.5}),
+    owner(6),
+    entry(6, 3),
+    ("detach", {"node": 4}),
+    owner(2, False),
+    ("ping", {}),
+    attach(6),
+]
 
 
 def exchange(lines: list[Any]) -> tuple[News, int]:
@@ -95,7 +101,8 @@
         proxies, slices = spoken_of(LINES[at], mutant)
         for known, whole, named in ((news.proxies, sound.proxies, proxies), (news.tables, sound.tables, slices)):
             assert {k: v for k, v in known.items() if k not in named} == {  # type: ignore[attr-defined]
-                k: v for k, v in whole.items() if k not in named}, mutant  # type: ignore[attr-defined]  # fmt: skip
+                k: v for k, v in whole.items() if k not in named
+            }, mutant  # type: ignore[attr-defined]
     assert refused or LINES[at]["method"] == "ping"
 
 
@@ -111,7 +118,8 @@
     assert refused == 0
     assert {p for p in news.proxies if p not in proxies} == {p for p in sound.proxies if p not in proxies}
     assert {s: r for s, r in news.tables.items() if s not in slices} == {
-        s: r for s, r in sound.tables.items() if s not in slices}  # fmt: skip
+        s: r for s, r in sound.tables.items() if s not in slices
+    }
 
 
 # ---- lists -----------------------------------------------------------------------------------------------
@@ -171,7 +179,8 @@
         arrived = [*(stood or [])]
         calls.not_before = 0.0
         while call := calls.next(0.0):
-            arrived += calls.answered(
-                0.0, msgspec.json.encode({"id": call.id, "result": {"taken": len(call.orders)}})) or []  # fmt: skip
+            arrived += (
+                calls.answered(0.0, msgspec.json.encode({"id": call.id, "result": {"taken": len(call.orders)}})) or []
+            )
         assert len(arrived) + len(calls.said) >= len(orders) or len(calls.said) == 1, mutant
         assert [o for o in orders if o not in arrived] == [] or calls.said, mutant
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -49,8 +49,13 @@
         agent = Agent(rows)
         relay.tables = {n: {f"s-{n % 6}": 1.0} for n in range(12)}
         relay.proxies = {0, 1}
-        config = {**TOP, "listen": free(), "discovery": await agent.open(), "store": {"address": await relay.open()},
-                  "known": {"seq": 1, "whole": True, "hosts": rows}}  # fmt: skip
+        config = {
+            **TOP,
+            "listen": free(),
+            "discovery": await agent.open(),
+            "store": {"address": await relay.open()},
+            "known": {"seq": 1, "whole": True, "hosts": rows},
+        }
         d = Day(relay, agent, hosts, dial, Process(config, tmp_path / "config.json"))
         d.steward.command = command or d.steward.command
         await d.steward.start()
@@ -159,8 +164,15 @@
 
 def test_strangers_by_the_hundred_cost_no_collector_its_place(tmp_path: Path) -> None:
     async def scene(d: Day) -> None:
-        said = [b"", encode(["hb"])[:9], b"GET / HTTP/1.1\r\n\r\n", encode(["telemetry", "locality", "z"]),
-                encode(slice_report()), b"*1\r\n$999999999\r\n", encode(["hb"])]  # fmt: skip
+        said = [
+            b"",
+            encode(["hb"])[:9],
+            b"GET / HTTP/1.1\r\n\r\n",
+            encode(["telemetry", "locality", "z"]),
+            encode(slice_report()),
+            b"*1\r\n$999999999\r\n",
+            encode(["hb"]),
+        ]
         reader, writer = await d.steward.connect()
         writer.write(encode(["telemetry", "locality", "a"]) + encode(slice_report(route="lookup")))
         strangers = []
@@ -191,7 +203,10 @@
     if content is not None:
         path.write_bytes(content)
     done = subprocess.run(
-        [sys.executable, "-m", "corallanding.node"], env={**os.environ, "LB_CONFIG": str(path)}, capture_output=True,
-        text=True, timeout=LONG,
-    )  # fmt: skip
+        [sys.executable, "-m", "corallanding.node"],
+        env={**os.environ, "LB_CONFIG": str(path)},
+        capture_output=True,
+        text=True,
+        timeout=LONG,
+    )
     assert done.returncode == 2 and done.stderr.count("\n") == 1 and str(path) in done.stderr and says in done.stderr
--- a/tests/test_pins.py
+++ b/tests/test_pins.py
@@ -151,14 +151,16 @@
     "told before a majority has it": (lambda p: p.setattr(Writer, "needed", property(lambda s: 1)), "world", 0),
     "a new holder does not read": (no_reading, "walk", 0),
     "what was read is told unconfirmed": (
-        lambda p: p.setattr(Writer, "confirm", lambda self, now, key: True), "world", 2,
+        lambda p: p.setattr(Writer, "confirm", lambda self, now, key: True),
+        "world",
+        2,
     ),
     "the first that is read wins": (first_read_wins, "world", 10),
     "one refusal counts for all": (one_refusal_denies, "world", 10),
     "retired without a tally": (lambda p: p.setattr(Releases, "over", lambda self, value, set: True), "world", 0),
     "words go before the file is written": (words_before_the_file, "world", 1),
     "a retired set opens again": (a_retired_set_opens_again, "walk", 0),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("name", MISTAKES)
--- a/tests/test_platform_state.py
+++ b/tests/test_platform_state.py
@@ -38,10 +38,14 @@
 def test_lists_and_changes() -> None:
     view = View(ZONES, KINDS)
     first = take(view, True, row("s-1"), row("s-2", born_ms=1_700_000_000_000, site="b"))
-    assert first == api.Membership(api.ListForm.FULL, 1, (
-        api.HostEntry(number("s-1"), 0, 0, 3, "up", 1.0, 0.0),
-        api.HostEntry(number("s-2"), 1, 0, 3, "up", 1.0, 1_700_000_000_000.0),
-    ))  # fmt: skip
+    assert first == api.Membership(
+        api.ListForm.FULL,
+        1,
+        (
+            api.HostEntry(number("s-1"), 0, 0, 3, "up", 1.0, 0.0),
+            api.HostEntry(number("s-2"), 1, 0, 3, "up", 1.0, 1_700_000_000_000.0),
+        ),
+    )
     assert take(view, False, seq=2) is None and view.version == 2
     change = take(view, False, row("s-1", "terminating"), {"host": "s-2", "health": "terminated"}, seq=3)
     assert change and change.form is api.ListForm.CHANGES
@@ -52,10 +56,18 @@
     assert whole and [name(e.host) for e in whole.entries] == ["s-3"]
 
 
-@pytest.mark.parametrize("bad", [
-    row("s-1", "asleep"), row("s-1", site="z"), row("s-1", **{"class": "m9"}), row("s-1", share=0),
-    row("s-1", block="x"), row("s-1", born_ms=-1), {"host": "s-1"},
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "bad",
+    [
+        row("s-1", "asleep"),
+        row("s-1", site="z"),
+        row("s-1", **{"class": "m9"}),
+        row("s-1", share=0),
+        row("s-1", block="x"),
+        row("s-1", born_ms=-1),
+        {"host": "s-1"},
+    ],
+)
 def test_a_damaged_entry_is_held_at_its_last_good_state_and_named(bad: dict[str, Any]) -> None:
     view = View(ZONES, KINDS)
     take(view, True, row("s-1"), row("s-2"))
@@ -78,15 +90,28 @@
 
 
 SETTINGS: dict[str, Any] = {
-    "zones": ["a", "north b"], "kinds": ["m2"], "zone": 1, "balancers": 2, "discovery": "pushed", "period": 2000,
+    "zones": ["a", "north b"],
+    "kinds": ["m2"],
+    "zone": 1,
+    "balancers": 2,
+    "discovery": "pushed",
+    "period": 2000,
     "classes": [
         {"name": "lookup", "idempotency": "repeatable", "aim": 1200000, "giveUp": 3000000, "worth": 3.0},
         {"name": "claim", "idempotency": "once", "aim": 1500000, "giveUp": 5000000},
     ],
-    "familyInfo": {"keyRanges": 127, "proxies": 150, "writeClasses": [False, True], "soleOwner": False,
-                   "reportEvery": 500000, "channelRate": 11500.0},
-    "limits": {"mayProbe": True, "dialTimeout": 300000}, "rules": {"drainGrace": 3000000}, "loadReport": {"fields": []},
-}  # fmt: skip
+    "familyInfo": {
+        "keyRanges": 127,
+        "proxies": 150,
+        "writeClasses": [False, True],
+        "soleOwner": False,
+        "reportEvery": 500000,
+        "channelRate": 11500.0,
+    },
+    "limits": {"mayProbe": True, "dialTimeout": 300000},
+    "rules": {"drainGrace": 3000000},
+    "loadReport": {"fields": []},
+}
 WIRE = (
     "zones=a,north_b kinds=m2 zone=1 balancers=2 discovery=pushed period=2000 classes.count=2 classes.0.name=lookup "
     "classes.0.idempotency=repeatable classes.0.aim=1200000 classes.0.giveUp=3000000 classes.0.worth=3.0 "
@@ -96,10 +121,15 @@
     "rules.drainGrace=3000000 loadReport.fields="
 )
 TOP: dict[str, Any] = {
-    "name": "n3", "listen": "127.0.0.4:8081", "discovery": "127.2.0.1:8500", "seed": "8c1f30d27a5be964",
-    "limits": {"cores": 0.5, "memory_mb": 64, "sockets": 256}, "store": {"address": "127.2.0.2:6400"},
-    "known": {"seq": 41, "whole": True, "hosts": [row("s-1")]}, "settings": SETTINGS,
-}  # fmt: skip
+    "name": "n3",
+    "listen": "127.0.0.4:8081",
+    "discovery": "127.2.0.1:8500",
+    "seed": "8c1f30d27a5be964",
+    "limits": {"cores": 0.5, "memory_mb": 64, "sockets": 256},
+    "store": {"address": "127.2.0.2:6400"},
+    "known": {"seq": 41, "whole": True, "hosts": [row("s-1")]},
+    "settings": SETTINGS,
+}
 
 
 def test_settings_as_json_and_on_the_simulators_wire_are_the_same() -> None:
@@ -118,17 +148,27 @@
     assert c.known.seq == 41
 
 
-@pytest.mark.parametrize(("change", "says"), [
-    ({"listen": None}, "listen: missing"), ({"listen": "here:80"}, "listen: "),
-    ({"store": {}}, "store.address: missing"),
-    ({"discovery": "127.0.0.1:0"}, "discovery: "), ({"settings": {}}, "settings: classes.count is missing"),
-    ({"settings": {**SETTINGS, "period": "soon"}}, "settings: period="), ({"seed": "wet"}, "seed"),
-    ({"settings": {**SETTINGS, "classes": [{**SETTINGS["classes"][0], "aim": 0}]}}, "settings: classes.0.aim='0' is"),
-    ({"settings": {**SETTINGS, "familyInfo": {"channelRate": 0}}}, "settings: familyInfo.channelRate='0' is not"),
-    ({"settings": {**SETTINGS, "familyInfo": {"lease": -1}}}, "settings: familyInfo.lease='-1' is below 0"),
-    ({"settings": {**SETTINGS, "limits": {"dialTimeout": 0}}}, "settings: limits.dialTimeout='0' is not"),
-    ({"known": {"seq": "x"}}, "known"), ({"settings": {**SETTINGS, "zones": "a"}}, "settings.zones: "),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("change", "says"),
+    [
+        ({"listen": None}, "listen: missing"),
+        ({"listen": "here:80"}, "listen: "),
+        ({"store": {}}, "store.address: missing"),
+        ({"discovery": "127.0.0.1:0"}, "discovery: "),
+        ({"settings": {}}, "settings: classes.count is missing"),
+        ({"settings": {**SETTINGS, "period": "soon"}}, "settings: period="),
+        ({"seed": "wet"}, "seed"),
+        (
+            {"settings": {**SETTINGS, "classes": [{**SETTINGS["classes"][0], "aim": 0}]}},
+            "settings: classes.0.aim='0' is",
+        ),
+        ({"settings": {**SETTINGS, "familyInfo": {"channelRate": 0}}}, "settings: familyInfo.channelRate='0' is not"),
+        ({"settings": {**SETTINGS, "familyInfo": {"lease": -1}}}, "settings: familyInfo.lease='-1' is below 0"),
+        ({"settings": {**SETTINGS, "limits": {"dialTimeout": 0}}}, "settings: limits.dialTimeout='0' is not"),
+        ({"known": {"seq": "x"}}, "known"),
+        ({"settings": {**SETTINGS, "zones": "a"}}, "settings.zones: "),
+    ],
+)
 def test_a_configuration_that_cannot_be_used_names_the_key(change: dict[str, Any], says: str) -> None:
     with pytest.raises(BadConfig, match="^" + says.replace(".", r"\.") if says not in ("seed", "known") else says):
         parse(msgspec.json.encode({**TOP, **change}))
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -23,8 +23,9 @@
 def world(seed: int, stewards: int = 4, static: bool = False, terms: Terms = TIGHT, until: float = 20_000.0) -> World:
     """Few rights and many who want them, with short leases, so that much happens in little time."""
     budgets = {
-        "moves": Budget("moves", 7, 1, stewards, 300.0), "cold": Budget("cold", 2, 0, stewards, 900.0, "host"),
-    }  # fmt: skip
+        "moves": Budget("moves", 7, 1, stewards, 300.0),
+        "cold": Budget("cold", 2, 0, stewards, 900.0, "host"),
+    }
     chance = random.Random(f"wishes {seed}")
 
     def wish(t: float, n: int) -> list[tuple[str, int]]:
@@ -243,9 +244,7 @@
 
     def __init__(self) -> None:
         self.voters = {v: self.voter(-1e6) for v in range(3)}
-        self.a, self.b = (
-            vote_module.Candidate(n, n + 1, (0, 1, 2), TIGHT, lambda: 0.0, -1e6) for n in range(2)
-        )  # fmt: skip
+        self.a, self.b = (vote_module.Candidate(n, n + 1, (0, 1, 2), TIGHT, lambda: 0.0, -1e6) for n in range(2))
 
     @staticmethod
     def voter(born: float) -> Any:
@@ -292,10 +291,16 @@
 
 
 SCENES = [
-    an_answer_that_comes_late, a_use_that_would_outlast_its_grant, an_older_answer_after_a_newer,
-    a_renewal_of_what_was_over, a_divider_that_goes_on_with_what_holders_have, a_grant_made_smaller_while_in_use,
-    a_voter_that_starts_anew, votes_that_come_late, votes_behind_a_quit,
-]  # fmt: skip
+    an_answer_that_comes_late,
+    a_use_that_would_outlast_its_grant,
+    an_older_answer_after_a_newer,
+    a_renewal_of_what_was_over,
+    a_divider_that_goes_on_with_what_holders_have,
+    a_grant_made_smaller_while_in_use,
+    a_voter_that_starts_anew,
+    votes_that_come_late,
+    votes_behind_a_quit,
+]
 
 
 @pytest.mark.parametrize("scene", SCENES, ids=lambda f: f.__name__)
@@ -418,8 +423,13 @@
 
 
 def office_kept_over_a_sleep(m: pytest.MonkeyPatch) -> None:
-    m.setattr(Quota, "office", lambda self, now: self.divider.since is not None or (
-        self.candidate.holds(now) and (self.divider.begin(now) or True)))  # fmt: skip
+    m.setattr(
+        Quota,
+        "office",
+        lambda self, now: (
+            self.divider.since is not None or (self.candidate.holds(now) and (self.divider.begin(now) or True))
+        ),
+    )
 
 
 def lent_again_by_the_new_figure(m: pytest.MonkeyPatch) -> None:
@@ -446,12 +456,24 @@
 
 
 MISTAKES: list[Callable[[pytest.MonkeyPatch], None]] = [
-    counted_from_the_answer, margin_on_the_wrong_side, lends_without_learning, a_former_life_forgotten,
-    floor_at_once, votes_at_once, answers_in_any_order, uses_outlast_the_grant, what_is_in_use_not_said,
-    answers_on_their_way_forgotten, a_word_to_a_former_office_counts, what_a_predecessor_lent_counts_twice,
-    half_is_enough, office_kept_over_a_sleep, lent_again_by_the_new_figure, votes_counted_after_a_quit,
+    counted_from_the_answer,
+    margin_on_the_wrong_side,
+    lends_without_learning,
+    a_former_life_forgotten,
+    floor_at_once,
+    votes_at_once,
+    answers_in_any_order,
+    uses_outlast_the_grant,
+    what_is_in_use_not_said,
+    answers_on_their_way_forgotten,
+    a_word_to_a_former_office_counts,
+    what_a_predecessor_lent_counts_twice,
+    half_is_enough,
+    office_kept_over_a_sleep,
+    lent_again_by_the_new_figure,
+    votes_counted_after_a_quit,
     an_office_votes_come_late_for,
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize("mistake", MISTAKES, ids=lambda f: f.__name__)
--- a/tests/test_quota_small.py
+++ b/tests/test_quota_small.py
@@ -73,13 +73,20 @@
         """Two worlds of one key go on alike."""
         books = [
             (who, life.round, life.wanted, life.at, sorted(life.entries))
-            for book in self.divider.books.values() for who, life in sorted(book.items())
-        ]  # fmt: skip
+            for book in self.divider.books.values()
+            for who, life in sorted(book.items())
+        ]
         holders = [
-            (h.round, [(a.amount, a.until, a.round, list(a.uses), list(a.missed), a.peak, a.peak_at)
-                       for a in h.accounts.values()], sorted((r, w[0]) for r, w in h.wants.items()))
+            (
+                h.round,
+                [
+                    (a.amount, a.until, a.round, list(a.uses), list(a.missed), a.peak, a.peak_at)
+                    for a in h.accounts.values()
+                ],
+                sorted((r, w[0]) for r, w in h.wants.items()),
+            )
             for h in self.holders
-        ]  # fmt: skip
+        ]
         return repr((self.now, books, holders, self.wants, self.gives, sorted(self.ends)))
 
 
@@ -126,9 +133,11 @@
 
 
 FOUND = {
-    test_quota.counted_from_the_answer: "asked", test_quota.uses_outlast_the_grant: "asked",
-    test_quota.answers_in_any_order: "late", test_quota.lent_again_by_the_new_figure: "both",
-}  # fmt: skip
+    test_quota.counted_from_the_answer: "asked",
+    test_quota.uses_outlast_the_grant: "asked",
+    test_quota.answers_in_any_order: "late",
+    test_quota.lent_again_by_the_new_figure: "both",
+}
 
 
 @pytest.mark.parametrize("mistake", FOUND, ids=lambda f: f.__name__)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -62,8 +62,16 @@
 
 def source(r: Registry, seat: Seat, **more: Any) -> RegistrySource:
     port = r.consul_port if more.get("kind") == "consul" else r.port
-    block = {"address": f"127.0.0.1:{port}", "wait_ms": 20, "wait_most_ms": 200, "timeout_ms": 1000, "page": 3,
-             "reads_per_min": 600, "block_ms": 1000, **more}  # fmt: skip
+    block = {
+        "address": f"127.0.0.1:{port}",
+        "wait_ms": 20,
+        "wait_most_ms": 200,
+        "timeout_ms": 1000,
+        "page": 3,
+        "reads_per_min": 600,
+        "block_ms": 1000,
+        **more,
+    }
     made = make(RegistryBlock(**block), seat, lambda: time.monotonic() * 1000.0, random.Random(1).random)
     made.start()
     return made
@@ -254,8 +262,12 @@
         await second.start()
         await r.put(f"{PREFIX}1", host(1))
         heard = Seat()
-        deaf = make(RegistryBlock(address=f"127.0.0.1:{r.port}"), heard, lambda: time.monotonic() * 1000.0,
-                    random.Random(1).random)  # fmt: skip
+        deaf = make(
+            RegistryBlock(address=f"127.0.0.1:{r.port}"),
+            heard,
+            lambda: time.monotonic() * 1000.0,
+            random.Random(1).random,
+        )
         dial = deaf.follower.dial
 
         def undemanding() -> Any:
@@ -294,8 +306,9 @@
 
     play(scene)
     assert row_of(b"/h/", Row(b"/h/x", b"{}", 1)) is None and row_of(b"/h/", Row(b"/h/5", None, 1)) == {
-        "host": 5, "state": "removed",
-    }  # fmt: skip
+        "host": 5,
+        "state": "removed",
+    }
     assert row_of(b"/h/", Row(b"/h/5", b'{"host": 6}', 1)) == {"host": 5, "state": "unreadable"}
 
 
@@ -329,11 +342,17 @@
     now = datetime.datetime.now(datetime.UTC)
     names = x509.SubjectAlternativeName([x509.IPAddress(ipaddress.ip_address("127.0.0.1")), x509.DNSName(name)])
     made = (
-        x509.CertificateBuilder().subject_name(subject).issuer_name(issuer).public_key(key.public_key())
-        .serial_number(x509.random_serial_number()).not_valid_before(now - datetime.timedelta(minutes=5))
-        .not_valid_after(now + datetime.timedelta(hours=1)).add_extension(names, False)
-        .add_extension(x509.BasicConstraints(ca, None), True).sign(signer, hashes.SHA256())
-    )  # fmt: skip
+        x509.CertificateBuilder()
+        .subject_name(subject)
+        .issuer_name(issuer)
+        .public_key(key.public_key())
+        .serial_number(x509.random_serial_number())
+        .not_valid_before(now - datetime.timedelta(minutes=5))
+        .not_valid_after(now + datetime.timedelta(hours=1))
+        .add_extension(names, False)
+        .add_extension(x509.BasicConstraints(ca, None), True)
+        .sign(signer, hashes.SHA256())
+    )
     pem = serialization.Encoding.PEM
     form, none = serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
     return (subject, key), made.public_bytes(pem), key.private_bytes(pem, form, none)
@@ -376,13 +395,19 @@
         config = CONFIG.replace('roster {\n  address = "127.0.0.1:1"\n}\n', block)
         async with Running(tmp_path, config=config) as run:
             lists = [e for e in run.module.told if isinstance(e, api.Membership)]
-            await until(lambda: any(isinstance(e, api.Membership) and e.form is api.ListForm.FULL
-                                    for e in run.module.told))  # fmt: skip
+            await until(
+                lambda: any(isinstance(e, api.Membership) and e.form is api.ListForm.FULL for e in run.module.told)
+            )
             await r.put(f"{PREFIX}1", host(1, state="draining"))
-            await until(lambda: run.module.told[-1] != lists[-1:] and any(
-                isinstance(e, api.Membership) and any(x.host == 1 and x.state == "draining" for x in e.entries)
-                for e in run.module.told
-            ))  # fmt: skip
+            await until(
+                lambda: (
+                    run.module.told[-1] != lists[-1:]
+                    and any(
+                        isinstance(e, api.Membership) and any(x.host == 1 and x.state == "draining" for x in e.entries)
+                        for e in run.module.told
+                    )
+                )
+            )
             await r.put(f"{PREFIX}1", None)
             await until(lambda: 1 not in run.steward.view.entries)
 
@@ -397,7 +422,7 @@
         ('registry {\n  address = "1.2.3.4:2379"\n}\n', "registry.address: 1.2.3.4 is not a loopback address"),
         ('registry {\n  address = "127.0.0.1:1"\n  kind = "zk"\n}\n', "registry.kind: input should be 'etcd' or"),
         ('registry {\n  address = "127.0.0.1:1"\n  key_file = "k"\n}\n', "certificate_file and key_file stand"),
-    ):  # fmt: skip
+    ):
         path.write_text(good + block)
         with pytest.raises(ConfigFault, match=said.replace("(", "[(]")):
             load_steward(path)
--- a/tests/test_registry_charge.py
+++ b/tests/test_registry_charge.py
@@ -17,7 +17,7 @@
     Release,
     Terms,
     owner,
-)  # fmt: skip
+)
 
 TERMS = Terms(ttl=4.0, margin=0.25, claims_most=1, settle=1.0)
 
@@ -141,10 +141,32 @@
             raise Broken(f"both stewards speak for {both} at {now}")
 
     def key(self) -> bytes:
-        c = [(s.lease, s.until, s.asked, sorted(s.members.items()), s.members_at, sorted(s.held.items()),
-              sorted(s.holders.items()), sorted(s.claiming), sorted(s.releasing)) for s in self.stewards]  # fmt: skip
-        return pickle.dumps((self.now, c, self.asleep, self.up, self.down, sorted(self.leases.items()),
-                             sorted(self.charge.items()), sorted(self.members.items())))  # fmt: skip
+        c = [
+            (
+                s.lease,
+                s.until,
+                s.asked,
+                sorted(s.members.items()),
+                s.members_at,
+                sorted(s.held.items()),
+                sorted(s.holders.items()),
+                sorted(s.claiming),
+                sorted(s.releasing),
+            )
+            for s in self.stewards
+        ]
+        return pickle.dumps(
+            (
+                self.now,
+                c,
+                self.asleep,
+                self.up,
+                self.down,
+                sorted(self.leases.items()),
+                sorted(self.charge.items()),
+                sorted(self.members.items()),
+            )
+        )
 
 
 def settled(**how: Any) -> World:
--- a/tests/test_registry_keeper.py
+++ b/tests/test_registry_keeper.py
@@ -45,10 +45,19 @@
     def __init__(self, r: Registry, count: int) -> None:
         self.seats = [Seat() for _ in range(count)]
         self.keepers = [
-            Keeper(lambda: Etcd(f"127.0.0.1:{r.port}", 500.0), "/corallanding/", me, range(SLICES), seat, clock,
-                   random.Random(me).random, TERMS, Limits(wait=20.0, wait_most=200.0, reads_per_min=600.0))
+            Keeper(
+                lambda: Etcd(f"127.0.0.1:{r.port}", 500.0),
+                "/corallanding/",
+                me,
+                range(SLICES),
+                seat,
+                clock,
+                random.Random(me).random,
+                TERMS,
+                Limits(wait=20.0, wait_most=200.0, reads_per_min=600.0),
+            )
             for me, seat in enumerate(self.seats)
-        ]  # fmt: skip
+        ]
 
     async def __aenter__(self) -> Stewards:
         for k in self.keepers:
@@ -150,8 +159,9 @@
         doubled: list[int] = []
 
         def look() -> bool:
-            held = [x for k, seat in zip(s.keepers, s.seats, strict=True) if k.charge.may_speak(clock())
-                    for x in seat.held]  # fmt: skip
+            held = [
+                x for k, seat in zip(s.keepers, s.seats, strict=True) if k.charge.may_speak(clock()) for x in seat.held
+            ]
             doubled.extend(x for x in held if held.count(x) > 1)
             return True
 
--- a/tests/test_registry_sync.py
+++ b/tests/test_registry_sync.py
@@ -202,8 +202,12 @@
         assert self.shadow == self.sync.view == self.registry.state(self.registry.revision)
 
 
-MANY = settings(max_examples=200, stateful_step_count=40, deadline=None,
-                suppress_health_check=[HealthCheck.filter_too_much, HealthCheck.too_slow])  # fmt: skip
+MANY = settings(
+    max_examples=200,
+    stateful_step_count=40,
+    deadline=None,
+    suppress_health_check=[HealthCheck.filter_too_much, HealthCheck.too_slow],
+)
 Following.TestCase.settings = MANY
 TestFollowing = Following.TestCase
 
@@ -243,8 +247,9 @@
 @pytest.mark.parametrize("planted", [SkipsOne, ForgetsFragments, IgnoresDeletions])
 def test_the_search_finds_planted_mistakes(planted: type[Sync]) -> None:
     machine = type("Planted", (Following,), {"kind": planted})
-    quick = settings(MANY, max_examples=2000, database=None, derandomize=True, phases=[Phase.generate],
-                     report_multiple_bugs=False)  # fmt: skip
+    quick = settings(
+        MANY, max_examples=2000, database=None, derandomize=True, phases=[Phase.generate], report_multiple_bugs=False
+    )
     with pytest.raises((AssertionError, KeyError)):
         run_state_machine_as_test(machine, settings=quick)
 
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -34,18 +34,28 @@
 
 def test_every_order_in_the_relays_words() -> None:
     c = calls()
-    c.order([
-        api.Mark(905, True), api.Level(4, 1, 0.9, api.Retry.PROVEN_UNRUN),
-        api.Level(api.ALL_TABLES, 0, 1.0, api.Retry.NEVER),
-        api.SetLine(4, A, 1.5), api.SetLine(4, B, 0.0), api.Cordon(B, True), api.Cordon(C, False), api.ResetTable(7),
-    ])  # fmt: skip
+    c.order(
+        [
+            api.Mark(905, True),
+            api.Level(4, 1, 0.9, api.Retry.PROVEN_UNRUN),
+            api.Level(api.ALL_TABLES, 0, 1.0, api.Retry.NEVER),
+            api.SetLine(4, A, 1.5),
+            api.SetLine(4, B, 0.0),
+            api.Cordon(B, True),
+            api.Cordon(C, False),
+            api.ResetTable(7),
+        ]
+    )
     assert ops(c.next(0.0)) == [
-        {"op": "DEL", "table": 7}, {"op": "OUT", "endpoint": "s-1"},
+        {"op": "DEL", "table": 7},
+        {"op": "OUT", "endpoint": "s-1"},
         {"op": "SET", "table": 4, "endpoint": "s-0", "w": 1.5},
-        {"op": "SET", "table": 4, "endpoint": "s-1", "w": 0.0}, {"op": "IN", "endpoint": "s-2"},
+        {"op": "SET", "table": 4, "endpoint": "s-1", "w": 0.0},
+        {"op": "IN", "endpoint": "s-2"},
         {"op": "LIMIT", "table": 4, "for": ["lookup"], "gate": 0.9, "again": 1},
-        {"op": "LIMIT", "table": "*", "for": "*", "gate": 1.0, "again": 0}, {"op": "SYNC", "stamp": 905, "set": 1},
-    ]  # fmt: skip
+        {"op": "LIMIT", "table": "*", "for": "*", "gate": 1.0, "again": 0},
+        {"op": "SYNC", "stamp": 905, "set": 1},
+    ]
 
 
 def test_one_call_is_outstanding_and_the_newest_of_what_waits_wins() -> None:
@@ -57,13 +67,27 @@
     assert c.next(0.0) is None
     assert answer(c, result={"taken": 2}) == [api.SetLine(1, A, 1.0), api.Mark(1)]
     assert [(o.get("endpoint"), o.get("w"), o.get("stamp")) for o in ops(c.next(0.0))] == [
-        ("s-2", 1.0, None), ("s-0", 0.0, None), ("s-1", 0.0, None), (None, None, 3),
-    ]  # fmt: skip
-
-
-@pytest.mark.parametrize("line", [b"{", b'{"id":1}', b'{"id":9,"result":{"taken":1}}', b'{"id":1,"result":{"taken":7}}',
-                                  b'{"id":1,"result":{"taken":"1"}}', b'{"id":true,"result":{"taken":1}}', b"\xff\xfe",
-                                  b'{"id":1,"result":1}', b'{"id":1,"error":{"message":"odd"}}'])  # fmt: skip
+        ("s-2", 1.0, None),
+        ("s-0", 0.0, None),
+        ("s-1", 0.0, None),
+        (None, None, 3),
+    ]
+
+
+@pytest.mark.parametrize(
+    "line",
+    [
+        b"{",
+        b'{"id":1}',
+        b'{"id":9,"result":{"taken":1}}',
+        b'{"id":1,"result":{"taken":7}}',
+        b'{"id":1,"result":{"taken":"1"}}',
+        b'{"id":true,"result":{"taken":1}}',
+        b"\xff\xfe",
+        b'{"id":1,"result":1}',
+        b'{"id":1,"error":{"message":"odd"}}',
+    ],
+)
 def test_an_answer_that_tells_nothing_leaves_the_call_unknown_and_it_goes_again(line: bytes) -> None:
     c = calls()
     c.order([api.SetLine(1, A, 1.0), api.SetLine(1, B, 0.0), api.Mark(1)])
@@ -72,8 +96,10 @@
     assert c.answered(0.0, line) is None and c.flying
     c.unknown(0.0)
     assert [(o.get("endpoint"), o.get("w"), o.get("stamp")) for o in ops(c.next(0.0))] == [
-        ("s-0", 1.0, None), ("s-1", 1.0, None), (None, None, 2),
-    ]  # fmt: skip
+        ("s-0", 1.0, None),
+        ("s-1", 1.0, None),
+        (None, None, 2),
+    ]
 
 
 def test_tries_that_fail_again_and_again_are_spaced() -> None:
--- a/tests/test_relay_news.py
+++ b/tests/test_relay_news.py
@@ -42,9 +42,11 @@
     news = News(SETTINGS, ZONES)
     assert stand(news, attach(1), owner(3), owner(4), entry(4, 1), entry(3, 0, 0.5)) == [
         api.ProxyJoined(1, 0, 2.5, True),
-        api.SliceGiven(3, True), api.OnRecord(3, HOSTS[0], 0.5),
-        api.SliceGiven(4, True), api.OnRecord(4, HOSTS[1], 1.0),
-    ]  # fmt: skip
+        api.SliceGiven(3, True),
+        api.OnRecord(3, HOSTS[0], 0.5),
+        api.SliceGiven(4, True),
+        api.OnRecord(4, HOSTS[1], 1.0),
+    ]
 
 
 def test_what_is_said_again_unchanged_is_no_event() -> None:
@@ -53,8 +55,11 @@
 
 def test_what_is_not_said_again_is_gone_and_what_is_new_has_come() -> None:
     assert stand(begun(), attach(2), attach(5), owner(4), entry(4, 1), owner(6)) == [
-        api.ProxyLeft(1), api.ProxyJoined(5, 0, 2.5, True), api.SliceGiven(3, False), api.SliceGiven(6, True),
-    ]  # fmt: skip
+        api.ProxyLeft(1),
+        api.ProxyJoined(5, 0, 2.5, True),
+        api.SliceGiven(3, False),
+        api.SliceGiven(6, True),
+    ]
 
 
 def test_lines_that_differ_are_the_stores_word_but_for_orders_under_way() -> None:
@@ -63,8 +68,9 @@
     assert stand(begun(), *rows, under_way=move) == []
     assert stand(begun(), *rows) == [api.SliceGiven(3, True), api.OnRecord(3, HOSTS[2], 1.0)]
     assert stand(begun(), *rows, entry(4, 5), under_way=[*move, api.SetLine(4, HOSTS[1], 0.0)]) == [
-        api.SliceGiven(4, True), api.OnRecord(4, HOSTS[5], 1.0),
-    ]  # fmt: skip
+        api.SliceGiven(4, True),
+        api.OnRecord(4, HOSTS[5], 1.0),
+    ]
     news = begun()
     for o in move:
         news.stands(o)
@@ -108,8 +114,10 @@
     news = begun()
     assert say(news, owner(5), entry(5, 0), entry(5, 1)) == []
     assert news.given() == [
-        api.SliceGiven(5, True), api.OnRecord(5, HOSTS[0], 1.0), api.OnRecord(5, HOSTS[1], 1.0),
-    ]  # fmt: skip
+        api.SliceGiven(5, True),
+        api.OnRecord(5, HOSTS[0], 1.0),
+        api.OnRecord(5, HOSTS[1], 1.0),
+    ]
     assert news.given() == []
     assert say(news, owner(5, False), owner(5, False)) == [api.SliceGiven(5, False)]
 
@@ -124,11 +132,18 @@
     assert say(begun(), done, ("detach", {"node": 1}), done) == [api.Acked(1, 905, 310.4), api.ProxyLeft(1)]
 
 
-@pytest.mark.parametrize(("method", "params"), [
-    ("attach", {"node": 20, "locality": "a"}), ("attach", {"node": 1, "locality": "z"}), ("done", {"node": 1}),
-    ("done", {"node": 1, "nonce": 70_000}), ("owner", {"shard": 8}), ("entry", {"shard": 1, "endpoint": ""}),
-    ("entry", {"shard": 1, "endpoint": "s-1", "w": -1}),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("method", "params"),
+    [
+        ("attach", {"node": 20, "locality": "a"}),
+        ("attach", {"node": 1, "locality": "z"}),
+        ("done", {"node": 1}),
+        ("done", {"node": 1, "nonce": 70_000}),
+        ("owner", {"shard": 8}),
+        ("entry", {"shard": 1, "endpoint": ""}),
+        ("entry", {"shard": 1, "endpoint": "s-1", "w": -1}),
+    ],
+)
 def test_news_that_cannot_be_used_is_named(method: str, params: dict[str, Any]) -> None:
     with pytest.raises(BadNews):
         say(begun(), (method, params))
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -45,9 +45,12 @@
     snake = b'{"cpu_utilization": 0.4, "application_utilization": 0.7, "rps_fractional": 12.5, "eps": 0.5}'
     camel = b'{"cpuUtilization": 0.4, "applicationUtilization": 0.7, "rpsFractional": 12.5, "eps": 0.5}'
     for data in (
-        pack(HEAD_1, ORCA.SerializeToString(), key), pack(HEAD_1, snake, key, json_body=True),
-        pack(HEAD_1, camel, key, json_body=True), pack_json(HEAD_1, snake, key), pack_json(HEAD_1, camel, key),
-    ):  # fmt: skip
+        pack(HEAD_1, ORCA.SerializeToString(), key),
+        pack(HEAD_1, snake, key, json_body=True),
+        pack(HEAD_1, camel, key, json_body=True),
+        pack_json(HEAD_1, snake, key),
+        pack_json(HEAD_1, camel, key),
+    ):
         assert read(data, key) == want and sender(data) == (7, 3)
 
 
@@ -71,8 +74,9 @@
     for fields, said in (
         ({"cpu_utilization": -0.1}, "cpu_utilization -0.1 is not within 0 and 100"),
         ({"application_utilization": math.nan}, "application_utilization nan"),
-        ({"eps": math.inf}, "eps inf"), ({"cpu_utilization": 1e9}, "cpu_utilization 1e[+]09"),
-    ):  # fmt: skip
+        ({"eps": math.inf}, "eps inf"),
+        ({"cpu_utilization": 1e9}, "cpu_utilization 1e[+]09"),
+    ):
         with pytest.raises(BadReport, match=said):
             read(pack(HEAD_1, orca(**fields)), None)
     with pytest.raises(BadReport, match="uptime"):
@@ -297,10 +301,18 @@
 
 
 REPORTS = st.lists(
-    st.tuples(st.integers(0, 1), st.integers(0, 1), st.integers(0, 6), st.sampled_from([0.2, 0.5, 0.9]),
-              st.floats(0, 3000), st.booleans()),
-    min_size=2, max_size=10, unique_by=lambda r: (r[0], r[1], r[2]),
-)  # fmt: skip
+    st.tuples(
+        st.integers(0, 1),
+        st.integers(0, 1),
+        st.integers(0, 6),
+        st.sampled_from([0.2, 0.5, 0.9]),
+        st.floats(0, 3000),
+        st.booleans(),
+    ),
+    min_size=2,
+    max_size=10,
+    unique_by=lambda r: (r[0], r[1], r[2]),
+)
 
 
 @given(REPORTS, st.randoms(use_true_random=False), st.floats(0, 4000))
@@ -347,8 +359,13 @@
         self.nonce = self.seq.to_bytes(8, "big")
         self.worth.tick(self.now, self.nonce)
 
-    @rule(hosts=st.sets(st.integers(0, 5)), load=st.sampled_from([0.0, 0.3, 0.6, 3.0, 50.0]), echo=st.booleans(),
-          off=st.sampled_from([0.0, 0.0, -60.0, 5_000.0, -3.6e6, 3.6e6]), old=st.booleans())  # fmt: skip
+    @rule(
+        hosts=st.sets(st.integers(0, 5)),
+        load=st.sampled_from([0.0, 0.3, 0.6, 3.0, 50.0]),
+        echo=st.booleans(),
+        off=st.sampled_from([0.0, 0.0, -60.0, 5_000.0, -3.6e6, 3.6e6]),
+        old=st.booleans(),
+    )
     def report(self, hosts: set[int], load: float, echo: bool, off: float, old: bool) -> None:
         for h in hosts:
             self.seq += 1
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -32,11 +32,27 @@
 
 @pytest.mark.parametrize(
     "data",
-    [b"GET /v1/servers HTTP/1.1\r\n", b"*99999999999999\r\n", b"*0\r\n", b"*-1\r\n", b"*1\r\n$999999999\r\n",
-     b"*1\r\n$-1\r\n", b"*1\r\n$2\r\nabcd", b"*65\r\n", b"*1\r\n:5\r\n", b"*+1\r\n",
-     b"*1\r\n$60\r\n" + b"x" * 60 + b"\r\n", b"*1\r\n+abc\r\n", b"+abc\r\n", b"$2\r\nab\r\n", b":1\r\n",
-     b"*1\r\n*1\r\n$1\r\na\r\n", b"*4000000000\r\n", b"*1\r\n$02\r\nab\r\n"],
-)  # fmt: skip
+    [
+        b"GET /v1/servers HTTP/1.1\r\n",
+        b"*99999999999999\r\n",
+        b"*0\r\n",
+        b"*-1\r\n",
+        b"*1\r\n$999999999\r\n",
+        b"*1\r\n$-1\r\n",
+        b"*1\r\n$2\r\nabcd",
+        b"*65\r\n",
+        b"*1\r\n:5\r\n",
+        b"*+1\r\n",
+        b"*1\r\n$60\r\n" + b"x" * 60 + b"\r\n",
+        b"*1\r\n+abc\r\n",
+        b"+abc\r\n",
+        b"$2\r\nab\r\n",
+        b":1\r\n",
+        b"*1\r\n*1\r\n$1\r\na\r\n",
+        b"*4000000000\r\n",
+        b"*1\r\n$02\r\nab\r\n",
+    ],
+)
 def test_what_cannot_be_read_ends_the_stream_at_once(data: bytes) -> None:
     reader = Reader(64)
     good = encode(["hb"])
--- a/tests/test_revive.py
+++ b/tests/test_revive.py
@@ -123,10 +123,15 @@
     assert two.engine.module is module and not two.engine.inbox and not two.engine.timers
 
 
-@pytest.mark.parametrize(("change", "why"), [
-    ({"number": 4}, "steward 4"), ({"settings": b"x"}, "settings"), ({"boot": "other"}, "started anew"),
-    ({"life": 7}, "life 7, the last one was 1"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("change", "why"),
+    [
+        ({"number": 4}, "steward 4"),
+        ({"settings": b"x"}, "settings"),
+        ({"boot": "other"}, "started anew"),
+        ({"life": 7}, "life 7, the last one was 1"),
+    ],
+)
 def test_what_belongs_elsewhere_is_refused_by_name(change: dict[str, Any], why: str) -> None:
     one = Rig()
     one.begin()
@@ -171,9 +176,16 @@
         before.append(now)
         now += advice.wait + 500.0
     assert seen == [
-        (0, 0.0, True), (1, 0.0, True), (2, 0.0, True), (3, 1000.0, False), (4, 2000.0, False), (5, 4000.0, False),
-        (6, 8000.0, False), (7, 16000.0, False), (8, 30000.0, False),
-    ]  # fmt: skip
+        (0, 0.0, True),
+        (1, 0.0, True),
+        (2, 0.0, True),
+        (3, 1000.0, False),
+        (4, 2000.0, False),
+        (5, 4000.0, False),
+        (6, 8000.0, False),
+        (7, 16000.0, False),
+        (8, 30000.0, False),
+    ]
     assert advise(before, now + 61_000.0) == Advice(0, 0.0, True), "after a calm minute it is a start as any"
     assert advise([now + 1e6], now) == Advice(0, 0.0, True), "a clock that went back"
 
@@ -231,8 +243,8 @@
         roster.changed()
         snap = tmp_path / "state.snap"
         text = CONFIG % (tmp_path / "s.db")
-        text = text.replace("127.0.0.1:1\"", f'127.0.0.1:{roster.port}"')
-        text = text.replace('retry_ms = 30', f'snapshot_path = "{snap}"\n  snapshot_every_ms = 200\n  retry_ms = 30')
+        text = text.replace('127.0.0.1:1"', f'127.0.0.1:{roster.port}"')
+        text = text.replace("retry_ms = 30", f'snapshot_path = "{snap}"\n  snapshot_every_ms = 200\n  retry_ms = 30')
         text = text.replace('level = "error"', 'level = "info"\n  format = "json"') + "probe {\n  allowed = false\n}\n"
         path, log = tmp_path / "s.hcl", tmp_path / "log"
         path.write_text(text)
@@ -320,8 +332,10 @@
 
 def test_a_full_log_takes_its_snapshot_with_it(tmp_path: Path) -> None:
     async def scene() -> None:
-        config = CONFIG.replace("retry_ms = 30", f'snapshot_path = "{tmp_path}/x.snap"\n  log_most_mb = 0.002\n  '
-                                'snapshot_every_ms = 60000\n  retry_ms = 30')  # fmt: skip
+        config = CONFIG.replace(
+            "retry_ms = 30",
+            f'snapshot_path = "{tmp_path}/x.snap"\n  log_most_mb = 0.002\n  snapshot_every_ms = 60000\n  retry_ms = 30',
+        )
         async with Running(tmp_path, config=config, decider=Assigner) as r, asyncio.timeout(20):
             await until(lambda: os.path.exists(f"{tmp_path}/x.snap"))
             rows = [{"host": h, "address": f"127.0.0.1:{h}", "state": "up"} for h in range(10, 60)]
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -24,8 +24,11 @@
     event = view.take(2000.0, 0.0, True, 2, bad)
     assert {e.host for e in event.entries} == {1, 2}, "3 is gone, 1 and 2 stand as they were, 4 never was"
     assert [text.split(":")[0] for text in view.bad] == [
-        "entry of host 1", "entry of host 2", "entry of host rubbish", "entry of host 4",
-    ]  # fmt: skip
+        "entry of host 1",
+        "entry of host 2",
+        "entry of host rubbish",
+        "entry of host 4",
+    ]
     assert "8.8.8.8 is not a loopback address" in view.bad[1]
 
 
--- a/tests/test_settings_any.py
+++ b/tests/test_settings_any.py
@@ -38,12 +38,17 @@
         "rules": st.fixed_dictionaries({}, optional={key: AMOUNT for key in RULES}),
     },
     optional={
-        "zone": AMOUNT, "balancers": AMOUNT, "me": AMOUNT, "period": AMOUNT, "weights": NAMES,
-        "discovery": st.sampled_from(["pushed", "on_request", 3]), "prices": st.just({"probe": 0}),
+        "zone": AMOUNT,
+        "balancers": AMOUNT,
+        "me": AMOUNT,
+        "period": AMOUNT,
+        "weights": NAMES,
+        "discovery": st.sampled_from(["pushed", "on_request", 3]),
+        "prices": st.just({"probe": 0}),
         "limits": st.fixed_dictionaries({}, optional={"mayProbe": st.booleans(), "dialTimeout": AMOUNT}),
         "loadReport": st.just({"fields": ["rif", "busy"]}),
     },
-)  # fmt: skip
+)
 
 
 def read(given_settings: Any) -> Config | None:
@@ -118,8 +123,12 @@
 @settings(max_examples=60, deadline=None)
 @given(st.lists(NAMES, min_size=1, max_size=9, unique=True), st.lists(NAMES, min_size=1, max_size=3, unique=True))
 def test_operations_and_zones_of_any_names_and_number_are_served(operations: list[str], zones: list[str]) -> None:
-    named = {**SETTINGS, "zones": zones, "kinds": ["m2"],
-             "classes": [{**SETTINGS["classes"][0], "name": name} for name in operations]}  # fmt: skip
+    named = {
+        **SETTINGS,
+        "zones": zones,
+        "kinds": ["m2"],
+        "classes": [{**SETTINGS["classes"][0], "name": name} for name in operations],
+    }
     c = read(named)
     assert c and len(c.settings.operations) == len(operations) and c.settings.zones == len(zones)
     assert list(c.places.operations) == operations and list(c.places.zones) == zones
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -42,7 +42,9 @@
 
 
 def test_a_folder_has_the_changed_site_and_what_stands_beside_it(tmp_path: Path) -> None:
-    code, said, out = make(tmp_path, """
+    code, said, out = make(
+        tmp_path,
+        """
 [change]
 "net.zones" = ["only"]
 "class.0.name" = "A/b.c-d"
@@ -52,7 +54,9 @@
 name = "two"
 effect = "keyed"
 new = { window_ms = 700 }
-""", "[change]\n'class.0.share' = 3\n")  # fmt: skip
+""",
+        "[change]\n'class.0.share' = 3\n",
+    )
     assert code == 0, said
     folder = out / "other-0"
     assert {p.name for p in folder.iterdir()} == {"other-0.toml", "real.json", "wire.json", "unlock.txt"}
@@ -66,14 +70,23 @@
     assert tomllib.loads((out / "other-1" / "other-1.toml").read_text())["class"][0]["share"] == 3
 
 
-@pytest.mark.parametrize(("text", "names"), [
-    ("[change]\n'class.0.shares' = 1", "class.0.shares"), ("[change]\n'class.1.share' = 1", "class.1.share"),
-    ("[change]\n'klass.0.share' = 1", "klass.0.share"), ("[change]\n'class.x.share' = 1", "class.x.share"),
-    ("[change]\n'net.zones.a.b' = 1", "net.zones.a.b"), ("[change]\n'class.0.share' = 0.5", "is 0.5 already"),
-    ("[[add.class]]\nlike = 4", "like 4"),
-    ("[[add.klass]]\nlike = 0", "klass"), ("[[add.class]]\nname = 'x'", "like None"),
-    ("[[add.class]]\nlike = 0\nshares = 1", "class.shares"), ("[changes]", "changes"), ("[change", "other-1.toml"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("text", "names"),
+    [
+        ("[change]\n'class.0.shares' = 1", "class.0.shares"),
+        ("[change]\n'class.1.share' = 1", "class.1.share"),
+        ("[change]\n'klass.0.share' = 1", "klass.0.share"),
+        ("[change]\n'class.x.share' = 1", "class.x.share"),
+        ("[change]\n'net.zones.a.b' = 1", "net.zones.a.b"),
+        ("[change]\n'class.0.share' = 0.5", "is 0.5 already"),
+        ("[[add.class]]\nlike = 4", "like 4"),
+        ("[[add.klass]]\nlike = 0", "klass"),
+        ("[[add.class]]\nname = 'x'", "like None"),
+        ("[[add.class]]\nlike = 0\nshares = 1", "class.shares"),
+        ("[changes]", "changes"),
+        ("[change", "other-1.toml"),
+    ],
+)
 def test_a_change_of_no_key_is_refused_by_name_and_nothing_is_written(tmp_path: Path, text: str, names: str) -> None:
     code, said, out = make(tmp_path, "[change]\n'class.0.share' = 3\n", text)
     assert code == 2 and names in said and "other-1.toml" in said and said.count("\n") == 1, said
--- a/tests/test_steward.py
+++ b/tests/test_steward.py
@@ -49,17 +49,20 @@
     play(scene())
 
 
-@pytest.mark.parametrize(("said", "code"), [
-    (b"\xff" * 64, "oversized"),
-    (b"\x00\x00\x00\x05hello", "malformed"),
-    (frames.encode(frames.Beat()), "out-of-place"),
-    (frames.encode(frames.Hello(77, 1, "x")), "unknown-version"),
-    (frames.encode(frames.Hello(1, 1, "x", zone=9)), "malformed"),
-    (frames.encode(frames.Hello(1, 60000, "x")), "full"),
-    (frames.encode(frames.Hello(1, 1, "x")) + frames.encode(frames.Ack(3)), "out-of-place"),
-    (frames.encode(frames.Hello(1, 1, "x")) + frames.encode(frames.Held(1, 1, [])), "out-of-place"),
-    (b"", "no-hello"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("said", "code"),
+    [
+        (b"\xff" * 64, "oversized"),
+        (b"\x00\x00\x00\x05hello", "malformed"),
+        (frames.encode(frames.Beat()), "out-of-place"),
+        (frames.encode(frames.Hello(77, 1, "x")), "unknown-version"),
+        (frames.encode(frames.Hello(1, 1, "x", zone=9)), "malformed"),
+        (frames.encode(frames.Hello(1, 60000, "x")), "full"),
+        (frames.encode(frames.Hello(1, 1, "x")) + frames.encode(frames.Ack(3)), "out-of-place"),
+        (frames.encode(frames.Hello(1, 1, "x")) + frames.encode(frames.Held(1, 1, [])), "out-of-place"),
+        (b"", "no-hello"),
+    ],
+)
 def test_a_link_that_breaks_the_protocol_ends_alone_with_a_reason(tmp_path: Path, said: bytes, code: str) -> None:
     async def scene() -> None:
         async with Running(tmp_path) as r:
@@ -191,8 +194,9 @@
             peer.say(frames.Held(1, 2, [(0, [(11, 1.0)])]))
             tables = await peer.until(frames.Tables)
             assert tables.tables[0] == (0, [(11, 1.0)])
-            await until(lambda: sqlite3.connect(tmp_path / "s.db").execute("select * from line").fetchall()
-                        == [(0, 11, 1.0)])  # fmt: skip
+            await until(
+                lambda: sqlite3.connect(tmp_path / "s.db").execute("select * from line").fetchall() == [(0, 11, 1.0)]
+            )
 
     play(scene())
 
@@ -285,8 +289,11 @@
             r.path.write_text("steward {")
             r.steward.reload()
             text = CONFIG % (tmp_path / "s.db") + "reports {\n  every_ms = 7\n}\n"
-            r.path.write_text(text.replace("frame_most_bytes = 4096", "frame_most_bytes = 9999")
-                              .replace('level = "error"', 'level = "info"'))  # fmt: skip
+            r.path.write_text(
+                text.replace("frame_most_bytes = 4096", "frame_most_bytes = 9999").replace(
+                    'level = "error"', 'level = "info"'
+                )
+            )
             r.steward.reload()
             r.path.write_text(text.replace("frame_most_bytes = 4096", "frame_most_bytes = 9999").split("door {")[0])
             r.steward.reload()  # the door is gone from the file: that needs a restart, and harms nothing
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -91,8 +91,13 @@
             break
         names.add(name)
     assert point > 20 and names == {
-        "before begin", "after begin", "between lines", "between roster rows", "before commit", "after commit",
-    }  # fmt: skip
+        "before begin",
+        "after begin",
+        "between lines",
+        "between roster rows",
+        "before commit",
+        "after commit",
+    }
 
 
 def test_a_store_has_one_holder(tmp_path: Path) -> None:
--- a/tests/test_store_conformance.py
+++ b/tests/test_store_conformance.py
@@ -90,10 +90,16 @@
                 task.cancel()
         seat, me = Seat(), len(self.keepers)
         keeper = Keeper(
-            lambda: Etcd(f"127.0.0.1:{self.registry.port}", 400.0), "/t/", me, range(4), seat,
-            lambda: time.monotonic() * 1000.0, random.Random(me).random, Terms(ttl=1000.0, settle=50.0),
+            lambda: Etcd(f"127.0.0.1:{self.registry.port}", 400.0),
+            "/t/",
+            me,
+            range(4),
+            seat,
+            lambda: time.monotonic() * 1000.0,
+            random.Random(me).random,
+            Terms(ttl=1000.0, settle=50.0),
             Limits(wait=20.0, wait_most=100.0, reads_per_min=600.0),
-        )  # fmt: skip
+        )
         self.keepers.append(keeper)
         keeper.start()
         await until(lambda: len(seat.held) == 4, 10)
@@ -166,9 +172,12 @@
 
 
 SUITE: list[Callable[[Any], Awaitable[None]]] = [
-    kept_and_given_back, a_table_is_replaced_whole, the_same_again_is_harmless, a_former_holder_writes_nothing,
+    kept_and_given_back,
+    a_table_is_replaced_whole,
+    the_same_again_is_harmless,
+    a_former_holder_writes_nothing,
     a_write_that_cannot_be_done_changes_nothing,
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize("kind", [Embedded, Shared])
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -408,9 +408,19 @@
     play(scene())
 
 
-KILLS = ["old before pause", "old before send state", "old before close store", "old before send commit",
-         "old before exit", "new before send ready", "new before load", "new before send checked",
-         "new before open store", "new before run", "new before send taken"]  # fmt: skip
+KILLS = [
+    "old before pause",
+    "old before send state",
+    "old before close store",
+    "old before send commit",
+    "old before exit",
+    "new before send ready",
+    "new before load",
+    "new before send checked",
+    "new before open store",
+    "new before run",
+    "new before send taken",
+]
 
 
 def test_a_death_or_a_standstill_at_any_step_leaves_one_voice(tmp_path: Path) -> None:
--- a/tests/test_upgrade_core.py
+++ b/tests/test_upgrade_core.py
@@ -15,9 +15,7 @@
 class World:
     """Both processes with what they have still to do, one pipe each way, a clock, the arbiter and the store's lock."""
 
-    def __init__(
-        self, old: type[Old] = Old, new: type[New] = New, arbiter: bool = True, faults: int = 1
-    ) -> None:
+    def __init__(self, old: type[Old] = Old, new: type[New] = New, arbiter: bool = True, faults: int = 1) -> None:
         self.now = 0.0
         self.kinds, self.arbiter = (old, new), arbiter
         self.side: list[Any] = [old(WITHIN), None]
@@ -149,8 +147,14 @@
             case Do.EXIT:
                 self.dies(me)
             case _:
-                said = {Do.SEND_READY: "ready", Do.SEND_STATE: "state", Do.SEND_CHECKED: "checked",
-                        Do.SEND_COMMIT: "commit", Do.SEND_TAKEN: "taken", Do.SEND_FAILED: "failed"}[a]  # fmt: skip
+                said = {
+                    Do.SEND_READY: "ready",
+                    Do.SEND_STATE: "state",
+                    Do.SEND_CHECKED: "checked",
+                    Do.SEND_COMMIT: "commit",
+                    Do.SEND_TAKEN: "taken",
+                    Do.SEND_FAILED: "failed",
+                }[a]
                 self.taken = self.taken or said == "taken"
                 if self.alive[1 - me]:
                     self.wire[1 - me].append((said, str(PROTOCOL) if said == "ready" else ""))
@@ -201,9 +205,15 @@
         return [Do.EXIT]
 
 
-@pytest.mark.parametrize(("kinds", "why"), [
-    ({"old": Hasty}, "two voices|store"), ({"new": Timid}, "nobody speaks"), ({"arbiter": False}, "nobody speaks"),
-], ids=["hasty", "timid", "no arbiter"])  # fmt: skip
+@pytest.mark.parametrize(
+    ("kinds", "why"),
+    [
+        ({"old": Hasty}, "two voices|store"),
+        ({"new": Timid}, "nobody speaks"),
+        ({"arbiter": False}, "nobody speaks"),
+    ],
+    ids=["hasty", "timid", "no arbiter"],
+)
 def test_the_explorer_finds_a_mistake(kinds: Any, why: str) -> None:
     with pytest.raises(AssertionError, match=why):
         explore(**kinds)
--- a/tests/test_upgrade_state.py
+++ b/tests/test_upgrade_state.py
@@ -21,8 +21,16 @@
 from corallanding.wire.link import Link
 
 OP = api.Operation("quote", api.Repeat.IDEMPOTENT, "all", 5000, 3, 0.1, 1200, 3000)
-SETTINGS = api.Settings(operations=(OP,), slices=12, queue_most=900.0, channel_rate=400.0, may_probe=True, proxies=4,
-                        messages_most=14, messages_span=4000.0)  # fmt: skip
+SETTINGS = api.Settings(
+    operations=(OP,),
+    slices=12,
+    queue_most=900.0,
+    channel_rate=400.0,
+    may_probe=True,
+    proxies=4,
+    messages_most=14,
+    messages_span=4000.0,
+)
 LIMITS = Limits(400.0, 8.0, 900.0, 14, 4000.0)
 ADDRESSES = {h: f"127.0.0.1:{9000 + h}" for h in range(6)}
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -58,8 +58,9 @@
 def test_an_hour_of_high_priority_does_not_keep_the_low_for_longer_than_is_stated() -> None:
     """A flood of high priority, shortened: the low ones rise past it, or are over their time and go first."""
     kinds = (Kind("claim", 50.0, 2_000.0, 60_000.0), Kind("rank", 0.0, 1_000.0, 8_000.0))
-    w = WaitWorld(4, 3, 3, per_s=22, rate=20, terms=replace(TERMS, rate=20.0), kinds=kinds,
-                  mix=lambda t, c: int(c.random() < 0.1))  # fmt: skip
+    w = WaitWorld(
+        4, 3, 3, per_s=22, rate=20, terms=replace(TERMS, rate=20.0), kinds=kinds, mix=lambda t, c: int(c.random() < 0.1)
+    )
     w.run(40_000.0)
     waited = [at - w.jobs[job].came for at, job, _, _ in w.went if w.jobs[job].kind == 1]
     assert len(waited) > 40 and max(waited) < 8_000.0 + BOUND
@@ -89,10 +90,10 @@
 def ages_not_carried(patch: Any) -> None:
     real = Waiting.take_in
     patch.setattr(
-        Waiting, "take_in", lambda self, now, alive, f, t, kind, waited, key=0, set=0: real(
-            self, now, alive, f, t, kind, 0.0, key, set
-        )
-    )  # fmt: skip
+        Waiting,
+        "take_in",
+        lambda self, now, alive, f, t, kind, waited, key=0, set=0: real(self, now, alive, f, t, kind, 0.0, key, set),
+    )
 
 
 def heads_do_not_age(patch: Any) -> None:
@@ -121,7 +122,7 @@
     "rights are not asked for": lambda p: p.setattr(
         Waiting, "release", lambda self, now, alive, real=Waiting.release: unpaid(self, now, alive, real)
     ),
-}  # fmt: skip
+}
 
 
 def lost_when_moved(self: WaitWorld, w: Any, real: Any = WaitWorld.hand) -> None:
