--- /dev/null
+++ b/tests/stored_samples.py
@@ -0,0 +1,283 @@
+"""What the files of `fixtures/before-rename` were written from: one value of each kind, built by position so that a
+renamed attribute changes nothing here, and the engine whose state the snapshot and the handover hold."""
+
+from __future__ import annotations
+
+import random
+from typing import Any
+
+from corallanding import interface as api
+from corallanding.balance import Assigner
+from corallanding.channel import Channel
+from corallanding.channel import Limits as ChannelLimits
+from corallanding.lease import words as lease
+from corallanding.membership import words as membership
+from corallanding.once import words as once
+from corallanding.pins import words as pins
+from corallanding.quota import words as quota
+from corallanding.reports.handed import FeedState
+from corallanding.reports.worth import Counts, HostLoad, Process
+from corallanding.steward.engine import Engine, Send
+from corallanding.steward.handed import Handed, LinkState, hand, link_state
+from corallanding.steward.joins import Joins
+from corallanding.steward.revive import StewardState, capture
+from corallanding.store.api import Life
+from corallanding.waiting import words as waiting
+from corallanding.wire import frames
+from corallanding.wire.link import Limits as LinkLimits
+from corallanding.wire.link import Link
+
+HOSTS, SLICES, FORWARDERS = 6, 12, 4
+START = 1e9
+ADDRESSES = {host: f"127.0.0.1:{9000 + host}" for host in range(HOSTS)}
+STARTED = {host: 1.7e12 + host for host in range(HOSTS)}
+
+OPERATIONS = (
+    api.Operation("quote", api.Repeat.IDEMPOTENT, "all", 5000.0, 3.0, 0.1, 1200.0, 3000.0),
+    api.Operation("order", api.Repeat.FINGERPRINTED, "zone", 4000.0, 9.0, 0.2, 800.0, 2500.0, True, False),
+    api.Operation("ship", api.Repeat.SIDE_EFFECTING, "cell", 3000.0, 7.0, 0.3, 700.0, 2000.0, True, True),
+)
+
+# Every field has a value of its own, so that two that change places are seen.
+EVERY_SETTING = api.Settings(
+    OPERATIONS,
+    *(1, 3, 5, 2, 11, 17, True, 1.5, "weights", True, 2.5, 3.5, "fraction", 2, 4.5, "p3c", 7, 5001.0, 3001.0, True),
+    *(10001.0, 0.25, 3002.0, 4.25, 10002.0, 8.5, 10003.0, 13, 10004.0, 201.0, 501.0, 1001.0, 401.0, True, True),
+    *(0.5, 0.75, 0.875, ("cpu", "queue"), 1.25),
+)
+
+ENTRIES = (
+    api.HostEntry(0),
+    api.HostEntry(1, 2, 3, 4, "draining", 0.5, 6.0),
+    api.HostEntry(5, 1, 0, 7, "removed", 1.5, 8.0),
+)
+
+EVENTS: tuple[tuple[str, api.Event], ...] = (
+    ("Membership", api.Membership(api.ListForm.CHANGES, 3, ENTRIES)),
+    ("Membership", api.Membership(api.ListForm.FULL, 4, ENTRIES[:1])),
+    ("Membership", api.Membership(api.ListForm.SAVED, 5)),
+    ("Membership", api.Membership(api.ListForm.FAILED)),
+    ("ProbeDone", api.ProbeDone(1, api.ProbeEnd.OK, 2.5, {"cpu": 0.5})),
+    ("ProbeDone", api.ProbeDone(2, api.ProbeEnd.ERROR)),
+    ("ProbeDone", api.ProbeDone(3, api.ProbeEnd.FULL)),
+    ("ProbeDone", api.ProbeDone(4, api.ProbeEnd.TIMEOUT)),
+    ("ProbeDone", api.ProbeDone(5, api.ProbeEnd.UNREACHABLE)),
+    ("ProbeDone", api.ProbeDone(0, api.ProbeEnd.RESET)),
+    ("ProbeDone", api.ProbeDone(1, api.ProbeEnd.OTHER)),
+    ("HostSums", api.HostSums(0, 1, 40, 3, 12.5, 1000.0, {"queue": 7.0})),
+    ("SliceSums", api.SliceSums(2, 0, 30, 4, 1001.0)),
+    ("ProxySums", api.ProxySums(3, 0, 20, 5, 1002.0)),
+    ("SliceGiven", api.SliceGiven(6, True)),
+    ("OnRecord", api.OnRecord(6, 4, 0.75)),
+    ("ProxyJoined", api.ProxyJoined(3, 1, 9.5, True)),
+    ("ProxyLeft", api.ProxyLeft(2)),
+    ("Acked", api.Acked(1, 8, 4.5)),
+    ("PeerMessage", api.PeerMessage(2, b"\x00\xffword")),
+    ("Due", api.Due(1)),
+)
+
+ACTIONS: tuple[tuple[str, api.Action], ...] = (
+    ("SetLine", api.SetLine(1, 2, 0.5)),
+    ("Level", api.Level(api.ALL_TABLES, 3, 0.25, api.Retry.NEVER)),
+    ("Level", api.Level(1, 0, 0.5, api.Retry.PROVEN_UNRUN)),
+    ("Level", api.Level(2, 1, 0.75, api.Retry.ONCE)),
+    ("Level", api.Level(3, 2, 1.0, api.Retry.TWICE)),
+    ("Cordon", api.Cordon(4, True)),
+    ("ResetTable", api.ResetTable(5)),
+    ("Point", api.Point(1, 2, 3)),
+    ("Mark", api.Mark(7, True)),
+    ("Remind", api.Remind(250.0, 1)),
+    ("Probe", api.Probe(3)),
+    ("Follow", api.Follow(False)),
+    ("FetchList", api.FetchList()),
+    ("Tell", api.Tell(None, b"\x01\xfe")),
+    ("Tell", api.Tell(3, b"")),
+    ("Note", api.Note("a note")),
+)
+
+SHARDS, OTHER_SHARDS = bytes(range(32)), bytes(range(100, 132))
+
+PEER_MESSAGES: dict[str, Any] = {
+    "membership ping": membership.Ping(1, 2, 3, [(4, 0, 5)], 6),
+    "membership ack": membership.Ack(7, 8, 9, [(1, 1, 2), (3, 2, 4)], 5),
+    "membership indirect ping": membership.Ask(10, 11, 12, [], 13),
+    "lease candidacy": lease.Stand(1, 2, True, 3, 4),
+    "lease vote": lease.Vote(5, 6, True, 7),
+    "lease votes not wanted": lease.Quit(8, 9),
+    "lease request": lease.Ask(1, 2, 3, 4, SHARDS, OTHER_SHARDS, 5, 6, 7),
+    "lease grant": lease.Deal(1, 2, SHARDS, 3),
+    "lease act": lease.Act(1, 2, 3),
+    "lease seen": lease.Seen(4, 5, 6),
+    "quota request": quota.Want(1, 2, 3, 4, [(5, 6, 7, 8, 9, 10)]),
+    "quota grant": quota.Give(1, 2, [(3, 4, 5)]),
+    "record copy": once.Copy(1, 2, 3, 4, True, [(5, 6, 7)]),
+    "record copied": once.Copied(1, 2, 3, 4, 5),
+    "record fetch": once.Fetch(1, 2, 3, 4, 5),
+    "record page": once.Page(1, 2, 3, 4, 5, [(6, 7, 8, 9, 10)], True),
+    "record heartbeat": once.Here(1, 2, 3),
+    "record heartbeat answer": once.Known(1, 2, True, 3),
+    "record question": once.Question(1, 2, 3, 4, 5, 6),
+    "record answer": once.Answer(1, 2, 3, 4, 5),
+    "release register": pins.Settled(1, 2, 3),
+    "release tally": pins.Tally(1, 2),
+    "release tallied": pins.Tallied(1, 2, 3, [(4, 5)]),
+    "waiting jobs": waiting.Line(1, 2, [(3, 4, 5)], [6, 7], 8),
+}
+
+FROM_FORWARDER: dict[str, Any] = {
+    "hello": frames.Hello(1, 2, "session", 3, 4.5, False, 6, 7, 3),
+    "ack": frames.Ack(9),
+    "sums": frames.Sums(1000.0, [(1, 2, 1, 3.5)], [(4, 0, 5, 1)], [(0, 6, 2)]),
+    "held": frames.Held(1, 2, [(3, [(4, 0.5)])]),
+    "read": frames.Read(),
+    "beat": frames.Beat(1.5),
+    "bye": frames.Bye("code", "text"),
+    "enter": frames.Enter(1, "run", "client", True),
+    "wait": frames.Wait(1, 2, 3.5, "key", 4),
+    "unwait": frames.Unwait(1, True),
+}
+
+FROM_STEWARD: dict[str, Any] = {
+    "welcome": frames.Welcome(1, 2, 3, 4.5, 5.5, 6.5, 7),
+    "tables": frames.Tables(
+        *(1, [(2, [(3, 0.5)])], [(4, 5, 0.25, 1)], [6], {3: "127.0.0.1:9003"}, [(7, 8)], [9], 10),
+    ),
+    "orders": frames.Orders(
+        *(1, 2, [3], [(4, 5, 0.5)], [(6, 7, 0.25, 2)], [(8, True)], [(9, 10)], {5: "127.0.0.1:9005"}, [11]),
+    ),
+    "recall": frames.Recall(),
+    "beat": frames.Beat(2.5),
+    "bye": frames.Bye("code"),
+    "pinned": frames.Pinned(1, "pinned", 2, [(3, 4)], 5),
+    "routes": frames.Routes(1, [(2, 3, 4, [(5, 0.5)], 6.5)], {5: "127.0.0.1:9005"}, [7], 8),
+    "waits": frames.Waits(1, "waiting", 2.5),
+    "go": frames.Go(1, "go"),
+}
+
+FEED = FeedState(
+    "digest",
+    4711,
+    9400,
+    b"\x00\x00",
+    {
+        2: HostLoad(1.0, 2, 3.0, {4: Process(5, 6, 0.5, 7.0, 8.0, 9.0, 10.0, 11.0, 12.0)}, -0.25, 1, 13.0, 14.0, 15.0),
+        3: HostLoad(),
+    },
+    [(b"\x01" * 8, 16.0)],
+    Counts(1, 2, 3, 4, 5, 6, 7),
+    17.0,
+    {"came": 18, "bad": 19},
+)
+
+SETTINGS = api.Settings(
+    (OPERATIONS[0],),
+    slices=SLICES,
+    queue_most=900.0,
+    channel_rate=400.0,
+    may_probe=True,
+    proxies=FORWARDERS,
+    messages_most=14,
+    messages_span=4000.0,
+    admission="fraction",
+)
+CHANNEL = ChannelLimits(400.0, 8.0, 900.0, 14, 4000.0)
+
+
+class Rig:
+    """An engine with its channel and joins, without sockets. What happens in a turn is drawn by the turn's number."""
+
+    def __init__(self, life: int, tables: dict[int, dict[int, float]] | None = None) -> None:
+        found = Life(life, 0, tables or {})
+        self.engine = Engine(SETTINGS, 3, found, range(SLICES), dict(ADDRESSES), Assigner)
+        self.channel, self.joins = Channel(CHANNEL), Joins(20.0, 300.0, 2000.0, START)
+        self.now = START
+        self.said: list[str] = []
+        self.steps: list[Any] = []
+
+    def begin(self) -> None:
+        entries = tuple(api.HostEntry(host) for host in range(HOSTS))
+        self.engine.begin(self.now, api.Membership(api.ListForm.FULL, 1, entries))
+        for forwarder in range(FORWARDERS):
+            self.join(forwarder)
+
+    def join(self, forwarder: int) -> None:
+        self.channel.join(forwarder)
+        frame = self.engine.join(self.now, frames.Hello(1, forwarder, f"{forwarder}"))
+        self.said.append(f"{forwarder} tables {frame.hex()}")
+
+    def turn(self, number: int) -> None:
+        chance, engine = random.Random(f"turn {number}"), self.engine
+        self.now += chance.choice((60.0, 125.0, 300.0))
+        for forwarder in range(FORWARDERS):
+            if chance.random() < 0.05:
+                self.joins.ask(self.now, forwarder)
+            if chance.random() < 0.1:
+                self.channel.block(forwarder, chance.random() < 0.5)
+        for forwarder in self.joins.due(self.now):
+            self.join(forwarder)
+        if chance.random() < 0.15:
+            entry = api.HostEntry(chance.randrange(HOSTS), 0, 0, 0, chance.choice(("draining", "up")))
+            engine.event(self.now, api.Membership(api.ListForm.CHANGES, number, (entry,)))
+        if chance.random() < 0.5:
+            met = [(host, 9, 9 if host == 3 else chance.choice((0, 0, 9)), 900.0) for host in range(HOSTS)]
+            came = [(slice, 0, chance.randrange(20), 0) for slice in range(SLICES)]
+            engine.sums(self.now, chance.randrange(FORWARDERS), frames.Sums(1000.0, met, came))
+        if chance.random() < 0.4:
+            engine.event(self.now, api.Acked(chance.randrange(FORWARDERS), number // 8, 5.0))
+        engine.decide(self.now)
+        self.steps.append(engine.last)
+        for output in engine.publish(chance.random() < 0.9):
+            if isinstance(output, Send):
+                self.channel.submit(
+                    self.now, output.frame, output.lines, output.mark, output.to, output.orders, output.urgent
+                )
+            else:
+                self.said.append(f"output {[*vars(output).values()]}")
+        for forwarder, message in self.channel.due(self.now):
+            self.said.append(f"{forwarder} {message.frame.hex()}")
+
+    def turns(self, first: int, last: int) -> None:
+        for number in range(first, last):
+            self.turn(number)
+
+    def add_helper(self) -> None:
+        """Slice 0 gets a second host, as under high demand, which these turns do not bring about."""
+        module = self.engine.module
+        assert isinstance(module, Assigner)
+        one, host = module.slices[0], module.hosts[2]
+        assert host not in one.lines
+        one.helpers.append(host)
+        one.lines[host] = self.engine.state.tables[0][2] = 1.0
+
+    def state(self) -> StewardState:
+        found = capture(self.engine, 1, "boot", 5.0, {(3, 1.0): 7.0, (4, 2.0): 8.0}, 2)
+        assert found
+        return found
+
+
+def links() -> list[LinkState]:
+    """Two links: one with half a frame and marks that are out, one that has said no more than hello."""
+    busy, idle = Link(LinkLimits(), START), Link(LinkLimits(), START + 1.0)
+    beat = frames.encode(frames.Beat(3.5))
+    busy.receive(START + 2.0, frames.encode(frames.Hello(1, 1, "one", 0, 9.5, True, 4, 5, 3)) + beat[:6])
+    busy.marked(START + 3.0, 40)
+    busy.marked(START + 4.0, 41)
+    idle.receive(START + 5.0, frames.encode(frames.Hello(1, 2, "two")))
+    return [link_state(busy, True, False, START + 6.0), link_state(idle, False, True, START + 7.0)]
+
+
+def handed(rig: Rig) -> Handed:
+    """The rig's own state, and one of each thing that it has not come to."""
+    engine = rig.engine
+    engine.unsaved, engine.unsaved_resets = {2: {1: 1.0, 3: 0.0}}, {2}
+    engine.state.points = {1: {2: 3}}
+    engine.going = {5}
+    for _, event in EVENTS:
+        engine.event(rig.now, event)
+    engine.gather.add(rig.now, 1, 0, frames.Sums(900.0, [(1, 9, 1, 8.0)], [(2, 0, 7, 2)], [(0, 6, 3)]), ADDRESSES, {2})
+    rig.joins.ask(rig.now, 1)
+    rig.joins.ask(rig.now, 2)
+    roster = (12, list(ENTRIES), dict(ADDRESSES), dict(STARTED), [0, 1, 5])
+    return hand(
+        engine, rig.state(), rig.channel, links(), rig.joins, roster, {1: 0.5, 2: 0.84}, FEED, ("/var/s.rec", 4096)
+    )
--- /dev/null
+++ b/tests/test_stored_forms.py
@@ -0,0 +1,521 @@
+"""What version 0.1.0 stored or sent is read to the same state, and written again byte for byte.
+
+`fixtures/before-rename/README.md` says how the files were written. Names in quotes here are stored names: they never
+change. Attributes may be renamed, here as everywhere; what a stored name stands for may not.
+"""
+
+from __future__ import annotations
+
+import io
+import json
+import shutil
+import socket
+import sqlite3
+import time
+from collections.abc import Callable
+from dataclasses import replace
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
+
+import msgspec
+import pytest
+import stored_samples as samples
+from typer.testing import CliRunner
+
+from corallanding import interface as api
+from corallanding.balance import Assigner
+from corallanding.cli.main import app
+from corallanding.once.shelf import Shelf, Unkept
+from corallanding.once.terms import RecordTerms
+from corallanding.once.words import Fetch
+from corallanding.records import Host, Slice
+from corallanding.reports.handed import digest as intake_digest
+from corallanding.reports.pipe import pack as pack_intake
+from corallanding.reports.pipe import unpack as unpack_intake
+from corallanding.snapshot import file, marks
+from corallanding.snapshot.module import dump, load
+from corallanding.steward import record, record_file, running
+from corallanding.steward.giver import command_of
+from corallanding.steward.handed import Handed, channel_state, link_state, put_channel, put_link, take
+from corallanding.steward.handover import Arbiter
+from corallanding.steward.record_file import RecordFile
+from corallanding.steward.revive import StewardState, check, revive
+from corallanding.steward.starts import Starts
+from corallanding.steward.turning import Turning
+from corallanding.store import Life, SqliteStore
+from corallanding.telemetry.metrics import Metrics
+from corallanding.upgrade.core import PROTOCOL, Do, New, Old
+from corallanding.upgrade.pipe import Pipe
+from corallanding.wire import frames
+from corallanding.wire.link import Limits as LinkLimits
+from corallanding.wire.link import Link
+
+FIXTURES = Path(__file__).parent / "fixtures" / "before-rename"
+SNAPSHOT_HEAD = 34  # bytes before the body
+
+
+def sql(path: Path) -> str:
+    with sqlite3.connect(path) as db:
+        return "\n".join(db.iterdump()) + "\n"
+
+
+def plain(data: bytes) -> Any:
+    """A snapshot's body as maps and lists, without any class of the program."""
+    return msgspec.msgpack.decode(data[SNAPSHOT_HEAD:], strict=False)
+
+
+def recorded(path: Path, settings: api.Settings, seed: int, steps: list[Any], middle: bool = False) -> bytes:
+    recorder = record.Recorder(path, settings, seed, 1e9, middle)
+    for step in steps:
+        recorder.step(*step)
+    recorder.close()
+    return path.read_bytes()
+
+
+# ---- the store ----------------------------------------------------------------------------------------------------
+
+
+def test_a_store_is_read_with_its_tables_list_addresses_and_starts(tmp_path: Path) -> None:
+    shutil.copy(FIXTURES / "store.sqlite", tmp_path)
+    store = SqliteStore(tmp_path / "store.sqlite")
+    life = store.open()
+    addresses = {host: samples.ADDRESSES[host] for host in (0, 1, 5)}
+    started = {host: samples.STARTED[host] for host in (0, 1, 5)}
+    listed = tuple(replace(entry, online_since=0.0) for entry in samples.ENTRIES)  # `starts` has it, by the wall clock
+    assert life == Life(3, 42, {1: {2: 1.0}, 7: {0: 1.0}}, listed, 9, addresses, started)
+    store.close()
+    assert (tmp_path / "store.sqlite.lock").exists(), "an old process's lock must keep a new one out"
+
+
+def test_a_store_is_written_as_before(tmp_path: Path) -> None:
+    store = SqliteStore(tmp_path / "store.sqlite")
+    store.open()
+    store.close()
+    store.open()
+    store.write(41, [(1, 2, 1.0), (1, 3, 0.5), (4, 5, 0.25)])
+    store.write(42, [(1, 3, 0.0), (7, 0, 1.0)], [4])
+    store.keep_roster(9, samples.ENTRIES, samples.ADDRESSES, samples.STARTED)
+    store.close()
+    assert sql(tmp_path / "store.sqlite") == (FIXTURES / "store.sql").read_text()
+
+
+# ---- recordings ---------------------------------------------------------------------------------------------------
+
+
+def test_a_recording_with_every_event_and_action_is_read(tmp_path: Path) -> None:
+    found = record.read(FIXTURES / "recording.bin")
+    assert (found.settings, found.seed, found.torn, found.middle) == (samples.EVERY_SETTING, 77, False, False)
+    events, actions = [e for _, e in samples.EVENTS], [a for _, a in samples.ACTIONS]
+    assert found.steps == [(1.5, events, actions), (2.5, [], [])]
+    assert {type(e) for e in events} == set(api.Event.__args__) and {type(a) for a in actions} == set(
+        api.Action.__args__
+    )
+    assert recorded(tmp_path / "again", found.settings, 77, found.steps) == (FIXTURES / "recording.bin").read_bytes()
+
+
+def test_a_recording_holds_stored_names_only() -> None:
+    """Laid open without the program: the names of types and fields, as other tools read them."""
+    head, step, _ = [msgspec.msgpack.decode(part) for part in record.items((FIXTURES / "recording.bin").read_bytes())]
+    assert set(head) == {"corallanding", "seed", "settings", "middle"}
+    assert [name for name, _ in step[1]] == [name for name, _ in samples.EVENTS]
+    assert [name for name, _ in step[2]] == [name for name, _ in samples.ACTIONS]
+    assert step[1][4] == ["ProbeDone", {"host": 1, "end": "ok", "latency": 2.5, "load": {"cpu": 0.5}}]
+    assert step[2][2] == ["Level", {"slice": 1, "operations": 0, "amount": 0.5, "retry": 1}]
+
+
+def test_items_of_a_recording_are_shown_by_their_stored_names() -> None:
+    assert record.shown(samples.EVENTS[4][1]) == "ProbeDone(host=1, end=OK, latency=2.5, load={'cpu': 0.5})"
+    assert record.shown(samples.ACTIONS[4][1]) == "Level(slice=3, operations=2, amount=1.0, retry=TWICE)"
+
+
+# ---- snapshots ----------------------------------------------------------------------------------------------------
+
+HOST: dict[str, Callable[[Host], Any]] = {
+    "id": lambda h: h.id,
+    "listed": lambda h: h.listed,
+    "since": lambda h: h.since,
+    "told": lambda h: h.told,
+    "failed_at": lambda h: h.failed_at,
+    "good": lambda h: h.good,
+    "bad": lambda h: h.bad,
+    "run": lambda h: h.run,
+    "good_at": lambda h: h.good_at,
+    "shown": lambda h: h.shown,
+    "latency": lambda h: h.latency,
+    "floor": lambda h: h.floor,
+    "load": lambda h: h.load,
+    "probing": lambda h: h.probing,
+    "echo": lambda h: h.echo,
+    "cordoned": lambda h: h.cordoned,
+    "taken": lambda h: h.taken,
+    "taken_at": lambda h: h.taken_at,
+    "shed_at": lambda h: h.shed_at,
+    "goal": lambda h: h.goal,
+    "pooled": lambda h: h.pooled,
+    "sound": lambda h: h.sound,
+    "chilly": lambda h: h.chilly,
+    "space": lambda h: h.space,
+    "fair": lambda h: h.fair,
+    "stress": lambda h: h.stress,
+}
+SLICE: dict[str, Callable[[Slice], Any]] = {
+    "id": lambda s: s.id,
+    "rate": lambda s: s.rate,
+    "want_at": lambda s: s.want_at,
+    "hold_mark": lambda s: s.hold_mark,
+    "hold_end": lambda s: s.hold_end,
+    "looked": lambda s: s.looked,
+    "rates": lambda s: [list(row) for row in s.rates.items()],
+}
+VALUES: dict[str, Callable[[Assigner], Any]] = {
+    "level": lambda a: a.level,
+    "level_at": lambda a: a.level_at,
+    "levels_due": lambda a: a.levels_due,
+    "born": lambda a: a.born,
+    "now": lambda a: a.orders.now,
+    "urgent": lambda a: a.orders.urgent,
+    "room": lambda a: a.orders.room,
+    "orders": lambda a: a.orders.orders,
+    "mark": lambda a: a.pending.mark,
+    "fresh": lambda a: a.known.fresh,
+    "draws": lambda a: a.known.draws,
+    "done": lambda a: a.known.done,
+    "asked": lambda a: a.survey.asked,
+    "faded_at": lambda a: a.survey.faded_at,
+    "shared_at": lambda a: a.survey.shared_at,
+    "peak": lambda a: a.survey.peak,
+    "window": lambda a: a.figures.window,
+    "wait": lambda a: a.figures.wait,
+    "median": lambda a: a.figures.median,
+    "usual": lambda a: a.figures.usual,
+    "strained": lambda a: a.figures.strained,
+    "fit": lambda a: a.figures.fit,
+    "mean": lambda a: a.figures.mean,
+    "whole": lambda a: a.figures.whole,
+    "heaviest": lambda a: a.figures.heaviest,
+}
+DISTINCT = 900.0  # each stored figure is replaced by one of its own, so that two that change places are seen
+
+
+def test_each_stored_figure_of_the_module_stands_for_what_it_stood_for() -> None:
+    raw = plain((FIXTURES / "snapshot.bin").read_bytes())["module"]
+    assert (
+        raw["host_fields"] == list(HOST) and raw["slice_fields"] == list(SLICE) and list(raw["values"]) == list(VALUES)
+    )
+    for row in raw["hosts"]:
+        row[1][1:] = [DISTINCT + n for n in range(1, len(HOST))]
+    for row in raw["slices"]:
+        row[5][1:-1] = [DISTINCT + n for n in range(1, len(SLICE) - 1)]
+    raw["values"] = {name: DISTINCT + n for n, name in enumerate(VALUES)}
+    state = file.read(FIXTURES / "snapshot.bin", StewardState)
+    module = load(samples.SETTINGS, msgspec.convert(raw, type(state.module)))
+    for row, host in zip(raw["hosts"], module.hosts.values(), strict=True):
+        assert row[1] == [of(host) for of in HOST.values()]
+    for row, slice in zip(raw["slices"], module.slices.values(), strict=True):
+        assert row[0] == [[host.id, weight] for host, weight in slice.lines.items()]
+        ids = [None if host is None else host.id for host in (slice.owner, slice.want, slice.held)]
+        assert [row[1], row[3], row[4], row[2]] == [*ids, [host.id for host in slice.helpers]]
+        assert row[5] == [of(slice) for of in SLICE.values()]
+    assert raw["values"] == {name: of(module) for name, of in VALUES.items()}
+
+
+def test_the_figures_of_every_host_slice_and_part_are_written_as_before() -> None:
+    data = (FIXTURES / "snapshot.bin").read_bytes()
+    state = file.unpack(data, StewardState)
+    assert file.pack(state) == data
+    again = msgspec.msgpack.encode(dump(load(samples.SETTINGS, state.module)))
+    assert again == msgspec.msgpack.encode(plain(data)["module"])
+
+
+def test_a_snapshot_and_its_log_are_taken_up_and_the_next_steps_are_the_same(tmp_path: Path) -> None:
+    state = file.read(FIXTURES / "snapshot.bin", StewardState)
+    check(state, 1, samples.SETTINGS, "boot", 2)
+    tables = json.loads((FIXTURES / "snapshot.tables.json").read_text())
+    rig = samples.Rig(2, {int(table): {int(h): w for h, w in row.items()} for table, row in tables.items()})
+    log = record.read(FIXTURES / "snapshot.log")
+    rig.now = log.steps[-1][0]
+    assert log.middle and revive(rig.engine, state, log.steps, rig.now) == (10, [])
+    rig.turns(82, 122)
+    assert (
+        recorded(tmp_path / "next", samples.SETTINGS, 3, rig.steps, True) == (FIXTURES / "snapshot.next").read_bytes()
+    )
+    again = recorded(tmp_path / "log", log.settings, log.seed, log.steps, True)
+    assert again == (FIXTURES / "snapshot.log").read_bytes()
+
+
+def test_a_snapshot_is_written_as_before() -> None:
+    rig = samples.Rig(1)
+    rig.begin()
+    rig.turns(0, 72)
+    rig.add_helper()
+    rig.engine.state.cordons, rig.engine.state.points = {3}, {1: {2: 3}}
+    rig.engine.remind(rig.now + 700.0, 1)
+    assert file.pack(rig.state()) == (FIXTURES / "snapshot.bin").read_bytes()
+
+
+# ---- the file of records ------------------------------------------------------------------------------------------
+
+
+@pytest.fixture
+def fixed_clocks(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(record_file, "boot_id", lambda: "boot")
+    monkeypatch.setattr(time, "monotonic", lambda: 5000.0)
+    monkeypatch.setattr(time, "time", lambda: 1.7e9)
+
+
+def test_a_file_of_records_is_read(tmp_path: Path, fixed_clocks: None) -> None:
+    shutil.copy(FIXTURES / "records.sqlite", tmp_path)
+    found, shelf = RecordFile(str(tmp_path / "records.sqlite"), lambda: 9000.0), Shelf(RecordTerms())
+    assert (found.same_boot, found.blank, found.opened, found.writes) == (True, False, 2, 1)
+    assert found.load(shelf) == {2: (5, 77, 40), 3: (6, 78, 41)}
+    assert found.writes == shelf.writes == 1
+    pages = [msgspec.to_builtins(shelf.fetch(9000.0, Fetch(1, 1, group, 0))) for group in (7, 8)]
+    assert pages[0] == [33, 1, 1, 7, 0, 13, [(99, 3, 5000, 12, 4), (100, 5, 4500, 12, 5)], False]
+    assert pages[1] == [33, 1, 1, 8, 0, 2, [(1, 6, 1000, 2, 1)], False]
+    found.close()
+    assert (tmp_path / "records.sqlite.lock").exists()
+
+
+def test_a_file_of_records_is_written_as_before(tmp_path: Path, fixed_clocks: None) -> None:
+    found = RecordFile(str(tmp_path / "records.sqlite"), lambda: 9000.0)
+    found.load(Shelf(RecordTerms()))
+    rows = [(7, 99, 3, 12, 4, 4000.0), (7, 100, 5, 12, 5, 4500.0), (8, 1, 6, 2, 1, 8000.0)]
+    peers = {2: (5, 77, 40), 3: (6, 78, 41)}
+    found.write(Unkept(rows, {7: 13, 8: 2}, [], peers, 0, 1, False, True))
+    found.close()
+    assert sql(tmp_path / "records.sqlite") == (FIXTURES / "records.sql").read_text()
+
+
+# ---- the handover -------------------------------------------------------------------------------------------------
+
+
+def handover_words() -> dict[str, bytes]:
+    """What the old process says, in order, through the pipe that reads it."""
+    ours, theirs = socket.socketpair()
+    theirs.sendall((FIXTURES / "handover.bin").read_bytes())
+    theirs.shutdown(socket.SHUT_WR)
+    pipe = Pipe(ours)
+    words = dict(pipe.hear() for _ in range(4))
+    pipe.close()
+    theirs.close()
+    return words
+
+
+def test_what_an_old_process_hands_over_is_taken_up_and_goes_on() -> None:
+    words = handover_words()
+    assert list(words) == ["marks", "state", "sockets", "commit"] and words["sockets"] == b"3"
+    handed = file.unpack(words["state"], Handed)
+    check(handed.state, 1, samples.SETTINGS, "boot", 2)
+    rig = samples.Rig(2, {0: {5: 1.0}})
+    rig.now = handed.state.now
+    module = load(samples.SETTINGS, handed.state.module)
+    take(rig.engine, handed, rig.channel, rig.joins, rig.now, module)
+    rows = msgspec.msgpack.decode(words["marks"], type=list[marks.Row])
+    assert marks.put(module.ranks, rows) == samples.SLICES
+    assert [event for _, _, event in rig.engine.inbox][: len(samples.EVENTS)] == [e for _, e in samples.EVENTS]
+    assert channel_state(rig.channel) == handed.channel
+    rig.turns(72, 110)
+    assert "\n".join(rig.said) + "\n" == (FIXTURES / "handover.next").read_text()
+
+
+def test_an_old_process_would_read_what_a_new_one_hands_over() -> None:
+    rig = samples.Rig(1)
+    rig.begin()
+    rig.turns(0, 72)
+    rig.add_helper()
+    handed = samples.handed(rig)
+    assert isinstance(rig.engine.module, Assigner)
+    rows = marks.out(rig.engine.module.ranks, range(samples.SLICES))
+    ours, theirs = socket.socketpair()
+    pipe, said = Pipe(ours), io.BytesIO()
+    pipe.say("marks", msgspec.msgpack.encode(rows))
+    pipe.say("state", file.pack(handed))
+    pipe.say("sockets", b"3")
+    pipe.say("commit")
+    pipe.close()
+    while data := theirs.recv(1 << 16):
+        said.write(data)
+    theirs.close()
+    assert said.getvalue() == (FIXTURES / "handover.bin").read_bytes()
+
+
+def test_stored_names_of_a_handover() -> None:
+    """Laid open without the program. Lists stand in the order of the program's fields."""
+    body = plain(handover_words()["state"])
+    state, feed = body["state"], body["feed"]
+    assert list(body) == [
+        *("state", "seq", "counter", "tables", "unsaved", "unsaved_resets", "inbox", "joined", "going", "gather_at"),
+        *("tallies", "sums", "channel", "links", "habits", "waiting", "pace", "version", "entries", "addresses"),
+        *("starts", "known", "factors", "feed", "recording"),
+    ]
+    assert list(state) == [
+        *("number", "settings", "boot", "zero", "now", "life", "log", "module", "levels", "cordons", "points"),
+        *("timers", "origins"),
+    ]
+    assert list(state["module"]) == [
+        *("seed", "values", "proxies", "sent", "typical", "host_fields", "slice_fields", "hosts", "slices", "ranked"),
+    ]
+    assert list(body["channel"]) == ["messages", "ports", "turns", "free_at", "most"]
+    assert list(feed) == ["intake", "process", "port", "held", "hosts", "ticks", "counts", "turned_at", "reported"]
+    assert feed["counts"] == {
+        **{"counted": 1, "unlisted": 2, "former": 3, "repeated": 4, "expired": 5, "doubtful": 6, "crowded": 7}
+    }
+    assert feed["hosts"][2] == {
+        **{"since": 1.0, "started": 2, "warm_at": 3.0, "learnt": -0.25, "level": 1, "tries": 13.0, "bad": 14.0},
+        "latency": 15.0,
+        "processes": {
+            4: {
+                **{"started": 5, "seq": 6, "utilization": 0.5, "uptime": 7.0, "arrived": 8.0, "other": 9.0},
+                **{"first": 10.0, "base": 11.0, "proven": 12.0},
+            }
+        },
+    }
+    assert body["entries"][1] == {
+        **{"host": 1, "zone": 2, "kind": 3, "cell": 4, "state": "draining", "weight": 0.5, "online_since": 6.0}
+    }
+
+
+def test_load_reports_and_links_go_over_whole() -> None:
+    handed = file.unpack(handover_words()["state"], Handed)
+    assert handed.feed == samples.FEED and handed.entries == list(samples.ENTRIES)
+    assert handed.links == samples.links()
+    busy, idle = Link(LinkLimits(), 0.0), Link(LinkLimits(), 0.0)
+    put_link(busy, handed.links[0])
+    put_link(idle, handed.links[1])
+    assert link_state(busy, True, False, samples.START + 6.0) == handed.links[0]
+    assert busy.receive(samples.START + 9.0, frames.encode(frames.Beat(3.5))[6:]) == [frames.Beat(3.5)]
+    assert [number for number, _ in busy.marks] == [40, 41] and not idle.marks
+    assert idle.hello == frames.Hello(1, 2, "two")
+    rig = samples.Rig(2)
+    put_channel(rig.channel, handed.channel)
+    assert channel_state(rig.channel) == handed.channel
+
+
+def test_the_words_of_both_processes_of_a_handover() -> None:
+    """An old process knows a new one's words, and the other way round."""
+    assert PROTOCOL == 1
+    old, new = Old(1000.0), New(1000.0)
+    old.begin(0.0)
+    new.begin(0.0)
+    assert old.heard(1.0, "ready", "1") == [Do.PAUSE, Do.SEND_STATE]
+    assert new.heard(1.0, "state") == [Do.LOAD] and new.loaded(1.0, True) == [Do.SEND_CHECKED]
+    assert old.heard(2.0, "checked") == [Do.CLOSE_STORE, Do.SEND_COMMIT]
+    assert new.heard(2.0, "commit") == [Do.OPEN_STORE, Do.RUN, Do.SEND_TAKEN]
+    assert old.heard(3.0, "taken") == [Do.EXIT]
+
+
+def test_an_old_process_can_start_a_new_one(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """It runs `python -m corallanding.cli.main steward --config FILE --take-over FD`."""
+    taken: list[Any] = []
+
+    def run(config: str, record: str | None, take_over: int | None) -> int:
+        taken.append((config, record, take_over))
+        return 0
+
+    monkeypatch.setattr(running, "run", run)
+    (tmp_path / "s.hcl").write_text("")
+    words = ["steward", "--config", f"{tmp_path}/s.hcl", "--take-over", "7"]
+    told = CliRunner().invoke(app, words)
+    assert told.exit_code == 0 and taken == [(f"{tmp_path}/s.hcl", None, 7)], told.output
+    assert command_of("s.hcl")[1:] == ["-m", "corallanding.cli.main", "steward", "--config", "s.hcl"]
+
+
+def test_both_processes_of_a_handover_ask_for_the_same_arbiter(tmp_path: Path) -> None:
+    first, second = Arbiter(f"{tmp_path}/s.db.handover"), Arbiter(f"{tmp_path}/s.db.handover")
+    assert first.take() and not second.take()
+    first.drop()
+
+
+# ---- further files, and messages between processes -----------------------------------------------------------------
+
+
+def test_starts_that_ended_soon_are_read_and_written_as_before(tmp_path: Path) -> None:
+    assert Starts(str(FIXTURES / "starts.json")).read() == [1000.5, 2000.0]
+    Starts(str(tmp_path / "starts")).keep([1000.5, 2000.0])
+    assert (tmp_path / "starts").read_bytes() == (FIXTURES / "starts.json").read_bytes()
+
+
+def test_an_intake_goes_on_under_a_new_process() -> None:
+    """It outlives the process that started it; its settings are the same if their digest is."""
+    assert pack_intake(["tick", b"12345678"]).hex() == "0000001092a47469636bc4083132333435363738"
+    assert list(unpack_intake(bytearray.fromhex("0000000a92a57265616479cd24b8"))) == [["ready", 9400]]
+    conf = {"listen": "127.0.0.1:0", "key": "", "tick_ms": 10.0}
+    assert intake_digest(conf) == "4d62e2fa3d56263163a12caabd32e1bace8e8a96ca20af873bffb250f927e6eb"
+
+
+FROZEN_PEER_MESSAGES: dict[str, str] = json.loads((FIXTURES / "peer_messages.json").read_text())
+FROZEN_FRAMES: dict[str, dict[str, str]] = json.loads((FIXTURES / "frames.json").read_text())
+
+
+def test_every_message_between_peers_has_a_frozen_example() -> None:
+    assert list(FROZEN_PEER_MESSAGES) == list(samples.PEER_MESSAGES)
+
+
+@pytest.mark.parametrize("name", FROZEN_PEER_MESSAGES)
+def test_a_message_between_peers_is_as_before(name: str) -> None:
+    data, message = bytes.fromhex(FROZEN_PEER_MESSAGES[name]), samples.PEER_MESSAGES[name]
+    assert msgspec.msgpack.encode(message) == data
+    assert msgspec.msgpack.decode(data, type=type(message)) == message
+
+
+@pytest.mark.parametrize("side", ["from_forwarder", "from_steward"])
+def test_frames_are_as_before(side: str) -> None:
+    messages = samples.FROM_FORWARDER if side == "from_forwarder" else samples.FROM_STEWARD
+    decoder = frames.to_steward if side == "from_forwarder" else frames.to_forwarder
+    union = frames.FromForwarder if side == "from_forwarder" else frames.FromSteward
+    assert {type(frame) for frame in messages.values()} == set(union.__args__)
+    assert {name: frames.encode(frame).hex() for name, frame in messages.items()} == FROZEN_FRAMES[side]
+    for name, frame in messages.items():
+        assert frames.Reader(decoder, 1 << 16).feed(bytes.fromhex(FROZEN_FRAMES[side][name])) == [frame]
+
+
+@pytest.mark.parametrize("name", [name for name in samples.FROM_FORWARDER if name not in ("hello", "bye")])
+def test_a_frame_before_hello_is_named_by_its_tag(name: str) -> None:
+    """The text goes to the peer, in the last frame of the link."""
+    link = Link(LinkLimits(), 0.0)
+    with pytest.raises(frames.OutOfPlace, match=f"^{name} before hello$"):
+        link.receive(1.0, frames.encode(samples.FROM_FORWARDER[name]))
+
+
+# ---- metrics ------------------------------------------------------------------------------------------------------
+
+FROZEN_METRICS: dict[str, dict[str, Any]] = json.loads((FIXTURES / "metrics.json").read_text())
+
+
+def test_metrics_have_their_frozen_names_and_labels() -> None:
+    found = {m.name for m in Metrics().registry.collect()}
+    assert found == set(FROZEN_METRICS)
+    collectors = Metrics().registry._collector_to_names
+    labels = {c._name: (c._type, list(c._labelnames)) for c in collectors}  # type: ignore[attr-defined]
+    assert labels == {name: (row["type"], row["labels"]) for name, row in FROZEN_METRICS.items()}
+
+
+def test_events_and_actions_are_counted_under_their_stored_names() -> None:
+    metrics = Metrics()
+    events, actions = [e for _, e in samples.EVENTS], [a for _, a in samples.ACTIONS]
+    steward = SimpleNamespace(
+        clock=lambda: 0.0,
+        timer_at=0.0,
+        metrics=metrics,
+        store_again=0.0,
+        engine=SimpleNamespace(
+            decide=lambda now: SimpleNamespace(lines=(), resets=()),
+            last=(0.0, events, actions),
+            overload=SimpleNamespace(strained=False),
+        ),
+        steps_log=None,
+        recorder=None,
+        feed=None,
+        keeper=None,
+        store_faults=0,
+        keep=lambda now, writes: True,
+        finish=lambda now, stored: None,
+    )
+    Turning.step(steward)  # type: ignore[arg-type]
+    for counter, counted in ((metrics.events, samples.EVENTS), (metrics.actions, samples.ACTIONS)):
+        names = [name for name, _ in counted]
+        rows = {r.labels["kind"]: r.value for m in counter.collect() for r in m.samples if r.name.endswith("_total")}
+        assert rows == {name: names.count(name) for name in names}
+    assert sorted({n for n, _ in samples.EVENTS}) == FROZEN_METRICS["corallanding_events"]["values"]
+    assert sorted({n for n, _ in samples.ACTIONS}) == FROZEN_METRICS["corallanding_actions"]["values"]
