--- a/bench/leases.py
+++ b/bench/leases.py
@@ -13,8 +13,8 @@
 from corallanding.lab.fences import judge
 from corallanding.lab.stewards.tasks import TaskWorld
 from corallanding.lab.stewards.world import troubled
+from corallanding.lease.limits import Terms
 from corallanding.lease.tasks import SHARDS, Task, Tasks
-from corallanding.lease.terms import Terms
 
 from .machine import machine
 from .run import RESULTS
--- a/bench/link.py
+++ b/bench/link.py
@@ -14,7 +14,7 @@
 
 from corallanding import interface as api
 from corallanding.config import load_steward
-from corallanding.steward.daemon import Steward
+from corallanding.controller.daemon import Steward
 from corallanding.telemetry import configure
 from corallanding.wire import frames
 
--- a/bench/load_reports.py
+++ b/bench/load_reports.py
@@ -26,13 +26,13 @@
 
 from corallanding import interface as api
 from corallanding.config import load_steward
+from corallanding.controller.daemon import Steward
 from corallanding.lab.processes import free_port
 from corallanding.lab.reporter import body
 from corallanding.lab.scenario import Fault, load_scenario
 from corallanding.lab.scenario_text import scenario_hcl
 from corallanding.lab.trace import read
-from corallanding.reports.envelope import NO_ECHO, Head, pack
-from corallanding.steward.daemon import Steward
+from corallanding.load_reports.envelope import NO_ECHO, Head, pack
 from corallanding.telemetry import configure
 from corallanding.wire import frames
 
@@ -156,7 +156,7 @@
         "buffer_bytes": 4 << 20,
         "key": KEY.hex() if signed else "",
     }
-    command = [sys.executable, "-m", "corallanding.reports.intake", str(theirs.fileno()), json.dumps(conf)]
+    command = [sys.executable, "-m", "corallanding.load_reports.intake", str(theirs.fileno()), json.dumps(conf)]
     process = subprocess.Popen(command, pass_fds=[theirs.fileno()])
     theirs.close()
 
--- a/bench/measured.py
+++ b/bench/measured.py
@@ -17,8 +17,8 @@
 from hdrh.histogram import HdrHistogram
 
 from corallanding.config import load_steward
-from corallanding.steward.daemon import Steward
-from corallanding.steward.links import LinkProtocol
+from corallanding.controller.daemon import Steward
+from corallanding.controller.proxy_protocol import LinkProtocol
 from corallanding.telemetry import configure
 from corallanding.wire import frames
 
--- a/bench/one_fleet.py
+++ b/bench/one_fleet.py
@@ -19,20 +19,20 @@
 import numpy as np
 from scipy import stats
 
+from corallanding.controller.record_store import RecordFile
 from corallanding.lab.stewards.runs import SETS, RunWorld
 from corallanding.lab.stewards.waits import QUOTA, TERMS, WaitWorld, bound_of
 from corallanding.lab.stewards.walk import Walk
 from corallanding.lab.stewards.world import troubled
-from corallanding.once.asking import AskTerms
-from corallanding.once.core import Keep
-from corallanding.once.fleet import FleetRecords
-from corallanding.pins.core import RELEASE, RUNS, pins_on, record_terms
-from corallanding.pins.terms import PinTerms
-from corallanding.pins.words import PINNED
-from corallanding.steward.record_file import RecordFile
-from corallanding.waiting.core import Go, Waiting
-from corallanding.waiting.queue import Queue
-from corallanding.waiting.terms import Kind, WaitTerms
+from corallanding.quorum_records.core import Keep
+from corallanding.quorum_records.fleet import FleetRecords
+from corallanding.quorum_records.queries import AskTerms
+from corallanding.scheduling.core import Go, Waiting
+from corallanding.scheduling.limits import Kind, WaitTerms
+from corallanding.scheduling.queue import Queue
+from corallanding.version_pinning.core import RELEASE, RUNS, pins_on, record_terms
+from corallanding.version_pinning.limits import PinTerms
+from corallanding.version_pinning.messages import PINNED
 
 from .machine import machine
 from .measured import resident_mib
--- a/bench/ready.py
+++ b/bench/ready.py
@@ -128,7 +128,7 @@
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "corallanding.node",
+        "corallanding.platform",
         env={**os.environ, "LB_CONFIG": str(path)},
         stderr=asyncio.subprocess.DEVNULL,
     )
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -20,7 +20,7 @@
 import numpy as np
 import uvloop
 
-from corallanding.balance import Assigner
+from corallanding.assignment import Assigner
 from corallanding.lab.processes import free_port
 from corallanding.snapshot import file
 from corallanding.snapshot.module import ModuleState, dump, load
--- a/bench/turn.py
+++ b/bench/turn.py
@@ -17,7 +17,7 @@
 import numpy as np
 
 from corallanding import interface as api
-from corallanding.balance import Assigner
+from corallanding.assignment import Assigner
 from corallanding.lab.fleet.runs import decider_of
 
 from .machine import machine
@@ -141,7 +141,7 @@
 
 def main() -> None:
     ask = argparse.ArgumentParser()
-    ask.add_argument("--against", help="an older module: its balance.py, or balance/__init__.py")
+    ask.add_argument("--against", help="the module of another checkout: its assignment/__init__.py")
     ask.add_argument("--out", default="turn")
     ask.add_argument("--turns", type=int, default=60)
     args = ask.parse_args()
--- a/corallanding/balance/assigner.py
+++ b/corallanding/assignment/assigner.py
@@ -4,13 +4,13 @@
 from collections.abc import Callable, Sequence
 
 from .. import interface as api
-from ..ranks import Ranks
-from ..records import Figures, Host, Slice
-from .known import Known
-from .moves import Moves
-from .orders import SPARE, Orders
-from .owners import ROOM, Owners
-from .survey import Survey
+from .host_health import Known
+from .load_estimate import Survey
+from .migration import Moves
+from .placement import ROOM, Owners
+from .publication import SPARE, Orders
+from .rendezvous import Ranks
+from .state import Figures, Host, Slice
 
 FULL = 0.6  # median strain of the fleet above which less is let in, where the site admits by share
 LEAST = 0.1  # the least share that is let in
--- a/corallanding/balance/known.py
+++ b/corallanding/assignment/host_health.py
@@ -4,8 +4,8 @@
 import zlib
 
 from .. import interface as api
-from ..records import Figures, Host, middle
-from .orders import Orders
+from .publication import Orders
+from .state import Figures, Host, middle
 
 CLEAR = 6_000.0  # ms without word of failing after which a server may own again (design)
 CROWDED = 0.5  # strain above which a server is crowded
--- a/corallanding/balance/survey.py
+++ b/corallanding/assignment/load_estimate.py
@@ -4,10 +4,10 @@
 import zlib
 
 from .. import interface as api
-from ..ranks import Ranks
-from ..records import Figures, Host, Slice, middle
-from .known import CLEAR, CROWDED, Known, strain
-from .owners import ROOM
+from .host_health import CLEAR, CROWDED, Known, strain
+from .placement import ROOM
+from .rendezvous import Ranks
+from .state import Figures, Host, Slice, middle
 
 RAMP = 0.75  # of the stated cold time: how long a new server takes to get its full share (12 to 13.5 s)
 PAUSE = 1.5  # windows of sums before a server that shed is judged again
--- a/corallanding/balance/moves.py
+++ b/corallanding/assignment/migration.py
@@ -1,10 +1,10 @@
 """Which slices move: at once off an owner that is dead, draining or tips over; else gated, paced, held."""
 
 from .. import interface as api
-from ..records import Figures, Host, Slice, upto
-from .known import CROWDED, Known
-from .owners import FEW, ROOM, Owners
-from .survey import WORSE
+from .host_health import CROWDED, Known
+from .load_estimate import WORSE
+from .placement import FEW, ROOM, Owners
+from .state import Figures, Host, Slice, upto
 
 SITTING = 8.0  # times the number of slices: what a sitting owner's score counts more than a stranger's
 TIPPING = 0.5  # of the stated fall multiple: load over its fair part at which a cold server sheds at once
--- a/corallanding/balance/owners.py
+++ b/corallanding/assignment/placement.py
@@ -2,9 +2,9 @@
 
 from bisect import bisect_left as bisect
 
-from ..ranks import Ranks, mark
-from ..records import Figures, Host, Slice
-from .known import RUN, Known
+from .host_health import RUN, Known
+from .rendezvous import Ranks, mark
+from .state import Figures, Host, Slice
 
 ROOM = 1.1  # a server may be given slices up to this multiple of the fleet's mean load
 HOLD = 5_000.0  # ms that the old owner stays listed at most while acks are out (design)
--- a/corallanding/balance/orders.py
+++ b/corallanding/assignment/publication.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from .. import interface as api
-from ..records import Pending, Slice
+from .state import Pending, Slice
 
 SPARE = 0.7  # of the message cap that ordinary turns may use; the rest is for deaths and drains
 FILL = 0.9  # of the queue limit, heads included, that deaths and drains may fill; ordinary turns half
--- a/corallanding/records.py
+++ b/corallanding/assignment/state.py
@@ -6,8 +6,8 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from . import interface as api
-from .ranks import mark
+from .. import interface as api
+from .rendezvous import mark
 
 WRAP = 65536  # marks are numbered below this
 
--- a/corallanding/cli/ask.py
+++ b/corallanding/cli/ask.py
@@ -8,7 +8,7 @@
 import time
 
 from ..config.models import StewardConfig
-from ..roster.view import loopback
+from ..endpoints.endpoint_list import loopback
 
 
 class Refused(Exception):
--- a/corallanding/cli/main.py
+++ b/corallanding/cli/main.py
@@ -33,7 +33,7 @@
     take_over: Annotated[Optional[int], typer.Option("--take-over", hidden=True)] = None,  # noqa: UP045
 ) -> None:
     """Run a steward until SIGTERM. SIGHUP reloads what can be reloaded, SIGUSR2 hands over to a new process."""
-    from ..steward.running import run
+    from ..controller.main import run
 
     raise typer.Exit(run(str(config), str(record) if record else None, take_over=take_over))
 
@@ -76,8 +76,8 @@
 @app.command()
 def replay(file: File) -> None:
     """Run a recording through the module again and compare every action."""
-    from ..balance import Assigner
-    from ..steward import record
+    from ..assignment import Assigner
+    from ..controller import recorder as record
 
     try:
         found = record.read(file)
--- a/corallanding/collector/core.py
+++ b/corallanding/collector/core.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from .. import interface as api
-from ..names import number
+from ..host_names import number
 from ..resp import Reader, encode
 
 SIGN_OF_LIFE = encode(["hb_ok"])
--- a/corallanding/collector/door.py
+++ b/corallanding/collector/server.py
@@ -8,8 +8,8 @@
 from typing import cast
 
 from .. import interface as api
-from ..dial import Limit
-from ..steward.listen import Listener
+from ..connection import Limit
+from ..controller.acceptor import Listener
 from .core import REJECT, SIGN_OF_LIFE, Intake, Peer
 
 UNREAD_MOST = 4_096  # bytes of answers that a peer may leave unread
--- a/corallanding/config/blocks.py
+++ b/corallanding/config/blocks.py
@@ -6,7 +6,7 @@
 
 from pydantic import AfterValidator, BaseModel, ConfigDict, Field
 
-from ..roster.view import loopback
+from ..endpoints.endpoint_list import loopback
 
 
 def on_loopback(address: str) -> str:
--- a/corallanding/config/pins.py
+++ b/corallanding/config/pins.py
@@ -7,7 +7,7 @@
 
 from pydantic import Field
 
-from ..pins.register import SETS
+from ..version_pinning.release_register import SETS
 from .blocks import Block, Ms
 
 Number = Annotated[int, Field(ge=1, lt=SETS)]
--- a/corallanding/steward/shared.py
+++ b/corallanding/controller/cluster.py
@@ -13,27 +13,27 @@
 from .. import membership
 from ..config import StewardConfig
 from ..config.waits import JOBS
-from ..lease.office import Desk, Office, Send
-from ..lease.registry_office import RegistryOffice
-from ..lease.terms import OfficeTerms
-from ..lease.words import Quit, Stand, Vote
-from ..lease.words import sound as sound_office
-from ..membership.words import Ack, Ask, Ping
-from ..membership.words import sound as sound_news
-from ..once.terms import RecordTerms
-from ..pins.core import RELEASE, RUNS, record_terms
+from ..lease.election import Desk, Office, Send
+from ..lease.limits import OfficeTerms
+from ..lease.messages import Quit, Stand, Vote
+from ..lease.messages import sound as sound_office
+from ..lease.registry_election import RegistryOffice
+from ..membership.messages import Ack, Ask, Ping
+from ..membership.messages import sound as sound_news
+from ..quorum_records.limits import RecordTerms
 from ..telemetry import Metrics, log
+from ..version_pinning.core import RELEASE, RUNS, record_terms
 from ..wire.frames import Enter, Unwait, Wait
-from .budgets import Budgets
-from .peer_door import PeerDoor
-from .pins import PinRoom, pin_terms
-from .records import RecordRoom
-from .sight import Sight
-from .tasks import TaskRoom
-from .waiting import WaitRoom
+from .fleet_view import Sight
+from .peer_dispatch import PeerDoor
+from .pinning_service import PinRoom, pin_terms
+from .quota_service import Budgets
+from .record_service import RecordRoom
+from .scheduling_service import WaitRoom
+from .task_service import TaskRoom
 
 if TYPE_CHECKING:
-    from ..registry.keeper import Keeper
+    from ..registry.table_store import Keeper
 
 TICK = 0.05  # s
 STATES = ("unknown", "alive", "suspect", "dead", "left")
--- a/corallanding/steward/parts.py
+++ b/corallanding/controller/components.py
@@ -13,33 +13,33 @@
 from typing import TYPE_CHECKING
 
 from .. import interface as api
-from ..balance import Assigner
+from ..assignment import Assigner
 from ..channel import Channel
 from ..channel import Limits as ChannelLimits
 from ..config import StewardConfig
 from ..config import settings as settings_of
-from ..probe.prober import Prober
-from ..reports.feed import Feed
-from ..roster.source import Source
-from ..roster.view import View
+from ..endpoints.endpoint_list import View
+from ..endpoints.source import Source
+from ..health_check.prober import Prober
+from ..load_reports.feed import Feed
 from ..store import Life, SqliteStore, Store
 from ..telemetry import Gate, Metrics
 from ..wire import frames
 from ..wire.link import Limits
 from . import engine as core
-from .joins import Joins
-from .links import LinkProtocol
-from .listen import Listener
-from .peer_door import PeerDoor
-from .peers import Peers
-from .record import Recorder
-from .revive import StewardState
-from .shared import Shared
-from .turns import Decider
+from .acceptor import Listener
+from .cluster import Shared
+from .event_inbox import Decider
+from .join_admission import Joins
+from .peer_dispatch import PeerDoor
+from .peer_transport import Peers
+from .proxy_protocol import LinkProtocol
+from .recorder import Recorder
+from .recovery import StewardState
 
 if TYPE_CHECKING:
-    from ..admin.door import Door
-    from ..registry.keeper import Keeper
+    from ..admin.http_server import Door
+    from ..registry.table_store import Keeper
 
 ORIGIN = 1e9  # ms: where the clock begins, so that a start "long ago" (0) lies further back than any setting
 
--- a/corallanding/steward/reloading.py
+++ b/corallanding/controller/config_reload.py
@@ -6,7 +6,7 @@
 
 from ..config import ConfigFault, StewardConfig, load_steward
 from ..telemetry import configure, log
-from .parts import Parts, link_limits
+from .components import Parts, link_limits
 
 # What a reload can change while the steward runs; all else needs a restart, and is said to.
 RELOADABLE = (
--- a/corallanding/steward/daemon.py
+++ b/corallanding/controller/daemon.py
@@ -10,30 +10,30 @@
 import socket
 from collections.abc import Sequence
 
-from ..admin.door import Door
-from ..balance import Assigner
-from ..roster.view import loopback
+from ..admin.http_server import Door
+from ..assignment import Assigner
+from ..endpoints.endpoint_list import loopback
 from ..snapshot import marks
 from ..telemetry import log
 from . import engine as core
-from .given import Given
-from .handed import Handed
-from .hosts import Hosts
-from .joining import Joining
-from .keeping import Keeping
-from .links import LinkProtocol
-from .listen import descriptors
+from .acceptor import descriptors
+from .cluster import Shared
+from .components import ORIGIN, Clock
+from .config_reload import reload
+from .decision_loop import Turning
+from .fleet_view import Sight
+from .handover import Passing
+from .handover_state import Handed
+from .host_sources import Hosts
+from .inherited_sockets import Given
 from .overload import Limits as OverloadLimits
-from .pages import Pages
-from .parts import ORIGIN, Clock
-from .passing import Passing
-from .peer_door import PeerDoor
-from .peers import Peers
-from .record import Recorder
-from .reloading import reload
-from .shared import Shared
-from .sight import Sight
-from .turning import Turning
+from .peer_dispatch import PeerDoor
+from .peer_transport import Peers
+from .persistence import Keeping
+from .proxy_connections import Joining
+from .proxy_protocol import LinkProtocol
+from .recorder import Recorder
+from .status_views import Pages
 
 __all__ = ["ORIGIN", "Clock", "Steward"]
 
--- a/corallanding/steward/turning.py
+++ b/corallanding/controller/decision_loop.py
@@ -10,7 +10,7 @@
 from ..channel import Overrun
 from ..telemetry import log
 from . import engine as core
-from .parts import Parts
+from .components import Parts
 
 AHEAD = 2_000  # marks of the module worked out at a time between steps: a millisecond or two
 
--- a/corallanding/steward/engine.py
+++ b/corallanding/controller/engine.py
@@ -14,10 +14,10 @@
 from ..channel.merge import cost
 from ..store.api import Life
 from ..wire import frames
-from .gather import Gather
+from .event_inbox import Decider, Turns
 from .overload import Limits as OverloadLimits
 from .overload import Overload
-from .turns import Decider, Turns
+from .report_aggregation import Gather
 
 
 @dataclass(frozen=True)
--- a/corallanding/steward/sight.py
+++ b/corallanding/controller/fleet_view.py
@@ -6,11 +6,11 @@
 from typing import Protocol
 
 from ..config import StewardConfig
-from ..pins.choose import Server
-from ..roster.view import View
+from ..endpoints.endpoint_list import View
+from ..version_pinning.version_selection import Server
 from ..wire import frames
 from .engine import Engine
-from .links import LinkProtocol
+from .proxy_protocol import LinkProtocol
 
 
 class Shows(Protocol):
--- a/corallanding/steward/passing.py
+++ b/corallanding/controller/handover.py
@@ -7,16 +7,16 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from ..balance import Assigner
+from ..assignment import Assigner
 from ..snapshot import marks
 from ..snapshot.module import load as load_module
 from ..store import StoreFault, StoreHeld
 from ..telemetry import log
 from ..upgrade.pipe import peer_of
-from .giver import Giver, Speaker, command_of, why_not
-from .handed import Handed, take
-from .revive import Unfit, boot_id, check
-from .tasks import UPGRADE
+from .handover_sender import Giver, Speaker, command_of, why_not
+from .handover_state import Handed, take
+from .recovery import Unfit, boot_id, check
+from .task_service import UPGRADE
 
 FLUSH = 300.0  # ms that a link may take to send what was written before a handover
 RANKED = 300  # lists of marks made ready for a handover at a time: a few milliseconds
--- a/corallanding/steward/taker.py
+++ b/corallanding/controller/handover_receiver.py
@@ -15,9 +15,9 @@
 from ..telemetry import log
 from ..upgrade.core import PROTOCOL, Do, New, Phase
 from ..upgrade.pipe import Gone, Pipe, peer_of
-from .handed import Handed
-from .handover import Arbiter, Side, halt, now
-from .revive import Unfit
+from .handover_driver import Arbiter, Side, halt, now
+from .handover_state import Handed
+from .recovery import Unfit
 
 
 class Taker(Side[New]):
--- a/corallanding/steward/giver.py
+++ b/corallanding/controller/handover_sender.py
@@ -15,9 +15,9 @@
 from ..telemetry import log
 from ..upgrade.core import Do, Old
 from ..upgrade.pipe import Gone, Pipe
-from .handed import hand, link_state
-from .handover import Arbiter, Side, now
-from .parts import Parts
+from .components import Parts
+from .handover_driver import Arbiter, Side, now
+from .handover_state import hand, link_state
 
 
 class Speaker(Parts):
--- a/corallanding/steward/handed.py
+++ b/corallanding/controller/handover_state.py
@@ -12,16 +12,16 @@
 import msgspec
 
 from .. import interface as api
-from ..balance import Assigner
+from ..assignment import Assigner
 from ..channel.core import Channel, Message, Port
-from ..reports.handed import FeedState
+from ..load_reports.state import FeedState
 from ..wire.frames import Hello, Orders
 from ..wire.link import Link
 from .engine import Engine
-from .gather import Tally
-from .joins import Habit, Joins
-from .record import pack, unpack
-from .revive import StewardState, Unfit, revive
+from .join_admission import Habit, Joins
+from .recorder import pack, unpack
+from .recovery import StewardState, Unfit, revive
+from .report_aggregation import Tally
 
 
 class LinkState(msgspec.Struct, array_like=True):
--- a/corallanding/steward/hosts.py
+++ b/corallanding/controller/host_sources.py
@@ -10,17 +10,17 @@
 
 from .. import interface as api
 from ..config.sources import LoadReportsBlock, RegistryBlock
-from ..reports.feed import Feed
-from ..reports.weigh import changes, weigh
-from ..reports.worth import Policy
-from ..roster.source import LineRoster, Source
+from ..endpoints.source import LineRoster, Source
+from ..load_reports.feed import Feed
+from ..load_reports.load_estimator import Policy
+from ..load_reports.weights import changes, weigh
 from ..store import StoreFault
 from ..telemetry import log
-from .parts import ORIGIN, Parts
-from .peers import SHARED
+from .components import ORIGIN, Parts
+from .peer_transport import SHARED
 
 if TYPE_CHECKING:
-    from ..registry.keeper import Holder, Keeper
+    from ..registry.table_store import Holder, Keeper
 
 
 class OfficeHolder:
@@ -75,9 +75,9 @@
         return self.keeper_of(g, f"{g.base}office/", range(1), OfficeHolder(self.said), random.SystemRandom())
 
     def keeper_of(self, g: RegistryBlock, base: str, slices: range, holder: Holder, chance: random.Random) -> Keeper:
-        from ..registry.charge import Terms
-        from ..registry.keeper import Keeper
-        from ..registry.sync import Limits as SyncLimits
+        from ..registry.slice_ownership import Terms
+        from ..registry.table_store import Keeper
+        from ..registry.watch_state import Limits as SyncLimits
 
         me, limits = self.config.steward.number, SyncLimits(g.wait_ms, g.wait_most_ms, g.reads_per_min, g.page)
         dial = self.dial_registry(g, self.said)
--- a/corallanding/steward/running.py
+++ b/corallanding/controller/main.py
@@ -13,15 +13,15 @@
 import uvloop
 
 from .. import interface as api
-from ..balance import Assigner
+from ..assignment import Assigner
 from ..config import ConfigFault, load_steward
 from ..store import StoreFault
 from ..telemetry import configure, log
 from ..upgrade.pipe import Pipe
+from .crash_loop import CALM, Starts, advise
 from .daemon import Steward
-from .starts import CALM, Starts, advise
-from .taker import Taker
-from .turns import Decider
+from .event_inbox import Decider
+from .handover_receiver import Taker
 
 
 async def serve(
--- a/corallanding/steward/peer_door.py
+++ b/corallanding/controller/peer_dispatch.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from .peers import SHARED
+from .peer_transport import SHARED
 
 Handler = Callable[[int, Any], None]
 
--- a/corallanding/steward/peers.py
+++ b/corallanding/controller/peer_transport.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..roster.view import loopback
+from ..endpoints.endpoint_list import loopback
 
 AT_ONCE = 64  # datagrams read in one turn of the loop
 PAYLOAD = 256  # bytes
--- a/corallanding/steward/keeping.py
+++ b/corallanding/controller/persistence.py
@@ -9,10 +9,10 @@
 from ..store import Life, StoreFault, StoreHeld
 from ..telemetry import log
 from . import engine as core
-from . import record
-from .parts import Parts
-from .record import Recorder, RecordFault
-from .revive import Step, StewardState, Unfit, boot_id, capture, check, revive
+from . import recorder
+from .components import Parts
+from .recorder import Recorder, RecordFault
+from .recovery import Step, StewardState, Unfit, boot_id, capture, check, revive
 
 
 class Keeping(Parts):
@@ -47,7 +47,7 @@
         try:
             steps: list[Step] = []
             while (path := Path(self.log_path(self.log_number))).exists():
-                steps += record.read(path).steps
+                steps += recorder.read(path).steps
                 self.log_number += 1
             self.view.origins = {(h, started): since for h, started, since in state.origins}
             count, anew = revive(self.engine, state, steps, now)
--- a/corallanding/steward/pins.py
+++ b/corallanding/controller/pinning_service.py
@@ -6,19 +6,19 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from ..allowance import Allowances
 from ..config import StewardConfig
-from ..lease.office import Send
-from ..pins.choose import Server, strength
-from ..pins.core import pins_on
-from ..pins.routes import NoHost, Routes, Row
-from ..pins.terms import PinTerms
-from ..pins.words import PINNED, Settled, Tallied, Tally, sound
+from ..lease.election import Send
+from ..rate_limit import Allowances
 from ..telemetry import Metrics, log
+from ..version_pinning.core import pins_on
+from ..version_pinning.limits import PinTerms
+from ..version_pinning.messages import PINNED, Settled, Tallied, Tally, sound
+from ..version_pinning.routes import NoHost, Routes, Row
+from ..version_pinning.version_selection import Server, strength
 from ..wire import frames
-from .records import RecordRoom
-from .sight import Sight
-from .witness import Witness
+from .action_journal import Witness
+from .fleet_view import Sight
+from .record_service import RecordRoom
 
 PART = 1  # of the protocol, in a forwarder's hello
 SAID = ("not-now", "pinned", "over", "full")
--- a/corallanding/steward/joining.py
+++ b/corallanding/controller/proxy_connections.py
@@ -8,9 +8,9 @@
 from .. import interface as api
 from ..telemetry import log
 from ..wire import frames
-from .links import LinkProtocol
-from .listen import Listener
-from .parts import Parts
+from .acceptor import Listener
+from .components import Parts
+from .proxy_protocol import LinkProtocol
 
 
 class Joining(Parts):
--- a/corallanding/steward/links.py
+++ b/corallanding/controller/proxy_protocol.py
@@ -9,13 +9,13 @@
 from ..wire import frames
 from ..wire.frames import LinkFault
 from ..wire.link import Link
-from .handed import put_link
+from .handover_state import put_link
 
 if TYPE_CHECKING:
     from ..config import StewardConfig
     from ..telemetry import Gate, Metrics
     from ..wire.link import Limits
-    from .handed import LinkState
+    from .handover_state import LinkState
 
 
 class Owner(Protocol):
--- a/corallanding/steward/budgets.py
+++ b/corallanding/controller/quota_service.py
@@ -9,10 +9,10 @@
 from .. import interface as api
 from .. import quota
 from ..config import StewardConfig
-from ..lease.office import Desk, Send
-from ..quota.words import sound
+from ..lease.election import Desk, Send
+from ..quota.messages import sound
 from ..telemetry import Metrics, log
-from .witness import Witness
+from .action_journal import Witness
 
 
 def budgets_of(c: StewardConfig) -> dict[str, quota.Budget]:
--- a/corallanding/steward/records.py
+++ b/corallanding/controller/record_service.py
@@ -7,16 +7,16 @@
 from typing import Any
 
 from ..config import StewardConfig
-from ..lease.office import Send
-from ..once.asking import AskTerms
-from ..once.core import Action, Keep
-from ..once.fleet import FleetRecords
-from ..once.terms import RecordTerms
-from ..once.words import Answer, Copied, Copy, Fetch, Here, Known, Page, Question, sound
+from ..lease.election import Send
+from ..quorum_records.core import Action, Keep
+from ..quorum_records.fleet import FleetRecords
+from ..quorum_records.limits import RecordTerms
+from ..quorum_records.messages import Answer, Copied, Copy, Fetch, Here, Known, Page, Question, sound
+from ..quorum_records.queries import AskTerms
 from ..telemetry import Metrics, log
-from .record_file import RecordFile
-from .tasks import TaskRoom
-from .witness import Witness
+from .action_journal import Witness
+from .record_store import RecordFile
+from .task_service import TaskRoom
 
 
 class RecordRoom:
--- a/corallanding/steward/record_file.py
+++ b/corallanding/controller/record_store.py
@@ -11,8 +11,8 @@
 import time
 from collections.abc import Callable
 
-from ..once.shelf import Shelf, Unkept
-from .revive import boot_id
+from ..quorum_records.replica import Shelf, Unkept
+from .recovery import boot_id
 
 TABLES = """
 create table if not exists meta (key text primary key, value text not null) without rowid;
--- a/corallanding/steward/revive.py
+++ b/corallanding/controller/recovery.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from .. import interface as api
-from ..balance import Assigner
+from ..assignment import Assigner
 from ..snapshot.module import ModuleState, dump, load
 from .engine import Engine
 
--- a/corallanding/steward/waiting.py
+++ b/corallanding/controller/scheduling_service.py
@@ -6,20 +6,20 @@
 from typing import Any
 
 from ..config import StewardConfig
-from ..lease.office import Desk, Send
+from ..lease.election import Desk, Send
+from ..scheduling.core import Ask, Go, Waiting
+from ..scheduling.idempotency import FOUND, GRANTED, NOT_NOW, TWIN, Claims
+from ..scheduling.limits import Kind, WaitTerms
+from ..scheduling.messages import Line, sound
+from ..scheduling.queue import Job
 from ..telemetry import Metrics, log
-from ..waiting.claims import FOUND, GRANTED, NOT_NOW, TWIN, Claims
-from ..waiting.core import Ask, Go, Waiting
-from ..waiting.queue import Job
-from ..waiting.terms import Kind, WaitTerms
-from ..waiting.words import Line, sound
 from ..wire import frames
-from .budgets import Budgets
-from .pins import PinRoom, key_of
-from .records import RecordRoom
+from .action_journal import Witness
+from .fleet_view import Sight
+from .pinning_service import PinRoom, key_of
+from .quota_service import Budgets
+from .record_service import RecordRoom
 from .sessions import Sessions
-from .sight import Sight
-from .witness import Witness
 
 PART = 2  # of the protocol, in a forwarder's hello
 RELEASES = "releases"
--- a/corallanding/steward/sessions.py
+++ b/corallanding/controller/sessions.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass, field
 
-from ..once.asking import Told
-from ..waiting.claims import NOT_NOW, Claims
+from ..quorum_records.queries import Told
+from ..scheduling.idempotency import NOT_NOW, Claims
 from ..wire import frames
-from .pins import key_of
-from .records import RecordRoom
+from .pinning_service import key_of
+from .record_service import RecordRoom
 
 HELD_MOST = 10_000  # jobs of one process that wait for its age
 
--- a/corallanding/steward/pages.py
+++ b/corallanding/controller/status_views.py
@@ -4,8 +4,8 @@
 
 import json
 
-from ..admin.door import Answer, problem
-from .parts import Parts
+from ..admin.http_server import Answer, problem
+from .components import Parts
 
 
 class Pages(Parts):
--- a/corallanding/steward/tasks.py
+++ b/corallanding/controller/task_service.py
@@ -8,12 +8,12 @@
 
 from ..config import StewardConfig
 from ..lease.core import Leases
-from ..lease.office import Desk, Send
+from ..lease.election import Desk, Send
+from ..lease.limits import Terms
+from ..lease.messages import Act, Ask, Deal, Seen, sound
 from ..lease.tasks import Task, Tasks
-from ..lease.terms import Terms
-from ..lease.words import Act, Ask, Deal, Seen, sound
 from ..telemetry import Metrics, log
-from .witness import Witness
+from .action_journal import Witness
 
 UPGRADE = "upgrade"  # the task that a steward holds while it hands over to a new process
 
--- a/corallanding/discovery/core.py
+++ b/corallanding/discovery/core.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from .. import interface as api
-from ..names import number
-from ..unreadable import UNREADABLE
+from ..host_names import number
+from ..json_errors import UNREADABLE
 
 STATES = {"in_service": "up", "terminating": "draining", "terminated": "removed"}
 GONE_MOST = 256  # hosts that left whose addresses are still known: a report or a probe may be under way
--- a/corallanding/discovery/conversation.py
+++ b/corallanding/discovery/http_connection.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from ..dial import Address, Dialled
+from ..connection import Address, Dialled
 
 MOST = 8 << 20  # bytes of an answer
 
--- a/corallanding/discovery/agent.py
+++ b/corallanding/discovery/long_poll.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ..dial import Address, Dialer, Limit
-from .conversation import Conversation
+from ..connection import Address, Dialer, Limit
+from .http_connection import Conversation
 
 SOON = 0.02  # s: within the time that a watch continues
 
--- a/corallanding/roster/source.py
+++ b/corallanding/endpoints/source.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from .view import loopback
+from .endpoint_list import loopback
 
 
 class Listener(Protocol):
--- a/corallanding/probe/prober.py
+++ b/corallanding/health_check/prober.py
@@ -17,7 +17,7 @@
 import httptools
 
 from .. import interface as api
-from ..roster.view import loopback
+from ..endpoints.endpoint_list import loopback
 
 MOST_ANSWER = 16_384
 
--- a/corallanding/lab/fleet/emulate.py
+++ b/corallanding/lab/fleet/emulate.py
@@ -14,9 +14,9 @@
 import numpy as np
 
 from ... import interface as api
-from ...balance import Assigner
+from ...assignment import Assigner
 from ...config import ConfigFault, StewardConfig, load_steward
-from ...steward.turns import Decider
+from ...controller.event_inbox import Decider
 from ...telemetry import configure
 from .. import trace
 from ..clients import OperationSpec, Traffic
--- a/corallanding/lab/fleet/recorded.py
+++ b/corallanding/lab/fleet/recorded.py
@@ -22,7 +22,7 @@
 import numpy as np
 
 from ... import interface as api
-from ...steward.record import Recording
+from ...controller.recorder import Recording
 from ..clients import OperationSpec, Traffic
 
 LATE, SLOW, AROUND = 1.5, 1.5, 3.0  # spans in report periods; slowness; report periods around a gap
--- a/corallanding/lab/fleet/runs.py
+++ b/corallanding/lab/fleet/runs.py
@@ -23,8 +23,8 @@
 
 from ... import interface as api
 from ...config import StewardConfig
-from ...steward.record import read as read_recording
-from ...steward.turns import Decider
+from ...controller.event_inbox import Decider
+from ...controller.recorder import read as read_recording
 from .. import report, trace
 from ..publishers import PUBLISHERS
 from ..scenario import Scenario
@@ -111,7 +111,7 @@
 
 @lru_cache(maxsize=4)
 def decider_of(path: str) -> Callable[[api.Settings, int], Decider]:
-    """The module of another checkout: its package `balance`, or `balance.py`, in this package's place. Raises
+    """The module of another checkout: its package `assignment`, in this package's place. Raises
     `ImportError`."""
     name = f"corallanding._other_{digest(path)}"
     package = [str(Path(path).parent)] if Path(path).name == "__init__.py" else None
--- a/corallanding/lab/fleet/settings.py
+++ b/corallanding/lab/fleet/settings.py
@@ -12,7 +12,7 @@
 from pydantic import BaseModel, ValidationError
 
 from ...config import ConfigFault, StewardConfig, load_steward
-from ...steward import record
+from ...controller import recorder
 from ..scenario import Scenario, load_scenario
 from .emulate import NotEmulated, refuse
 from .recorded import Day, NoDay
@@ -31,10 +31,9 @@
 def setting(path: Path, day: Path | None, module: Path | None = None) -> Setting:
     """A scenario, or a steward's configuration with the day that it is to meet. Raises `ConfigFault`."""
     if module and not module.is_file():
-        files = [module / "corallanding" / "balance" / "__init__.py", module / "corallanding" / "balance.py"]
-        if not (found_at := next((f for f in files if f.is_file()), None)):
-            raise ConfigFault(f"{files[0].parent}: there is no module")
-        module = found_at
+        checkout, module = module, module / "corallanding" / "assignment" / "__init__.py"
+        if not module.is_file():
+            raise ConfigFault(f"{module.parent}: there is no module in the checkout {checkout}")
     where = str(module.resolve()) if module else ""
     if not is_steward(path):
         if day:
@@ -72,7 +71,7 @@
         day = recorded_day(str(path), str(exact or ""), s.scenario.roster.notice_ms)
     except NoDay as fault:
         raise ConfigFault(f"{path}: {fault}") from None
-    except (record.RecordFault, OSError) as fault:
+    except (recorder.RecordFault, OSError) as fault:
         raise ConfigFault(str(fault)) from None
     except (EOFError, msgspec.DecodeError) as fault:
         raise ConfigFault(f"{exact}: no trace: {fault}") from None
--- a/corallanding/lab/fleet/steward.py
+++ b/corallanding/lab/fleet/steward.py
@@ -9,13 +9,13 @@
 from ... import interface as api
 from ...config import StewardConfig
 from ...config.sources import RegistryBlock
-from ...reports.feed import Feed
-from ...reports.handed import FeedState
-from ...reports.intake import Datagrams, Intake, attend
-from ...roster.view import loopback
-from ...steward.daemon import Steward
-from ...steward.links import LinkProtocol
-from ...steward.turns import Decider
+from ...controller.daemon import Steward
+from ...controller.event_inbox import Decider
+from ...controller.proxy_protocol import LinkProtocol
+from ...endpoints.endpoint_list import loopback
+from ...load_reports.feed import Feed
+from ...load_reports.intake import Datagrams, Intake, attend
+from ...load_reports.state import FeedState
 from ...store import Life, StoreFault, StoreHeld
 from .loop import Machine, Server, SimLoop, Stream
 
--- a/corallanding/lab/publishers.py
+++ b/corallanding/lab/publishers.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Sequence
 
 from .. import interface as api
-from ..balance import Assigner
-from ..steward.turns import Decider
+from ..assignment import Assigner
+from ..controller.event_inbox import Decider
 
 
 class Hashing:
--- a/corallanding/lab/reporter.py
+++ b/corallanding/lab/reporter.py
@@ -15,7 +15,7 @@
 
 import numpy as np
 
-from ..reports.envelope import NO_ECHO, Head, pack, pack_json
+from ..load_reports.envelope import NO_ECHO, Head, pack, pack_json
 from .host import Host
 from .trace import clock, wall
 
--- a/corallanding/lab/standin.py
+++ b/corallanding/lab/standin.py
@@ -4,7 +4,7 @@
 
 import sys
 
-from ..steward.running import run
+from ..controller.main import run
 from .publishers import PUBLISHERS
 
 if __name__ == "__main__":
--- a/corallanding/lab/stewards/runs.py
+++ b/corallanding/lab/stewards/runs.py
@@ -9,15 +9,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from ...lease.limits import Terms
 from ...lease.tasks import Task, Tasks
-from ...lease.terms import Terms
-from ...once.asking import AskTerms, Told
-from ...once.core import Keep
-from ...once.fleet import FleetRecords
-from ...once.shelf import Shelf, Unkept
-from ...pins.core import RELEASE, RUNS, Pins, pins_on, record_terms
-from ...pins.terms import PinTerms
-from ...pins.words import PINNED
+from ...quorum_records.core import Keep
+from ...quorum_records.fleet import FleetRecords
+from ...quorum_records.queries import AskTerms, Told
+from ...quorum_records.replica import Shelf, Unkept
+from ...version_pinning.core import RELEASE, RUNS, Pins, pins_on, record_terms
+from ...version_pinning.limits import PinTerms
+from ...version_pinning.messages import PINNED
 from .tasks import TaskWorld
 from .world import Process
 
@@ -161,9 +161,9 @@
 
     def take(self, n: int, p: Process, sender: int, word: Any) -> None:
         kind, now = type(word).__module__, p.clock(self.now)
-        if kind.startswith("corallanding.once"):
+        if kind.startswith("corallanding.quorum_records"):
             self.carry(n, p, self.fleets[n].heard(now, sender, word))
-        elif kind.startswith("corallanding.pins"):
+        elif kind.startswith("corallanding.version_pinning"):
             self.carry(n, p, self.fleets[n].after(now, list(self.pins[n].heard(now, sender, word))))
         else:
             super().take(n, p, sender, word)
--- a/corallanding/lab/stewards/tasks.py
+++ b/corallanding/lab/stewards/tasks.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from ...lease.core import Leases
-from ...lease.place import Place
+from ...lease.fenced_resource import Place
+from ...lease.limits import Terms
 from ...lease.tasks import Tasks
-from ...lease.terms import Terms
 from ..fences import Act, Taking
 from .world import Process, World
 
--- a/corallanding/lab/stewards/waits.py
+++ b/corallanding/lab/stewards/waits.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from ...quota import Budget, Terms
-from ...waiting.core import Go, Waiting
-from ...waiting.terms import Kind, WaitTerms
-from ...waiting.words import Line
+from ...scheduling.core import Go, Waiting
+from ...scheduling.limits import Kind, WaitTerms
+from ...scheduling.messages import Line
 from ..order import Held, Went, judge
 from .world import Process, World
 
--- a/corallanding/lab/stewards/walk.py
+++ b/corallanding/lab/stewards/walk.py
@@ -11,12 +11,12 @@
 from typing import Any
 
 from ...lease.tasks import Task, Tasks
-from ...once.asking import AskTerms
-from ...once.core import Keep
-from ...once.fleet import FleetRecords
-from ...pins.core import RELEASE, RUNS, Pins, pins_on, record_terms
-from ...pins.terms import PinTerms
-from ...pins.words import PINNED
+from ...quorum_records.core import Keep
+from ...quorum_records.fleet import FleetRecords
+from ...quorum_records.queries import AskTerms
+from ...version_pinning.core import RELEASE, RUNS, Pins, pins_on, record_terms
+from ...version_pinning.limits import PinTerms
+from ...version_pinning.messages import PINNED
 from .runs import SETS, Disk
 
 TERMS = PinTerms(run=1e9, settle=60.0)
@@ -69,13 +69,13 @@
         disk.opened += 1
         leases = self.leases[n] = Anyone(n, tuple(k for k in self.keepers if k != n), life)
         fleet = self.fleets[n] = FleetRecords(
-            leases,
+            leases,  # type: ignore[arg-type]
             self.keepers,
             record_terms(TERMS, again=ASKS.again),
             ASKS,
             self.now,
             disk.opened,
-            disk.blank,  # type: ignore[arg-type]
+            disk.blank,
             (RUNS, RELEASE),
             (RUNS,),
             (RELEASE,),
@@ -111,7 +111,7 @@
         self.hand(*row)
 
     def hand(self, sender: int, to: int, word: Any) -> None:
-        if type(word).__module__.startswith("corallanding.once"):
+        if type(word).__module__.startswith("corallanding.quorum_records"):
             self.carry(to, self.fleets[to].heard(self.now, sender, word))
         else:
             self.carry(to, self.fleets[to].after(self.now, list(self.pins[to].heard(self.now, sender, word))))
--- a/corallanding/lab/stewards/world.py
+++ b/corallanding/lab/stewards/world.py
@@ -13,7 +13,7 @@
 from ...membership import Terms as MemberTerms
 from ...membership import encode as encode_news
 from ...quota import Budget, Quota, Terms
-from ...quota.words import encode as encode_words
+from ...quota.messages import encode as encode_words
 from ..uses import Use
 
 TICK = 50.0  # ms
--- a/corallanding/lease/core.py
+++ b/corallanding/lease/core.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from ..allowance import Allowances
-from .dealer import Dealer
-from .holder import Holder
-from .office import Desk, Office, Send
-from .place import Place
+from ..rate_limit import Allowances
+from .election import Desk, Office, Send
+from .fenced_resource import Place
+from .lease_holder import Holder
+from .limits import Terms
+from .messages import Act, Ask, Deal, OfficeWords, Quit, Seen, Stand, TaskWords, Vote
+from .shard_allocator import Dealer
 from .tasks import Tasks
-from .terms import Terms
-from .words import Act, Ask, Deal, OfficeWords, Quit, Seen, Stand, TaskWords, Vote
 
 
 class Leases:
--- a/corallanding/lease/office.py
+++ b/corallanding/lease/election.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from ..allowance import Allowances
-from .terms import SALT, OfficeTerms
-from .vote import Candidate, Voter, electorate
-from .words import OfficeWords, Quit, Stand, Vote
+from ..rate_limit import Allowances
+from .limits import SALT, OfficeTerms
+from .messages import OfficeWords, Quit, Stand, Vote
+from .voting import Candidate, Voter, electorate
 
 
 @dataclass(frozen=True)
--- a/corallanding/lease/holder.py
+++ b/corallanding/lease/lease_holder.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from .limits import Terms
+from .messages import Ask, Deal
 from .tasks import Tasks, pack, unpack
-from .terms import Terms
-from .words import Ask, Deal
 
 
 @dataclass
--- a/corallanding/lease/registry_office.py
+++ b/corallanding/lease/registry_election.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from .office import Send
-from .words import OfficeWords
+from .election import Send
+from .messages import OfficeWords
 
 OFFICE = 0  # the number of the one thing that is held
 WIDE = 32  # bits of a fence below the term's
--- a/corallanding/lease/dealer.py
+++ b/corallanding/lease/shard_allocator.py
@@ -9,10 +9,10 @@
 
 from dataclasses import dataclass, field
 
-from .plan import plan
+from .limits import SALT, Terms
+from .messages import Ask, Deal
+from .shard_plan import plan
 from .tasks import Tasks, each, pack, unpack
-from .terms import SALT, Terms
-from .words import Ask, Deal
 
 LIVES_MOST = 4  # of one steward, that something may still be out to
 PLANNED = 100.0  # ms for which a plan stands
--- a/corallanding/lease/tasks.py
+++ b/corallanding/lease/tasks.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from .words import BITS
+from .messages import BITS
 
 SHARDS = BITS * 8
 
--- a/corallanding/lease/vote.py
+++ b/corallanding/lease/voting.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
 
-from .terms import OfficeTerms
-from .words import Quit, Stand, Vote
+from .limits import OfficeTerms
+from .messages import Quit, Stand, Vote
 
 
 def electorate(voters: Collection[int]) -> int:
--- a/corallanding/reports/feed.py
+++ b/corallanding/load_reports/feed.py
@@ -14,9 +14,9 @@
 
 from .. import interface as api
 from .envelope import Head, Load
-from .handed import FeedState, digest, hand, take
-from .pipe import pack, unpack
-from .worth import Policy, Worth
+from .framing import pack, unpack
+from .load_estimator import Policy, Worth
+from .state import FeedState, digest, hand, take
 
 
 class Feed(asyncio.Protocol):
@@ -89,7 +89,7 @@
     async def spawn(self) -> tuple[asyncio.subprocess.Process, socket.socket]:
         ours, theirs = socket.socketpair()
         theirs.set_inheritable(True)
-        command = ["-m", "corallanding.reports.intake", str(theirs.fileno()), json.dumps(self.conf)]
+        command = ["-m", "corallanding.load_reports.intake", str(theirs.fileno()), json.dumps(self.conf)]
         env = {**os.environ, "PYTHONPATH": os.pathsep.join(p for p in sys.path if p)}
         process = await asyncio.create_subprocess_exec(sys.executable, *command, pass_fds=[theirs.fileno()], env=env)
         theirs.close()
--- a/corallanding/reports/intake.py
+++ b/corallanding/load_reports/intake.py
@@ -1,4 +1,4 @@
-"""The intake process: `python -m corallanding.reports.intake FD SETTINGS`. Reads datagrams and streams, hands on a few.
+"""The intake process: `python -m corallanding.load_reports.intake FD SETTINGS`. Reads datagrams and streams.
 
 A process of its own, so that a flood takes its core and never the steward's turn. It checks and parses at most
 `reports_per_s`, the fair choice of `triage`; what it hands on goes to the steward by the socket FD, and what it
@@ -20,10 +20,10 @@
 
 import uvloop
 
-from ..roster.view import loopback
+from ..endpoints.endpoint_list import loopback
 from .envelope import MOST, BadReport, genuine, read, sender
-from .pipe import pack, unpack
-from .triage import Triage
+from .framing import pack, unpack
+from .load_shedding import Triage
 
 TICK = b"oT"
 
--- a/corallanding/reports/handed.py
+++ b/corallanding/load_reports/state.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from .worth import Counts, HostLoad, Worth
+from .load_estimator import Counts, HostLoad, Worth
 
 
 class FeedState(msgspec.Struct):
--- a/corallanding/membership/__init__.py
+++ b/corallanding/membership/__init__.py
@@ -1,8 +1,8 @@
 """Who is a steward now. `core` is pure; `words` are what goes by datagram. See docs/budgets.md."""
 
 from .core import Members
+from .messages import Ack, Ask, Ping, Word, decode, encode
 from .table import ALIVE, DEAD, LEFT, SUSPECT, UNKNOWN, Changed, Send, Terms
-from .words import Ack, Ask, Ping, Word, decode, encode
 
 __all__ = [
     "ALIVE",
--- a/corallanding/membership/core.py
+++ b/corallanding/membership/core.py
@@ -10,7 +10,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from ..allowance import Allowance
+from ..rate_limit import Allowance
+from .messages import NEWS_MOST, Ack, Ask, News, Ping
 from .table import (
     ALIVE,
     DEAD,
@@ -26,7 +27,6 @@
     Send,
     Terms,
 )
-from .words import NEWS_MOST, Ack, Ask, News, Ping
 
 
 @dataclass
--- a/corallanding/membership/table.py
+++ b/corallanding/membership/table.py
@@ -5,8 +5,8 @@
 import math
 from dataclasses import dataclass
 
-from ..allowance import Allowance
-from .words import Ack, Ask, Ping
+from ..rate_limit import Allowance
+from .messages import Ack, Ask, Ping
 
 UNKNOWN, ALIVE, SUSPECT, DEAD, LEFT = range(5)
 INCARNATIONS = 1 << 32  # above this a claim is nonsense: nobody refutes four thousand million times
--- a/corallanding/node/__main__.py
+++ b/corallanding/platform/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m corallanding.node`: one steward on the platform. LB_CONFIG names its configuration. See `program`."""
+"""`python -m corallanding.platform`: one steward on the platform. LB_CONFIG names its configuration. See `program`."""
 
 from __future__ import annotations
 
--- a/corallanding/node/config.py
+++ b/corallanding/platform/config.py
@@ -12,12 +12,12 @@
 
 from .. import interface as api
 from ..collector.core import Places
-from ..dial import Address
+from ..connection import Address
 from ..discovery.core import Answer
-from ..simhost.fields import Malformed
-from ..simhost.settings import above_0, ms
-from ..simhost.settings import settings as settings_of
-from ..unreadable import UNREADABLE
+from ..json_errors import UNREADABLE
+from ..simulator_adapter.fields import Malformed
+from ..simulator_adapter.settings import above_0, ms
+from ..simulator_adapter.settings import settings as settings_of
 
 
 class BadConfig(Exception):
--- a/corallanding/node/lists.py
+++ b/corallanding/platform/endpoint_updates.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable, Sequence
 
 from .. import interface as api
-from ..discovery.agent import Agent
 from ..discovery.core import Answer, BadAnswer, View
-from ..names import name
+from ..discovery.long_poll import Agent
+from ..host_names import name
 from .config import Config
 from .logs import Seldom, log
 
--- a/corallanding/node/logs.py
+++ b/corallanding/platform/logs.py
@@ -16,7 +16,7 @@
 LINE_MOST = 4_000  # bytes: what a pipe takes whole or not at all
 KINDS_MOST = 64
 
-log = logging.getLogger("corallanding.node")
+log = logging.getLogger("corallanding.platform")
 
 
 class Pipe(logging.Handler):
--- a/corallanding/node/service.py
+++ b/corallanding/platform/service.py
@@ -8,24 +8,24 @@
 from collections.abc import Sequence
 
 from .. import interface as api
-from ..balance import Assigner
+from ..assignment import Assigner
 from ..collector.core import Intake
-from ..collector.door import Door
-from ..names import name
-from ..probe.prober import Prober
-from ..relay.call_link import CallLink
-from ..relay.calls import Calls
+from ..collector.server import Door
+from ..controller.event_inbox import Turns
+from ..health_check.prober import Prober
+from ..host_names import name
+from ..relay.call_connection import CallLink
 from ..relay.channel import Channel
-from ..relay.news import News
-from ..relay.news_link import NewsLink
 from ..relay.orders import Order
-from ..steward.turns import Turns
+from ..relay.pending_calls import Calls
+from ..relay.subscription import News
+from ..relay.subscription_connection import NewsLink
 from . import trace
 from .clock import Clock
 from .config import BadConfig, Config, address, read
-from .gaps import Gaps
-from .lists import Lists
+from .endpoint_updates import Lists
 from .logs import Seldom, Tally, log
+from .unconfirmed_acks import Gaps
 
 READY_MOST = 3.0  # s after which signs of life are given whatever is missing
 RESERVED = 64  # descriptors kept from strangers: loop, log, relay, discovery, probes, collectors
--- a/corallanding/node/trace.py
+++ b/corallanding/platform/trace.py
@@ -7,17 +7,17 @@
 from typing import Protocol
 
 from .. import interface as api
-from ..balance import Assigner
+from ..assignment import Assigner
 from ..collector.core import Intake
-from ..collector.door import Door
-from ..discovery.agent import Agent
+from ..collector.server import Door
+from ..controller.event_inbox import Turns
 from ..discovery.core import View
-from ..names import name
-from ..relay.calls import Calls
-from ..relay.news import News
-from ..relay.news_link import NewsLink
+from ..discovery.long_poll import Agent
+from ..host_names import name
 from ..relay.orders import Order
-from ..steward.turns import Turns
+from ..relay.pending_calls import Calls
+from ..relay.subscription import News
+from ..relay.subscription_connection import NewsLink
 from .clock import Clock
 
 
--- a/corallanding/node/gaps.py
+++ b/corallanding/platform/unconfirmed_acks.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from .. import interface as api
-from ..relay.news import News
+from ..relay.subscription import News
 
 
 class Gaps:
--- a/corallanding/once/core.py
+++ b/corallanding/quorum_records/core.py
@@ -7,13 +7,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ..allowance import Allowances
-from ..lease.office import Send
-from .catch_up import CatchUp
-from .shelf import May, Shelf, Unkept, anything
-from .terms import RecordTerms
-from .words import Copied, Copy, Fetch, Here, Known, Page, RecordWords
-from .writer import Writer
+from ..lease.election import Send
+from ..rate_limit import Allowances
+from .limits import RecordTerms
+from .messages import Copied, Copy, Fetch, Here, Known, Page, RecordWords
+from .proposer import Writer
+from .replica import May, Shelf, Unkept, anything
+from .replica_recovery import CatchUp
 
 
 @dataclass(frozen=True)
--- a/corallanding/once/fleet.py
+++ b/corallanding/quorum_records/fleet.py
@@ -7,12 +7,12 @@
 from typing import Any
 
 from ..lease.core import Leases
-from .asking import Asking, AskTerms
 from .core import Action, Keep, Records
 from .groups import Groups, group_of
-from .shelf import May
-from .terms import RecordTerms
-from .words import Answer, Question, RecordWords
+from .limits import RecordTerms
+from .messages import Answer, Question, RecordWords
+from .queries import Asking, AskTerms
+from .replica import May
 
 
 class FleetRecords:
--- a/corallanding/once/words.py
+++ b/corallanding/quorum_records/messages.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..lease.words import Word
+from ..lease.messages import Word
 
 COPIED_MOST, PAGED_MOST = 8, 6  # rows of a word
 VALUE_MOST = (1 << 63) - 1
--- a/corallanding/once/writer.py
+++ b/corallanding/quorum_records/proposer.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ..lease.office import Send
-from .terms import RecordTerms
-from .words import BEHIND, BLANK, CLOSED, COPIED_MOST, FULL, KEPT, Copied, Copy, Fetch, Page, Row
+from ..lease.election import Send
+from .limits import RecordTerms
+from .messages import BEHIND, BLANK, CLOSED, COPIED_MOST, FULL, KEPT, Copied, Copy, Fetch, Page, Row
 
 
 @dataclass
--- a/corallanding/once/asking.py
+++ b/corallanding/quorum_records/queries.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from ..lease.office import Send
+from ..lease.election import Send
 from .core import Records
-from .words import Answer, Question
+from .messages import Answer, Question
 
 NOT_NOW = 0  # what an answer says where nobody could be asked in time; all else is its subject's own
 
--- a/corallanding/once/shelf.py
+++ b/corallanding/quorum_records/replica.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from .terms import RecordTerms
-from .words import BEHIND, BLANK, CLOSED, FULL, KEPT, PAGED_MOST, Copied, Copy, FencedRow, Fetch, Page
+from .limits import RecordTerms
+from .messages import BEHIND, BLANK, CLOSED, FULL, KEPT, PAGED_MOST, Copied, Copy, FencedRow, Fetch, Page
 
 
 @dataclass(slots=True)
--- a/corallanding/once/catch_up.py
+++ b/corallanding/quorum_records/replica_recovery.py
@@ -8,10 +8,10 @@
 
 from dataclasses import dataclass
 
-from ..lease.office import Send
-from .shelf import Shelf
-from .terms import RecordTerms
-from .words import BLANK, Copied, Copy, Fetch, Here, Known, Page
+from ..lease.election import Send
+from .limits import RecordTerms
+from .messages import BLANK, Copied, Copy, Fetch, Here, Known, Page
+from .replica import Shelf
 
 ANSWERS = 1 << 52  # rounds of our fetches begin there, so that they are told from a writer's
 
--- a/corallanding/quota/__init__.py
+++ b/corallanding/quota/__init__.py
@@ -1,14 +1,14 @@
 """Budgets of the whole fleet of stewards, divided among them by demand. Pure. See docs/budgets.md."""
 
-from ..lease.office import Send
-from ..lease.vote import Candidate, Voter
-from ..lease.words import Quit, Stand, Vote
+from ..lease.election import Send
+from ..lease.messages import Quit, Stand, Vote
+from ..lease.voting import Candidate, Voter
 from .core import Quota
-from .divider import Divider
-from .division import share
-from .holder import Holder
-from .terms import Budget, Terms
-from .words import Give, Want, Words, decode, encode
+from .fair_share import share
+from .limits import Budget, Terms
+from .messages import Give, Want, Words, decode, encode
+from .quota_allocator import Divider
+from .quota_client import Holder
 
 __all__ = [
     "Budget",
--- a/corallanding/quota/core.py
+++ b/corallanding/quota/core.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, replace
 
-from ..allowance import Allowances
-from ..lease.office import Desk, Office, Send
-from ..lease.vote import Candidate, Voter
-from ..lease.words import Quit, Stand, Vote
-from .divider import Divider
-from .holder import Holder
-from .terms import Budget, Terms
-from .words import Give, Want, Words
+from ..lease.election import Desk, Office, Send
+from ..lease.messages import Quit, Stand, Vote
+from ..lease.voting import Candidate, Voter
+from ..rate_limit import Allowances
+from .limits import Budget, Terms
+from .messages import Give, Want, Words
+from .quota_allocator import Divider
+from .quota_client import Holder
 
 
 @dataclass
--- a/corallanding/quota/terms.py
+++ b/corallanding/quota/limits.py
@@ -5,7 +5,7 @@
 import zlib
 from dataclasses import dataclass
 
-from ..lease.terms import OfficeTerms
+from ..lease.limits import OfficeTerms
 
 Key = tuple[int, int]  # budget's id, subject: a host's number, or 0 for a budget of the fleet
 
--- a/corallanding/quota/words.py
+++ b/corallanding/quota/messages.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from ..lease.words import OfficeWords, Word
-from ..lease.words import sound as sound_office
+from ..lease.messages import OfficeWords, Word
+from ..lease.messages import sound as sound_office
 
 # budget, subject, wanted, what a good grant holds, the most that may be in use, round of the grant that was taken up
 Row = tuple[int, int, int, int, int, int]
--- a/corallanding/quota/divider.py
+++ b/corallanding/quota/quota_allocator.py
@@ -10,9 +10,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from .division import share
-from .terms import Budget, Key, Terms
-from .words import Give, Given, Row, Want
+from .fair_share import share
+from .limits import Budget, Key, Terms
+from .messages import Give, Given, Row, Want
 
 LIVES_MOST = 4  # of one steward, that something may still be lent to
 
--- a/corallanding/quota/holder.py
+++ b/corallanding/quota/quota_client.py
@@ -5,8 +5,8 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from .terms import Budget, Key, Terms
-from .words import Give, Row, Want
+from .limits import Budget, Key, Terms
+from .messages import Give, Row, Want
 
 BUCKETS = 64  # in which the uses of one key are kept: each is taken as ending with the last of its bucket
 
--- a/corallanding/registry/connection.py
+++ b/corallanding/registry/connection.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from .sync import Header, Row
+from .watch_state import Header, Row
 
 
 class Lost(Exception):
--- a/corallanding/registry/consul.py
+++ b/corallanding/registry/consul.py
@@ -11,9 +11,9 @@
 import aiohttp
 import msgspec
 
-from ..roster.view import loopback
+from ..endpoints.endpoint_list import loopback
 from .connection import Lost, Stream
-from .sync import Header, Row
+from .watch_state import Header, Row
 
 MOST = 64 << 20
 
--- a/corallanding/registry/etcd.py
+++ b/corallanding/registry/etcd.py
@@ -15,7 +15,7 @@
 from aetcd.rpc import kv_pb2, rpc_pb2, rpc_pb2_grpc
 
 from .connection import Compacted, Lost, Stream
-from .sync import Header, Row
+from .watch_state import Header, Row
 
 
 @dataclass(frozen=True)
--- a/corallanding/registry/source.py
+++ b/corallanding/registry/source.py
@@ -16,12 +16,12 @@
 import msgspec
 
 from .connection import Connection
-from .follow import Follower
-from .sync import Delta, Limits, Row, Sync
+from .watch_state import Delta, Limits, Row, Sync
+from .watcher import Follower
 
 if TYPE_CHECKING:
     from ..config.sources import RegistryBlock
-    from ..roster.source import Listener
+    from ..endpoints.source import Listener
     from .etcd import Etcd
 
 
--- a/corallanding/registry/keeper.py
+++ b/corallanding/registry/table_store.py
@@ -14,11 +14,11 @@
 import msgspec
 from aetcd.rpc import rpc_pb2
 
-from .charge import Action, Announce, Charge, Claim, Given, GrantLease, KeepAlive, Release, Terms
 from .connection import Lost
 from .etcd import Etcd, lost
-from .follow import Follower
-from .sync import Delta, Limits, Sync
+from .slice_ownership import Action, Announce, Charge, Claim, Given, GrantLease, KeepAlive, Release, Terms
+from .watch_state import Delta, Limits, Sync
+from .watcher import Follower
 
 OPERATIONS_MOST = 100  # of one transaction; the registry's usual limit is 128
 BYTES_MOST = 1_000_000  # of one transaction; the registry's usual limit is 1.5 MiB
--- a/corallanding/registry/follow.py
+++ b/corallanding/registry/watcher.py
@@ -7,7 +7,7 @@
 from typing import Generic, TypeVar
 
 from .connection import Compacted, Connection, Lost
-from .sync import Action, Close, Delta, Follow, Header, List, Row, Say, Sync
+from .watch_state import Action, Close, Delta, Follow, Header, List, Row, Say, Sync
 
 Conn = TypeVar("Conn", bound=Connection)
 
--- a/corallanding/relay/call_link.py
+++ b/corallanding/relay/call_connection.py
@@ -5,10 +5,10 @@
 import asyncio
 from collections.abc import Callable
 
-from ..dial import Address, Dialer, Limit
-from .calls import Calls
-from .lines import Lines
+from ..connection import Address, Dialer, Limit
+from .line_protocol import Lines
 from .orders import Order
+from .pending_calls import Calls
 
 
 class CallLink:
--- a/corallanding/relay/lines.py
+++ b/corallanding/relay/line_protocol.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..dial import Address, Dialled
+from ..connection import Address, Dialled
 
 LINE_MOST = 1 << 20
 
--- a/corallanding/relay/orders.py
+++ b/corallanding/relay/orders.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from .. import interface as api
-from ..names import name
+from ..host_names import name
 
 Key = tuple[str, int, int]
 Order = api.SetLine | api.ResetTable | api.Cordon | api.Level | api.Mark
--- a/corallanding/relay/calls.py
+++ b/corallanding/relay/pending_calls.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from .. import interface as api
-from ..unreadable import UNREADABLE
+from ..json_errors import UNREADABLE
 from .channel import Channel
 from .orders import Key, Order, encode, key, rank
 
--- a/corallanding/relay/news.py
+++ b/corallanding/relay/subscription.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from .. import interface as api
-from ..names import number
-from ..unreadable import UNREADABLE
+from ..host_names import number
+from ..json_errors import UNREADABLE
 
 TableOrder = api.SetLine | api.ResetTable
 
--- a/corallanding/relay/news_link.py
+++ b/corallanding/relay/subscription_connection.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from .. import interface as api
-from ..dial import Address, Dialer, Limit
-from .lines import Lines
-from .news import BadNews, News, Standing, TableOrder
+from ..connection import Address, Dialer, Limit
+from .line_protocol import Lines
+from .subscription import BadNews, News, Standing, TableOrder
 
 WATCH = b'{"jsonrpc":"2.0","id":1,"method":"relay.watch"}\n'
 
--- a/corallanding/waiting/core.py
+++ b/corallanding/scheduling/core.py
@@ -12,12 +12,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..allowance import Allowances
-from ..lease.office import Send
-from .lines import Lines
+from ..lease.election import Send
+from ..rate_limit import Allowances
+from .limits import Kind, WaitTerms
+from .messages import LEVELS_MOST, ROWS_MOST, Line
+from .peer_queues import Lines
 from .queue import BLOCKED, CLAIMING, READY, Job, Queue
-from .terms import Kind, WaitTerms
-from .words import LEVELS_MOST, ROWS_MOST, Line
 
 
 @dataclass(frozen=True)
--- a/corallanding/waiting/claims.py
+++ b/corallanding/scheduling/idempotency.py
@@ -8,8 +8,8 @@
 
 from collections.abc import Callable
 
-from ..once.asking import Asking, Found
-from ..once.words import FULL as NO_ROOM
+from ..quorum_records.messages import FULL as NO_ROOM
+from ..quorum_records.queries import Asking, Found
 from .queue import Job
 
 SEEK, CLAIM, BACK = range(3)  # what is asked: how old it is, whether it may go, that it has not gone and will not
--- a/corallanding/waiting/words.py
+++ b/corallanding/scheduling/messages.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..lease.words import Word
+from ..lease.messages import Word
 
 ROWS_MOST = 10
 LEVELS_MOST = 12
--- a/corallanding/waiting/lines.py
+++ b/corallanding/scheduling/peer_queues.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from .terms import Kind
-from .words import Line, Row
+from .limits import Kind
+from .messages import Line, Row
 
 
 @dataclass
--- a/corallanding/waiting/queue.py
+++ b/corallanding/scheduling/queue.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from heapq import heappop, heappush
 
-from .terms import Kind
-from .words import Row
+from .limits import Kind
+from .messages import Row
 
 READY, BLOCKED, CLAIMING = range(3)
 
--- a/corallanding/simhost/__main__.py
+++ b/corallanding/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Run many instances on the simulator's wire: `python -m corallanding.simhost`."""
+"""Run many instances on the simulator's wire: `python -m corallanding.simulator_adapter`."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TextIO
 
 from .. import interface as api
-from ..balance import Assigner
+from ..assignment import Assigner
 from . import codec
 from .fields import Fields, Malformed, split, whole
 from .settings import settings
--- a/corallanding/snapshot/marks.py
+++ b/corallanding/snapshot/marks.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ..ranks import Ranks
+from ..assignment.rendezvous import Ranks
 
 
 class Row(msgspec.Struct, array_like=True):
--- a/corallanding/snapshot/module.py
+++ b/corallanding/snapshot/module.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from .. import interface as api
-from ..balance import Assigner
-from ..records import Host, Slice
+from ..assignment import Assigner
+from ..assignment.state import Host, Slice
 
 SETTLED = frozenset({"seed", "turn", "tight"})  # what follows from the settings and the seed
 HOST = [f.name for f in dataclasses.fields(Host) if f.name not in ("entry", "marks")]
--- a/corallanding/pins/core.py
+++ b/corallanding/version_pinning/core.py
@@ -6,16 +6,16 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from ..lease.office import Send
-from ..once.asking import Asking, Told
-from ..once.core import Action
-from ..once.fleet import FleetRecords
-from ..once.terms import RecordTerms
-from .choose import Versions
+from ..lease.election import Send
+from ..quorum_records.core import Action
+from ..quorum_records.fleet import FleetRecords
+from ..quorum_records.limits import RecordTerms
+from ..quorum_records.queries import Asking, Told
+from .limits import PinTerms
+from .messages import PinWords, Settled, Tallied, Tally
 from .releases import Releases
-from .runs import END, Runs
-from .terms import PinTerms
-from .words import PinWords, Settled, Tallied, Tally
+from .version_selection import Versions
+from .workflow_runs import END, Runs
 
 RUNS, RELEASE = "runs", "release"  # names of the task group and the task
 
--- a/corallanding/pins/words.py
+++ b/corallanding/version_pinning/messages.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..lease.words import Word
+from ..lease.messages import Word
 
 NOT_NOW, PINNED, OVER, FULL = range(4)  # what a run is told
 ENTER, ENDED = range(2)  # what is asked of a run: it goes on, or it is over
--- a/corallanding/pins/releases.py
+++ b/corallanding/version_pinning/releases.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable, Collection, Mapping
 from dataclasses import dataclass, field
 
-from ..lease.office import Send
-from ..once.core import Records
-from .register import Register, unpack
-from .release import first, next_register
-from .terms import PinTerms
-from .words import TALLIES_MOST, Settled, Tallied, Tally
+from ..lease.election import Send
+from ..quorum_records.core import Records
+from .limits import PinTerms
+from .messages import TALLIES_MOST, Settled, Tallied, Tally
+from .release_register import Register, unpack
+from .rollout import first, next_register
 
 KEY = 1  # of the register in its group
 
--- a/corallanding/pins/release.py
+++ b/corallanding/version_pinning/rollout.py
@@ -6,7 +6,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import replace
 
-from .register import ALIVE_MOST, Register
+from .release_register import ALIVE_MOST, Register
 
 
 def first(wanted: int) -> Register:
--- a/corallanding/pins/routes.py
+++ b/corallanding/version_pinning/routes.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 
-from .choose import Server, Versions, lines_for
+from .version_selection import Server, Versions, lines_for
 
 Row = tuple[int, int, int, list[tuple[int, float]], float]  # slice, operation, version, lines, wait
 
--- a/corallanding/pins/choose.py
+++ b/corallanding/version_pinning/version_selection.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Collection, Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from ..ranks import mark
+from ..assignment.rendezvous import mark
 
 
 def draw(key: int, sets: Sequence[int], strength: Sequence[float]) -> int:
--- a/corallanding/pins/runs.py
+++ b/corallanding/version_pinning/workflow_runs.py
@@ -5,13 +5,13 @@
 import zlib
 from collections.abc import Callable
 
-from ..allowance import Allowance
-from ..once.asking import Asking, Found
-from ..once.words import FULL as NO_ROOM
-from .choose import draw
-from .register import Register
-from .terms import PinTerms
-from .words import ENDED, ENTER, FULL, OVER, PINNED
+from ..quorum_records.messages import FULL as NO_ROOM
+from ..quorum_records.queries import Asking, Found
+from ..rate_limit import Allowance
+from .limits import PinTerms
+from .messages import ENDED, ENTER, FULL, OVER, PINNED
+from .release_register import Register
+from .version_selection import draw
 
 END = 1 << 20  # added to a run's set once it is over
 
--- a/corallanding/wire/frames.py
+++ b/corallanding/wire/frames.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from .base import (
+from .codec import (
     HEAD,
     VERSION,
     Amount,
@@ -24,7 +24,7 @@
     Text,
     UnknownVersion,
 )
-from .fleet import Enter, Go, Pinned, Routes, Unwait, Wait, Waits
+from .peer_frames import Enter, Go, Pinned, Routes, Unwait, Wait, Waits
 
 __all__ = [
     "HEAD",
--- a/corallanding/wire/link.py
+++ b/corallanding/wire/link.py
@@ -9,21 +9,7 @@
 from dataclasses import dataclass, field
 
 from . import frames
-from .frames import (
-    Ack,
-    Beat,
-    Bye,
-    Enter,
-    Held,
-    Hello,
-    OutOfPlace,
-    Read,
-    Reader,
-    Sums,
-    UnknownVersion,
-    Unwait,
-    Wait,
-)
+from .frames import Ack, Beat, Bye, Enter, Held, Hello, OutOfPlace, Read, Reader, Sums, UnknownVersion, Unwait, Wait
 
 
 @dataclass(frozen=True)
--- a/corallanding/wire/fleet.py
+++ b/corallanding/wire/peer_frames.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from .base import Amount, Frame, Lines, Number, Text
+from .codec import Amount, Frame, Lines, Number, Text
 
 # ---- from a forwarder --------------------------------------------------------------------------------
 
--- a/tests/crossings_agent.py
+++ b/tests/crossings_agent.py
@@ -6,7 +6,7 @@
 
 from crossings import FOR_EVER, Side, Stand
 
-from corallanding.discovery.agent import Agent
+from corallanding.discovery.long_poll import Agent
 
 
 class Listed:
--- a/tests/crossings_life.py
+++ b/tests/crossings_life.py
@@ -15,8 +15,8 @@
 from platform_front import attach, entry, owner
 from test_platform_state import TOP, row
 
-from corallanding.node import service as node
-from corallanding.node.config import read
+from corallanding.platform import service as node
+from corallanding.platform.config import read
 
 
 def text(where: Address) -> str:
--- a/tests/crossings_relay.py
+++ b/tests/crossings_relay.py
@@ -8,10 +8,10 @@
 from platform_front import HOSTS, SETTINGS, ZONES
 
 from corallanding import interface as api
-from corallanding.relay.call_link import CallLink
-from corallanding.relay.calls import Calls
-from corallanding.relay.news import News
-from corallanding.relay.news_link import NewsLink
+from corallanding.relay.call_connection import CallLink
+from corallanding.relay.pending_calls import Calls
+from corallanding.relay.subscription import News
+from corallanding.relay.subscription_connection import NewsLink
 
 A, B, C = HOSTS[:3]
 
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from corallanding import interface as api
-from corallanding.balance import Assigner
+from corallanding.assignment import Assigner
 
 TRACES = Path(__file__).parent / "traces"
 QUOTE = api.Operation("quote", api.Repeat.IDEMPOTENT, "all", 5000, 3, 0.1, 1200, 3000)
--- a/tests/platform_front.py
+++ b/tests/platform_front.py
@@ -4,8 +4,8 @@
 
 from corallanding import interface as api
 from corallanding.collector.core import Intake, Peer, Places
-from corallanding.names import number
-from corallanding.relay.news import News, Standing
+from corallanding.host_names import number
+from corallanding.relay.subscription import News, Standing
 from corallanding.resp import encode
 
 ZONES = {"a": 0, "b": 1}
--- a/tests/platform_standins.py
+++ b/tests/platform_standins.py
@@ -203,7 +203,7 @@
 
     def __init__(self, config: dict[str, Any], path: Path) -> None:
         self.config, self.path = config, path
-        self.command = [sys.executable, "-m", "corallanding.node"]
+        self.command = [sys.executable, "-m", "corallanding.platform"]
         self.write()
 
     def write(self, **other: Any) -> None:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -9,7 +9,7 @@
 
 from corallanding import interface as api
 from corallanding.config import load_steward
-from corallanding.steward.daemon import Steward
+from corallanding.controller.daemon import Steward
 from corallanding.wire import frames
 
 CONFIG = """\
--- a/tests/stored_samples.py
+++ b/tests/stored_samples.py
@@ -7,22 +7,22 @@
 from typing import Any
 
 from corallanding import interface as api
-from corallanding.balance import Assigner
+from corallanding.assignment import Assigner
 from corallanding.channel import Channel
 from corallanding.channel import Limits as ChannelLimits
-from corallanding.lease import words as lease
-from corallanding.membership import words as membership
-from corallanding.once import words as once
-from corallanding.pins import words as pins
-from corallanding.quota import words as quota
-from corallanding.reports.handed import FeedState
-from corallanding.reports.worth import Counts, HostLoad, Process
-from corallanding.steward.engine import Engine, Send
-from corallanding.steward.handed import Handed, LinkState, hand, link_state
-from corallanding.steward.joins import Joins
-from corallanding.steward.revive import StewardState, capture
+from corallanding.controller.engine import Engine, Send
+from corallanding.controller.handover_state import Handed, LinkState, hand, link_state
+from corallanding.controller.join_admission import Joins
+from corallanding.controller.recovery import StewardState, capture
+from corallanding.lease import messages as lease
+from corallanding.load_reports.load_estimator import Counts, HostLoad, Process
+from corallanding.load_reports.state import FeedState
+from corallanding.membership import messages as membership
+from corallanding.quorum_records import messages as once
+from corallanding.quota import messages as quota
+from corallanding.scheduling import messages as waiting
 from corallanding.store.api import Life
-from corallanding.waiting import words as waiting
+from corallanding.version_pinning import messages as pins
 from corallanding.wire import frames
 from corallanding.wire.link import Limits as LinkLimits
 from corallanding.wire.link import Link
--- a/tests/test_budgets_config.py
+++ b/tests/test_budgets_config.py
@@ -12,7 +12,7 @@
 
 from corallanding import interface as api
 from corallanding.config import ConfigFault, load_steward
-from corallanding.steward.budgets import budgets_of
+from corallanding.controller.quota_service import budgets_of
 
 PEERS = 'peer_listen = "127.0.0.1:7000"\n  peers = { "1" = "127.0.0.1:7001", "2" = "127.0.0.1:7002" }\n  stewards = 3\n'
 GOOD = 'budget "probes" {\n whole = 7\n per = "host"\n unit = "per_s"\n floor = 1\n}\n'
--- a/tests/test_collector.py
+++ b/tests/test_collector.py
@@ -7,7 +7,7 @@
 
 from corallanding import interface as api
 from corallanding.collector.core import REJECT, Peer
-from corallanding.relay.news import News, Standing
+from corallanding.relay.subscription import News, Standing
 from corallanding.resp import encode
 
 
--- a/tests/test_crossings_answers.py
+++ b/tests/test_crossings_answers.py
@@ -9,7 +9,7 @@
 from crossings import FOR_EVER, Side, Stand, busy, play, turns, until
 from crossings_agent import Listed, agent, asked, poll
 
-from corallanding.discovery.agent import SOON
+from corallanding.discovery.long_poll import SOON
 
 
 def half(side: Side) -> None:
--- a/tests/test_crossings_call_answers.py
+++ b/tests/test_crossings_call_answers.py
@@ -7,7 +7,7 @@
 from crossings import FOR_EVER, Stand, busy, play, turns, until
 from crossings_relay import Caller, called, taken
 
-from corallanding.relay.lines import LINE_MOST
+from corallanding.relay.line_protocol import LINE_MOST
 
 
 def test_two_answers_cost_the_next_call_nothing() -> None:
--- a/tests/test_crossings_calls.py
+++ b/tests/test_crossings_calls.py
@@ -11,7 +11,7 @@
 from crossings_relay import A, B, C, Caller, called, taken
 
 from corallanding import interface as api
-from corallanding.relay.calls import Calls
+from corallanding.relay.pending_calls import Calls
 
 
 @pytest.mark.parametrize("end", [Side.close, Side.reset])
--- a/tests/test_crossings_dial.py
+++ b/tests/test_crossings_dial.py
@@ -9,7 +9,7 @@
 import pytest
 from crossings import FOR_EVER, Address, Dials, Side, Stand, nobody, play, turns, until
 
-from corallanding.dial import Dialer, Dialled
+from corallanding.connection import Dialer, Dialled
 
 
 class Owner:
--- a/tests/test_crossings_door.py
+++ b/tests/test_crossings_door.py
@@ -11,9 +11,9 @@
 from crossings import Side, busy, play, turns, until
 from platform_front import host_report, intake, slice_report
 
-from corallanding.collector import door as at
+from corallanding.collector import server as at
 from corallanding.collector.core import REJECT, SIGN_OF_LIFE
-from corallanding.collector.door import Door
+from corallanding.collector.server import Door
 from corallanding.resp import encode
 
 JOIN = encode(["telemetry", "locality", "a"])
--- a/tests/test_crossings_news.py
+++ b/tests/test_crossings_news.py
@@ -12,7 +12,7 @@
 from platform_front import HOSTS, SETTINGS, ZONES, attach, entry, owner
 
 from corallanding import interface as api
-from corallanding.relay.news import BadNews, News
+from corallanding.relay.subscription import BadNews, News
 
 
 @pytest.mark.parametrize("end", [Side.close, Side.reset])
--- a/tests/test_crossings_planted.py
+++ b/tests/test_crossings_planted.py
@@ -21,15 +21,15 @@
 import test_crossings_news as news_scenes
 from crossings import Side
 
-from corallanding import dial
-from corallanding.collector import door
+from corallanding import connection
+from corallanding.collector import server
 from corallanding.discovery import core as discovery
-from corallanding.discovery.agent import Agent
-from corallanding.discovery.conversation import Conversation
-from corallanding.node.service import Service
-from corallanding.relay.call_link import CallLink
-from corallanding.relay.calls import Call, Calls
-from corallanding.relay.news_link import NewsLink
+from corallanding.discovery.http_connection import Conversation
+from corallanding.discovery.long_poll import Agent
+from corallanding.platform.service import Service
+from corallanding.relay.call_connection import CallLink
+from corallanding.relay.pending_calls import Call, Calls
+from corallanding.relay.subscription_connection import NewsLink
 
 Patch = pytest.MonkeyPatch
 
@@ -44,16 +44,16 @@
             self.done()
             self.adopt(conn)
 
-    p.setattr(dial.Dialer, "connect", connect)
+    p.setattr(connection.Dialer, "connect", connect)
 
 
 def dial_that_outlives_the_close(p: Patch) -> None:
-    p.setattr(dial.Dialer, "cancel", lambda self: None)
+    p.setattr(connection.Dialer, "cancel", lambda self: None)
 
 
 def every_dial_adopted(p: Patch) -> None:
-    p.setattr(dial.Dialer, "cancel", lambda self: None)
-    p.setattr(dial.Dialer, "stands", lambda self, conn: (self.done(), self.adopt(conn)))
+    p.setattr(connection.Dialer, "cancel", lambda self: None)
+    p.setattr(connection.Dialer, "stands", lambda self, conn: (self.done(), self.adopt(conn)))
 
 
 def cancelled_after_adoption(p: Patch) -> None:
@@ -67,17 +67,17 @@
             self.task.cancel()
         done(self)
 
-    p.setattr(dial.Dialer, "done", done)
-    p.setattr(dial.Dialer, "cancel", cancel)
+    p.setattr(connection.Dialer, "done", done)
+    p.setattr(connection.Dialer, "cancel", cancel)
 
 
 def limits_before_reads(p: Patch) -> None:
-    p.setattr(dial.Limit, "once_read", lambda self: self.over())
+    p.setattr(connection.Limit, "once_read", lambda self: self.over())
 
 
 def short_joining(p: Patch) -> None:
     limits_before_reads(p)
-    p.setattr(door, "JOIN_WITHIN", door.JOIN_WITHIN / 20.0)
+    p.setattr(server, "JOIN_WITHIN", server.JOIN_WITHIN / 20.0)
 
 
 def whole_list_forgotten(p: Patch) -> None:
@@ -181,10 +181,10 @@
 def ends_told(p: Patch) -> None:
     """Also to one who dropped the connection."""
 
-    def lost(self: dial.Dialled, exc: Exception | None) -> None:
+    def lost(self: connection.Dialled, exc: Exception | None) -> None:
         self.lost(self)
 
-    p.setattr(dial.Dialled, "connection_lost", lost)
+    p.setattr(connection.Dialled, "connection_lost", lost)
 
 
 PLANTED: list[tuple[Callable[[Patch], None], Callable[[Path], None]]] = [
--- a/tests/test_crossings_probes.py
+++ b/tests/test_crossings_probes.py
@@ -10,7 +10,7 @@
 from crossings_life import text
 
 from corallanding import interface as api
-from corallanding.probe.prober import Prober
+from corallanding.health_check.prober import Prober
 
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nbusy=0.5"
 
--- a/tests/test_crossings_start.py
+++ b/tests/test_crossings_start.py
@@ -17,7 +17,7 @@
 from test_platform_state import TOP
 
 from corallanding.collector.core import REJECT, SIGN_OF_LIFE
-from corallanding.node import service as node
+from corallanding.platform import service as node
 from corallanding.resp import encode
 
 
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -32,21 +32,25 @@
         seen.append(f"open {args[0]}")
 sys.addaudithook(hook)
 try:
-    runpy.run_module("corallanding.node", run_name="__main__")
+    runpy.run_module("corallanding.platform", run_name="__main__")
 finally:
     said = json.dumps([seen, sorted(sys.modules)])
     open(out, "w").write(said)
 """
 
 # The standard library, the four libraries of requirements.txt, and of the project what serves the platform.
-OWN = {"node", "relay", "collector", "discovery", "resp", "probe", "names", "simhost", "balance", "interface", "ranks"}
-OWN |= {"records", "dial", "unreadable"}
-SHARED = {"corallanding.steward.turns", "corallanding.steward.listen", "corallanding.roster.view"}
+OWN = {"platform", "relay", "collector", "discovery", "resp", "health_check", "host_names", "simulator_adapter"}
+OWN |= {"assignment", "interface", "connection", "json_errors"}
+SHARED = {
+    "corallanding.controller.event_inbox",
+    "corallanding.controller.acceptor",
+    "corallanding.endpoints.endpoint_list",
+}
 
 
 def test_run_is_one_exec_and_the_steward_alone() -> None:
-    assert shlex.split(DEPLOY["run"]) == ["exec", ".venv/bin/python", "-m", "corallanding.node"]
-    assert shlex.split(DEPLOY["sim"]) == ["exec", ".venv/bin/python", "-m", "corallanding.simhost"]
+    assert shlex.split(DEPLOY["run"]) == ["exec", ".venv/bin/python", "-m", "corallanding.platform"]
+    assert shlex.split(DEPLOY["sim"]) == ["exec", ".venv/bin/python", "-m", "corallanding.simulator_adapter"]
     assert not DEPLOY["packages"] and all((ROOT / p).exists() for p in (*DEPLOY["policy"], *DEPLOY["node"]))
 
 
@@ -71,7 +75,9 @@
     third = {m for m in third if not m.startswith("_")}
     assert third <= {"uvloop", "httptools", "hiredis", "msgspec", "cython_runtime", "typing_extensions"}, third
     mine = {m for m in modules if m.startswith("corallanding.")}
-    stray = {m for m in mine if m.split(".")[1] not in OWN} - SHARED - {"corallanding.steward", "corallanding.roster"}
+    stray = (
+        {m for m in mine if m.split(".")[1] not in OWN} - SHARED - {"corallanding.controller", "corallanding.endpoints"}
+    )
     assert not stray, stray
     assert not {"sqlite3", "multiprocessing", "concurrent.futures.process"} & set(modules)
 
@@ -93,7 +99,7 @@
     reached = all(p.stat().st_mode & 0o005 == 0o005 for p in [python, *python.parents, *tree.parents])
     other: dict[str, int] = {"user": 65_534, "group": 65_534} if os.getuid() == 0 and reached else {}
     done = subprocess.run(
-        [sys.executable, "-m", "corallanding.node"],
+        [sys.executable, "-m", "corallanding.platform"],
         cwd=tree,
         env={"LB_CONFIG": str(config)},
         capture_output=True,
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -5,8 +5,8 @@
 from sockets import Scripted
 
 from corallanding import interface as api
-from corallanding.steward import engine as core
-from corallanding.steward.gather import Gather
+from corallanding.controller import engine as core
+from corallanding.controller.report_aggregation import Gather
 from corallanding.store import Life
 from corallanding.wire import frames
 
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -14,6 +14,7 @@
 
 from corallanding import interface as api
 from corallanding.cli.main import app
+from corallanding.controller.recorder import Recording, read
 from corallanding.lab.commands import lab
 from corallanding.lab.fleet import compare, page, recorded, runs, search
 from corallanding.lab.fleet.emulate import emulate
@@ -34,7 +35,6 @@
 )
 from corallanding.lab.scenario import Fault, load_scenario
 from corallanding.lab.scenario_text import scenario_hcl
-from corallanding.steward.record import Recording, read
 
 HERE = Path(__file__).parent
 HARD = load_scenario(HERE / "hard.hcl")
@@ -180,8 +180,10 @@
 
 
 def test_another_checkout_s_module_decides_in_this_one_s_place(tmp_path: Path) -> None:
-    folder = tmp_path / "other" / "corallanding" / "balance"
-    shutil.copytree(Path(api.__file__).parent.parent / "balance", folder, ignore=shutil.ignore_patterns("__pycache__"))
+    folder = tmp_path / "other" / "corallanding" / "assignment"
+    shutil.copytree(
+        Path(api.__file__).parent.parent / "assignment", folder, ignore=shutil.ignore_patterns("__pycache__")
+    )
     (tmp_path / "day.hcl").write_text(scenario_hcl(SHORT))
     same = setting(tmp_path / "day.hcl", None, tmp_path / "other")
     ours = emulate(SHORT, 2)
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -13,12 +13,12 @@
 import pytest
 
 from corallanding import interface as api
-from corallanding.balance import Assigner
-from corallanding.balance.known import CROWDED, strain
-from corallanding.balance.owners import FEW, ROOM
-from corallanding.ranks import Ranks, mark
-from corallanding.records import Host, Slice
-from corallanding.steward.record import compare, read
+from corallanding.assignment import Assigner
+from corallanding.assignment.host_health import CROWDED, strain
+from corallanding.assignment.placement import FEW, ROOM
+from corallanding.assignment.rendezvous import Ranks, mark
+from corallanding.assignment.state import Host, Slice
+from corallanding.controller.recorder import compare, read
 
 WANT: dict[str, list[int]] = json.loads(golden.KEPT.read_text())
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -13,19 +13,19 @@
 from corallanding.lab.fences import judge
 from corallanding.lab.stewards.tasks import WALL, TaskWorld
 from corallanding.lab.stewards.world import Way, troubled
-from corallanding.lease import dealer as dealer_module
-from corallanding.lease import vote as vote_module
+from corallanding.lease import shard_allocator as dealer_module
+from corallanding.lease import voting as vote_module
 from corallanding.lease.core import Leases
-from corallanding.lease.dealer import Dealer
-from corallanding.lease.holder import Holder
-from corallanding.lease.place import Place
-from corallanding.lease.plan import plan
-from corallanding.lease.registry_office import RegistryOffice
+from corallanding.lease.fenced_resource import Place
+from corallanding.lease.lease_holder import Holder
+from corallanding.lease.limits import Terms
+from corallanding.lease.messages import BITS, Act, Ask, Deal, Stand, Vote, decode, encode
+from corallanding.lease.registry_election import RegistryOffice
+from corallanding.lease.shard_allocator import Dealer
+from corallanding.lease.shard_plan import plan
 from corallanding.lease.tasks import SHARDS, Task, Tasks, each, pack, unpack
-from corallanding.lease.terms import Terms
-from corallanding.lease.words import BITS, Act, Ask, Deal, Stand, Vote, decode, encode
-from corallanding.registry.charge import Charge
-from corallanding.registry.charge import Terms as ChargeTerms
+from corallanding.registry.slice_ownership import Charge
+from corallanding.registry.slice_ownership import Terms as ChargeTerms
 
 TIGHT = Terms(lease=600.0, office=400.0)
 LONG = Terms(lease=1_500.0, office=300.0)  # leases that outlast the office under which they were dealt
--- a/tests/test_lease_small.py
+++ b/tests/test_lease_small.py
@@ -13,14 +13,14 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from corallanding.lease import vote as vote_module
-from corallanding.lease.dealer import Dealer
-from corallanding.lease.holder import Holder
-from corallanding.lease.place import Place
+from corallanding.lease import voting as vote_module
+from corallanding.lease.fenced_resource import Place
+from corallanding.lease.lease_holder import Holder
+from corallanding.lease.limits import Terms
+from corallanding.lease.messages import Ask, Deal, Stand, Vote
+from corallanding.lease.shard_allocator import Dealer
 from corallanding.lease.tasks import Task, Tasks
-from corallanding.lease.terms import Terms
-from corallanding.lease.vote import Candidate, Voter, electorate
-from corallanding.lease.words import Ask, Deal, Stand, Vote
+from corallanding.lease.voting import Candidate, Voter, electorate
 
 # A lease of three steps and an act of one and a half: a few steps see leases end, and acts that would outlast them.
 TERMS = Terms(lease=300.0, office=200.0, drift=0.0)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -23,7 +23,7 @@
     decode,
     encode,
 )
-from corallanding.membership.words import NEWS_MOST
+from corallanding.membership.messages import NEWS_MOST
 from corallanding.quota import Terms as QuotaTerms
 
 
--- a/tests/test_mutation.py
+++ b/tests/test_mutation.py
@@ -21,18 +21,18 @@
 from corallanding.lab.stewards.waits import WaitWorld, bound_of
 from corallanding.lab.stewards.world import World
 from corallanding.lab.uses import most
+from corallanding.lease.limits import Terms
+from corallanding.lease.messages import sound as sound_task
 from corallanding.lease.tasks import Task, Tasks
-from corallanding.lease.terms import Terms
-from corallanding.lease.words import sound as sound_task
-from corallanding.membership.words import Ack, Ask, Ping
-from corallanding.once.words import sound as sound_record
-from corallanding.pins.words import PinWords
-from corallanding.pins.words import sound as sound_pin
+from corallanding.membership.messages import Ack, Ask, Ping
+from corallanding.quorum_records.messages import sound as sound_record
 from corallanding.quota import Budget
 from corallanding.quota import Terms as QuotaTerms
-from corallanding.quota.words import Give, Want
-from corallanding.quota.words import sound as sound_quota
-from corallanding.waiting.words import sound as sound_line
+from corallanding.quota.messages import Give, Want
+from corallanding.quota.messages import sound as sound_quota
+from corallanding.scheduling.messages import sound as sound_line
+from corallanding.version_pinning.messages import PinWords
+from corallanding.version_pinning.messages import sound as sound_pin
 
 LEASE = Terms(lease=600.0, office=400.0)
 UNTIL = 5_000.0
--- a/tests/test_mutation_platform.py
+++ b/tests/test_mutation_platform.py
@@ -14,9 +14,9 @@
 
 from corallanding import interface as api
 from corallanding.discovery.core import BadAnswer, View
-from corallanding.names import number
-from corallanding.relay.calls import Calls
-from corallanding.relay.news import BadNews, News, Standing
+from corallanding.host_names import number
+from corallanding.relay.pending_calls import Calls
+from corallanding.relay.subscription import BadNews, News, Standing
 
 GONE = object()
 NUMBERS: list[Any] = [True, 0, -1, 1 << 40, 1 << 70, 1.5, 1e300]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -203,7 +203,7 @@
     if content is not None:
         path.write_bytes(content)
     done = subprocess.run(
-        [sys.executable, "-m", "corallanding.node"],
+        [sys.executable, "-m", "corallanding.platform"],
         env={**os.environ, "LB_CONFIG": str(path)},
         capture_output=True,
         text=True,
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -15,9 +15,9 @@
 from sockets import CONFIG, Peer, Running, Scripted, until
 
 from corallanding import interface as api
-from corallanding.steward.joins import Joins
-from corallanding.steward.listen import Listener
-from corallanding.steward.overload import Limits, Overload
+from corallanding.controller.acceptor import Listener
+from corallanding.controller.join_admission import Joins
+from corallanding.controller.overload import Limits, Overload
 from corallanding.wire import frames
 
 # ---- joins ---------------------------------------------------------------------------------------------------
--- a/tests/test_pins.py
+++ b/tests/test_pins.py
@@ -14,13 +14,13 @@
 from corallanding.lab.stewards.runs import RunWorld
 from corallanding.lab.stewards.walk import Walk
 from corallanding.lab.stewards.world import troubled
-from corallanding.once.core import Keep, Records
-from corallanding.once.shelf import Shelf
-from corallanding.once.writer import Entry, Writer
-from corallanding.pins import release
-from corallanding.pins.register import Register
-from corallanding.pins.releases import Releases
-from corallanding.pins.words import PINNED
+from corallanding.quorum_records.core import Keep, Records
+from corallanding.quorum_records.proposer import Entry, Writer
+from corallanding.quorum_records.replica import Shelf
+from corallanding.version_pinning import rollout
+from corallanding.version_pinning.messages import PINNED
+from corallanding.version_pinning.release_register import Register
+from corallanding.version_pinning.releases import Releases
 
 SETS = {n: {"quote": n, "claim": (n + 1) // 2} for n in range(1, 5)}
 
@@ -129,13 +129,13 @@
 
 
 def a_retired_set_opens_again(patch: Any) -> None:
-    real = release.opened
+    real = rollout.opened
 
     def opened(now: Register, step: Register, wanted: int, known: Any, strong: Any) -> Any:
         found, why = real(replace(now, highest=0), step, wanted, known, strong)
         return (replace(found, highest=max(now.highest, wanted)) if found else None), why
 
-    patch.setattr(release, "opened", opened)
+    patch.setattr(rollout, "opened", opened)
 
 
 def any_tally_counts(patch: Any) -> None:
--- a/tests/test_pins_choose.py
+++ b/tests/test_pins_choose.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable
 
-from corallanding.pins.choose import Server, draw, lines_for, strength
-from corallanding.pins.register import Register, unpack
-from corallanding.pins.release import next_register
-from corallanding.pins.routes import NoHost, Routes
+from corallanding.version_pinning.release_register import Register, unpack
+from corallanding.version_pinning.rollout import next_register
+from corallanding.version_pinning.routes import NoHost, Routes
+from corallanding.version_pinning.version_selection import Server, draw, lines_for, strength
 
 # ---- what is decided ---------------------------------------------------------------------------------------
 
--- a/tests/test_pins_scenes.py
+++ b/tests/test_pins_scenes.py
@@ -11,12 +11,12 @@
 
 from corallanding.lab.stewards.runs import RunWorld
 from corallanding.lab.stewards.walk import TASKS, Walk
-from corallanding.once.shelf import Shelf
-from corallanding.once.terms import RecordTerms
-from corallanding.once.words import Copied, Copy
-from corallanding.once.writer import Writer
-from corallanding.pins.releases import Releases
-from corallanding.pins.words import FULL, NOT_NOW, OVER, PINNED, Tally
+from corallanding.quorum_records.limits import RecordTerms
+from corallanding.quorum_records.messages import Copied, Copy
+from corallanding.quorum_records.proposer import Writer
+from corallanding.quorum_records.replica import Shelf
+from corallanding.version_pinning.messages import FULL, NOT_NOW, OVER, PINNED, Tally
+from corallanding.version_pinning.releases import Releases
 
 
 class Scripted(Walk):
--- a/tests/test_platform_state.py
+++ b/tests/test_platform_state.py
@@ -12,9 +12,9 @@
 
 from corallanding import interface as api
 from corallanding.discovery.core import GONE_MOST, Answer, BadAnswer, View
-from corallanding.names import name, number
-from corallanding.node.config import BadConfig, flatten, parse, read
-from corallanding.simhost.settings import settings as settings_of
+from corallanding.host_names import name, number
+from corallanding.platform.config import BadConfig, flatten, parse, read
+from corallanding.simulator_adapter.settings import settings as settings_of
 
 
 def row(host: str, health: str = "in_service", **other: Any) -> dict[str, Any]:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -12,9 +12,9 @@
 
 from corallanding.lab.stewards.world import Way, World, troubled
 from corallanding.lab.uses import most
-from corallanding.lease import vote as vote_module
+from corallanding.lease import voting as vote_module
 from corallanding.quota import Budget, Divider, Give, Holder, Quota, Stand, Terms, Vote, Want, decode, encode, share
-from corallanding.quota import divider as divider_module
+from corallanding.quota import quota_allocator as divider_module
 
 TIGHT = Terms(lease=500.0, office=400.0)
 WHOLES = {"moves": 7, "cold": 2}
--- a/tests/test_record_file.py
+++ b/tests/test_record_file.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from corallanding.once.shelf import Shelf, Unkept
-from corallanding.once.terms import RecordTerms
-from corallanding.steward import record_file
-from corallanding.steward.record_file import RecordFile
+from corallanding.controller import record_store
+from corallanding.controller.record_store import RecordFile
+from corallanding.quorum_records.limits import RecordTerms
+from corallanding.quorum_records.replica import Shelf, Unkept
 
 
 def opened(path: Path, now: float = 5_000.0) -> tuple[RecordFile, Shelf]:
@@ -50,7 +50,7 @@
     with sqlite3.connect(tmp_path / "r.db") as db:
         db.execute("update record set wall = wall - 60000, born = born + 1e9")
         db.execute("insert or replace into meta values ('boot', 'another')")
-    monkeypatch.setattr(record_file, "boot_id", lambda: "this one")
+    monkeypatch.setattr(record_store, "boot_id", lambda: "this one")
     file, shelf = opened(tmp_path / "r.db")
     assert 61_000.0 <= 5_000.0 - shelf.groups[7][99].born < 66_000.0
     file.close()
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -23,10 +23,10 @@
 from corallanding import interface as api
 from corallanding.config import ConfigFault, load_steward
 from corallanding.config.sources import RegistryBlock
+from corallanding.endpoints.endpoint_list import View
 from corallanding.lab.registry import Registry
 from corallanding.registry.source import RegistrySource, make, row_of
-from corallanding.registry.sync import Row
-from corallanding.roster.view import View
+from corallanding.registry.watch_state import Row
 
 PREFIX = "/corallanding/hosts/"
 
--- a/tests/test_registry_charge.py
+++ b/tests/test_registry_charge.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from corallanding.registry.charge import (
+from corallanding.registry.slice_ownership import (
     Announce,
     Charge,
     Claim,
--- a/tests/test_registry_keeper.py
+++ b/tests/test_registry_keeper.py
@@ -12,11 +12,11 @@
 from sockets import until
 
 from corallanding.lab.registry import Registry
-from corallanding.registry.charge import Terms
 from corallanding.registry.connection import Lost
 from corallanding.registry.etcd import Etcd
-from corallanding.registry.keeper import Fenced, Keeper
-from corallanding.registry.sync import Limits
+from corallanding.registry.slice_ownership import Terms
+from corallanding.registry.table_store import Fenced, Keeper
+from corallanding.registry.watch_state import Limits
 
 SLICES = 12
 TERMS = Terms(ttl=1000.0, margin=0.25, settle=150.0)
--- a/tests/test_registry_stewards.py
+++ b/tests/test_registry_stewards.py
@@ -9,7 +9,7 @@
 
 from sockets import CONFIG, Peer, Running, until
 
-from corallanding.balance import Assigner
+from corallanding.assignment import Assigner
 from corallanding.lab.registry import Registry
 from corallanding.wire import frames
 
--- a/tests/test_registry_sync.py
+++ b/tests/test_registry_sync.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule, run_state_machine_as_test
 
-from corallanding.registry.sync import Close, Delta, Follow, Header, Limits, List, Row, Say, Sync
+from corallanding.registry.watch_state import Close, Delta, Follow, Header, Limits, List, Row, Say, Sync
 
 KEYS = [b"a", b"b", b"c", b"d", b"e"]
 
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -11,7 +11,7 @@
 from platform_front import HOSTS
 
 from corallanding import interface as api
-from corallanding.relay.calls import CALL_MOST, Call, Calls, Channel
+from corallanding.relay.pending_calls import CALL_MOST, Call, Calls, Channel
 
 A, B, C = HOSTS[:3]
 
--- a/tests/test_relay_news.py
+++ b/tests/test_relay_news.py
@@ -13,8 +13,8 @@
 from platform_front import HOSTS, SETTINGS, ZONES, attach, entry, owner, told
 
 from corallanding import interface as api
-from corallanding.balance import Assigner
-from corallanding.relay.news import BadNews, News, Standing, TableOrder, carried
+from corallanding.assignment import Assigner
+from corallanding.relay.subscription import BadNews, News, Standing, TableOrder, carried
 
 Row = tuple[str, dict[str, Any]]
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -22,12 +22,12 @@
 from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
 
 from corallanding import interface as api
-from corallanding.reports.envelope import HEAD, BadReport, Head, Load, genuine, pack, pack_json, read, sender
-from corallanding.reports.handed import FeedState, hand, take
-from corallanding.reports.intake import Intake
-from corallanding.reports.triage import Triage
-from corallanding.reports.weigh import changes, weigh
-from corallanding.reports.worth import Policy, Worth, influence
+from corallanding.load_reports.envelope import HEAD, BadReport, Head, Load, genuine, pack, pack_json, read, sender
+from corallanding.load_reports.intake import Intake
+from corallanding.load_reports.load_estimator import Policy, Worth, influence
+from corallanding.load_reports.load_shedding import Triage
+from corallanding.load_reports.state import FeedState, hand, take
+from corallanding.load_reports.weights import changes, weigh
 from corallanding.snapshot import file
 
 HEAD_1 = Head(7, 3, 1_700_000_000_000, 9, 5_000.0, 1_700_000_005_000.0, b"12345678")
--- a/tests/test_revive.py
+++ b/tests/test_revive.py
@@ -15,14 +15,14 @@
 from sockets import CONFIG, Peer, Running, until
 
 from corallanding import interface as api
-from corallanding.balance import Assigner
+from corallanding.assignment import Assigner
+from corallanding.controller import recorder
+from corallanding.controller.crash_loop import Advice, Starts, advise
+from corallanding.controller.engine import Engine
+from corallanding.controller.recovery import StewardState, Unfit, boot_id, capture, check, revive
 from corallanding.lab.roster import Roster
 from corallanding.lab.trace import Trace
 from corallanding.snapshot import file
-from corallanding.steward import record
-from corallanding.steward.engine import Engine
-from corallanding.steward.revive import StewardState, Unfit, boot_id, capture, check, revive
-from corallanding.steward.starts import Advice, Starts, advise
 from corallanding.store.api import Life
 from corallanding.wire import frames
 
@@ -149,7 +149,7 @@
     one.begin()
     one.run(20)
     state, tail = one.state(), len(one.log)
-    log = record.Recorder(tmp_path / "log", SETTINGS, 1, 1e9, True)
+    log = recorder.Recorder(tmp_path / "log", SETTINGS, 1, 1e9, True)
     one.run(3)
     sizes = [log.written]
     for now, events, actions in one.log[tail:]:
@@ -159,7 +159,7 @@
     whole = (tmp_path / "log").read_bytes()
     for cut in range(sizes[0], len(whole) + 1):
         (tmp_path / "log").write_bytes(whole[:cut])
-        steps = record.read(tmp_path / "log").steps
+        steps = recorder.read(tmp_path / "log").steps
         assert len(steps) == sum(size <= cut for size in sizes[1:])
         if cut in sizes or cut % 97 == 0:
             assert revive(Rig(2, lines(one.engine)).engine, state, steps, one.now)[0] == len(steps)
@@ -351,7 +351,7 @@
 
 def test_a_recording_ends_where_its_disk_does(tmp_path: Path) -> None:
     """A part of an item, then room again: what follows a torn item could not be read, and is not written."""
-    r = record.Recorder(tmp_path / "r", SETTINGS, 1, 1e9)
+    r = recorder.Recorder(tmp_path / "r", SETTINGS, 1, 1e9)
     r.step(1.0, [], [])
     real = r.file
 
@@ -365,10 +365,10 @@
     r.step(3.0, [], [])
     assert r.full and "a part" in r.why
     r.close()
-    found = record.read(tmp_path / "r")
+    found = recorder.read(tmp_path / "r")
     assert [now for now, _, _ in found.steps] == [1.0] and found.torn
     with open("/dev/full", "wb", buffering=0) as full:
-        r = record.Recorder(tmp_path / "r", SETTINGS, 1, 1e9)
+        r = recorder.Recorder(tmp_path / "r", SETTINGS, 1, 1e9)
         r.file = full
         r.step(1.0, [], [])
         assert r.full and "No space left" in r.why
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -9,8 +9,8 @@
 import pytest
 
 from corallanding import interface as api
-from corallanding.roster.source import LineRoster
-from corallanding.roster.view import View, loopback
+from corallanding.endpoints.endpoint_list import View, loopback
+from corallanding.endpoints.source import LineRoster
 
 
 def row(host: int, **more: Any) -> dict[str, Any]:
--- a/tests/test_settings_any.py
+++ b/tests/test_settings_any.py
@@ -11,13 +11,13 @@
 from test_platform_state import SETTINGS, TOP
 
 from corallanding import interface as api
-from corallanding.balance import Assigner
+from corallanding.assignment import Assigner
 from corallanding.collector.core import Intake
-from corallanding.names import number
-from corallanding.node.config import BadConfig, Config, parse
-from corallanding.relay.calls import Calls, Channel
-from corallanding.relay.news import News
-from corallanding.steward.turns import Turns
+from corallanding.controller.event_inbox import Turns
+from corallanding.host_names import number
+from corallanding.platform.config import BadConfig, Config, parse
+from corallanding.relay.pending_calls import Calls, Channel
+from corallanding.relay.subscription import News
 
 NAMES = st.text(st.characters(exclude_categories=("Cs",)), min_size=1, max_size=12)
 AMOUNT = st.sampled_from([0, 1, 0.5, 700, 250_000, 1_200_000, 60_000_000, 1e12, -1, "12", "x", None, True, [], {}])
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -10,9 +10,9 @@
 import pytest
 
 from corallanding import interface as api
-from corallanding.balance import Assigner
-from corallanding.ranks import Ranks
-from corallanding.records import Host
+from corallanding.assignment import Assigner
+from corallanding.assignment.rendezvous import Ranks
+from corallanding.assignment.state import Host
 from corallanding.snapshot import file, marks
 from corallanding.snapshot.module import ModuleState, dump, load
 from corallanding.snapshot.module import parts as parts_of
--- a/tests/test_steward.py
+++ b/tests/test_steward.py
@@ -12,8 +12,8 @@
 from sockets import CONFIG, Running, until
 
 from corallanding import interface as api
-from corallanding.probe.prober import Prober
-from corallanding.steward.daemon import ORIGIN, Clock
+from corallanding.controller.daemon import ORIGIN, Clock
+from corallanding.health_check.prober import Prober
 from corallanding.telemetry import configure
 from corallanding.wire import frames
 
--- a/tests/test_store_conformance.py
+++ b/tests/test_store_conformance.py
@@ -14,10 +14,10 @@
 from sockets import until
 
 from corallanding.lab.registry import Registry
-from corallanding.registry.charge import Terms
 from corallanding.registry.etcd import Etcd
-from corallanding.registry.keeper import Keeper
-from corallanding.registry.sync import Limits
+from corallanding.registry.slice_ownership import Terms
+from corallanding.registry.table_store import Keeper
+from corallanding.registry.watch_state import Limits
 from corallanding.store import SqliteStore
 
 Tables = dict[int, dict[int, float]]
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -24,25 +24,26 @@
 from typer.testing import CliRunner
 
 from corallanding import interface as api
-from corallanding.balance import Assigner
+from corallanding.assignment import Assigner
+from corallanding.assignment.state import Host, Slice
 from corallanding.cli.main import app
-from corallanding.once.shelf import Shelf, Unkept
-from corallanding.once.terms import RecordTerms
-from corallanding.once.words import Fetch
-from corallanding.records import Host, Slice
-from corallanding.reports.handed import digest as intake_digest
-from corallanding.reports.pipe import pack as pack_intake
-from corallanding.reports.pipe import unpack as unpack_intake
+from corallanding.controller import main, record_store
+from corallanding.controller import recorder as record
+from corallanding.controller.crash_loop import Starts
+from corallanding.controller.decision_loop import Turning
+from corallanding.controller.handover_driver import Arbiter
+from corallanding.controller.handover_sender import command_of
+from corallanding.controller.handover_state import Handed, channel_state, link_state, put_channel, put_link, take
+from corallanding.controller.record_store import RecordFile
+from corallanding.controller.recovery import StewardState, check, revive
+from corallanding.load_reports.framing import pack as pack_intake
+from corallanding.load_reports.framing import unpack as unpack_intake
+from corallanding.load_reports.state import digest as intake_digest
+from corallanding.quorum_records.limits import RecordTerms
+from corallanding.quorum_records.messages import Fetch
+from corallanding.quorum_records.replica import Shelf, Unkept
 from corallanding.snapshot import file, marks
 from corallanding.snapshot.module import dump, load
-from corallanding.steward import record, record_file, running
-from corallanding.steward.giver import command_of
-from corallanding.steward.handed import Handed, channel_state, link_state, put_channel, put_link, take
-from corallanding.steward.handover import Arbiter
-from corallanding.steward.record_file import RecordFile
-from corallanding.steward.revive import StewardState, check, revive
-from corallanding.steward.starts import Starts
-from corallanding.steward.turning import Turning
 from corallanding.store import Life, SqliteStore
 from corallanding.telemetry.metrics import Metrics
 from corallanding.upgrade.core import PROTOCOL, Do, New, Old
@@ -259,7 +260,7 @@
 
 @pytest.fixture
 def fixed_clocks(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(record_file, "boot_id", lambda: "boot")
+    monkeypatch.setattr(record_store, "boot_id", lambda: "boot")
     monkeypatch.setattr(time, "monotonic", lambda: 5000.0)
     monkeypatch.setattr(time, "time", lambda: 1.7e9)
 
@@ -413,7 +414,7 @@
         taken.append((config, record, take_over))
         return 0
 
-    monkeypatch.setattr(running, "run", run)
+    monkeypatch.setattr(main, "run", run)
     (tmp_path / "s.hcl").write_text("")
     words = ["steward", "--config", f"{tmp_path}/s.hcl", "--take-over", "7"]
     told = CliRunner().invoke(app, words)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -22,10 +22,10 @@
 from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
 
 from corallanding.cli.main import app
+from corallanding.controller import recorder
 from corallanding.lab.roster import Roster
 from corallanding.lab.trace import Trace
-from corallanding.reports.envelope import Head, pack
-from corallanding.steward import record
+from corallanding.load_reports.envelope import Head, pack
 from corallanding.store import SqliteStore
 from corallanding.upgrade.core import Do
 from corallanding.wire import frames
@@ -248,7 +248,7 @@
             os.killpg(s.process.pid, signal.SIGKILL)
             told = CliRunner().invoke(app, ["replay", str(tmp_path / "s.rec")])
             assert told.exit_code == 0 and "no difference" in told.output, told.output
-            assert len(record.read(tmp_path / "s.rec").steps) > 40
+            assert len(recorder.read(tmp_path / "s.rec").steps) > 40
 
     play(scene())
 
--- a/tests/test_upgrade_state.py
+++ b/tests/test_upgrade_state.py
@@ -8,13 +8,13 @@
 import pytest
 
 from corallanding import interface as api
-from corallanding.balance import Assigner
+from corallanding.assignment import Assigner
 from corallanding.channel import Channel, Limits
+from corallanding.controller.engine import Engine, Send
+from corallanding.controller.handover_state import Handed, hand, link_state, put_link, take
+from corallanding.controller.join_admission import Joins
+from corallanding.controller.recovery import Unfit, capture
 from corallanding.snapshot import file
-from corallanding.steward.engine import Engine, Send
-from corallanding.steward.handed import Handed, hand, link_state, put_link, take
-from corallanding.steward.joins import Joins
-from corallanding.steward.revive import Unfit, capture
 from corallanding.store.api import Life
 from corallanding.wire import frames
 from corallanding.wire.link import Limits as LinkLimits
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -13,10 +13,10 @@
 from corallanding.lab.stewards.waits import QUOTA, TERMS, WaitWorld, bound_of
 from corallanding.lab.stewards.world import troubled
 from corallanding.lab.uses import most
-from corallanding.waiting.core import Go, Waiting
-from corallanding.waiting.lines import Lines
-from corallanding.waiting.queue import Queue
-from corallanding.waiting.terms import Kind, WaitTerms
+from corallanding.scheduling.core import Go, Waiting
+from corallanding.scheduling.limits import Kind, WaitTerms
+from corallanding.scheduling.peer_queues import Lines
+from corallanding.scheduling.queue import Queue
 
 BOUND = bound_of(TERMS, QUOTA.drift, 15_000.0)
 
--- a/tests/test_waiting_core.py
+++ b/tests/test_waiting_core.py
@@ -8,15 +8,15 @@
 import msgspec
 
 from corallanding.lab.order import judge
-from corallanding.once.asking import Asking, AskTerms
-from corallanding.once.core import Records
-from corallanding.once.terms import RecordTerms
-from corallanding.waiting.claims import CLAIM, FOUND, GRANTED, SEEK, TWIN, Claims
-from corallanding.waiting.core import Ask, Go, Waiting
-from corallanding.waiting.lines import Lines, above
-from corallanding.waiting.queue import Job, Queue
-from corallanding.waiting.terms import OVERDUE, Kind, WaitTerms
-from corallanding.waiting.words import LEVELS_MOST, ROWS_MOST, Line, sound
+from corallanding.quorum_records.core import Records
+from corallanding.quorum_records.limits import RecordTerms
+from corallanding.quorum_records.queries import Asking, AskTerms
+from corallanding.scheduling.core import Ask, Go, Waiting
+from corallanding.scheduling.idempotency import CLAIM, FOUND, GRANTED, SEEK, TWIN, Claims
+from corallanding.scheduling.limits import OVERDUE, Kind, WaitTerms
+from corallanding.scheduling.messages import LEVELS_MOST, ROWS_MOST, Line, sound
+from corallanding.scheduling.peer_queues import Lines, above
+from corallanding.scheduling.queue import Job, Queue
 
 # ---- one job, one record -----------------------------------------------------------------------------------
 
