--- a/Makefile
+++ b/Makefile
@@ -31,6 +31,7 @@
 endif
 
 lint: setup
+	$(VENV)/bin/ruff format --check .
 	$(VENV)/bin/ruff check .
 	$(VENV)/bin/mypy
 
--- a/bench/handover.py
+++ b/bench/handover.py
@@ -10,6 +10,7 @@
 from __future__ import annotations
 
 import asyncio
+import itertools
 import json
 import os
 import signal
@@ -53,7 +54,7 @@
     found = []
     for times in at.values():
         inside = [t for t in times if begin <= t <= end]
-        found.append(max((b - a for a, b in zip(inside, inside[1:], strict=False)), default=end - begin) * 1000.0)
+        found.append(max((b - a for a, b in itertools.pairwise(inside)), default=end - begin) * 1000.0)
     return found
 
 
--- a/bench/ready.py
+++ b/bench/ready.py
@@ -14,6 +14,7 @@
 import argparse
 import asyncio
 import contextlib
+import itertools
 import json
 import math
 import os
@@ -156,7 +157,7 @@
             process.kill()
         await process.wait()
     marks = [begun, loaded, listening, peers.asked, alive]
-    return dict(zip(PHASES, [*(b - a for a, b in zip(marks, marks[1:], strict=False)), alive - begun], strict=True))
+    return dict(zip(PHASES, [*(b - a for a, b in itertools.pairwise(marks)), alive - begun], strict=True))
 
 
 def free() -> str:
--- a/corallanding/assignment/host_health.py
+++ b/corallanding/assignment/host_health.py
@@ -111,7 +111,7 @@
             if slow and ill and self.figures.median < CROWDED / 2 and not self.cold(h):
                 self.failing(h)
                 return
-        if e.end is api.ProbeEnd.OK or e.end is api.ProbeEnd.TIMEOUT and h.run < RUN and h.listed:
+        if e.end is api.ProbeEnd.OK or (e.end is api.ProbeEnd.TIMEOUT and h.run < RUN and h.listed):
             # A time-out may be but a long or lossy way.
             h.shown, h.run = self.orders.now, h.run if h.load else 0
         elif e.end is not api.ProbeEnd.FULL and (h.run >= RUN or not h.listed):
--- a/corallanding/assignment/migration.py
+++ b/corallanding/assignment/migration.py
@@ -52,7 +52,7 @@
         lines = 2 * sum(not going.isdisjoint(s.lines) for s in self.slices.values()) if going else 0
         much = lines > o.room
         for h in self.known.hosts.values():
-            shut = leaving(h) and (h.cordoned or much and h in going)
+            shut = leaving(h) and (h.cordoned or (much and h in going))
             if h.cordoned != shut:
                 h.cordoned, o.orders, o.room = shut, o.orders + 1, o.room - 1
                 o.out.append(api.Cordon(h.id, shut))
@@ -128,7 +128,7 @@
                 to = self.owners.best(s, less if share else s.part, must=share)
                 if not to or to.stress * WORSE >= strain:
                     continue
-                fits = not share or not to.chilly and to.used(less) * ROOM <= h.used()
+                fits = not share or (not to.chilly and to.used(less) * ROOM <= h.used())
                 if fits and self.owners.passes(s, to):
                     if fresh and not h.chilly:  # a cold one's is for what tips it
                         h.shed_at, h.goal = self.orders.now, goal
--- a/corallanding/assignment/placement.py
+++ b/corallanding/assignment/placement.py
@@ -41,7 +41,7 @@
                 if value > most and self.open(h, few):
                     top, most = h, value
         beyond = marks[-1] * f.heaviest if marks and not self.ranks.whole else 0.0
-        if beyond > least or beyond and top and self.score(s, top) > least:
+        if beyond > least or (beyond and top and self.score(s, top) > least):
             # Those that had the room at the survey, and those whose load changed since.
             first = bisect(f.spare, more * (1.0 - 1e-9), key=lambda row: row[0])
             for h in (*(h for _, h in f.spare[first:]), *f.shifted):
@@ -56,7 +56,7 @@
 
     def open(self, h: Host, few: int) -> bool:
         """A cold server takes its few slices in a window, of all stewards together what they agreed on."""
-        return not h.chilly or h.taken < few and self.orders.may("cold_slices", h.id, False)
+        return not h.chilly or (h.taken < few and self.orders.may("cold_slices", h.id, False))
 
     def begin(self, h: Host) -> None:
         """A slice is given to it."""
--- a/corallanding/controller/cluster.py
+++ b/corallanding/controller/cluster.py
@@ -97,7 +97,8 @@
 
     def open_records(self, c: StewardConfig, voters: tuple[int, ...], sight: Sight) -> None:
         """Raises OSError if their file cannot be used."""
-        assert self.tasks is not None and c.records is not None
+        assert self.tasks is not None
+        assert c.records is not None
         budgets, now = self.budgets, self.clock
         names = tuple(n for n in (RUNS, RELEASE, JOBS) if (n == JOBS or c.pins) and n in self.tasks.core.tasks.by_name)
         longest = max((o.waits.most_ms for o in c.operation.values() if o.waits), default=0.0)
--- a/corallanding/controller/persistence.py
+++ b/corallanding/controller/persistence.py
@@ -73,7 +73,7 @@
             return
         loop, c = asyncio.get_running_loop(), self.config.store
         loop.call_later(c.snapshot_every_ms / 1000.0, self.keep_state)
-        if self.paused or self.engine.overload.strained or self.state_task and not self.state_task.done():
+        if self.paused or self.engine.overload.strained or (self.state_task and not self.state_task.done()):
             return  # the log goes on meanwhile
         begun = self.clock()
         number = self.log_number + 1
@@ -138,7 +138,8 @@
     async def keep_shared(self, begun: float) -> None:
         """Write the step's tables to the registry, fenced. What is refused is not sent; what cannot be reached in
         time is sent all the same while the lease surely stands, and written later."""
-        assert self.keeper and self.config.registry
+        assert self.keeper
+        assert self.config.registry
         engine, stored = self.engine, False
         tables = {t: dict(engine.state.tables.get(t, {})) for t in engine.unsaved if t in engine.charge}
         try:
--- a/corallanding/controller/scheduling_service.py
+++ b/corallanding/controller/scheduling_service.py
@@ -123,7 +123,8 @@
 
     def age(self, now: float, job: Job) -> None:
         """Its client may have brought it before, elsewhere: then it is as old as that."""
-        assert self.claims is not None and self.records is not None
+        assert self.claims is not None
+        assert self.records is not None
         self.aging[self.claims.seek(now, job.key, now - job.since)] = job
         self.records.soon()
 
@@ -200,7 +201,8 @@
         self.say(words)
 
     def claim(self, now: float, a: Ask) -> None:
-        assert self.claims is not None and self.records is not None
+        assert self.claims is not None
+        assert self.records is not None
         number = self.claims.claim(now, a.job, self.owner(a.job))
         self.claiming[number] = (a.job, Witness.now())
         self.records.soon()
--- a/corallanding/lab/audit.py
+++ b/corallanding/lab/audit.py
@@ -131,7 +131,7 @@
             frame = waiting[k].pop(0)
             touched: Any = range(slices)
             if frame[0] == "tables":
-                rows = {row[0]: {h: w for h, w in row[1]} for row in frame[2]}
+                rows = {row[0]: dict(row[1]) for row in frame[2]}
                 if not frame[7]:
                     for s in [s for s, at in owner.items() if at == k and s not in rows]:
                         del owner[s]
--- a/corallanding/lab/fleet/recorded.py
+++ b/corallanding/lab/fleet/recorded.py
@@ -15,6 +15,7 @@
 
 from __future__ import annotations
 
+import itertools
 from collections import defaultdict
 from dataclasses import dataclass, field
 from typing import Any
@@ -92,7 +93,7 @@
     begin, end = min(now - e.span for now, e in sums), max(now for now, _ in sums)
     windows = [Window(now - e.span - begin, now - begin, e.slice, e.operation, e.invocations) for now, e in sums]
     covered = joined([(w.begin, w.end) for w in windows], every * 0.5)
-    gaps = [(a[1], b[0]) for a, b in zip(covered, covered[1:], strict=False)]
+    gaps = [(a[1], b[0]) for a, b in itertools.pairwise(covered)]
     late = joined([(w.begin, w.end) for w in windows if w.end - w.begin > LATE * every])
     came = sum(w.count for w in windows)
     more = [w for g in gaps for w in fill(windows, g, AROUND * every)]
--- a/corallanding/lab/fleet/search.py
+++ b/corallanding/lab/fleet/search.py
@@ -61,7 +61,7 @@
     """One fault more, less, drawn anew, or at another time."""
     out, act = list(faults), chance.random()
     k = int(chance.integers(len(out))) if out else 0
-    if not out or act < 0.3 and len(out) < most:
+    if not out or (act < 0.3 and len(out) < most):
         out.append(drawn(kinds[int(chance.integers(len(kinds)))], seconds, chance))
     elif act < 0.4 and len(out) > 1:
         del out[k]
--- a/corallanding/lab/holdings.py
+++ b/corallanding/lab/holdings.py
@@ -34,7 +34,7 @@
     def whole(self, k: int, frame: frames.Tables) -> None:
         """Tables as they stand. True for `joined` comes from a frame that replaces all."""
         said = self.said[k]
-        rows = {t: {h: w for h, w in lines} for t, lines in frame.tables}
+        rows = {t: dict(lines) for t, lines in frame.tables}
         if not frame.given:
             for t in [t for t, at in self.owner.items() if at == k and t not in rows]:
                 del self.owner[t]  # not its any more: the lines stand until another's come
--- a/corallanding/lab/reporter.py
+++ b/corallanding/lab/reporter.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import itertools
 import json
 import os
@@ -166,10 +167,8 @@
     begun, sent = time.monotonic(), 0
     while (spent := time.monotonic() - begun) < seconds:
         for _ in range(max(0, min(2_000, int(per_s * spent) - sent))):
-            try:
+            with contextlib.suppress(OSError):
                 out.sendto(packets.send((spent * 1000.0, time.time() * 1000.0)), ("127.0.0.1", port))
-            except OSError:
-                pass
             sent += 1
         time.sleep(0.002)
     return sent
--- a/corallanding/load_reports/load_estimator.py
+++ b/corallanding/load_reports/load_estimator.py
@@ -170,7 +170,7 @@
         issued = self.ticks.get(head.echo)
         # What came with a tick is at most as old as the tick; else the roster's start, or the wall clock, must agree.
         known = issued is not None and arrived - issued < self.policy.half_life
-        known = known or host.started > 0 and abs(base - host.since) < self.policy.half_life
+        known = known or (host.started > 0 and abs(base - host.since) < self.policy.half_life)
         if known or abs(wall - head.at) < self.policy.half_life:
             process.proven = min(process.proven, base)
         # A clock cannot have run before its process: a report "from the future" would make all others look old.
--- a/corallanding/quota/fair_share.py
+++ b/corallanding/quota/fair_share.py
@@ -8,7 +8,7 @@
 def share(pool: int, wants: Mapping[int, int], turn: int = 0) -> dict[int, int]:
     """Max-min fair. turn: where the units that are left over begin to be given out, so that they do not always go to
     the same; the sum is min(pool, sum of wants)."""
-    out = {who: 0 for who in wants}
+    out = dict.fromkeys(wants, 0)
     rest = max(0, pool)
     hungry = sorted(who for who, want in wants.items() if want > 0)
     while rest and hungry:
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -22,11 +22,11 @@
 CLAIM = api.Operation("claim", api.Repeat.SIDE_EFFECTING, "all", 5000, 2, 0.2, 1500, 5000, writes=True)
 VARIANTS: list[dict[str, Any]] = [
     {},
-    dict(list_on_request=True, drain_binds_alone=True),
-    dict(admission="fraction", warm_keys=True, messages_most=12, messages_span=10_000.0),
-    dict(may_probe=False, reports_per_s=60.0),
-    dict(zones=3, transit=600.0, queue_most=900.0),
-    dict(admission="fraction", drain_binds_alone=True, fall_multiple=2.0, cold=4000.0),
+    {"list_on_request": True, "drain_binds_alone": True},
+    {"admission": "fraction", "warm_keys": True, "messages_most": 12, "messages_span": 10_000.0},
+    {"may_probe": False, "reports_per_s": 60.0},
+    {"zones": 3, "transit": 600.0, "queue_most": 900.0},
+    {"admission": "fraction", "drain_binds_alone": True, "fall_multiple": 2.0, "cold": 4000.0},
 ]
 DAYS = [
     (seed, VARIANTS[seed % len(VARIANTS)], (6, 14, 40, 25)[seed % 4], (12, 30, 90, 160)[seed // 2 % 4])
@@ -47,15 +47,15 @@
         self, decider: Callable[[api.Settings, int], Any], seed: int, over: dict[str, Any], hosts: int, slices: int
     ) -> None:
         self.r = random.Random(seed)
-        base = dict(
-            operations=(QUOTE, CLAIM),
-            slices=slices,
-            proxies=6,
-            queue_most=20_000.0,
-            may_probe=True,
-            cold=16_000.0,
-            reports_per_s=400.0,
-        )
+        base = {
+            "operations": (QUOTE, CLAIM),
+            "slices": slices,
+            "proxies": 6,
+            "queue_most": 20_000.0,
+            "may_probe": True,
+            "cold": 16_000.0,
+            "reports_per_s": 400.0,
+        }
         self.set = api.Settings(**{**base, **over})
         self.module, self.now, self.slices = decider(self.set, seed), 100_000.0, slices
         self.fleet: dict[int, Machine] = {}
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -12,16 +12,16 @@
 TRACES = Path(__file__).parent / "traces"
 QUOTE = api.Operation("quote", api.Repeat.IDEMPOTENT, "all", 5000, 3, 0.1, 1200, 3000)
 CLAIM = api.Operation("claim", api.Repeat.SIDE_EFFECTING, "all", 5000, 2, 0.2, 1500, 5000, writes=True)
-SETTINGS = dict(
-    operations=(QUOTE, CLAIM),
-    slices=8,
-    proxies=2,
-    drain_grace=3000.0,
-    cold=16000.0,
-    report_every=1000.0,
-    queue_most=4000.0,
-    may_probe=True,
-)
+SETTINGS = {
+    "operations": (QUOTE, CLAIM),
+    "slices": 8,
+    "proxies": 2,
+    "drain_grace": 3000.0,
+    "cold": 16000.0,
+    "report_every": 1000.0,
+    "queue_most": 4000.0,
+    "may_probe": True,
+}
 
 
 def up(host: int, state: str = "up", since: float = 0.0) -> api.HostEntry:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 from collections.abc import Callable, Sequence
 from pathlib import Path
 from typing import Any
@@ -98,10 +99,8 @@
 
     async def ended(self, within: float = 5.0) -> str:
         """Waits for the end of the link; the code of the last word."""
-        try:
+        with contextlib.suppress(EOFError, ConnectionError):
             await self.until(type(None), within=within)
-        except (EOFError, ConnectionError):
-            pass
         return next((f.code for f in reversed(self.got) if isinstance(f, frames.Bye)), "none")
 
 
--- a/tests/test_budgets_config.py
+++ b/tests/test_budgets_config.py
@@ -29,7 +29,8 @@
     c = load_steward(config(tmp_path, GOOD + 'budget "cold_slices" {\n whole = 4\n per = "host"\n unit = "count"\n}\n'))
     b = budgets_of(c)
     assert (b["probes"].whole, b["probes"].floor, b["probes"].most, b["probes"].span) == (7, 1, 3, 1_000.0)
-    assert b["cold_slices"].span == c.rules.cold_ms and b["cold_slices"].pool == 4
+    assert b["cold_slices"].span == c.rules.cold_ms
+    assert b["cold_slices"].pool == 4
     assert b["probes"].id != b["cold_slices"].id
 
 
@@ -53,7 +54,8 @@
 def test_what_is_wrong_is_named(tmp_path: Path, more: str, peers: str, named: str) -> None:
     with pytest.raises(ConfigFault) as fault:
         load_steward(config(tmp_path, more, peers))
-    assert named in str(fault.value) and "steward.hcl" in str(fault.value)
+    assert named in str(fault.value)
+    assert "steward.hcl" in str(fault.value)
 
 
 def test_a_lone_steward_has_its_whole_a_reload_changes_it_and_strangers_are_refused(tmp_path: Path) -> None:
@@ -65,14 +67,18 @@
     async def scene() -> None:
         async with Running(tmp_path, alone, config=CONFIG.replace("steward {", peers)) as r:
             s = r.steward
-            assert s.shared and s.shared.budgets and s.peers
+            assert s.shared
+            assert s.shared.budgets
+            assert s.peers
             room, q = s.shared.budgets, s.shared.budgets.core
             r.do(api.Probe(7), api.Probe(7))
             await until(lambda: sum(isinstance(e, api.ProbeDone) for e in r.module.told) == 2)
             ends = [e.end for e in r.module.told if isinstance(e, api.ProbeDone)]
             assert ends == [api.ProbeEnd.FULL] * 2, "the floor is waited for: a former life may have used it"
             await until(lambda: room.may("probes", 7, True))
-            assert not room.may("probes", 7, True) and room.may("probes", 8, True) and room.may("moves", 0, True)
+            assert not room.may("probes", 7, True)
+            assert room.may("probes", 8, True)
+            assert room.may("moves", 0, True)
             r.path.write_text(r.path.read_text().replace("whole = 1", "whole = 3"))
             s.reload()
             account = q.holder.account(s.clock(), q.budgets["probes"], 9)
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -26,7 +26,8 @@
     for now in range(0, 61, 5):
         log += [(now, f, m.frame) for f, m in channel.due(float(now))]
     # 20 lines take 20 ms each; the third waits for both.
-    assert log == [(0, 1, b"a"), (20, 2, b"a"), (40, 1, b"b")] and channel.waiting == 0
+    assert log == [(0, 1, b"a"), (20, 2, b"a"), (40, 1, b"b")]
+    assert channel.waiting == 0
 
 
 def test_what_does_not_fit_names_its_forwarders_and_the_rest_goes() -> None:
@@ -35,7 +36,8 @@
         channel.join(f)
     with pytest.raises(Overrun) as over:
         channel.submit(0.0, b"a", 4, 1, (1, 2, 3, 9))
-    assert over.value.forwarders == [3] and channel.waiting == 24
+    assert over.value.forwarders == [3]
+    assert channel.waiting == 24
 
 
 def test_the_cap_holds_a_message_back_until_the_span_is_over() -> None:
@@ -45,7 +47,8 @@
         channel.submit(0.0, b"%d" % k, 1, k, (1,))
     assert [m.frame for _, m in channel.due(1.0)] == [b"0", b"1"]
     assert channel.next_at(1.0) == 1001.0
-    assert channel.due(1000.0) == [] and [m.frame for _, m in channel.due(1001.0)] == [b"2"]
+    assert channel.due(1000.0) == []
+    assert [m.frame for _, m in channel.due(1001.0)] == [b"2"]
 
 
 class Comings(RuleBasedStateMachine):
@@ -156,7 +159,8 @@
         (2, 1, -1, [(7, 70, 1.0), (7, 71, 1.0), (7, 69, 0.0)]),
         (2, 2, 2, [(8, 80, 1.0)]),  # and with it the ack for both
     ]
-    assert channel.waiting == 0 and channel.overtaken == 1
+    assert channel.waiting == 0
+    assert channel.overtaken == 1
 
 
 def test_a_cordon_takes_every_waiting_line_along_and_the_mark() -> None:
@@ -189,8 +193,10 @@
         for f, m in channel.due(float(now)):
             assert m.orders
             got[f].append(m.orders)
-    assert [o.seq for o in got[2]] == [4, 5] and got[2][-1].mark == 5
-    assert [o.seq for o in got[1]] == [4, 4, 5] and got[1][-1].mark == 5
+    assert [o.seq for o in got[2]] == [4, 5]
+    assert got[2][-1].mark == 5
+    assert [o.seq for o in got[1]] == [4, 4, 5]
+    assert got[1][-1].mark == 5
     assert all(o.addresses.get(72, "newer") == "newer" for o in (*got[1], *got[2]))
 
 
@@ -221,7 +227,8 @@
             for f, m in channel.due(n + k / 10):
                 got[f].append(m.mark)
     assert cut == (6, [3]), "five messages of five lines are its quarter of the queue"
-    assert all(got[f] == list(range(1, 9)) for f in (0, 1, 2)) and got[3] == []
+    assert all(got[f] == list(range(1, 9)) for f in (0, 1, 2))
+    assert got[3] == []
     assert channel.waiting == 0
 
 
@@ -230,7 +237,8 @@
     channel.join(1)
     channel.block(1, True)
     hand(channel, 0.0, order(1, 1, (1, 71, 1.0)), (1,))
-    assert channel.due(1.0) == [] and channel.next_at(1.0) is None
+    assert channel.due(1.0) == []
+    assert channel.next_at(1.0) is None
     hand(channel, 2.0, order(2, 2, (2, 72, 1.0), (2, 71, 0.0)), (1,), urgent=True)
     assert channel.due(3.0) == []
     channel.block(1, False)
@@ -298,7 +306,7 @@
         lines = list({(t, h): (t, h, w) for t, h, w in lines}.values())
         lines.sort(key=lambda row: row[2] <= 0)
         levels = [(65535, 0, level, 1)] if self.seq % 5 == 0 else []
-        addresses = {h: f"{self.seq}" for h in (*(h for _, h, w in lines if w > 0), moved)}
+        addresses = dict.fromkeys((*(h for _, h, w in lines if w > 0), moved), f"{self.seq}")
         o = Orders(self.seq, self.seq, lines=lines, cordons=cordons, levels=levels, addresses=addresses)
         self.model.apply(o)
         try:
@@ -312,7 +320,8 @@
         self.now += ms
         for f, m in self.channel.due(self.now):
             assert m.orders
-            assert cost(m.orders) == m.lines and to_forwarder.decode(m.frame[4:]) == m.orders
+            assert cost(m.orders) == m.lines
+            assert to_forwarder.decode(m.frame[4:]) == m.orders
             self.here[f].apply(m.orders)
             assert not self.here[f].without(), "a table without a host"
 
@@ -327,7 +336,8 @@
     @invariant()
     def bounds(self) -> None:
         waits = sum(self.channel.cost(m) for p in self.channel.ports.values() for m in (*p.urgent, *p.plain))
-        assert abs(waits - self.channel.waiting) < 1e-6 and waits <= self.channel.limits.queue_most
+        assert abs(waits - self.channel.waiting) < 1e-6
+        assert waits <= self.channel.limits.queue_most
         assert all(
             abs(p.lines - sum(self.channel.cost(m) for m in (*p.urgent, *p.plain))) < 1e-6
             for p in self.channel.ports.values()
--- a/tests/test_collector.py
+++ b/tests/test_collector.py
@@ -61,7 +61,8 @@
 def test_a_spoilt_report_costs_itself_alone(report: list[str], reason: str) -> None:
     peer = collector(intake({3}))
     heard = peer.feed(encode(host_report()) + encode(report) + encode(slice_report()))
-    assert [type(e) for e in heard.events] == [api.HostSums, api.SliceSums] and not heard.over
+    assert [type(e) for e in heard.events] == [api.HostSums, api.SliceSums]
+    assert not heard.over
     assert dict(peer.intake.spoilt) == {reason: 1}
 
 
@@ -85,12 +86,16 @@
 )
 def test_strangers_are_told_and_go(said: bytes) -> None:
     heard = Peer(intake({3})).feed(said)
-    assert heard.over and heard.answer == REJECT and not heard.events
+    assert heard.over
+    assert heard.answer == REJECT
+    assert not heard.events
 
 
 def test_a_collector_is_never_written_to_and_ends_at_what_cannot_be_read() -> None:
     heard = collector(intake({3})).feed(encode(slice_report()) + b"garbage")
-    assert heard.over and heard.answer == b"" and len(heard.events) == 1
+    assert heard.over
+    assert heard.answer == b""
+    assert len(heard.events) == 1
 
 
 def test_a_sign_of_life_is_owed_on_any_connection() -> None:
--- a/tests/test_crossings_agent.py
+++ b/tests/test_crossings_agent.py
@@ -23,7 +23,8 @@
             dials.let(old.where)
             assert await fresh.question() == poll(0)
             await turns()
-            assert a.conn and a.conn.transport.get_extra_info("peername") == new.where
+            assert a.conn
+            assert a.conn.transport.get_extra_info("peername") == new.where
             for side in old.sides:
                 await side.gone()
             a.stop()
@@ -108,7 +109,8 @@
             a.fetch()
             dials.let(old.where)
             await turns()
-            assert new.where not in dials.count and a.conn is None
+            assert new.where not in dials.count
+            assert a.conn is None
             for side in old.sides:
                 await side.gone()
 
--- a/tests/test_crossings_answers.py
+++ b/tests/test_crossings_answers.py
@@ -152,7 +152,8 @@
             if b"503" not in raw:
                 side = await stand.next()
             assert await side.question() == poll(0)
-            assert said and not listener.bodies
+            assert said
+            assert not listener.bodies
             a.stop()
 
     play(scene)
--- a/tests/test_crossings_dial.py
+++ b/tests/test_crossings_dial.py
@@ -62,7 +62,9 @@
             if again:
                 await o.has(before + 1)
             await turns()
-            assert len(o.adopted) == before + again and not o.failures and not o.lost
+            assert len(o.adopted) == before + again
+            assert not o.failures
+            assert not o.lost
             assert not o.dialer.busy
             kept = [conn.transport.get_extra_info("sockname") for conn in o.adopted]
             for side in stand.sides:
@@ -107,7 +109,9 @@
         await until(lambda: len(o.failures) == 3)
         dials.let(empty)
         await turns()
-        assert o.failures[2] == "no connection in time" and len(o.failures) == 3 and not o.dialer.busy
+        assert o.failures[2] == "no connection in time"
+        assert len(o.failures) == 3
+        assert not o.dialer.busy
 
     play(scene)
 
@@ -127,7 +131,8 @@
             o.dialer.failed = lambda why: (o.failures.append(why), o.dialer.dial(stand.where))
             o.dialer.dial(stand.where)
             await o.has(1)
-            assert o.failures == ["no connection in time"] * 2 and o.dialer.patience == 1.0
+            assert o.failures == ["no connection in time"] * 2
+            assert o.dialer.patience == 1.0
             loop.create_connection = real
 
     play(scene)
--- a/tests/test_crossings_door.py
+++ b/tests/test_crossings_door.py
@@ -62,7 +62,8 @@
             await until(lambda: o.door.strangers)
             busy(lambda: side.now(JOIN, encode(host_report())), 0.1)
             await until(lambda: o.events)
-            assert not o.door.ended and 0 in o.door.collectors
+            assert not o.door.ended
+            assert 0 in o.door.collectors
             side.close()
 
     play(scene)
@@ -137,7 +138,8 @@
             await until(lambda: len(o.events) == 2)
             await o.come(raw + encode(slice_report()) * 200)
             await until(lambda: len(o.events) == 2 + 2 + 200)
-            assert not o.door.ended and not o.door.intake.spoilt
+            assert not o.door.ended
+            assert not o.door.intake.spoilt
 
     play(scene)
 
@@ -182,7 +184,8 @@
             piled = [await o.come(JOIN) for _ in range(6)]  # half-open ones: the oldest go, unspoken to
             await second.gone()
             await until(lambda: o.door.ended["a newer collector of its zone"] == 3)
-            assert len(o.door.collectors[0]) == 4 and len(piled) == 6
+            assert len(o.door.collectors[0]) == 4
+            assert len(piled) == 6
 
     play(scene)
 
--- a/tests/test_crossings_life.py
+++ b/tests/test_crossings_life.py
@@ -35,7 +35,8 @@
             assert not it.running.done(), "the call in flight may end"
             it.call.say(taken(said["id"], len(said["params"]["ops"])))
             await it.running
-            assert it.service.turns.steps == steps and not dials.count
+            assert it.service.turns.steps == steps
+            assert not dials.count
 
     play(scene)
 
@@ -94,7 +95,9 @@
             it.path.unlink()
             it.service.reload()
             await turns()
-            assert not dials.count and it.service.news_link.current and it.service.agent.conn
+            assert not dials.count
+            assert it.service.news_link.current
+            assert it.service.agent.conn
 
     play(scene)
 
@@ -134,7 +137,8 @@
             for _ in range(2):
                 side = await right.next()
                 firsts.add((await side.reader.readline()).split()[0])
-            assert len(firsts) == 2 and b"GET" in firsts
+            assert len(firsts) == 2
+            assert b"GET" in firsts
             await turns()
             for side in wrong.sides:
                 await side.gone()
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -23,7 +23,8 @@
     view = View(ZONES, KINDS)
     take(view, True, row("s-1"), row("s-2"))
     told = take(view, whole, row("s-1", health, site="z", share="x"), row("s-2"), seq=2)
-    assert told and view.bad
+    assert told
+    assert view.bad
     leaves = health == "terminating"
     assert held(view) == {"s-2": "up", **({"s-1": "draining"} if leaves else {})}
     assert take(view, False, row("s-9", health, share="x"), seq=3) is None, "one that nobody knows is not made up"
@@ -33,7 +34,8 @@
     view, name = View(ZONES, KINDS), "rack-17.hall-b.olaine.example"
     take(view, True, row(name))
     take(view, True, row(name, share="x"), seq=2)
-    assert held(view) == {name: "up"} and view.bad
+    assert held(view) == {name: "up"}
+    assert view.bad
 
 
 @pytest.mark.parametrize(
@@ -55,7 +57,9 @@
     view = View(ZONES, KINDS)
     take(view, True, row("s-1"))
     told = take(view, True, entry, row("s-2"), seq=2)
-    assert told and view.bad and "s-2" in held(view)
+    assert told
+    assert view.bad
+    assert "s-2" in held(view)
 
 
 def test_an_older_list_from_an_agent_that_lags_is_undone_by_its_next_answers() -> None:
@@ -72,10 +76,13 @@
 def test_the_same_host_twice_back_with_a_new_start_and_draining_at_first_sight() -> None:
     view = View(ZONES, KINDS)
     told = take(view, True, row("s-1"), row("s-1", "terminating"), row("s-3", "terminating"))
-    assert told and [e.state for e in told.entries] == ["draining", "draining"]
+    assert told
+    assert [e.state for e in told.entries] == ["draining", "draining"]
     take(view, False, row("s-1", "terminated"), seq=2)
     told = take(view, False, row("s-1", born_ms=9_000), seq=3)
-    assert told and told.entries[0].online_since == 9_000 and held(view) == {"s-1": "up", "s-3": "draining"}
+    assert told
+    assert told.entries[0].online_since == 9_000
+    assert held(view) == {"s-1": "up", "s-3": "draining"}
     told = take(view, True, seq=4)
     assert told and told.entries == () and held(view) == {}, "an empty list is a list: the module judges it"
 
--- a/tests/test_crossings_news.py
+++ b/tests/test_crossings_news.py
@@ -100,7 +100,8 @@
             for how, what in first:
                 getattr(side, how)(what)
             await turns()
-            assert not w.link.settled_once and not w.events
+            assert not w.link.settled_once
+            assert not w.events
             side.say(RESULT)
             side.tell(attach(3), PING)
             await until(lambda: w.link.settled_once)
@@ -223,7 +224,8 @@
             first = w.link.current.at
             busy(lambda: side.now(b'{"method":"ping"}\n'), 0.2)
             await until(lambda: w.link.current is None or w.link.current.at > first)
-            assert w.link.current and not w.said
+            assert w.link.current
+            assert not w.said
             w.link.close()
 
     play(scene)
@@ -253,7 +255,9 @@
             side.say(line + b"\n")
             side.tell(attach(4))
             await until(lambda: w.events)
-            assert w.told() == [joined(4)] and len(w.said) == 1 and len(stand.sides) == 1
+            assert w.told() == [joined(4)]
+            assert len(w.said) == 1
+            assert len(stand.sides) == 1
             w.link.close()
 
     play(scene)
--- a/tests/test_crossings_probes.py
+++ b/tests/test_crossings_probes.py
@@ -63,7 +63,9 @@
         probes = prober(ends, where=where)
         probes.ask(7, "here")
         await until(lambda: ends)
-        assert ends == [api.ProbeDone(7, api.ProbeEnd.OTHER)] and len(faults) == 1 and not probes.running
+        assert ends == [api.ProbeDone(7, api.ProbeEnd.OTHER)]
+        assert len(faults) == 1
+        assert not probes.running
 
     play(scene)
 
@@ -91,6 +93,7 @@
             probes.stop()
             await side.gone()
             await until(lambda: not probes.running)
-            assert not ends and len(stand.sides) == 1
+            assert not ends
+            assert len(stand.sides) == 1
 
     play(scene)
--- a/tests/test_crossings_start.py
+++ b/tests/test_crossings_start.py
@@ -100,6 +100,7 @@
         steward.signal(sign)
         code, log = await steward.end()
         os.close(pipe)
-        assert code == -sign and log == ""
+        assert code == -sign
+        assert log == ""
 
     play(scene)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -211,7 +211,7 @@
 
 def test_no_server_left_keeps_the_drain() -> None:
     rig = Rig()
-    rig.start(HOSTS[:1], {s: 11 for s in range(8)})
+    rig.start(HOSTS[:1], dict.fromkeys(range(8), 11))
     rig.say("the only server drains: its lines go, as nothing else may have them")
     listed(rig, up(11, "draining"))
     rig.say("a server comes: every slice is placed")
@@ -322,8 +322,11 @@
             rig.run(2, lambda good=good: sums(good))  # type: ignore[misc]
             listed(rig, up(old.host, "removed"))
     a, whole = (rig.assigner for rig in rigs)
-    assert rigs[0].lines == rigs[1].lines and len(whole.hosts) == 604
-    assert len(a.hosts) < 100 and len(a.ranks.servers) <= len(a.hosts) and len(a.ranks.known) <= len(a.hosts)
+    assert rigs[0].lines == rigs[1].lines
+    assert len(whole.hosts) == 604
+    assert len(a.hosts) < 100
+    assert len(a.ranks.servers) <= len(a.hosts)
+    assert len(a.ranks.known) <= len(a.hosts)
     assert all(len(values) <= a.ranks.kept for values, _ in a.ranks.rows.values())
 
 
@@ -370,7 +373,8 @@
     rig = Rig(reports_per_s=1.8)
     rig.start(HOSTS, EVEN)
     rig.run(10, lambda: [api.HostSums(1, 11, 20, 0, 200.0, 5000.0)])
-    assert rig.assigner.figures.window > 10_000 and rig.assigner.survey.peak == float("inf")
+    assert rig.assigner.figures.window > 10_000
+    assert rig.assigner.survey.peak == float("inf")
 
 
 def test_a_slice_given_in_demand_stays_shared_until_it_is_heard_of() -> None:
@@ -383,7 +387,8 @@
     rig.step(*(api.SliceGiven(s, on) for on in (False, True) for s in (2, 6)), *rows)
     listed(rig, up(13, "draining"))
     rig.run(2)
-    assert {len(s.lines) for s in rig.assigner.slices.values() if s.id == 2} == {2} and not rig.assigner.slices[2].rates
+    assert {len(s.lines) for s in rig.assigner.slices.values() if s.id == 2} == {2}
+    assert not rig.assigner.slices[2].rates
     rig.check("unheard_of")
 
 
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -51,7 +51,8 @@
 def test_run_is_one_exec_and_the_steward_alone() -> None:
     assert shlex.split(DEPLOY["run"]) == ["exec", ".venv/bin/python", "-m", "corallanding.platform"]
     assert shlex.split(DEPLOY["sim"]) == ["exec", ".venv/bin/python", "-m", "corallanding.simulator_adapter"]
-    assert not DEPLOY["packages"] and all((ROOT / p).exists() for p in (*DEPLOY["policy"], *DEPLOY["node"]))
+    assert not DEPLOY["packages"]
+    assert all((ROOT / p).exists() for p in (*DEPLOY["policy"], *DEPLOY["node"]))
 
 
 def test_a_day_starts_no_program_writes_no_file_and_imports_what_it_needs(tmp_path: Path) -> None:
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -48,7 +48,8 @@
     module.told.clear()
     engine.event(400.0, api.Due(9))
     engine.decide(300.0)  # a clock that went back stands still
-    assert engine.now == 500.0 and module.told == [api.Due(9)]
+    assert engine.now == 500.0
+    assert module.told == [api.Due(9)]
 
 
 def test_one_message_carries_a_step_and_is_kept_first() -> None:
@@ -59,12 +60,16 @@
     writes = engine.decide(10.0)
     assert writes == core.Writes(1, ((0, 10, 1.0), (1, 11, 1.0)))
     [send] = engine.publish(True)
-    assert isinstance(send, core.Send) and send.to == (1, 2) and (send.lines, send.mark) == (3, 7)
+    assert isinstance(send, core.Send)
+    assert send.to == (1, 2)
+    assert (send.lines, send.mark) == (3, 7)
     [order] = read(send.frame)
-    assert isinstance(order, frames.Orders) and order.mark == 7
+    assert isinstance(order, frames.Orders)
+    assert order.mark == 7
     assert order.addresses == {10: "127.0.0.1:10", 11: "127.0.0.1:11"}
     [tables] = read(engine.join(20.0, hello(3)))
-    assert isinstance(tables, frames.Tables) and tables.seq == 1
+    assert isinstance(tables, frames.Tables)
+    assert tables.seq == 1
     assert tables.tables == [(0, [(10, 1.0)]), (1, [(11, 1.0)]), (2, []), (3, [])]
 
 
@@ -72,8 +77,10 @@
     engine, module = make()
     engine.charged(0.0, 3, False)
     module.todo = [api.SetLine(3, 10, 1.0), api.Level(3, 0, 0.5, api.Retry.NEVER), api.ResetTable(3)]
-    writes, out = step(engine, 10.0)
-    assert engine.discarded == 3 and not writes.lines and not writes.resets
+    writes, _out = step(engine, 10.0)
+    assert engine.discarded == 3
+    assert not writes.lines
+    assert not writes.resets
     engine.charged(20.0, 3, True, {12: 1.0})
     module.told.clear()
     step(engine, 30.0)
@@ -85,15 +92,18 @@
     engine.join(0.0, hello(1))
     module.todo = [api.SetLine(0, 10, 1.0)]
     writes, out = step(engine, 10.0, stored=False)
-    assert len(out) == 1 and engine.unsaved == {0: {10: 1.0}}
+    assert len(out) == 1
+    assert engine.unsaved == {0: {10: 1.0}}
     module.todo = [api.SetLine(0, 11, 1.0), api.SetLine(0, 10, 0.0), api.ResetTable(2)]
     writes, _ = step(engine, 20.0, stored=False)
-    assert set(writes.lines) == {(0, 10, 0.0), (0, 11, 1.0)} and writes.resets == (2,)
+    assert set(writes.lines) == {(0, 10, 0.0), (0, 11, 1.0)}
+    assert writes.resets == (2,)
     assert engine.next_at(30.0) == 30.0, "it asks for a step to try the store again"
     engine.store_waits = True
     assert engine.next_at(30.0) is None
     step(engine, 40.0)
-    assert engine.unsaved == {} and engine.unsaved_resets == set()
+    assert engine.unsaved == {}
+    assert engine.unsaved_resets == set()
 
 
 def test_a_forwarder_gives_back_what_the_store_had_not_kept() -> None:
@@ -106,7 +116,8 @@
     held = frames.Held(4, 9, [(0, [(11, 1.0)]), (1, [(10, 1.0)]), (2, [(77, 1.0)]), (9, [(10, 1.0)])])
     assert engine.held(1.0, held) == [0], "1 is as kept, host 77 is unknown, 9 is not in its charge"
     writes, _ = step(engine, 2.0)
-    assert writes.resets == (0,) and writes.lines == ((0, 11, 1.0),)
+    assert writes.resets == (0,)
+    assert writes.lines == ((0, 11, 1.0),)
     assert module.told[:2] == [api.SliceGiven(0, True), api.OnRecord(0, 11, 1.0)]
     assert engine.held(3.0, frames.Held(4, 8, [(0, [(12, 1.0)])])) == [], "older than what was recalled"
     assert not engine.wants_recall(2000.0, hello(1, life=4, seq=99)), "long after the start"
@@ -120,7 +131,8 @@
     _, out = step(engine, 10.0)
     got = {s.to: read(s.frame)[0] for s in out if isinstance(s, core.Send)}
     assert set(got) == {(1,), (2,)}
-    assert got[1,].lines == [(5, 10, 1.0)] and got[1,].points == [(5, 0)]  # type: ignore[attr-defined]
+    assert got[1,].lines == [(5, 10, 1.0)]
+    assert got[1,].points == [(5, 0)]
     module.todo = [api.SetLine(6, 11, 0.0), api.Mark(1, everyone=True)]
     _, out = step(engine, 20.0)
     assert {s.to for s in out if isinstance(s, core.Send)} == {(2,), (1, 3)}
@@ -147,4 +159,5 @@
 def test_sums_are_bounded() -> None:
     gather = Gather(SETTINGS, keys_most=2)
     gather.add(0.0, 1, 0, frames.Sums(500.0, slices=[(s, 0, 1, 0) for s in range(4)]), set(), set(range(4)))
-    assert len(gather.tallies) == 2 and gather.dropped == 2
+    assert len(gather.tallies) == 2
+    assert gather.dropped == 2
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -82,7 +82,9 @@
 def test_looks_in_between_do_not_cost_the_promise() -> None:
     """No difference at all: "better" or "worse" is said in 5 of 100 experiments at most."""
     chance, wrong, counts = np.random.default_rng(2), 0, looks(8, 40)
-    assert counts[0] == 8 and counts[-1] == 40 and counts == sorted(counts)
+    assert counts[0] == 8
+    assert counts[-1] == 40
+    assert counts == sorted(counts)
     for _ in range(150):
         a, b = chance.normal(0.9, 0.02, 40), chance.normal(0.9, 0.02, 40)
         for n, count in enumerate(counts, 1):
@@ -115,10 +117,14 @@
         assert split / 300 < 0.03, "a day that does not tip"
     tips = [0.93 + 0.004 * (k % 4) if k % 3 else 0.41 + 0.01 * (k % 5) for k in range(21)]
     low, high = outcomes(tips)
-    assert low.share == pytest.approx(1 / 3) and low.mean < 0.5 and high.mean > 0.9
+    assert low.share == pytest.approx(1 / 3)
+    assert low.mean < 0.5
+    assert high.mean > 0.9
     other = [0.93] * 21
     t = compare.tipping(tips, other)
-    assert t and (t.a, t.b) == (7, 0) and t.chance == pytest.approx(2 * 0.5**7)
+    assert t
+    assert (t.a, t.b) == (7, 0)
+    assert t.chance == pytest.approx(2 * 0.5**7)
     assert compare.tipping(other, other) is None
 
 
@@ -149,7 +155,8 @@
     assert what(one, "stop", 0) == what(two, "stop", 0)
     picks = [{(r[4], r[5], r[6]): r[9] for r in e.records if r[3] == "send"} for e in (one, two)]
     both = picks[0].keys() & picks[1].keys()
-    assert len(both) > 50 and sum(picks[0][k] == picks[1][k] for k in both) / len(both) > 0.8
+    assert len(both) > 50
+    assert sum(picks[0][k] == picks[1][k] for k in both) / len(both) > 0.8
 
 
 def test_what_was_run_is_kept_and_not_run_again(tmp_path: Path) -> None:
@@ -160,9 +167,11 @@
     with pool(tmp_path / "runs.db", 2, lambda j, r, known: told.append((j.seed, known))) as p:
         both = p.all(jobs)
     assert told == [(1, False), (1, True), (2, False)]
-    assert both[jobs[0].key] == first[jobs[0].key] and 0.0 < both[jobs[1].key].service <= 1.0
+    assert both[jobs[0].key] == first[jobs[0].key]
+    assert 0.0 < both[jobs[1].key].service <= 1.0
     other = Setting("a", SHORT.model_copy(update={"reports": SHORT.reports.model_copy(update={"every_ms": 777.0})}))
-    assert Job(other, 1).key != jobs[0].key and Job(Setting("a", SHORT), 1, "loopback").key != jobs[0].key
+    assert Job(other, 1).key != jobs[0].key
+    assert Job(Setting("a", SHORT), 1, "loopback").key != jobs[0].key
     bounded = Runs(tmp_path / "few.db", most=2)
     for n in range(5):
         bounded.put(Job(Setting("a", SHORT), n), row(n, 0.9))
@@ -188,7 +197,8 @@
     same = setting(tmp_path / "day.hcl", None, tmp_path / "other")
     ours = emulate(SHORT, 2)
     theirs = emulate(SHORT, 2, decider=runs.decider_of(same.module))
-    assert ours.records == theirs.records and same.named[0] != Setting("a", SHORT).named[0]
+    assert ours.records == theirs.records
+    assert same.named[0] != Setting("a", SHORT).named[0]
     told = CliRunner().invoke(lab, ["compare", str(tmp_path / "day.hcl"), "--module", str(tmp_path)])
     assert told.exit_code == 2
 
@@ -201,9 +211,11 @@
     base = ["compare", str(tmp_path / "a.hcl"), "--kept", str(tmp_path / "runs.db"), "--workers", "1", "--runs", "8"]
     told = CliRunner().invoke(lab, [*base, "--set", "traffic.retries=0", "--out", str(tmp_path / "p.html")])
     assert told.exit_code == 0, told.output
-    assert "billed service:" in told.output and "over" in told.output
+    assert "billed service:" in told.output
+    assert "over" in told.output
     html = (tmp_path / "p.html").read_text()
-    assert html.count("data:image/png;base64,") == 2 and "http" not in html.replace("data:image", "")
+    assert html.count("data:image/png;base64,") == 2
+    assert "http" not in html.replace("data:image", "")
     once = (tmp_path / "p.html").read_bytes()
     CliRunner().invoke(lab, [*base, "--set", "traffic.retries=0", "--out", str(tmp_path / "p.html")])
     assert (tmp_path / "p.html").read_bytes() == once, "the same runs give the same bytes"
@@ -245,7 +257,9 @@
     one = Setting("whole", SHORT, config)
     assert emulate(SHORT, 1, config).records == emulate(SHORT, 1).records
     two = changed(one, "reports.every_ms", "2000")
-    assert two.config and two.config.reports.every_ms == 2000.0 and two.label == "whole with reports.every_ms = 2000"
+    assert two.config
+    assert two.config.reports.every_ms == 2000.0
+    assert two.label == "whole with reports.every_ms = 2000"
     assert emulate(SHORT, 1, two.config).records != emulate(SHORT, 1).records
     assert put(SHORT, "seconds", "9").seconds == 9.0
 
@@ -254,7 +268,9 @@
     with pool(tmp_path / "runs.db", 1) as p:
         settings = [changed(Setting("s", SHORT), "reports.every_ms", v, v) for v in ("500", "500.0", "3000")]
         rows = compare.sweep(settings, 3, p)
-    assert rows[0].against is None and rows[1].against and rows[1].against.mean == 0.0
+    assert rows[0].against is None
+    assert rows[1].against
+    assert rows[1].against.mean == 0.0
     assert "3000" in page.swept(rows, "reports.every_ms", "s", 0.05).markdown()
 
 
@@ -289,10 +305,13 @@
     steps.append((4_500.0, [changes(entry(1, "draining")), changes(entry(2, "removed"))]))
     steps.append((6_500.0, [changes(entry(1, "removed")), changes(entry(7, since=6_000.0))]))
     d = recorded.day_of(recording(*sorted(steps, key=lambda s: s[0])), notice=400.0)
-    assert d.length == 14_000.0 and d.gaps == [(3_000.0, 6_000.0)] and d.late == [(10_000.0, 14_000.0)]
+    assert d.length == 14_000.0
+    assert d.gaps == [(3_000.0, 6_000.0)]
+    assert d.late == [(10_000.0, 14_000.0)]
     filled = [w for w in d.windows if (w.begin, w.end) == d.gaps[0]]
     assert [(w.slice, w.count) for w in filled] == [(0, pytest.approx(30.0)), (1, pytest.approx(60.0))]
-    assert d.filled == pytest.approx(90.0) and d.forwarders == {4: (1, 9.0)}
+    assert d.filled == pytest.approx(90.0)
+    assert d.forwarders == {4: (1, 9.0)}
     assert [(x.at, x.what, x.host) for x in d.seen] == [
         (4_100.0, "draining", 1),
         (4_100.0, "dead", 2),
@@ -301,10 +320,12 @@
     ]
     spec = [recorded.OperationSpec("o", 1.0, 100.0, 0.5, 1000.0, 3000.0, 1.0, 0.0, True)]
     t = recorded.arrivals(d, 1, spec)
-    assert len(t.at) == pytest.approx(70 + 140 + 40 + 90, abs=1) and (np.diff(t.at) >= 0).all()
+    assert len(t.at) == pytest.approx(70 + 140 + 40 + 90, abs=1)
+    assert (np.diff(t.at) >= 0).all()
     assert ((t.at >= 3_000) & (t.at < 6_000)).sum() == pytest.approx(90, abs=1)
     again = recorded.arrivals(d, 1, spec)
-    assert (again.at == t.at).all() and (again.work == t.work).all()
+    assert (again.at == t.at).all()
+    assert (again.work == t.work).all()
 
 
 def test_a_slow_host_shows_and_comes_back() -> None:
@@ -337,7 +358,8 @@
     assert asked == pytest.approx(e.result["invocations"], rel=0.12)  # the last period was never told
     kinds = [x.what for x in d.seen]
     died = sum(r[3] == "stop" and r[2] < e.begun + 13_900.0 for r in e.records)
-    assert kinds.count("dead") >= 1 and kinds.count("gone") >= 1
+    assert kinds.count("dead") >= 1
+    assert kinds.count("gone") >= 1
     assert kinds.count("dead") + kinds.count("gone") == pytest.approx(died, abs=1)
     (tmp_path / "day.hcl").write_text(scenario_hcl(day))
     words = [
@@ -371,20 +393,24 @@
     t = recorded.of_trace(e.records)
     asked = [r for r in e.records if r[3] == "asked"]
     work = {r[4]: r[10] for r in e.records if r[3] == "take"}
-    assert len(t.at) == len(asked) and t.slice.tolist() == [r[6] for r in asked]
-    assert all(t.work[k] == work[r[4]] for k, r in enumerate(asked) if r[4] in work) and not np.isnan(t.work).any()
+    assert len(t.at) == len(asked)
+    assert t.slice.tolist() == [r[6] for r in asked]
+    assert all(t.work[k] == work[r[4]] for k, r in enumerate(asked) if r[4] in work)
+    assert not np.isnan(t.work).any()
     with pytest.raises(recorded.NoDay, match="no client"):
         recorded.of_trace([])
 
 
 def test_a_report_shows_what_the_file_holds(tmp_path: Path) -> None:
     told = CliRunner().invoke(lab, ["report", "--kept", str(tmp_path / "no.db"), "--out", str(tmp_path / "r.md")])
-    assert told.exit_code == 2 and "no such file of results" in told.output + (told.stderr or "")
+    assert told.exit_code == 2
+    assert "no such file of results" in told.output + (told.stderr or "")
     with pool(tmp_path / "runs.db", 1) as p:
         for n in range(4):
             p.runs.put(Job(Setting("a", SHORT), n), row(n, 0.9 + n / 1000))
     told = CliRunner().invoke(lab, ["report", "--kept", str(tmp_path / "runs.db"), "--out", str(tmp_path / "r.md")])
-    assert told.exit_code == 0 and "| a |" in (tmp_path / "r.md").read_text()
+    assert told.exit_code == 0
+    assert "| a |" in (tmp_path / "r.md").read_text()
 
 
 # ---- the search --------------------------------------------------------------------------------------------
@@ -399,7 +425,9 @@
         return [1.0 - sum(harm[f.kind] * (f.kind != "crash" or f.for_s >= 5.0) for f in d) for d in days]
 
     left = search.cut(faults, target=1.0 - 0.9 * 0.32, scores=scores)
-    assert [f.kind for f in left] == ["crash"] and left[0].for_s >= 5.0 and left[0].part < 0.1
+    assert [f.kind for f in left] == ["crash"]
+    assert left[0].for_s >= 5.0
+    assert left[0].part < 0.1
 
 
 def test_a_search_finds_a_day_worse_than_quiet_and_keeps_it(tmp_path: Path) -> None:
@@ -424,7 +452,8 @@
     told = CliRunner().invoke(lab, words)
     assert told.exit_code == 0, told.output
     found = load_scenario(out)
-    assert found.fault and {f.kind for f in found.fault} <= {"crash", "hang"}
+    assert found.fault
+    assert {f.kind for f in found.fault} <= {"crash", "hang"}
     again = tmp_path / "again.hcl"
     words[3] = str(again)
     CliRunner().invoke(lab, words)
@@ -452,7 +481,8 @@
     )
     said = page.compared(c, 0.002, 0.05).markdown()
     assert "two outcomes: 0.4000 in 50% of the runs; 0.9000 in 50%" in said
-    assert "ended 5 of 10 runs under a and 0 under b" in said and "no day looks like the mean" in said
+    assert "ended 5 of 10 runs under a and 0 under b" in said
+    assert "no day looks like the mean" in said
 
 
 def test_the_commands_are_there() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,6 +5,7 @@
 
 import asyncio
 import hashlib
+import itertools
 import os
 import subprocess
 import sys
@@ -98,21 +99,26 @@
         assert far == ["made", (3.0, b"a"), (3.0, b"b")]
         other.transport.pause_reading()
         one.write(b"x" * 300_000)
-        assert near[-1] == "pause" and one.get_write_buffer_size() > 0
+        assert near[-1] == "pause"
+        assert one.get_write_buffer_size() > 0
         await asyncio.sleep(0.01)
         assert len(far) == 3, "nothing is read meanwhile"
         other.transport.resume_reading()
         await asyncio.sleep(0.01)
-        assert len(far[-1][1]) == 300_000 and near[-1] == "resume" and one.get_write_buffer_size() == 0
+        assert len(far[-1][1]) == 300_000
+        assert near[-1] == "resume"
+        assert one.get_write_buffer_size() == 0
         one.write(b"last")
         one.close()
         one.write(b"never")
         await asyncio.sleep(0.01)
-        assert far[-2][1] == b"last" and far[-1] == near[-1] == "closed"
+        assert far[-2][1] == b"last"
+        assert far[-1] == near[-1] == "closed"
         one, other = await pair(loop, far, near)
         other.transport.abort()
         await asyncio.sleep(0.01)
-        assert near[-1] == "ConnectionResetError" and far[-1] == "closed"
+        assert near[-1] == "ConnectionResetError"
+        assert far[-1] == "closed"
         with pytest.raises(ConnectionRefusedError):
             await loop.create_connection(lambda: Ear(near, loop), "127.0.0.1", 7)
 
@@ -141,10 +147,14 @@
         assert len(ticks) == 2 and far == [], "the connection stands, nobody has taken it"
         machine.freeze(False)
         await asyncio.sleep(0.15)
-        assert len(ticks) == 4 and ticks[2] > 1.2 and far[1][1] == b"while it stands still"
+        assert len(ticks) == 4
+        assert ticks[2] > 1.2
+        assert far[1][1] == b"while it stands still"
         machine.kill()
         await asyncio.sleep(1.0)
-        assert len(ticks) == 4 and near[-1] == "ConnectionResetError" and len(far) == 2
+        assert len(ticks) == 4
+        assert near[-1] == "ConnectionResetError"
+        assert len(far) == 2
         with pytest.raises(ConnectionRefusedError):
             await loop.create_connection(lambda: Ear(near, loop), "127.0.0.1", 9)
 
@@ -194,7 +204,9 @@
 def test_a_hard_day_keeps_the_rules_and_its_recordings_replay(tmp_path: Path) -> None:
     e = emulate(HARD, 1, record=str(tmp_path / "steward"))
     assert [r["kept"] for r in e.result["rules"]] == [True] * 5, e.result
-    assert e.result["lives"] == 2 and e.result["lines_lost"] == 0 and e.result["doubles"] == 0
+    assert e.result["lives"] == 2
+    assert e.result["lines_lost"] == 0
+    assert e.result["doubles"] == 0
     for life in (1, 2):
         told = CliRunner().invoke(app, ["replay", str(tmp_path / f"steward-{life}.rec")])
         assert told.exit_code == 0 and "no difference" in told.output, told.output
@@ -214,14 +226,17 @@
     faults = [Fault(kind="roster_down", at_s=3, for_s=3), Fault(kind="steward_kill", at_s=4, for_s=4, on=[1])]
     e = emulate(day.model_copy(update={"fault": faults, "seconds": 16.0}), 1)
     assert [r["kept"] for r in e.result["rules"]] == [True] * 5, e.result
-    assert e.result["lives"] == 4 and e.result["lines_lost"] == 0 and e.result["doubles"] == 0
+    assert e.result["lives"] == 4
+    assert e.result["lines_lost"] == 0
+    assert e.result["doubles"] == 0
 
 
 def test_load_reports_in_trouble_are_emulated_with_their_intake() -> None:
     """tests/reports.hcl: a flood, a liar, an hour-old sender, skewed clocks, losses, kill -9 in mid-flood."""
     day = load_scenario(HERE / "reports.hcl")
     e = emulate(day, 1)
-    assert [r["kept"] for r in e.result["rules"]] == [True] * 5 and e.result["lives"] == 2
+    assert [r["kept"] for r in e.result["rules"]] == [True] * 5
+    assert e.result["lives"] == 2
     counts = e.result["load_reports"]
     assert all(counts[end] > 0 for end in ("counted", "forged", "unknown", "doubtful", "loud")), counts
     assert emulate(day, 1).records == e.records
@@ -234,10 +249,10 @@
 
 def test_chance_goes_by_its_key() -> None:
     draws = [uniform(1, k, 0, 2) for k in range(20_000)]
-    assert abs(sum(draws) / len(draws) - 0.5) < 0.01 and len(set(draws)) == len(draws)
-    assert sum(a < 0.5 and b < 0.5 for a, b in zip(draws, draws[1:], strict=False)) / len(draws) == pytest.approx(
-        0.25, abs=0.01
-    )
-    assert uniform(1, 2) != uniform(2, 1) and uniform(3) == uniform(3)
+    assert abs(sum(draws) / len(draws) - 0.5) < 0.01
+    assert len(set(draws)) == len(draws)
+    assert sum(a < 0.5 and b < 0.5 for a, b in itertools.pairwise(draws)) / len(draws) == pytest.approx(0.25, abs=0.01)
+    assert uniform(1, 2) != uniform(2, 1)
+    assert uniform(3) == uniform(3)
     lines = [(7, 1.0), (8, 3.0)]
     assert [at(lines, x) for x in (0.0, 0.24, 0.26, 0.999999)] == [7, 7, 8, 8]
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -35,7 +35,8 @@
     path = tmp_path / "day.rec"
     path.write_bytes(gzip.decompress((golden.KEPT.parent / f"bad-day-{life}.rec.gz").read_bytes()))
     found = read(path)
-    assert len(found.steps) > 400 and compare(found, Assigner) == ""
+    assert len(found.steps) > 400
+    assert compare(found, Assigner) == ""
 
 
 def test_the_days_find_a_small_change(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -49,7 +50,7 @@
     """`best`, by its sentence, over all hosts."""
     taken = [s.owner, *s.helpers]
     room = [h for h in a.figures.pool if h not in taken and h.used(more) <= ROOM]
-    room = [h for h in room if (s.rates or not s.helpers) and h.taken < FEW or not a.known.cold(h)]
+    room = [h for h in room if ((s.rates or not s.helpers) and h.taken < FEW) or not a.known.cold(h)]
     room = [h for h in room if strain(h, a.known.tight) <= (CROWDED if a.known.cold(h) else a.figures.strained)]
     if room:
         return max(room, key=lambda h: h.entry.weight * mark(s.id, h.id) * (ROOM * 1.05 - h.used(more)))
@@ -125,7 +126,8 @@
     calls = 1
     while ranks.warm(range(40), 500):
         calls += 1
-    assert 7 <= calls <= 9 and set(ranks.done.values()) == {100}
+    assert 7 <= calls <= 9
+    assert set(ranks.done.values()) == {100}
 
 
 def test_work_done_ahead_changes_no_decision_and_a_first_turn_looks_at_so_many_slices_only() -> None:
@@ -155,4 +157,5 @@
             while eager and a.ranks.warm(a.slices, 50_000):
                 pass
         logs.append(log)
-    assert logs[0] == logs[1] and sum("SetLine" in x for x in logs[0]) > 100
+    assert logs[0] == logs[1]
+    assert sum("SetLine" in x for x in logs[0]) > 100
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -54,7 +54,8 @@
 def test_only_what_is_listed_may_fail_and_each_is_printed_with_its_cause(tmp_path: Path, more: tuple[str, ...]) -> None:
     code, said = play(tmp_path, LISTED, *more)
     assert code == 0 and "2 passed, 2 xfailed" in said, said
-    assert f"{BAD}: adds wrongly (issue 34)" in said and f"{EACH}: two is not one (issue 35)" in said
+    assert f"{BAD}: adds wrongly (issue 34)" in said
+    assert f"{EACH}: two is not one (issue 35)" in said
 
 
 @pytest.mark.parametrize(("listed", "failed"), [(None, "2 failed"), (f"{BAD} | adds wrongly | issue 34\n", "1 failed")])
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -52,7 +52,8 @@
     assert code == 0 and rules(folder) == [True] * 5, said
     result = json.loads((folder / "result.json").read_text())
     assert {"seed", "invocations", "succeeded", "service", "doubles", "rules"} <= set(result)
-    assert result["invocations"] > 300 and result["doubles"] == 0
+    assert result["invocations"] > 300
+    assert result["doubles"] == 0
     assert "kept" in (folder / "result.md").read_text()
     for chart in ("service", "load", "channel", "publish"):
         assert (folder / f"{chart}.png").read_bytes()[:4] == b"\x89PNG"
@@ -64,7 +65,9 @@
     code, folder, said = runs["hard"]
     assert code == 0 and rules(folder) == [True] * 5, said
     result = json.loads((folder / "result.json").read_text())
-    assert result["doubles"] == 0 and result["lives"] == 2 and result["lines_lost"] == 0
+    assert result["doubles"] == 0
+    assert result["lives"] == 2
+    assert result["lines_lost"] == 0
     records = read(folder / "trace.jsonl.gz")
     running: dict[int, tuple[str, int]] = {}
     in_flight_moves = stalled_out = 0
@@ -80,9 +83,13 @@
             in_flight_moves += sum(at in gone for at in running.values())
         elif r[3] == "left" and r[0] in ("forwarder 1", "forwarder 3"):
             stalled_out += 1
-    assert in_flight_moves > 0 and stalled_out >= 2 and max(ran.values()) == 1
+    assert in_flight_moves > 0
+    assert stalled_out >= 2
+    assert max(ran.values()) == 1
     log = (folder / "steward.log").read_text()
-    assert '"why": "silent"' in log and "store does not write" in log and "store writes again" in log
+    assert '"why": "silent"' in log
+    assert "store does not write" in log
+    assert "store writes again" in log
     for life in (1, 2):
         assert CliRunner().invoke(app, ["replay", str(folder / f"steward-{life}.rec")]).exit_code == 0
 
@@ -93,7 +100,9 @@
     code, folder, said = runs["three-stewards"]
     assert code == 0 and rules(folder) == [True] * 5, said
     result = json.loads((folder / "result.json").read_text())
-    assert result["lives"] == 4 and result["doubles"] == 0 and result["lines_lost"] == 0
+    assert result["lives"] == 4
+    assert result["doubles"] == 0
+    assert result["lines_lost"] == 0
     records = read(folder / "trace.jsonl.gz")
     owner: dict[int, int] = {}
     moved, spoke = 0, set()
@@ -109,7 +118,8 @@
         else:
             for s, _, _ in frame[4]:
                 assert owner.get(s) == k, f"slice {s} is steward {owner.get(s)}'s; {k} wrote a line of it"
-    assert moved > 20 and spoke == {0, 1, 2}
+    assert moved > 20
+    assert spoke == {0, 1, 2}
 
 
 def test_hard_cases_of_load_reports(runs: dict[str, Any]) -> None:
@@ -118,7 +128,8 @@
     assert code == 0 and rules(folder) == [True] * 5, said
     result = json.loads((folder / "result.json").read_text())
     counts = result["load_reports"]
-    assert result["lives"] == 2 and result["doubles"] == 0
+    assert result["lives"] == 2
+    assert result["doubles"] == 0
     for end in ("counted", "forged", "unknown", "doubtful"):
         assert counts[end] > 0, counts
     log = [json.loads(line) for line in (folder / "steward.log").read_text().splitlines()]
@@ -139,17 +150,21 @@
     _, folder, _ = runs["corallanding"]
     run, path = CliRunner(), folder / "steward-1.rec"
     told = run.invoke(app, ["replay", str(path)])
-    assert told.exit_code == 0 and "no difference" in told.output
+    assert told.exit_code == 0
+    assert "no difference" in told.output
     data = path.read_bytes()
     torn = tmp_path / "torn.rec"
     torn.write_bytes(data[:-7])
     told = run.invoke(app, ["replay", str(torn)])
-    assert told.exit_code == 0 and "torn off" in told.output
+    assert told.exit_code == 0
+    assert "torn off" in told.output
     changed = tmp_path / "changed.rec"
     changed.write_bytes(data.replace(b"\xa7SetLine\x83\xa5slice\x00", b"\xa7SetLine\x83\xa5slice\x01", 1))
     assert changed.read_bytes() != data
     told = run.invoke(app, ["replay", str(changed)])
-    assert told.exit_code == 1 and "action" in told.output and "recorded SetLine" in told.output
+    assert told.exit_code == 1
+    assert "action" in told.output
+    assert "recorded SetLine" in told.output
 
 
 def limits_of(path: Path) -> Limits:
@@ -166,7 +181,8 @@
     cuts += [records[:k] + records[k + 1 :] for k in chance.integers(0, len(records), 20)]
     for cut in cuts:
         verdicts, _ = judge(cut, limits)
-        assert [v.kept for v in verdicts] == [None] * 5 and verdicts[0].note.startswith("not judged")
+        assert [v.kept for v in verdicts] == [None] * 5
+        assert verdicts[0].note.startswith("not judged")
     assert len(RULES) == 5
 
 
@@ -183,7 +199,8 @@
         assert told.exit_code == 2 and said in told.output.replace(str(tmp_path) + "/", ""), told.output
     path.write_text(text)
     told = run.invoke(lab, ["run", str(path), "--out", str(tmp_path / "out"), "--publisher", "nobody"])
-    assert told.exit_code == 2 and "'nobody' is not one of corallanding" in told.output
+    assert told.exit_code == 2
+    assert "'nobody' is not one of corallanding" in told.output
 
 
 def day() -> dict[str, Any]:
@@ -246,15 +263,18 @@
 def test_a_bench_day_becomes_a_scenario_that_reads_back_the_same(tmp_path: Path) -> None:
     found = from_day(day(), "day")
     assert (found.fleet.hosts, found.fleet.forwarders, found.fleet.slices) == (8, 6, 40)
-    assert found.traffic.per_s == 0.5 * 8 * 4 * 1000 / 100 and len(found.fault) == len(KINDS) - len(NOT_OF_DAYS)
+    assert found.traffic.per_s == 0.5 * 8 * 4 * 1000 / 100
+    assert len(found.fault) == len(KINDS) - len(NOT_OF_DAYS)
     path = tmp_path / "day.hcl"
     path.write_text(scenario_hcl(found))
     assert load_scenario(path) == found
     half = from_day(day(), "day", 0.5)
-    assert half.fleet.hosts == 4 and half.traffic.per_s == found.traffic.per_s / 2
+    assert half.fleet.hosts == 4
+    assert half.traffic.per_s == found.traffic.per_s / 2
     (tmp_path / "d.json").write_text(json.dumps(day()))
     told = CliRunner().invoke(lab, ["scenario", "--from", str(tmp_path / "d.json")])
-    assert told.exit_code == 0 and told.output.startswith('name = "d"')
+    assert told.exit_code == 0
+    assert told.output.startswith('name = "d"')
 
 
 def test_a_file_that_is_no_day_is_named(tmp_path: Path) -> None:
--- a/tests/test_lab_stewards.py
+++ b/tests/test_lab_stewards.py
@@ -33,7 +33,8 @@
     code, folder, said = runs["budgets"]
     assert code == 0 and rules(folder) == [True] * 5, said
     result = json.loads((folder / "result.json").read_text())
-    assert result["lives"] == 9 and result["doubles"] == 0
+    assert result["lives"] == 9
+    assert result["doubles"] == 0
     rows = {r["name"]: r for r in result["budgets"]}
     assert set(rows) == {"probes", "cold_slices", "moves", "emptied"}
     for row in rows.values():
@@ -58,7 +59,8 @@
     assert code == 0 and rules(folder) == [True] * 5, said
     result = json.loads((folder / "result.json").read_text())
     found = result["leases"]
-    assert found["kind"] == "witnessed" and result["doubles"] == result["lines_lost"] == 0
+    assert found["kind"] == "witnessed"
+    assert result["doubles"] == result["lines_lost"] == 0
     assert (found["overlaps"], found["falls"], found["shared"], found["late"]) == (0, 0, 0, 0), found
     assert found["acts"] > 2_000 and found["takeovers"] > 65, found
     log = "".join((folder / f"steward{k}.log").read_text() for k in range(6))
@@ -96,7 +98,8 @@
     assert code == 0 and rules(folder) == [True] * 5, said
     result = json.loads((folder / "result.json").read_text())
     found = result["waiting"]
-    assert found["kind"] == "witnessed" and result["doubles"] == 0
+    assert found["kind"] == "witnessed"
+    assert result["doubles"] == 0
     assert (found["doubled"], found["lost"], found["inversions_over_bound"]) == (0, 0, 0), found
     assert found["released"] > 300 and found["ends"].get("twin", 0) > 20, found
     assert found["longest_wait_ms"] < 40_000 + found["bound_ms"], found
@@ -108,7 +111,9 @@
     assert code == 0 and rules(folder) == [True] * 5, said
     result = json.loads((folder / "result.json").read_text())
     found = result["waiting"]
-    assert result["lives"] == 3 and result["doubles"] == 0 and found["released"] > 150
+    assert result["lives"] == 3
+    assert result["doubles"] == 0
+    assert found["released"] > 150
     assert (found["doubled"], found["lost"], found["inversions_over_bound"]) == (0, 0, 0) and found["still"] < 60, found
 
 
@@ -117,7 +122,8 @@
     assert code == 0 and rules(folder) == [True] * 5, said
     result = json.loads((folder / "result.json").read_text())
     tasks, pins, waiting = result["leases"], result["pins"], result["waiting"]
-    assert result["doubles"] == 0 and waiting["kind"] == tasks["kind"] == "witnessed"
+    assert result["doubles"] == 0
+    assert waiting["kind"] == tasks["kind"] == "witnessed"
     assert (tasks["overlaps"], pins["split_runs"], pins["wrong_version"]) == (0, 0, 0), (tasks, pins)
     assert (waiting["doubled"], waiting["lost"], waiting["inversions_over_bound"]) == (0, 0, 0), waiting
     assert pins["runs"] > 200 and waiting["released"] > 200 and waiting["of_runs"] > 50, (pins, waiting)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -69,7 +69,8 @@
     after = [t for t in w.takings if t[0] > 5_000.0]
     assert any(not t[6] for t in after), "the first acts under a lower fence are refused"
     good = {t[2] for t in after if t[6]}
-    assert good == set(range(TASKS.count)) and not judge([], w.takings)["late"]
+    assert good == set(range(TASKS.count))
+    assert not judge([], w.takings)["late"]
 
 
 def test_tasks_are_spread_evenly_and_move_as_little_as_can_be_when_stewards_come_and_go() -> None:
@@ -80,12 +81,14 @@
     def held() -> dict[int, int]:
         return {n: len(many.within(p.quota.holder.bits)) for n, p in w.processes.items()}
 
-    assert sum(held().values()) == 10_000 and max(held().values()) <= 10_000 / 8 * 1.1
+    assert sum(held().values()) == 10_000
+    assert max(held().values()) <= 10_000 / 8 * 1.1
     dealer = next(p.quota.dealer for p in w.processes.values() if p.quota.office(p.clock(w.now)))
     before = dealer.moves
     w.start(8)
     w.run(10_000.0)
-    assert sum(held().values()) == 10_000 and max(held().values()) <= 10_000 / 9 * 1.1
+    assert sum(held().values()) == 10_000
+    assert max(held().values()) <= 10_000 / 9 * 1.1
     least = SHARDS // 9
     assert dealer.moves - before <= least + 2, "only what the newcomer gets moves"
 
@@ -132,11 +135,13 @@
 def test_an_act_begins_only_if_its_longest_time_ends_within_the_lease() -> None:
     h = Holder(1, TIGHT, TASKS, 0.0)
     ask = h.ask(0.0, 9, 1)
-    assert ask and not h.dealt(10.0, Deal(1, ask.round, pack(1), 5))
+    assert ask
+    assert not h.dealt(10.0, Deal(1, ask.round, pack(1), 5))
     assert h.until == TIGHT.mine(600.0), "counted from when it was asked for"
     assert h.begin(100.0, 0) == 5 and h.begin(150.0, 0) == 0, "one act on a task at a time"
     h.done(160.0, 0)
-    assert h.begin(h.until - 101.0, 0) == 0 and h.holds(h.until - 101.0, 0)
+    assert h.begin(h.until - 101.0, 0) == 0
+    assert h.holds(h.until - 101.0, 0)
     h.behind_of(7)
     assert h.begin(200.0, 0) == 0, "a place has seen more: not before a higher fence"
 
@@ -155,7 +160,8 @@
         assert not together & bits
         together |= bits
     sizes = [bits.bit_count() for bits in out.values()]
-    assert together == free and max(sizes) - min(sizes) <= 1
+    assert together == free
+    assert max(sizes) - min(sizes) <= 1
     moved = sum((has[w] & ~out[w]).bit_count() for w in has)
     # Whoever has most keeps the odd ones; all that is above has to go, whatever is free.
     even, odd = divmod(free.bit_count(), n)
@@ -172,7 +178,8 @@
 def test_words_fit_a_datagram_and_odd_fields_are_refused() -> None:
     big = 2**62
     ask = Ask(big, 2**40, big, 2**40, b"\xff" * BITS, b"\xff" * BITS, 2**40, 2**32 - 1, big)
-    assert len(encode(ask)) <= 250 and decode(encode(ask)) == ask
+    assert len(encode(ask)) <= 250
+    assert decode(encode(ask)) == ask
     for odd in (
         Ask(1, 1, 0, 0, b"x", b"x"),
         Deal(1, 1, b"\0" * (BITS - 1), 1),
@@ -188,12 +195,17 @@
 def test_an_office_of_the_registry_ends_with_its_lease_and_its_fences_rise_with_its_revision() -> None:
     charge = Charge(2, range(1), ChargeTerms(ttl=1_000.0))
     desk = RegistryOffice(2, (0, 1), 77, charge)
-    assert not desk.holds(0.0) and desk.term is None and desk.holder == (None, 0, 0)
+    assert not desk.holds(0.0)
+    assert desk.term is None
+    assert desk.holder == (None, 0, 0)
     charge.connection(True)
     charge.asked = 0.0
     charge.granted(10.0, 5)
     charge.claimed(20.0, 0, 5, 41)
-    assert desk.holds(30.0) and desk.term == (30.0, 41) and desk.holder == (2, 41, 41) and desk.identity == 41
+    assert desk.holds(30.0)
+    assert desk.term == (30.0, 41)
+    assert desk.holder == (2, 41, 41)
+    assert desk.identity == 41
     before = desk.ceiling
     assert not desk.holds(760.0) and desk.term is None, "a margin before the registry could end it"
     charge.lost()
@@ -202,7 +214,8 @@
     charge.claimed(2_020.0, 0, 6, 58)
     assert desk.holds(2_030.0) and desk.base(1e15) > before, "whatever the wall clock says"
     core = Leases(2, (0, 1), (), TASKS, TIGHT, 77, 2_030.0, random.random, chair=desk)
-    assert core.office(2_030.0) and core.dealer.life == 58
+    assert core.office(2_030.0)
+    assert core.dealer.life == 58
     late = core.dealer.asked(2_031.0, 0, Ask(1, 1, 41, 41, pack(1), pack(0), 0, TASKS.digest))
     assert late is None and core.dealer.late == 1, "it was meant for the term before"
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -111,12 +111,14 @@
     m = members()
     assert m.heard(0.0, 9, Ping(1, 5, 1, [])) == [] and m.refused == 1, "a number that nobody has"
     assert m.heard(0.0, 1, Ping(1, 5, 0, [])) == [] and m.refused == 2, "an incarnation that cannot be"
-    assert m.heard(0.0, 1, Ping(1, 5, 1 << 40, [])) == [] and m.refused == 3
+    assert m.heard(0.0, 1, Ping(1, 5, 1 << 40, [])) == []
+    assert m.refused == 3
     assert not [a for a in m.heard(0.0, 1, Ping(1, 5, 1, [], aim=2)) if isinstance(a, Send)], "meant for another"
     before = m.refused
     for _ in range(1_000):
         m.heard(1.0, 2, Ping(1, 5, 1, []))
-    assert m.refused - before > 900 and m.state(2) == ALIVE
+    assert m.refused - before > 900
+    assert m.state(2) == ALIVE
     for word in (Ping(1, 2, 3, [(1, 2, 3)] * (NEWS_MOST + 1)), Ack(1, 2, 3, [])):
         assert (decode(encode(word)) is None) == bool(word.news)
     wide = Ask(2**32, 2**62, 2**32 - 1, [(65_535, 4, 2**32 - 1)] * NEWS_MOST, 65_535)
@@ -147,4 +149,5 @@
     a, b = world(6, 5), world(6, 5)
     a.run(9_000.0)
     b.run(9_000.0)
-    assert a.seen == b.seen and a.sent == b.sent
+    assert a.seen == b.seen
+    assert a.sent == b.sent
--- a/tests/test_mutation.py
+++ b/tests/test_mutation.py
@@ -87,7 +87,7 @@
         real(a, b, word)
         late(real, a, b, word)
 
-    others = [n for n in range(w.numbers)]
+    others = list(range(w.numbers))
     return {
         "lost": lambda real, a, b, word: None,
         "twice": twice,
--- a/tests/test_mutation_platform.py
+++ b/tests/test_mutation_platform.py
@@ -149,7 +149,8 @@
     assert refused == 0
     for path, mutant in mutants(LISTS[at]):
         view, refused = listed([*LISTS[:at], mutant, *LISTS[at + 1 :]])
-        assert isinstance(view.version, int) and len(view.entries) <= 4
+        assert isinstance(view.version, int)
+        assert len(view.entries) <= 4
         if not path.startswith("hosts."):
             continue  # the answer as a whole: it is refused, or it is another list
         was = LISTS[at]["hosts"][int(path.split(".")[1])]["host"]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -209,4 +209,7 @@
         text=True,
         timeout=LONG,
     )
-    assert done.returncode == 2 and done.stderr.count("\n") == 1 and str(path) in done.stderr and says in done.stderr
+    assert done.returncode == 2
+    assert done.stderr.count("\n") == 1
+    assert str(path) in done.stderr
+    assert says in done.stderr
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -29,7 +29,8 @@
         joins.ask(0.0, f)
     log = [(now, f) for now in range(0, 12_000, 10) for f in joins.due(float(now))]
     assert [f for _, f in log] == list(range(1000))
-    assert len([1 for now, _ in log if now == 0]) == 25 and 9_700 <= log[-1][0] <= 9_800
+    assert len([1 for now, _ in log if now == 0]) == 25
+    assert 9_700 <= log[-1][0] <= 9_800
     assert joins.next_at(12_000.0) is None
 
 
@@ -43,7 +44,8 @@
         for f in joins.due(float(now)):
             went[f].append(now)
     gaps = [b - a for a, b in zip(went[1], went[1][1:], strict=False)]
-    assert gaps[:5] == [500, 1000, 2000, 4000, 4000] and max(gaps) <= 4010
+    assert gaps[:5] == [500, 1000, 2000, 4000, 4000]
+    assert max(gaps) <= 4010
     assert went[2] == [30_000]
     joins.ask(90_000.0, 1)
     assert joins.due(90_000.0) == [1], "after a calm time it is as any other"
@@ -72,11 +74,13 @@
         else:
             now += ms
             gone = joins.due(now)
-            assert set(gone) <= wants and len(set(gone)) == len(gone)
+            assert set(gone) <= wants
+            assert len(set(gone)) == len(gone)
             wants -= set(gone)
     while wants:
         at = joins.next_at(now)
-        assert at is not None and at <= now + 2000.0
+        assert at is not None
+        assert at <= now + 2000.0
         now = max(now + 1.0, at)
         wants -= set(joins.due(now))
 
@@ -92,12 +96,14 @@
     for now in range(0, 1100, 100):
         o.lagged(400.0)
         waits.append(o.waits(float(now), 0))
-    assert waits == [True] * 10 + [False] and o.put_off == 1
+    assert waits == [True] * 10 + [False]
+    assert o.put_off == 1
     lags = []
     while o.strained:
         o.lagged(0.0)
         lags.append(o.lag)
-    assert lags == [200.0, 100.0, 50.0, 25.0] and not o.waits(1300.0, 0)
+    assert lags == [200.0, 100.0, 50.0, 25.0]
+    assert not o.waits(1300.0, 0)
 
 
 def test_steps_that_fill_the_time_strain_it_and_a_single_long_one_does_not() -> None:
@@ -168,7 +174,8 @@
         async with Running(tmp_path, config=config) as r, asyncio.timeout(20):
             silent = [await r.peer() for _ in range(40)]
             one = await r.joined(1)
-            assert len(r.steward.strangers) <= 5 and len(r.steward.links) <= 6
+            assert len(r.steward.strangers) <= 5
+            assert len(r.steward.links) <= 6
             r.do(api.SetLine(0, 10, 1.0))
             assert (await one.until(frames.Orders)).lines == [(0, 10, 1.0)]
             assert await silent[0].ended() == "no-hello"
@@ -186,7 +193,8 @@
                 await peer.until(frames.Orders)
             good.say(frames.Ack(1))
             assert await bad.ended() == "no-acks"
-            assert 1 in r.steward.forwarders and 2 not in r.steward.forwarders
+            assert 1 in r.steward.forwarders
+            assert 2 not in r.steward.forwarders
 
     asyncio.run(scene())
 
@@ -321,6 +329,7 @@
             over = True
             for t in tasks:
                 t.cancel()
-            assert 1 in r.steward.forwarders and r.steward.listener.taken < 29 * 0.5 * 200 + 200
+            assert 1 in r.steward.forwarders
+            assert r.steward.listener.taken < 29 * 0.5 * 200 + 200
 
     asyncio.run(scene())
--- a/tests/test_pins.py
+++ b/tests/test_pins.py
@@ -50,7 +50,8 @@
         assert not w.split() and not w.revived(), seed
         pinned += sum(row[3] == PINNED for row in w.told)
         retired += len(w.retired_at)
-    assert pinned > 1_000 and retired >= 4
+    assert pinned > 1_000
+    assert retired >= 4
 
 
 @pytest.mark.parametrize("seeds", [range(k, k + 25) for k in range(0, 100, 25)])
--- a/tests/test_pins_choose.py
+++ b/tests/test_pins_choose.py
@@ -14,7 +14,8 @@
 
 def test_registers_go_through_one_number() -> None:
     for register in (Register(1, 1, (1,)), Register(7, 1_023, (1_023, 4, 9), 2), Register(2, 5, (3, 5), 1)):
-        assert unpack(register.pack()) == register and register.pack() < 1 << 63
+        assert unpack(register.pack()) == register
+        assert register.pack() < 1 << 63
     for value in (0, 3, Register(1, 2, (3,)).pack(), Register(1, 3, (3, 3), 1).pack(), Register(1, 3, (3,), 3).pack()):
         assert unpack(value) is None
 
@@ -71,11 +72,14 @@
     asked: list[int] = []
     routes = Routes(("quote", "claim"), sets, {2: [3]}, no, lambda host: asked.append(host) is None)
     rows = routes.plan((2, 1, 3), {7: {2: 1.0}}, servers)
-    assert rows[2] == [] and rows[1] == [(7, 0, 1, [(1, 1.0)], 0.0), (7, 1, 1, [(1, 1.0)], 900.0)]
+    assert rows[2] == []
+    assert rows[1] == [(7, 0, 1, [(1, 1.0)], 0.0), (7, 1, 1, [(1, 1.0)], 900.0)]
     assert rows[3] == [(7, 0, 2, [(2, 1.0)], 0.0)], "quote goes over to set 2, whose claim is its own"
-    assert (routes.stranded, routes.carried) == (0, 1) and asked == []
+    assert (routes.stranded, routes.carried) == (0, 1)
+    assert asked == []
     rows = routes.plan((1,), {7: {2: 1.0}}, {2: servers[2]})
-    assert rows[1] == [(7, 0, 1, [], 0.0), (7, 1, 1, [], 900.0)] and routes.stranded == 2
+    assert rows[1] == [(7, 0, 1, [], 0.0), (7, 1, 1, [], 900.0)]
+    assert routes.stranded == 2
     cold = {1: server(1, 1, 0.3), 2: servers[2]}
     for _ in range(3):
         assert routes.plan((1,), {7: {2: 1.0}}, cold)[1][0][3] == [(1, 1.0)]
--- a/tests/test_pins_scenes.py
+++ b/tests/test_pins_scenes.py
@@ -112,7 +112,8 @@
         first.write(0.0, 99, 1, 0.0)
         late = deliver(first.tick(0.0), {0})
         deliver(second.tick(0.0), {1, 2})
-        assert second.open and second.get(99) is None
+        assert second.open
+        assert second.get(99) is None
         second.write(0.0, 99, 2, 0.0)
         copies = second.tick(0.0)
         deliver(late, {1, 2})
@@ -171,7 +172,8 @@
         w.ask(key)
     w.run(w.now + 1_000.0)
     after = {row[1]: row[4] for row in w.told[-60:] if row[3] == PINNED and row[1] in before}
-    assert after and all(before[key] == number for key, number in after.items())
+    assert after
+    assert all(before[key] == number for key, number in after.items())
 
 
 def test_stewards_that_start_one_after_the_other_all_count_in_the_end() -> None:
@@ -196,7 +198,8 @@
     w.wake(4)
     w.goal = 1
     w.run(w.now + 3_000.0)
-    assert not w.revived() and all(p.releases.register.current == 2 for p in w.pins.values() if p.releases.register)
+    assert not w.revived()
+    assert all(p.releases.register.current == 2 for p in w.pins.values() if p.releases.register)
     assert any("set 1 is retired" in p.releases.blocked for p in w.pins.values())
 
 
@@ -211,7 +214,8 @@
     w.carry(n, p, w.fleets[n].push(p.clock(w.now)))
     w.run(w.now + 300.0)
     ends = [row[3] for row in w.told if row[1] >= 10**9 and row[1] < 10**9 + 400]
-    assert ends.count(FULL) >= 300 and 0 < ends.count(PINNED) <= 80
+    assert ends.count(FULL) >= 300
+    assert 0 < ends.count(PINNED) <= 80
     for key in running:
         w.ask(key)
     w.run(w.now + 300.0)
@@ -227,7 +231,9 @@
         w.ask(10**9 + k)
     w.run(w.now + 1_200.0)
     new = [row for row in w.told[count:] if 10**9 <= row[1] < 10**9 + 20]
-    assert new and {row[3] for row in new} <= {FULL, NOT_NOW} and any(row[3] == FULL for row in new)
+    assert new
+    assert {row[3] for row in new} <= {FULL, NOT_NOW}
+    assert any(row[3] == FULL for row in new)
 
 
 def test_a_run_that_never_ends_is_over_by_age_and_keeps_no_set_alive() -> None:
@@ -241,6 +247,8 @@
         w.run(w.now + 500.0)
         w.ask(key)
     rows = [row for row in w.told if row[1] == key]
-    assert rows[0][3] == PINNED and rows[-1][3] == OVER and not w.split()
+    assert rows[0][3] == PINNED
+    assert rows[-1][3] == OVER
+    assert not w.split()
     w.run(w.now + 2_000.0)
     assert 1 in w.retired_at
--- a/tests/test_platform_state.py
+++ b/tests/test_platform_state.py
@@ -32,7 +32,8 @@
 
 @given(st.text(min_size=1, max_size=16), st.text(min_size=1, max_size=16))
 def test_a_name_and_its_number_are_one_to_one(one: str, two: str) -> None:
-    assert name(number(one)) == one and (number(one) == number(two)) == (one == two)
+    assert name(number(one)) == one
+    assert (number(one) == number(two)) == (one == two)
 
 
 def test_lists_and_changes() -> None:
@@ -46,14 +47,17 @@
             api.HostEntry(number("s-2"), 1, 0, 3, "up", 1.0, 1_700_000_000_000.0),
         ),
     )
-    assert take(view, False, seq=2) is None and view.version == 2
+    assert take(view, False, seq=2) is None
+    assert view.version == 2
     change = take(view, False, row("s-1", "terminating"), {"host": "s-2", "health": "terminated"}, seq=3)
-    assert change and change.form is api.ListForm.CHANGES
+    assert change
+    assert change.form is api.ListForm.CHANGES
     assert [e.state for e in change.entries] == ["draining", "removed"]
     assert held(view) == {"s-1": "draining"}
     assert number("s-2") in view.dials  # a report on it may still be under way
     whole = take(view, True, row("s-3"))
-    assert whole and [name(e.host) for e in whole.entries] == ["s-3"]
+    assert whole
+    assert [name(e.host) for e in whole.entries] == ["s-3"]
 
 
 @pytest.mark.parametrize(
@@ -73,7 +77,8 @@
     take(view, True, row("s-1"), row("s-2"))
     take(view, True, bad, row("s-2", "terminating"), 7, {"host": 5}, seq=2)
     assert held(view) == {"s-1": "up", "s-2": "draining"}
-    assert len(view.bad) == 3 and "s-1" in view.bad[0]
+    assert len(view.bad) == 3
+    assert "s-1" in view.bad[0]
 
 
 def test_an_answer_that_is_none_is_refused() -> None:
@@ -86,7 +91,8 @@
     view = View(ZONES, KINDS)
     for n in range(5_000):
         take(view, False, row(f"s-{n}"), row(f"s-{n - 30}", "terminated"), seq=n)
-    assert len(view.entries) == 30 and len(view.dials) <= 30 + GONE_MOST >= len(view.gone)
+    assert len(view.entries) == 30
+    assert len(view.dials) <= 30 + GONE_MOST >= len(view.gone)
 
 
 SETTINGS: dict[str, Any] = {
@@ -137,14 +143,17 @@
     assert flatten(SETTINGS) == pairs
     settings = parse(msgspec.json.encode(TOP)).settings
     assert settings == settings_of(pairs)
-    assert settings.operations[1].writes and settings.slices == 127
+    assert settings.operations[1].writes
+    assert settings.slices == 127
 
 
 def test_a_configuration() -> None:
     c = parse(msgspec.json.encode(TOP))
     assert (c.listen, c.store, c.seed) == (("127.0.0.4", 8081), ("127.2.0.2", 6400), 0x8C1F30D27A5BE964)
-    assert c.places.zones == {"a": 0, "north b": 1} and c.places.operations == {"lookup": 0, "claim": 1}
-    assert c.sockets == 256 and c.dial_timeout == 300.0
+    assert c.places.zones == {"a": 0, "north b": 1}
+    assert c.places.operations == {"lookup": 0, "claim": 1}
+    assert c.sockets == 256
+    assert c.dial_timeout == 300.0
     assert c.known.seq == 41
 
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -82,7 +82,8 @@
     big = 2**32 - 1
     want = Want(2**62, big, 2**62, big, [(big, 2**20, 2**15, 2**15, 2**15, big)] * Terms().rows_most)
     give = Give(2**62, big, [(big, 2**20, 2**15)] * Terms().rows_most)
-    assert len(encode(want)) <= 255 and len(encode(give)) <= 255
+    assert len(encode(want)) <= 255
+    assert len(encode(give)) <= 255
 
 
 def test_a_floor_for_each_of_all_must_fit_the_whole() -> None:
@@ -106,7 +107,8 @@
         p.quota.retune(p.clock(w.now), {"moves": 4})
     w.run(10_000.0)
     late = [u for u in w.uses if u[0] > 5_000.0 + 2 * (TIGHT.good(BUDGET) + 300.0)]
-    assert most(w.uses, {"moves": 9})[0]["most"] == 9 and most(late, {"moves": 4})[0]["most"] == 4
+    assert most(w.uses, {"moves": 9})[0]["most"] == 9
+    assert most(late, {"moves": 4})[0]["most"] == 4
     assert most(w.uses, {"moves": 9})[0]["over_ms"] == 0
 
 
@@ -121,7 +123,9 @@
     bound = TIGHT.theirs(TIGHT.good(BUDGET5)) * 2 + TIGHT.office * 3
     after = [u for u in w.uses if u[0] > 6_000.0 + bound]
     row = most(after, {"moves": 7})[0]
-    assert row["most"] == 7 and row["used_share"] > 0.8 and most(w.uses, {"moves": 7})[0]["over_ms"] == 0
+    assert row["most"] == 7
+    assert row["used_share"] > 0.8
+    assert most(w.uses, {"moves": 7})[0]["over_ms"] == 0
 
 
 BUDGET5 = Budget("moves", 7, 0, 5, 300.0)
--- a/tests/test_record_file.py
+++ b/tests/test_record_file.py
@@ -27,7 +27,8 @@
 
 def test_what_was_written_is_there_with_its_age_and_the_fences_that_were_seen(tmp_path: Path) -> None:
     file, shelf = opened(tmp_path / "r.db")
-    assert file.blank and file.opened == 1
+    assert file.blank
+    assert file.opened == 1
     shelf.unkept.whole = True
     shelf.put(7, 99, 3, (12, 4), 4_000.0)
     shelf.raise_seen(7, 13)
@@ -38,7 +39,8 @@
     record = shelf.groups[7][99]
     assert (record.value, record.order, shelf.seen[7], file.blank, file.opened) == (3, (12, 4), 13, False, 2)
     assert 1_000.0 <= 1_000.0 - record.born < 6_000.0, "a second old when it was written, and goes on"
-    assert file.load(Shelf(RecordTerms())) == {2: (5, 77, 40)} and shelf.writes == 1
+    assert file.load(Shelf(RecordTerms())) == {2: (5, 77, 40)}
+    assert shelf.writes == 1
     file.close()
 
 
@@ -111,7 +113,8 @@
     kept(shelf, file)
     file.close()
     file, shelf = opened(tmp_path / "r.db")
-    assert file.blank and not shelf.groups
+    assert file.blank
+    assert not shelf.groups
     file.write(Unkept(whole=True, writes=9))
     file.close()
     assert not opened(tmp_path / "r.db")[0].blank
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -109,7 +109,8 @@
         await r.put(f"{PREFIX}6", None)
         await until(lambda: same(r, seat))
         versions = [h[1] for h in seat.history]
-        assert versions == sorted(set(versions)) and seat.history[-1][2][0] == "up11.0"
+        assert versions == sorted(set(versions))
+        assert seat.history[-1][2][0] == "up11.0"
         for full, version, states in seat.history:
             assert states == truth(r, version), (full, version)
         if kind == "etcd":
@@ -202,7 +203,8 @@
         r.store.restore(old)
         await r.start()
         await until(lambda: same(r, seat))
-        assert sorted(seat.history[-1][2]) == [0, 1] and any("another cluster" in t for t in seat.failures)
+        assert sorted(seat.history[-1][2]) == [0, 1]
+        assert any("another cluster" in t for t in seat.failures)
         s.stop()
 
     play(scene)
@@ -305,7 +307,8 @@
         s.stop()
 
     play(scene)
-    assert row_of(b"/h/", Row(b"/h/x", b"{}", 1)) is None and row_of(b"/h/", Row(b"/h/5", None, 1)) == {
+    assert row_of(b"/h/", Row(b"/h/x", b"{}", 1)) is None
+    assert row_of(b"/h/", Row(b"/h/5", None, 1)) == {
         "host": 5,
         "state": "removed",
     }
@@ -377,7 +380,8 @@
         wrong = source(r, other, ca_file=files["stranger"])
         bare = source(r, none, ca_file=files["ca"])
         await until(lambda: other.failures and none.failures)
-        assert not other.history and not none.history
+        assert not other.history
+        assert not none.history
         for s in (good, wrong, bare):
             s.stop()
 
--- a/tests/test_registry_charge.py
+++ b/tests/test_registry_charge.py
@@ -256,10 +256,13 @@
     w = World(slices=8)
     run(w, 20)
     both = held(w)
-    assert sorted(both[0] + both[1]) == list(range(8)) and both[0] and both[1]
+    assert sorted(both[0] + both[1]) == list(range(8))
+    assert both[0]
+    assert both[1]
     w.act(0, w.stewards[0].leave(float(w.now)))
     run(w, 20)
-    assert held(w) == [[], list(range(8))] and w.stewards[0].empty
+    assert held(w) == [[], list(range(8))]
+    assert w.stewards[0].empty
 
 
 def test_a_steward_that_sleeps_past_its_lease_wakes_up_with_nothing() -> None:
@@ -272,7 +275,8 @@
     assert mine and not sleeper.may_speak(float(w.now)), "by its own clock, before it hears anything"
     run(w, 30)
     both = held(w)
-    assert sorted(both[0] + both[1]) == [0, 1, 2, 3] and both[0] == mine
+    assert sorted(both[0] + both[1]) == [0, 1, 2, 3]
+    assert both[0] == mine
 
 
 def test_cut_off_it_takes_nothing_new_and_stops_in_time() -> None:
@@ -281,7 +285,8 @@
     s = w.stewards[0]
     s.connection(False)
     out = [a for t in range(10) for a in s.tick(float(w.now + t))]
-    assert all(isinstance(a, Given) and not a.on for a in out) and not s.held
+    assert all(isinstance(a, Given) and not a.on for a in out)
+    assert not s.held
 
 
 def test_a_claim_whose_answer_came_too_late_goes_back() -> None:
@@ -305,6 +310,7 @@
     assert [a.slice for a in out if isinstance(a, Release)] == mine
     for s in mine:
         w.stewards[0].released(s)  # the way broke; none of them reached the registry
-    assert mine and not w.stewards[0].empty
+    assert mine
+    assert not w.stewards[0].empty
     run(w, 20)
     assert held(w)[1] == [0, 1, 2, 3]
--- a/tests/test_registry_keeper.py
+++ b/tests/test_registry_keeper.py
@@ -190,7 +190,7 @@
         k.charge.slices = range(250)
         await until(lambda: len(s.seats[0].held) == 250, 15)
         calls = r.store.calls["Txn"]
-        await k.write({x: {h: 1.0 for h in range(3)} for x in range(250)})
+        await k.write({x: dict.fromkeys(range(3), 1.0) for x in range(250)})
         assert r.store.calls["Txn"] - calls == 3
         kept = json.loads(r.store.keys[b"/corallanding/tables/249"].value)
         assert kept == {"0": 1.0, "1": 1.0, "2": 1.0}
--- a/tests/test_registry_sync.py
+++ b/tests/test_registry_sync.py
@@ -74,7 +74,7 @@
                     self.take(a)
 
     def take(self, d: Delta) -> None:
-        assert d.revision > self.shadow_revision or d.whole and d.revision >= self.shadow_revision
+        assert d.revision > self.shadow_revision or (d.whole and d.revision >= self.shadow_revision)
         assert len({r.key for r in d.rows}) == len(d.rows)
         if not d.whole:
             want = {r.key: r for r in self.registry.history[d.revision]}
@@ -198,7 +198,8 @@
                 self.deliver(4, 0, 0)
             else:
                 break
-        assert self.sync.phase == "watching" and self.watch_at
+        assert self.sync.phase == "watching"
+        assert self.watch_at
         assert self.shadow == self.sync.view == self.registry.state(self.registry.revision)
 
 
@@ -291,7 +292,8 @@
             [close] = sync.broken(0.0, "gone")
         assert isinstance(close, Close)
         waits.append(close.wait)
-    assert max(waits) - min(waits) > 1000 and max(waits) <= 1600
+    assert max(waits) - min(waits) > 1000
+    assert max(waits) <= 1600
     sync, reads, now = Sync(Limits(reads_per_min=6.0), lambda: 0.5), 0, 0.0
     while now < 60_000.0:
         got = sync.connected(now)
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -23,7 +23,9 @@
 def ops(call: Call | None) -> list[dict[str, Any]]:
     assert call
     said = msgspec.json.decode(call.line)
-    assert said["method"] == "relay.apply" and said["id"] == call.id and call.line.endswith(b"\n")
+    assert said["method"] == "relay.apply"
+    assert said["id"] == call.id
+    assert call.line.endswith(b"\n")
     return list(said["params"]["ops"])
 
 
@@ -93,7 +95,8 @@
     c.order([api.SetLine(1, A, 1.0), api.SetLine(1, B, 0.0), api.Mark(1)])
     c.next(0.0)
     c.order([api.SetLine(1, B, 1.0), api.Mark(2)])
-    assert c.answered(0.0, line) is None and c.flying
+    assert c.answered(0.0, line) is None
+    assert c.flying
     c.unknown(0.0)
     assert [(o.get("endpoint"), o.get("w"), o.get("stamp")) for o in ops(c.next(0.0))] == [
         ("s-0", 1.0, None),
@@ -131,7 +134,9 @@
     assert answer(c, error={"code": -1, "message": "Throttling"}) == []
     assert c.next(0.0) is None
     at = c.next_at(0.0)
-    assert at is not None and 0.0 < at < 100.0 and len(ops(c.next(at))) == 1  # and it counted for no message
+    assert at is not None
+    assert 0.0 < at < 100.0
+    assert len(ops(c.next(at))) == 1
 
 
 def test_no_call_beyond_the_cap_on_messages_sent_again_or_not() -> None:
@@ -141,7 +146,9 @@
         assert c.next(now)
         c.unknown(now)
     # The first became a message at 50 ms at the latest, and the span's last instant may count.
-    assert c.next_at(300.0) == 10_051.0 and c.next(10_050.9) is None and c.next(10_051.0)
+    assert c.next_at(300.0) == 10_051.0
+    assert c.next(10_050.9) is None
+    assert c.next(10_051.0)
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 50.0), st.floats(0.0, 1.0), st.booleans()), max_size=40))
@@ -179,7 +186,10 @@
         seen += said
         parts += 1
         answer(c, result={"taken": len(said)})
-    assert parts > 1 and len(seen) == 3_002 and seen[0]["op"] == "OUT" and seen[-1]["op"] == "SYNC"
+    assert parts > 1
+    assert len(seen) == 3_002
+    assert seen[0]["op"] == "OUT"
+    assert seen[-1]["op"] == "SYNC"
     assert [o["w"] for o in seen if o["op"] == "SET"] == [1.0] * 1_500 + [0.0] * 1_500
 
 
@@ -187,7 +197,8 @@
     c = calls()
     c.order([api.SetLine(1, A, 1.0), api.SetLine(2, A, 1.0), api.Mark(1)])
     c.forget(1)
-    assert [o.get("table") for o in ops(c.next(0.0))] == [2, None] and [o.slice for o in c.under_way()] == [2]
+    assert [o.get("table") for o in ops(c.next(0.0))] == [2, None]
+    assert [o.slice for o in c.under_way()] == [2]
 
 
 def test_an_emptied_table_takes_what_waited_for_it_along() -> None:
@@ -206,7 +217,7 @@
     return Channel(MOST, RATE * 1000.0, 8.0, lambda: PROXIES)
 
 
-@given(st.lists(st.tuples(st.integers(1, 250), st.sampled_from("answered lost twice".split()), st.integers(1, 2_000))))
+@given(st.lists(st.tuples(st.integers(1, 250), st.sampled_from(["answered", "lost", "twice"]), st.integers(1, 2_000))))
 def test_calls_sent_again_never_fill_the_channel_beyond_its_queue(story: list[tuple[int, str, int]]) -> None:
     """Whatever was carried out, once or twice, at the stated rate: a wave of drains in a day of spoilt answers."""
     c = calls(channel=channel())
@@ -261,5 +272,7 @@
     c.unknown(10.0)
     c.order([api.SetLine(3, A, 0.0)])
     assert c.next(10.0) is None, "a second copy does not fit beside the first"
-    assert c.applied(4) == [] and c.applied(5) == orders and c.applied(5) == []
+    assert c.applied(4) == []
+    assert c.applied(5) == orders
+    assert c.applied(5) == []
     assert list(c.waiting.values()) == [api.SetLine(3, A, 0.0)], "only what came since is left to send"
--- a/tests/test_relay_news.py
+++ b/tests/test_relay_news.py
@@ -124,7 +124,8 @@
 
 def test_a_slice_taken_back_before_its_lines_came_was_never_given() -> None:
     news = begun()
-    assert say(news, owner(5), entry(5, 0), owner(5, False)) == [] and news.given() == []
+    assert say(news, owner(5), entry(5, 0), owner(5, False)) == []
+    assert news.given() == []
 
 
 def test_marks_count_of_joined_proxies_only() -> None:
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -51,7 +51,8 @@
         pack_json(HEAD_1, snake, key),
         pack_json(HEAD_1, camel, key),
     ):
-        assert read(data, key) == want and sender(data) == (7, 3)
+        assert read(data, key) == want
+        assert sender(data) == (7, 3)
 
 
 def test_a_host_without_application_utilization_counts_by_its_cpu_and_old_rps() -> None:
@@ -65,7 +66,8 @@
         assert not genuine(data, KEY)
         with pytest.raises(BadReport, match="forged"):
             read(data, KEY)
-    assert genuine(signed, KEY) and genuine(pack_json(HEAD_1, b"{}", KEY), KEY)
+    assert genuine(signed, KEY)
+    assert genuine(pack_json(HEAD_1, b"{}", KEY), KEY)
     for k in (5, 10, 20, 30, len(signed) - 3):  # any byte that is changed
         bent = bytearray(signed)
         bent[k] ^= 1
@@ -105,8 +107,10 @@
     for host in range(1, 50):
         t.come(200.0, (host, 0), b"quiet")
     taken = [data for _, data in t.turn(50)]
-    assert taken.count(b"quiet") == 49 and taken.count(b"loud") == 1
-    assert t.counts.replaced + t.counts.loud == 20 * 1000 - 1 and len(t.slots) == 50
+    assert taken.count(b"quiet") == 49
+    assert taken.count(b"loud") == 1
+    assert t.counts.replaced + t.counts.loud == 20 * 1000 - 1
+    assert len(t.slots) == 50
 
 
 def test_turns_go_round_and_the_newest_stands_in_the_place_of_the_older() -> None:
@@ -126,9 +130,12 @@
     for process in range(1000):
         t.come(0.0, (1, process), b"x")
         t.come(0.0, (2, process), b"x")
-    assert len(t.slots) == 3 and (t.counts.processes, t.counts.unknown) == (997, 1000)
+    assert len(t.slots) == 3
+    assert (t.counts.processes, t.counts.unknown) == (997, 1000)
     t.listed([2])
-    assert not t.slots and not t.waiting and t.come(0.0, (2, 0), b"x")
+    assert not t.slots
+    assert not t.waiting
+    assert t.come(0.0, (2, 0), b"x")
 
 
 # ---- worth -----------------------------------------------------------------------------------------------
@@ -142,7 +149,7 @@
 
     def __init__(self, count: int, started: int = STARTED) -> None:
         self.worth, self.now, self.count, self.started, self.seq = Worth(POLICY), 100_000.0, count, started, 0
-        self.worth.listed({h: (0.0, started, 0.0) for h in range(count)})
+        self.worth.listed(dict.fromkeys(range(count), (0.0, started, 0.0)))
 
     def tick(self) -> bytes:
         self.seq += 1
@@ -170,20 +177,22 @@
     fleet.run(30, {})
     assert fleet.worth.factors() == {}
     event = api.Membership(api.ListForm.FULL, 3, (api.HostEntry(1, weight=2.0),))
-    assert weigh(event, {}) is event and weigh(event, {9: 0.5}) is event
+    assert weigh(event, {}) is event
+    assert weigh(event, {9: 0.5}) is event
 
 
 def test_a_slow_host_is_lowered_step_by_step_and_gets_its_weight_back() -> None:
     fleet = Fleet(10)
     seen = []
     for _ in range(8):
-        fleet.run(1, {h: 0.5 for h in range(9)} | {9: 1.0})
+        fleet.run(1, dict.fromkeys(range(9), 0.5) | {9: 1.0})
         seen.append(round(fleet.worth.factor(9), 3))
-    assert seen[-1] == 0.5 and seen == sorted(seen, reverse=True)
+    assert seen[-1] == 0.5
+    assert seen == sorted(seen, reverse=True)
     assert all(b / a > 0.84 - 1e-3 for a, b in zip([1.0, *seen], seen, strict=False)), "a step a window"
-    fleet.run(12, {h: 0.5 for h in range(10)})
+    fleet.run(12, dict.fromkeys(range(10), 0.5))
     assert fleet.worth.factors() == {9: 0.5}, "at the fleet's load it stays: that is what the weight is for"
-    fleet.run(12, {h: 0.5 for h in range(9)} | {9: 0.2})
+    fleet.run(12, dict.fromkeys(range(9), 0.5) | {9: 0.2})
     assert fleet.worth.factors() == {}
 
 
@@ -196,7 +205,7 @@
 
 def test_nothing_herds_onto_the_host_that_says_idle() -> None:
     fleet = Fleet(6)
-    fleet.run(20, {h: 0.7 for h in range(5)} | {5: 0.0})
+    fleet.run(20, dict.fromkeys(range(5), 0.7) | {5: 0.0})
     assert fleet.worth.factors() == {}, "an idle word raises nobody over the list"
 
 
@@ -208,9 +217,9 @@
 
 def test_influence_ends_with_the_reports_whatever_was_learnt() -> None:
     fleet = Fleet(10)
-    fleet.run(10, {h: 0.5 for h in range(9)} | {9: 3.0})
+    fleet.run(10, dict.fromkeys(range(9), 0.5) | {9: 3.0})
     assert fleet.worth.factor(9) == 0.5
-    fleet.run(5.25, {h: 0.5 for h in range(9)})  # it falls silent, as one that overloads may
+    fleet.run(5.25, dict.fromkeys(range(9), 0.5))  # it falls silent, as one that overloads may
     assert fleet.worth.factors() == {}
 
 
@@ -221,7 +230,8 @@
     nonce = fleet.tick()
     assert fleet.say(1, 0.5, nonce)
     fleet.now += 3_600_000.0
-    assert not fleet.say(1, 0.5, uptime=fleet.now - 3_600_000.0 + 50.0) and fleet.worth.counts.expired == 1
+    assert not fleet.say(1, 0.5, uptime=fleet.now - 3_600_000.0 + 50.0)
+    assert fleet.worth.counts.expired == 1
     assert not fleet.say(1, 0.5, nonce, seq=1) and fleet.worth.counts.repeated == 1, "a replay"
     assert not fleet.say(2, 0.5, nonce, uptime=5.0) and fleet.worth.counts.doubtful == 2, "an old tick proves nothing"
 
@@ -238,10 +248,13 @@
     fleet.say(0, 0.9, fleet.tick())
     fleet.worth.listed({0: (fleet.now, STARTED + 5000, fleet.now)})
     assert fleet.worth.said(fleet.now, fleet.worth.hosts[0])[1] == 0.0
-    assert not fleet.say(0, 0.9, fleet.tick()) and fleet.worth.counts.former == 1
-    assert not fleet.say(0, 0.9, fleet.tick(), started=STARTED + 9000) and fleet.worth.counts.former == 2
+    assert not fleet.say(0, 0.9, fleet.tick())
+    assert fleet.worth.counts.former == 1
+    assert not fleet.say(0, 0.9, fleet.tick(), started=STARTED + 9000)
+    assert fleet.worth.counts.former == 2
     assert fleet.say(0, 0.9, fleet.tick(), started=STARTED + 5000)
-    assert not fleet.say(5, 0.9) and fleet.worth.counts.unlisted == 1
+    assert not fleet.say(5, 0.9)
+    assert fleet.worth.counts.unlisted == 1
 
 
 def test_one_value_for_ever_fades() -> None:
@@ -261,7 +274,8 @@
     fleet = Fleet(1)
     for process in range(3):
         fleet.say(0, 0.6, fleet.tick(), process=process)
-    assert not fleet.say(0, 0.6, fleet.tick(), process=9) and fleet.worth.counts.crowded == 1
+    assert not fleet.say(0, 0.6, fleet.tick(), process=9)
+    assert fleet.worth.counts.crowded == 1
     host = fleet.worth.hosts[0]
     assert fleet.worth.said(fleet.now, host) == (0.6, 1.0)
     fleet.now += 6000.0
@@ -276,14 +290,14 @@
         for _ in range(3):
             for h in range(10):
                 fleet.worth.seen(h, 40, 0, wait if h == 9 else 200.0)
-            fleet.run(1, {h: 0.5 for h in range(9)} | {9: 2.0})
+            fleet.run(1, dict.fromkeys(range(9), 0.5) | {9: 2.0})
         factors.append(fleet.worth.factor(9))
     assert factors[0] > factors[1]
 
 
 def test_few_hosts_are_lowered_at_once() -> None:
     fleet = Fleet(20)
-    fleet.run(1.25, {h: 0.5 for h in range(11)} | {h: 2.0 for h in range(11, 20)})
+    fleet.run(1.25, dict.fromkeys(range(11), 0.5) | dict.fromkeys(range(11, 20), 2.0))
     assert len(fleet.worth.factors()) <= 2 * 2
 
 
@@ -322,7 +336,7 @@
     verdicts = []
     for shuffled in (rows, chance.sample(rows, len(rows))):
         worth = Worth(POLICY)
-        worth.listed({h: (0.0, STARTED, 0.0) for h in (0, 1)})
+        worth.listed(dict.fromkeys((0, 1), (0.0, STARTED, 0.0)))
         worth.tick(100_000.0, b"tick-one")
         for host, process, seq, load, delay, echo in shuffled:
             uptime = 5_000.0 + seq * 100.0
@@ -341,7 +355,7 @@
         super().__init__()
         self.policy = Policy(half_life=1000.0, expiry=4000.0, window=1000.0, reporting_least=0.2, changes_most=0.2)
         self.worth, self.now, self.seq, self.nonce = Worth(self.policy), 1e6, 0, b"\0" * 8
-        self.started = {h: STARTED for h in range(6)}
+        self.started = dict.fromkeys(range(6), STARTED)
         self.proof: dict[int, float] = {}  # host: when a report of it could last be known to be fresh
         self.listed()
         self.before: dict[int, int] = {}
@@ -412,7 +426,8 @@
     def ages(self) -> None:
         for x in self.worth.hosts.values():
             later = [self.worth.said(self.now + t, x)[1] for t in (0.0, 10.0, 500.0, 3999.0, 4000.0, 1e6)]
-            assert later == sorted(later, reverse=True) and later[-1] == 0.0
+            assert later == sorted(later, reverse=True)
+            assert later[-1] == 0.0
 
 
 Senders.TestCase.settings = settings(max_examples=80, stateful_step_count=40, deadline=None)
@@ -484,7 +499,9 @@
             await report(15, lambda: weights().get(4) == 1.0)
             assert weights() == {0: 2.0, 1: 2.0, 2: 2.0, 3: 2.0, 4: 1.0}, "half of its listed weight, the others whole"
             await until(lambda: feed.counts.get("forged"))
-            assert feed.counts["unknown"] > 0 and feed.counts["bad"] > 0 and feed.counts["senders"] == 5
+            assert feed.counts["unknown"] > 0
+            assert feed.counts["bad"] > 0
+            assert feed.counts["senders"] == 5
             stopped = time.monotonic()
             await until(lambda: weights()[4] == 2.0)
             assert time.monotonic() - stopped < 5.0
@@ -530,10 +547,15 @@
 def test_heads_are_as_the_page_says() -> None:
     """Byte for byte: what docs/reports.md tells strangers."""
     raw = pack(HEAD_1, b"")
-    assert raw[:4] == b"oL\x01\x00" and HEAD.size == 50 and len(raw) == 50
-    assert raw[4:10] == bytes([0, 0, 0, 7, 0, 3]) and raw[-8:] == b"12345678"
+    assert raw[:4] == b"oL\x01\x00"
+    assert HEAD.size == 50
+    assert len(raw) == 50
+    assert raw[4:10] == bytes([0, 0, 0, 7, 0, 3])
+    assert raw[-8:] == b"12345678"
     told = json.loads(pack_json(HEAD_1, b'{"eps": 1}'))
-    assert told["orca"] == {"eps": 1} and told["seq"] == 9 and msgspec.json.encode(told)
+    assert told["orca"] == {"eps": 1}
+    assert told["seq"] == 9
+    assert msgspec.json.encode(told)
 
 
 @pytest.mark.parametrize("at", [1, 7, 30, 59])
@@ -542,7 +564,7 @@
 
     def play(handed: bool) -> list[dict[int, float]]:
         w, said = Worth(Policy(window=100.0, half_life=1_000.0, expiry=4_000.0)), []
-        w.listed({h: (0.0, 0, 0.0) for h in range(5)})
+        w.listed(dict.fromkeys(range(5), (0.0, 0, 0.0)))
         for n in range(60):
             now = 1e6 + n * 50.0
             w.tick(now, bytes([n]) * 8)
@@ -559,4 +581,5 @@
                 take(w, state)
         return said
 
-    assert play(True) == play(False) and any(play(False))
+    assert play(True) == play(False)
+    assert any(play(False))
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -19,7 +19,8 @@
         out += reader.feed(stream[at:cut])
         at = cut
     assert out == [[w.encode() for w in words] for words in messages]
-    assert not reader.fault and not reader.buffer
+    assert not reader.fault
+    assert not reader.buffer
 
 
 @given(st.binary(max_size=200), st.integers(1, 50))
@@ -64,4 +65,5 @@
 def test_a_message_that_never_ends_is_not_kept() -> None:
     reader = Reader(64)
     reader.feed(b"*2\r\n$40\r\n" + b"x" * 40 + b"\r\n$40\r\n")
-    assert reader.fault and not reader.buffer
+    assert reader.fault
+    assert not reader.buffer
--- a/tests/test_revive.py
+++ b/tests/test_revive.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import json
 import os
 import signal
@@ -80,7 +81,8 @@
     two = Rig(2, lines(one.engine))
     two.now = one.now
     assert revive(two.engine, state, one.log[tail:], one.now) == (cut, [])
-    assert isinstance(one.engine.module, Assigner) and isinstance(two.engine.module, Assigner)
+    assert isinstance(one.engine.module, Assigner)
+    assert isinstance(two.engine.module, Assigner)
     assert two.engine.module.level == one.engine.module.level < 1.0
     assert two.engine.state.levels == one.engine.state.levels
     assert [t[::2] for t in sorted(two.engine.timers)] == [t[::2] for t in sorted(one.engine.timers)]
@@ -120,7 +122,9 @@
     module = two.engine.module
     with pytest.raises(Unfit, match="step 6 of its log"):
         revive(two.engine, state, steps, one.now)
-    assert two.engine.module is module and not two.engine.inbox and not two.engine.timers
+    assert two.engine.module is module
+    assert not two.engine.inbox
+    assert not two.engine.timers
 
 
 @pytest.mark.parametrize(
@@ -271,10 +275,8 @@
                 before = sum(isinstance(f, frames.Tables) for f in peer.got)
                 for _ in range(100):
                     peer.say(frames.Beat())
-                    try:
+                    with contextlib.suppress(TimeoutError):
                         await peer.until(type(None), within=0.1)
-                    except TimeoutError:
-                        pass
                     if len(found := [f for f in peer.got if isinstance(f, frames.Tables)]) > before:
                         tables = found[-1]
                         break
@@ -363,12 +365,15 @@
     r.step(2.0, [], [])
     r.file = real
     r.step(3.0, [], [])
-    assert r.full and "a part" in r.why
+    assert r.full
+    assert "a part" in r.why
     r.close()
     found = recorder.read(tmp_path / "r")
-    assert [now for now, _, _ in found.steps] == [1.0] and found.torn
+    assert [now for now, _, _ in found.steps] == [1.0]
+    assert found.torn
     with open("/dev/full", "wb", buffering=0) as full:
         r = recorder.Recorder(tmp_path / "r", SETTINGS, 1, 1e9)
         r.file = full
         r.step(1.0, [], [])
-        assert r.full and "No space left" in r.why
+        assert r.full
+        assert "No space left" in r.why
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -37,7 +37,8 @@
     first = view.take(1e9, 5_000_000.0, True, 1, [row(1, started=4_990_000.0)]).entries[0].online_since
     stepped = view.take(1e9 + 50, 8_000_000.0, True, 2, [row(1, started=4_990_000.0)]).entries[0].online_since
     ahead = view.take(1e9 + 60, 8_000_000.0, True, 3, [row(1, started=9_999_000.0)]).entries[0].online_since
-    assert first == stepped == 1e9 - 10_000.0 and ahead == 1e9 + 60
+    assert first == stepped == 1e9 - 10_000.0
+    assert ahead == 1e9 + 60
     assert view.take(1e9, 0.0, True, 4, [row(2)]).entries[0].online_since == 0.0, "long ago"
 
 
@@ -45,7 +46,8 @@
     view = View(hosts_most=2)
     view.take(0.0, 0.0, True, 1, [row(1), row(2)])
     event = view.take(0.0, 0.0, False, 2, [row(3), row(2, state="draining")])
-    assert [(e.host, e.state) for e in event.entries] == [(2, "draining")] and "more than 2 hosts" in view.bad[0]
+    assert [(e.host, e.state) for e in event.entries] == [(2, "draining")]
+    assert "more than 2 hosts" in view.bad[0]
 
 
 @pytest.mark.parametrize("address", ["10.0.0.1:1", "example:80", "127.0.0.1", "127.0.0.1:99999", "0.0.0.0:1", ""])
@@ -107,7 +109,8 @@
         await s.until(lambda: s.told[-1] == (True, 9, 1))
         s.writers[-1].transport.abort()
         await s.until(lambda: s.asked[-1] == {"ask": "follow", "after": 9})
-        assert isinstance(s.told[-1], str) and "broke" in s.told[-1]
+        assert isinstance(s.told[-1], str)
+        assert "broke" in s.told[-1]
         s.writers[-1].write(b"not json\n")
         await s.until(lambda: "cannot be read" in str(s.told[-1]))
         s.writers[-1].write(b"x" * 5000)
@@ -136,4 +139,5 @@
 def test_events_are_the_module_s() -> None:
     view = View()
     event = view.restore(1e9, 50_000.0, 3, [api.HostEntry(7)], {7: "127.0.0.1:1"}, {7: 40_000.0})
-    assert event.form is api.ListForm.SAVED and event.entries[0].online_since == 1e9 - 10_000.0
+    assert event.form is api.ListForm.SAVED
+    assert event.entries[0].online_since == 1e9 - 10_000.0
--- a/tests/test_settings_any.py
+++ b/tests/test_settings_any.py
@@ -25,17 +25,35 @@
     {"name": NAMES, "idempotency": st.sampled_from(["repeatable", "by_key", "once", "now and then"])},
     optional={"window": AMOUNT, "group": NAMES, "aim": AMOUNT, "giveUp": AMOUNT, "worth": AMOUNT, "lateWorth": AMOUNT},
 )
-FAMILY = """proxies keyRanges
-lease inFlightMax baseMode tryAims blackhole channelRate perMessage mostWaiting pushesAllowed
-messagesOver propagation worstTransit reportEvery intakePerS pushPrice reassignPrice ejects""".split()
+FAMILY = [
+    "proxies",
+    "keyRanges",
+    "lease",
+    "inFlightMax",
+    "baseMode",
+    "tryAims",
+    "blackhole",
+    "channelRate",
+    "perMessage",
+    "mostWaiting",
+    "pushesAllowed",
+    "messagesOver",
+    "propagation",
+    "worstTransit",
+    "reportEvery",
+    "intakePerS",
+    "pushPrice",
+    "reassignPrice",
+    "ejects",
+]
 RULES = ("askWithin", "drainGrace", "cold", "coldFrom", "fall", "fallMultiple", "drainBindsAlone")
 ANY = st.fixed_dictionaries(
     {
         "zones": st.lists(NAMES, max_size=4, unique=True),
         "kinds": st.lists(NAMES, max_size=3, unique=True),
         "classes": st.lists(OPERATION, max_size=9),
-        "familyInfo": st.fixed_dictionaries({}, optional={key: AMOUNT for key in FAMILY}),
-        "rules": st.fixed_dictionaries({}, optional={key: AMOUNT for key in RULES}),
+        "familyInfo": st.fixed_dictionaries({}, optional=dict.fromkeys(FAMILY, AMOUNT)),
+        "rules": st.fixed_dictionaries({}, optional=dict.fromkeys(RULES, AMOUNT)),
     },
     optional={
         "zone": AMOUNT,
@@ -66,7 +84,9 @@
     intake = Intake(s, c.places, set(), news.tables)
     channel = Channel(s.queue_most, s.channel_rate, s.message_head, lambda: len(news.proxies))
     calls = Calls(list(c.places.operations), s.messages_most, s.messages_span, channel)
-    assert c.dial_timeout > 0.0 and math.isfinite(intake.slowest) and intake.span_most > 0
+    assert c.dial_timeout > 0.0
+    assert math.isfinite(intake.slowest)
+    assert intake.span_most > 0
     turns, now, sent = Turns(Assigner(s, c.seed)), 1e9, list[float]()
     hosts = [number(f"h{n}") for n in range(4)]
     entries = [api.HostEntry(h, n % max(1, s.zones), 0, n) for n, h in enumerate(hosts)]
@@ -130,6 +150,9 @@
         "classes": [{**SETTINGS["classes"][0], "name": name} for name in operations],
     }
     c = read(named)
-    assert c and len(c.settings.operations) == len(operations) and c.settings.zones == len(zones)
-    assert list(c.places.operations) == operations and list(c.places.zones) == zones
+    assert c
+    assert len(c.settings.operations) == len(operations)
+    assert c.settings.zones == len(zones)
+    assert list(c.places.operations) == operations
+    assert list(c.places.zones) == zones
     play(c)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -61,7 +61,8 @@
     folder = out / "other-0"
     assert {p.name for p in folder.iterdir()} == {"other-0.toml", "real.json", "wire.json", "unlock.txt"}
     site = tomllib.loads((folder / "other-0.toml").read_text())
-    assert site["name"] == "other-0" and site["net"] == {"zones": ["only"]}
+    assert site["name"] == "other-0"
+    assert site["net"] == {"zones": ["only"]}
     assert site["tier"] == [{"name": "t", "kind": [{"cold_s": 9}]}]
     assert site["class"] == [
         {"name": "A/b.c-d", "share": 0.5, "effect": "unsafe"},
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -38,7 +38,8 @@
     _, over, hosts, slices = golden.DAYS[seed]
     day = Broken(Assigner, seed, over, hosts, slices)
     day.every = every
-    assert day.run() == WANT[str(seed)] and day.steps // every > 5
+    assert day.run() == WANT[str(seed)]
+    assert day.steps // every > 5
 
 
 def test_every_part_of_the_module_is_either_kept_or_worked_out_anew() -> None:
--- a/tests/test_steward.py
+++ b/tests/test_steward.py
@@ -37,12 +37,14 @@
             r.do(api.SetLine(0, 10, 1.0), api.Mark(5))
             for peer in (one, two):
                 order = await peer.until(frames.Orders)
-                assert order.lines == [(0, 10, 1.0)] and order.mark == 5
+                assert order.lines == [(0, 10, 1.0)]
+                assert order.mark == 5
                 assert order.addresses == {10: "127.0.0.1:10"}
             two.say(frames.Ack(5))
             await until(lambda: any(isinstance(e, api.Acked) for e in r.module.told))
             [acked] = [e for e in r.module.told if isinstance(e, api.Acked)]
-            assert (acked.proxy, acked.number) == (2, 5) and acked.latency > 0
+            assert (acked.proxy, acked.number) == (2, 5)
+            assert acked.latency > 0
             db = sqlite3.connect(tmp_path / "s.db")
             assert db.execute("select * from line").fetchall() == [(0, 10, 1.0)]
 
@@ -140,7 +142,8 @@
                 await asyncio.sleep(0.004)
                 if 1 not in r.steward.forwarders:
                     break
-            assert 1 not in r.steward.forwarders and 2 in r.steward.forwarders
+            assert 1 not in r.steward.forwarders
+            assert 2 in r.steward.forwarders
             assert 'reason="not-reading"} 1.0' in r.steward.metrics.text().decode()
             keep.cancel()
             reading.cancel()
@@ -160,7 +163,8 @@
                 r.do(*[api.SetLine(k % 4, h, 1.0) for h in range(20)])
                 await asyncio.sleep(0.02)
             assert await one.ended() == "overrun"
-            assert r.steward.channel.most <= 60 and r.steward.channel.waiting == 0
+            assert r.steward.channel.most <= 60
+            assert r.steward.channel.waiting == 0
 
     play(scene())
 
@@ -181,7 +185,8 @@
             order = await one.until(frames.Orders, lambda f: f.seq == 2)
             assert order.lines == [(0, 11, 1.0), (0, 10, 0.0)], "a drain does not wait for a disk"
             status, body = await r.get("GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-            assert status == 503 and b"locked" in body
+            assert status == 503
+            assert b"locked" in body
             # The steward dies before the store is well again: only the forwarder knows the newest table.
             r.steward.engine.unsaved.clear()
             r.steward.roster_dirty = False
@@ -214,7 +219,8 @@
             lock.execute("rollback")
             await until(lambda: r.steward.store_faults == 0)
             rows = lock.execute("select host from line order by host").fetchall()
-            assert rows == [(10,), (11,), (12,)] and r.steward.engine.unsaved == {}
+            assert rows == [(10,), (11,), (12,)]
+            assert r.steward.engine.unsaved == {}
 
     play(scene())
 
@@ -252,7 +258,8 @@
         wanted[90] = api.ProbeEnd.UNREACHABLE
         await until(lambda: len(ends) == len(wanted) and not prober.running)
         assert {h: e.end for h, e in ends.items()} == wanted
-        assert ends[0].load == {"rif": 3.0, "q": 1.5} and prober.most_running == 3
+        assert ends[0].load == {"rif": 3.0, "q": 1.5}
+        assert prober.most_running == 3
         for k in range(20):
             prober.ask(100 + k, "127.0.0.1:1")
         assert sum(e.end is api.ProbeEnd.OTHER for h, e in ends.items() if h >= 100) == 12, "beyond the bound"
@@ -267,7 +274,8 @@
             r.do(api.SetLine(0, 10, 1.0))
             await asyncio.sleep(0.05)
             status, body = await r.get("GET /tables HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-            assert status == 200 and msgspec.json.decode(body.split(b"\r\n\r\n")[1])["tables"]["0"] == {"10": 1.0}
+            assert status == 200
+            assert msgspec.json.decode(body.split(b"\r\n\r\n")[1])["tables"]["0"] == {"10": 1.0}
             assert (await r.get("GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"))[0] == 200
             assert (await r.get("GET /nothing HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"))[0] == 404
             assert (await r.get("POST /tables HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"))[0] == 405
@@ -298,7 +306,8 @@
             r.path.write_text(text.replace("frame_most_bytes = 4096", "frame_most_bytes = 9999").split("door {")[0])
             r.steward.reload()  # the door is gone from the file: that needs a restart, and harms nothing
             assert r.steward.config.door is not None
-            assert r.steward.limits.frame_most == 9999 and r.steward.settings.report_every == 1000.0
+            assert r.steward.limits.frame_most == 9999
+            assert r.steward.settings.report_every == 1000.0
         said = capsys.readouterr().err
         assert "reload refused; the old configuration stands" in said
         assert '"taken": ["forwarders.frame_most_bytes", "log.level"]' in said
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -85,12 +85,15 @@
         tables = {t: row for t, row in life.tables.items() if row}
         whole = [n for n in range(done, len(STEPS) + 1) if tables == {t: r for t, r in after(n).items() if r}]
         assert whole and whole[0] <= done + 1, (point, name, done, tables)
-        assert life.seq == whole[0] and life.number == 2
-        assert (len(life.roster) == 2) >= (b"r" in acked) and len(life.roster) in (0, 2)
+        assert life.seq == whole[0]
+        assert life.number == 2
+        assert (len(life.roster) == 2) >= (b"r" in acked)
+        assert len(life.roster) in (0, 2)
         if not name:
             break
         names.add(name)
-    assert point > 20 and names == {
+    assert point > 20
+    assert names == {
         "before begin",
         "after begin",
         "between lines",
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -109,9 +109,8 @@
     assert (found.settings, found.seed, found.torn, found.middle) == (samples.EVERY_SETTING, 77, False, False)
     events, actions = [e for _, e in samples.EVENTS], [a for _, a in samples.ACTIONS]
     assert found.steps == [(1.5, events, actions), (2.5, [], [])]
-    assert {type(e) for e in events} == set(api.Event.__args__) and {type(a) for a in actions} == set(
-        api.Action.__args__
-    )
+    assert {type(e) for e in events} == set(api.Event.__args__)
+    assert {type(a) for a in actions} == set(api.Action.__args__)
     assert recorded(tmp_path / "again", found.settings, 77, found.steps) == (FIXTURES / "recording.bin").read_bytes()
 
 
@@ -201,9 +200,9 @@
 
 def test_each_stored_figure_of_the_module_stands_for_what_it_stood_for() -> None:
     raw = plain((FIXTURES / "snapshot.bin").read_bytes())["module"]
-    assert (
-        raw["host_fields"] == list(HOST) and raw["slice_fields"] == list(SLICE) and list(raw["values"]) == list(VALUES)
-    )
+    assert raw["host_fields"] == list(HOST)
+    assert raw["slice_fields"] == list(SLICE)
+    assert list(raw["values"]) == list(VALUES)
     for row in raw["hosts"]:
         row[1][1:] = [DISTINCT + n for n in range(1, len(HOST))]
     for row in raw["slices"]:
@@ -236,7 +235,8 @@
     rig = samples.Rig(2, {int(table): {int(h): w for h, w in row.items()} for table, row in tables.items()})
     log = record.read(FIXTURES / "snapshot.log")
     rig.now = log.steps[-1][0]
-    assert log.middle and revive(rig.engine, state, log.steps, rig.now) == (10, [])
+    assert log.middle
+    assert revive(rig.engine, state, log.steps, rig.now) == (10, [])
     rig.turns(82, 122)
     assert (
         recorded(tmp_path / "next", samples.SETTINGS, 3, rig.steps, True) == (FIXTURES / "snapshot.next").read_bytes()
@@ -305,7 +305,8 @@
 
 def test_what_an_old_process_hands_over_is_taken_up_and_goes_on() -> None:
     words = handover_words()
-    assert list(words) == ["marks", "state", "sockets", "commit"] and words["sockets"] == b"3"
+    assert list(words) == ["marks", "state", "sockets", "commit"]
+    assert words["sockets"] == b"3"
     handed = file.unpack(words["state"], Handed)
     check(handed.state, 1, samples.SETTINGS, "boot", 2)
     rig = samples.Rig(2, {0: {5: 1.0}})
@@ -379,14 +380,16 @@
 
 def test_load_reports_and_links_go_over_whole() -> None:
     handed = file.unpack(handover_words()["state"], Handed)
-    assert handed.feed == samples.FEED and handed.entries == list(samples.ENTRIES)
+    assert handed.feed == samples.FEED
+    assert handed.entries == list(samples.ENTRIES)
     assert handed.links == samples.links()
     busy, idle = Link(LinkLimits(), 0.0), Link(LinkLimits(), 0.0)
     put_link(busy, handed.links[0])
     put_link(idle, handed.links[1])
     assert link_state(busy, True, False, samples.START + 6.0) == handed.links[0]
     assert busy.receive(samples.START + 9.0, frames.encode(frames.Beat(3.5))[6:]) == [frames.Beat(3.5)]
-    assert [number for number, _ in busy.marks] == [40, 41] and not idle.marks
+    assert [number for number, _ in busy.marks] == [40, 41]
+    assert not idle.marks
     assert idle.hello == frames.Hello(1, 2, "two")
     rig = samples.Rig(2)
     put_channel(rig.channel, handed.channel)
@@ -400,7 +403,8 @@
     old.begin(0.0)
     new.begin(0.0)
     assert old.heard(1.0, "ready", "1") == [Do.PAUSE, Do.SEND_STATE]
-    assert new.heard(1.0, "state") == [Do.LOAD] and new.loaded(1.0, True) == [Do.SEND_CHECKED]
+    assert new.heard(1.0, "state") == [Do.LOAD]
+    assert new.loaded(1.0, True) == [Do.SEND_CHECKED]
     assert old.heard(2.0, "checked") == [Do.CLOSE_STORE, Do.SEND_COMMIT]
     assert new.heard(2.0, "commit") == [Do.OPEN_STORE, Do.RUN, Do.SEND_TAKEN]
     assert old.heard(3.0, "taken") == [Do.EXIT]
@@ -424,7 +428,8 @@
 
 def test_both_processes_of_a_handover_ask_for_the_same_arbiter(tmp_path: Path) -> None:
     first, second = Arbiter(f"{tmp_path}/s.db.handover"), Arbiter(f"{tmp_path}/s.db.handover")
-    assert first.take() and not second.take()
+    assert first.take()
+    assert not second.take()
     first.drop()
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -167,10 +167,8 @@
         for f in getattr(self, "forwarders", []):
             f.over = True
             f.task.cancel()
-        try:
+        with suppress(ProcessLookupError):
             os.killpg(self.process.pid, signal.SIGKILL)
-        except ProcessLookupError:
-            pass
         self.process.wait()
 
     def words(self, event: str) -> list[dict[str, Any]]:
@@ -240,7 +238,8 @@
                 s.roster.put(n % HOSTS, state="up")
             assert [f.links for f in s.forwarders] == [1, 1], "no link was ever joined anew"
             await until(lambda: s.running() == 1)
-            assert len(s.words("handed over")) == 10 and len(s.words("ready")) == 11
+            assert len(s.words("handed over")) == 10
+            assert len(s.words("ready")) == 11
             assert [w["life"] for w in s.words("ready")] == list(range(1, 12))
             # Each forwarder knows whose messages it holds, should that one die with a failing store.
             await until(lambda: all(f.lives == list(range(1, 12)) for f in s.forwarders))
@@ -343,10 +342,12 @@
                 s.roster.put(n, state="up")
                 peer.sendto(msgspec.msgpack.encode([2, b"word"]), ("127.0.0.1", peer_port))
                 peer.sendto(msgspec.msgpack.encode([7, b"a stranger's"]), ("127.0.0.1", peer_port))
-            assert children(s.process.pid, "reports.intake") == intake and len(s.words("load reports")) == 1
+            assert children(s.process.pid, "reports.intake") == intake
+            assert len(s.words("load reports")) == 1
             assert all("4" in w["factors"] for w in s.words("load factors")[1:]), "what was learnt stands"
             page = await s.page("/metrics")
-            assert f"report_senders {HOSTS}.0" in page and "peer_messages_dropped_total 1.0" in page
+            assert f"report_senders {HOSTS}.0" in page
+            assert "peer_messages_dropped_total 1.0" in page
             s.path.write_text(s.path.read_text().replace("tick_ms = 10", "tick_ms = 11"))
             assert (await s.upgrade()).startswith("ok: handed over")
             await until(lambda: len(s.words("load reports")) == 2, 10)
@@ -384,7 +385,8 @@
                 answer = await s.upgrade()
             assert answer.startswith("failed: ") and "s.db" in answer, answer
             await s.drains(1)
-            assert s.running() == 1 and await s.well() == (whose == "new")
+            assert s.running() == 1
+            assert await s.well() == (whose == "new")
             if whose == "both":
                 assert (await s.upgrade()).startswith("failed: ")
                 await s.drains(2)
@@ -458,7 +460,8 @@
     (tmp_path / "s.hcl").write_text(text)
     command = [sys.executable, "-m", "corallanding.cli.main", "steward", "--config", str(tmp_path / "s.hcl")]
     done = subprocess.run(command, capture_output=True, text=True, timeout=30)
-    assert done.returncode == 5 and "is no socket" in done.stdout + done.stderr
+    assert done.returncode == 5
+    assert "is no socket" in done.stdout + done.stderr
     assert (tmp_path / "c").read_text() == "precious"
 
 
@@ -482,7 +485,8 @@
             (b.folder / "c").unlink()  # there is no way to b any more
             code, out = await cli(a, b, c)
             assert code == 1 and out.count("ok: handed over") == 1 and f"not touched: {c.path}" in out, out
-            assert len(c.words("ready")) == 1 and len(a.words("ready")) == 3
+            assert len(c.words("ready")) == 1
+            assert len(a.words("ready")) == 3
 
     play(scene())
 
@@ -491,7 +495,8 @@
     (tmp_path / "s.hcl").write_text(CONFIG % (tmp_path / "s.db"))
     command = [sys.executable, "-m", "corallanding.cli.main", "upgrade", "--config", str(tmp_path / "s.hcl")]
     done = subprocess.run(command, capture_output=True, text=True, timeout=30)
-    assert done.returncode == 2 and "steward.control is not set" in done.stderr
+    assert done.returncode == 2
+    assert "steward.control is not set" in done.stderr
 
 
 @pytest.mark.parametrize("fault", ["configuration", "program", "settings"])
@@ -509,7 +514,8 @@
                 s.path.write_text(good.replace("every_ms", "every_ms") + "reports {\n  every_ms = 700\n}\n")
                 answer = await s.upgrade()
             if fault == "settings":
-                assert answer.startswith("ok: handed over") and s.words("state not used; forwarders will join anew")
+                assert answer.startswith("ok: handed over")
+                assert s.words("state not used; forwarders will join anew")
                 await until(lambda: all(f.links == 2 for f in s.forwarders))
             else:
                 assert answer.startswith("failed: the new process ended")
@@ -547,7 +553,8 @@
                     if page["tasks"]["dealer"] == 0:
                         break
                 await asyncio.sleep(0.05)
-            assert page["tasks"]["dealer"] == 0 and page["stewards"] == {"0": "alive"}
+            assert page["tasks"]["dealer"] == 0
+            assert page["stewards"] == {"0": "alive"}
             assert [w["what"] for w in s.words("task") if w["task"] == "upgrade"].count("taken up") == 2
             await s.drains(2)
 
--- a/tests/test_upgrade_core.py
+++ b/tests/test_upgrade_core.py
@@ -187,7 +187,8 @@
 @pytest.mark.parametrize(("faults", "least"), [(0, 20), (1, 500), (2, 3_000)])
 def test_one_voice_in_every_order_of_deaths_and_standstills(faults: int, least: int) -> None:
     states, ends = explore(faults=faults)
-    assert states > least and ends > 0
+    assert states > least
+    assert ends > 0
 
 
 class Hasty(Old):
@@ -222,4 +223,5 @@
 def test_a_wrong_protocol_is_refused_by_number() -> None:
     old = Old(WITHIN)
     old.begin(0.0)
-    assert old.heard(0.0, "ready", "7") == [Do.END_OTHER, Do.RESUME] and "protocol 7" in old.why
+    assert old.heard(0.0, "ready", "7") == [Do.END_OTHER, Do.RESUME]
+    assert "protocol 7" in old.why
--- a/tests/test_upgrade_state.py
+++ b/tests/test_upgrade_state.py
@@ -101,8 +101,10 @@
         if step >= at:
             two.turn(now, random.Random(f"{at}:{step}"))
         one.turn(now, random.Random(f"{at}:{step}"))
-    assert one.log == two.log and len(one.log) > 20
-    assert one.channel.waiting == two.channel.waiting and one.engine.state == two.engine.state
+    assert one.log == two.log
+    assert len(one.log) > 20
+    assert one.channel.waiting == two.channel.waiting
+    assert one.engine.state == two.engine.state
     assert waits or held or at < 20, "nothing was on its way: no test"
 
 
@@ -115,7 +117,8 @@
     two = Steward(2, {0: {5: 1.0}})
     with pytest.raises(Unfit, match="mood"):
         take(two.engine, h, two.channel, two.joins, 1e9 + 200.0)
-    assert two.engine.state.tables == {0: {5: 1.0}} and not two.engine.inbox
+    assert two.engine.state.tables == {0: {5: 1.0}}
+    assert not two.engine.inbox
 
 
 def test_a_link_goes_over_with_half_a_frame_and_marks_that_are_out() -> None:
@@ -128,5 +131,8 @@
     assert old.receive(4.0, data[cut - 2 : cut]) == []
     put_link(new, file.unpack(file.pack(link_state(old, True, False, 9.0)), type(link_state(old, True, False, 9.0))))
     got = new.receive(5.0, data[cut:])
-    assert [f.number for f in got if isinstance(f, frames.Ack)] == [4, 5] and not new.marks
-    assert [m for m, _ in new.acks] == [4, 5] and new.hello and new.hello.forwarder == 7
+    assert [f.number for f in got if isinstance(f, frames.Ack)] == [4, 5]
+    assert not new.marks
+    assert [m for m, _ in new.acks] == [4, 5]
+    assert new.hello
+    assert new.hello.forwarder == 7
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -63,7 +63,8 @@
     )
     w.run(40_000.0)
     waited = [at - w.jobs[job].came for at, job, _, _ in w.went if w.jobs[job].kind == 1]
-    assert len(waited) > 40 and max(waited) < 8_000.0 + BOUND
+    assert len(waited) > 40
+    assert max(waited) < 8_000.0 + BOUND
 
 
 def test_one_whose_rights_do_not_come_holds_the_others_up_for_a_stated_time_only() -> None:
@@ -81,7 +82,8 @@
             for s in words:
                 there.heard(float(now), me, s.word)
             gone = gone or next((now for x in actions if isinstance(x, Go)), None)
-    assert gone is not None and 400 <= gone <= 700
+    assert gone is not None
+    assert 400 <= gone <= 700
 
 
 # ---- mistakes that must be found ---------------------------------------------------------------------------
--- a/tests/test_waiting_core.py
+++ b/tests/test_waiting_core.py
@@ -67,7 +67,8 @@
         claims.records.tick(500.0)
         claims.asking.decided(500.0)
     ends = {t.number: t.what for t in claims.asking.take(5)}
-    assert sorted(ends.values()) == [GRANTED, TWIN] and set(ends) == {first, second}
+    assert sorted(ends.values()) == [GRANTED, TWIN]
+    assert set(ends) == {first, second}
 
 
 def held(right: bool = True, **terms: Any) -> Waiting:
@@ -79,7 +80,8 @@
     w = held()
     for k in range(3):
         assert w.take_in(0.0, [], 1, k, 0, 0.0)[1] == ""
-    assert w.take_in(0.0, [], 1, 9, 0, 0.0)[1] == "full" and len(w.queue.jobs) == 3
+    assert w.take_in(0.0, [], 1, 9, 0, 0.0)[1] == "full"
+    assert len(w.queue.jobs) == 3
     assert w.take_in(0.0, [], 1, 2, 0, 0.0)[1] == "", "one that it has is the same job"
     w = held(rate=0.05)
     assert w.take_in(0.0, [], 1, 1, 1, 0.0)[1] == ""
@@ -102,10 +104,12 @@
     w.take_in(0.0, [], 1, 1, 1, 0.0, set=3)
     w.take_in(0.0, [], 1, 2, 1, 500.0)
     w.versions(1, 3, False, False)
-    assert [s.ticket for _, s in w.queue.heads(100.0)] == [2] and w.queue.rows(100.0, 9) == [(2, 600, 1)]
+    assert [s.ticket for _, s in w.queue.heads(100.0)] == [2]
+    assert w.queue.rows(100.0, 9) == [(2, 600, 1)]
     w.versions(1, 3, True, True)
     standing, job = w.queue.best(100.0)  # type: ignore[misc]
-    assert job.ticket == 1 and standing == 5.1
+    assert job.ticket == 1
+    assert standing == 5.1
     w.versions(1, 3, True, False)
     assert w.queue.best(100.0)[1].ticket == 2  # type: ignore[index]
 
@@ -117,12 +121,16 @@
     (ask, other), _ = w.tick(50.0, [])
     assert isinstance(ask, Ask) and ask.job.ticket == 1 and isinstance(other, Go), "one that needs no answer goes on"
     w.claimed(150.0, ask.job, False, False)
-    assert w.tick(200.0, [])[0] == [] and w.tick(500.0, [])[0] == []
+    assert w.tick(200.0, [])[0] == []
+    assert w.tick(500.0, [])[0] == []
     (again,), _ = w.tick(600.0, [])
     assert isinstance(again, Ask)
     w.claimed(650.0, again.job, True, False)
     (go,), _ = w.tick(700.0, [])
-    assert isinstance(go, Go) and not w.tickets and not w.queue.jobs and w.claiming == 0
+    assert isinstance(go, Go)
+    assert not w.tickets
+    assert not w.queue.jobs
+    assert w.claiming == 0
     w.claimed(760.0, again.job, True, False)
     assert w.tick(800.0, [])[0] == [], "said twice"
 
@@ -132,7 +140,8 @@
     w = Waiting((2,), 1, (Kind("k"),), WaitTerms(), 0.0, lambda: spent.append(1) is None, lambda n: None)
     for ticket in range(5):
         w.take_in(0.0, [], 1, ticket, 0, 0.0, key=10 + ticket)
-    assert len(w.tick(50.0, [])[0]) == 5 and not spent
+    assert len(w.tick(50.0, [])[0]) == 5
+    assert not spent
 
 
 def test_a_claim_that_came_to_nothing_is_given_back() -> None:
@@ -152,19 +161,24 @@
     top = q.top(0.0, 50)
     assert top == sorted((q.standing(0.0, j) for j in q.jobs.values()), reverse=True)[:50]
     word = Line(2**62, 2**40, q.rows(0.0, ROWS_MOST), [int(x * 1e3) for x in top[:LEVELS_MOST]], len(q.jobs))
-    assert len(msgspec.msgpack.encode(word)) < 240 and sound(word)
+    assert len(msgspec.msgpack.encode(word)) < 240
+    assert sound(word)
 
 
 def test_counts_between_levels_are_estimates_in_order() -> None:
     levels = [1_000, 800, 400, 100]
     found = [above(levels, x) for x in (2_000, 900, 600, 200, 50)]
-    assert found == sorted(found) and found[0] == 0.0 and 1.0 <= found[1] < 2.0 and found[-1] == 8.0
+    assert found == sorted(found)
+    assert found[0] == 0.0
+    assert 1.0 <= found[1] < 2.0
+    assert found[-1] == 8.0
 
 
 def test_a_word_of_one_with_other_operations_is_refused() -> None:
     lines = Lines((Kind("a"),), 2.0, 1_000.0)
     lines.heard(0.0, 2, Line(1, 1, [(2, 5, 1)], [], 1))
-    assert lines.refused == 1 and lines.water(0.0, [2]) == float("-inf")
+    assert lines.refused == 1
+    assert lines.water(0.0, [2]) == float("-inf")
     lines.heard(0.0, 2, Line(1, 5, [(0, 5_000, 1)], [], 1))
     lines.heard(0.0, 2, Line(1, 4, [(0, 90_000, 1)], [], 1))
     assert lines.water(1_000.0, [2]) == 0.6, "an older word that came late is passed over"
@@ -194,4 +208,5 @@
             w.drop(1, 1, ended=True)
         else:
             w.left(1)
-        assert isinstance(ask, Ask) and w.claimed(100.0, ask.job, True, False) is ended
+        assert isinstance(ask, Ask)
+        assert w.claimed(100.0, ask.job, True, False) is ended
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -31,7 +31,8 @@
         size = data.draw(st.integers(1, max(1, len(stream) - at)))
         got += reader.feed(stream[at : at + size])
         at += size
-    assert got == said and not reader.held
+    assert got == said
+    assert not reader.held
 
 
 @given(st.binary(max_size=300))
@@ -62,9 +63,11 @@
         return
     for f in found:
         if isinstance(f, Hello):
-            assert f.version == frames.VERSION and 0 <= f.forwarder <= 65535
+            assert f.version == frames.VERSION
+            assert 0 <= f.forwarder <= 65535
         if isinstance(f, Sums):
-            assert f.span > 0 and all(n >= 0 and m >= 0 for _, n, m, _ in f.hosts)
+            assert f.span > 0
+            assert all(n >= 0 and m >= 0 for _, n, m, _ in f.hosts)
 
 
 def fault(link: Link, *said: frames.Frame, now: float = 1.0) -> str:
@@ -94,14 +97,17 @@
     for number, at in ((65535, 10.0), (0, 20.0), (1, 30.0)):
         link.marked(at, number)
     link.receive(50.0, frames.encode(Ack(0)))
-    assert list(link.acks) == [(0, 20.0)] and list(link.marks) == [(1, 30.0)]
+    assert list(link.acks) == [(0, 20.0)]
+    assert list(link.marks) == [(1, 30.0)]
 
 
 def test_silence_and_missing_hellos_end_a_link() -> None:
     link = Link(Limits(hello_within=100.0, silence=300.0), 0.0)
-    assert link.overdue(99.0) == "" and link.overdue(101.0) == "no hello"
+    assert link.overdue(99.0) == ""
+    assert link.overdue(101.0) == "no hello"
     link.receive(50.0, frames.encode(HELLO))
-    assert link.overdue(349.0) == "" and link.overdue(351.0) == "silent"
+    assert link.overdue(349.0) == ""
+    assert link.overdue(351.0) == "silent"
 
 
 def test_a_frame_with_later_fields_is_understood() -> None:
