--- a/bench/link.py
+++ b/bench/link.py
@@ -38,14 +38,14 @@
             elif isinstance(e, api.ProxyLeft):
                 self.joined.discard(e.proxy)
                 self.owed.discard(e.proxy)
-            elif isinstance(e, api.Acked) and e.number == self.mark:
+            elif isinstance(e, api.VersionAcked) and e.version == self.mark:
                 self.owed.discard(e.proxy)
         if self.owed or len(self.joined) < FORWARDERS:
             return []
         self.mark, self.owed, self.rounds = (self.mark + 1) % 65536, set(self.joined), self.rounds + 1
-        lines = [api.SetLine(k, self.rounds % 2, 1.0) for k in range(LINES // 2)]
-        lines += [api.SetLine(k, 1 - self.rounds % 2, 0.0) for k in range(LINES // 2)]
-        return [*lines, api.Mark(self.mark)]
+        lines = [api.SetWeight(k, self.rounds % 2, 1.0) for k in range(LINES // 2)]
+        lines += [api.SetWeight(k, 1 - self.rounds % 2, 0.0) for k in range(LINES // 2)]
+        return [*lines, api.PublishVersion(self.mark)]
 
 
 class Bare(asyncio.Protocol):
--- a/bench/load_reports.py
+++ b/bench/load_reports.py
@@ -270,8 +270,8 @@
     def __init__(self, settings: api.Settings, seed: int) -> None: ...
 
     def step(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
-        lists = [e for e in events if isinstance(e, api.Membership)]
-        return [api.SetLine(0, x.host, x.weight) for e in lists for x in e.entries if x.state == "up"]
+        lists = [e for e in events if isinstance(e, api.HostListUpdate)]
+        return [api.SetWeight(0, x.host, x.weight) for e in lists for x in e.entries if x.state == "up"]
 
 
 async def silent() -> dict[str, Any]:
--- a/bench/turn.py
+++ b/bench/turn.py
@@ -24,19 +24,19 @@
 from .run import RESULTS
 
 SIZES = [(24, 144, 12), (78, 468, 130), (300, 1800, 500), (1000, 6000, 1000)]
-QUOTE = api.Operation("quote", api.Repeat.IDEMPOTENT, "all", 5000, 3, 0.1, 1200, 3000)
+QUOTE = api.RequestClass("quote", api.Idempotency.IDEMPOTENT, "all", 5000, 3, 0.1, 1200, 3000)
 STRAINED = 0.1  # part of the hosts that answer late in the second half: turns that look for other owners
 
 
 def settings(hosts: int, slices: int, proxies: int) -> api.Settings:
     return api.Settings(
-        operations=(QUOTE,),
-        slices=slices,
-        proxies=proxies,
-        queue_most=(8.0 + 2 * slices) * proxies * 2,
-        reports_per_s=hosts + 2.0 * slices,
-        channel_rate=10.0 * slices * proxies,
-        cold=5_000.0,
+        request_classes=(QUOTE,),
+        slice_count=slices,
+        proxy_count=proxies,
+        max_queued_lines=(8.0 + 2 * slices) * proxies * 2,
+        reports_per_second=hosts + 2.0 * slices,
+        channel_lines_per_second=10.0 * slices * proxies,
+        warm_up_ms=5_000.0,
     )
 
 
@@ -48,9 +48,9 @@
         self.slow: set[int] = set()
         self.owner = {s: s % hosts for s in range(slices)}
         entries = tuple(api.HostEntry(h) for h in range(hosts))
-        events: list[api.Event] = [api.Membership(api.ListForm.FULL, 1, entries)]
+        events: list[api.Event] = [api.HostListUpdate(api.HostListKind.FULL, 1, entries)]
         for s in range(slices):
-            events += [api.SliceGiven(s, True), api.OnRecord(s, s % hosts, 1.0)]
+            events += [api.SliceOwnershipChange(s, True), api.StoredWeight(s, s % hosts, 1.0)]
         events += [api.ProxyJoined(p, 0, 10.0, True) for p in range(proxies)]
         self.first = self.step(events)
 
@@ -61,12 +61,12 @@
         took = (time.perf_counter() - begun) * 1000.0
         acks: list[api.Event] = []
         for a in out:
-            if isinstance(a, api.SetLine) and a.weight > 0:
+            if isinstance(a, api.SetWeight) and a.weight > 0:
                 self.owner[a.slice] = a.host
-            elif isinstance(a, api.Mark):
-                acks += [api.Acked(p, a.number) for p in range(self.proxies)]
-            elif isinstance(a, api.Probe):
-                acks.append(api.ProbeDone(a.host, api.ProbeEnd.OK))
+            elif isinstance(a, api.PublishVersion):
+                acks += [api.VersionAcked(p, a.version) for p in range(self.proxies)]
+            elif isinstance(a, api.CheckHealth):
+                acks.append(api.HealthCheckResult(a.host, api.HealthCheckOutcome.OK))
         if acks:
             self.now += 1.0
             self.module.step(self.now, acks)
@@ -76,23 +76,23 @@
         r = self.chance
         late = r.uniform(200, 300, self.hosts)
         events: list[api.Event] = [
-            api.HostSums(0, h, 60, 0, float(late[h]) * (6.0 if h in self.slow else 1.0), 1000.0)
+            api.HostUsageReport(0, h, 60, 0, float(late[h]) * (6.0 if h in self.slow else 1.0), 1000.0)
             for h in range(self.hosts)
         ]
         came = r.poisson(8, self.slices)
         self.now += 1.0
         self.module.step(
-            self.now, [*events, *(api.SliceSums(s, 0, int(came[s]), 0, 1000.0) for s in range(self.slices))]
+            self.now, [*events, *(api.SliceUsageReport(s, 0, int(came[s]), 0, 1000.0) for s in range(self.slices))]
         )
 
     def turn(self) -> float:
         self.now += 500.0
-        return self.step([api.Due(0)])
+        return self.step([api.TimerFired(0)])
 
     def listed(self, h: int, state: str) -> float:
         self.now += 10.0
         self.version += 1
-        return self.step([api.Membership(api.ListForm.CHANGES, self.version, (api.HostEntry(h, state=state),))])
+        return self.step([api.HostListUpdate(api.HostListKind.CHANGES, self.version, (api.HostEntry(h, state=state),))])
 
 
 def measure(makes: list[Any], size: tuple[int, int, int], turns: int) -> list[dict[str, Any]]:
--- a/corallanding/assignment/assigner.py
+++ b/corallanding/assignment/assigner.py
@@ -24,25 +24,25 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.set, self.seed, self.slices, self.ranks = settings, seed, dict[int, Slice](), Ranks[Host]()
-        self.figures, self.orders = Figures(settings.report_every, settings.report_every), Orders(settings)
+        self.figures, self.orders = Figures(settings.report_interval_ms, settings.report_interval_ms), Orders(settings)
         self.known = Known(settings, seed, self.orders, self.figures)
         self.hosts, self.pending = self.known.hosts, self.orders.pending
         self.survey = Survey(self.known, self.slices, self.ranks, self.figures)
         self.owners = Owners(self.known, self.ranks, self.figures)
         self.moves = Moves(self.known, self.slices, self.owners, self.figures)
         self.level, self.level_at, self.levels_due, self.born = 1.0, 0.0, True, math.inf
-        self.turn = max(settings.report_every / 2, settings.period)
-        if settings.messages_most:
-            self.turn = max(self.turn, settings.messages_span / (settings.messages_most * SPARE))
+        self.turn = max(settings.report_interval_ms / 2, settings.decision_interval_ms)
+        if settings.max_messages:
+            self.turn = max(self.turn, settings.message_window_ms / (settings.max_messages * SPARE))
         known, pending = self.known, self.pending
         self.hears: dict[type, Callable[..., None]] = {
-            api.HostSums: known.heard,
-            api.SliceSums: self.survey.demand,
-            api.ProbeDone: known.probed,
-            api.Membership: known.listed,
-            api.SliceGiven: self.given,
-            api.OnRecord: self.recorded,
-            api.Acked: pending.acked,
+            api.HostUsageReport: known.heard,
+            api.SliceUsageReport: self.survey.demand,
+            api.HealthCheckResult: known.probed,
+            api.HostListUpdate: known.listed,
+            api.SliceOwnershipChange: self.given,
+            api.StoredWeight: self.recorded,
+            api.VersionAcked: pending.acked,
             api.ProxyLeft: pending.left,
             api.ProxyJoined: pending.joined,
         }
@@ -52,29 +52,29 @@
         self.orders.now, self.orders.out, turn = now, [], self.born == math.inf
         if turn:
             self.born = now
-            self.orders.out.append(api.Remind(self.turn, 0))
-            if self.set.list_on_request:
-                self.orders.out.append(api.Follow(True))
+            self.orders.out.append(api.StartTimer(self.turn, 0))
+            if self.set.polls_host_list:
+                self.orders.out.append(api.WatchHostList(True))
         for e in events:
             if hears := self.hears.get(type(e)):
                 hears(e)
-            elif e == api.Due(0):
+            elif e == api.TimerFired(0):
                 turn = True
-                self.orders.out.append(api.Remind(self.turn, 0))
-            elif e == api.Due(1):
-                self.orders.out.append(api.Follow(True))
+                self.orders.out.append(api.StartTimer(self.turn, 0))
+            elif e == api.TimerFired(1):
+                self.orders.out.append(api.WatchHostList(True))
         if turn or self.orders.urgent:
             self.plan(turn)
         return self.orders.out
 
-    def given(self, e: api.SliceGiven) -> None:
+    def given(self, e: api.SliceOwnershipChange) -> None:
         self.slices.pop(e.slice, None)
         self.survey.shared_at = self.orders.now
-        if e.on:
+        if e.is_owned:
             self.slices[e.slice] = Slice(e.slice)
             self.orders.urgent = self.levels_due = True
 
-    def recorded(self, e: api.OnRecord) -> None:
+    def recorded(self, e: api.StoredWeight) -> None:
         if e.slice in self.slices:
             self.slices[e.slice].lines[self.known.host(e.host)] = e.weight
 
@@ -100,10 +100,10 @@
         if self.levels_due and self.slices and self.pending.proxies:
             self.levels_due = False
             # Again only on proof that the first try never ran: safe for every operation, and feeds no jam.
-            self.orders.out.append(api.Level(api.ALL_TABLES, 0, self.level, api.Retry.PROVEN_UNRUN))
+            self.orders.out.append(api.SetAdmission(api.ALL_TABLES, 0, self.level, api.RetryMode.PROVEN_UNRUN))
             self.orders.orders += 1
         if self.orders.orders:
-            cost = self.set.message_head + self.orders.orders + 2
+            cost = self.set.message_overhead_lines + self.orders.orders + 2
             self.orders.out.append(self.pending.went(self.orders.now, cost))
 
     def forget(self) -> None:
@@ -122,7 +122,7 @@
 
     def admit(self) -> None:
         """Let in less while the whole fleet is strained: what waits too long is worth nothing."""
-        wait, now, f = self.set.report_every + 2 * self.set.transit, self.orders.now, self.figures
+        wait, now, f = self.set.report_interval_ms + 2 * self.set.propagation_ms, self.orders.now, self.figures
         if self.set.admission != "fraction" or now - self.level_at < wait:
             return
         level = self.level
@@ -132,4 +132,4 @@
             level = min(1.0, level * 1.1, max(level, f.fit * ROOM))
         if level != self.level:
             self.level, self.level_at, self.levels_due = level, now, True
-            self.orders.out.append(api.Note(f"level {level:.2f}"))
+            self.orders.out.append(api.LogNote(f"level {level:.2f}"))
--- a/corallanding/assignment/host_health.py
+++ b/corallanding/assignment/host_health.py
@@ -29,23 +29,23 @@
         self.hosts: dict[int, Host] = {}
         self.fresh = False  # a list newer than the saved one has come
         self.draws, self.done = 0, 0.0  # chances drawn; answers, fading
-        self.tight = min((o.latency_objective for o in settings.operations), default=1000.0)
+        self.tight = min((o.latency_objective_ms for o in settings.request_classes), default=1000.0)
 
     def host(self, id: int) -> Host:
         if id not in self.hosts:
             self.hosts[id] = Host(id, api.HostEntry(id), listed=False)
         return self.hosts[id]
 
-    def listed(self, e: api.Membership) -> None:
+    def listed(self, e: api.HostListUpdate) -> None:
         now, o = self.orders.now, self.orders
-        if e.form is api.ListForm.FAILED:
+        if e.kind is api.HostListKind.FAILED:
             # Ask again soon, spread by chance: the ask rule counts silence as knowledge.
-            o.out.append(api.Note("list call failed"))
+            o.out.append(api.LogNote("list call failed"))
             self.draws += 1
             chance = zlib.crc32(f"{self.seed}:{self.draws}".encode()) / 2**32
-            o.out.append(api.Remind(self.set.ask_within * (0.05 + 0.1 * chance), 1))
+            o.out.append(api.StartTimer(self.set.poll_interval_ms * (0.05 + 0.1 * chance), 1))
             return
-        if e.form is not api.ListForm.CHANGES:
+        if e.kind is not api.HostListKind.CHANGES:
             here = {entry.host for entry in e.entries}
             for h in [h for h in self.hosts.values() if h.listed and h.id not in here]:
                 h.listed, o.urgent = False, True
@@ -54,30 +54,30 @@
             if entry.state == "removed":  # what was last listed of it stands: it may be draining
                 o.urgent, h.listed = o.urgent or h.listed, False
                 continue
-            if not self.fresh and e.form is not api.ListForm.CHANGES:
+            if not self.fresh and e.kind is not api.HostListKind.CHANGES:
                 h.shown = now
             if entry.online_since > h.since:
                 # A new process: what was heard of the old one says nothing of it.
-                if h.since > -math.inf or entry.online_since > now - self.set.cold:
+                if h.since > -math.inf or entry.online_since > now - self.set.warm_up_ms:
                     h.told = now
                     h.failed_at, h.good, h.bad, h.run, h.shown = -math.inf, 0.0, 0.0, 0, -math.inf
                 h.since = entry.online_since
             o.urgent = o.urgent or entry.state != "up"
             h.entry, h.listed = entry, True
-        self.fresh = self.fresh or e.form is not api.ListForm.SAVED
+        self.fresh = self.fresh or e.kind is not api.HostListKind.SAVED
 
-    def heard(self, e: api.HostSums) -> None:
+    def heard(self, e: api.HostUsageReport) -> None:
         h, now = self.host(e.host), self.orders.now
-        if now - h.told < self.set.report_every + self.set.transit:
+        if now - h.told < self.set.report_interval_ms + self.set.propagation_ms:
             return  # sums from before a restart
-        good = e.tries - e.errored
-        h.good, h.bad = h.good + good, h.bad + e.errored
-        if good > 0 and e.latency > 0:
+        good = e.attempts - e.failed
+        h.good, h.bad = h.good + good, h.bad + e.failed
+        if good > 0 and e.latency_ms > 0:
             # Speed shows only while answers don't wait: a crowd says nothing of it (nor after a restart), a
             # few answers little, a cold server only ill. A strained one is slow if the fleet is calm.
-            prior = self.figures.typical.get(h.entry.kind) or self.figures.usual or e.latency
+            prior = self.figures.typical.get(h.entry.kind) or self.figures.usual or e.latency_ms
             h.latency = h.latency or prior
-            h.latency += (e.latency - h.latency) * good / (good + 6.0)
+            h.latency += (e.latency_ms - h.latency) * good / (good + 6.0)
             calm = strain(h, self.tight) < CROWDED / 2
             h.floor = h.floor or prior
             if h.latency < h.floor:
@@ -85,7 +85,7 @@
             elif calm or self.figures.median < CROWDED / 2:
                 h.floor += (h.latency - h.floor) * (0.05 if calm else 0.02)
         self.done += good
-        h.run = 0 if good else h.run + e.errored
+        h.run = 0 if good else h.run + e.failed
         if good:
             h.good_at = h.shown = now
         # A run of failures is a crash (a probe fails), a hang (no good answer for windows) or a crowd, which
@@ -95,33 +95,35 @@
             (self.failing if hung else self.probe)(h)
 
     def probe(self, h: Host) -> None:
-        if self.set.may_probe and not h.probing:
+        if self.set.may_check_health and not h.probing:
             h.probing = True
-            self.orders.out.append(api.Probe(h.id))
+            self.orders.out.append(api.CheckHealth(h.id))
 
-    def probed(self, e: api.ProbeDone) -> None:
+    def probed(self, e: api.HealthCheckResult) -> None:
         h = self.host(e.host)
         h.probing = False
-        if e.end is api.ProbeEnd.OK:
+        if e.outcome is api.HealthCheckOutcome.OK:
             # A server that is slow by itself answers too much to hang and too little to be of use. In a crowd
             # that all share, probes take long everywhere, and nobody could bear what it has.
-            h.echo = e.latency
-            slow = e.latency > SLOW * middle([x.echo for x in self.hosts.values() if x.listed and x.echo])
+            h.echo = e.latency_ms
+            slow = e.latency_ms > SLOW * middle([x.echo for x in self.hosts.values() if x.listed and x.echo])
             ill = strain(h, self.tight) > JAMMED if h.load else h.failed_at > -math.inf
             if slow and ill and self.figures.median < CROWDED / 2 and not self.cold(h):
                 self.failing(h)
                 return
-        if e.end is api.ProbeEnd.OK or (e.end is api.ProbeEnd.TIMEOUT and h.run < RUN and h.listed):
+        if e.outcome is api.HealthCheckOutcome.OK or (
+            e.outcome is api.HealthCheckOutcome.TIMEOUT and h.run < RUN and h.listed
+        ):
             # A time-out may be but a long or lossy way.
             h.shown, h.run = self.orders.now, h.run if h.load else 0
-        elif e.end is not api.ProbeEnd.FULL and (h.run >= RUN or not h.listed):
+        elif e.outcome is not api.HealthCheckOutcome.FULL and (h.run >= RUN or not h.listed):
             self.failing(h)
 
     def failing(self, h: Host) -> None:
         if self.orders.now - h.failed_at > CLEAR:
             if not self.orders.may("emptied", 0, True):
                 return
-            self.orders.out.append(api.Note(f"failing {h.id} good={h.good:.1f} bad={h.bad:.1f}"))
+            self.orders.out.append(api.LogNote(f"failing {h.id} good={h.good:.1f} bad={h.bad:.1f}"))
             self.orders.urgent = True
         h.failed_at = self.orders.now
 
@@ -134,7 +136,7 @@
         Covers lists that blink, empty or go back in time; a dying server keeps work for a probe longer."""
         late = max(CLEAR, SILENT * self.figures.window)
         alive = h.shown > h.failed_at and self.orders.now - h.shown < late
-        return self.set.drain_binds_alone and not h.listed and alive
+        return self.set.only_drains_bind and not h.listed and alive
 
     def cold(self, h: Host) -> bool:
-        return self.orders.now - h.since < self.set.cold
+        return self.orders.now - h.since < self.set.warm_up_ms
--- a/corallanding/assignment/load_estimate.py
+++ b/corallanding/assignment/load_estimate.py
@@ -25,21 +25,23 @@
         self.asked = self.faded_at = self.shared_at = 0.0  # the last: when the slices in charge changed
         self.peak = math.inf  # the most that the fleet was seen to answer, by capacity
 
-    def demand(self, e: api.SliceSums) -> None:
-        self.asked += e.invocations
-        if (s := self.slices.get(e.slice)) and e.span > 0:
+    def demand(self, e: api.SliceUsageReport) -> None:
+        self.asked += e.requests
+        if (s := self.slices.get(e.slice)) and e.span_ms > 0:
             # Half of what went unanswered is repeats. What doubles counts at once, or a cold owner falls over
             # while the smoothed figure climbs; among few it is chance.
-            rate = (e.invocations - min(e.unanswered, e.invocations) * REPEATS) * 1000.0 / e.span
-            old = s.rates.get(e.operation, rate)
-            keep = 0.0 if rate > 2.0 * old and e.invocations > 10 else 0.5 ** (e.span / 2000.0)
-            s.rates[e.operation] = rate + (old - rate) * keep
+            rate = (e.requests - min(e.unanswered, e.requests) * REPEATS) * 1000.0 / e.span_ms
+            old = s.rates.get(e.request_class, rate)
+            keep = 0.0 if rate > 2.0 * old and e.requests > 10 else 0.5 ** (e.span_ms / 2000.0)
+            s.rates[e.request_class] = rate + (old - rate) * keep
             s.rate = sum(s.rates.values())
 
     def capacity(self, h: Host) -> float:
-        age = min(1.0, (self.known.orders.now - h.since) / (RAMP * self.set.cold or 1.0))
-        warm = self.set.cold_from + (1.0 - self.set.cold_from) * age  # what part of its share it may take
-        chill = CHILLED * self.set.fall_multiple if self.set.warm_keys and self.known.cold(h) else 1.0
+        age = min(1.0, (self.known.orders.now - h.since) / (RAMP * self.set.warm_up_ms or 1.0))
+        warm = (
+            self.set.warm_up_initial_share + (1.0 - self.set.warm_up_initial_share) * age
+        )  # what part of its share it may take
+        chill = CHILLED * self.set.overload_factor if self.set.caches_keys and self.known.cold(h) else 1.0
         kind = self.figures.typical.get(h.entry.kind) or self.figures.usual or 1.0  # speed: half way to that
         return h.entry.weight * warm * chill / math.sqrt(kind * (h.floor or kind))
 
@@ -62,9 +64,9 @@
         usual, total = sum(known) / len(known) if known else 1.0, 0.0
         # Counts fade with time, whichever zones they came from; an emptied server's strain too.
         # Of several stewards each hears of a server a few times in a window: so long it counts.
-        span = max(self.set.report_every, self.figures.window / 4 if self.set.stewards > 1 else 0.0)
+        span = max(self.set.report_interval_ms, self.figures.window / 4 if self.set.controller_count > 1 else 0.0)
         recent = 0.5 ** ((now - self.faded_at) / span)
-        keep = 0.5 ** ((now - self.faded_at) / (PEAK_SPAN * self.set.report_every))
+        keep = 0.5 ** ((now - self.faded_at) / (PEAK_SPAN * self.set.report_interval_ms))
         self.known.done, self.asked, self.faded_at = self.known.done * keep, self.asked * keep, now
         for h in self.known.hosts.values():
             h.load, h.good, h.bad = 0.0, h.good * recent, h.bad * recent
@@ -86,11 +88,11 @@
         for h in here:
             if h.shown <= h.failed_at or (not h.listed and now - h.shown > f.window):
                 self.known.probe(h)
-        listed = [h for h in here if h.load or h.shown > h.failed_at or not self.set.may_probe] or here
+        listed = [h for h in here if h.load or h.shown > h.failed_at or not self.set.may_check_health] or here
         # How often a sum comes anew: the period, or longer where the lines of one don't fit the intake.
-        lines = len(listed) * self.set.zones + len(self.slices) * len(self.set.operations)
-        f.window = max(self.set.report_every, lines * 1000.0 / self.set.reports_per_s)
-        f.wait = PAUSE * f.window + 2 * self.set.transit
+        lines = len(listed) * self.set.zone_count + len(self.slices) * len(self.set.request_classes)
+        f.window = max(self.set.report_interval_ms, lines * 1000.0 / self.set.reports_per_second)
+        f.wait = PAUSE * f.window + 2 * self.set.propagation_ms
         f.pool = [h for h in listed if now - h.failed_at > CLEAR]
         if len(f.pool) * 2 < len(here):  # most failing at once: the path or the work, not the servers
             f.pool = listed
@@ -102,10 +104,10 @@
         """What part of the load is each server's, and who has room."""
         f, space = self.figures, sum(h.space for h in listed)
         # A cold server's part is of the most that the fleet was seen to answer: what is asked pushes it over.
-        unit = math.log(2.0) * 1000.0 / (PEAK_SPAN * self.set.report_every)
+        unit = math.log(2.0) * 1000.0 / (PEAK_SPAN * self.set.report_interval_ms)
         # The peak is of all the work: what a steward is given or loses of it changes its part at once.
-        part = len(self.slices) / (self.set.slices or 1)
-        told = self.known.orders.now - self.shared_at > max(2 * PEAK_SPAN * self.set.report_every, f.window)
+        part = len(self.slices) / (self.set.slice_count or 1)
+        told = self.known.orders.now - self.shared_at > max(2 * PEAK_SPAN * self.set.report_interval_ms, f.window)
         if space and part and told:  # else too little is known
             self.peak = max(self.peak if self.peak < math.inf else 0.0, self.known.done * unit / space / part)
         peak = self.peak * part if part else math.inf
@@ -117,11 +119,11 @@
         usual = total / (len(self.slices) or 1)
         for h in f.pool:
             h.pooled, h.sound = True, h.stress <= (CROWDED if h.chilly else f.strained)
-            if h.chilly and self.set.stewards > 1 and usual:
+            if h.chilly and self.set.controller_count > 1 and usual:
                 # At each of many stewards its part is less than a slice, and all would leave it idle. They
                 # round to whole slices, another first at each server, so that all together round but once.
-                place = (zlib.crc32(b"%d" % h.id) + self.set.me) % self.set.stewards
-                whole = math.floor(h.fair / usual + (place + 0.5) / self.set.stewards)
+                place = (zlib.crc32(b"%d" % h.id) + self.set.controller_index) % self.set.controller_count
+                whole = math.floor(h.fair / usual + (place + 0.5) / self.set.controller_count)
                 h.fair, h.sound = whole * usual or h.fair, h.sound and whole > 0
         room = [(ROOM * h.fair - h.load if h.fair else math.inf, h) for h in f.pool if h.sound]
         f.spare, f.shifted = sorted(room, key=lambda row: row[0]), {}
--- a/corallanding/assignment/migration.py
+++ b/corallanding/assignment/migration.py
@@ -67,7 +67,7 @@
             if s.owner in cold:
                 cold[s.owner].append(s)
         for h, own in cold.items():
-            most = TIPPING * self.set.fall_multiple
+            most = TIPPING * self.set.overload_factor
             if h.stress > SHED * CROWDED and self.orders.now - h.shed_at > self.figures.window:
                 most, h.shed_at = min(most, h.used() / 2), self.orders.now
             for s in sorted(own, key=lambda s: (-s.rate, s.id)):
@@ -88,7 +88,7 @@
     def spread(self) -> None:
         """Where several stewards share the work, sums come seldom: a slice that asks for more than a whole
         server, and jams its own, is shared at once with as many as it takes."""
-        for s in self.slices.values() if self.set.stewards > 1 else ():
+        for s in self.slices.values() if self.set.controller_count > 1 else ():
             h, wide = s.owner, len(s.helpers)
             while h and h.stress > self.figures.strained and s.part > h.space * self.figures.whole:
                 less = s.rate / (2 + len(s.helpers))
@@ -104,14 +104,14 @@
     def shed(self) -> None:
         """Off crowded servers, down to their part."""
         f, serves = self.figures, dict[Host, dict[Slice, None]]()  # the slices of each, once one is to shed
-        few = CHANCE if self.set.stewards > 1 and f.median < CROWDED / 2 else 0.0
+        few = CHANCE if self.set.controller_count > 1 and f.median < CROWDED / 2 else 0.0
         for h in f.pool:
             tries, used, fresh = h.good + h.bad, h.used(), self.orders.now - h.shed_at > f.wait
             strain = h.stress * tries / (tries + few) if tries else 0.0
             over = used if used > SHED and strain > CROWDED / 2 else 1.0
             goal = h.load * min(1.0, 1.0 / over, f.strained / max(strain, 0.01))
             if not fresh:  # far over its part it goes on to the goal that it had: the gate held slices up
-                goal, strain = h.goal if used > SHED and self.set.stewards > 1 else h.load, f.strained
+                goal, strain = h.goal if used > SHED and self.set.controller_count > 1 else h.load, f.strained
             if goal >= h.load:
                 continue
             for s in () if serves else self.slices.values():
@@ -155,7 +155,7 @@
                 continue
             left, s.looked = left - new, s.looked + new
             # Most owners sit so well that nobody could take their place: none is looked for.
-            sits, sitting, over = self.owners.score(s, owner), SITTING * self.set.slices, owner.used() > SHED
+            sits, sitting, over = self.owners.score(s, owner), SITTING * self.set.slice_count, owner.used() > SHED
             least, marks = sits * (min(sitting, 1.0) if over else sitting), self.ranks.of(s.id)[0]
             if not marks or marks[0] * self.figures.heaviest <= least:
                 continue
--- a/corallanding/assignment/placement.py
+++ b/corallanding/assignment/placement.py
@@ -89,8 +89,8 @@
         now = self.orders.now
         if s.want is not to:
             s.want, s.want_at = to, now
-            if now - to.shown > self.set.report_every:
+            if now - to.shown > self.set.report_interval_ms:
                 self.known.probe(to)
         known = to.run == 0 and now - to.good_at <= 2 * self.figures.window
-        ready = to.run < RUN and (known or now - s.want_at >= self.set.report_every)
+        ready = to.run < RUN and (known or now - s.want_at >= self.set.report_interval_ms)
         return ready and to.taken < FEW and self.orders.may("moves", 0, True)
--- a/corallanding/assignment/publication.py
+++ b/corallanding/assignment/publication.py
@@ -20,13 +20,13 @@
         self.may: Callable[[str, int, bool], bool] = lambda kind, host, now: True
 
     def may_send(self, urgent: bool) -> bool:
-        most = self.set.messages_most - 1 if urgent else int(self.set.messages_most * SPARE)
-        sent = self.pending.since(self.now - self.set.messages_span - 1.0)
-        if self.set.messages_most and sent >= most:
+        most = self.set.max_messages - 1 if urgent else int(self.set.max_messages * SPARE)
+        sent = self.pending.since(self.now - self.set.message_window_ms - 1.0)
+        if self.set.max_messages and sent >= most:
             return False
-        free = self.set.queue_most * (FILL if urgent else 0.5) - self.pending.waiting()
-        self.room = free / max(1, len(self.pending.proxies)) - self.set.message_head - 2.0 - self.orders
-        return self.room > self.set.message_head
+        free = self.set.max_queued_lines * (FILL if urgent else 0.5) - self.pending.waiting()
+        self.room = free / max(1, len(self.pending.proxies)) - self.set.message_overhead_lines - 2.0 - self.orders
+        return self.room > self.set.message_overhead_lines
 
     def write(self, s: Slice, all: bool = False) -> None:
         """Write what changed of the slice's lines, the new ones first; those shut out may wait."""
@@ -39,5 +39,5 @@
             self.urgent = True  # one reply to a hundred proxies can fill the queue: the rest in a later one
             return
         self.room, self.orders = self.room - len(new) - len(gone), self.orders + len(new) + len(gone)
-        self.out += [api.SetLine(s.id, h.id, 1.0) for h in new] + [api.SetLine(s.id, h.id, 0.0) for h in gone]
+        self.out += [api.SetWeight(s.id, h.id, 1.0) for h in new] + [api.SetWeight(s.id, h.id, 0.0) for h in gone]
         s.lines = dict.fromkeys([h for h in (*s.lines, *new) if h not in gone], 1.0)
--- a/corallanding/assignment/state.py
+++ b/corallanding/assignment/state.py
@@ -116,18 +116,18 @@
     def left(self, e: api.ProxyLeft) -> None:
         self.proxies.pop(e.proxy, None)
 
-    def acked(self, e: api.Acked) -> None:
+    def acked(self, e: api.VersionAcked) -> None:
         out = self.proxies.get(e.proxy)
-        while out and upto(e.number, out[0][0]):
+        while out and upto(e.version, out[0][0]):
             out.popleft()
 
-    def went(self, now: float, cost: float) -> api.Mark:
+    def went(self, now: float, cost: float) -> api.PublishVersion:
         """A message to all, of so many lines, closed by a mark."""
         self.mark = self.next
         self.sent.append(now)
         for out in self.proxies.values():
             out.append((self.mark, cost))
-        return api.Mark(self.mark)
+        return api.PublishVersion(self.mark)
 
     def since(self, then: float) -> int:
         """Messages after `then`; older ones are forgotten."""
--- a/corallanding/collector/core.py
+++ b/corallanding/collector/core.py
@@ -48,10 +48,10 @@
 
     def __post_init__(self) -> None:
         # No good answer comes later than its client has waited; no report covers more than a few of the longest waits.
-        self.slowest = 2.0 * max((o.integration_timeout for o in self.settings.operations), default=5_000.0)
-        self.span_most = 60.0 * max(self.settings.report_every, 1_000.0)
+        self.slowest = 2.0 * max((o.timeout_ms for o in self.settings.request_classes), default=5_000.0)
+        self.span_most = 60.0 * max(self.settings.report_interval_ms, 1_000.0)
 
-    def report(self, words: list[bytes]) -> api.HostSums | api.SliceSums:
+    def report(self, words: list[bytes]) -> api.HostUsageReport | api.SliceUsageReport:
         """One report. Raises Spoilt."""
         kind = words[0]
         try:
@@ -66,7 +66,7 @@
             return self.slice_sums(f)
         raise Spoilt("unknown kind")
 
-    def host_sums(self, f: dict[str, str]) -> api.HostSums:
+    def host_sums(self, f: dict[str, str]) -> api.HostUsageReport:
         zone = place(f, "locality", self.places.zones)
         try:
             host = number(text(f, "endpoint"))
@@ -80,11 +80,11 @@
         rtt = figure(f, "rtt")
         if rtt > self.slowest:
             raise Spoilt("rtt out of range")
-        return api.HostSums(zone, host, total, errors, rtt, self.span(f), metrics(f))
+        return api.HostUsageReport(zone, host, total, errors, rtt, self.span(f), metrics(f))
 
-    def slice_sums(self, f: dict[str, str]) -> api.SliceSums:
+    def slice_sums(self, f: dict[str, str]) -> api.SliceUsageReport:
         slice = whole(f, "shard")
-        if self.settings.slices <= slice:
+        if self.settings.slice_count <= slice:
             raise Spoilt("shard unknown")
         operation = place(f, "route", self.places.operations)
         # Unanswered ones may have come in an earlier interval: more errors than the total is no fault here, and stands
@@ -93,7 +93,7 @@
         span = self.span(f)
         if slice not in self.slices:
             raise Spoilt("shard not in charge")
-        return api.SliceSums(slice, operation, total, errors, span)
+        return api.SliceUsageReport(slice, operation, total, errors, span)
 
     def span(self, f: dict[str, str]) -> float:
         span = figure(f, "interval")
@@ -146,7 +146,7 @@
 class Heard:
     """What bytes on one connection came to. over: why it ends after `answer`, or None while it goes on."""
 
-    events: list[api.HostSums | api.SliceSums] = field(default_factory=list)
+    events: list[api.HostUsageReport | api.SliceUsageReport] = field(default_factory=list)
     answer: bytes = b""
     asked: int = 0  # signs of life that are owed, left to the owner
     over: str | None = None
--- a/corallanding/collector/server.py
+++ b/corallanding/collector/server.py
@@ -88,7 +88,7 @@
         where: tuple[str, int],
         intake: Intake,
         strangers_most: int,
-        heard: Callable[[list[api.HostSums | api.SliceSums]], None],
+        heard: Callable[[list[api.HostUsageReport | api.SliceUsageReport]], None],
         said: Callable[[str], None],
         zone_most: int = 4,
     ) -> None:
--- a/corallanding/controller/daemon.py
+++ b/corallanding/controller/daemon.py
@@ -125,7 +125,7 @@
             self.feed = self.make_feed(c.load_reports)
             self.feed.start(handed.feed if handed else None, given.pair())
         self.roster.start()
-        if revived and self.settings.list_on_request:
+        if revived and self.settings.polls_host_list:
             self.roster.follow(True)
         if c.registry and shared:
             self.keeper = self.make_keeper(c.registry, charge)
--- a/corallanding/controller/decision_loop.py
+++ b/corallanding/controller/decision_loop.py
@@ -63,8 +63,8 @@
                 self.recorder = None
         if self.feed:
             for e in events:
-                if isinstance(e, api.HostSums):
-                    self.feed.worth.seen(e.host, e.tries, e.errored, e.latency)
+                if isinstance(e, api.HostUsageReport):
+                    self.feed.worth.seen(e.host, e.attempts, e.failed, e.latency_ms)
         if not self.engine.overload.strained:  # detail that can wait
             for kind, count in Counter(NAMES[type(e)] for e in events).items():
                 self.metrics.events.labels(kind).inc(count)
@@ -125,11 +125,11 @@
                 budgets = self.shared.budgets if self.shared else None
                 if budgets and not budgets.may("probes", output.host, True):
                     # Others ask it already: for the module one that says neither good nor bad.
-                    self.probed(api.ProbeDone(output.host, api.ProbeEnd.FULL))
+                    self.probed(api.HealthCheckResult(output.host, api.HealthCheckOutcome.FULL))
                 elif output.address:
                     self.prober.ask(output.host, output.address)
                 else:
-                    self.probed(api.ProbeDone(output.host, api.ProbeEnd.UNREACHABLE))
+                    self.probed(api.HealthCheckResult(output.host, api.HealthCheckOutcome.UNREACHABLE))
             case core.FollowRoster():
                 self.roster.follow(output.on)
             case core.FetchRoster():
--- a/corallanding/controller/engine.py
+++ b/corallanding/controller/engine.py
@@ -119,7 +119,7 @@
         self.joined: dict[int, int] = {}  # forwarder: its zone
         self.state = Published()
         for table, lines in life.tables.items():
-            if table in self.charge or not settings.slices:
+            if table in self.charge or not settings.slice_count:
                 self.state.tables[table] = dict(lines)
         self.gather = Gather(settings)
         self.gather_at = 0.0
@@ -135,16 +135,16 @@
 
     # ---- what happened ---------------------------------------------------------------------------------
 
-    def begin(self, now: float, saved: api.Membership) -> None:
+    def begin(self, now: float, saved: api.HostListUpdate) -> None:
         """The first events of a life: the saved list, the charge, the tables on record."""
         self.event(now, saved)
         for slice in sorted(self.charge):
             self.given(now, slice)
 
     def given(self, now: float, slice: int) -> None:
-        self.event(now, api.SliceGiven(slice, True))
+        self.event(now, api.SliceOwnershipChange(slice, True))
         for host, weight in sorted(self.state.tables.get(slice, {}).items()):
-            self.event(now, api.OnRecord(slice, host, weight))
+            self.event(now, api.StoredWeight(slice, host, weight))
 
     def charged(self, now: float, slice: int, on: bool, lines: dict[int, float] | None = None) -> None:
         """The store gives a slice into this steward's charge, or takes it away."""
@@ -161,7 +161,7 @@
                 del self.state.levels[key]
             self.unsaved.pop(slice, None)
             self.unsaved_resets.discard(slice)
-            self.event(now, api.SliceGiven(slice, False))
+            self.event(now, api.SliceOwnershipChange(slice, False))
             self.anew.discard(slice)
             self.gone.add(slice)
         self.snapshot = None
@@ -234,17 +234,17 @@
         if now >= self.gather_at:
             for e in self.gather.due(now):
                 self.event(now, e)
-            self.gather_at = now + self.set.report_every / 8
+            self.gather_at = now + self.set.report_interval_ms / 8
         events = self.collect()
         for e in events:
-            if isinstance(e, api.Membership):
+            if isinstance(e, api.HostListUpdate):
                 for entry in e.entries:
                     (self.going.discard if entry.state == "up" else self.going.add)(entry.host)
         return self.carry_out(now, self.deliver(now, events))
 
     def put_off(self, now: float, handle: int) -> float | None:
         wait = handle == self.can_wait and self.overload.waits(now, handle)
-        return self.set.report_every / 8 if wait else None
+        return self.set.report_interval_ms / 8 if wait else None
 
     def carry_out(self, now: float, actions: list[api.Action]) -> Writes:
         lines: dict[tuple[int, int], float] = {}
@@ -263,7 +263,7 @@
         self.anew, self.gone = set(), set()
         for a in actions:
             match a:
-                case api.SetLine():
+                case api.SetWeight():
                     if self.mine(a.slice):
                         lines[a.slice, a.host] = a.weight
                         self.line(a.slice, a.host, a.weight)
@@ -272,30 +272,30 @@
                         resets.append(a.slice)
                         lines = {k: w for k, w in lines.items() if k[0] != a.slice}
                         self.state.tables[a.slice] = {}
-                case api.Level():
+                case api.SetAdmission():
                     if a.slice == api.ALL_TABLES or self.mine(a.slice):
-                        levels.append((a.slice, a.operations, a.amount, int(a.retry)))
-                        self.state.levels[a.slice, a.operations] = (a.amount, int(a.retry))
+                        levels.append((a.slice, a.request_classes, a.amount, int(a.retry)))
+                        self.state.levels[a.slice, a.request_classes] = (a.amount, int(a.retry))
                 case api.Cordon():
-                    cordons.append((a.host, a.on))
-                    (self.state.cordons.add if a.on else self.state.cordons.discard)(a.host)
-                case api.Point():
+                    cordons.append((a.host, a.is_cordoned))
+                    (self.state.cordons.add if a.is_cordoned else self.state.cordons.discard)(a.host)
+                case api.AssignTable():
                     if a.proxy in self.joined:
-                        points.setdefault(a.proxy, []).append((a.table, a.operations))
-                        self.state.points.setdefault(a.proxy, {})[a.table] = a.operations
-                case api.Mark():
-                    mark, everyone = a.number, a.everyone
-                case api.Remind():
-                    self.remind(now + a.after, a.handle)
-                case api.Probe():
+                        points.setdefault(a.proxy, []).append((a.table, a.request_classes))
+                        self.state.points.setdefault(a.proxy, {})[a.table] = a.request_classes
+                case api.PublishVersion():
+                    mark, everyone = a.version, a.to_all_proxies
+                case api.StartTimer():
+                    self.remind(now + a.delay_ms, a.timer)
+                case api.CheckHealth():
                     out.append(ProbeHost(a.host, self.addresses.get(a.host, "")))
-                case api.Follow():
-                    out.append(FollowRoster(a.on))
-                case api.FetchList():
+                case api.WatchHostList():
+                    out.append(FollowRoster(a.is_watching))
+                case api.FetchHostList():
                     out.append(FetchRoster())
-                case api.Tell():
+                case api.SendToPeer():
                     out.append(ToPeer(a.peer, a.payload[:256]))
-                case api.Note():
+                case api.LogNote():
                     out.append(Say(a.text))
         rows = [(t, h, w) for (t, h), w in lines.items()]
         out += self.messages(rows, resets, levels, cordons, points, mark, everyone)
@@ -310,7 +310,7 @@
         return Writes(self.seq, kept, tuple(self.unsaved_resets))
 
     def mine(self, table: int) -> bool:
-        if self.set.slices and table not in self.charge:
+        if self.set.slice_count and table not in self.charge:
             self.discarded += 1
             return False
         return True
@@ -320,7 +320,7 @@
         if weight <= 0:
             lines.pop(host, None)
             return
-        if self.set.sole_owner:
+        if self.set.has_sole_owner:
             lines.clear()
         lines[host] = weight
 
@@ -338,7 +338,7 @@
         if not (lines or resets or levels or cordons or points or (mark >= 0 and everyone)):
             return []
         self.seq += 1
-        if self.set.slices:
+        if self.set.slice_count:
             to = tuple(self.joined)
             return [self.order(to, mark, resets, lines, levels, cordons)] if to else []
         groups: dict[tuple[Any, ...], list[int]] = {}
@@ -408,7 +408,7 @@
         if not points and self.snapshot and self.snapshot[0] == self.seq:
             return self.snapshot[1]
         tables = self.state.tables
-        if not self.set.slices:
+        if not self.set.slice_count:
             tables = {t: tables.get(t, {}) for t in points}
         elif any(s not in tables for s in self.charge):
             tables = {s: tables.get(s, {}) for s in sorted(self.charge)}
--- a/corallanding/controller/event_inbox.py
+++ b/corallanding/controller/event_inbox.py
@@ -48,7 +48,7 @@
             if wait := self.put_off(now, handle):
                 later.append((now + wait, count, handle))
             else:
-                self.inbox.append((at, count, api.Due(handle)))
+                self.inbox.append((at, count, api.TimerFired(handle)))
         for timer in later:
             heapq.heappush(self.timers, timer)
 
--- a/corallanding/controller/host_sources.py
+++ b/corallanding/controller/host_sources.py
@@ -153,7 +153,7 @@
         if self.shared and self.shared.budgets:
             self.shared.budgets.newly_listed(now, self.view.entries.values())
         if self.feed:
-            self.feed.listed(self.view.entries, self.view.starts, self.settings.cold)
+            self.feed.listed(self.view.entries, self.view.starts, self.settings.warm_up_ms)
             self.factors = self.feed.worth.factors()
             event = weigh(event, self.factors)
         self.engine.event(now, event)
@@ -163,8 +163,8 @@
     def roster_failed(self, why: str) -> None:
         self.metrics.roster_faults.inc()
         self.gate.warn("roster failed", why=why)
-        if self.settings.list_on_request:
-            self.engine.event(self.clock(), api.Membership(api.ListForm.FAILED, self.view.version))
+        if self.settings.polls_host_list:
+            self.engine.event(self.clock(), api.HostListUpdate(api.HostListKind.FAILED, self.view.version))
             self.wake()
 
     def keep_roster(self) -> None:
@@ -178,8 +178,8 @@
         except StoreFault as fault:
             self.gate.warn("list not kept", why=str(fault))
 
-    def probed(self, e: api.ProbeDone) -> None:
-        self.metrics.probes.labels(e.end.value).inc()
+    def probed(self, e: api.HealthCheckResult) -> None:
+        self.metrics.probes.labels(e.outcome.value).inc()
         self.engine.event(self.clock(), e)
         self.wake()
 
--- a/corallanding/controller/proxy_connections.py
+++ b/corallanding/controller/proxy_connections.py
@@ -57,7 +57,7 @@
             case frames.Ack() if link.joined:
                 # The link has checked it and knows since when the mark was out.
                 number, at = link.link.acks.popleft()
-                self.engine.event(now, api.Acked(link.forwarder, number, now - at))
+                self.engine.event(now, api.VersionAcked(link.forwarder, number, now - at))
                 self.metrics.ack.observe((now - at) / 1000.0)
             case frames.Sums() if link.joined:
                 self.engine.sums(now, link.forwarder, frame)
@@ -126,7 +126,7 @@
             c.forwarders.beat_ms,
             c.forwarders.silence_ms,
             c.reports.every_ms,
-            self.settings.slices,
+            self.settings.slice_count,
         )
         link.send(frames.encode(welcome))
 
--- a/corallanding/controller/recovery.py
+++ b/corallanding/controller/recovery.py
@@ -115,18 +115,18 @@
     cordons, timers, count = set(state.cordons), list(state.timers), 0
     for at, events, actions in steps:
         for e in events:
-            if isinstance(e, api.Due) and (due := [t for t in timers if t[1] == e.handle]):
+            if isinstance(e, api.TimerFired) and (due := [t for t in timers if t[1] == e.timer]):
                 timers.remove(min(due))
         if list(module.step(at, list(events))) != list(actions):
             raise Unfit(f"step {count + 1} of its log is decided otherwise now")
         count += 1
         for a in actions:
-            if isinstance(a, api.Remind):
-                timers.append((at + a.after, a.handle))
-            elif isinstance(a, api.Level):
-                levels[a.slice, a.operations] = (a.amount, int(a.retry))
+            if isinstance(a, api.StartTimer):
+                timers.append((at + a.delay_ms, a.timer))
+            elif isinstance(a, api.SetAdmission):
+                levels[a.slice, a.request_classes] = (a.amount, int(a.retry))
             elif isinstance(a, api.Cordon):
-                (cordons.add if a.on else cordons.discard)(a.host)
+                (cordons.add if a.is_cordoned else cordons.discard)(a.host)
     if module.orders.now > now:
         raise Unfit("its clock is ahead of this one")
     engine.module, engine.steps, engine.now = module, 1, module.orders.now
@@ -136,13 +136,13 @@
     engine.counter += len(timers)
     for h in module.hosts.values():
         if h.probing:  # that probe died with the last life, and says nothing
-            engine.event(now, api.ProbeDone(h.id, api.ProbeEnd.FULL))
+            engine.event(now, api.HealthCheckResult(h.id, api.HealthCheckOutcome.FULL))
     for proxy in module.pending.proxies if gone else ():
         engine.event(now, api.ProxyLeft(proxy))
     # The store has the last word on tables: what differs, and what is new or gone, is told as ever.
     anew = []
     for id in [s for s in module.slices if s not in engine.charge]:
-        engine.event(now, api.SliceGiven(id, False))
+        engine.event(now, api.SliceOwnershipChange(id, False))
     for id in sorted(engine.charge):
         kept = engine.state.tables.get(id, {})
         here = module.slices.get(id)
--- a/corallanding/controller/report_aggregation.py
+++ b/corallanding/controller/report_aggregation.py
@@ -34,9 +34,9 @@
         self, now: float, forwarder: int, zone: int, sums: Sums, hosts: Container[int], slices: Container[int]
     ) -> None:
         """Take one forwarder's sums. Rows on unknown hosts, slices or operations are counted and dropped."""
-        operations = len(self.set.operations)
+        operations = len(self.set.request_classes)
         for host, tries, errored, latency in sums.hosts:
-            if host not in hosts or errored > tries or zone >= self.set.zones:
+            if host not in hosts or errored > tries or zone >= self.set.zone_count:
                 self.dropped += 1
             elif tally := self.tally(now, ("host", zone, host), sums.span):
                 good = tries - errored
@@ -58,17 +58,17 @@
             if len(self.tallies) >= self.keys_most:
                 self.dropped += 1
                 return None
-            self.tallies[key] = Tally(now - min(span, self.set.report_every))
+            self.tallies[key] = Tally(now - min(span, self.set.report_interval_ms))
         return self.tallies[key]
 
     def due(self, now: float) -> list[api.Event]:
         """What the intake allows by now, oldest first; what remains goes on adding up."""
-        rate = self.set.reports_per_s
-        gained = (now - self.counted) * rate / 1000.0 if self.counted else rate * self.set.report_every / 1000.0
-        self.allowance = min(self.allowance + gained, rate * max(1.0, self.set.report_every / 1000.0))
+        rate = self.set.reports_per_second
+        gained = (now - self.counted) * rate / 1000.0 if self.counted else rate * self.set.report_interval_ms / 1000.0
+        self.allowance = min(self.allowance + gained, rate * max(1.0, self.set.report_interval_ms / 1000.0))
         self.counted = now
         out: list[api.Event] = []
-        ready = [k for k, t in self.tallies.items() if now - t.since >= self.set.report_every * 0.9]
+        ready = [k for k, t in self.tallies.items() if now - t.since >= self.set.report_interval_ms * 0.9]
         ready.sort(key=lambda k: (self.tallies[k].since, k))
         for key in ready[: int(self.allowance)]:
             tally, (what, a, b) = self.tallies.pop(key), key
@@ -76,10 +76,10 @@
             if what == "host":
                 good = tally.total - tally.errored
                 mean = tally.weighed / good if good else 0.0
-                out.append(api.HostSums(a, b, tally.total, tally.errored, mean, span))
+                out.append(api.HostUsageReport(a, b, tally.total, tally.errored, mean, span))
             elif what == "slice":
-                out.append(api.SliceSums(a, b, tally.total, tally.errored, span))
+                out.append(api.SliceUsageReport(a, b, tally.total, tally.errored, span))
             else:
-                out.append(api.ProxySums(a, b, tally.total, tally.errored, span))
+                out.append(api.ProxyUsageReport(a, b, tally.total, tally.errored, span))
         self.allowance -= len(out)
         return out
--- a/corallanding/discovery/core.py
+++ b/corallanding/discovery/core.py
@@ -1,4 +1,4 @@
-"""What the platform's discovery says, as the module's `Membership` events. Pure: bodies of answers in, events out.
+"""What the platform's discovery says, as the module's `HostListUpdate` events. Pure: bodies of answers in, events out.
 
 An entry that cannot be used is held at its last good state and named in `bad`; the others count. Starts come in Unix
 milliseconds, which is the clock of this front; 0 is long ago.
@@ -15,7 +15,11 @@
 from ..host_names import number
 from ..json_errors import UNREADABLE
 
-STATES = {"in_service": "up", "terminating": "draining", "terminated": "removed"}
+STATES = {
+    "in_service": api.HostState.UP,
+    "terminating": api.HostState.DRAINING,
+    "terminated": api.HostState.REMOVED,
+}
 GONE_MOST = 256  # hosts that left whose addresses are still known: a report or a probe may be under way
 
 
@@ -83,7 +87,7 @@
         leaves = said.get("health") in ("terminating", "terminated")
         return replace(entry, state=STATES[said["health"]]) if entry and leaves else entry
 
-    def take(self, answer: Answer, form: api.ListForm | None = None) -> api.Membership | None:
+    def take(self, answer: Answer, form: api.HostListKind | None = None) -> api.HostListUpdate | None:
         """form: if it is not for the answer to say. None where nothing has changed."""
         self.bad, entries, held = [], dict[int, api.HostEntry](), set[int]()
         for raw in answer.hosts:
@@ -104,9 +108,9 @@
                 self.dials[e.host] = dial
             self.dials.setdefault(e.host, "")
         self.version = answer.seq
-        form = form or (api.ListForm.FULL if answer.whole else api.ListForm.CHANGES)
+        form = form or (api.HostListKind.FULL if answer.whole else api.HostListKind.CHANGES)
         before = set(self.entries)
-        if form is api.ListForm.CHANGES:
+        if form is api.HostListKind.CHANGES:
             if not entries:
                 return None
             self.entries.update(entries)
@@ -115,8 +119,8 @@
             self.entries = {**{h: self.entries[h] for h in held if h in self.entries}, **entries}
         self.entries = {h: e for h, e in self.entries.items() if e.state != "removed"}
         self.forget(before | set(entries))
-        rows = entries if form is api.ListForm.CHANGES else self.entries
-        return api.Membership(form, answer.seq, tuple(rows.values()))
+        rows = entries if form is api.HostListKind.CHANGES else self.entries
+        return api.HostListUpdate(form, answer.seq, tuple(rows.values()))
 
     def forget(self, seen: set[int]) -> None:
         """Addresses of hosts that left are kept for the last few only: new ids come for as long as the steward runs."""
--- a/corallanding/endpoints/endpoint_list.py
+++ b/corallanding/endpoints/endpoint_list.py
@@ -1,4 +1,4 @@
-"""What a roster says, as the module's `Membership` events. Pure: rows and times in, events out.
+"""What a roster says, as the module's `HostListUpdate` events. Pure: rows and times in, events out.
 
 A row names a host by its number: `{"host", "address", "zone", "kind", "cell", "state", "weight", "started"}`,
 `started` in milliseconds of the wall clock, absent or 0 for "long ago". A row that does not parse is held at
@@ -105,7 +105,7 @@
         entries: Sequence[api.HostEntry],
         addresses: dict[int, str],
         starts: dict[int, float],
-    ) -> api.Membership:
+    ) -> api.HostListUpdate:
         """The saved list, as the first event of a life."""
         rows = []
         for e in entries:
@@ -114,9 +114,9 @@
         self.version, self.entries = version, {e.host: e for e in rows}
         self.addresses, self.starts = dict(addresses), dict(starts)
         self.known |= set(self.entries)
-        return api.Membership(api.ListForm.SAVED, version, tuple(rows))
+        return api.HostListUpdate(api.HostListKind.SAVED, version, tuple(rows))
 
-    def take(self, now: float, wall: float, full: bool, version: int, rows: Sequence[Any]) -> api.Membership:
+    def take(self, now: float, wall: float, full: bool, version: int, rows: Sequence[Any]) -> api.HostListUpdate:
         """One list or one set of changes. A full list takes out whom it does not name."""
         self.bad, entries = [], {}
         held: set[int] = set()
@@ -133,7 +133,8 @@
                 self.bad.append(f"entry of host {row.host}: more than {self.hosts_most} hosts")
                 continue
             since = self.since(now, wall, row.host, row.started)
-            entries[row.host] = api.HostEntry(row.host, row.zone, row.kind, row.cell, row.state, row.weight, since)
+            state = api.HostState(row.state)
+            entries[row.host] = api.HostEntry(row.host, row.zone, row.kind, row.cell, state, row.weight, since)
             self.known.add(row.host)
             self.starts[row.host] = row.started
             if row.address:
@@ -147,10 +148,10 @@
                 if host in self.entries:
                     entries.setdefault(host, self.entries[host])
             self.entries = {h: e for h, e in entries.items() if e.state != "removed"}
-            return api.Membership(api.ListForm.FULL, version, tuple(self.entries.values()))
+            return api.HostListUpdate(api.HostListKind.FULL, version, tuple(self.entries.values()))
         for host, entry in entries.items():
             if entry.state == "removed":
                 self.entries.pop(host, None)
             else:
                 self.entries[host] = entry
-        return api.Membership(api.ListForm.CHANGES, version, tuple(entries.values()))
+        return api.HostListUpdate(api.HostListKind.CHANGES, version, tuple(entries.values()))
--- a/corallanding/health_check/prober.py
+++ b/corallanding/health_check/prober.py
@@ -24,7 +24,10 @@
 
 class Probing(asyncio.Protocol):
     def __init__(
-        self, path: str, done: asyncio.Future[tuple[api.ProbeEnd, dict[str, float]]], load_in_body: bool = False
+        self,
+        path: str,
+        done: asyncio.Future[tuple[api.HealthCheckOutcome, dict[str, float]]],
+        load_in_body: bool = False,
     ) -> None:
         self.done, self.path, self.load_in_body = done, path, load_in_body
         self.parser = httptools.HttpResponseParser(self)
@@ -36,7 +39,7 @@
         self.transport = transport
         transport.write(f"GET {self.path} HTTP/1.1\r\nHost: probe\r\nConnection: close\r\n\r\n".encode())
 
-    def finish(self, end: api.ProbeEnd) -> None:
+    def finish(self, end: api.HealthCheckOutcome) -> None:
         if not self.done.done():
             self.done.set_result((end, self.load))
 
@@ -69,21 +72,23 @@
     def conclude(self) -> None:
         status = self.parser.get_status_code()
         good, full = 200 <= status < 300, status in (429, 503)
-        self.finish(api.ProbeEnd.OK if good else api.ProbeEnd.FULL if full else api.ProbeEnd.ERROR)
+        self.finish(
+            api.HealthCheckOutcome.OK if good else api.HealthCheckOutcome.FULL if full else api.HealthCheckOutcome.ERROR
+        )
 
     def data_received(self, data: bytes) -> None:
         self.seen += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            self.finish(api.ProbeEnd.OTHER)
+            self.finish(api.HealthCheckOutcome.OTHER)
         if self.seen > MOST_ANSWER:
-            self.finish(api.ProbeEnd.OTHER)
+            self.finish(api.HealthCheckOutcome.OTHER)
 
     def connection_lost(self, exc: Exception | None) -> None:
         if exc is None and self.headed and not self.measured:
             self.on_message_complete()  # the end of the connection is that of the body, as HTTP/1.1 has it
-        self.finish(api.ProbeEnd.RESET)
+        self.finish(api.HealthCheckOutcome.RESET)
 
 
 class Prober:
@@ -92,7 +97,7 @@
 
     def __init__(
         self,
-        done: Callable[[api.ProbeDone], None],
+        done: Callable[[api.HealthCheckResult], None],
         clock: Callable[[], float],
         path: str = "/health",
         timeout: float = 250.0,
@@ -106,12 +111,12 @@
         self.done, self.clock, self.path, self.timeout = done, clock, path, timeout
         self.most_in_flight, self.most_waiting = most_in_flight, most_waiting
         self.waiting: deque[tuple[int, str]] = deque()
-        self.running: set[asyncio.Task[api.ProbeDone]] = set()
+        self.running: set[asyncio.Task[api.HealthCheckResult]] = set()
         self.most_running = 0
 
     def ask(self, host: int, address: str) -> None:
         if len(self.waiting) >= self.most_waiting:
-            self.done(api.ProbeDone(host, api.ProbeEnd.OTHER))
+            self.done(api.HealthCheckResult(host, api.HealthCheckOutcome.OTHER))
             return
         self.waiting.append((host, address))
         self.fill()
@@ -124,7 +129,7 @@
             self.most_running = max(self.most_running, len(self.running))
             task.add_done_callback(partial(self.over, host, address))
 
-    def over(self, host: int, address: str, task: asyncio.Task[api.ProbeDone]) -> None:
+    def over(self, host: int, address: str, task: asyncio.Task[api.HealthCheckResult]) -> None:
         """However it ended: a question left open would keep its host from ever being probed again."""
         self.running.discard(task)
         if task.cancelled():
@@ -132,28 +137,28 @@
         if fault := task.exception():
             told = {"message": f"a probe of {address} failed", "exception": fault}
             asyncio.get_running_loop().call_exception_handler(told)
-        self.done(api.ProbeDone(host, api.ProbeEnd.OTHER) if fault else task.result())
+        self.done(api.HealthCheckResult(host, api.HealthCheckOutcome.OTHER) if fault else task.result())
         self.fill()
 
-    async def probe(self, host: int, address: str) -> api.ProbeDone:
+    async def probe(self, host: int, address: str) -> api.HealthCheckResult:
         loop, begun = asyncio.get_running_loop(), self.clock()
-        done: asyncio.Future[tuple[api.ProbeEnd, dict[str, float]]] = loop.create_future()
-        end, load, transport = api.ProbeEnd.OTHER, dict[str, float](), None
+        done: asyncio.Future[tuple[api.HealthCheckOutcome, dict[str, float]]] = loop.create_future()
+        end, load, transport = api.HealthCheckOutcome.OTHER, dict[str, float](), None
         try:
             async with asyncio.timeout(self.timeout / 1000.0):
                 probing = Probing(self.path, done, self.load_in_body)
                 transport, _ = await loop.create_connection(lambda: probing, *self.where(address))
                 end, load = await done
         except TimeoutError:
-            end = api.ProbeEnd.TIMEOUT
+            end = api.HealthCheckOutcome.TIMEOUT
         except ConnectionResetError:
-            end = api.ProbeEnd.RESET
+            end = api.HealthCheckOutcome.RESET
         except (OSError, ValueError):
-            end = api.ProbeEnd.UNREACHABLE
+            end = api.HealthCheckOutcome.UNREACHABLE
         finally:
             if transport:
                 transport.abort()
-        return api.ProbeDone(host, end, self.clock() - begun, load)
+        return api.HealthCheckResult(host, end, self.clock() - begun, load)
 
     def stop(self) -> None:
         self.waiting.clear()
--- a/corallanding/interface/events.py
+++ b/corallanding/interface/events.py
@@ -1,40 +1,60 @@
-"""What happened: events, as the assigner takes them in."""
+"""Events: what happened, as the assigner takes it in.
+
+Times are in milliseconds on the clock of the caller of `Assigner.step`; `load` maps a name that the host reports to its
+value.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from enum import Enum
+from enum import Enum, StrEnum
+
+
+class HostState(StrEnum):
+    """What the host list says of a host."""
+
+    UP = "up"
+    DRAINING = "draining"
+    REMOVED = "removed"
 
 
 @dataclass(frozen=True)
 class HostEntry:
+    """One row of the host list. `weight` is relative to others; `online_since` is when its process started, in ms."""
+
     host: int
     zone: int = 0
     kind: int = 0
     cell: int = 0
-    state: str = "up"  # "up", "draining" or "removed"
+    state: HostState = HostState.UP
     weight: float = 1.0
     online_since: float = 0.0
 
 
-class ListForm(Enum):
-    CHANGES = "changes"
-    FULL = "full"
-    SAVED = "saved"
-    FAILED = "failed"
+class HostListKind(Enum):
+    """How a host list update is to be read."""
+
+    CHANGES = "changes"  # entries that differ from before; the others stay
+    FULL = "full"  # every host there is
+    SAVED = "saved"  # every host, as this controller had stored the list before it started
+    FAILED = "failed"  # a poll of the list failed
 
 
 @dataclass(frozen=True)
-class Membership:
-    form: ListForm
+class HostListUpdate:
+    """The host list, or changes of it. `version` is the one that the list's source gave."""
+
+    kind: HostListKind
     version: int = 0
     entries: tuple[HostEntry, ...] = ()
 
 
-class ProbeEnd(Enum):
+class HealthCheckOutcome(Enum):
+    """How a health check ended."""
+
     OK = "ok"
-    ERROR = "error"
-    FULL = "full"
+    ERROR = "error"  # the host answered that it is not healthy
+    FULL = "full"  # not sent: too many checks were in flight
     TIMEOUT = "timeout"
     UNREACHABLE = "unreachable"
     RESET = "reset"
@@ -42,56 +62,66 @@
 
 
 @dataclass(frozen=True)
-class ProbeDone:
+class HealthCheckResult:
+    """A health check that was asked for by `CheckHealth` has ended."""
+
     host: int
-    end: ProbeEnd
-    latency: float = 0.0
+    outcome: HealthCheckOutcome
+    latency_ms: float = 0.0
     load: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
-class HostSums:
-    """What joined proxies of one zone met at a host over a span."""
+class HostUsageReport:
+    """What joined proxies of one zone observed at a host during `span_ms`.
+
+    `attempts` counts requests sent there, `failed` those of them that were not answered; `latency_ms` is the mean of
+    the answered ones.
+    """
 
     zone: int
     host: int
-    tries: int
-    errored: int
-    latency: float
-    span: float
+    attempts: int
+    failed: int
+    latency_ms: float
+    span_ms: float
     load: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
-class SliceSums:
-    """Invocations that came for a slice over a span."""
+class SliceUsageReport:
+    """Requests of one class that came for a slice during `span_ms`, and how many of them got no answer."""
 
     slice: int
-    operation: int
-    invocations: int
+    request_class: int
+    requests: int
     unanswered: int
-    span: float
+    span_ms: float
 
 
 @dataclass(frozen=True)
-class ProxySums:
-    """Sites without slices: invocations that came to a proxy over a span."""
+class ProxyUsageReport:
+    """The same for one proxy, at sites without slices."""
 
     proxy: int
-    operation: int
-    invocations: int
+    request_class: int
+    requests: int
     unanswered: int
-    span: float
+    span_ms: float
 
 
 @dataclass(frozen=True)
-class SliceGiven:
+class SliceOwnershipChange:
+    """This controller now decides on a slice, or no longer does."""
+
     slice: int
-    on: bool
+    is_owned: bool
 
 
 @dataclass(frozen=True)
-class OnRecord:
+class StoredWeight:
+    """A table entry that the store held when this controller became the owner of the slice."""
+
     slice: int
     host: int
     weight: float
@@ -99,46 +129,56 @@
 
 @dataclass(frozen=True)
 class ProxyJoined:
+    """A proxy has connected. `requests_per_second` is its own rough estimate; `has_no_tables` if it starts empty."""
+
     proxy: int
     zone: int
-    rate: float
-    fresh: bool
+    requests_per_second: float
+    has_no_tables: bool
 
 
 @dataclass(frozen=True)
 class ProxyLeft:
+    """A proxy has disconnected."""
+
     proxy: int
 
 
 @dataclass(frozen=True)
-class Acked:
+class VersionAcked:
+    """A proxy has applied every message up to `version` (see `PublishVersion`), `latency_ms` after it was sent."""
+
     proxy: int
-    number: int
-    latency: float = 0.0
+    version: int
+    latency_ms: float = 0.0
 
 
 @dataclass(frozen=True)
 class PeerMessage:
+    """Another controller has sent `payload` (see `SendToPeer`)."""
+
     sender: int
     payload: bytes
 
 
 @dataclass(frozen=True)
-class Due:
-    handle: int
+class TimerFired:
+    """The time of a `StartTimer` with this number has come."""
+
+    timer: int
 
 
 Event = (
-    Membership
-    | ProbeDone
-    | HostSums
-    | SliceSums
-    | ProxySums
-    | SliceGiven
-    | OnRecord
+    HostListUpdate
+    | HealthCheckResult
+    | HostUsageReport
+    | SliceUsageReport
+    | ProxyUsageReport
+    | SliceOwnershipChange
+    | StoredWeight
     | ProxyJoined
     | ProxyLeft
-    | Acked
+    | VersionAcked
     | PeerMessage
-    | Due
+    | TimerFired
 )
--- a/corallanding/interface/stored_names.py
+++ b/corallanding/interface/stored_names.py
@@ -10,33 +10,33 @@
 from . import actions, events, settings
 
 EVENTS: dict[str, type] = {
-    "Membership": events.Membership,
-    "ProbeDone": events.ProbeDone,
-    "HostSums": events.HostSums,
-    "SliceSums": events.SliceSums,
-    "ProxySums": events.ProxySums,
-    "SliceGiven": events.SliceGiven,
-    "OnRecord": events.OnRecord,
+    "Membership": events.HostListUpdate,
+    "ProbeDone": events.HealthCheckResult,
+    "HostSums": events.HostUsageReport,
+    "SliceSums": events.SliceUsageReport,
+    "ProxySums": events.ProxyUsageReport,
+    "SliceGiven": events.SliceOwnershipChange,
+    "OnRecord": events.StoredWeight,
     "ProxyJoined": events.ProxyJoined,
     "ProxyLeft": events.ProxyLeft,
-    "Acked": events.Acked,
+    "Acked": events.VersionAcked,
     "PeerMessage": events.PeerMessage,
-    "Due": events.Due,
+    "Due": events.TimerFired,
 }
 
 ACTIONS: dict[str, type] = {
-    "SetLine": actions.SetLine,
-    "Level": actions.Level,
+    "SetLine": actions.SetWeight,
+    "Level": actions.SetAdmission,
     "Cordon": actions.Cordon,
     "ResetTable": actions.ResetTable,
-    "Point": actions.Point,
-    "Mark": actions.Mark,
-    "Remind": actions.Remind,
-    "Probe": actions.Probe,
-    "Follow": actions.Follow,
-    "FetchList": actions.FetchList,
-    "Tell": actions.Tell,
-    "Note": actions.Note,
+    "Point": actions.AssignTable,
+    "Mark": actions.PublishVersion,
+    "Remind": actions.StartTimer,
+    "Probe": actions.CheckHealth,
+    "Follow": actions.WatchHostList,
+    "FetchList": actions.FetchHostList,
+    "Tell": actions.SendToPeer,
+    "Note": actions.LogNote,
 }
 
 TYPES: dict[str, type] = EVENTS | ACTIONS
@@ -44,60 +44,60 @@
 
 # For each class: stored name of a field to the attribute that has its value.
 FIELDS: dict[type, dict[str, str]] = {
-    settings.Operation: {
+    settings.RequestClass: {
         "name": "name",
-        "repeat": "repeat",
-        "group": "group",
-        "window": "window",
-        "billed_value": "billed_value",
-        "late_value": "late_value",
-        "latency_objective": "latency_objective",
-        "integration_timeout": "integration_timeout",
-        "writes": "writes",
-        "zone_bound": "zone_bound",
+        "repeat": "idempotency",
+        "group": "deduplication_scope",
+        "window": "deduplication_window_ms",
+        "billed_value": "priority_weight",
+        "late_value": "late_priority_weight",
+        "latency_objective": "latency_objective_ms",
+        "integration_timeout": "timeout_ms",
+        "writes": "is_write",
+        "zone_bound": "is_zone_bound",
     },
     settings.Settings: {
-        "operations": "operations",
+        "operations": "request_classes",
         "zone": "zone",
-        "zones": "zones",
-        "stewards": "stewards",
-        "me": "me",
-        "slices": "slices",
-        "proxies": "proxies",
-        "list_on_request": "list_on_request",
-        "ask_within": "ask_within",
+        "zones": "zone_count",
+        "stewards": "controller_count",
+        "me": "controller_index",
+        "slices": "slice_count",
+        "proxies": "proxy_count",
+        "list_on_request": "polls_host_list",
+        "ask_within": "poll_interval_ms",
         "listed_weights": "listed_weights",
-        "sole_owner": "sole_owner",
-        "lease": "lease",
-        "in_flight_most": "in_flight_most",
+        "sole_owner": "has_sole_owner",
+        "lease": "lease_ms",
+        "in_flight_most": "max_in_flight_ms",
         "admission": "admission",
-        "usual_retry": "usual_retry",
-        "try_aims": "try_aims",
-        "pick": "pick",
-        "ejects": "ejects",
-        "bare_most": "bare_most",
-        "drain_grace": "drain_grace",
-        "drain_binds_alone": "drain_binds_alone",
-        "cold": "cold",
-        "cold_from": "cold_from",
-        "fall": "fall",
-        "fall_multiple": "fall_multiple",
-        "channel_rate": "channel_rate",
-        "message_head": "message_head",
-        "queue_most": "queue_most",
-        "messages_most": "messages_most",
-        "messages_span": "messages_span",
-        "transit": "transit",
-        "transit_most": "transit_most",
-        "report_every": "report_every",
-        "reports_per_s": "reports_per_s",
-        "may_probe": "may_probe",
-        "warm_keys": "warm_keys",
-        "probe_price": "probe_price",
+        "usual_retry": "default_retry_mode",
+        "try_aims": "attempt_timeout_objectives",
+        "pick": "balancing_policy",
+        "ejects": "ejection_failures",
+        "bare_most": "max_without_host_ms",
+        "drain_grace": "drain_grace_ms",
+        "drain_binds_alone": "only_drains_bind",
+        "cold": "warm_up_ms",
+        "cold_from": "warm_up_initial_share",
+        "fall": "overload_window_ms",
+        "fall_multiple": "overload_factor",
+        "channel_rate": "channel_lines_per_second",
+        "message_head": "message_overhead_lines",
+        "queue_most": "max_queued_lines",
+        "messages_most": "max_messages",
+        "messages_span": "message_window_ms",
+        "transit": "propagation_ms",
+        "transit_most": "max_propagation_ms",
+        "report_every": "report_interval_ms",
+        "reports_per_s": "reports_per_second",
+        "may_probe": "may_check_health",
+        "warm_keys": "caches_keys",
+        "probe_price": "health_check_price",
         "message_price": "message_price",
         "move_price": "move_price",
-        "load_in_probe": "load_in_probe",
-        "period": "period",
+        "load_in_probe": "health_check_load_fields",
+        "period": "decision_interval_ms",
     },
     events.HostEntry: {
         "host": "host",
@@ -108,45 +108,45 @@
         "weight": "weight",
         "online_since": "online_since",
     },
-    events.Membership: {
-        "form": "form",
+    events.HostListUpdate: {
+        "form": "kind",
         "version": "version",
         "entries": "entries",
     },
-    events.ProbeDone: {
+    events.HealthCheckResult: {
         "host": "host",
-        "end": "end",
-        "latency": "latency",
+        "end": "outcome",
+        "latency": "latency_ms",
         "load": "load",
     },
-    events.HostSums: {
+    events.HostUsageReport: {
         "zone": "zone",
         "host": "host",
-        "tries": "tries",
-        "errored": "errored",
-        "latency": "latency",
-        "span": "span",
+        "tries": "attempts",
+        "errored": "failed",
+        "latency": "latency_ms",
+        "span": "span_ms",
         "load": "load",
     },
-    events.SliceSums: {
+    events.SliceUsageReport: {
         "slice": "slice",
-        "operation": "operation",
-        "invocations": "invocations",
+        "operation": "request_class",
+        "invocations": "requests",
         "unanswered": "unanswered",
-        "span": "span",
+        "span": "span_ms",
     },
-    events.ProxySums: {
+    events.ProxyUsageReport: {
         "proxy": "proxy",
-        "operation": "operation",
-        "invocations": "invocations",
+        "operation": "request_class",
+        "invocations": "requests",
         "unanswered": "unanswered",
-        "span": "span",
+        "span": "span_ms",
     },
-    events.SliceGiven: {
+    events.SliceOwnershipChange: {
         "slice": "slice",
-        "on": "on",
+        "on": "is_owned",
     },
-    events.OnRecord: {
+    events.StoredWeight: {
         "slice": "slice",
         "host": "host",
         "weight": "weight",
@@ -154,73 +154,73 @@
     events.ProxyJoined: {
         "proxy": "proxy",
         "zone": "zone",
-        "rate": "rate",
-        "fresh": "fresh",
+        "rate": "requests_per_second",
+        "fresh": "has_no_tables",
     },
     events.ProxyLeft: {
         "proxy": "proxy",
     },
-    events.Acked: {
+    events.VersionAcked: {
         "proxy": "proxy",
-        "number": "number",
-        "latency": "latency",
+        "number": "version",
+        "latency": "latency_ms",
     },
     events.PeerMessage: {
         "sender": "sender",
         "payload": "payload",
     },
-    events.Due: {
-        "handle": "handle",
+    events.TimerFired: {
+        "handle": "timer",
     },
-    actions.SetLine: {
+    actions.SetWeight: {
         "slice": "slice",
         "host": "host",
         "weight": "weight",
     },
-    actions.Level: {
+    actions.SetAdmission: {
         "slice": "slice",
-        "operations": "operations",
+        "operations": "request_classes",
         "amount": "amount",
         "retry": "retry",
     },
     actions.Cordon: {
         "host": "host",
-        "on": "on",
+        "on": "is_cordoned",
     },
     actions.ResetTable: {
         "slice": "slice",
     },
-    actions.Point: {
+    actions.AssignTable: {
         "proxy": "proxy",
         "table": "table",
-        "operations": "operations",
+        "operations": "request_classes",
     },
-    actions.Mark: {
-        "number": "number",
-        "everyone": "everyone",
+    actions.PublishVersion: {
+        "number": "version",
+        "everyone": "to_all_proxies",
     },
-    actions.Remind: {
-        "after": "after",
-        "handle": "handle",
+    actions.StartTimer: {
+        "after": "delay_ms",
+        "handle": "timer",
     },
-    actions.Probe: {
+    actions.CheckHealth: {
         "host": "host",
     },
-    actions.Follow: {
-        "on": "on",
+    actions.WatchHostList: {
+        "on": "is_watching",
     },
-    actions.FetchList: {},
-    actions.Tell: {
+    actions.FetchHostList: {},
+    actions.SendToPeer: {
         "peer": "peer",
         "payload": "payload",
     },
-    actions.Note: {
+    actions.LogNote: {
         "text": "text",
     },
 }
 
 # Fields that hold a sequence of a class that has a table of its own, by their stored names.
 ITEMS: dict[type, dict[str, type]] = {
-    settings.Settings: {"operations": settings.Operation},
-    events.Membership: {"entries": events.HostEntry},
+    settings.Settings: {"operations": settings.RequestClass},
+    events.HostListUpdate: {"entries": events.HostEntry},
 }
--- a/corallanding/lab/fleet/recorded.py
+++ b/corallanding/lab/fleet/recorded.py
@@ -84,14 +84,14 @@
 
 def day_of(rec: Recording, notice: float) -> Day:
     """notice: ms that the list is late. Raises `NoDay`."""
-    every = rec.settings.report_every
-    sums = [(now, e) for now, events, _ in rec.steps for e in events if isinstance(e, api.SliceSums)]
-    if not rec.settings.slices:
+    every = rec.settings.report_interval_ms
+    sums = [(now, e) for now, events, _ in rec.steps for e in events if isinstance(e, api.SliceUsageReport)]
+    if not rec.settings.slice_count:
         raise NoDay("a site without slices: nothing tells what came for whom")
     if not sums:
         raise NoDay("no sums of slices: no forwarder reported in it")
-    begin, end = min(now - e.span for now, e in sums), max(now for now, _ in sums)
-    windows = [Window(now - e.span - begin, now - begin, e.slice, e.operation, e.invocations) for now, e in sums]
+    begin, end = min(now - e.span_ms for now, e in sums), max(now for now, _ in sums)
+    windows = [Window(now - e.span_ms - begin, now - begin, e.slice, e.request_class, e.requests) for now, e in sums]
     covered = joined([(w.begin, w.end) for w in windows], every * 0.5)
     gaps = [(a[1], b[0]) for a, b in itertools.pairwise(covered)]
     late = joined([(w.begin, w.end) for w in windows if w.end - w.begin > LATE * every])
@@ -100,11 +100,11 @@
     first, seen = hosts_of(rec, begin, end, notice)
     told = np.zeros((2, int((end - begin) / 1000.0) + 1))
     for now, e in sums:
-        at = int((now - e.span / 2 - begin) / 1000.0)
-        told[0, at] += e.invocations
+        at = int((now - e.span_ms / 2 - begin) / 1000.0)
+        told[0, at] += e.requests
         told[1, at] += e.unanswered
     proxies = {
-        e.proxy: (e.zone, max(e.rate, 1e-6))
+        e.proxy: (e.zone, max(e.requests_per_second, 1e-6))
         for _, events, _ in rec.steps
         for e in events
         if isinstance(e, api.ProxyJoined)
@@ -113,8 +113,8 @@
         raise NoDay("no forwarder joined in it")
     return Day(
         end - begin,
-        rec.settings.slices,
-        len(rec.settings.operations),
+        rec.settings.slice_count,
+        len(rec.settings.request_classes),
         windows + more,
         late,
         gaps,
@@ -149,11 +149,11 @@
         if first is None and now > begin:
             first = [e for _, e in sorted(now_is.items())]
         for e in events:
-            if not isinstance(e, api.Membership) or e.form is api.ListForm.FAILED:
+            if not isinstance(e, api.HostListUpdate) or e.kind is api.HostListKind.FAILED:
                 continue
             rows = {x.host: x for x in e.entries}
-            if e.form is not api.ListForm.CHANGES:
-                rows |= {h: api.HostEntry(h, state="removed") for h in now_is if h not in rows}
+            if e.kind is not api.HostListKind.CHANGES:
+                rows |= {h: api.HostEntry(h, state=api.HostState.REMOVED) for h in now_is if h not in rows}
             for host, x in sorted(rows.items()):
                 old = now_is.get(host)
                 if x.state == "removed":
@@ -177,12 +177,12 @@
 
 def slow_of(rec: Recording, begin: float) -> list[Seen]:
     """Rule 4."""
-    every = rec.settings.report_every
+    every = rec.settings.report_interval_ms
     rows: dict[int, dict[int, list[float]]] = defaultdict(lambda: defaultdict(list))
     for now, events, _ in rec.steps:
         for e in events:
-            if isinstance(e, api.HostSums) and e.tries - e.errored >= 3 and e.latency > 0.0:
-                rows[int((now - begin) // every)][e.host].append(e.latency)
+            if isinstance(e, api.HostUsageReport) and e.attempts - e.failed >= 3 and e.latency_ms > 0.0:
+                rows[int((now - begin) // every)][e.host].append(e.latency_ms)
     out: list[Seen] = []
     runs: dict[int, int] = defaultdict(int)
     slow: dict[int, float] = {}
--- a/corallanding/lab/publishers.py
+++ b/corallanding/lab/publishers.py
@@ -22,27 +22,27 @@
         out: list[api.Action] = []
         for e in events:
             match e:
-                case api.Membership(form=api.ListForm.FAILED):
-                    out.append(api.Remind(500.0, 1))
-                case api.Membership():
-                    self.hosts = {} if e.form is not api.ListForm.CHANGES else self.hosts
+                case api.HostListUpdate(kind=api.HostListKind.FAILED):
+                    out.append(api.StartTimer(500.0, 1))
+                case api.HostListUpdate():
+                    self.hosts = {} if e.kind is not api.HostListKind.CHANGES else self.hosts
                     self.hosts.update({x.host: x for x in e.entries})
-                case api.SliceGiven(on=True):
+                case api.SliceOwnershipChange(is_owned=True):
                     self.slices[e.slice] = {}
-                case api.OnRecord():
+                case api.StoredWeight():
                     self.slices[e.slice][e.host] = e.weight
-                case api.Due(handle=1):
-                    out.append(api.Follow(True))
+                case api.TimerFired(timer=1):
+                    out.append(api.WatchHostList(True))
         if not self.begun:
             self.begun = True
-            out.append(api.Follow(True))
+            out.append(api.WatchHostList(True))
         up = [h for h, x in self.hosts.items() if x.state == "up"]
         for s, lines in self.slices.items():
             if up:
                 to = max(up, key=lambda h: zlib.crc32(f"{s}:{h}".encode()))
                 if set(lines) != {to}:
-                    out.append(api.SetLine(s, to, 1.0))
-                    out += [api.SetLine(s, h, 0.0) for h in lines if h != to]
+                    out.append(api.SetWeight(s, to, 1.0))
+                    out += [api.SetWeight(s, h, 0.0) for h in lines if h != to]
                     self.slices[s] = {to: 1.0}
         return out
 
@@ -69,7 +69,7 @@
         assert self.begun is not None
         if now - self.begun < 3_000.0:
             return actions
-        kept = [a for a in actions if not (isinstance(a, api.SetLine) and a.slice == 0)]
+        kept = [a for a in actions if not (isinstance(a, api.SetWeight) and a.slice == 0)]
         return [*kept, api.ResetTable(0)]
 
 
@@ -80,9 +80,13 @@
         out: list[api.Action] = []
         hosts = sorted(self.inner.hosts)
         for a in actions:
-            out.append(api.Level(a.slice, a.operations, a.amount, api.Retry.TWICE) if isinstance(a, api.Level) else a)
-            if isinstance(a, api.SetLine) and a.weight > 0:
-                out.append(api.SetLine(a.slice, hosts[(hosts.index(a.host) + 1) % len(hosts)], 1.0))
+            out.append(
+                api.SetAdmission(a.slice, a.request_classes, a.amount, api.RetryMode.TWICE)
+                if isinstance(a, api.SetAdmission)
+                else a
+            )
+            if isinstance(a, api.SetWeight) and a.weight > 0:
+                out.append(api.SetWeight(a.slice, hosts[(hosts.index(a.host) + 1) % len(hosts)], 1.0))
         return out
 
 
@@ -92,10 +96,10 @@
     def step(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
         heard: list[api.Event] = []
         for e in events:
-            if isinstance(e, api.Membership):
+            if isinstance(e, api.HostListUpdate):
                 entries = tuple(x for x in e.entries if x.state == "up")
-                heard.append(api.Membership(api.ListForm.CHANGES, e.version, entries))
-            elif not isinstance(e, api.HostSums):
+                heard.append(api.HostListUpdate(api.HostListKind.CHANGES, e.version, entries))
+            elif not isinstance(e, api.HostUsageReport):
                 heard.append(e)
         return self.inner.step(now, heard)
 
@@ -106,11 +110,11 @@
     def spoil(self, now: float, events: Sequence[api.Event], actions: list[api.Action]) -> list[api.Action]:
         assert self.begun is not None
         for e in events:
-            if isinstance(e, api.Membership) and now - self.begun > 500.0:
+            if isinstance(e, api.HostListUpdate) and now - self.begun > 500.0:
                 for x in e.entries:
                     if x.state == "up" and x.online_since > self.begun:
-                        for s in range(self.set.slices):
-                            actions.append(api.SetLine(s, x.host, 1000.0))
+                        for s in range(self.set.slice_count):
+                            actions.append(api.SetWeight(s, x.host, 1000.0))
         return actions
 
 
@@ -118,8 +122,8 @@
     """Rule 5: writes every table anew at every step."""
 
     def spoil(self, now: float, events: Sequence[api.Event], actions: list[api.Action]) -> list[api.Action]:
-        level = api.Level(api.ALL_TABLES, 0, 1.0, api.Retry.PROVEN_UNRUN)
-        return [*actions, *(level for _ in range(self.set.slices))]
+        level = api.SetAdmission(api.ALL_TABLES, 0, 1.0, api.RetryMode.PROVEN_UNRUN)
+        return [*actions, *(level for _ in range(self.set.slice_count))]
 
 
 PUBLISHERS: dict[str, Callable[[api.Settings, int], Decider]] = {
--- a/corallanding/load_reports/weights.py
+++ b/corallanding/load_reports/weights.py
@@ -7,7 +7,7 @@
 from .. import interface as api
 
 
-def weigh(event: api.Membership, factors: dict[int, float]) -> api.Membership:
+def weigh(event: api.HostListUpdate, factors: dict[int, float]) -> api.HostListUpdate:
     """The same event with the weights of hosts that are up multiplied; the very same where no factor applies."""
     if not any(e.host in factors for e in event.entries):
         return event
@@ -20,11 +20,11 @@
 
 def changes(
     entries: dict[int, api.HostEntry], version: int, before: dict[int, float], now: dict[int, float]
-) -> api.Membership | None:
+) -> api.HostListUpdate | None:
     """The entries whose factor changed, as changes of the list as it stands; None if there are none.
 
     Only what the list has as up is named: a factor brings back nobody who left.
     """
     moved = [h for h in sorted({*before, *now}) if before.get(h, 1.0) != now.get(h, 1.0)]
     rows = tuple(entries[h] for h in moved if h in entries and entries[h].state == "up")
-    return weigh(api.Membership(api.ListForm.CHANGES, version, rows), now) if rows else None
+    return weigh(api.HostListUpdate(api.HostListKind.CHANGES, version, rows), now) if rows else None
--- a/corallanding/platform/endpoint_updates.py
+++ b/corallanding/platform/endpoint_updates.py
@@ -20,16 +20,16 @@
     ) -> None:
         self.seldom, self.tell, self.traced = seldom, tell, traced
         self.view = View(config.places.zones, config.kinds)
-        self.agent = Agent(config.discovery, self, config.settings.list_on_request)
+        self.agent = Agent(config.discovery, self, config.settings.polls_host_list)
         self.agent.said = lambda text: self.seldom.warn("discovery", text)
 
     @property
     def version(self) -> int:
         return self.view.version
 
-    def saved(self, known: Answer) -> api.Membership | None:
+    def saved(self, known: Answer) -> api.HostListUpdate | None:
         """The list as this steward last had it, with its start."""
-        event = self.view.take(known, api.ListForm.SAVED)
+        event = self.view.take(known, api.HostListKind.SAVED)
         self.bad_entries()
         return event
 
@@ -42,10 +42,10 @@
         event = self.view.take(answer)
         if self.traced and event:
             rows = " ".join(f"{name(e.host)}:{e.state}:{e.online_since:.0f}" for e in event.entries)
-            log.info("list %d %s %s", event.version, event.form.value, rows)
+            log.info("list %d %s %s", event.version, event.kind.value, rows)
         self.bad_entries()
         if event or self.agent.on_request:
-            self.tell([event or api.Membership(api.ListForm.CHANGES, answer.seq)])
+            self.tell([event or api.HostListUpdate(api.HostListKind.CHANGES, answer.seq)])
         return True
 
     def bad_entries(self) -> None:
@@ -53,4 +53,4 @@
             self.seldom.warn("entry", f"discovery: {text}")
 
     def unlisted(self, why: str) -> None:
-        self.tell([api.Membership(api.ListForm.FAILED, self.view.version)])
+        self.tell([api.HostListUpdate(api.HostListKind.FAILED, self.view.version)])
--- a/corallanding/platform/service.py
+++ b/corallanding/platform/service.py
@@ -45,8 +45,10 @@
         self.lists = Lists(config, self.seldom, self.tell, traced)
         self.view, self.agent = self.lists.view, self.lists.agent
         self.news = News(s, config.places.zones)
-        channel = Channel(s.queue_most, s.channel_rate, s.message_head, lambda: len(self.news.proxies))
-        self.calls = Calls(list(config.places.operations), s.messages_most, s.messages_span, channel)
+        channel = Channel(
+            s.max_queued_lines, s.channel_lines_per_second, s.message_overhead_lines, lambda: len(self.news.proxies)
+        )
+        self.calls = Calls(list(config.places.operations), s.max_messages, s.message_window_ms, channel)
         self.intake = Intake(s, config.places, self.view.dials, self.news.tables)
         self.call_link = CallLink(config.store, self.calls, self.clock, self.stood)
         self.news_link = NewsLink(config.store, self.news, self.clock, self.tell, self.calls.under_way, self.said)
@@ -55,7 +57,7 @@
         self.prober = Prober(
             self.probed,
             self.clock,
-            "/load" if s.load_in_probe else "/healthz",
+            "/load" if s.health_check_load_fields else "/healthz",
             2.0 * config.dial_timeout,
             PROBES_MOST,
             where=address,
@@ -151,25 +153,25 @@
     def tell(self, events: Sequence[api.Event]) -> None:
         now = self.clock()
         for e in events:
-            if isinstance(e, api.SliceGiven) and not e.on:
+            if isinstance(e, api.SliceOwnershipChange) and not e.is_owned:
                 self.calls.forget(e.slice)
-            if isinstance(e, api.Acked) and self.calls.doubted:
-                self.stood(self.calls.applied(e.number))
-            if self.trace and isinstance(e, api.HostSums | api.SliceSums):
+            if isinstance(e, api.VersionAcked) and self.calls.doubted:
+                self.stood(self.calls.applied(e.version))
+            if self.trace and isinstance(e, api.HostUsageReport | api.SliceUsageReport):
                 log.info("sums: %s", e)
-            if self.trace and isinstance(e, api.SliceGiven | api.ProxyLeft | api.ProxyJoined):
+            if self.trace and isinstance(e, api.SliceOwnershipChange | api.ProxyLeft | api.ProxyJoined):
                 log.info("news: %s", e)
             self.turns.event(now, e)
         self.wake()
 
-    def probed(self, e: api.ProbeDone) -> None:
+    def probed(self, e: api.HealthCheckResult) -> None:
         if self.trace:
-            log.info("probe of %s: %s after %.0f ms", name(e.host), e.end.value, e.latency)
+            log.info("probe of %s: %s after %.0f ms", name(e.host), e.outcome.value, e.latency_ms)
         self.tell([e])
 
     def stood(self, orders: list[Order]) -> None:
         for o in orders:
-            if isinstance(o, api.SetLine | api.ResetTable):
+            if isinstance(o, api.SetWeight | api.ResetTable):
                 self.news.stands(o)
         for text in self.calls.said:
             self.said(text)
@@ -182,7 +184,7 @@
         if self.ending:
             return
         now = self.clock()
-        at = max(now, self.stepped_at + max(self.config.settings.period, self.took))
+        at = max(now, self.stepped_at + max(self.config.settings.decision_interval_ms, self.took))
         if not self.turns.inbox:
             if not self.turns.timers:
                 return
@@ -203,8 +205,8 @@
             # A defect to mend. The events of this step are lost, what was known before stands; its timers come again,
             # or no turn would ever come. Could go on for good with a state that is not sound: the log tells.
             log.exception("a step failed on %d events: %s", len(events), str(events)[:600])
-            again = self.config.settings.report_every
-            actions = [api.Remind(again, e.handle) for e in events if isinstance(e, api.Due)]
+            again = self.config.settings.report_interval_ms
+            actions = [api.StartTimer(again, e.timer) for e in events if isinstance(e, api.TimerFired)]
         self.carry_out(begun, actions)
         self.stepped_at = self.clock()
         self.took = self.stepped_at - begun
@@ -225,22 +227,22 @@
         orders: list[Order] = []
         for a in actions:
             match a:
-                case api.SetLine() | api.Level() | api.Cordon() | api.ResetTable() | api.Mark():
+                case api.SetWeight() | api.SetAdmission() | api.Cordon() | api.ResetTable() | api.PublishVersion():
                     orders.append(a)
-                    if isinstance(a, api.Mark):
-                        self.gaps.ordered(a.number, now)
-                case api.Remind():
-                    self.turns.remind(now + a.after, a.handle)
-                case api.Probe():
+                    if isinstance(a, api.PublishVersion):
+                        self.gaps.ordered(a.version, now)
+                case api.StartTimer():
+                    self.turns.remind(now + a.delay_ms, a.timer)
+                case api.CheckHealth():
                     self.prober.ask(a.host, self.view.dials.get(a.host, ""))
-                case api.Follow():
-                    self.agent.follow(a.on)
-                case api.FetchList():
+                case api.WatchHostList():
+                    self.agent.follow(a.is_watching)
+                case api.FetchHostList():
                     self.agent.fetch()
-                case api.Note():
+                case api.LogNote():
                     if self.trace:
                         log.info("module: %s", a.text)
-                case api.Point() | api.Tell():
+                case api.AssignTable() | api.SendToPeer():
                     self.said(f"the platform has no way to do this: {a}")
         if orders:
             if self.trace:
--- a/corallanding/platform/trace.py
+++ b/corallanding/platform/trace.py
@@ -42,10 +42,10 @@
     words = []
     for o in given:
         match o:
-            case api.SetLine():
+            case api.SetWeight():
                 words.append(f"{o.slice}{'+' if o.weight > 0 else '-'}{name(o.host)}")
             case api.Cordon():
-                words.append(f"{'out' if o.on else 'in'} {name(o.host)}")
+                words.append(f"{'out' if o.is_cordoned else 'in'} {name(o.host)}")
             case _:
                 words.append(str(o))
     return " ".join(words)
--- a/corallanding/platform/unconfirmed_acks.py
+++ b/corallanding/platform/unconfirmed_acks.py
@@ -23,7 +23,11 @@
 
     def bridged(self) -> None:
         """News goes on after a gap."""
-        over = self.marked_at + self.set.queue_most * 1000.0 / self.set.channel_rate + self.set.transit_most
+        over = (
+            self.marked_at
+            + self.set.max_queued_lines * 1000.0 / self.set.channel_lines_per_second
+            + self.set.max_propagation_ms
+        )
         loop = asyncio.get_running_loop()
         loop.call_later(max(0.0, over - self.clock()) / 1000.0, self.lost, self.marked)
 
--- a/corallanding/relay/pending_calls.py
+++ b/corallanding/relay/pending_calls.py
@@ -19,7 +19,7 @@
 from .channel import Channel
 from .orders import Key, Order, encode, key, rank
 
-TABLE = api.SetLine | api.ResetTable | api.Level  # orders on one table
+TABLE = api.SetWeight | api.ResetTable | api.SetAdmission  # orders on one table
 CALL_MOST = 60_000  # bytes of orders in one call
 ANSWER_MOST = 50.0  # ms: within this the relay carries a call out and answers it, or never
 EDGE = 1.0  # ms: whether the last instant of a span belongs to it is not ours to say
@@ -85,10 +85,10 @@
             if call:
                 call.void.add(slice)
 
-    def under_way(self) -> list[api.SetLine | api.ResetTable]:
+    def under_way(self) -> list[api.SetWeight | api.ResetTable]:
         """Orders on tables that are not confirmed, in turn."""
         rows = [*(self.flying.valid(self.flying.orders) if self.flying else []), *self.waiting.values()]
-        return [o for o in rows if isinstance(o, api.SetLine | api.ResetTable)]
+        return [o for o in rows if isinstance(o, api.SetWeight | api.ResetTable)]
 
     def next_at(self, now: float) -> float | None:
         """When a call may go out; None while nothing waits or one is outstanding."""
@@ -200,7 +200,7 @@
     def applied(self, number: int) -> list[Order]:
         """A proxy has applied the mark: a call that held it was carried out. The orders that stand by it."""
         call = self.doubted
-        if not call or not any(isinstance(o, api.Mark) and o.number == number for o in call.orders):
+        if not call or not any(isinstance(o, api.PublishVersion) and o.version == number for o in call.orders):
             return []
         stood, self.doubted = call.valid(call.orders), None
         for o in stood:
@@ -219,5 +219,5 @@
     def put_back(self, orders: list[Order]) -> None:
         """Under what waits: an order of the same kind and place that came later stands."""
         emptied = {k[1] for k in self.waiting if k[0] == "empty"}
-        old = {key(o): o for o in orders if not (isinstance(o, api.SetLine) and o.slice in emptied)}
+        old = {key(o): o for o in orders if not (isinstance(o, api.SetWeight) and o.slice in emptied)}
         self.waiting = {**{k: o for k, o in old.items() if k not in self.waiting}, **self.waiting}
--- a/corallanding/relay/subscription.py
+++ b/corallanding/relay/subscription.py
@@ -16,7 +16,7 @@
 from ..host_names import number
 from ..json_errors import UNREADABLE
 
-TableOrder = api.SetLine | api.ResetTable
+TableOrder = api.SetWeight | api.ResetTable
 
 
 class Notice(msgspec.Struct):
@@ -41,7 +41,7 @@
 
     proxies: dict[int, api.ProxyJoined] = field(default_factory=dict)
     tables: dict[int, dict[int, float]] = field(default_factory=dict)
-    acks: list[api.Acked] = field(default_factory=list)
+    acks: list[api.VersionAcked] = field(default_factory=list)
     since: list[TableOrder] = field(default_factory=list)
 
 
@@ -134,7 +134,7 @@
                     self.giving[slice] = {}
                     return []
                 self.giving.pop(slice, None)
-                return [api.SliceGiven(slice, False)] if self.tables.pop(slice, None) is not None else []
+                return [api.SliceOwnershipChange(slice, False)] if self.tables.pop(slice, None) is not None else []
             case "entry":
                 slice, host, weight = self.entry(p)
                 rows = self.giving.get(slice)
@@ -150,15 +150,15 @@
         if rows is None or weight <= 0 or host in rows:
             return []
         rows[host] = weight
-        return [api.OnRecord(slice, host, weight)]
+        return [api.StoredWeight(slice, host, weight)]
 
     def given(self) -> list[api.Event]:
         """Slices given whose lines are whole by now, as the owner judges: the slice and its lines, in one step."""
         out: list[api.Event] = []
         for slice, rows in self.giving.items():
             self.tables[slice] = rows
-            out.append(api.SliceGiven(slice, True))
-            out += [api.OnRecord(slice, host, weight) for host, weight in rows.items()]
+            out.append(api.SliceOwnershipChange(slice, True))
+            out += [api.StoredWeight(slice, host, weight) for host, weight in rows.items()]
         self.giving = {}
         return out
 
@@ -179,7 +179,7 @@
         out: list[api.Event] = [api.ProxyLeft(p) for p in self.proxies if p not in s.proxies]
         out += [j for p, j in s.proxies.items() if p not in self.proxies]
         self.proxies = s.proxies
-        out += [api.SliceGiven(slice, False) for slice in self.tables if slice not in s.tables]
+        out += [api.SliceOwnershipChange(slice, False) for slice in self.tables if slice not in s.tables]
         self.giving = {}
         since: dict[int, list[TableOrder]] = {}
         waiting: dict[int, list[TableOrder]] = {}
@@ -202,7 +202,7 @@
         Guards against a module that waits for them for good, with its queue full by its own count: it may then not even
         send the mark whose acks would clear it. Could free a queue that is not empty yet if asked too early.
         """
-        return [api.Acked(proxy, mark) for proxy in self.proxies]
+        return [api.VersionAcked(proxy, mark) for proxy in self.proxies]
 
     def stands(self, o: TableOrder) -> None:
         """The relay confirmed this order."""
@@ -214,10 +214,10 @@
     # ---- fields ------------------------------------------------------------------------------------------
 
     def proxy(self, p: dict[str, Any]) -> int:
-        return count(p, "node", self.set.proxies)
+        return count(p, "node", self.set.proxy_count)
 
     def slice(self, p: dict[str, Any]) -> int:
-        return count(p, "shard", max(1, self.set.slices))
+        return count(p, "shard", max(1, self.set.slice_count))
 
     def joined(self, p: dict[str, Any]) -> api.ProxyJoined:
         zone = self.zones.get(str(p.get("locality")))
@@ -225,8 +225,8 @@
             raise BadNews(f"locality={p.get('locality')!r}")
         return api.ProxyJoined(self.proxy(p), zone, figure(p, "w"), bool(p.get("cold")))
 
-    def acked(self, p: dict[str, Any]) -> api.Acked:
-        return api.Acked(self.proxy(p), count(p, "nonce", 65_536), figure(p, "latency"))
+    def acked(self, p: dict[str, Any]) -> api.VersionAcked:
+        return api.VersionAcked(self.proxy(p), count(p, "nonce", 65_536), figure(p, "latency"))
 
     def entry(self, p: dict[str, Any]) -> tuple[int, int, float]:
         try:
--- a/corallanding/simulator_adapter/codec.py
+++ b/corallanding/simulator_adapter/codec.py
@@ -9,18 +9,18 @@
 
 MOST_TIME_US = 71 * 60 * 1_000_000
 FORMS: dict[str, object] = {
-    "INCREMENTAL": api.ListForm.CHANGES,
-    "FULL": api.ListForm.FULL,
-    "SAVED": api.ListForm.SAVED,
-    "FAILED": api.ListForm.FAILED,
+    "INCREMENTAL": api.HostListKind.CHANGES,
+    "FULL": api.HostListKind.FULL,
+    "SAVED": api.HostListKind.SAVED,
+    "FAILED": api.HostListKind.FAILED,
 }
 PROBE_ENDS = {
-    0: api.ProbeEnd.OK,
-    255: api.ProbeEnd.ERROR,
-    254: api.ProbeEnd.FULL,
-    253: api.ProbeEnd.TIMEOUT,
-    252: api.ProbeEnd.UNREACHABLE,
-    251: api.ProbeEnd.RESET,
+    0: api.HealthCheckOutcome.OK,
+    255: api.HealthCheckOutcome.ERROR,
+    254: api.HealthCheckOutcome.FULL,
+    253: api.HealthCheckOutcome.TIMEOUT,
+    252: api.HealthCheckOutcome.UNREACHABLE,
+    251: api.HealthCheckOutcome.RESET,
 }
 STATES = ("up", "draining", "removed")
 
@@ -34,37 +34,39 @@
         zone=count(f, "zone"),
         kind=count(f, "classOfHost"),
         cell=count(f, "pod"),
-        state=state,
+        state=api.HostState(state),
         weight=number(f, "weight", 1.0),
         online_since=ms(f, "onlineSince"),
     )
 
 
-def host_sums(f: Fields) -> api.HostSums:
-    return api.HostSums(
+def host_sums(f: Fields) -> api.HostUsageReport:
+    return api.HostUsageReport(
         zone=count(f, "zone"),
         host=whole(f, "host"),
-        tries=whole(f, "total"),
-        errored=count(f, "unanswered"),
-        latency=ms(f, "lag"),
-        span=ms(f, "elapsed"),
+        attempts=whole(f, "total"),
+        failed=count(f, "unanswered"),
+        latency_ms=ms(f, "lag"),
+        span_ms=ms(f, "elapsed"),
         load=load(f),
     )
 
 
-def slice_sums(f: Fields) -> api.SliceSums:
-    return api.SliceSums(whole(f, "tbl"), count(f, "kind"), whole(f, "total"), count(f, "unanswered"), ms(f, "elapsed"))
+def slice_sums(f: Fields) -> api.SliceUsageReport:
+    return api.SliceUsageReport(
+        whole(f, "tbl"), count(f, "kind"), whole(f, "total"), count(f, "unanswered"), ms(f, "elapsed")
+    )
 
 
-def proxy_sums(f: Fields) -> api.ProxySums:
-    return api.ProxySums(
+def proxy_sums(f: Fields) -> api.ProxyUsageReport:
+    return api.ProxyUsageReport(
         whole(f, "edge"), count(f, "kind"), whole(f, "total"), count(f, "unanswered"), ms(f, "elapsed")
     )
 
 
-def probe_done(f: Fields) -> api.ProbeDone:
-    end = PROBE_ENDS.get(whole(f, "stateCode"), api.ProbeEnd.OTHER)
-    return api.ProbeDone(whole(f, "host"), end, ms(f, "lag"), load(f))
+def probe_done(f: Fields) -> api.HealthCheckResult:
+    end = PROBE_ENDS.get(whole(f, "stateCode"), api.HealthCheckOutcome.OTHER)
+    return api.HealthCheckResult(whole(f, "host"), end, ms(f, "lag"), load(f))
 
 
 def peer_message(f: Fields) -> api.PeerMessage:
@@ -81,24 +83,24 @@
     "HEAT": slice_sums,
     "OFFERED_LOAD": proxy_sums,
     "HEARD": peer_message,
-    "ON_RECORD": lambda f: api.OnRecord(whole(f, "tbl"), whole(f, "host"), number(f, "weight", 1.0)),
-    "TENURE": lambda f: api.SliceGiven(whole(f, "tbl"), flag(f, "on")),
+    "ON_RECORD": lambda f: api.StoredWeight(whole(f, "tbl"), whole(f, "host"), number(f, "weight", 1.0)),
+    "TENURE": lambda f: api.SliceOwnershipChange(whole(f, "tbl"), flag(f, "on")),
     "ATTACHED": lambda f: api.ProxyJoined(whole(f, "edge"), count(f, "zone"), number(f, "weight", 0.0), flag(f, "on")),
     "DETACHED": lambda f: api.ProxyLeft(whole(f, "edge")),
-    "APPLIED": lambda f: api.Acked(whole(f, "edge"), whole(f, "number"), ms(f, "lag")),
-    "TICK_DUE": lambda f: api.Due(whole(f, "handle")),
+    "APPLIED": lambda f: api.VersionAcked(whole(f, "edge"), whole(f, "number"), ms(f, "lag")),
+    "TICK_DUE": lambda f: api.TimerFired(whole(f, "handle")),
 }
 
 
-def membership(f: Fields, pools: dict[int, tuple[api.HostEntry, ...]]) -> api.Membership:
+def membership(f: Fields, pools: dict[int, tuple[api.HostEntry, ...]]) -> api.HostListUpdate:
     form = word(f, "form", FORMS)
-    assert isinstance(form, api.ListForm)
-    if form is api.ListForm.FAILED:
-        return api.Membership(form, count(f, "number"))
+    assert isinstance(form, api.HostListKind)
+    if form is api.HostListKind.FAILED:
+        return api.HostListUpdate(form, count(f, "number"))
     at = whole(f, "setId")
     if at not in pools:
         raise Malformed(f"setId={at} names no POOL so far")
-    return api.Membership(form, count(f, "number"), pools[at])
+    return api.HostListUpdate(form, count(f, "number"), pools[at])
 
 
 def us(time_ms: float) -> int:
@@ -112,30 +114,29 @@
 def encode(steward: int, a: api.Action) -> str:
     to = f"steward={steward}"
     match a:
-        case api.SetLine():
+        case api.SetWeight():
             return f"SET_LINE\t{to}\ttbl={a.slice}\thost={a.host}\tweight={a.weight:g}"
-        case api.Level():
-            return (
-                f"LEVEL\t{to}\ttbl={a.slice}\tclassBits={a.operations}\tamount={a.amount:g}\tonFailure={int(a.retry)}"
-            )
+        case api.SetAdmission():
+            values = f"classBits={a.request_classes}\tamount={a.amount:g}\tonFailure={int(a.retry)}"
+            return f"LEVEL\t{to}\ttbl={a.slice}\t{values}"
         case api.Cordon():
-            return f"CORDON\t{to}\thost={a.host}\ton={int(a.on)}"
+            return f"CORDON\t{to}\thost={a.host}\ton={int(a.is_cordoned)}"
         case api.ResetTable():
             return f"RESET_TABLE\t{to}\ttbl={a.slice}"
-        case api.Point():
-            return f"POINT\t{to}\tedge={a.proxy}\ttbl={a.table}\tclassBits={a.operations}"
-        case api.Mark():
-            return f"NONCE\t{to}\tnumber={a.number}\ton={int(a.everyone)}"
-        case api.Remind():
-            return f"REMIND\t{to}\tfromNow={us(a.after)}\thandle={a.handle}"
-        case api.Probe():
+        case api.AssignTable():
+            return f"POINT\t{to}\tedge={a.proxy}\ttbl={a.table}\tclassBits={a.request_classes}"
+        case api.PublishVersion():
+            return f"NONCE\t{to}\tnumber={a.version}\ton={int(a.to_all_proxies)}"
+        case api.StartTimer():
+            return f"REMIND\t{to}\tfromNow={us(a.delay_ms)}\thandle={a.timer}"
+        case api.CheckHealth():
             return f"INSPECT\t{to}\thost={a.host}"
-        case api.Follow():
-            return f"TAIL\t{to}\ton={int(a.on)}"
-        case api.FetchList():
+        case api.WatchHostList():
+            return f"TAIL\t{to}\ton={int(a.is_watching)}"
+        case api.FetchHostList():
             return f"FETCH\t{to}"
-        case api.Tell():
+        case api.SendToPeer():
             peer = "*" if a.peer is None else a.peer
             return f"TELL\t{to}\tdst={peer}\tpayload={a.payload.hex() or '-'}"
-        case api.Note():
+        case api.LogNote():
             return f"DEBUG\t{to}\tnoteText={text(a.text)}"
--- a/corallanding/snapshot/module.py
+++ b/corallanding/snapshot/module.py
@@ -110,7 +110,8 @@
 
     def entry(self) -> api.HostEntry:
         """The entry that was stored."""
-        return api.HostEntry(self.host, self.zone, self.kind, self.cell, self.state, self.weight, self.online_since)
+        state = api.HostState(self.state)
+        return api.HostEntry(self.host, self.zone, self.kind, self.cell, state, self.weight, self.online_since)
 
 
 class HostState(msgspec.Struct, array_like=True):
--- a/tests/crossings_relay.py
+++ b/tests/crossings_relay.py
@@ -23,7 +23,7 @@
         self.link = CallLink(where, self.calls, clock, self.stood.extend, **more)
 
     def order(self, slice: int) -> None:
-        self.calls.order([api.SetLine(slice, A, 1.0)])
+        self.calls.order([api.SetWeight(slice, A, 1.0)])
         self.link.kick()
 
 
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -8,19 +8,20 @@
 
 from corallanding import interface as api
 from corallanding.assignment import Assigner
+from corallanding.interface import stored_names
 
 TRACES = Path(__file__).parent / "traces"
-QUOTE = api.Operation("quote", api.Repeat.IDEMPOTENT, "all", 5000, 3, 0.1, 1200, 3000)
-CLAIM = api.Operation("claim", api.Repeat.SIDE_EFFECTING, "all", 5000, 2, 0.2, 1500, 5000, writes=True)
+QUOTE = api.RequestClass("quote", api.Idempotency.IDEMPOTENT, "all", 5000, 3, 0.1, 1200, 3000)
+CLAIM = api.RequestClass("claim", api.Idempotency.SIDE_EFFECTING, "all", 5000, 2, 0.2, 1500, 5000, is_write=True)
 SETTINGS = {
-    "operations": (QUOTE, CLAIM),
-    "slices": 8,
-    "proxies": 2,
-    "drain_grace": 3000.0,
-    "cold": 16000.0,
-    "report_every": 1000.0,
-    "queue_most": 4000.0,
-    "may_probe": True,
+    "request_classes": (QUOTE, CLAIM),
+    "slice_count": 8,
+    "proxy_count": 2,
+    "drain_grace_ms": 3000.0,
+    "warm_up_ms": 16000.0,
+    "report_interval_ms": 1000.0,
+    "max_queued_lines": 4000.0,
+    "may_check_health": True,
 }
 
 
@@ -35,7 +36,7 @@
         self.assigner = Assigner(api.Settings(**{**SETTINGS, **over}), seed=7)  # type: ignore[arg-type]
         self.now, self.lines, self.due = self.START, [], []
         self.probed: list[int] = []
-        self.ends: dict[int, api.ProbeEnd] = {}  # how probes end that do not pass
+        self.ends: dict[int, api.HealthCheckOutcome] = {}  # how probes end that do not pass
         self.took: dict[int, float] = {}  # ms that probes take, where it matters
 
     def say(self, text: str) -> None:
@@ -43,20 +44,21 @@
 
     def step(self, *events: api.Event) -> None:
         for a in self.assigner.step(self.now, events):
-            if isinstance(a, api.Remind):
-                self.due.append((self.now + a.after, a.handle))
+            if isinstance(a, api.StartTimer):
+                self.due.append((self.now + a.delay_ms, a.timer))
                 continue
-            if isinstance(a, api.Probe):
+            if isinstance(a, api.CheckHealth):
                 self.probed.append(a.host)
-            shown = ", ".join(f"{k}={getattr(v, 'name', v)}" for k, v in vars(a).items())
-            self.lines.append(f"{self.now / 1000 - 100:8.3f} s  {type(a).__name__}({shown})")
+            values = {stored: getattr(a, attribute) for stored, attribute in stored_names.FIELDS[type(a)].items()}
+            shown = ", ".join(f"{stored}={getattr(value, 'name', value)}" for stored, value in values.items())
+            self.lines.append(f"{self.now / 1000 - 100:8.3f} s  {stored_names.NAMES[type(a)]}({shown})")
 
     def start(self, hosts: list[api.HostEntry], owners: dict[int, int] | None = None, proxies: int = 2) -> None:
-        events: list[api.Event] = [api.Membership(api.ListForm.SAVED, 1, tuple(hosts))]
+        events: list[api.Event] = [api.HostListUpdate(api.HostListKind.SAVED, 1, tuple(hosts))]
         for s in range(8):
-            events.append(api.SliceGiven(s, True))
+            events.append(api.SliceOwnershipChange(s, True))
             if owners and s in owners:
-                events.append(api.OnRecord(s, owners[s], 1.0))
+                events.append(api.StoredWeight(s, owners[s], 1.0))
         self.step(*events, *(api.ProxyJoined(p, p % 2, 10.0, True) for p in range(proxies)))
 
     def run(self, seconds: float, each: Callable[[], list[api.Event]] | None = None, ack: bool = True) -> None:
@@ -68,12 +70,12 @@
                 self.now = end
                 return
             self.now = at
-            events: list[api.Event] = [api.Due(h) for t, h in self.due if t <= at]
+            events: list[api.Event] = [api.TimerFired(h) for t, h in self.due if t <= at]
             self.due = [(t, h) for t, h in self.due if t > at]
             if ack:
-                events += [api.Acked(p, self.assigner.pending.mark) for p in self.assigner.pending.proxies]
-            ended = [(h, self.ends.get(h, api.ProbeEnd.OK), self.took.get(h, 0.0)) for h in self.probed]
-            events += [api.ProbeDone(*row) for row in ended]
+                events += [api.VersionAcked(p, self.assigner.pending.mark) for p in self.assigner.pending.proxies]
+            ended = [(h, self.ends.get(h, api.HealthCheckOutcome.OK), self.took.get(h, 0.0)) for h in self.probed]
+            events += [api.HealthCheckResult(*row) for row in ended]
             self.probed = []
             if at >= beat:
                 beat += 1000
--- a/tests/platform_front.py
+++ b/tests/platform_front.py
@@ -10,9 +10,11 @@
 
 ZONES = {"a": 0, "b": 1}
 KINDS = {"m2": 0, "m3": 1}
-LOOKUP = api.Operation("lookup", api.Repeat.IDEMPOTENT, "all", 0.0, 1.0, 0.0, 1_000.0, 3_000.0)
-CLAIM = api.Operation("claim", api.Repeat.SIDE_EFFECTING, "all", 0.0, 1.0, 0.0, 1_000.0, 5_000.0)
-SETTINGS = api.Settings((LOOKUP, CLAIM), zones=2, slices=8, proxies=20, report_every=500.0, may_probe=True)
+LOOKUP = api.RequestClass("lookup", api.Idempotency.IDEMPOTENT, "all", 0.0, 1.0, 0.0, 1_000.0, 3_000.0)
+CLAIM = api.RequestClass("claim", api.Idempotency.SIDE_EFFECTING, "all", 0.0, 1.0, 0.0, 1_000.0, 5_000.0)
+SETTINGS = api.Settings(
+    (LOOKUP, CLAIM), zone_count=2, slice_count=8, proxy_count=20, report_interval_ms=500.0, may_check_health=True
+)
 HOSTS = [number(f"s-{n}") for n in range(6)]
 
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -128,7 +128,7 @@
 
     def do(self, *actions: api.Action) -> None:
         self.module.todo += actions
-        self.steward.engine.event(self.steward.clock(), api.Due(99))
+        self.steward.engine.event(self.steward.clock(), api.TimerFired(99))
         self.steward.wake()
 
     async def peer(self) -> Peer:
--- a/tests/stored_samples.py
+++ b/tests/stored_samples.py
@@ -36,9 +36,11 @@
 STARTED = {host: 1.7e12 + host for host in range(HOSTS)}
 
 OPERATIONS = (
-    api.Operation("quote", api.Repeat.IDEMPOTENT, "all", 5000.0, 3.0, 0.1, 1200.0, 3000.0),
-    api.Operation("order", api.Repeat.FINGERPRINTED, "zone", 4000.0, 9.0, 0.2, 800.0, 2500.0, True, False),
-    api.Operation("ship", api.Repeat.SIDE_EFFECTING, "cell", 3000.0, 7.0, 0.3, 700.0, 2000.0, True, True),
+    api.RequestClass("quote", api.Idempotency.IDEMPOTENT, "all", 5000.0, 3.0, 0.1, 1200.0, 3000.0),
+    api.RequestClass(
+        "order", api.Idempotency.IDEMPOTENT_WITH_KEY, "zone", 4000.0, 9.0, 0.2, 800.0, 2500.0, True, False
+    ),
+    api.RequestClass("ship", api.Idempotency.SIDE_EFFECTING, "cell", 3000.0, 7.0, 0.3, 700.0, 2000.0, True, True),
 )
 
 # Every field has a value of its own, so that two that change places are seen.
@@ -56,46 +58,46 @@
 )
 
 EVENTS: tuple[tuple[str, api.Event], ...] = (
-    ("Membership", api.Membership(api.ListForm.CHANGES, 3, ENTRIES)),
-    ("Membership", api.Membership(api.ListForm.FULL, 4, ENTRIES[:1])),
-    ("Membership", api.Membership(api.ListForm.SAVED, 5)),
-    ("Membership", api.Membership(api.ListForm.FAILED)),
-    ("ProbeDone", api.ProbeDone(1, api.ProbeEnd.OK, 2.5, {"cpu": 0.5})),
-    ("ProbeDone", api.ProbeDone(2, api.ProbeEnd.ERROR)),
-    ("ProbeDone", api.ProbeDone(3, api.ProbeEnd.FULL)),
-    ("ProbeDone", api.ProbeDone(4, api.ProbeEnd.TIMEOUT)),
-    ("ProbeDone", api.ProbeDone(5, api.ProbeEnd.UNREACHABLE)),
-    ("ProbeDone", api.ProbeDone(0, api.ProbeEnd.RESET)),
-    ("ProbeDone", api.ProbeDone(1, api.ProbeEnd.OTHER)),
-    ("HostSums", api.HostSums(0, 1, 40, 3, 12.5, 1000.0, {"queue": 7.0})),
-    ("SliceSums", api.SliceSums(2, 0, 30, 4, 1001.0)),
-    ("ProxySums", api.ProxySums(3, 0, 20, 5, 1002.0)),
-    ("SliceGiven", api.SliceGiven(6, True)),
-    ("OnRecord", api.OnRecord(6, 4, 0.75)),
+    ("Membership", api.HostListUpdate(api.HostListKind.CHANGES, 3, ENTRIES)),
+    ("Membership", api.HostListUpdate(api.HostListKind.FULL, 4, ENTRIES[:1])),
+    ("Membership", api.HostListUpdate(api.HostListKind.SAVED, 5)),
+    ("Membership", api.HostListUpdate(api.HostListKind.FAILED)),
+    ("ProbeDone", api.HealthCheckResult(1, api.HealthCheckOutcome.OK, 2.5, {"cpu": 0.5})),
+    ("ProbeDone", api.HealthCheckResult(2, api.HealthCheckOutcome.ERROR)),
+    ("ProbeDone", api.HealthCheckResult(3, api.HealthCheckOutcome.FULL)),
+    ("ProbeDone", api.HealthCheckResult(4, api.HealthCheckOutcome.TIMEOUT)),
+    ("ProbeDone", api.HealthCheckResult(5, api.HealthCheckOutcome.UNREACHABLE)),
+    ("ProbeDone", api.HealthCheckResult(0, api.HealthCheckOutcome.RESET)),
+    ("ProbeDone", api.HealthCheckResult(1, api.HealthCheckOutcome.OTHER)),
+    ("HostSums", api.HostUsageReport(0, 1, 40, 3, 12.5, 1000.0, {"queue": 7.0})),
+    ("SliceSums", api.SliceUsageReport(2, 0, 30, 4, 1001.0)),
+    ("ProxySums", api.ProxyUsageReport(3, 0, 20, 5, 1002.0)),
+    ("SliceGiven", api.SliceOwnershipChange(6, True)),
+    ("OnRecord", api.StoredWeight(6, 4, 0.75)),
     ("ProxyJoined", api.ProxyJoined(3, 1, 9.5, True)),
     ("ProxyLeft", api.ProxyLeft(2)),
-    ("Acked", api.Acked(1, 8, 4.5)),
+    ("Acked", api.VersionAcked(1, 8, 4.5)),
     ("PeerMessage", api.PeerMessage(2, b"\x00\xffword")),
-    ("Due", api.Due(1)),
+    ("Due", api.TimerFired(1)),
 )
 
 ACTIONS: tuple[tuple[str, api.Action], ...] = (
-    ("SetLine", api.SetLine(1, 2, 0.5)),
-    ("Level", api.Level(api.ALL_TABLES, 3, 0.25, api.Retry.NEVER)),
-    ("Level", api.Level(1, 0, 0.5, api.Retry.PROVEN_UNRUN)),
-    ("Level", api.Level(2, 1, 0.75, api.Retry.ONCE)),
-    ("Level", api.Level(3, 2, 1.0, api.Retry.TWICE)),
+    ("SetLine", api.SetWeight(1, 2, 0.5)),
+    ("Level", api.SetAdmission(api.ALL_TABLES, 3, 0.25, api.RetryMode.NEVER)),
+    ("Level", api.SetAdmission(1, 0, 0.5, api.RetryMode.PROVEN_UNRUN)),
+    ("Level", api.SetAdmission(2, 1, 0.75, api.RetryMode.ONCE)),
+    ("Level", api.SetAdmission(3, 2, 1.0, api.RetryMode.TWICE)),
     ("Cordon", api.Cordon(4, True)),
     ("ResetTable", api.ResetTable(5)),
-    ("Point", api.Point(1, 2, 3)),
-    ("Mark", api.Mark(7, True)),
-    ("Remind", api.Remind(250.0, 1)),
-    ("Probe", api.Probe(3)),
-    ("Follow", api.Follow(False)),
-    ("FetchList", api.FetchList()),
-    ("Tell", api.Tell(None, b"\x01\xfe")),
-    ("Tell", api.Tell(3, b"")),
-    ("Note", api.Note("a note")),
+    ("Point", api.AssignTable(1, 2, 3)),
+    ("Mark", api.PublishVersion(7, True)),
+    ("Remind", api.StartTimer(250.0, 1)),
+    ("Probe", api.CheckHealth(3)),
+    ("Follow", api.WatchHostList(False)),
+    ("FetchList", api.FetchHostList()),
+    ("Tell", api.SendToPeer(None, b"\x01\xfe")),
+    ("Tell", api.SendToPeer(3, b"")),
+    ("Note", api.LogNote("a note")),
 )
 
 SHARDS, OTHER_SHARDS = bytes(range(32)), bytes(range(100, 132))
@@ -195,13 +197,13 @@
 
 SETTINGS = api.Settings(
     (OPERATIONS[0],),
-    slices=SLICES,
-    queue_most=900.0,
-    channel_rate=400.0,
-    may_probe=True,
-    proxies=FORWARDERS,
-    messages_most=14,
-    messages_span=4000.0,
+    slice_count=SLICES,
+    max_queued_lines=900.0,
+    channel_lines_per_second=400.0,
+    may_check_health=True,
+    proxy_count=FORWARDERS,
+    max_messages=14,
+    message_window_ms=4000.0,
     admission="fraction",
 )
 CHANNEL = ChannelLimits(400.0, 8.0, 900.0, 14, 4000.0)
@@ -220,7 +222,7 @@
 
     def begin(self) -> None:
         entries = tuple(api.HostEntry(host) for host in range(HOSTS))
-        self.engine.begin(self.now, api.Membership(api.ListForm.FULL, 1, entries))
+        self.engine.begin(self.now, api.HostListUpdate(api.HostListKind.FULL, 1, entries))
         for forwarder in range(FORWARDERS):
             self.join(forwarder)
 
@@ -241,13 +243,13 @@
             self.join(forwarder)
         if chance.random() < 0.15:
             entry = api.HostEntry(chance.randrange(HOSTS), 0, 0, 0, chance.choice(("draining", "up")))
-            engine.event(self.now, api.Membership(api.ListForm.CHANGES, number, (entry,)))
+            engine.event(self.now, api.HostListUpdate(api.HostListKind.CHANGES, number, (entry,)))
         if chance.random() < 0.5:
             met = [(host, 9, 9 if host == 3 else chance.choice((0, 0, 9)), 900.0) for host in range(HOSTS)]
             came = [(slice, 0, chance.randrange(20), 0) for slice in range(SLICES)]
             engine.sums(self.now, chance.randrange(FORWARDERS), frames.Sums(1000.0, met, came))
         if chance.random() < 0.4:
-            engine.event(self.now, api.Acked(chance.randrange(FORWARDERS), number // 8, 5.0))
+            engine.event(self.now, api.VersionAcked(chance.randrange(FORWARDERS), number // 8, 5.0))
         engine.decide(self.now)
         self.steps.append(engine.last)
         for output in engine.publish(chance.random() < 0.9):
--- a/tests/test_budgets_config.py
+++ b/tests/test_budgets_config.py
@@ -71,10 +71,10 @@
             assert s.shared.budgets
             assert s.peers
             room, q = s.shared.budgets, s.shared.budgets.core
-            r.do(api.Probe(7), api.Probe(7))
-            await until(lambda: sum(isinstance(e, api.ProbeDone) for e in r.module.told) == 2)
-            ends = [e.end for e in r.module.told if isinstance(e, api.ProbeDone)]
-            assert ends == [api.ProbeEnd.FULL] * 2, "the floor is waited for: a former life may have used it"
+            r.do(api.CheckHealth(7), api.CheckHealth(7))
+            await until(lambda: sum(isinstance(e, api.HealthCheckResult) for e in r.module.told) == 2)
+            ends = [e.outcome for e in r.module.told if isinstance(e, api.HealthCheckResult)]
+            assert ends == [api.HealthCheckOutcome.FULL] * 2, "the floor is waited for: a former life may have used it"
             await until(lambda: room.may("probes", 7, True))
             assert not room.may("probes", 7, True)
             assert room.may("probes", 8, True)
--- a/tests/test_collector.py
+++ b/tests/test_collector.py
@@ -18,18 +18,18 @@
     s = Standing()
     told(news, s, owner(3))
     news.settled(s)
-    assert peer.feed(encode(slice_report())).events == [api.SliceSums(3, 1, 9, 2, 500.0)]
+    assert peer.feed(encode(slice_report())).events == [api.SliceUsageReport(3, 1, 9, 2, 500.0)]
     again = Standing()
     told(news, again, owner(4))
     news.settled(again)
     assert peer.feed(encode(slice_report())).events == []
-    assert peer.feed(encode(slice_report(shard=4))).events == [api.SliceSums(4, 1, 9, 2, 500.0)]
+    assert peer.feed(encode(slice_report(shard=4))).events == [api.SliceUsageReport(4, 1, 9, 2, 500.0)]
 
 
 def test_a_slice_with_more_unanswered_than_came_is_no_fault() -> None:
     """What came two seconds ago runs out of time now: total 0, errors 1."""
     peer = collector(intake({3}))
-    assert peer.feed(encode(slice_report(total=0, errors=1))).events == [api.SliceSums(3, 1, 0, 1, 500.0)]
+    assert peer.feed(encode(slice_report(total=0, errors=1))).events == [api.SliceUsageReport(3, 1, 0, 1, 500.0)]
     assert not peer.intake.spoilt
 
 
@@ -61,14 +61,14 @@
 def test_a_spoilt_report_costs_itself_alone(report: list[str], reason: str) -> None:
     peer = collector(intake({3}))
     heard = peer.feed(encode(host_report()) + encode(report) + encode(slice_report()))
-    assert [type(e) for e in heard.events] == [api.HostSums, api.SliceSums]
+    assert [type(e) for e in heard.events] == [api.HostUsageReport, api.SliceUsageReport]
     assert not heard.over
     assert dict(peer.intake.spoilt) == {reason: 1}
 
 
 def test_a_report_that_is_sound_reaches_the_module_whole() -> None:
     heard = collector(intake({3})).feed(encode(host_report(metrics="inflight:7,util:0.61")))
-    assert heard.events == [api.HostSums(0, HOSTS[1], 9, 2, 41.5, 500.0, {"inflight": 7.0, "util": 0.61})]
+    assert heard.events == [api.HostUsageReport(0, HOSTS[1], 9, 2, 41.5, 500.0, {"inflight": 7.0, "util": 0.61})]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_crossings_calls.py
+++ b/tests/test_crossings_calls.py
@@ -104,7 +104,7 @@
             assert not c.link.idle.is_set()
             side.say(taken(id))
             await c.link.idle.wait()
-            assert c.stood == [api.SetLine(1, A, 1.0)]
+            assert c.stood == [api.SetWeight(1, A, 1.0)]
             c.link.close()
             assert await side.reader.read() == b"", "not a byte after it"
 
@@ -137,13 +137,13 @@
     def order(self) -> None:
         """To B alone, by what the module believes."""
         if self.ours:
-            self.calls.order([api.SetLine(1, B, 1.0), *(api.SetLine(1, h, 0.0) for h in self.believed - {B})])
+            self.calls.order([api.SetWeight(1, B, 1.0), *(api.SetWeight(1, h, 0.0) for h in self.believed - {B})])
             self.believed = {B}
 
     def send(self, carried: bool) -> None:
         call = self.calls.next(0.0)
         for o in call.orders if call and carried and self.ours else []:
-            assert isinstance(o, api.SetLine)
+            assert isinstance(o, api.SetWeight)
             (self.stored.add if o.weight else self.stored.discard)(o.host)
 
     def end(self, fate: str) -> None:
--- a/tests/test_crossings_news.py
+++ b/tests/test_crossings_news.py
@@ -122,7 +122,7 @@
             w.told()
             # 3 left and came back within the gap, 4 left for good, the slice's line changed.
             await standing(w, stand, attach(3), owner(2), entry(2, 0))
-            assert w.told() == [api.ProxyLeft(4), api.SliceGiven(2, True), api.OnRecord(2, HOSTS[0], 1.0)]
+            assert w.told() == [api.ProxyLeft(4), api.SliceOwnershipChange(2, True), api.StoredWeight(2, HOSTS[0], 1.0)]
             assert w.gaps == 1
             w.link.close()
 
@@ -142,10 +142,10 @@
             await until(lambda: w.news.giving[2])
             assert not w.events
             w.link.given()
-            assert w.told() == [api.SliceGiven(2, True), api.OnRecord(2, HOSTS[1], 1.0)]
+            assert w.told() == [api.SliceOwnershipChange(2, True), api.StoredWeight(2, HOSTS[1], 1.0)]
             side.tell(entry(2, 0))
             await until(lambda: w.events)
-            assert w.told() == [api.OnRecord(2, HOSTS[0], 1.0)]
+            assert w.told() == [api.StoredWeight(2, HOSTS[0], 1.0)]
             w.link.close()
 
     play(scene)
@@ -183,10 +183,15 @@
             second.tell(attach(3), attach(5), owner(2), entry(2, 1))
             first.tell(attach(4), owner(2, False))
             await until(lambda: len(w.events) == 2)
-            assert w.told() == [joined(4), api.SliceGiven(2, False)], "the old one goes on"
+            assert w.told() == [joined(4), api.SliceOwnershipChange(2, False)], "the old one goes on"
             second.tell(PING)
             await until(lambda: w.link.current and w.link.current.where == new.where)
-            assert w.told() == [api.ProxyLeft(4), joined(5), api.SliceGiven(2, True), api.OnRecord(2, HOSTS[1], 1.0)]
+            assert w.told() == [
+                api.ProxyLeft(4),
+                joined(5),
+                api.SliceOwnershipChange(2, True),
+                api.StoredWeight(2, HOSTS[1], 1.0),
+            ]
             first.tell(attach(6))  # it tells last, to nobody
             await first.gone()
             second.tell(attach(7))
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -7,7 +7,7 @@
 from corallanding import interface as api
 
 HOSTS = [up(h) for h in (11, 12, 13, 14)]
-GONE = api.ProbeEnd.UNREACHABLE
+GONE = api.HealthCheckOutcome.UNREACHABLE
 EVEN = {s: 11 + s % 4 for s in range(8)}
 
 
@@ -15,10 +15,10 @@
     """One second's sums: good and unanswered tries by host, and an even demand for the slices."""
     bad = bad or {}
     out: list[api.Event] = [
-        api.HostSums(h % 2, h, good.get(h, 0) + bad.get(h, 0), bad.get(h, 0), latency, 1000.0)
+        api.HostUsageReport(h % 2, h, good.get(h, 0) + bad.get(h, 0), bad.get(h, 0), latency, 1000.0)
         for h in sorted({*good, *bad})
     ]
-    return out + [api.SliceSums(s, 0, 10, 0, 1000.0) for s in range(8)]
+    return out + [api.SliceUsageReport(s, 0, 10, 0, 1000.0) for s in range(8)]
 
 
 def all_well() -> list[api.Event]:
@@ -33,8 +33,8 @@
     return rig
 
 
-def listed(rig: Rig, *entries: api.HostEntry, form: api.ListForm = api.ListForm.CHANGES) -> None:
-    rig.step(api.Membership(form, 2, entries))
+def listed(rig: Rig, *entries: api.HostEntry, form: api.HostListKind = api.HostListKind.CHANGES) -> None:
+    rig.step(api.HostListUpdate(form, 2, entries))
 
 
 def test_first_placement() -> None:
@@ -51,8 +51,8 @@
     rig.start(HOSTS, EVEN)
     rig.run(1, all_well)
     rig.say("given anew with two lines")
-    rig.step(api.SliceGiven(1, False))
-    rig.step(api.SliceGiven(1, True), api.OnRecord(1, 11, 1.0), api.OnRecord(1, 12, 0.5))
+    rig.step(api.SliceOwnershipChange(1, False))
+    rig.step(api.SliceOwnershipChange(1, True), api.StoredWeight(1, 11, 1.0), api.StoredWeight(1, 12, 0.5))
     rig.run(3, all_well)
     rig.check("restart_from_store")
 
@@ -70,7 +70,7 @@
     rig.say("13 answers nothing more and fails its probe: a crash")
     rig.ends = {13: GONE}
     rig.step(*sums({11: 20, 12: 20, 14: 20}, {13: 20}))
-    rig.step(api.ProbeDone(13, GONE))
+    rig.step(api.HealthCheckResult(13, GONE))
     rig.say("14 answers nothing, its probes do: a hang, once it is silent for two windows")
     rig.run(5, lambda: sums({11: 20, 12: 20}, {14: 20}))
     rig.check("death")
@@ -107,7 +107,7 @@
 def test_ramp_of_a_returning_server() -> None:
     rig = calm()
     rig.say("12 dies with its slices and is listed with a fresh start: it keeps what a cold one can take")
-    rig.step(*[api.SliceSums(s, 0, 30, 0, 1000.0) for s in (1, 5)])
+    rig.step(*[api.SliceUsageReport(s, 0, 30, 0, 1000.0) for s in (1, 5)])
     listed(rig, up(12, since=rig.now - 500))
     rig.say("13 drains; 12's two grown slices are too much and leave, then it has room for a small one")
     listed(rig, up(13, "draining"))
@@ -116,7 +116,7 @@
 
 
 def test_full_channel() -> None:
-    rig = calm(messages_most=4)
+    rig = calm(max_messages=4)
     rig.say("three drains, one by one; no proxy gets more than 3 of 4 messages in 10 s, the rest waits")
     for host in (12, 13, 14):
         listed(rig, up(host, "draining"))
@@ -136,13 +136,13 @@
 
 
 def test_asked_list() -> None:
-    rig = Rig(list_on_request=True, ask_within=10_000.0)
+    rig = Rig(polls_host_list=True, poll_interval_ms=10_000.0)
     rig.start(HOSTS, EVEN)
     rig.say("a call failed: it is asked again well within the ask rule's time")
-    listed(rig, form=api.ListForm.FAILED)
+    listed(rig, form=api.HostListKind.FAILED)
     rig.run(3, all_well)
     rig.say("a full list without 11: its slices leave")
-    listed(rig, *HOSTS[1:], form=api.ListForm.FULL)
+    listed(rig, *HOSTS[1:], form=api.HostListKind.FULL)
     rig.check("asked_list")
 
 
@@ -157,9 +157,9 @@
 def test_slice_in_demand_is_shared() -> None:
     rig = calm()
     rig.say("slice 2 alone crowds 13: the next in rank is listed beside it, and dropped when demand falls")
-    hot: list[api.Event] = [api.SliceSums(2, 0, 90, 0, 1000.0)]
+    hot: list[api.Event] = [api.SliceUsageReport(2, 0, 90, 0, 1000.0)]
     rig.run(4, lambda: sums({11: 20, 12: 20, 13: 20, 14: 20}, {13: 20}) + hot)
-    cool: list[api.Event] = [api.SliceSums(2, 0, 2, 0, 1000.0)]
+    cool: list[api.Event] = [api.SliceUsageReport(2, 0, 2, 0, 1000.0)]
     rig.run(14, lambda: [e for e in all_well() if getattr(e, "slice", 0) != 2] + cool)
     rig.check("shared")
 
@@ -167,7 +167,7 @@
 def test_repeats_are_no_demand() -> None:
     rig = calm()
     rig.say("half of what went unanswered is clients' repeats: slice 2 weighs as before, no move for its load")
-    jam: list[api.Event] = [api.SliceSums(2, 0, 20, 20, 1000.0)]
+    jam: list[api.Event] = [api.SliceUsageReport(2, 0, 20, 20, 1000.0)]
     rig.run(4, lambda: sums(dict.fromkeys((11, 12, 13, 14), 20)) + jam)
     rig.say(f"slice 2 counts as {rig.assigner.slices[2].rate:.1f} a second")
     rig.check("repeats")
@@ -178,14 +178,14 @@
     rig.start([*HOSTS[:3], up(14, since=Rig.START - 8000)], {**{s: 11 + s % 3 for s in range(8)}, 7: 14})
     rig.run(3, all_well)
     rig.say("14 is 11 s old and its answers come too late: what it holds leaves without gate or hold")
-    late: list[api.Event] = [api.HostSums(0, 14, 40, 30, 2000.0, 1000.0)]
+    late: list[api.Event] = [api.HostUsageReport(0, 14, 40, 30, 2000.0, 1000.0)]
     rig.run(2, lambda: sums(dict.fromkeys((11, 12, 13), 20)) + late)
     rig.check("late_cold")
 
 
 def test_one_quick_answer_tells_no_speed() -> None:
     rig = calm()
-    rig.step(api.HostSums(0, 14, 1, 0, 20.0, 1000.0))
+    rig.step(api.HostUsageReport(0, 14, 1, 0, 20.0, 1000.0))
     speeds = [round(rig.assigner.hosts[h].floor) for h in (13, 14)]
     rig.say(f"after one quick answer of 14, servers 13 and 14 count as answering in {speeds} ms")
     rig.check("one_answer")
@@ -221,7 +221,7 @@
 
 
 def test_wrong_list() -> None:
-    rig = calm(drain_binds_alone=True)
+    rig = calm(only_drains_bind=True)
     rig.say("12 and 13 are gone from the list; 12 answers and stays, 13 fails its probe and is emptied")
     rig.ends = {13: GONE, 15: GONE}
     listed(rig, up(12, "removed"), up(13, "removed"))
@@ -258,12 +258,12 @@
 
 def hardly(host: int) -> list[api.Event]:
     """A second in which `host` fails all of one zone's tries, and answers one of the other's."""
-    return [api.HostSums(1, host, 12, 12, 0.0, 1000.0), api.HostSums(0, host, 4, 3, 1100.0, 1000.0)]
+    return [api.HostUsageReport(1, host, 12, 12, 0.0, 1000.0), api.HostUsageReport(0, host, 4, 3, 1100.0, 1000.0)]
 
 
 def test_slow_by_itself() -> None:
     rig = calm()
-    rig.step(*(api.ProbeDone(h, api.ProbeEnd.OK, 8.0) for h in (12, 13, 14)))
+    rig.step(*(api.HealthCheckResult(h, api.HealthCheckOutcome.OK, 8.0) for h in (12, 13, 14)))
     rig.took = {11: 40.0}
     rig.run(2, lambda: sums({12: 20, 13: 20, 14: 20}) + hardly(11))
     rig.say("11 answers next to nothing, and its probes take long, but not eight times the fleet's: it sheds, no more")
@@ -280,7 +280,7 @@
 
 
 def test_one_reply_does_not_fill_the_queue() -> None:
-    rig = Rig(queue_most=52.0)
+    rig = Rig(max_queued_lines=52.0)
     rig.start(HOSTS, {s: 12 + s % 2 for s in range(8)})
     rig.run(3, all_well)
     rig.say("12 and 13 drain, 16 lines to a proxy, the queue has room for 13: a cordon each, then new owners")
@@ -291,7 +291,7 @@
 
 def test_a_long_way_is_no_refusal() -> None:
     rig = calm()
-    rig.ends = {15: api.ProbeEnd.TIMEOUT, 16: GONE}
+    rig.ends = {15: api.HealthCheckOutcome.TIMEOUT, 16: GONE}
     rig.say("15 and 16 are new; 15's probes time out, as on a long way, 16's are refused; 11 and 12 drain")
     listed(rig, up(15), up(16))
     rig.run(2, all_well)
@@ -303,7 +303,7 @@
     rig = calm()
     rates = []
     for count in (10, 9, 40, 30):
-        rig.step(api.SliceSums(2, 0, count, 0, 1000.0))
+        rig.step(api.SliceUsageReport(2, 0, count, 0, 1000.0))
         rates.append(round(rig.assigner.slices[2].rate, 1))
     rig.say(f"10, 9, 40 and 30 invocations of slice 2 a second count as {rates}")
     rig.check("burst")
@@ -333,7 +333,7 @@
 def test_five_stewards_round_a_cold_servers_part_but_once() -> None:
     """Each steward holds a slice a server; a cold server's part of that at each is less than a slice."""
     warm, new = [up(h) for h in range(31, 39)], [up(h, since=Rig.START + 2_000.0) for h in range(51, 59)]
-    rigs = [Rig(stewards=5, me=me, slices=40) for me in range(5)]
+    rigs = [Rig(controller_count=5, controller_index=me, slice_count=40) for me in range(5)]
     given = dict.fromkeys([h.host for h in new], 0)
     for rig in rigs:
         rig.start(warm, {s: 31 + s for s in range(8)})
@@ -353,13 +353,13 @@
 
 
 def test_a_steward_that_takes_over_counts_with_what_the_fleet_was_seen_to_answer_for_all() -> None:
-    rig = Rig(slices=16)
+    rig = Rig(slice_count=16)
     rig.start(HOSTS, EVEN)
     rig.run(20, all_well)
     a, parts = rig.assigner, list[float]()
     listed(rig, up(15, since=rig.now))
     for more in ((), range(8, 16)):
-        rig.step(*(e for s in more for e in (api.SliceGiven(s, True), api.OnRecord(s, 11 + s % 4, 1.0))))
+        rig.step(*(e for s in more for e in (api.SliceOwnershipChange(s, True), api.StoredWeight(s, 11 + s % 4, 1.0))))
         rig.run(2, all_well)
         h = a.hosts[15]
         parts.append(h.fair / h.space / a.figures.mean)
@@ -370,9 +370,9 @@
 
 
 def test_too_little_is_known_until_sums_of_all_slices_have_come() -> None:
-    rig = Rig(reports_per_s=1.8)
+    rig = Rig(reports_per_second=1.8)
     rig.start(HOSTS, EVEN)
-    rig.run(10, lambda: [api.HostSums(1, 11, 20, 0, 200.0, 5000.0)])
+    rig.run(10, lambda: [api.HostUsageReport(1, 11, 20, 0, 200.0, 5000.0)])
     assert rig.assigner.figures.window > 10_000
     assert rig.assigner.survey.peak == float("inf")
 
@@ -383,8 +383,8 @@
     rig.run(9, all_well)
     rig.lines = []
     rig.say("slices 2 and 6 come from another steward that restarts, 2 with the lines of one in demand; 13 drains")
-    rows = [api.OnRecord(s, h, 1.0) for s, h in ((2, 13), (2, 11), (2, 12), (6, 13))]
-    rig.step(*(api.SliceGiven(s, on) for on in (False, True) for s in (2, 6)), *rows)
+    rows = [api.StoredWeight(s, h, 1.0) for s, h in ((2, 13), (2, 11), (2, 12), (6, 13))]
+    rig.step(*(api.SliceOwnershipChange(s, on) for on in (False, True) for s in (2, 6)), *rows)
     listed(rig, up(13, "draining"))
     rig.run(2)
     assert {len(s.lines) for s in rig.assigner.slices.values() if s.id == 2} == {2}
@@ -395,12 +395,12 @@
 def test_a_slice_in_great_demand_is_shared_at_once_among_several_stewards() -> None:
     hosts = [up(h) for h in range(31, 41)]
     for stewards in (1, 2):
-        rig = Rig(stewards=stewards, slices=8 * stewards)
+        rig = Rig(controller_count=stewards, slice_count=8 * stewards)
         rig.start(hosts, {s: 31 + s for s in range(8)})
         rig.run(3, lambda: sums(dict.fromkeys(range(31, 41), 20)))
         rig.lines = []
         rig.say(f"{stewards} stewards: slice 0 asks for more than half of all, 31 answers one in six")
-        hot = [api.SliceSums(0, 0, 150, 60, 1000.0)]
+        hot = [api.SliceUsageReport(0, 0, 150, 60, 1000.0)]
         rig.run(2.1, lambda hot=hot: sums({31: 9, **dict.fromkeys(range(32, 41), 20)}, {31: 50}) + hot)  # type: ignore[misc]
         shown = sorted(h.id for h in rig.assigner.slices[0].lines)
         rig.lines = [line for line in rig.lines if line.startswith("#") or "slice=0," in line]
@@ -412,7 +412,7 @@
     hosts = [up(h) for h in (11, 12, 13, 14)]
     left = {}
     for stewards, tries in ((1, 2), (2, 2), (2, 40)):
-        rig = Rig(stewards=stewards, slices=8 * stewards)
+        rig = Rig(controller_count=stewards, slice_count=8 * stewards)
         rig.start(hosts, {s: 11 + s % 3 for s in range(8)})
         rig.run(3, all_well)
         rig.lines = []
@@ -430,16 +430,16 @@
     """What a server keeps of its slices turns out to ask for four times as much, before sums can tell of the shed."""
     left = {}
     for stewards in (1, 2):
-        rig = Rig(stewards=stewards, slices=40 * stewards, reports_per_s=20.0)
+        rig = Rig(controller_count=stewards, slice_count=40 * stewards, reports_per_second=20.0)
         rig.start([up(h) for h in range(11, 17)], dict.fromkeys(range(8), 11))
-        rig.step(*(e for s in range(8, 40) for e in (api.SliceGiven(s, True), api.OnRecord(s, 11, 1.0))))
+        rig.step(*(e for s in range(8, 40) for e in (api.SliceOwnershipChange(s, True), api.StoredWeight(s, 11, 1.0))))
         well = sums(dict.fromkeys(range(12, 17), 9))
-        few = [api.SliceSums(s, 0, 12, 0, 4000.0) for s in range(40)]
+        few = [api.SliceUsageReport(s, 0, 12, 0, 4000.0) for s in range(40)]
         rig.run(6, lambda few=few, well=well: sums({11: 40}) + few + well)  # type: ignore[misc]
         a, seen = rig.assigner, list[tuple[float, int]]()
         for _ in range(14):
             stay = [s for s in a.slices.values() if s.owner is a.hosts[11]]
-            much = [api.SliceSums(s.id, 0, 12, 0, 1000.0 if len(stay) < 40 else 4000.0) for s in stay]
+            much = [api.SliceUsageReport(s.id, 0, 12, 0, 1000.0 if len(stay) < 40 else 4000.0) for s in stay]
             rig.run(0.5)
             rig.step(*sums({11: 10}, {11: 40}), *well, *much)
             seen.append((rig.now, sum(s.owner is not a.hosts[11] for s in a.slices.values())))
@@ -452,7 +452,7 @@
 def test_strain_lasts_a_part_of_the_window_in_which_several_stewards_hear_of_a_server() -> None:
     stress = {}
     for stewards in (1, 2):
-        rig = Rig(stewards=stewards, slices=8 * stewards, reports_per_s=2.0)
+        rig = Rig(controller_count=stewards, slice_count=8 * stewards, reports_per_second=2.0)
         rig.start(HOSTS, EVEN)
         rig.run(2, all_well)
         rig.step(*sums({11: 2}, {11: 2}))
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -10,13 +10,13 @@
 from corallanding.store import Life
 from corallanding.wire import frames
 
-OPS = (api.Operation("quote", api.Repeat.IDEMPOTENT, "all", 0, 1, 0, 1000, 3000),)
-SETTINGS = api.Settings(OPS, slices=4, proxies=2, report_every=1000.0, reports_per_s=2.0)
+OPS = (api.RequestClass("quote", api.Idempotency.IDEMPOTENT, "all", 0, 1, 0, 1000, 3000),)
+SETTINGS = api.Settings(OPS, slice_count=4, proxy_count=2, report_interval_ms=1000.0, reports_per_second=2.0)
 
 
 def make(settings: api.Settings = SETTINGS, life: Life | None = None) -> tuple[core.Engine, Scripted]:
     addresses = {h: f"127.0.0.1:{h}" for h in (10, 11, 12)}
-    engine = core.Engine(settings, 1, life or Life(2), range(settings.slices), addresses, Scripted)
+    engine = core.Engine(settings, 1, life or Life(2), range(settings.slice_count), addresses, Scripted)
     assert isinstance(engine.module, Scripted)
     return engine, engine.module
 
@@ -26,7 +26,7 @@
 
 
 def step(engine: core.Engine, now: float, stored: bool = True) -> tuple[core.Writes, list[core.Output]]:
-    engine.event(now, api.Due(99))
+    engine.event(now, api.TimerFired(99))
     writes = engine.decide(now)
     return writes, engine.publish(stored)
 
@@ -37,26 +37,26 @@
 
 def test_events_come_in_the_order_of_their_times_also_to_a_late_turn() -> None:
     engine, module = make()
-    module.todo = [api.Remind(50.0, 5), api.Remind(20.0, 6)]
+    module.todo = [api.StartTimer(50.0, 5), api.StartTimer(20.0, 6)]
     step(engine, 100.0)
-    engine.event(110.0, api.Due(1))
-    engine.event(130.0, api.Due(2))
-    engine.event(130.0, api.Due(3))
+    engine.event(110.0, api.TimerFired(1))
+    engine.event(130.0, api.TimerFired(2))
+    engine.event(130.0, api.TimerFired(3))
     module.told.clear()
     engine.decide(500.0)  # long after all of it
-    assert [e.handle for e in module.told if isinstance(e, api.Due)] == [1, 6, 2, 3, 5]
+    assert [e.timer for e in module.told if isinstance(e, api.TimerFired)] == [1, 6, 2, 3, 5]
     module.told.clear()
-    engine.event(400.0, api.Due(9))
+    engine.event(400.0, api.TimerFired(9))
     engine.decide(300.0)  # a clock that went back stands still
     assert engine.now == 500.0
-    assert module.told == [api.Due(9)]
+    assert module.told == [api.TimerFired(9)]
 
 
 def test_one_message_carries_a_step_and_is_kept_first() -> None:
     engine, module = make()
     for f in (1, 2):
         engine.join(0.0, hello(f))
-    module.todo = [api.SetLine(0, 10, 1.0), api.SetLine(1, 11, 1.0), api.Mark(7)]
+    module.todo = [api.SetWeight(0, 10, 1.0), api.SetWeight(1, 11, 1.0), api.PublishVersion(7)]
     writes = engine.decide(10.0)
     assert writes == core.Writes(1, ((0, 10, 1.0), (1, 11, 1.0)))
     [send] = engine.publish(True)
@@ -76,7 +76,7 @@
 def test_orders_outside_the_charge_are_dropped_and_counted() -> None:
     engine, module = make()
     engine.charged(0.0, 3, False)
-    module.todo = [api.SetLine(3, 10, 1.0), api.Level(3, 0, 0.5, api.Retry.NEVER), api.ResetTable(3)]
+    module.todo = [api.SetWeight(3, 10, 1.0), api.SetAdmission(3, 0, 0.5, api.RetryMode.NEVER), api.ResetTable(3)]
     writes, _out = step(engine, 10.0)
     assert engine.discarded == 3
     assert not writes.lines
@@ -84,17 +84,17 @@
     engine.charged(20.0, 3, True, {12: 1.0})
     module.told.clear()
     step(engine, 30.0)
-    assert module.told[:2] == [api.SliceGiven(3, True), api.OnRecord(3, 12, 1.0)]
+    assert module.told[:2] == [api.SliceOwnershipChange(3, True), api.StoredWeight(3, 12, 1.0)]
 
 
 def test_a_failing_store_stops_no_order_and_gets_all_later() -> None:
     engine, module = make()
     engine.join(0.0, hello(1))
-    module.todo = [api.SetLine(0, 10, 1.0)]
+    module.todo = [api.SetWeight(0, 10, 1.0)]
     writes, out = step(engine, 10.0, stored=False)
     assert len(out) == 1
     assert engine.unsaved == {0: {10: 1.0}}
-    module.todo = [api.SetLine(0, 11, 1.0), api.SetLine(0, 10, 0.0), api.ResetTable(2)]
+    module.todo = [api.SetWeight(0, 11, 1.0), api.SetWeight(0, 10, 0.0), api.ResetTable(2)]
     writes, _ = step(engine, 20.0, stored=False)
     assert set(writes.lines) == {(0, 10, 0.0), (0, 11, 1.0)}
     assert writes.resets == (2,)
@@ -118,22 +118,27 @@
     writes, _ = step(engine, 2.0)
     assert writes.resets == (0,)
     assert writes.lines == ((0, 11, 1.0),)
-    assert module.told[:2] == [api.SliceGiven(0, True), api.OnRecord(0, 11, 1.0)]
+    assert module.told[:2] == [api.SliceOwnershipChange(0, True), api.StoredWeight(0, 11, 1.0)]
     assert engine.held(3.0, frames.Held(4, 8, [(0, [(12, 1.0)])])) == [], "older than what was recalled"
     assert not engine.wants_recall(2000.0, hello(1, life=4, seq=99)), "long after the start"
 
 
 def test_without_slices_each_forwarder_gets_its_own_tables() -> None:
-    engine, module = make(api.Settings(OPS, slices=0, proxies=3))
+    engine, module = make(api.Settings(OPS, slice_count=0, proxy_count=3))
     for f in (1, 2, 3):
         engine.join(0.0, hello(f))
-    module.todo = [api.SetLine(5, 10, 1.0), api.SetLine(6, 11, 1.0), api.Point(1, 5, 0), api.Point(2, 6, 1)]
+    module.todo = [
+        api.SetWeight(5, 10, 1.0),
+        api.SetWeight(6, 11, 1.0),
+        api.AssignTable(1, 5, 0),
+        api.AssignTable(2, 6, 1),
+    ]
     _, out = step(engine, 10.0)
     got = {s.to: read(s.frame)[0] for s in out if isinstance(s, core.Send)}
     assert set(got) == {(1,), (2,)}
     assert got[1,].lines == [(5, 10, 1.0)]
     assert got[1,].points == [(5, 0)]
-    module.todo = [api.SetLine(6, 11, 0.0), api.Mark(1, everyone=True)]
+    module.todo = [api.SetWeight(6, 11, 0.0), api.PublishVersion(1, to_all_proxies=True)]
     _, out = step(engine, 20.0)
     assert {s.to for s in out if isinstance(s, core.Send)} == {(2,), (1, 3)}
     [tables] = read(engine.join(30.0, hello(1)))
@@ -149,11 +154,11 @@
     assert gather.dropped == 2, "an unknown host, and more errors than tries"
     assert gather.due(300.0) == []
     first = gather.due(1000.0)
-    assert [(e.host, e.tries, e.errored, e.latency) for e in first if isinstance(e, api.HostSums)] == [
+    assert [(e.host, e.attempts, e.failed, e.latency_ms) for e in first if isinstance(e, api.HostUsageReport)] == [
         (10, 6, 1, 32.0),
         (11, 4, 1, 20.0),
     ]
-    assert [e.host for e in gather.due(1500.0) if isinstance(e, api.HostSums)] == [12]
+    assert [e.host for e in gather.due(1500.0) if isinstance(e, api.HostUsageReport)] == [12]
 
 
 def test_sums_are_bounded() -> None:
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -278,8 +278,8 @@
 
 
 def recording(*steps: tuple[float, list[Any]]) -> Recording:
-    one = api.Operation("o", api.Repeat.IDEMPOTENT, "all", 5000.0, 1.0, 0.0, 1000.0, 3000.0)
-    settings = api.Settings(slices=3, operations=(one,), report_every=1000.0)
+    one = api.RequestClass("o", api.Idempotency.IDEMPOTENT, "all", 5000.0, 1.0, 0.0, 1000.0, 3000.0)
+    settings = api.Settings(slice_count=3, request_classes=(one,), report_interval_ms=1000.0)
     return Recording(settings, 1, [(t, events, []) for t, events in steps], False)
 
 
@@ -287,12 +287,12 @@
     return api.HostEntry(host, state=state, online_since=since)
 
 
-def full(*rows: api.HostEntry) -> api.Membership:
-    return api.Membership(api.ListForm.FULL, 1, rows)
+def full(*rows: api.HostEntry) -> api.HostListUpdate:
+    return api.HostListUpdate(api.HostListKind.FULL, 1, rows)
 
 
-def changes(*rows: api.HostEntry) -> api.Membership:
-    return api.Membership(api.ListForm.CHANGES, 2, rows)
+def changes(*rows: api.HostEntry) -> api.HostListUpdate:
+    return api.HostListUpdate(api.HostListKind.CHANGES, 2, rows)
 
 
 def test_a_recording_is_a_day_with_its_gaps_marked_and_filled() -> None:
@@ -300,8 +300,10 @@
     steps: list[tuple[float, list[Any]]] = [(0.0, [hosts, api.ProxyJoined(4, 1, 9.0, True)])]
     for k in range(1, 11):
         if not 4 <= k <= 6:  # three sums that never came
-            steps.append((k * 1000.0, [api.SliceSums(0, 0, 10, 1, 1000.0), api.SliceSums(1, 0, 20, 0, 1000.0)]))
-    steps.append((14_000.0, [api.SliceSums(0, 0, 40, 0, 4000.0)]))  # one that came late, for four periods
+            steps.append(
+                (k * 1000.0, [api.SliceUsageReport(0, 0, 10, 1, 1000.0), api.SliceUsageReport(1, 0, 20, 0, 1000.0)])
+            )
+    steps.append((14_000.0, [api.SliceUsageReport(0, 0, 40, 0, 4000.0)]))  # one that came late, for four periods
     steps.append((4_500.0, [changes(entry(1, "draining")), changes(entry(2, "removed"))]))
     steps.append((6_500.0, [changes(entry(1, "removed")), changes(entry(7, since=6_000.0))]))
     d = recorded.day_of(recording(*sorted(steps, key=lambda s: s[0])), notice=400.0)
@@ -333,14 +335,14 @@
     steps: list[tuple[float, list[Any]]] = [(0.0, [hosts, api.ProxyJoined(0, 0, 1.0, True)])]
     for k in range(1, 9):
         slow = 900.0 if 3 <= k <= 5 else 200.0
-        met = [api.HostSums(0, h, 9, 0, slow if h == 1 else 200.0, 1000.0) for h in range(3)]
-        steps.append((k * 1000.0, [api.SliceSums(0, 0, 5, 0, 1000.0), *met]))
+        met = [api.HostUsageReport(0, h, 9, 0, slow if h == 1 else 200.0, 1000.0) for h in range(3)]
+        steps.append((k * 1000.0, [api.SliceUsageReport(0, 0, 5, 0, 1000.0), *met]))
     d = recorded.day_of(recording(*steps), 0.0)
     assert [(x.at, x.what, x.host, x.size) for x in d.seen] == [(3_000.0, "slow", 1, 4.5), (6_000.0, "slow", 1, 1.0)]
 
 
 @pytest.mark.parametrize(
-    ("events", "why"), [([], "no sums"), ([api.SliceSums(0, 0, 1, 0, 1000.0)], "no forwarder joined")]
+    ("events", "why"), [([], "no sums"), ([api.SliceUsageReport(0, 0, 1, 0, 1000.0)], "no forwarder joined")]
 )
 def test_what_is_no_day_says_why(events: list[Any], why: str) -> None:
     with pytest.raises(recorded.NoDay, match=why):
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -64,16 +64,16 @@
     """Fleets larger than the lists, so that what lies beyond them is looked at too."""
     r = random.Random(seed)
     hosts, slices = r.choice(((120, 60), (200, 40), (60, 90))), 0
-    a = Assigner(api.Settings(operations=(golden.QUOTE,), slices=hosts[1], queue_most=1e6), seed)
+    a = Assigner(api.Settings(request_classes=(golden.QUOTE,), slice_count=hosts[1], max_queued_lines=1e6), seed)
     entries = tuple(
         api.HostEntry(h, weight=r.choice((0.5, 1.0, 4.0)), online_since=r.choice((0.0, 99_000.0)))
         for h in range(hosts[0])
     )
-    events: list[api.Event] = [api.Membership(api.ListForm.FULL, 1, entries), api.ProxyJoined(0, 0, 1.0, True)]
+    events: list[api.Event] = [api.HostListUpdate(api.HostListKind.FULL, 1, entries), api.ProxyJoined(0, 0, 1.0, True)]
     for s in range(hosts[1]):
-        events += [api.SliceGiven(s, True), api.OnRecord(s, r.randrange(hosts[0]), 1.0)]
+        events += [api.SliceOwnershipChange(s, True), api.StoredWeight(s, r.randrange(hosts[0]), 1.0)]
     a.step(100_000.0, events)
-    a.step(100_001.0, [api.SliceSums(s, 0, 9, 0, 9_000.0) for s in range(0, hosts[1], 2)])
+    a.step(100_001.0, [api.SliceUsageReport(s, 0, 9, 0, 9_000.0) for s in range(0, hosts[1], 2)])
     for _ in range(30):
         for h in a.hosts.values():
             h.load = r.uniform(0.0, 2.2) * h.fair if r.random() < 0.8 else 0.0
@@ -136,20 +136,23 @@
     hosts, slices = 500, 1_000
     for eager in (False, True):
         r = random.Random(1)
-        a = Assigner(api.Settings(operations=(golden.QUOTE,), slices=slices, queue_most=1e9), 1)
+        a = Assigner(api.Settings(request_classes=(golden.QUOTE,), slice_count=slices, max_queued_lines=1e9), 1)
         entries = tuple(api.HostEntry(h, weight=r.choice((1.0, 8.0))) for h in range(hosts))
-        events: list[api.Event] = [api.Membership(api.ListForm.FULL, 1, entries), api.ProxyJoined(0, 0, 1.0, True)]
+        events: list[api.Event] = [
+            api.HostListUpdate(api.HostListKind.FULL, 1, entries),
+            api.ProxyJoined(0, 0, 1.0, True),
+        ]
         for s in range(slices):
-            events += [api.SliceGiven(s, True), api.OnRecord(s, r.randrange(60), 1.0)]
+            events += [api.SliceOwnershipChange(s, True), api.StoredWeight(s, r.randrange(60), 1.0)]
         log, now = [], 100_000.0
         for _ in range(8):
             out = a.step(now, events)
             log += [repr(x) for x in out]
             events = [
-                api.Due(0),
-                *(api.HostSums(0, h, 20, 0, 100.0, 500.0) for h in range(hosts)),
-                *(api.SliceSums(s, 0, 9, 0, 500.0) for s in range(slices)),
-                *(api.Acked(0, x.number) for x in out if isinstance(x, api.Mark)),
+                api.TimerFired(0),
+                *(api.HostUsageReport(0, h, 20, 0, 100.0, 500.0) for h in range(hosts)),
+                *(api.SliceUsageReport(s, 0, 9, 0, 500.0) for s in range(slices)),
+                *(api.VersionAcked(0, x.version) for x in out if isinstance(x, api.PublishVersion)),
             ]
             looked = sum(s.looked > 0 for s in a.slices.values())
             assert looked == min(slices, 600 * (1 + round((now - 100_000.0) / 500.0)))
@@ -158,4 +161,4 @@
                 pass
         logs.append(log)
     assert logs[0] == logs[1]
-    assert sum("SetLine" in x for x in logs[0]) > 100
+    assert sum("SetWeight" in x for x in logs[0]) > 100
--- a/tests/test_mutation_platform.py
+++ b/tests/test_mutation_platform.py
@@ -21,7 +21,7 @@
 GONE = object()
 NUMBERS: list[Any] = [True, 0, -1, 1 << 40, 1 << 70, 1.5, 1e300]
 ODD: list[Any] = [GONE, None, *NUMBERS, "", "x", "s-0", "\x00", "x" * 99, [], {}, [[]], {"a": 1}]
-TOLD = api.ProxyJoined | api.ProxyLeft | api.Acked | api.SliceGiven | api.OnRecord
+TOLD = api.ProxyJoined | api.ProxyLeft | api.VersionAcked | api.SliceOwnershipChange | api.StoredWeight
 
 
 def mutants(word: Any) -> Iterator[tuple[str, Any]]:
@@ -74,8 +74,8 @@
             assert "\n" not in str(fault)
             refused += 1
     events += news.given()
-    assert all(0 <= p < SETTINGS.proxies for p in news.proxies)
-    assert all(0 <= s < SETTINGS.slices and all(w > 0 for w in rows.values()) for s, rows in news.tables.items())
+    assert all(0 <= p < SETTINGS.proxy_count for p in news.proxies)
+    assert all(0 <= s < SETTINGS.slice_count and all(w > 0 for w in rows.values()) for s, rows in news.tables.items())
     assert all(isinstance(e, TOLD) for e in events)
     return news, refused
 
@@ -167,7 +167,7 @@
 
 @pytest.mark.parametrize("said", [ANSWER, ERROR], ids=["answer", "error"])
 def test_an_answer_with_one_value_changed_loses_no_order_unnamed(said: dict[str, Any]) -> None:
-    orders = [api.SetLine(1, HOSTS[0], 1.0), api.SetLine(2, HOSTS[1], 2.0), api.Mark(5)]
+    orders = [api.SetWeight(1, HOSTS[0], 1.0), api.SetWeight(2, HOSTS[1], 2.0), api.PublishVersion(5)]
     for _, mutant in mutants(said):
         calls = Calls(["lookup"])
         calls.order(orders)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -135,11 +135,11 @@
 
     def step(self, now: float, events: Any) -> list[api.Action]:
         out = super().step(now, events)
-        if not self.begun or any(isinstance(e, api.Due) and e.handle == 0 for e in events):
+        if not self.begun or any(isinstance(e, api.TimerFired) and e.timer == 0 for e in events):
             self.begun = True
             self.turns.append(now)
             time.sleep(0.08)
-            out.append(api.Remind(10.0, 0))
+            out.append(api.StartTimer(10.0, 0))
         return out
 
 
@@ -154,7 +154,7 @@
             before, begun = len(module.turns), time.monotonic()
             for k in range(10):
                 peer.say(frames.Beat())
-                r.do(api.SetLine(0, 10 + k, 1.0), api.Cordon(k, True), api.Mark(k + 1))
+                r.do(api.SetWeight(0, 10 + k, 1.0), api.Cordon(k, True), api.PublishVersion(k + 1))
                 order = await peer.until(frames.Orders, lambda f, k=k: f.mark == k + 1)
                 assert order.cordons == [(k, True)]
                 peer.say(frames.Ack(k + 1))
@@ -176,7 +176,7 @@
             one = await r.joined(1)
             assert len(r.steward.strangers) <= 5
             assert len(r.steward.links) <= 6
-            r.do(api.SetLine(0, 10, 1.0))
+            r.do(api.SetWeight(0, 10, 1.0))
             assert (await one.until(frames.Orders)).lines == [(0, 10, 1.0)]
             assert await silent[0].ended() == "no-hello"
 
@@ -188,7 +188,7 @@
         config = CONFIG.replace("silence_ms = 600", "silence_ms = 5000\n  ack_within_ms = 300")
         async with Running(tmp_path, config=config) as r, asyncio.timeout(20):
             good, bad = await r.joined(1), await r.joined(2)
-            r.do(api.SetLine(0, 10, 1.0), api.Mark(1))
+            r.do(api.SetWeight(0, 10, 1.0), api.PublishVersion(1))
             for peer in (good, bad):
                 await peer.until(frames.Orders)
             good.say(frames.Ack(1))
@@ -208,7 +208,7 @@
             for _ in range(30):
                 bad.writer.write(sums)
             assert await bad.ended() == "protocol"
-            r.do(api.SetLine(0, 10, 1.0))
+            r.do(api.SetWeight(0, 10, 1.0))
             assert (await good.until(frames.Orders)).lines == [(0, 10, 1.0)]
 
     asyncio.run(scene())
@@ -251,12 +251,14 @@
                 n = 0
                 while 2 in r.steward.engine.joined:
                     n += 1
-                    r.do(*(api.SetLine(s, 1000 + h, 1.0) for s in range(4) for h in range(2500)), api.Mark(n))
+                    r.do(
+                        *(api.SetWeight(s, 1000 + h, 1.0) for s in range(4) for h in range(2500)), api.PublishVersion(n)
+                    )
                     order = await good.until(frames.Orders, lambda f, n=n: f.mark == n)
                     good.say(frames.Ack(order.mark))
                     good.got.clear()
                 assert n > 3
-                r.do(api.SetLine(0, 9, 1.0), api.Mark(n + 1))
+                r.do(api.SetWeight(0, 9, 1.0), api.PublishVersion(n + 1))
                 await good.until(frames.Orders, lambda f: f.mark == n + 1)
 
     asyncio.run(scene())
@@ -322,7 +324,7 @@
 
             tasks = [asyncio.create_task(hostile(k)) for k in range(8)]
             for n in range(1, 30):
-                r.do(api.SetLine(0, n, 1.0), api.Mark(n))
+                r.do(api.SetWeight(0, n, 1.0), api.PublishVersion(n))
                 await good.until(frames.Orders, lambda f, n=n: f.mark == n)
                 good.say(frames.Ack(n))
                 await asyncio.sleep(0.03)
--- a/tests/test_platform_state.py
+++ b/tests/test_platform_state.py
@@ -22,7 +22,7 @@
     return {**f, "share": 1.0, "born_ms": 0, **other}
 
 
-def take(view: View, whole: bool, *rows: Any, seq: int = 1) -> api.Membership | None:
+def take(view: View, whole: bool, *rows: Any, seq: int = 1) -> api.HostListUpdate | None:
     return view.take(Answer(seq, whole, list(rows)))
 
 
@@ -39,8 +39,8 @@
 def test_lists_and_changes() -> None:
     view = View(ZONES, KINDS)
     first = take(view, True, row("s-1"), row("s-2", born_ms=1_700_000_000_000, site="b"))
-    assert first == api.Membership(
-        api.ListForm.FULL,
+    assert first == api.HostListUpdate(
+        api.HostListKind.FULL,
         1,
         (
             api.HostEntry(number("s-1"), 0, 0, 3, "up", 1.0, 0.0),
@@ -51,7 +51,7 @@
     assert view.version == 2
     change = take(view, False, row("s-1", "terminating"), {"host": "s-2", "health": "terminated"}, seq=3)
     assert change
-    assert change.form is api.ListForm.CHANGES
+    assert change.kind is api.HostListKind.CHANGES
     assert [e.state for e in change.entries] == ["draining", "removed"]
     assert held(view) == {"s-1": "draining"}
     assert number("s-2") in view.dials  # a report on it may still be under way
@@ -143,8 +143,8 @@
     assert flatten(SETTINGS) == pairs
     settings = parse(msgspec.json.encode(TOP)).settings
     assert settings == settings_of(pairs)
-    assert settings.operations[1].writes
-    assert settings.slices == 127
+    assert settings.request_classes[1].is_write
+    assert settings.slice_count == 127
 
 
 def test_a_configuration() -> None:
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -398,16 +398,19 @@
         block = f'registry {{\n  address = "127.0.0.1:{r.port}"\n  wait_ms = 20\n}}\n'
         config = CONFIG.replace('roster {\n  address = "127.0.0.1:1"\n}\n', block)
         async with Running(tmp_path, config=config) as run:
-            lists = [e for e in run.module.told if isinstance(e, api.Membership)]
+            lists = [e for e in run.module.told if isinstance(e, api.HostListUpdate)]
             await until(
-                lambda: any(isinstance(e, api.Membership) and e.form is api.ListForm.FULL for e in run.module.told)
+                lambda: any(
+                    isinstance(e, api.HostListUpdate) and e.kind is api.HostListKind.FULL for e in run.module.told
+                )
             )
             await r.put(f"{PREFIX}1", host(1, state="draining"))
             await until(
                 lambda: (
                     run.module.told[-1] != lists[-1:]
                     and any(
-                        isinstance(e, api.Membership) and any(x.host == 1 and x.state == "draining" for x in e.entries)
+                        isinstance(e, api.HostListUpdate)
+                        and any(x.host == 1 and x.state == "draining" for x in e.entries)
                         for e in run.module.told
                     )
                 )
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -38,11 +38,11 @@
     c = calls()
     c.order(
         [
-            api.Mark(905, True),
-            api.Level(4, 1, 0.9, api.Retry.PROVEN_UNRUN),
-            api.Level(api.ALL_TABLES, 0, 1.0, api.Retry.NEVER),
-            api.SetLine(4, A, 1.5),
-            api.SetLine(4, B, 0.0),
+            api.PublishVersion(905, True),
+            api.SetAdmission(4, 1, 0.9, api.RetryMode.PROVEN_UNRUN),
+            api.SetAdmission(api.ALL_TABLES, 0, 1.0, api.RetryMode.NEVER),
+            api.SetWeight(4, A, 1.5),
+            api.SetWeight(4, B, 0.0),
             api.Cordon(B, True),
             api.Cordon(C, False),
             api.ResetTable(7),
@@ -62,12 +62,12 @@
 
 def test_one_call_is_outstanding_and_the_newest_of_what_waits_wins() -> None:
     c = calls()
-    c.order([api.SetLine(1, A, 1.0), api.Mark(1)])
+    c.order([api.SetWeight(1, A, 1.0), api.PublishVersion(1)])
     assert len(ops(c.next(0.0))) == 2
-    c.order([api.SetLine(1, B, 1.0), api.SetLine(1, A, 0.0), api.Mark(2)])
-    c.order([api.SetLine(1, B, 0.0), api.SetLine(1, C, 1.0), api.Mark(3)])
+    c.order([api.SetWeight(1, B, 1.0), api.SetWeight(1, A, 0.0), api.PublishVersion(2)])
+    c.order([api.SetWeight(1, B, 0.0), api.SetWeight(1, C, 1.0), api.PublishVersion(3)])
     assert c.next(0.0) is None
-    assert answer(c, result={"taken": 2}) == [api.SetLine(1, A, 1.0), api.Mark(1)]
+    assert answer(c, result={"taken": 2}) == [api.SetWeight(1, A, 1.0), api.PublishVersion(1)]
     assert [(o.get("endpoint"), o.get("w"), o.get("stamp")) for o in ops(c.next(0.0))] == [
         ("s-2", 1.0, None),
         ("s-0", 0.0, None),
@@ -92,9 +92,9 @@
 )
 def test_an_answer_that_tells_nothing_leaves_the_call_unknown_and_it_goes_again(line: bytes) -> None:
     c = calls()
-    c.order([api.SetLine(1, A, 1.0), api.SetLine(1, B, 0.0), api.Mark(1)])
+    c.order([api.SetWeight(1, A, 1.0), api.SetWeight(1, B, 0.0), api.PublishVersion(1)])
     c.next(0.0)
-    c.order([api.SetLine(1, B, 1.0), api.Mark(2)])
+    c.order([api.SetWeight(1, B, 1.0), api.PublishVersion(2)])
     assert c.answered(0.0, line) is None
     assert c.flying
     c.unknown(0.0)
@@ -107,7 +107,7 @@
 
 def test_tries_that_fail_again_and_again_are_spaced() -> None:
     c, now, gaps = calls(), 0.0, []
-    c.order([api.SetLine(1, A, 1.0)])
+    c.order([api.SetWeight(1, A, 1.0)])
     for _ in range(9):
         at = c.next_at(now)
         assert at is not None
@@ -120,16 +120,16 @@
 
 def test_an_order_the_relay_cannot_use_is_left_out_and_the_rest_goes_on() -> None:
     c = calls()
-    c.order([api.SetLine(1, A, 1.0), api.SetLine(2, B, 1.0), api.SetLine(3, C, 1.0), api.Mark(1)])
+    c.order([api.SetWeight(1, A, 1.0), api.SetWeight(2, B, 1.0), api.SetWeight(3, C, 1.0), api.PublishVersion(1)])
     c.next(0.0)
-    assert answer(c, result={"taken": 1}) == [api.SetLine(1, A, 1.0)]
+    assert answer(c, result={"taken": 1}) == [api.SetWeight(1, A, 1.0)]
     assert [o.get("table") for o in ops(c.next(0.0))] == [3, None]
     assert "s-1" in c.said[0]
 
 
 def test_turned_away_before_the_beginning_nothing_is_lost_and_nothing_spins() -> None:
     c = calls(messages_most=1)
-    c.order([api.SetLine(1, A, 1.0)])
+    c.order([api.SetWeight(1, A, 1.0)])
     c.next(0.0)
     assert answer(c, error={"code": -1, "message": "Throttling"}) == []
     assert c.next(0.0) is None
@@ -141,7 +141,7 @@
 
 def test_no_call_beyond_the_cap_on_messages_sent_again_or_not() -> None:
     c = calls(messages_most=2, span=10_000.0)
-    c.order([api.SetLine(1, A, 1.0)])
+    c.order([api.SetWeight(1, A, 1.0)])
     for now in (0.0, 100.0):
         assert c.next(now)
         c.unknown(now)
@@ -159,7 +159,7 @@
     breaks may become one after that still."""
     c, now, messages, span = calls(messages_most=3, span=1_000.0), 0.0, list[float](), 1_000.0
     for n, (takes, part, broken) in enumerate(story):
-        c.order([api.SetLine(n, A, 1.0)])
+        c.order([api.SetWeight(n, A, 1.0)])
         at = c.next_at(now)
         assert at is not None
         now = max(now, at)
@@ -176,8 +176,8 @@
 
 def test_a_call_over_the_limit_is_cut_at_an_order_and_the_mark_goes_last() -> None:
     c = calls()
-    lines = [api.SetLine(t, A, 1.0) for t in range(1_500)] + [api.SetLine(t, B, 0.0) for t in range(1_500)]
-    c.order([*lines, api.Cordon(C, True), api.Mark(5)])
+    lines = [api.SetWeight(t, A, 1.0) for t in range(1_500)] + [api.SetWeight(t, B, 0.0) for t in range(1_500)]
+    c.order([*lines, api.Cordon(C, True), api.PublishVersion(5)])
     seen: list[dict[str, Any]] = []
     parts = 0
     while call := c.next(0.0):
@@ -195,7 +195,7 @@
 
 def test_what_waits_for_a_slice_that_is_taken_away_is_void() -> None:
     c = calls()
-    c.order([api.SetLine(1, A, 1.0), api.SetLine(2, A, 1.0), api.Mark(1)])
+    c.order([api.SetWeight(1, A, 1.0), api.SetWeight(2, A, 1.0), api.PublishVersion(1)])
     c.forget(1)
     assert [o.get("table") for o in ops(c.next(0.0))] == [2, None]
     assert [o.slice for o in c.under_way()] == [2]
@@ -203,9 +203,9 @@
 
 def test_an_emptied_table_takes_what_waited_for_it_along() -> None:
     c = calls()
-    c.order([api.SetLine(1, A, 1.0)])
+    c.order([api.SetWeight(1, A, 1.0)])
     c.next(0.0)
-    c.order([api.SetLine(1, B, 1.0), api.ResetTable(1), api.SetLine(1, C, 1.0)])
+    c.order([api.SetWeight(1, B, 1.0), api.ResetTable(1), api.SetWeight(1, C, 1.0)])
     c.unknown(0.0)
     assert [(o["op"], o.get("endpoint")) for o in ops(c.next(0.0))] == [("DEL", None), ("SET", "s-2")]
 
@@ -225,7 +225,7 @@
     for lines, what, wait in story:
         # The module orders what by its own count, which knows no copies, fits nine tenths of the queue.
         mark += 1
-        c.order([*(api.SetLine(n, A, float(mark)) for n in range(lines)), api.Mark(mark)])
+        c.order([*(api.SetWeight(n, A, float(mark)) for n in range(lines)), api.PublishVersion(mark)])
         while (at := c.next_at(now)) is not None:
             held, now = max(0.0, held - (max(at, now) - now) * RATE), max(at, now)
             call = c.next(now)
@@ -248,7 +248,7 @@
     c = calls(channel=channel())
     now, held, counted = 0.0, 0.0, 0.0
     for n, (lines, takes, part, broken) in enumerate(story):
-        c.order([*(api.SetLine(k, A, float(n + 1)) for k in range(lines)), api.Mark(n + 1)])
+        c.order([*(api.SetWeight(k, A, float(n + 1)) for k in range(lines)), api.PublishVersion(n + 1)])
         while (at := c.next_at(now)) is not None:
             now = max(at, now) + 1e-6  # or it is a rounding away
             call = c.next(now)
@@ -266,13 +266,13 @@
 
 def test_a_mark_applied_proves_that_a_doubted_call_was_carried_out() -> None:
     c = calls(channel=channel())
-    orders = [*(api.SetLine(n, A, 1.0) for n in range(200)), api.Mark(5)]
+    orders = [*(api.SetWeight(n, A, 1.0) for n in range(200)), api.PublishVersion(5)]
     c.order(orders)
     c.next(0.0)
     c.unknown(10.0)
-    c.order([api.SetLine(3, A, 0.0)])
+    c.order([api.SetWeight(3, A, 0.0)])
     assert c.next(10.0) is None, "a second copy does not fit beside the first"
     assert c.applied(4) == []
     assert c.applied(5) == orders
     assert c.applied(5) == []
-    assert list(c.waiting.values()) == [api.SetLine(3, A, 0.0)], "only what came since is left to send"
+    assert list(c.waiting.values()) == [api.SetWeight(3, A, 0.0)], "only what came since is left to send"
--- a/tests/test_relay_news.py
+++ b/tests/test_relay_news.py
@@ -42,10 +42,10 @@
     news = News(SETTINGS, ZONES)
     assert stand(news, attach(1), owner(3), owner(4), entry(4, 1), entry(3, 0, 0.5)) == [
         api.ProxyJoined(1, 0, 2.5, True),
-        api.SliceGiven(3, True),
-        api.OnRecord(3, HOSTS[0], 0.5),
-        api.SliceGiven(4, True),
-        api.OnRecord(4, HOSTS[1], 1.0),
+        api.SliceOwnershipChange(3, True),
+        api.StoredWeight(3, HOSTS[0], 0.5),
+        api.SliceOwnershipChange(4, True),
+        api.StoredWeight(4, HOSTS[1], 1.0),
     ]
 
 
@@ -57,19 +57,19 @@
     assert stand(begun(), attach(2), attach(5), owner(4), entry(4, 1), owner(6)) == [
         api.ProxyLeft(1),
         api.ProxyJoined(5, 0, 2.5, True),
-        api.SliceGiven(3, False),
-        api.SliceGiven(6, True),
+        api.SliceOwnershipChange(3, False),
+        api.SliceOwnershipChange(6, True),
     ]
 
 
 def test_lines_that_differ_are_the_stores_word_but_for_orders_under_way() -> None:
     rows = (attach(1), attach(2), owner(3), entry(3, 2), owner(4), entry(4, 1))
-    move = [api.SetLine(3, HOSTS[2], 1.0), api.SetLine(3, HOSTS[0], 0.0)]
+    move = [api.SetWeight(3, HOSTS[2], 1.0), api.SetWeight(3, HOSTS[0], 0.0)]
     assert stand(begun(), *rows, under_way=move) == []
-    assert stand(begun(), *rows) == [api.SliceGiven(3, True), api.OnRecord(3, HOSTS[2], 1.0)]
-    assert stand(begun(), *rows, entry(4, 5), under_way=[*move, api.SetLine(4, HOSTS[1], 0.0)]) == [
-        api.SliceGiven(4, True),
-        api.OnRecord(4, HOSTS[5], 1.0),
+    assert stand(begun(), *rows) == [api.SliceOwnershipChange(3, True), api.StoredWeight(3, HOSTS[2], 1.0)]
+    assert stand(begun(), *rows, entry(4, 5), under_way=[*move, api.SetWeight(4, HOSTS[1], 0.0)]) == [
+        api.SliceOwnershipChange(4, True),
+        api.StoredWeight(4, HOSTS[5], 1.0),
     ]
     news = begun()
     for o in move:
@@ -79,7 +79,7 @@
 
 ORDERS = st.lists(
     st.one_of(
-        st.builds(api.SetLine, st.sampled_from([3, 4]), st.sampled_from(HOSTS), st.sampled_from([0.0, 1.0])),
+        st.builds(api.SetWeight, st.sampled_from([3, 4]), st.sampled_from(HOSTS), st.sampled_from([0.0, 1.0])),
         st.builds(api.ResetTable, st.sampled_from([3, 4])),
     ),
     max_size=12,
@@ -114,12 +114,12 @@
     news = begun()
     assert say(news, owner(5), entry(5, 0), entry(5, 1)) == []
     assert news.given() == [
-        api.SliceGiven(5, True),
-        api.OnRecord(5, HOSTS[0], 1.0),
-        api.OnRecord(5, HOSTS[1], 1.0),
+        api.SliceOwnershipChange(5, True),
+        api.StoredWeight(5, HOSTS[0], 1.0),
+        api.StoredWeight(5, HOSTS[1], 1.0),
     ]
     assert news.given() == []
-    assert say(news, owner(5, False), owner(5, False)) == [api.SliceGiven(5, False)]
+    assert say(news, owner(5, False), owner(5, False)) == [api.SliceOwnershipChange(5, False)]
 
 
 def test_a_slice_taken_back_before_its_lines_came_was_never_given() -> None:
@@ -130,7 +130,7 @@
 
 def test_marks_count_of_joined_proxies_only() -> None:
     done = ("done", {"node": 1, "nonce": 905, "latency": 310.4})
-    assert say(begun(), done, ("detach", {"node": 1}), done) == [api.Acked(1, 905, 310.4), api.ProxyLeft(1)]
+    assert say(begun(), done, ("detach", {"node": 1}), done) == [api.VersionAcked(1, 905, 310.4), api.ProxyLeft(1)]
 
 
 @pytest.mark.parametrize(
@@ -153,12 +153,12 @@
 def test_acks_lost_in_a_gap_do_not_hold_up_drains_for_good() -> None:
     """A full queue by the module's own count, and nothing that would clear it: incident of a silent relay."""
     proxies, hosts = range(20), [api.HostEntry(h) for h in HOSTS]
-    settings = replace(SETTINGS, queue_most=20 * 30.0)
+    settings = replace(SETTINGS, max_queued_lines=20 * 30.0)
     news, module = News(settings, ZONES), Assigner(settings, 1)
     events = stand(news, *(attach(p) for p in proxies), *(owner(s) for s in range(8)))
-    module.step(1e9, [api.Membership(api.ListForm.FULL, 1, tuple(hosts)), *events])
+    module.step(1e9, [api.HostListUpdate(api.HostListKind.FULL, 1, tuple(hosts)), *events])
     gone = [replace(h, state="draining") for h in hosts[:2]]
-    drain = api.Membership(api.ListForm.CHANGES, 2, tuple(gone))
-    assert not [a for a in module.step(1e9 + 2_000, [drain]) if isinstance(a, api.SetLine | api.Cordon)]
-    said = module.step(1e9 + 2_001, [*news.lost(module.pending.mark), api.Due(0)])
-    assert [a for a in said if isinstance(a, api.SetLine | api.Cordon)]
+    drain = api.HostListUpdate(api.HostListKind.CHANGES, 2, tuple(gone))
+    assert not [a for a in module.step(1e9 + 2_000, [drain]) if isinstance(a, api.SetWeight | api.Cordon)]
+    said = module.step(1e9 + 2_001, [*news.lost(module.pending.mark), api.TimerFired(0)])
+    assert [a for a in said if isinstance(a, api.SetWeight | api.Cordon)]
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -176,7 +176,7 @@
     fleet = Fleet(5)
     fleet.run(30, {})
     assert fleet.worth.factors() == {}
-    event = api.Membership(api.ListForm.FULL, 3, (api.HostEntry(1, weight=2.0),))
+    event = api.HostListUpdate(api.HostListKind.FULL, 3, (api.HostEntry(1, weight=2.0),))
     assert weigh(event, {}) is event
     assert weigh(event, {9: 0.5}) is event
 
@@ -304,7 +304,7 @@
 def test_changes_name_only_hosts_that_are_listed_as_up() -> None:
     entries = {1: api.HostEntry(1), 2: api.HostEntry(2, state="draining"), 4: api.HostEntry(4, weight=2.0)}
     event = changes(entries, 8, {4: 0.5}, {1: 0.7, 2: 0.7, 3: 0.7})
-    assert event == api.Membership(api.ListForm.CHANGES, 8, (api.HostEntry(1, weight=0.7), entries[4]))
+    assert event == api.HostListUpdate(api.HostListKind.CHANGES, 8, (api.HostEntry(1, weight=0.7), entries[4]))
     assert changes(entries, 8, {2: 0.5}, {}) is None
 
 
@@ -477,7 +477,7 @@
             def weights() -> dict[int, float]:
                 seen: dict[int, float] = {}
                 for e in r.module.told:
-                    if isinstance(e, api.Membership):
+                    if isinstance(e, api.HostListUpdate):
                         seen.update({x.host: x.weight for x in e.entries})
                 return seen
 
--- a/tests/test_revive.py
+++ b/tests/test_revive.py
@@ -29,8 +29,10 @@
 
 pytestmark = pytest.mark.processes
 
-OP = api.Operation("quote", api.Repeat.IDEMPOTENT, "all", 5000, 3, 0.1, 1200, 3000)
-SETTINGS = api.Settings(operations=(OP,), slices=12, queue_most=1e6, admission="fraction", may_probe=True)
+OP = api.RequestClass("quote", api.Idempotency.IDEMPOTENT, "all", 5000, 3, 0.1, 1200, 3000)
+SETTINGS = api.Settings(
+    request_classes=(OP,), slice_count=12, max_queued_lines=1e6, admission="fraction", may_check_health=True
+)
 HOSTS = tuple(api.HostEntry(h) for h in range(5))
 
 
@@ -44,7 +46,7 @@
         self.now = 1e9
 
     def begin(self) -> None:
-        self.engine.begin(self.now, api.Membership(api.ListForm.FULL, 1, HOSTS))
+        self.engine.begin(self.now, api.HostListUpdate(api.HostListKind.FULL, 1, HOSTS))
         self.engine.event(self.now, api.ProxyJoined(1, 0, 10.0, True))
 
     def run(self, steps: int) -> None:
@@ -52,9 +54,9 @@
             self.now += 250.0
             if k % 4 == 0:
                 for h in range(5):  # host 3 fails all, the others are late
-                    self.engine.event(self.now, api.HostSums(0, h, 40, 40 if h == 3 else 4, 1500.0, 1000.0))
+                    self.engine.event(self.now, api.HostUsageReport(0, h, 40, 40 if h == 3 else 4, 1500.0, 1000.0))
                 for s in range(12):
-                    self.engine.event(self.now, api.SliceSums(s, 0, 20 + s, 2, 1000.0))
+                    self.engine.event(self.now, api.SliceUsageReport(s, 0, 20 + s, 2, 1000.0))
             self.engine.decide(self.now)
             assert self.engine.last
             self.log.append(self.engine.last)
@@ -117,7 +119,7 @@
     one.run(8)
     steps = [*one.log[tail:]]
     at, events, actions = steps[5]
-    steps[5] = (at, events, [*actions, api.Note("a thought of another version")])
+    steps[5] = (at, events, [*actions, api.LogNote("a thought of another version")])
     two = Rig(2, lines(one.engine))
     module = two.engine.module
     with pytest.raises(Unfit, match="step 6 of its log"):
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -139,5 +139,5 @@
 def test_events_are_the_module_s() -> None:
     view = View()
     event = view.restore(1e9, 50_000.0, 3, [api.HostEntry(7)], {7: "127.0.0.1:1"}, {7: 40_000.0})
-    assert event.form is api.ListForm.SAVED
+    assert event.kind is api.HostListKind.SAVED
     assert event.entries[0].online_since == 1e9 - 10_000.0
--- a/tests/test_settings_any.py
+++ b/tests/test_settings_any.py
@@ -82,53 +82,55 @@
     s = c.settings
     news = News(s, c.places.zones)
     intake = Intake(s, c.places, set(), news.tables)
-    channel = Channel(s.queue_most, s.channel_rate, s.message_head, lambda: len(news.proxies))
-    calls = Calls(list(c.places.operations), s.messages_most, s.messages_span, channel)
+    channel = Channel(
+        s.max_queued_lines, s.channel_lines_per_second, s.message_overhead_lines, lambda: len(news.proxies)
+    )
+    calls = Calls(list(c.places.operations), s.max_messages, s.message_window_ms, channel)
     assert c.dial_timeout > 0.0
     assert math.isfinite(intake.slowest)
     assert intake.span_most > 0
     turns, now, sent = Turns(Assigner(s, c.seed)), 1e9, list[float]()
     hosts = [number(f"h{n}") for n in range(4)]
-    entries = [api.HostEntry(h, n % max(1, s.zones), 0, n) for n, h in enumerate(hosts)]
+    entries = [api.HostEntry(h, n % max(1, s.zone_count), 0, n) for n, h in enumerate(hosts)]
 
     def turn(*events: api.Event) -> None:
         nonlocal now
-        now += max(1.0, s.period)
+        now += max(1.0, s.decision_interval_ms)
         for e in events:
             turns.event(now, e)
         turns.fall_due(now)
         for a in turns.deliver(now, turns.collect()):
             match a:
-                case api.Remind():
-                    assert math.isfinite(a.after)
-                    turns.remind(now + max(a.after, 1.0), a.handle)
-                case api.SetLine() | api.Level() | api.Cordon() | api.ResetTable() | api.Mark():
+                case api.StartTimer():
+                    assert math.isfinite(a.delay_ms)
+                    turns.remind(now + max(a.delay_ms, 1.0), a.timer)
+                case api.SetWeight() | api.SetAdmission() | api.Cordon() | api.ResetTable() | api.PublishVersion():
                     calls.order([a])
-                case api.Probe():
-                    turns.event(now, api.ProbeDone(a.host, api.ProbeEnd.TIMEOUT, 100.0))
+                case api.CheckHealth():
+                    turns.event(now, api.HealthCheckResult(a.host, api.HealthCheckOutcome.TIMEOUT, 100.0))
         for _ in range(3):
             if (call := calls.next(now)) is None:
                 break
             sent.append(now)
-            recent = [at for at in sent if at > now - s.messages_span]
-            assert not s.messages_most or len(recent) <= s.messages_most
+            recent = [at for at in sent if at > now - s.message_window_ms]
+            assert not s.max_messages or len(recent) <= s.max_messages
             answer = {"id": call.id, "result": {"taken": len(call.orders)}}
             for o in calls.answered(now, msgspec.json.encode(answer)) or []:
-                if isinstance(o, api.Mark) and o.number % 2:
-                    turns.event(now, api.Acked(0, o.number, 5.0))
+                if isinstance(o, api.PublishVersion) and o.version % 2:
+                    turns.event(now, api.VersionAcked(0, o.version, 5.0))
 
-    proxies = range(min(s.proxies, 3))
-    slices = range(min(s.slices, 4))
-    turn(api.Membership(api.ListForm.SAVED, 1, tuple(entries[:2])))
-    turn(*(api.ProxyJoined(p, 0, 2.5, True) for p in proxies), *(api.SliceGiven(n, True) for n in slices))
-    turn(api.Membership(api.ListForm.FULL, 2, tuple(entries)))
-    for k in range(len(s.operations)):
-        turn(*(api.SliceSums(n, k, 50, 10, max(1.0, s.report_every)) for n in slices))
-    turn(api.HostSums(0, hosts[0], 90, 90, 0.0, max(1.0, s.report_every), {}))
-    turn(api.Membership(api.ListForm.CHANGES, 3, (api.HostEntry(hosts[1], state="draining"),)))
-    turn(api.Membership(api.ListForm.FAILED, 3))
-    turn(*(api.ProxyLeft(p) for p in proxies), *(api.SliceGiven(n, False) for n in slices))
-    turn(api.Membership(api.ListForm.FULL, 4, ()))
+    proxies = range(min(s.proxy_count, 3))
+    slices = range(min(s.slice_count, 4))
+    turn(api.HostListUpdate(api.HostListKind.SAVED, 1, tuple(entries[:2])))
+    turn(*(api.ProxyJoined(p, 0, 2.5, True) for p in proxies), *(api.SliceOwnershipChange(n, True) for n in slices))
+    turn(api.HostListUpdate(api.HostListKind.FULL, 2, tuple(entries)))
+    for k in range(len(s.request_classes)):
+        turn(*(api.SliceUsageReport(n, k, 50, 10, max(1.0, s.report_interval_ms)) for n in slices))
+    turn(api.HostUsageReport(0, hosts[0], 90, 90, 0.0, max(1.0, s.report_interval_ms), {}))
+    turn(api.HostListUpdate(api.HostListKind.CHANGES, 3, (api.HostEntry(hosts[1], state="draining"),)))
+    turn(api.HostListUpdate(api.HostListKind.FAILED, 3))
+    turn(*(api.ProxyLeft(p) for p in proxies), *(api.SliceOwnershipChange(n, False) for n in slices))
+    turn(api.HostListUpdate(api.HostListKind.FULL, 4, ()))
     for _ in range(6):
         turn()
 
@@ -151,8 +153,8 @@
     }
     c = read(named)
     assert c
-    assert len(c.settings.operations) == len(operations)
-    assert c.settings.zones == len(zones)
+    assert len(c.settings.request_classes) == len(operations)
+    assert c.settings.zone_count == len(zones)
     assert list(c.places.operations) == operations
     assert list(c.places.zones) == zones
     play(c)
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -42,7 +42,7 @@
 
 
 def test_every_part_of_the_module_is_either_kept_or_worked_out_anew() -> None:
-    a = Assigner(golden.api.Settings(operations=(golden.QUOTE,)), 1)
+    a = Assigner(golden.api.Settings(request_classes=(golden.QUOTE,)), 1)
     a.step(0.0, [])
     state = dump(a)
     # All else follows from settings and seed, is shared between the parts, or is what the head of a turn works out.
@@ -59,8 +59,8 @@
 
 
 def test_a_snapshot_of_other_fields_is_refused_by_their_names() -> None:
-    a = Assigner(golden.api.Settings(operations=(golden.QUOTE,)), 1)
-    a.step(0.0, [golden.api.Membership(golden.api.ListForm.FULL, 1, (golden.api.HostEntry(1),))])
+    a = Assigner(golden.api.Settings(request_classes=(golden.QUOTE,)), 1)
+    a.step(0.0, [golden.api.HostListUpdate(golden.api.HostListKind.FULL, 1, (golden.api.HostEntry(1),))])
     state = dump(a)
     state.host_fields = [*state.host_fields, "mood"]
     with pytest.raises(ValueError, match="mood"):
