--- a/tests/test_steward.py
+++ b/tests/test_steward.py
@@ -34,17 +34,17 @@
         async with Running(tmp_path) as r:
             r.steward.roster_rows(True, 1, ROWS)
             one, two = await r.joined(1), await r.joined(2)
-            r.do(api.SetLine(0, 10, 1.0), api.Mark(5))
+            r.do(api.SetWeight(0, 10, 1.0), api.PublishVersion(5))
             for peer in (one, two):
                 order = await peer.until(frames.Orders)
                 assert order.lines == [(0, 10, 1.0)]
                 assert order.mark == 5
                 assert order.addresses == {10: "127.0.0.1:10"}
             two.say(frames.Ack(5))
-            await until(lambda: any(isinstance(e, api.Acked) for e in r.module.told))
-            [acked] = [e for e in r.module.told if isinstance(e, api.Acked)]
-            assert (acked.proxy, acked.number) == (2, 5)
-            assert acked.latency > 0
+            await until(lambda: any(isinstance(e, api.VersionAcked) for e in r.module.told))
+            [acked] = [e for e in r.module.told if isinstance(e, api.VersionAcked)]
+            assert (acked.proxy, acked.version) == (2, 5)
+            assert acked.latency_ms > 0
             db = sqlite3.connect(tmp_path / "s.db")
             assert db.execute("select * from line").fetchall() == [(0, 10, 1.0)]
 
@@ -73,7 +73,7 @@
             peer.writer.write(said)
             keep = asyncio.create_task(beating(other))
             assert await peer.ended() == code
-            r.do(api.SetLine(1, 10, 1.0))
+            r.do(api.SetWeight(1, 10, 1.0))
             assert (await other.until(frames.Orders)).lines == [(1, 10, 1.0)]
             keep.cancel()
             page = r.steward.metrics.text().decode()
@@ -109,14 +109,14 @@
     async def scene() -> None:
         async with Running(tmp_path) as r:
             old = await r.joined(1)
-            r.do(api.SetLine(0, 10, 1.0), api.Mark(5))
+            r.do(api.SetWeight(0, 10, 1.0), api.PublishVersion(5))
             await old.until(frames.Orders)
             new = await r.joined(1)  # the same process on a new connection: the old one is over
             old.say(frames.Ack(5))
             assert await old.ended() == "superseded"
             new.say(frames.Beat(1.0))
             await asyncio.sleep(0.05)
-            assert not [e for e in r.module.told if isinstance(e, api.Acked)]
+            assert not [e for e in r.module.told if isinstance(e, api.VersionAcked)]
             new.say(frames.Ack(5))  # and the mark of the old connection is not out on the new one
             assert await new.ended() == "out-of-place"
             kinds = [type(e).__name__ for e in r.module.told if isinstance(e, api.ProxyJoined | api.ProxyLeft)]
@@ -138,7 +138,7 @@
 
             reading = asyncio.create_task(drain())
             for _ in range(400):
-                r.do(*[api.SetLine(k % 4, h, 1.0) for k in range(4) for h in range(100, 600)])
+                r.do(*[api.SetWeight(k % 4, h, 1.0) for k in range(4) for h in range(100, 600)])
                 await asyncio.sleep(0.004)
                 if 1 not in r.steward.forwarders:
                     break
@@ -160,7 +160,7 @@
         async with Running(tmp_path, slow) as r:
             one = await r.joined(1)
             for k in range(6):
-                r.do(*[api.SetLine(k % 4, h, 1.0) for h in range(20)])
+                r.do(*[api.SetWeight(k % 4, h, 1.0) for h in range(20)])
                 await asyncio.sleep(0.02)
             assert await one.ended() == "overrun"
             assert r.steward.channel.most <= 60
@@ -176,12 +176,12 @@
             r.steward.roster_rows(True, 1, ROWS)
             one = await r.joined(1)
             keep = asyncio.create_task(beating(one))
-            r.do(api.SetLine(0, 10, 1.0))
+            r.do(api.SetWeight(0, 10, 1.0))
             await one.until(frames.Orders)
             await asyncio.sleep(0.1)
             r.steward.keep_roster()
             lock.execute("begin immediate")
-            r.do(api.SetLine(0, 11, 1.0), api.SetLine(0, 10, 0.0))
+            r.do(api.SetWeight(0, 11, 1.0), api.SetWeight(0, 10, 0.0))
             order = await one.until(frames.Orders, lambda f: f.seq == 2)
             assert order.lines == [(0, 11, 1.0), (0, 10, 0.0)], "a drain does not wait for a disk"
             status, body = await r.get("GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
@@ -213,7 +213,7 @@
             lock = sqlite3.connect(tmp_path / "s.db", isolation_level=None)
             lock.execute("begin immediate")
             for host in (10, 11, 12):
-                r.do(api.SetLine(0, host, 1.0))
+                r.do(api.SetWeight(0, host, 1.0))
                 await asyncio.sleep(0.03)
             assert r.steward.store_faults > 0
             lock.execute("rollback")
@@ -227,16 +227,16 @@
 
 def test_every_way_that_a_probe_can_end(tmp_path: Path) -> None:
     answers = {
-        api.ProbeEnd.OK: b"HTTP/1.1 200 OK\r\nX-Load: rif=3 q=1.5 x=?\r\nContent-Length: 0\r\n\r\n",
-        api.ProbeEnd.FULL: b"HTTP/1.1 503 Draining\r\nContent-Length: 0\r\n\r\n",
-        api.ProbeEnd.ERROR: b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n",
-        api.ProbeEnd.OTHER: b"SSH-2.0-something else\r\n",
-        api.ProbeEnd.RESET: b"",
-        api.ProbeEnd.TIMEOUT: None,
+        api.HealthCheckOutcome.OK: b"HTTP/1.1 200 OK\r\nX-Load: rif=3 q=1.5 x=?\r\nContent-Length: 0\r\n\r\n",
+        api.HealthCheckOutcome.FULL: b"HTTP/1.1 503 Draining\r\nContent-Length: 0\r\n\r\n",
+        api.HealthCheckOutcome.ERROR: b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n",
+        api.HealthCheckOutcome.OTHER: b"SSH-2.0-something else\r\n",
+        api.HealthCheckOutcome.RESET: b"",
+        api.HealthCheckOutcome.TIMEOUT: None,
     }
 
     async def scene() -> None:
-        ends: dict[int, api.ProbeDone] = {}
+        ends: dict[int, api.HealthCheckResult] = {}
         prober = Prober(lambda e: ends.update({e.host: e}), Clock(), timeout=2_000.0, most_in_flight=3, most_waiting=5)
         wanted, servers = {}, []
         for number, (end, answer) in enumerate(answers.items()):
@@ -255,14 +255,16 @@
             wanted[number] = end
             prober.ask(number, f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
         prober.ask(90, "127.0.0.1:1")
-        wanted[90] = api.ProbeEnd.UNREACHABLE
+        wanted[90] = api.HealthCheckOutcome.UNREACHABLE
         await until(lambda: len(ends) == len(wanted) and not prober.running)
-        assert {h: e.end for h, e in ends.items()} == wanted
+        assert {h: e.outcome for h, e in ends.items()} == wanted
         assert ends[0].load == {"rif": 3.0, "q": 1.5}
         assert prober.most_running == 3
         for k in range(20):
             prober.ask(100 + k, "127.0.0.1:1")
-        assert sum(e.end is api.ProbeEnd.OTHER for h, e in ends.items() if h >= 100) == 12, "beyond the bound"
+        assert sum(e.outcome is api.HealthCheckOutcome.OTHER for h, e in ends.items() if h >= 100) == 12, (
+            "beyond the bound"
+        )
         await until(lambda: len(ends) == len(wanted) + 20)
 
     play(scene())
@@ -271,7 +273,7 @@
 def test_the_door_is_bounded_and_says_no_by_name(tmp_path: Path) -> None:
     async def scene() -> None:
         async with Running(tmp_path) as r:
-            r.do(api.SetLine(0, 10, 1.0))
+            r.do(api.SetWeight(0, 10, 1.0))
             await asyncio.sleep(0.05)
             status, body = await r.get("GET /tables HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
             assert status == 200
@@ -307,7 +309,7 @@
             r.steward.reload()  # the door is gone from the file: that needs a restart, and harms nothing
             assert r.steward.config.door is not None
             assert r.steward.limits.frame_most == 9999
-            assert r.steward.settings.report_every == 1000.0
+            assert r.steward.settings.report_interval_ms == 1000.0
         said = capsys.readouterr().err
         assert "reload refused; the old configuration stands" in said
         assert '"taken": ["forwarders.frame_most_bytes", "log.level"]' in said
@@ -373,7 +375,7 @@
             assert a.steward.peers
             a.steward.peers.sock.sendto(b"\xc1 rubbish", ("127.0.0.1", ports[1]))
             a.steward.peers.sock.sendto(msgspec.msgpack.encode([7, b"x"]), ("127.0.0.1", ports[1]))
-            a.do(api.Tell(None, b"hi"), api.Tell(1, b"there"), api.Tell(5, b"nobody"))
+            a.do(api.SendToPeer(None, b"hi"), api.SendToPeer(1, b"there"), api.SendToPeer(5, b"nobody"))
             await until(lambda: sum(isinstance(e, api.PeerMessage) for e in b.module.told) == 2)
             got = [e for e in b.module.told if isinstance(e, api.PeerMessage)]
             assert got == [api.PeerMessage(0, b"hi"), api.PeerMessage(0, b"there")]
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -602,7 +602,7 @@
     assert set(stored_names.ACTIONS.values()) == set(api.Action.__args__)
     for kind, names in stored_names.FIELDS.items():
         assert list(names.values()) == [field.name for field in fields(kind)], kind
-    assert set(stored_names.FIELDS) == {*stored_names.TYPES.values(), api.HostEntry, api.Operation, api.Settings}
+    assert set(stored_names.FIELDS) == {*stored_names.TYPES.values(), api.HostEntry, api.RequestClass, api.Settings}
 
 
 def test_every_figure_of_hosts_and_slices_has_a_stored_name() -> None:
@@ -619,7 +619,7 @@
     for entries in (7, [7], [{"zone": 1}], [{"host": 1, "zone": "x"}]):
         with pytest.raises(msgspec.ValidationError):
             record.unpack(["Membership", {"form": "full", "entries": entries}])
-    assert record.unpack(["Due", {"handle": 1, "of a later version": 2}]) == api.Due(1)
+    assert record.unpack(["Due", {"handle": 1, "of a later version": 2}]) == api.TimerFired(1)
 
 
 @dataclass(frozen=True)
--- a/tests/test_upgrade_state.py
+++ b/tests/test_upgrade_state.py
@@ -20,16 +20,16 @@
 from corallanding.wire.link import Limits as LinkLimits
 from corallanding.wire.link import Link
 
-OP = api.Operation("quote", api.Repeat.IDEMPOTENT, "all", 5000, 3, 0.1, 1200, 3000)
+OP = api.RequestClass("quote", api.Idempotency.IDEMPOTENT, "all", 5000, 3, 0.1, 1200, 3000)
 SETTINGS = api.Settings(
-    operations=(OP,),
-    slices=12,
-    queue_most=900.0,
-    channel_rate=400.0,
-    may_probe=True,
-    proxies=4,
-    messages_most=14,
-    messages_span=4000.0,
+    request_classes=(OP,),
+    slice_count=12,
+    max_queued_lines=900.0,
+    channel_lines_per_second=400.0,
+    may_check_health=True,
+    proxy_count=4,
+    max_messages=14,
+    message_window_ms=4000.0,
 )
 LIMITS = Limits(400.0, 8.0, 900.0, 14, 4000.0)
 ADDRESSES = {h: f"127.0.0.1:{9000 + h}" for h in range(6)}
@@ -58,14 +58,14 @@
             self.join(now, f)
         if r.random() < 0.15:
             h, state = r.randrange(6), r.choice(("draining", "up"))
-            e.event(now, api.Membership(api.ListForm.CHANGES, int(now), (api.HostEntry(h, state=state),)))
+            e.event(now, api.HostListUpdate(api.HostListKind.CHANGES, int(now), (api.HostEntry(h, state=state),)))
         if r.random() < 0.5:
             f = r.randrange(4)
             hosts = [(h, 9, r.choice((0, 0, 9)), 300.0) for h in range(6)]
             e.sums(now, f, frames.Sums(1000.0, hosts, [(s, 0, r.randrange(20), 0) for s in range(12)]))
         if r.random() < 0.4:
             assert isinstance(e.module, Assigner)
-            e.event(now, api.Acked(r.randrange(4), r.randrange(3) + e.module.pending.mark - 2, 5.0))
+            e.event(now, api.VersionAcked(r.randrange(4), r.randrange(3) + e.module.pending.mark - 2, 5.0))
         e.decide(now)
         for out in e.publish(r.random() < 0.9):
             if isinstance(out, Send):
@@ -85,7 +85,7 @@
 @pytest.mark.parametrize("at", [5, 17, 40, 41, 42, 43, 44, 45, 80, 119])
 def test_a_steward_handed_over_at_any_step_says_what_the_old_one_would_have(at: int) -> None:
     one, now, r = Steward(1), 1e9, random.Random(at)
-    one.engine.begin(now, api.Membership(api.ListForm.FULL, 1, tuple(api.HostEntry(h) for h in range(6))))
+    one.engine.begin(now, api.HostListUpdate(api.HostListKind.FULL, 1, tuple(api.HostEntry(h) for h in range(6))))
     for f in range(4):
         one.join(now, f)
     waits = held = False
@@ -95,7 +95,7 @@
             # What the store has may lag behind: the state has the tables, and what is still to be kept.
             two = Steward(2, {0: {5: 1.0}})
             take(two.engine, one.handed(), two.channel, two.joins, now)
-            two.engine.inbox = [x for x in two.engine.inbox if not isinstance(x[2], api.ProbeDone)]
+            two.engine.inbox = [x for x in two.engine.inbox if not isinstance(x[2], api.HealthCheckResult)]
             one.log = []
             waits, held = one.channel.waiting > 0, any(one.engine.module.pending.proxies.values())  # type: ignore[attr-defined]
         if step >= at:
@@ -110,7 +110,7 @@
 
 def test_state_that_does_not_fit_leaves_the_new_engine_as_it_was() -> None:
     one = Steward(1)
-    one.engine.begin(1e9, api.Membership(api.ListForm.FULL, 1, (api.HostEntry(1),)))
+    one.engine.begin(1e9, api.HostListUpdate(api.HostListKind.FULL, 1, (api.HostEntry(1),)))
     one.turn(1e9 + 100.0, random.Random(1))
     h = one.handed()
     h.state.module.slice_fields.append("mood")
