--- a/bench/measured.py
+++ b/bench/measured.py
@@ -16,7 +16,7 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
-from corallanding.config import load_steward
+from corallanding.config import load_controller
 from corallanding.controller.daemon import Steward
 from corallanding.controller.proxy_protocol import LinkProtocol
 from corallanding.telemetry import configure
@@ -77,7 +77,7 @@
 
 
 async def main(config: str, out: str) -> None:
-    loaded = load_steward(config)
+    loaded = load_controller(config)
     configure("json", "error")
     steward = Measured(loaded, path=config)
     await steward.start()
--- a/corallanding/cli/ask.py
+++ b/corallanding/cli/ask.py
@@ -7,7 +7,7 @@
 import socket
 import time
 
-from ..config.models import StewardConfig
+from ..config.models import ControllerConfig
 from ..endpoints.endpoint_list import loopback
 
 
@@ -15,7 +15,7 @@
     """The steward did not do it, or is not well; the text says why."""
 
 
-def hand_over(c: StewardConfig, command: str | None) -> str:
+def hand_over(c: ControllerConfig, command: str | None) -> str:
     """Its answer. Raises `Refused`."""
     assert c.steward.control
     with socket.socket(socket.AF_UNIX) as sock:
@@ -32,7 +32,7 @@
     return answer
 
 
-def well(c: StewardConfig) -> None:
+def well(c: ControllerConfig) -> None:
     """Waits until the door says so, as long as a phase of a handover may last. Raises `Refused`."""
     if c.door is None:
         return
--- a/corallanding/cli/main.py
+++ b/corallanding/cli/main.py
@@ -17,11 +17,11 @@
 @app.command()
 def check(file: File) -> None:
     """Read a steward's configuration and say what is wrong with it."""
-    from ..config import ConfigFault, load_steward
+    from ..config import ConfigError, load_controller
 
     try:
-        config = load_steward(file)
-    except ConfigFault as fault:
+        config = load_controller(file)
+    except ConfigError as fault:
         raise fail(fault) from None
     print(f"{file}: ok: {config.slices.count} slices, {len(config.operation)} operations")
 
@@ -52,12 +52,12 @@
 
     Goes on to the next only once the last answers that it is well.
     """
-    from ..config import ConfigFault, load_steward
+    from ..config import ConfigError, load_controller
     from .ask import Refused, hand_over, well
 
     try:
-        found = [(path, load_steward(path)) for path in config]
-    except ConfigFault as fault:
+        found = [(path, load_controller(path)) for path in config]
+    except ConfigError as fault:
         raise fail(fault) from None
     for path, one in found:
         if not one.steward.control:
--- a/corallanding/config/__init__.py
+++ b/corallanding/config/__init__.py
@@ -1,7 +1,7 @@
-"""Configuration: HCL read by python-hcl2 (`hcl`), checked by pydantic models (`models`)."""
+"""Configuration of a controller: HCL read by python-hcl2 (`hcl`) and checked by pydantic models (`models`)."""
 
-from .hcl import ConfigFault, load
-from .models import StewardConfig, load_steward
-from .module import settings
+from .assigner_settings import assigner_settings
+from .hcl import ConfigError, load
+from .models import ControllerConfig, load_controller
 
-__all__ = ["ConfigFault", "StewardConfig", "load", "load_steward", "settings"]
+__all__ = ["ConfigError", "ControllerConfig", "assigner_settings", "load", "load_controller"]
--- a/corallanding/config/module.py
+++ b/corallanding/config/assigner_settings.py
@@ -1,13 +1,13 @@
-"""What the module is given of a configuration."""
+"""The settings of the assigner, from a controller's configuration."""
 
 from __future__ import annotations
 
 from .. import interface as api
-from .models import StewardConfig
+from .models import ControllerConfig
 
 
-def settings(c: StewardConfig) -> api.Settings:
-    """What the module is given of it."""
+def assigner_settings(c: ControllerConfig) -> api.Settings:
+    """The assigner's settings as the configuration `c` states them."""
     operations = tuple(
         api.RequestClass(
             name,
--- a/corallanding/config/hcl.py
+++ b/corallanding/config/hcl.py
@@ -17,11 +17,13 @@
 from lark.exceptions import LarkError, UnexpectedInput
 from pydantic import BaseModel, ValidationError
 
+from ..errors import ConfigurationError
+
 Model = TypeVar("Model", bound=BaseModel)
 OPTIONS = hcl2.SerializationOptions(with_comments=False, strip_string_quotes=True, preserve_scientific_notation=False)
 
 
-class ConfigFault(Exception):
+class ConfigError(ConfigurationError):
     """`FILE:LINE: KEY: what is expected`, one line for each thing that is wrong."""
 
 
@@ -89,7 +91,7 @@
         if kind == "one":
             if len(value) > 1:
                 line = at.get((*path, key, 1), 0)
-                raise ConfigFault(f"{where}:{line}: {key}: this block may stand once")
+                raise ConfigError(f"{where}:{line}: {key}: this block may stand once")
             out[key] = shape(value[0], inner, where, (*path, key), at)
             continue
         rows: list[Any] = []
@@ -97,10 +99,10 @@
         for number, block in enumerate(value):
             if "__is_block__" in block:
                 line = at.get((*path, key, number), 0)
-                raise ConfigFault(f'{where}:{line}: {key}: a label is expected, as in {key} "NAME" {{')
+                raise ConfigError(f'{where}:{line}: {key}: a label is expected, as in {key} "NAME" {{')
             (label, body), label_line = next(iter(block.items())), at.get((*path, key, number), 0)
             if kind == "map" and label in named:
-                raise ConfigFault(f"{where}:{label_line}: {key}: {label!r} stands twice")
+                raise ConfigError(f"{where}:{label_line}: {key}: {label!r} stands twice")
             inner_path = (*path, key, label if kind == "map" else number)
             named[label] = shape(body, inner, where, inner_path, at)
             rows.append({"kind": label, **named[label]})
@@ -143,12 +145,12 @@
 
 
 def load(path: str | Path, model: type[Model]) -> Model:
-    """The file as a model. Raises `ConfigFault`, one line an error."""
+    """The file as a model. Raises `ConfigError`, one line an error."""
     where = str(path)
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as fault:
-        raise ConfigFault(f"{where}: cannot be read: {fault}") from None
+        raise ConfigError(f"{where}: cannot be read: {fault}") from None
     if not text.endswith("\n"):
         text += "\n"
     at: dict[Path_, int] = {}
@@ -160,9 +162,9 @@
     except UnexpectedInput as fault:
         line = getattr(fault, "line", 0)
         token = str(getattr(fault, "token", "") or getattr(fault, "char", "")).strip().splitlines()[:1]
-        raise ConfigFault(f"{where}:{line}: not HCL at {token[0] if token else 'the line end'!r}") from None
+        raise ConfigError(f"{where}:{line}: not HCL at {token[0] if token else 'the line end'!r}") from None
     except (LarkError, ValueError, TypeError, KeyError, RecursionError) as fault:
-        raise ConfigFault(f"{where}: not HCL: {str(fault).splitlines()[0][:200]}") from None
+        raise ConfigError(f"{where}: not HCL: {str(fault).splitlines()[0][:200]}") from None
     try:
         return model.model_validate(shape(raw, model, where, (), at))
     except ValidationError as fault:
@@ -174,4 +176,4 @@
             line = next((at[loc[:n]] for n in range(len(loc), 0, -1) if loc[:n] in at), 1)
             key = ".".join(str(part) for part in loc) or "file"
             lines.append((line, f"{where}:{line}: {key}: {explain(error, model)}"))
-        raise ConfigFault("\n".join(text for _, text in sorted(lines))) from None
+        raise ConfigError("\n".join(text for _, text in sorted(lines))) from None
--- a/corallanding/config/models.py
+++ b/corallanding/config/models.py
@@ -8,15 +8,15 @@
 from pydantic import Field, model_validator
 
 from .blocks import Block
-from .budgets import BudgetBlock, BudgetsBlock
 from .hcl import load
-from .pins import PinsBlock, RecordsBlock, ReleaseBlock
-from .pins import fault as pins_fault
+from .quota import BudgetBlock, BudgetsBlock
+from .scheduling import JOBS, WaitingBlock
+from .scheduling import fault as scheduling_error
 from .site import (
+    AdminBlock,
     ChannelBlock,
-    DoorBlock,
+    ControllerBlock,
     ForwardersBlock,
-    Identity,
     LogBlock,
     OperationBlock,
     PricesBlock,
@@ -26,16 +26,16 @@
     SlicesBlock,
     StoreBlock,
 )
-from .sources import LoadReportsBlock, ProbeBlock, RegistryBlock, RosterBlock
+from .sources import HealthCheckBlock, HostListBlock, LoadReportsBlock, RegistryBlock
 from .tasks import WHOLE, TaskBlock, TaskGroupBlock, TasksBlock
-from .waits import JOBS, WaitingBlock
-from .waits import fault as waits_fault
+from .version_pinning import PinsBlock, RecordsBlock, ReleaseBlock
+from .version_pinning import fault as pinning_error
 
 
-class StewardConfig(Block):
-    steward: Identity
+class ControllerConfig(Block):
+    steward: ControllerBlock
     store: StoreBlock
-    roster: RosterBlock = RosterBlock()
+    roster: HostListBlock = HostListBlock()
     registry: RegistryBlock | None = None
     slices: SlicesBlock
     operation: Annotated[dict[str, OperationBlock], Field(min_length=1, max_length=30)]
@@ -44,8 +44,8 @@
     channel: ChannelBlock = ChannelBlock()
     reports: ReportsBlock = ReportsBlock()
     forwarders: ForwardersBlock = ForwardersBlock()
-    probe: ProbeBlock = ProbeBlock()
-    door: DoorBlock | None = None
+    probe: HealthCheckBlock = HealthCheckBlock()
+    door: AdminBlock | None = None
     log: LogBlock = LogBlock()
     record: RecordBlock = RecordBlock()
     prices: PricesBlock = PricesBlock()
@@ -61,7 +61,7 @@
     records: RecordsBlock | None = None
 
     @model_validator(mode="after")
-    def shared(self) -> StewardConfig:
+    def shared(self) -> ControllerConfig:
         me, peers = self.steward.number, {int(n) for n in self.steward.peers if n.isdigit()}
         for name, one in self.budget.items():
             if fault := one.fault(name, self.stewards_most):
@@ -74,12 +74,12 @@
         if sum(g.count for g in self.task_group.values()) + len(self.task) > WHOLE:
             raise ValueError(f"task_group: more than {WHOLE} tasks in all")
         groups, lease = self.task_group, self.tasks.lease_ms
-        if fault := pins_fault(self.pins, self.release, self.operation, self.task, groups, lease, self.records):
+        if fault := pinning_error(self.pins, self.release, self.operation, self.task, groups, lease, self.records):
             raise ValueError(fault)
         if self.records and not self.pins and JOBS not in groups:
             raise ValueError(f'records: nothing rests on it: neither pins nor task_group "{JOBS}"')
         waits, w = [n for n, o in self.operation.items() if o.waits], self.waiting
-        if fault := waits_fault(waits, self.budget, groups, bool(self.records), w.stale_ms, w.tell_ms):
+        if fault := scheduling_error(waits, self.budget, groups, bool(self.records), w.stale_ms, w.tell_ms):
             raise ValueError(fault)
         what = "budget" if self.budget else "task" if self.task or self.task_group else ""
         if not what:
@@ -101,7 +101,7 @@
         return self.budgets.stewards_most or self.steward.stewards
 
     @model_validator(mode="after")
-    def whole(self) -> StewardConfig:
+    def whole(self) -> ControllerConfig:
         if self.steward.zone is not None and self.steward.zone not in self.zones:
             raise ValueError(f"steward.zone {self.steward.zone!r} is not one of zones")
         if self.steward.number >= self.steward.stewards:
@@ -120,6 +120,6 @@
         return self
 
 
-def load_steward(path: str | Path) -> StewardConfig:
-    """A steward's configuration file. Raises `ConfigFault`."""
-    return load(path, StewardConfig)
+def load_controller(path: str | Path) -> ControllerConfig:
+    """A steward's configuration file. Raises `ConfigError`."""
+    return load(path, ControllerConfig)
--- a/corallanding/config/waits.py
+++ b/corallanding/config/scheduling.py
@@ -8,12 +8,12 @@
 from pydantic import Field
 
 from .blocks import Block, Ms, MsOrNone
-from .budgets import BudgetBlock
+from .quota import BudgetBlock
 
 JOBS, RELEASES = "jobs", "releases"  # the group of tasks for fingerprints, the budget
 
 
-class WaitsBlock(Block):
+class WaitPolicyBlock(Block):
     """Of an operation whose invocations may wait. Must be the same at all stewards. Times in ms."""
 
     priority: Annotated[float, Field(ge=-1000, le=1000)] = 0.0  # the standing that a job begins with
--- a/corallanding/config/site.py
+++ b/corallanding/config/site.py
@@ -7,10 +7,10 @@
 from pydantic import Field, model_validator
 
 from .blocks import Address, Block, Count, Ms, MsOrNone, Ratio
-from .waits import WaitsBlock
+from .scheduling import WaitPolicyBlock
 
 
-class Identity(Block):
+class ControllerBlock(Block):
     listen: Address
     number: Annotated[int, Field(ge=0, le=65535)] = 0
     stewards: Count = 1
@@ -36,7 +36,7 @@
     window_ms: MsOrNone = 5000.0
     writes: bool = False
     zone_bound: bool = False
-    waits: WaitsBlock | None = None
+    waits: WaitPolicyBlock | None = None
     no_host: Literal["refuse", "wait", "carry_over"] = "refuse"  # for a pinned run whose version no host serves
     no_host_wait_ms: MsOrNone = 2000.0  # wait, carry_over: for so long, then it is refused
 
@@ -123,7 +123,7 @@
     log_most_mb: Annotated[float, Field(gt=0, le=100_000)] = 256.0  # of steps after a snapshot
 
 
-class DoorBlock(Block):
+class AdminBlock(Block):
     listen: Address
     connections_most: Annotated[int, Field(ge=1, le=10000)] = 32
     header_most_bytes: Annotated[int, Field(ge=128, le=1 << 20)] = 8192
--- a/corallanding/config/sources.py
+++ b/corallanding/config/sources.py
@@ -9,7 +9,7 @@
 from .blocks import Address, Block, Count, Ms, Ratio
 
 
-class RosterBlock(Block):
+class HostListBlock(Block):
     address: Address | None = None
     mode: Literal["pushed", "on_request"] = "pushed"
     ask_within_ms: Ms = 10000.0
@@ -62,7 +62,7 @@
         return self
 
 
-class ProbeBlock(Block):
+class HealthCheckBlock(Block):
     allowed: bool = True
     path: Annotated[str, Field(pattern=r"^/[!-~]*$", max_length=200)] = "/health"
     timeout_ms: Ms = 250.0
--- a/corallanding/controller/cluster.py
+++ b/corallanding/controller/cluster.py
@@ -11,8 +11,8 @@
 from typing import TYPE_CHECKING, Any
 
 from .. import membership
-from ..config import StewardConfig
-from ..config.waits import JOBS
+from ..config import ControllerConfig
+from ..config.scheduling import JOBS
 from ..lease.election import Desk, Office, Send
 from ..lease.limits import OfficeTerms
 from ..lease.messages import Quit, Stand, Vote
@@ -44,7 +44,7 @@
 
     def __init__(
         self,
-        c: StewardConfig,
+        c: ControllerConfig,
         door: PeerDoor,
         clock: Callable[[], float],
         halted: Callable[[], bool],
@@ -95,7 +95,7 @@
         tasks = sorted([*c.task, *c.task_group])
         log.info("shared", budgets=sorted(c.budget), tasks=tasks, voters=list(voters), life=life)
 
-    def open_records(self, c: StewardConfig, voters: tuple[int, ...], sight: Sight) -> None:
+    def open_records(self, c: ControllerConfig, voters: tuple[int, ...], sight: Sight) -> None:
         """Raises OSError if their file cannot be used."""
         assert self.tasks is not None
         assert c.records is not None
@@ -210,7 +210,7 @@
             **({"records": self.records.fleet.page()} if self.records else {}),
         }
 
-    def reload(self, c: StewardConfig) -> None:
+    def reload(self, c: ControllerConfig) -> None:
         for room in (self.budgets, self.pins):
             if room:
                 room.reload(c)
--- a/corallanding/controller/components.py
+++ b/corallanding/controller/components.py
@@ -16,8 +16,7 @@
 from ..assignment import Assigner
 from ..channel import Channel
 from ..channel import Limits as ChannelLimits
-from ..config import StewardConfig
-from ..config import settings as settings_of
+from ..config import ControllerConfig, assigner_settings
 from ..endpoints.endpoint_list import View
 from ..endpoints.source import Source
 from ..health_check.prober import Prober
@@ -55,7 +54,7 @@
         return self.last
 
 
-def link_limits(c: StewardConfig) -> Limits:
+def link_limits(c: ControllerConfig) -> Limits:
     f = c.forwarders
     return Limits(
         f.frame_most_bytes,
@@ -79,7 +78,7 @@
 
     def __init__(
         self,
-        config: StewardConfig,
+        config: ControllerConfig,
         decider: Callable[[api.Settings, int], Decider] = Assigner,
         record: str | None = None,
         path: str | None = None,
@@ -92,7 +91,7 @@
         self.clock, self.metrics = Clock(monotonic), Metrics()
         self.gate = Gate(self.clock)
         self.limits = link_limits(config)
-        self.settings = settings_of(config)
+        self.settings = assigner_settings(config)
         self.store: Store = store or SqliteStore(config.store.path, config.store.sync)
         self.recorder: Recorder | None = None
         self.record = record
--- a/corallanding/controller/config_reload.py
+++ b/corallanding/controller/config_reload.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from ..config import ConfigFault, StewardConfig, load_steward
+from ..config import ConfigError, ControllerConfig, load_controller
 from ..telemetry import configure, log
 from .components import Parts, link_limits
 
@@ -44,8 +44,8 @@
     if not s.path:
         return
     try:
-        new = load_steward(s.path)
-    except ConfigFault as fault:
+        new = load_controller(s.path)
+    except ConfigError as fault:
         log.error("reload refused; the old configuration stands", why=str(fault))
         return
     old_keys, new_keys = flat(s.config.model_dump()), flat(new.model_dump())
@@ -60,7 +60,7 @@
         for part in path:
             at = at[part]
         at[last] = new_keys[key]
-    s.config = StewardConfig.model_validate(merged)
+    s.config = ControllerConfig.model_validate(merged)
     configure(s.config.log.format, s.config.log.level)
     s.limits = link_limits(s.config)
     f = s.config.forwarders
--- a/corallanding/controller/fleet_view.py
+++ b/corallanding/controller/fleet_view.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 from typing import Protocol
 
-from ..config import StewardConfig
+from ..config import ControllerConfig
 from ..endpoints.endpoint_list import View
 from ..version_pinning.version_selection import Server
 from ..wire import frames
@@ -16,7 +16,7 @@
 class Shows(Protocol):
     """What the steward must show."""
 
-    config: StewardConfig
+    config: ControllerConfig
     view: View
     engine: Engine
     forwarders: dict[int, LinkProtocol]
--- a/corallanding/controller/main.py
+++ b/corallanding/controller/main.py
@@ -14,7 +14,7 @@
 
 from .. import interface as api
 from ..assignment import Assigner
-from ..config import ConfigFault, load_steward
+from ..config import ConfigError, load_controller
 from ..store import StoreFault
 from ..telemetry import configure, log
 from ..upgrade.pipe import Pipe
@@ -30,7 +30,7 @@
     decider: Callable[[api.Settings, int], Decider] = Assigner,
     take_over: int | None = None,
 ) -> int:
-    config = load_steward(path)
+    config = load_controller(path)
     configure(config.log.format, config.log.level)
     steward = Steward(config, decider, record, path)
     starts, loop = Starts(f"{config.store.path}.starts"), asyncio.get_running_loop()
@@ -85,6 +85,6 @@
     of a handover. take_over: the descriptor of a pipe to the process that hands over."""
     try:
         return uvloop.run(serve(path, record, decider, take_over))
-    except ConfigFault as fault:
+    except ConfigError as fault:
         print(fault, file=sys.stderr)
         return 2
--- a/corallanding/controller/pinning_service.py
+++ b/corallanding/controller/pinning_service.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from ..config import StewardConfig
+from ..config import ControllerConfig
 from ..lease.election import Send
 from ..rate_limit import Allowances
 from ..telemetry import Metrics, log
@@ -29,7 +29,7 @@
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big") >> 1 or 1
 
 
-def pin_terms(c: StewardConfig) -> PinTerms:
+def pin_terms(c: ControllerConfig) -> PinTerms:
     assert c.pins is not None
     return PinTerms(c.pins.run_most_ms, c.budgets.drift, c.pins.settle_ms, c.pins.begins_per_s)
 
@@ -41,7 +41,7 @@
     sound = staticmethod(sound)
 
     def __init__(
-        self, c: StewardConfig, records: RecordRoom, metrics: Metrics, sight: Sight, may_cold: Callable[[int], bool]
+        self, c: ControllerConfig, records: RecordRoom, metrics: Metrics, sight: Sight, may_cold: Callable[[int], bool]
     ) -> None:
         assert c.pins is not None
         self.records, self.metrics, self.sight = records, metrics, sight
@@ -163,7 +163,7 @@
     def page(self) -> dict[str, Any]:
         return {**self.core.page(), "stranded_rows": self.routes.stranded, "carried_rows": self.routes.carried}
 
-    def reload(self, c: StewardConfig) -> None:
+    def reload(self, c: ControllerConfig) -> None:
         """Which set is wanted may change while it runs; sets themselves are the same for ever."""
         if c.pins and c.pins.current != self.core.wanted:
             log.info("release", what=f"set {c.pins.current} wanted")
--- a/corallanding/controller/proxy_protocol.py
+++ b/corallanding/controller/proxy_protocol.py
@@ -12,7 +12,7 @@
 from .handover_state import put_link
 
 if TYPE_CHECKING:
-    from ..config import StewardConfig
+    from ..config import ControllerConfig
     from ..telemetry import Gate, Metrics
     from ..wire.link import Limits
     from .handover_state import LinkState
@@ -21,7 +21,7 @@
 class Owner(Protocol):
     """What a link asks of the steward that it belongs to."""
 
-    config: StewardConfig
+    config: ControllerConfig
     limits: Limits
     gate: Gate
     metrics: Metrics
--- a/corallanding/controller/quota_service.py
+++ b/corallanding/controller/quota_service.py
@@ -8,14 +8,14 @@
 
 from .. import interface as api
 from .. import quota
-from ..config import StewardConfig
+from ..config import ControllerConfig
 from ..lease.election import Desk, Send
 from ..quota.messages import sound
 from ..telemetry import Metrics, log
 from .action_journal import Witness
 
 
-def budgets_of(c: StewardConfig) -> dict[str, quota.Budget]:
+def budgets_of(c: ControllerConfig) -> dict[str, quota.Budget]:
     """What the configuration asks for, as the core knows it."""
     cold = c.rules.cold_ms
     return {
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        c: StewardConfig,
+        c: ControllerConfig,
         office: Desk,
         say: Callable[[Iterable[Send]], None],
         clock: Callable[[], float],
@@ -107,7 +107,7 @@
             self.metrics.budget_held.labels(name).set(held[name])
             self.metrics.budget_used.labels(name).set(used[name])
 
-    def reload(self, c: StewardConfig) -> None:
+    def reload(self, c: ControllerConfig) -> None:
         """Sizes alone may change while it runs."""
         self.core.retune(self.clock(), {name: b.whole for name, b in budgets_of(c).items()})
 
--- a/corallanding/controller/record_service.py
+++ b/corallanding/controller/record_service.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from ..config import StewardConfig
+from ..config import ControllerConfig
 from ..lease.election import Send
 from ..quorum_records.core import Action, Keep
 from ..quorum_records.fleet import FleetRecords
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        c: StewardConfig,
+        c: ControllerConfig,
         tasks: TaskRoom,
         voters: tuple[int, ...],
         names: tuple[str, ...],
--- a/corallanding/controller/scheduling_service.py
+++ b/corallanding/controller/scheduling_service.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from ..config import StewardConfig
+from ..config import ControllerConfig
 from ..lease.election import Desk, Send
 from ..scheduling.core import Ask, Go, Waiting
 from ..scheduling.idempotency import FOUND, GRANTED, NOT_NOW, TWIN, Claims
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        c: StewardConfig,
+        c: ControllerConfig,
         office: Desk,
         budgets: Budgets,
         records: RecordRoom | None,
@@ -239,7 +239,7 @@
     def page(self) -> dict[str, Any]:
         return self.core.page(self.clock(), self.alive)
 
-    def reload(self, c: StewardConfig) -> None:
+    def reload(self, c: ControllerConfig) -> None:
         """Nothing of it changes while it runs: order must be the same at all stewards."""
 
     def leave(self, now: float) -> list[Send]:
--- a/corallanding/controller/task_service.py
+++ b/corallanding/controller/task_service.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from ..config import StewardConfig
+from ..config import ControllerConfig
 from ..lease.core import Leases
 from ..lease.election import Desk, Send
 from ..lease.limits import Terms
@@ -18,7 +18,7 @@
 UPGRADE = "upgrade"  # the task that a steward holds while it hands over to a new process
 
 
-def tasks_of(c: StewardConfig) -> Tasks:
+def tasks_of(c: ControllerConfig) -> Tasks:
     """What the configuration asks for, as the core knows it."""
     found = {name: Task(name, 1, t.work_most_ms, t.idle_ms, name != UPGRADE) for name, t in c.task.items()} | {
         name: Task(name, g.count, g.work_most_ms, g.idle_ms) for name, g in c.task_group.items()
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        c: StewardConfig,
+        c: ControllerConfig,
         office: Desk,
         say: Callable[[Iterable[Send]], None],
         clock: Callable[[], float],
--- a/corallanding/lab/commands.py
+++ b/corallanding/lab/commands.py
@@ -9,7 +9,7 @@
 import typer
 
 from ..cli import fail
-from ..config import ConfigFault
+from ..config import ConfigError
 from .fleet.commands import add
 
 lab = typer.Typer(no_args_is_help=True)
@@ -36,7 +36,7 @@
 
     try:
         found = load_scenario(scenario)
-    except ConfigFault as fault:
+    except ConfigError as fault:
         raise fail(fault) from None
     name = publisher or found.publisher
     if name not in PUBLISHERS:
@@ -69,7 +69,7 @@
         found = from_day(raw, day.stem, scale)
     except (OSError, ValueError) as fault:
         raise fail(f"{day}: {fault}") from None
-    except ConfigFault as fault:
+    except ConfigError as fault:
         raise fail(fault) from None
     text = scenario_hcl(found)
     if out:
@@ -89,7 +89,7 @@
     try:
         limits = limits_of(load_scenario(scenario))
         records = read(trace)
-    except (ConfigFault, OSError, ValueError, EOFError) as fault:
+    except (ConfigError, OSError, ValueError, EOFError) as fault:
         raise fail(fault) from None
     verdicts, _ = judge(records, limits)
     told({"rules": [vars(v) for v in verdicts]})
--- a/corallanding/lab/fleet/commands.py
+++ b/corallanding/lab/fleet/commands.py
@@ -13,7 +13,7 @@
 import typer
 
 from ...cli import fail
-from ...config import ConfigFault
+from ...config import ConfigError
 
 if TYPE_CHECKING:  # a steward's start goes by this file, and must not wait for what experiments stand on
     from .runs import Job, Pool, Row
@@ -34,7 +34,7 @@
 
     try:
         yield
-    except ConfigFault as fault:
+    except ConfigError as fault:
         raise fail(fault) from None
     except RunFault as fault:
         raise fail(fault, 3) from None
@@ -101,14 +101,14 @@
         one = setting(a, day)
         two = setting(b or a, day, module)
         if b is None and not put and module is None:
-            raise ConfigFault("B is missing: another file, --set KEY=VALUE or --module CHECKOUT")
+            raise ConfigError("B is missing: another file, --set KEY=VALUE or --module CHECKOUT")
         two = with_pairs(two, put)
         if two.label == one.label:
             two = replace(two, label=f"{two.label} ({module or b})")
         if list(one.scenario.operation) != list(two.scenario.operation):
-            raise ConfigFault(f"{b}: operation: other than those of {a}")
+            raise ConfigError(f"{b}: operation: other than those of {a}")
         if loopback and (one.config or two.config or two.module):
-            raise ConfigFault("--loopback: goes with scenarios and the module as it is")
+            raise ConfigError("--loopback: goes with scenarios and the module as it is")
         with making(kept, workers, runs * 2) as by:
             found = play(
                 one,
@@ -178,7 +178,7 @@
     with faults():
         for k in kind or ():
             if k not in RANGES:
-                raise ConfigFault(f"--kind {k}: not one of {', '.join(sorted(RANGES))}")
+                raise ConfigError(f"--kind {k}: not one of {', '.join(sorted(RANGES))}")
         base = setting(file, day)
         with making(kept, workers, budget * 2) as by:
             found = play(base, budget, by, most=most, kinds=kind, seed=seed, told=lambda t: print(t, file=sys.stderr))
@@ -270,12 +270,12 @@
 
     with faults():
         if not kept.is_file():
-            raise ConfigFault(f"{kept}: there is no such file of results")
+            raise ConfigError(f"{kept}: there is no such file of results")
         runs = Runs(kept)
         rows = runs.rows(name)
         runs.close()
         if not rows:
-            raise ConfigFault(f"{kept}: no runs" + (f" of {name}" if name else ""))
+            raise ConfigError(f"{kept}: no runs" + (f" of {name}" if name else ""))
         page.kept(rows).write(out)
         print(f"{out}: {len(rows)} runs")
 
--- a/corallanding/lab/fleet/emulate.py
+++ b/corallanding/lab/fleet/emulate.py
@@ -15,7 +15,7 @@
 
 from ... import interface as api
 from ...assignment import Assigner
-from ...config import ConfigFault, StewardConfig, load_steward
+from ...config import ConfigError, ControllerConfig, load_controller
 from ...controller.event_inbox import Decider
 from ...telemetry import configure
 from .. import trace
@@ -49,14 +49,14 @@
 
 
 @lru_cache(maxsize=64)
-def steward_of(scenario: str) -> StewardConfig:
+def steward_of(scenario: str) -> ControllerConfig:
     """The configuration that the lab would write for the scenario (as JSON). Parsing takes as long as a short day."""
     s = Scenario.model_validate_json(scenario)
     with TemporaryDirectory() as folder:
         path = Path(folder) / "steward.hcl"
         listen, door, roster, reports = [f"127.0.0.1:{n}" for n in (1, 2, 3, 4)]
         path.write_text(steward_hcl(s, listen, door, roster, f"{folder}/store.db", 1, False, reports))
-        return load_steward(path)
+        return load_controller(path)
 
 
 class FleetLab(Lab):
@@ -67,7 +67,7 @@
         loop: SimLoop,
         scenario: Scenario,
         seed: int,
-        config: StewardConfig | None = None,
+        config: ControllerConfig | None = None,
         decider: Callable[[api.Settings, int], Decider] = Assigner,
         record: str | None = None,
         recorded: Day | None = None,
@@ -76,14 +76,14 @@
         """recorded: a day in place of the scenario's hosts, arrivals and faults. out: a folder for the key of load
         reports, if there are any."""
         if scenario.budget or scenario.pins:
-            raise ConfigFault(f"{scenario.name}: budgets and runs are played by processes: `lab run`")
+            raise ConfigError(f"{scenario.name}: budgets and runs are played by processes: `lab run`")
         self.loop, self.recorded = loop, recorded
         super().__init__(scenario, out, seed)
         self.base, self.decider, self.record = config or steward_of(scenario.model_dump_json()), decider, record
         self.memories = [MemoryStore() for _ in range(scenario.stewards)]
         self.machines = [Machine() for _ in range(scenario.stewards)]
         self.stewards: dict[int, SimSteward] = {}
-        self.configs: list[StewardConfig] = []
+        self.configs: list[ControllerConfig] = []
         self.registered: LocalRegistry | None = None
         if scenario.stewards > 1:
             from .registry import LocalRoster
@@ -144,7 +144,7 @@
     def configure(self, reports_key: str) -> None:
         self.configs = [self.config_of(me, reports_key) for me in range(self.scenario.stewards)]
 
-    def config_of(self, me: int, reports_key: str) -> StewardConfig:
+    def config_of(self, me: int, reports_key: str) -> ControllerConfig:
         s, base = self.scenario, self.base
         own = {
             "listen": f"127.0.0.1:{self.ports[me]}",
@@ -269,7 +269,7 @@
 def emulate(
     scenario: Scenario,
     seed: int,
-    config: StewardConfig | None = None,
+    config: ControllerConfig | None = None,
     decider: Callable[[api.Settings, int], Decider] | None = None,
     record: str | None = None,
     latency: float = LATENCY,
--- a/corallanding/lab/fleet/runs.py
+++ b/corallanding/lab/fleet/runs.py
@@ -22,7 +22,7 @@
 import numpy as np
 
 from ... import interface as api
-from ...config import StewardConfig
+from ...config import ControllerConfig
 from ...controller.event_inbox import Decider
 from ...controller.recorder import read as read_recording
 from .. import report, trace
@@ -84,7 +84,7 @@
 
     label: str
     scenario: Scenario
-    config: StewardConfig | None = None
+    config: ControllerConfig | None = None
     module: str = ""
     recording: str = ""
     trace: str = ""  # of the same day: its arrivals are exact
--- a/corallanding/lab/fleet/steward.py
+++ b/corallanding/lab/fleet/steward.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any, cast
 
 from ... import interface as api
-from ...config import StewardConfig
+from ...config import ControllerConfig
 from ...config.sources import RegistryBlock
 from ...controller.daemon import Steward
 from ...controller.event_inbox import Decider
@@ -127,7 +127,7 @@
     def __init__(
         self,
         loop: SimLoop,
-        config: StewardConfig,
+        config: ControllerConfig,
         decider: Callable[[api.Settings, int], Decider],
         store: MemoryStore,
         record: str | None = None,
--- a/corallanding/lab/scenario.py
+++ b/corallanding/lab/scenario.py
@@ -8,14 +8,14 @@
 from pydantic import Field, model_validator
 
 from ..config.blocks import Block, Count, Ms, MsOrNone, Ratio
-from ..config.budgets import BudgetBlock, BudgetsBlock
 from ..config.hcl import load
-from ..config.pins import PinsBlock, RecordsBlock, ReleaseBlock
-from ..config.pins import fault as pins_fault
+from ..config.quota import BudgetBlock, BudgetsBlock
+from ..config.scheduling import WaitingBlock
 from ..config.site import ChannelBlock, ForwardersBlock, OperationBlock, ReportsBlock, RulesBlock
-from ..config.sources import LoadReportsBlock, ProbeBlock
+from ..config.sources import HealthCheckBlock, LoadReportsBlock
 from ..config.tasks import TaskBlock, TaskGroupBlock, TasksBlock
-from ..config.waits import WaitingBlock
+from ..config.version_pinning import PinsBlock, RecordsBlock, ReleaseBlock
+from ..config.version_pinning import fault as pinning_error
 
 PEER_FAULTS = (
     "peer_cut",
@@ -174,7 +174,7 @@
     channel: ChannelBlock = ChannelBlock()
     reports: ReportsBlock = ReportsBlock()
     forwarders: ForwardersBlock = ForwardersBlock()
-    probe: ProbeBlock = ProbeBlock()
+    probe: HealthCheckBlock = HealthCheckBlock()
     load_reports: LoadReportsTraffic | None = None
     budget: dict[str, BudgetBlock] = {}
     budgets: BudgetsBlock = BudgetsBlock()  # stewards_most: how many there may ever be
@@ -197,7 +197,7 @@
             if fault := one.fault(name, self.numbers):
                 raise ValueError(fault)
         groups, lease = self.task_group, self.tasks.lease_ms
-        if fault := pins_fault(self.pins, self.release, self.operation, self.task, groups, lease, self.records):
+        if fault := pinning_error(self.pins, self.release, self.operation, self.task, groups, lease, self.records):
             raise ValueError(fault)
         if self.jobs and not any(o.waits for o in self.operation.values()):
             raise ValueError("jobs: no operation waits")
--- a/corallanding/lab/scenario_day.py
+++ b/corallanding/lab/scenario_day.py
@@ -4,9 +4,9 @@
 
 from typing import Any
 
-from ..config.hcl import ConfigFault
+from ..config.hcl import ConfigError
 from ..config.site import ChannelBlock, ForwardersBlock, ReportsBlock, RulesBlock
-from ..config.sources import ProbeBlock
+from ..config.sources import HealthCheckBlock
 from .scenario import KINDS, Fault, Fleet, HostKind, OperationTraffic, RosterTraffic, Scenario, TrafficBlock
 
 REPEATS = {"safe": "idempotent", "keyed": "fingerprinted", "unsafe": "side-effecting"}
@@ -15,7 +15,7 @@
 def from_day(day: dict[str, Any], name: str, scale: float = 1.0) -> Scenario:
     """A day as the bench's `draw` prints it, as a scenario. `scale` shrinks fleet and traffic alike.
 
-    Raises `ConfigFault` with what the day lacks. Times of the day are microseconds; shapes of traffic in time
+    Raises `ConfigError` with what the day lacks. Times of the day are microseconds; shapes of traffic in time
     are not taken over, the mean is.
     """
     try:
@@ -42,7 +42,7 @@
         faults = []
         for t in day["troubles"]:
             if t["kind"] not in KINDS:
-                raise ConfigFault(f"trouble {t['kind']!r} of the day is not in the vocabulary")
+                raise ConfigError(f"trouble {t['kind']!r} of the day is not in the vocabulary")
             on = [n for n in t.get("on", []) if n < hosts]
             if t["kind"] in ("deploy", "preempt", "shrink", "grow"):
                 on = []
@@ -124,8 +124,8 @@
                 try_aims=fam["try_aims"],
                 ejects=fam["ejects"],
             ),
-            probe=ProbeBlock(allowed=day["allow"]["probes"]),
+            probe=HealthCheckBlock(allowed=day["allow"]["probes"]),
             fault=faults,
         )
     except (KeyError, TypeError, IndexError, ZeroDivisionError) as fault:
-        raise ConfigFault(f"{name}: no day of the bench: {type(fault).__name__} {fault}") from None
+        raise ConfigError(f"{name}: no day of the bench: {type(fault).__name__} {fault}") from None
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from corallanding import interface as api
-from corallanding.config import load_steward
+from corallanding.config import load_controller
 from corallanding.controller.daemon import Steward
 from corallanding.wire import frames
 
@@ -109,7 +109,7 @@
         path = tmp / "s.hcl"
         path.write_text(config % (tmp / "s.db") + text)
         self.path = path
-        self.steward = Steward(load_steward(path), decider, path=str(path))
+        self.steward = Steward(load_controller(path), decider, path=str(path))
 
     async def __aenter__(self) -> Running:
         await self.steward.start()
--- a/tests/test_budgets_config.py
+++ b/tests/test_budgets_config.py
@@ -11,7 +11,7 @@
 from sockets import CONFIG, Running, until
 
 from corallanding import interface as api
-from corallanding.config import ConfigFault, load_steward
+from corallanding.config import ConfigError, load_controller
 from corallanding.controller.quota_service import budgets_of
 
 PEERS = 'peer_listen = "127.0.0.1:7000"\n  peers = { "1" = "127.0.0.1:7001", "2" = "127.0.0.1:7002" }\n  stewards = 3\n'
@@ -26,7 +26,9 @@
 
 
 def test_a_budget_becomes_what_the_core_knows(tmp_path: Path) -> None:
-    c = load_steward(config(tmp_path, GOOD + 'budget "cold_slices" {\n whole = 4\n per = "host"\n unit = "count"\n}\n'))
+    c = load_controller(
+        config(tmp_path, GOOD + 'budget "cold_slices" {\n whole = 4\n per = "host"\n unit = "count"\n}\n')
+    )
     b = budgets_of(c)
     assert (b["probes"].whole, b["probes"].floor, b["probes"].most, b["probes"].span) == (7, 1, 3, 1_000.0)
     assert b["cold_slices"].span == c.rules.cold_ms
@@ -52,8 +54,8 @@
     ],
 )
 def test_what_is_wrong_is_named(tmp_path: Path, more: str, peers: str, named: str) -> None:
-    with pytest.raises(ConfigFault) as fault:
-        load_steward(config(tmp_path, more, peers))
+    with pytest.raises(ConfigError) as fault:
+        load_controller(config(tmp_path, more, peers))
     assert named in str(fault.value)
     assert "steward.hcl" in str(fault.value)
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -10,7 +10,7 @@
 
 from corallanding import interface as api
 from corallanding.cli.main import app
-from corallanding.config import ConfigFault, load_steward, settings
+from corallanding.config import ConfigError, assigner_settings, load_controller
 
 GOOD = """\
 zones = ["a", "b"]
@@ -39,8 +39,8 @@
 def fault(tmp_path: Path, old: str, new: str) -> str:
     path = tmp_path / "s.hcl"
     path.write_text(GOOD.replace(old, new))
-    with pytest.raises(ConfigFault) as caught:
-        load_steward(path)
+    with pytest.raises(ConfigError) as caught:
+        load_controller(path)
     return str(caught.value).replace(f"{path}", "s.hcl")
 
 
@@ -123,7 +123,7 @@
 }
 """
     )
-    got, usual = settings(load_steward(path)), api.Settings(())
+    got, usual = assigner_settings(load_controller(path)), api.Settings(())
     same = [f.name for f in dataclasses.fields(got) if getattr(got, f.name) == getattr(usual, f.name)]
     assert same == []
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -12,7 +12,7 @@
 from typer.testing import CliRunner
 
 from corallanding.cli.main import app
-from corallanding.config import ConfigFault
+from corallanding.config import ConfigError
 from corallanding.lab.audit import RULES, Limits, judge
 from corallanding.lab.commands import lab
 from corallanding.lab.scenario import KINDS, PEER_FAULTS, load_scenario
@@ -280,9 +280,9 @@
 def test_a_file_that_is_no_day_is_named(tmp_path: Path) -> None:
     odd = day()
     odd["troubles"][0]["kind"] = "earthquake"
-    with pytest.raises(ConfigFault, match="'earthquake' of the day is not in the vocabulary"):
+    with pytest.raises(ConfigError, match="'earthquake' of the day is not in the vocabulary"):
         from_day(odd, "odd")
-    with pytest.raises(ConfigFault, match="no day of the bench: KeyError"):
+    with pytest.raises(ConfigError, match="no day of the bench: KeyError"):
         from_day({"servers": []}, "odd")
     (tmp_path / "d.json").write_text("{")
     assert CliRunner().invoke(lab, ["scenario", "--from", str(tmp_path / "d.json")]).exit_code == 2
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -21,7 +21,7 @@
 from sockets import CONFIG, Running, until
 
 from corallanding import interface as api
-from corallanding.config import ConfigFault, load_steward
+from corallanding.config import ConfigError, load_controller
 from corallanding.config.sources import RegistryBlock
 from corallanding.endpoints.endpoint_list import View
 from corallanding.lab.registry import Registry
@@ -431,5 +431,5 @@
         ('registry {\n  address = "127.0.0.1:1"\n  key_file = "k"\n}\n', "certificate_file and key_file stand"),
     ):
         path.write_text(good + block)
-        with pytest.raises(ConfigFault, match=said.replace("(", "[(]")):
-            load_steward(path)
+        with pytest.raises(ConfigError, match=said.replace("(", "[(]")):
+            load_controller(path)
