--- a/bench/link.py
+++ b/bench/link.py
@@ -14,7 +14,7 @@
 
 from corallanding import interface as api
 from corallanding.config import load_controller
-from corallanding.controller.daemon import Steward
+from corallanding.controller.daemon import Controller
 from corallanding.telemetry import configure
 from corallanding.wire import frames
 
@@ -98,7 +98,7 @@
         text = text.replace("steward {", "steward {\n  turn_ms = 0.01")
         (Path(folder) / "s.hcl").write_text(text)
         configure("json", "error")
-        steward = Steward(load_controller(Path(folder) / "s.hcl"), Echoing)
+        steward = Controller(load_controller(Path(folder) / "s.hcl"), Echoing)
         await steward.start()
         made = await clients(steward.servers[0].sockets[0].getsockname()[1])
         await asyncio.sleep(0.5)
--- a/bench/load_reports.py
+++ b/bench/load_reports.py
@@ -26,7 +26,7 @@
 
 from corallanding import interface as api
 from corallanding.config import load_controller
-from corallanding.controller.daemon import Steward
+from corallanding.controller.daemon import Controller
 from corallanding.lab.processes import free_port
 from corallanding.lab.reporter import body
 from corallanding.lab.scenario import Fault, load_scenario
@@ -286,7 +286,7 @@
         text = text.replace("forwarders {", "forwarders {\n  silence_ms = 600000")
         (Path(folder) / "s.hcl").write_text(text)
         configure("json", "error")
-        steward = Steward(load_controller(Path(folder) / "s.hcl"), Weights)
+        steward = Controller(load_controller(Path(folder) / "s.hcl"), Weights)
         await steward.start()
         rows = [{"host": h, "state": "up", "address": "127.0.0.1:9"} for h in range(10)]
         steward.roster_rows(True, 1, rows)
--- a/bench/measured.py
+++ b/bench/measured.py
@@ -17,7 +17,7 @@
 from hdrh.histogram import HdrHistogram
 
 from corallanding.config import load_controller
-from corallanding.controller.daemon import Steward
+from corallanding.controller.daemon import Controller
 from corallanding.controller.proxy_protocol import LinkProtocol
 from corallanding.telemetry import configure
 from corallanding.wire import frames
@@ -32,7 +32,7 @@
     return int(Path("/proc/self/statm").read_text().split()[1]) * 4096 / 2**20
 
 
-class Measured(Steward):
+class Measured(Controller):
     """Times are kept in microseconds."""
 
     def __init__(self, *args: Any, **more: Any) -> None:
--- a/corallanding/controller/daemon.py
+++ b/corallanding/controller/daemon.py
@@ -35,12 +35,12 @@
 from .recorder import Recorder
 from .status_views import Pages
 
-__all__ = ["ORIGIN", "Clock", "Steward"]
+__all__ = ["ORIGIN", "Clock", "Controller"]
 
 SPARE_DESCRIPTORS = 200  # for the store, probes, the door, the registry, and links that are being closed
 
 
-class Steward(Turning, Keeping, Joining, Hosts, Passing, Pages):
+class Controller(Turning, Keeping, Joining, Hosts, Passing, Pages):
     """One steward. `start` raises `StoreFault` or `OSError` if it cannot run; `stopped` ends when it is over."""
 
     async def start(
--- a/corallanding/controller/main.py
+++ b/corallanding/controller/main.py
@@ -19,7 +19,7 @@
 from ..telemetry import configure, log
 from ..upgrade.pipe import Pipe
 from .crash_loop import CALM, Starts, advise
-from .daemon import Steward
+from .daemon import Controller
 from .event_inbox import Decider
 from .handover_receiver import Taker
 
@@ -32,22 +32,22 @@
 ) -> int:
     config = load_controller(path)
     configure(config.log.format, config.log.level)
-    steward = Steward(config, decider, record, path)
+    controller = Controller(config, decider, record, path)
     starts, loop = Starts(f"{config.store.path}.starts"), asyncio.get_running_loop()
     try:
         if take_over is None:
             wall, before = time.time() * 1000.0, starts.read()
             advice = advise(before, wall)
             starts.keep([*before[-advice.count :], wall] if advice.count else [wall])
-            steward.trust_snapshot = advice.trust
+            controller.trust_snapshot = advice.trust
             if advice.wait:
                 log.error("crash loop: waiting before the next try", deaths=advice.count, wait_ms=advice.wait)
                 await asyncio.sleep(advice.wait / 1000.0)
-            await steward.start()
+            await controller.start()
         else:
             pipe = Pipe(socket.socket(fileno=take_over))
             within = config.steward.upgrade_within_ms
-            if not await Taker(pipe, within, config.store.path, steward.can_take, steward.start).run():
+            if not await Taker(pipe, within, config.store.path, controller.can_take, controller.start).run():
                 return 6
     except StoreFault as fault:
         log.error("cannot start", why=str(fault))
@@ -58,16 +58,16 @@
     calm = loop.call_later(CALM / 1000.0, starts.keep, [])
     retiring = list[asyncio.Task[None]]()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, lambda: retiring.append(loop.create_task(steward.retire())))
-    loop.add_signal_handler(signal.SIGHUP, steward.reload)
-    loop.add_signal_handler(signal.SIGUSR2, lambda: retiring.append(loop.create_task(steward.upgrade())))  # type: ignore[arg-type]
-    assert steward.stopped is not None
-    code = await steward.stopped
+        loop.add_signal_handler(number, lambda: retiring.append(loop.create_task(controller.retire())))
+    loop.add_signal_handler(signal.SIGHUP, controller.reload)
+    loop.add_signal_handler(signal.SIGUSR2, lambda: retiring.append(loop.create_task(controller.upgrade())))  # type: ignore[arg-type]
+    assert controller.stopped is not None
+    code = await controller.stopped
     calm.cancel()
     if code == 0:
         starts.keep([])
     await asyncio.sleep(0.05)  # last words of the links
-    if steward.handed_over:
+    if controller.handed_over:
         # The sockets are another process's now: nothing here may say goodbye on them.
         sys.stdout.flush()
         sys.stderr.flush()
--- a/corallanding/lab/fleet/steward.py
+++ b/corallanding/lab/fleet/steward.py
@@ -9,7 +9,7 @@
 from ... import interface as api
 from ...config import ControllerConfig
 from ...config.sources import RegistryBlock
-from ...controller.daemon import Steward
+from ...controller.daemon import Controller
 from ...controller.event_inbox import Decider
 from ...controller.proxy_protocol import LinkProtocol
 from ...endpoints.endpoint_list import loopback
@@ -121,7 +121,7 @@
         machine.kill()
 
 
-class SimSteward(Steward):
+class SimSteward(Controller):
     feed_kind = SimFeed
 
     def __init__(
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -10,7 +10,7 @@
 
 from corallanding import interface as api
 from corallanding.config import load_controller
-from corallanding.controller.daemon import Steward
+from corallanding.controller.daemon import Controller
 from corallanding.wire import frames
 
 CONFIG = """\
@@ -109,7 +109,7 @@
         path = tmp / "s.hcl"
         path.write_text(config % (tmp / "s.db") + text)
         self.path = path
-        self.steward = Steward(load_controller(path), decider, path=str(path))
+        self.steward = Controller(load_controller(path), decider, path=str(path))
 
     async def __aenter__(self) -> Running:
         await self.steward.start()
