--- a/bench/one_fleet.py
+++ b/bench/one_fleet.py
@@ -19,7 +19,7 @@
 import numpy as np
 from scipy import stats
 
-from corallanding.controller.record_store import RecordFile
+from corallanding.controller.record_store import RecordStore
 from corallanding.lab.stewards.runs import SETS, RunWorld
 from corallanding.lab.stewards.waits import QUOTA, TERMS, WaitWorld, bound_of
 from corallanding.lab.stewards.walk import Walk
@@ -125,7 +125,7 @@
     now, lone = 1e6, Lone()
     terms = PinTerms(run=1e9, begins_per_s=1e9)
     with tempfile.TemporaryDirectory() as folder:
-        disk = RecordFile(str(Path(folder) / "r.db"), lambda: now) if file else None
+        disk = RecordStore(str(Path(folder) / "r.db"), lambda: now) if file else None
         bounds = record_terms(terms, 2 * count)
         fleet = FleetRecords(lone, (1,), bounds, AskTerms(), now, 1, True, (RUNS, RELEASE), (RUNS,), (RELEASE,))  # type: ignore[arg-type]
         pins = pins_on(fleet, terms, SETS, 1, lambda s: 1.0)
--- a/corallanding/controller/action_journal.py
+++ b/corallanding/controller/action_journal.py
@@ -8,7 +8,7 @@
 import time
 
 
-class Witness:
+class ActionJournal:
     """path: None writes nothing. Raises OSError if it cannot be written."""
 
     def __init__(self, path: str | None) -> None:
--- a/corallanding/controller/cluster.py
+++ b/corallanding/controller/cluster.py
@@ -24,13 +24,13 @@
 from ..telemetry import Metrics, log
 from ..version_pinning.core import RELEASE, RUNS, record_terms
 from ..wire.frames import Enter, Unwait, Wait
-from .fleet_view import Sight
-from .peer_dispatch import PeerDoor
-from .pinning_service import PinRoom, pin_terms
-from .quota_service import Budgets
-from .record_service import RecordRoom
-from .scheduling_service import WaitRoom
-from .task_service import TaskRoom
+from .fleet_view import FleetView
+from .peer_dispatch import PeerDispatcher
+from .pinning_service import PinningService, pinning_limits
+from .quota_service import QuotaService
+from .record_service import RecordService
+from .scheduling_service import SchedulingService
+from .task_service import TaskService
 
 if TYPE_CHECKING:
     from ..registry.table_store import Keeper
@@ -39,23 +39,29 @@
 STATES = ("unknown", "alive", "suspect", "dead", "left")
 
 
-class Shared:
+class Cluster:
     """Made only where a budget or a task is configured. halted: whether this process says nothing just now."""
 
     def __init__(
         self,
         c: ControllerConfig,
-        door: PeerDoor,
+        door: PeerDispatcher,
         clock: Callable[[], float],
         halted: Callable[[], bool],
         metrics: Metrics,
-        gate: Any,
-        sight: Sight,
+        rate_limited_log: Any,
+        sight: FleetView,
         keeper: Keeper | None = None,
     ) -> None:
         """sight: of hosts and forwarders.
         keeper: of the office in the registry, in place of votes. Raises OSError if a witness cannot be written."""
-        self.clock, self.halted, self.metrics, self.door, self.gate = clock, halted, metrics, door, gate
+        self.clock, self.is_paused, self.metrics, self.dispatcher, self.rate_limited_log = (
+            clock,
+            halted,
+            metrics,
+            door,
+            rate_limited_log,
+        )
         b, me, now = c.budgets, c.steward.number, clock()
         others = tuple(sorted(int(n) for n in c.steward.peers))
         voters = tuple(sorted(b.voters)) or tuple(sorted([me, *others])[:5])
@@ -63,51 +69,57 @@
         life = random.SystemRandom().getrandbits(62)
         chance = random.Random(life).random
         words = membership.Terms(b.period_ms, b.timeout_ms, words_per_s=b.words_per_s)
-        self.members = membership.Members(me, others, life, words, chance, now)
+        self.membership = membership.Members(me, others, life, words, chance, now)
         self.keeper = keeper
         if keeper:
-            self.office: Desk = RegistryOffice(me, others, life, keeper.charge)
+            self.election: Desk = RegistryOffice(me, others, life, keeper.charge)
             keeper.start()
         else:
             terms = OfficeTerms(b.office_ms, b.drift)
-            self.office = Office(me, others, voters, terms, life, now, chance, b.words_per_s)
+            self.election = Office(me, others, voters, terms, life, now, chance, b.words_per_s)
         self.timer: asyncio.TimerHandle | None = None
-        door.register((Ping, Ack, Ask), self.news, sound_news)
-        door.register((Stand, Vote, Quit), self.votes, sound_office)
-        self.budgets = Budgets(c, self.office, self.say, clock, metrics, gate) if c.budget else None
-        self.tasks = TaskRoom(c, self.office, self.say, clock, metrics, gate) if c.task or c.task_group else None
-        self.frames: dict[type, Callable[[int, Any], None]] = {}  # what forwarders say, by who takes it
-        self.pins: PinRoom | None = None
-        self.records: RecordRoom | None = None
-        self.waiting: WaitRoom | None = None
+        door.register((Ping, Ack, Ask), self.on_membership_message, sound_news)
+        door.register((Stand, Vote, Quit), self.on_election_message, sound_office)
+        self.quota = QuotaService(c, self.election, self.send, clock, metrics, rate_limited_log) if c.budget else None
+        self.tasks = (
+            TaskService(c, self.election, self.send, clock, metrics, rate_limited_log)
+            if c.task or c.task_group
+            else None
+        )
+        self.frame_handlers: dict[type, Callable[[int, Any], None]] = {}  # what forwarders say, by who takes it
+        self.pinning: PinningService | None = None
+        self.records: RecordService | None = None
+        self.scheduling: SchedulingService | None = None
         if c.records and self.tasks:
             self.open_records(c, voters, sight)
-        if self.budgets and any(o.waits for o in c.operation.values()):
-            self.waiting = WaitRoom(
-                c, self.office, self.budgets, self.records, self.pins, self.say, clock, metrics, sight
+        if self.quota and any(o.waits for o in c.operation.values()):
+            self.scheduling = SchedulingService(
+                c, self.election, self.quota, self.records, self.pinning, self.send, clock, metrics, sight
             )
-            self.frames.update({Wait: self.waiting.frame, Unwait: self.waiting.frame})
+            self.frame_handlers.update({Wait: self.scheduling.on_proxy_frame, Unwait: self.scheduling.on_proxy_frame})
         # Those that rest on records have their turn before them, and they after the tasks.
-        rooms = (self.budgets, self.tasks, self.pins, self.waiting, self.records)
-        self.rooms: list[Budgets | TaskRoom | PinRoom | WaitRoom | RecordRoom] = [r for r in rooms if r]
-        for room in self.rooms:
-            door.register(room.kinds, room.heard, room.sound)
+        rooms = (self.quota, self.tasks, self.pinning, self.scheduling, self.records)
+        self.services: list[QuotaService | TaskService | PinningService | SchedulingService | RecordService] = [
+            r for r in rooms if r
+        ]
+        for room in self.services:
+            door.register(room.message_types, room.on_message, room.is_valid)
         tasks = sorted([*c.task, *c.task_group])
         log.info("shared", budgets=sorted(c.budget), tasks=tasks, voters=list(voters), life=life)
 
-    def open_records(self, c: ControllerConfig, voters: tuple[int, ...], sight: Sight) -> None:
+    def open_records(self, c: ControllerConfig, voters: tuple[int, ...], sight: FleetView) -> None:
         """Raises OSError if their file cannot be used."""
         assert self.tasks is not None
         assert c.records is not None
-        budgets, now = self.budgets, self.clock
+        budgets, now = self.quota, self.clock
         names = tuple(n for n in (RUNS, RELEASE, JOBS) if (n == JOBS or c.pins) and n in self.tasks.core.tasks.by_name)
         longest = max((o.waits.most_ms for o in c.operation.values() if o.waits), default=0.0)
         terms = RecordTerms(2.0 * longest, longest, c.records.most, c.records.again_ms)
         if c.pins:
-            mine = record_terms(pin_terms(c), c.records.most, c.records.again_ms)
+            mine = record_terms(pinning_limits(c), c.records.most, c.records.again_ms)
             terms = replace(mine, keep=max(mine.keep, terms.keep))
         counted = (RUNS,) if c.pins else ()
-        self.records = RecordRoom(
+        self.records = RecordService(
             c,
             self.tasks,
             voters,
@@ -115,103 +127,103 @@
             terms,
             counted,
             (RELEASE,) if c.pins else (),
-            self.say,
+            self.send,
             now,
             self.metrics,
-            self.gate,
+            self.rate_limited_log,
         )
         if c.pins is None:
             return
 
         def may_cold(host: int) -> bool:
-            return budgets is None or budgets.may("cold_slices", host, True)
+            return budgets is None or budgets.may_begin("cold_slices", host, True)
 
-        self.pins = PinRoom(c, self.records, self.metrics, sight, may_cold)
-        self.frames[Enter] = self.pins.frame
+        self.pinning = PinningService(c, self.records, self.metrics, sight, may_cold)
+        self.frame_handlers[Enter] = self.pinning.on_proxy_frame
 
-    def frame(self, forwarder: int, frame: Any) -> None:
+    def on_proxy_frame(self, forwarder: int, frame: Any) -> None:
         """What a joined forwarder says to one of the rooms."""
-        if take := self.frames.get(type(frame)):
+        if take := self.frame_handlers.get(type(frame)):
             take(forwarder, frame)
 
-    def joined(self, forwarder: int) -> None:
-        for room in (self.pins, self.waiting):
+    def on_proxy_joined(self, forwarder: int) -> None:
+        for room in (self.pinning, self.scheduling):
             if room:
-                room.joined(forwarder)
+                room.on_proxy_joined(forwarder)
 
-    def left(self, forwarder: int) -> None:
-        if self.waiting:
-            self.waiting.left(forwarder)
+    def on_proxy_left(self, forwarder: int) -> None:
+        if self.scheduling:
+            self.scheduling.on_proxy_left(forwarder)
 
-    def let_go(self) -> None:
+    def release_files(self) -> None:
         """Files are for another process now."""
         if self.records:
-            self.records.file.close()
+            self.records.store.close()
 
-    def take_back(self) -> None:
+    def reopen_files(self) -> None:
         """Nothing came of a handover."""
         if self.records:
             self.records.reopen()
 
     def start(self) -> None:
-        self.tell(self.members.greet(self.clock()))
-        self.tick()
+        self.carry_out_membership(self.membership.greet(self.clock()))
+        self.on_tick()
 
-    def tick(self) -> None:
+    def on_tick(self) -> None:
         """What is due, every TICK."""
-        self.timer = asyncio.get_running_loop().call_later(TICK, self.tick)
-        if self.halted():
+        self.timer = asyncio.get_running_loop().call_later(TICK, self.on_tick)
+        if self.is_paused():
             return
         now = self.clock()
-        self.tell(self.members.tick(now))
-        alive = self.members.alive()
-        self.say(self.office.tick(now, alive))
-        for room in self.rooms:
-            room.tick(now, alive, time.time() * 1000.0)
+        self.carry_out_membership(self.membership.tick(now))
+        alive = self.membership.alive()
+        self.send(self.election.tick(now, alive))
+        for room in self.services:
+            room.on_tick(now, alive, time.time() * 1000.0)
 
-    def news(self, sender: int, word: Ping | Ack | Ask) -> None:
-        self.tell(self.members.heard(self.clock(), sender, word))
+    def on_membership_message(self, sender: int, word: Ping | Ack | Ask) -> None:
+        self.carry_out_membership(self.membership.heard(self.clock(), sender, word))
 
-    def votes(self, sender: int, word: Stand | Vote | Quit) -> None:
+    def on_election_message(self, sender: int, word: Stand | Vote | Quit) -> None:
         now = self.clock()
-        self.say(self.office.heard(now, sender, word))
-        for room in self.rooms:
-            room.voted(now)
+        self.send(self.election.heard(now, sender, word))
+        for room in self.services:
+            room.on_election_change(now)
 
-    def tell(self, actions: Iterable[membership.Send | membership.Changed]) -> None:
+    def carry_out_membership(self, actions: Iterable[membership.Send | membership.Changed]) -> None:
         for a in actions:
             if isinstance(a, membership.Changed):
                 log.info("steward", number=a.member, state=STATES[a.state])
             else:
-                self.door.say(a.to, a.word)
+                self.dispatcher.send(a.to, a.word)
 
-    def say(self, actions: Iterable[Send]) -> None:
+    def send(self, actions: Iterable[Send]) -> None:
         for a in actions:
-            self.door.say(a.to, a.word)
+            self.dispatcher.send(a.to, a.word)
 
-    def figures(self) -> None:
+    def update_metrics(self) -> None:
         """For the page of metrics."""
-        m, o = self.members, self.office
-        self.metrics.stewards.set(len(m.alive()))
-        self.metrics.divider.set(-1 if o.holder[0] is None else o.holder[0])
-        self.metrics.shared_refused.set(m.refused + o.refused + sum(room.refused for room in self.rooms))
-        for room in self.rooms:
-            room.figures()
-
-    def page(self) -> dict[str, Any]:
+        m, o = self.membership, self.election
+        self.metrics.controllers_alive.set(len(m.alive()))
+        self.metrics.quota_leader.set(-1 if o.holder[0] is None else o.holder[0])
+        self.metrics.rejected_peer_messages.set(m.refused + o.refused + sum(room.rejected for room in self.services))
+        for room in self.services:
+            room.update_metrics()
+
+    def status(self) -> dict[str, Any]:
         """For the door."""
-        m, now = self.members, self.clock()
+        m, now = self.membership, self.clock()
         states = {str(n): STATES[m.state(n)] for n in sorted([m.me, *m.table])}
         return {
             "stewards": states,
             **({"tasks": self.tasks.core.page(now)} if self.tasks else {}),
-            **({"pins": self.pins.page()} if self.pins else {}),
-            **({"waiting": self.waiting.page()} if self.waiting else {}),
+            **({"pins": self.pinning.status()} if self.pinning else {}),
+            **({"waiting": self.scheduling.status()} if self.scheduling else {}),
             **({"records": self.records.fleet.page()} if self.records else {}),
         }
 
     def reload(self, c: ControllerConfig) -> None:
-        for room in (self.budgets, self.pins):
+        for room in (self.quota, self.pinning):
             if room:
                 room.reload(c)
 
@@ -220,13 +232,13 @@
         if self.timer:
             self.timer.cancel()
         now = self.clock()
-        for room in self.rooms:
+        for room in self.services:
             if not handed_over:
-                self.say(room.leave(now))
+                self.send(room.leave(now))
             room.close()
         if not handed_over:
-            self.say(self.office.leave(now))
-            self.tell(self.members.leave(now))
+            self.send(self.election.leave(now))
+            self.carry_out_membership(self.membership.leave(now))
             if self.keeper:
                 self.keeper.leave()
         if self.keeper:
--- a/corallanding/controller/components.py
+++ b/corallanding/controller/components.py
@@ -22,22 +22,22 @@
 from ..health_check.prober import Prober
 from ..load_reports.feed import Feed
 from ..store import Life, SqliteStore, Store
-from ..telemetry import Gate, Metrics
+from ..telemetry import Metrics, RateLimitedLogger
 from ..wire import frames
 from ..wire.link import Limits
 from . import engine as core
 from .acceptor import Listener
-from .cluster import Shared
+from .cluster import Cluster
 from .event_inbox import Decider
 from .join_admission import Joins
-from .peer_dispatch import PeerDoor
+from .peer_dispatch import PeerDispatcher
 from .peer_transport import Peers
 from .proxy_protocol import LinkProtocol
 from .recorder import Recorder
 from .recovery import StewardState
 
 if TYPE_CHECKING:
-    from ..admin.http_server import Door
+    from ..admin.http_server import AdminServer
     from ..registry.table_store import Keeper
 
 ORIGIN = 1e9  # ms: where the clock begins, so that a start "long ago" (0) lies further back than any setting
@@ -74,7 +74,7 @@
     engine: core.Engine
     listener: Listener
     roster: Source
-    door: Door
+    admin_server: AdminServer
 
     def __init__(
         self,
@@ -89,7 +89,7 @@
         """monotonic, wall: s."""
         self.config, self.path, self.decider, self.wall = config, path, decider, wall
         self.clock, self.metrics = Clock(monotonic), Metrics()
-        self.gate = Gate(self.clock)
+        self.rate_limited_log = RateLimitedLogger(self.clock)
         self.limits = link_limits(config)
         self.settings = assigner_settings(config)
         self.store: Store = store or SqliteStore(config.store.path, config.store.sync)
@@ -141,8 +141,8 @@
         self.log_number = 0
         self.state_task: asyncio.Task[None] | None = None
         self.watched_at = self.spent = 0.0
-        self.peer_door: PeerDoor | None = None
-        self.shared: Shared | None = None  # only where budgets or tasks are configured
+        self.peer_dispatcher: PeerDispatcher | None = None
+        self.cluster: Cluster | None = None  # only where budgets or tasks are configured
         self.listed = False  # a list newer than the saved one has come in this life
 
     # ---- what rooms ask of one another -------------------------------------------------------------------
--- a/corallanding/controller/config_reload.py
+++ b/corallanding/controller/config_reload.py
@@ -72,8 +72,8 @@
     s.prober.timeout, s.prober.most_in_flight = p.timeout_ms, p.most_in_flight
     s.prober.most_waiting = p.most_waiting
     if d := s.config.door:
-        s.door.connections_most, s.door.header_most = d.connections_most, d.header_most_bytes
-        s.door.within = d.request_within_ms
-    if s.shared:
-        s.shared.reload(s.config)
+        s.admin_server.max_connections, s.admin_server.max_header_bytes = d.connections_most, d.header_most_bytes
+        s.admin_server.request_timeout_ms = d.request_within_ms
+    if s.cluster:
+        s.cluster.reload(s.config)
     log.info("reloaded", taken=taken, needs_restart=[k for k in changed if k not in taken])
--- a/corallanding/controller/daemon.py
+++ b/corallanding/controller/daemon.py
@@ -10,24 +10,24 @@
 import socket
 from collections.abc import Sequence
 
-from ..admin.http_server import Door
+from ..admin.http_server import AdminServer
 from ..assignment import Assigner
 from ..endpoints.endpoint_list import loopback
 from ..snapshot import marks
 from ..telemetry import log
 from . import engine as core
 from .acceptor import descriptors
-from .cluster import Shared
+from .cluster import Cluster
 from .components import ORIGIN, Clock
 from .config_reload import reload
 from .decision_loop import Turning
-from .fleet_view import Sight
+from .fleet_view import FleetView
 from .handover import Passing
 from .handover_state import Handed
 from .host_sources import Hosts
 from .inherited_sockets import Given
 from .overload import Limits as OverloadLimits
-from .peer_dispatch import PeerDoor
+from .peer_dispatch import PeerDispatcher
 from .peer_transport import Peers
 from .persistence import Keeping
 from .proxy_connections import Joining
@@ -52,7 +52,7 @@
         life = self.store.open()
         s, c = self.config.slices, self.config
         charge = range(s.first, s.count if s.last is None else s.last + 1)
-        shared = c.registry is not None and c.registry.charge
+        has_slice_leases = c.registry is not None and c.registry.charge
         if handed:
             state, self.clock.zero, self.log_number = None, handed.state.zero, handed.state.log
             self.stepped_at = self.clock()
@@ -63,12 +63,12 @@
             self.settings,
             self.seed(life.number),
             life,
-            () if shared else charge,
+            () if has_slice_leases else charge,
             self.view.addresses,
             self.decider,
             OverloadLimits(c.steward.late_ms, c.steward.busy_share, c.steward.put_off_most_ms),
         )
-        self.engine.recall_until = now + c.forwarders.silence_ms * 2 if not shared else now - 1.0
+        self.engine.recall_until = now + c.forwarders.silence_ms * 2 if not has_slice_leases else now - 1.0
         self.engine.gather.keys_most = c.reports.keys_most
         saved = self.view.restore(now, wall, life.roster_version, life.roster, life.addresses, life.starts)
         self.engine.addresses = self.view.addresses
@@ -93,7 +93,7 @@
             if not revived:
                 self.drop_logs(2**63)  # of a life that nothing is left of
             self.keep_state()
-        self.metrics.store_well.set(1)
+        self.metrics.store_writable.set(1)
         # What the channel holds is for links that do not stand yet: nothing is said before all of them do.
         self.paused = handed is not None
         self.roster = self.make_source()
@@ -110,15 +110,17 @@
                 "/tables": self.tables_page,
                 "/stewards": self.stewards_page,
             }
-            self.door = Door(routes, c.door.connections_most, c.door.header_most_bytes, c.door.request_within_ms)
+            self.admin_server = AdminServer(
+                routes, c.door.connections_most, c.door.header_most_bytes, c.door.request_within_ms
+            )
             host, port = loopback(c.door.listen)
             if sock := given.listening(host, port):
-                self.servers.append(await loop.create_server(self.door, sock=sock))
+                self.servers.append(await loop.create_server(self.admin_server, sock=sock))
             else:
-                self.servers.append(await loop.create_server(self.door, host, port))
+                self.servers.append(await loop.create_server(self.admin_server, host, port))
         if c.steward.peer_listen:
             where = given.listening(*loopback(c.steward.peer_listen), socket.SOCK_DGRAM)
-            me, dropped = c.steward.number, self.metrics.peer_drops.inc
+            me, dropped = c.steward.number, self.metrics.dropped_peer_datagrams.inc
             self.peers = Peers(me, c.steward.peer_listen, c.steward.peers, self.peer_said, dropped, where)
         self.open_shared()
         if c.load_reports:
@@ -127,7 +129,7 @@
         self.roster.start()
         if revived and self.settings.polls_host_list:
             self.roster.follow(True)
-        if c.registry and shared:
+        if c.registry and has_slice_leases:
             self.keeper = self.make_keeper(c.registry, charge)
             self.keeper.start()
         if c.steward.control:
@@ -142,8 +144,8 @@
                 self.engine.leave(now, f)
             for f in self.forwarders:
                 self.channel.block(f, False)  # nothing of ours waits in their sockets
-                if self.shared:
-                    self.shared.joined(f)
+                if self.cluster:
+                    self.cluster.on_proxy_joined(f)
             self.paused = False
             self.admit()
             self.pump()
@@ -167,14 +169,21 @@
         if not (c.budget or c.task or c.task_group):
             return
         say = lambda to, data: self.peers.say(to, data) if self.peers else None  # noqa: E731
-        self.peer_door = PeerDoor(say, self.metrics.peer_drops.inc)
+        self.peer_dispatcher = PeerDispatcher(say, self.metrics.dropped_peer_datagrams.inc)
         keeper = self.office_keeper(c.registry) if c.registry and c.budgets.office == "registry" else None
-        self.shared = Shared(
-            c, self.peer_door, self.clock, lambda: self.paused, self.metrics, self.gate, Sight(self), keeper
+        self.cluster = Cluster(
+            c,
+            self.peer_dispatcher,
+            self.clock,
+            lambda: self.paused,
+            self.metrics,
+            self.rate_limited_log,
+            FleetView(self),
+            keeper,
         )
-        if self.shared.budgets and isinstance(self.engine.module, Assigner):
-            self.engine.module.orders.may = self.shared.budgets.may
-        self.shared.start()
+        if self.cluster.quota and isinstance(self.engine.module, Assigner):
+            self.engine.module.orders.may = self.cluster.quota.may_begin
+        self.cluster.start()
 
     async def retire(self) -> None:
         """A planned end: slices go to the other stewards first, as long as the settings wait for it."""
@@ -197,7 +206,7 @@
         for link in list(self.links):
             link.end("stopping")
         if self.config.door:
-            self.door.close()
+            self.admin_server.close()
         self.roster.stop()
         self.prober.stop()
         if self.feed:
@@ -206,9 +215,9 @@
             self.ending = asyncio.get_running_loop().create_task(self.keeper.stop())
         if self.writing:
             self.writing.cancel()
-        if self.shared:
-            self.shared.close(self.handed_over)
-            self.shared = None
+        if self.cluster:
+            self.cluster.close(self.handed_over)
+            self.cluster = None
         if self.peers:
             self.peers.close()
         for handle in (self.timer, self.pump_timer, self.admitting):
--- a/corallanding/controller/decision_loop.py
+++ b/corallanding/controller/decision_loop.py
@@ -35,7 +35,7 @@
     def step(self) -> None:
         begun = self.clock()
         self.spent = 0.0
-        self.metrics.late.observe(max(0.0, begun - self.timer_at) / 1000.0)
+        self.metrics.step_delay_seconds.observe(max(0.0, begun - self.timer_at) / 1000.0)
         self.timer, self.timer_at, self.stepped_at = None, float("inf"), begun
         self.engine.store_waits = begun < self.store_again
         try:
@@ -86,10 +86,10 @@
             self.carry_out(begun, output)
         ended = self.clock()
         self.engine.overload.stepped(ended, self.spent + ended - resumed)
-        self.metrics.step.observe((ended - begun) / 1000.0)
-        self.metrics.unsaved.set(len(self.engine.unsaved))
-        self.metrics.dropped_sums.set(self.engine.gather.dropped)
-        self.metrics.discarded.set(self.engine.discarded)
+        self.metrics.step_seconds.observe((ended - begun) / 1000.0)
+        self.metrics.unsaved_tables.set(len(self.engine.unsaved))
+        self.metrics.dropped_usage_rows.set(self.engine.gather.dropped)
+        self.metrics.discarded_orders.set(self.engine.discarded)
         self.pump()
         self.wake()
         if not self.working_ahead:
@@ -114,7 +114,7 @@
         except Overrun as over:
             for forwarder in over.forwarders:
                 if link := self.forwarders.get(forwarder):
-                    self.gate.warn("link cut off", forwarder=forwarder, why="the channel is full")
+                    self.rate_limited_log.warn("link cut off", forwarder=forwarder, why="the channel is full")
                     link.end("overrun", "the channel is full: read the store")
 
     def carry_out(self, now: float, output: core.Output) -> None:
@@ -122,8 +122,8 @@
             case core.Send():
                 self.queue(now, output)
             case core.ProbeHost():
-                budgets = self.shared.budgets if self.shared else None
-                if budgets and not budgets.may("probes", output.host, True):
+                budgets = self.cluster.quota if self.cluster else None
+                if budgets and not budgets.may_begin("probes", output.host, True):
                     # Others ask it already: for the module one that says neither good nor bad.
                     self.probed(api.HealthCheckResult(output.host, api.HealthCheckOutcome.FULL))
                 elif output.address:
--- a/corallanding/controller/fleet_view.py
+++ b/corallanding/controller/fleet_view.py
@@ -13,7 +13,7 @@
 from .proxy_protocol import LinkProtocol
 
 
-class Shows(Protocol):
+class FleetSource(Protocol):
     """What the steward must show."""
 
     config: ControllerConfig
@@ -27,13 +27,13 @@
     def submit(self, data: bytes, lines: int, to: tuple[int, ...]) -> None: ...
 
 
-class Sight:
-    def __init__(self, steward: Shows) -> None:
-        self.s = steward
+class FleetView:
+    def __init__(self, steward: FleetSource) -> None:
+        self.controller = steward
 
-    def servers(self) -> dict[int, Server]:
+    def hosts(self) -> dict[int, Server]:
         """Every listed host, by number."""
-        s, r = self.s, self.s.config.rules
+        s, r = self.controller, self.controller.config.rules
         now, shut = s.clock(), s.engine.state.cordons | s.engine.going
         used = {h for lines in s.engine.state.tables.values() for h in lines}
         out = {}
@@ -44,34 +44,34 @@
             out[h] = Server(h, e.weight, able, sound, s.view.versions.get(h, {}), h in used)
         return out
 
-    def stamp(self) -> tuple[int, int, int]:
+    def change_stamp(self) -> tuple[int, int, int]:
         """Changes whenever tables, the charge or the list do."""
-        return self.s.engine.seq, self.s.view.version, len(self.s.engine.charge)
+        return self.controller.engine.seq, self.controller.view.version, len(self.controller.engine.charge)
 
     def tables(self) -> Mapping[int, Mapping[int, float]]:
         """Of the slices in our charge."""
-        state, charge = self.s.engine.state, self.s.engine.charge
+        state, charge = self.controller.engine.state, self.controller.engine.charge
         return {t: lines for t, lines in state.tables.items() if t in charge}
 
     def addresses(self, hosts: set[int]) -> dict[int, str]:
-        at = self.s.engine.addresses
+        at = self.controller.engine.addresses
         return {h: at[h] for h in sorted(hosts) if h in at}
 
-    def speakers(self, part: int) -> list[int]:
+    def proxies_speaking(self, part: int) -> list[int]:
         """Forwarders that are joined and speak this part of the protocol."""
-        links = self.s.forwarders.items()
+        links = self.controller.forwarders.items()
         return [f for f, x in links if x.joined and not x.over and x.link.hello and x.link.hello.parts & part]
 
-    def session(self, forwarder: int) -> str | None:
+    def session_name(self, forwarder: int) -> str | None:
         """The name of its process."""
-        link = self.s.forwarders.get(forwarder)
+        link = self.controller.forwarders.get(forwarder)
         return link.link.hello.session if link and link.link.hello else None
 
-    def tell(self, forwarder: int, frame: frames.Frame) -> None:
+    def reply(self, forwarder: int, frame: frames.Frame) -> None:
         """An answer to what it asked: to this one at once. Lost if it is gone: it asks again."""
-        if (link := self.s.forwarders.get(forwarder)) and link.joined:
+        if (link := self.controller.forwarders.get(forwarder)) and link.joined:
             link.send(frames.encode(frame))
 
     def publish(self, frame: frames.Frame, lines: int, to: list[int]) -> None:
         """Paced and counted like any order."""
-        self.s.submit(frames.encode(frame), lines, tuple(to))
+        self.controller.submit(frames.encode(frame), lines, tuple(to))
--- a/corallanding/controller/handover.py
+++ b/corallanding/controller/handover.py
@@ -45,7 +45,7 @@
             marks.put(self.loaded.ranks, ranked)
         self.loaded = None
         self.listed, self.factors = True, dict(h.factors)
-        self.metrics.factors.set(len(self.factors))
+        self.metrics.lowered_weights.set(len(self.factors))
 
     async def pause(self) -> None:
         """Say nothing and hear nothing from here on; what was written has left, or its link ends."""
@@ -86,8 +86,8 @@
         self.keep_roster()
         self.store.close()
         self.store_shut = True
-        if self.shared:
-            self.shared.let_go()
+        if self.cluster:
+            self.cluster.release_files()
 
     def take_back(self) -> None:
         """Nothing came of the handover. Raises `StoreHeld` if the store is another's; one that cannot be opened, as on
@@ -95,8 +95,8 @@
         if not self.store_shut:
             self.resume()
             return
-        if self.shared:
-            self.shared.take_back()
+        if self.cluster:
+            self.cluster.reopen_files()
         try:
             life = self.store.open()
         except StoreHeld:
@@ -171,11 +171,11 @@
 
     async def turn_to_upgrade(self) -> float:
         """One steward of the fleet at a time, where `task "upgrade"` says so: ms that it waited, below 0 if in vain."""
-        tasks, begun = self.shared.tasks if self.shared else None, self.clock()
+        tasks, begun = self.cluster.tasks if self.cluster else None, self.clock()
         if tasks is None or UPGRADE not in tasks.core.tasks.by_name:
             return 0.0
-        while not tasks.begin_for(UPGRADE):
-            if self.clock() - begun > self.config.tasks.wait_most_ms or self.shared is None:
+        while not tasks.begin_act_on(UPGRADE):
+            if self.clock() - begun > self.config.tasks.wait_most_ms or self.cluster is None:
                 return -1.0
             await asyncio.sleep(0.02)
         return max(1.0, self.clock() - begun)
@@ -193,8 +193,8 @@
                 why = await self.upgrade([w.strip() for w in words[1:]] or None) if waited >= 0 else "no turn came"
                 after = f" after {waited / 1000.0:.1f} s for its turn" if waited > 0 else ""
                 answer = f"failed: {why}" if why else f"ok{after}: handed over to process {self.successor}"
-                if self.shared and self.shared.tasks:
-                    self.shared.tasks.give_back(UPGRADE)
+                if self.cluster and self.cluster.tasks:
+                    self.cluster.tasks.release_task(UPGRADE)
             writer.write(answer.encode() + b"\n")
             await writer.drain()
         except (OSError, TimeoutError):
--- a/corallanding/controller/host_sources.py
+++ b/corallanding/controller/host_sources.py
@@ -98,7 +98,7 @@
         self.wake()
 
     def said(self, text: str) -> None:
-        self.gate.warn("registry", why=text)
+        self.rate_limited_log.warn("registry", why=text)
 
     def make_feed(self, c: LoadReportsBlock) -> Feed:
         """Raises OSError if the key cannot be read, or the libraries are not there."""
@@ -131,7 +131,7 @@
             return  # before the first list of this life the module would take the change for that list
         before, self.factors = self.factors, self.feed.worth.factors()
         event = changes(self.view.entries, self.view.version, before, self.factors)
-        self.metrics.factors.set(len(self.factors))
+        self.metrics.lowered_weights.set(len(self.factors))
         if event:
             log.info("load factors", factors={str(h): round(f, 3) for h, f in self.factors.items()})
             self.engine.event(self.clock(), event)
@@ -142,16 +142,16 @@
         before = dict(self.view.addresses)
         event = self.view.take(now, self.wall() * 1000.0, full, version, rows)
         for text in self.view.bad:
-            self.metrics.bad_rows.inc()
-            self.gate.warn("roster entry left out", why=text)
-        self.metrics.roster_version.set(version)
-        self.metrics.hosts.set(len(self.view.entries))
+            self.metrics.rejected_host_entries.inc()
+            self.rate_limited_log.warn("roster entry left out", why=text)
+        self.metrics.host_list_version.set(version)
+        self.metrics.hosts_listed.set(len(self.view.entries))
         moved = [h for h, a in self.view.addresses.items() if before.get(h, a) != a]
         if moved:
             self.engine.readdress(moved)
         self.listed = True
-        if self.shared and self.shared.budgets:
-            self.shared.budgets.newly_listed(now, self.view.entries.values())
+        if self.cluster and self.cluster.quota:
+            self.cluster.quota.on_hosts_listed(now, self.view.entries.values())
         if self.feed:
             self.feed.listed(self.view.entries, self.view.starts, self.settings.warm_up_ms)
             self.factors = self.feed.worth.factors()
@@ -161,8 +161,8 @@
         self.wake()
 
     def roster_failed(self, why: str) -> None:
-        self.metrics.roster_faults.inc()
-        self.gate.warn("roster failed", why=why)
+        self.metrics.host_source_failures.inc()
+        self.rate_limited_log.warn("roster failed", why=why)
         if self.settings.polls_host_list:
             self.engine.event(self.clock(), api.HostListUpdate(api.HostListKind.FAILED, self.view.version))
             self.wake()
@@ -176,17 +176,17 @@
             self.store.keep_roster(self.view.version, entries, self.view.addresses, self.view.starts)
             self.roster_dirty = False
         except StoreFault as fault:
-            self.gate.warn("list not kept", why=str(fault))
+            self.rate_limited_log.warn("list not kept", why=str(fault))
 
     def probed(self, e: api.HealthCheckResult) -> None:
-        self.metrics.probes.labels(e.outcome.value).inc()
+        self.metrics.health_checks.labels(e.outcome.value).inc()
         self.engine.event(self.clock(), e)
         self.wake()
 
     def peer_said(self, sender: int, payload: bytes) -> None:
         if payload[:1] == SHARED:
-            if self.peer_door:
-                self.peer_door.heard(sender, payload[1:])
+            if self.peer_dispatcher:
+                self.peer_dispatcher.on_datagram(sender, payload[1:])
             return
         self.engine.event(self.clock(), api.PeerMessage(sender, payload))
         self.wake()
--- a/corallanding/controller/persistence.py
+++ b/corallanding/controller/persistence.py
@@ -84,14 +84,14 @@
         try:
             fresh = Recorder(self.log_path(number), self.settings, state.module.seed, c.log_most_mb * 1e6, True)
         except OSError as fault:
-            self.gate.warn("snapshot not kept", why=str(fault))
+            self.rate_limited_log.warn("snapshot not kept", why=str(fault))
             return
         if self.steps_log:
             self.steps_log.close()
         self.steps_log, self.log_number = fresh, number
         data = snapshots.pack(state)
         self.metrics.snapshot_bytes.set(len(data))
-        self.metrics.snapshot.observe((self.clock() - begun) / 1000.0)
+        self.metrics.snapshot_seconds.observe((self.clock() - begun) / 1000.0)
         self.state_task = loop.create_task(self.write_state(c.snapshot_path, data, number))
 
     def state(self, log: int) -> StewardState | None:
@@ -107,7 +107,7 @@
         try:
             await asyncio.get_running_loop().run_in_executor(None, work)
         except OSError as fault:
-            self.gate.warn("snapshot not kept", why=str(fault))
+            self.rate_limited_log.warn("snapshot not kept", why=str(fault))
 
     def keep(self, now: float, writes: core.Writes) -> bool:
         """Write to the store; false while it does not take it."""
@@ -164,20 +164,20 @@
 
     def shared_fault(self, why: str) -> None:
         self.store_failed(self.clock(), why, self.store_faults + 1)
-        self.gate.warn("registry does not write; tables go out unsaved", why=why)
+        self.rate_limited_log.warn("registry does not write; tables go out unsaved", why=why)
 
     def store_failed(self, now: float, why: str, tries: int) -> None:
         """Tries again with a growing, capped wait."""
         s = self.config.store
         wait = min(s.retry_most_ms, s.retry_ms * 2 ** min(tries, 20))
         self.store_faults, self.store_again, self.store_fault = self.store_faults + 1, now + wait, why
-        self.metrics.store_faults.inc()
-        self.metrics.store_well.set(0)
+        self.metrics.store_failures.inc()
+        self.metrics.store_writable.set(0)
         asyncio.get_running_loop().call_later(wait / 1000.0 + 0.002, self.retry_store)
 
     def store_mended(self) -> None:
         self.store_faults, self.store_fault = 0, ""
-        self.metrics.store_well.set(1)
+        self.metrics.store_writable.set(1)
 
     def retry_store(self) -> None:
         if self.store_shut and not self.paused and not self.open_again():
--- a/corallanding/controller/pinning_service.py
+++ b/corallanding/controller/pinning_service.py
@@ -16,41 +16,46 @@
 from ..version_pinning.routes import NoHost, Routes, Row
 from ..version_pinning.version_selection import Server, strength
 from ..wire import frames
-from .action_journal import Witness
-from .fleet_view import Sight
-from .record_service import RecordRoom
+from .action_journal import ActionJournal
+from .fleet_view import FleetView
+from .record_service import RecordService
 
 PART = 1  # of the protocol, in a forwarder's hello
 SAID = ("not-now", "pinned", "over", "full")
 
 
-def key_of(name: str) -> int:
+def record_key_of(name: str) -> int:
     """The number of a run, a job, a session: not 0, the same at all stewards."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big") >> 1 or 1
 
 
-def pin_terms(c: ControllerConfig) -> PinTerms:
+def pinning_limits(c: ControllerConfig) -> PinTerms:
     assert c.pins is not None
     return PinTerms(c.pins.run_most_ms, c.budgets.drift, c.pins.settle_ms, c.pins.begins_per_s)
 
 
-class PinRoom:
+class PinningService:
     """may_cold: whether a cold host may take a slice more."""
 
-    kinds: tuple[type, ...] = (Settled, Tally, Tallied)
-    sound = staticmethod(sound)
+    message_types: tuple[type, ...] = (Settled, Tally, Tallied)
+    is_valid = staticmethod(sound)
 
     def __init__(
-        self, c: ControllerConfig, records: RecordRoom, metrics: Metrics, sight: Sight, may_cold: Callable[[int], bool]
+        self,
+        c: ControllerConfig,
+        records: RecordService,
+        metrics: Metrics,
+        sight: FleetView,
+        may_cold: Callable[[int], bool],
     ) -> None:
         assert c.pins is not None
-        self.records, self.metrics, self.sight = records, metrics, sight
+        self.records, self.metrics, self.fleet_view = records, metrics, sight
         self.publish_ms, self.operations = c.pins.publish_ms, tuple(c.operation)
         self.strong: dict[int, float] = {}
         self.servers: dict[int, Server] = {}
         sets = {r.number: dict(r.versions) for r in c.release.values()}
         self.core = pins_on(
-            records.fleet, pin_terms(c), sets, c.pins.current, lambda s: self.strong.get(s, 0.0), self.said
+            records.fleet, pinning_limits(c), sets, c.pins.current, lambda s: self.strong.get(s, 0.0), self.said
         )
         carries = {r.number: r.carries for r in c.release.values()}
         no_host = {
@@ -65,7 +70,7 @@
         self.cold = False
         self.asks: dict[int, tuple[int, int, str]] = {}  # question: forwarder, its own number, run
         self.allowances = Allowances(records.fleet.asking.others, c.budgets.words_per_s, records.clock())
-        self.refused = 0
+        self.rejected = 0
         records.listeners.append(self.answer)
 
     def said(self, text: str) -> None:
@@ -73,11 +78,11 @@
 
     # ---- what forwarders ask -------------------------------------------------------------------------------
 
-    def frame(self, forwarder: int, frame: frames.Enter) -> None:
+    def on_proxy_frame(self, forwarder: int, frame: frames.Enter) -> None:
         client = frame.client or str(forwarder)
-        number = self.core.enter(self.records.clock(), key_of(frame.run), client, frame.ended)
+        number = self.core.enter(self.records.clock(), record_key_of(frame.run), client, frame.ended)
         self.asks[number] = (forwarder, frame.ask, frame.run)
-        self.records.soon()
+        self.records.schedule_queries()
 
     def answer(self) -> None:
         for told in self.core.answers():
@@ -90,53 +95,53 @@
         if what == PINNED and known is None:
             what = 0  # a set that is not configured here: others may know it
         rows = [(n, known[name]) for n, name in enumerate(self.operations)] if known else []
-        self.metrics.pins_told.labels(SAID[what]).inc()
+        self.metrics.run_answers.labels(SAID[what]).inc()
         asking = self.core.asking
-        self.records.witness.write("told", Witness.now(), asking.me, asking.life, run, SAID[what], number)
-        self.sight.tell(forwarder, frames.Pinned(ask, SAID[what], number, rows, self.register))
+        self.records.journal.write("told", ActionJournal.now(), asking.me, asking.life, run, SAID[what], number)
+        self.fleet_view.reply(forwarder, frames.Pinned(ask, SAID[what], number, rows, self.register))
 
     # ---- what peers say ------------------------------------------------------------------------------------
 
-    def heard(self, sender: int, word: Settled | Tally | Tallied) -> None:
+    def on_message(self, sender: int, word: Settled | Tally | Tallied) -> None:
         now = self.records.clock()
         if self.allowances.take(sender, now):
-            self.records.carry(self.records.fleet.after(now, list(self.core.heard(now, sender, word))))
+            self.records.carry_out(self.records.fleet.after(now, list(self.core.heard(now, sender, word))))
         else:
-            self.refused += 1
+            self.rejected += 1
 
-    def voted(self, now: float) -> None:
+    def on_election_change(self, now: float) -> None:
         """Nothing of ours changes with a vote."""
 
     # ---- by time -------------------------------------------------------------------------------------------
 
-    def tick(self, now: float, alive: Iterable[int], wall: float) -> None:
+    def on_tick(self, now: float, alive: Iterable[int], wall: float) -> None:
         """Before the records' tick."""
         if now - self.planned_at >= self.publish_ms:
             self.planned_at = now
             self.plan()
-        self.records.due += self.core.tick(now)
+        self.records.due_actions += self.core.tick(now)
 
     def plan(self) -> None:
         """Routes of all sets that live, told where they have changed."""
-        register, to = self.core.releases.register, self.sight.speakers(PART)
-        stamp = (*self.sight.stamp(), register, tuple(to))
+        register, to = self.core.releases.register, self.fleet_view.proxies_speaking(PART)
+        stamp = (*self.fleet_view.change_stamp(), register, tuple(to))
         if stamp == self.stamp and not self.cold:
             return  # tables, list and register as they were, and nobody is warming up
-        servers = self.servers = self.sight.servers()
+        servers = self.servers = self.fleet_view.hosts()
         self.stamp, self.cold = stamp, any(s.able < 1.0 for s in servers.values())
         self.strong = {s: strength(v, servers.values()) for s, v in self.core.sets.items()}
         if register is None:
             return
-        rows = self.routes.plan(register.alive, self.sight.tables(), servers)
+        rows = self.routes.plan(register.alive, self.fleet_view.tables(), servers)
         for number in sorted({*rows, *self.rows}):
             new = rows.get(number, [])
             if to and (self.rows.get(number) != new or register.alive != self.alive):
-                self.sight.publish(self.frame_of(number, new, register.alive), max(1, len(new)), to)
+                self.fleet_view.publish(self.frame_of(number, new, register.alive), max(1, len(new)), to)
         self.rows, self.alive = rows, register.alive
 
     def frame_of(self, number: int, rows: list[Row], alive: tuple[int, ...]) -> frames.Routes:
         named = {h for row in rows for h, _ in row[3]}
-        return frames.Routes(number, list(rows), self.sight.addresses(named), list(alive), self.register)
+        return frames.Routes(number, list(rows), self.fleet_view.addresses(named), list(alive), self.register)
 
     @property
     def register(self) -> int:
@@ -144,11 +149,11 @@
         register = self.core.releases.register
         return register.version if register else 0
 
-    def joined(self, forwarder: int) -> None:
+    def on_proxy_joined(self, forwarder: int) -> None:
         """It has its tables; routes of runs come right behind them."""
-        if forwarder in self.sight.speakers(PART):
+        if forwarder in self.fleet_view.proxies_speaking(PART):
             for number, rows in self.rows.items():
-                self.sight.tell(forwarder, self.frame_of(number, rows, self.alive))
+                self.fleet_view.reply(forwarder, self.frame_of(number, rows, self.alive))
 
     def served(self, number: int, operation: str) -> bool:
         """Whether some sound host serves that set's version of the operation."""
@@ -157,10 +162,10 @@
 
     # ---- what is shown -------------------------------------------------------------------------------------
 
-    def figures(self) -> None:
-        self.metrics.pins_stranded.set(self.routes.stranded)
+    def update_metrics(self) -> None:
+        self.metrics.routes_without_host.set(self.routes.stranded)
 
-    def page(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         return {**self.core.page(), "stranded_rows": self.routes.stranded, "carried_rows": self.routes.carried}
 
     def reload(self, c: ControllerConfig) -> None:
--- a/corallanding/controller/proxy_connections.py
+++ b/corallanding/controller/proxy_connections.py
@@ -18,7 +18,7 @@
 
     def make_listener(self, host: str, port: int, given: socket.socket | None) -> Listener:
         rate = self.config.forwarders.accepts_per_s
-        said = lambda why: self.gate.warn("link not taken", why=why)  # noqa: E731
+        said = lambda why: self.rate_limited_log.warn("link not taken", why=why)  # noqa: E731
         return Listener(host, port, 1024, rate, lambda: LinkProtocol(self), said, given)
 
     def pump(self) -> None:
@@ -35,11 +35,11 @@
                 continue
             link.send(message.frame)
         m = self.metrics
-        m.waiting.set(self.channel.waiting)
-        m.most_waiting.set(self.channel.most)
-        m.lines.inc(self.channel.lines_sent)
-        m.messages.inc(self.channel.messages_sent)
-        m.overtaken.inc(self.channel.overtaken)
+        m.channel_queued_lines.set(self.channel.waiting)
+        m.channel_max_queued_lines.set(self.channel.most)
+        m.lines_sent.inc(self.channel.lines_sent)
+        m.messages_sent.inc(self.channel.messages_sent)
+        m.orders_overtaken.inc(self.channel.overtaken)
         self.channel.lines_sent = self.channel.messages_sent = self.channel.overtaken = 0
         if self.pump_timer:
             self.pump_timer.cancel()
@@ -58,7 +58,7 @@
                 # The link has checked it and knows since when the mark was out.
                 number, at = link.link.acks.popleft()
                 self.engine.event(now, api.VersionAcked(link.forwarder, number, now - at))
-                self.metrics.ack.observe((now - at) / 1000.0)
+                self.metrics.ack_seconds.observe((now - at) / 1000.0)
             case frames.Sums() if link.joined:
                 self.engine.sums(now, link.forwarder, frame)
             case frames.Read():
@@ -71,8 +71,8 @@
                 self.join(link)
             case frames.Bye():
                 link.end("bye")
-            case _ if link.joined and self.shared:
-                self.shared.frame(link.forwarder, frame)
+            case _ if link.joined and self.cluster:
+                self.cluster.on_proxy_frame(link.forwarder, frame)
         self.wake()
 
     def takes(self, link: LinkProtocol, takes: bool) -> None:
@@ -92,7 +92,7 @@
         former = self.forwarders.get(hello.forwarder)
         if former and former.link.hello and former.link.hello.session != hello.session:
             # Two processes under one number: the one at work stays; silence takes it away soon enough.
-            self.gate.warn("forwarder number in use", forwarder=hello.forwarder)
+            self.rate_limited_log.warn("forwarder number in use", forwarder=hello.forwarder)
             link.end("number-in-use", "another process holds this number")
             return
         if former:
@@ -156,11 +156,11 @@
         self.channel.join(link.forwarder)
         self.channel.block(link.forwarder, link.paused)
         link.send(self.engine.join(now, hello))
-        self.metrics.reads.inc()
-        self.metrics.links.set(len(self.engine.joined))
+        self.metrics.table_reads.inc()
+        self.metrics.proxies.set(len(self.engine.joined))
         log.info("forwarder joined", forwarder=link.forwarder, zone=hello.zone, fresh=hello.fresh)
-        if self.shared:
-            self.shared.joined(link.forwarder)
+        if self.cluster:
+            self.cluster.on_proxy_joined(link.forwarder)
         self.wake()
 
     def gone(self, link: LinkProtocol) -> None:
@@ -173,10 +173,10 @@
             self.joins.forget(f)
             self.channel.leave(f)
             self.engine.leave(self.clock(), f)
-            self.metrics.links.set(len(self.engine.joined))
+            self.metrics.proxies.set(len(self.engine.joined))
             log.info("forwarder left", forwarder=f)
-            if self.shared:
-                self.shared.left(f)
+            if self.cluster:
+                self.cluster.on_proxy_left(f)
             self.wake()
 
     def watch_links(self) -> None:
@@ -186,8 +186,8 @@
         now, beat = self.clock(), self.config.forwarders.beat_ms
         late = max(0.0, now - self.watched_at - beat / 4.0)
         self.engine.overload.lagged(late)
-        self.metrics.lag.observe(late / 1000.0)
-        self.metrics.put_off.set(self.engine.overload.put_off)
+        self.metrics.loop_lag_seconds.observe(late / 1000.0)
+        self.metrics.deferred_turns.set(self.engine.overload.put_off)
         self.watched_at = now
         if self.engine.overload.strained != self.strained:
             self.strained = not self.strained
@@ -200,7 +200,7 @@
         data = frames.encode(frames.Beat(now))
         for link in () if self.paused else list(self.links):
             if why := link.link.overdue(now):
-                self.gate.warn("link closed", forwarder=link.forwarder, why=why)
+                self.rate_limited_log.warn("link closed", forwarder=link.forwarder, why=why)
                 link.end(why.replace(" ", "-"), why)
             elif link.joined and now - link.beat_at >= beat:
                 link.beat_at = now
--- a/corallanding/controller/proxy_protocol.py
+++ b/corallanding/controller/proxy_protocol.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from ..config import ControllerConfig
-    from ..telemetry import Gate, Metrics
+    from ..telemetry import Metrics, RateLimitedLogger
     from ..wire.link import Limits
     from .handover_state import LinkState
 
@@ -23,7 +23,7 @@
 
     config: ControllerConfig
     limits: Limits
-    gate: Gate
+    rate_limited_log: RateLimitedLogger
     metrics: Metrics
     links: dict[LinkProtocol, None]
     forwarders: dict[int, LinkProtocol]
@@ -79,7 +79,7 @@
         try:
             found = self.link.receive(self.steward.clock(), data)
         except LinkFault as fault:
-            self.steward.gate.warn("link fault", forwarder=self.forwarder, code=fault.code, why=str(fault))
+            self.steward.rate_limited_log.warn("link fault", forwarder=self.forwarder, code=fault.code, why=str(fault))
             self.end(fault.code, str(fault))
             return
         for frame in found:
@@ -96,7 +96,7 @@
             return False
         self.transport.write(data)
         if self.transport.get_write_buffer_size() > self.steward.limits.buffer_most:
-            self.steward.gate.warn("link cut off", forwarder=self.forwarder, why="it does not read")
+            self.steward.rate_limited_log.warn("link cut off", forwarder=self.forwarder, why="it does not read")
             self.end("not-reading", "")
             return False
         return True
@@ -116,7 +116,7 @@
         if self.over:
             return
         self.over = True
-        self.steward.metrics.closed.labels(code).inc()
+        self.steward.metrics.links_closed.labels(code).inc()
         if self.transport:
             if code in ("not-reading", "silent"):
                 self.transport.abort()
@@ -130,5 +130,5 @@
     def connection_lost(self, exc: Exception | None) -> None:
         if not self.over:
             self.over = True
-            self.steward.metrics.closed.labels("broken" if exc else "closed").inc()
+            self.steward.metrics.links_closed.labels("broken" if exc else "closed").inc()
             self.steward.gone(self)
--- a/corallanding/controller/quota_service.py
+++ b/corallanding/controller/quota_service.py
@@ -12,10 +12,10 @@
 from ..lease.election import Desk, Send
 from ..quota.messages import sound
 from ..telemetry import Metrics, log
-from .action_journal import Witness
+from .action_journal import ActionJournal
 
 
-def budgets_of(c: ControllerConfig) -> dict[str, quota.Budget]:
+def configured_quotas(c: ControllerConfig) -> dict[str, quota.Budget]:
     """What the configuration asks for, as the core knows it."""
     cold = c.rules.cold_ms
     return {
@@ -26,11 +26,11 @@
     }
 
 
-class Budgets:
+class QuotaService:
     """Raises OSError if the witness cannot be written."""
 
-    kinds: tuple[type, ...] = (quota.Want, quota.Give)
-    sound = staticmethod(sound)
+    message_types: tuple[type, ...] = (quota.Want, quota.Give)
+    is_valid = staticmethod(sound)
 
     def __init__(
         self,
@@ -39,16 +39,22 @@
         say: Callable[[Iterable[Send]], None],
         clock: Callable[[], float],
         metrics: Metrics,
-        gate: Any,
+        rate_limited_log: Any,
     ) -> None:
-        self.say, self.clock, self.metrics, self.gate, self.cold = say, clock, metrics, gate, c.rules.cold_ms
+        self.send, self.clock, self.metrics, self.rate_limited_log, self.warm_up_ms = (
+            say,
+            clock,
+            metrics,
+            rate_limited_log,
+            c.rules.cold_ms,
+        )
         b, o = c.budgets, office
         terms = quota.Terms(office=b.office_ms, drift=b.drift, lease=b.lease_ms, keys_most=b.keys_most)
         self.core = quota.Quota(
             o.me,
             o.others,
             (),
-            budgets_of(c),
+            configured_quotas(c),
             terms,
             o.life,
             clock(),
@@ -56,22 +62,22 @@
             words_per_s=b.words_per_s,
             chair=office,
         )
-        self.witness = Witness(b.witness)
-        self.since: float | None = None  # of the office, as last told
+        self.journal = ActionJournal(b.witness)
+        self.leader_since: float | None = None  # of the office, as last told
 
-    def tick(self, now: float, alive: Iterable[int], wall: float) -> None:
-        self.say(self.core.tick(now, alive))
-        if self.core.divider.since != self.since:  # it may have changed with a vote, between two ticks
-            self.since = self.core.divider.since
-            log.info("divides the budgets" if self.since else "divides no more")
+    def on_tick(self, now: float, alive: Iterable[int], wall: float) -> None:
+        self.send(self.core.tick(now, alive))
+        if self.core.divider.since != self.leader_since:  # it may have changed with a vote, between two ticks
+            self.leader_since = self.core.divider.since
+            log.info("divides the budgets" if self.leader_since else "divides no more")
 
-    def heard(self, sender: int, word: quota.Want | quota.Give) -> None:
-        self.say(self.core.heard(self.clock(), sender, word))
+    def on_message(self, sender: int, word: quota.Want | quota.Give) -> None:
+        self.send(self.core.heard(self.clock(), sender, word))
 
-    def voted(self, now: float) -> None:
+    def on_election_change(self, now: float) -> None:
         self.core.office(now)
 
-    def may(self, kind: str, host: int, now: bool) -> bool:
+    def may_begin(self, kind: str, host: int, now: bool) -> bool:
         """Whether one more of `kind` may begin; `now`: it does, in this instant."""
         q, at = self.core, self.clock()
         if kind not in q.budgets:
@@ -81,38 +87,38 @@
                 return True
             q.wish(at, kind, host)
         elif q.take(at, kind, host):
-            self.witness.write(Witness.now(), q.budgets[kind].span, kind, host, 1)
+            self.journal.write(ActionJournal.now(), q.budgets[kind].span, kind, host, 1)
             return True
-        self.metrics.budget_refused.labels(kind).inc()
-        self.gate.warn("no right left", budget=kind, host=host)
+        self.metrics.quota_denied.labels(kind).inc()
+        self.rate_limited_log.warn("no right left", budget=kind, host=host)
         return False
 
-    def newly_listed(self, now: float, entries: Iterable[api.HostEntry]) -> None:
+    def on_hosts_listed(self, now: float, entries: Iterable[api.HostEntry]) -> None:
         """A cold host will be given slices within a turn or two: its rights are asked for before they are needed."""
         for e in entries if "cold_slices" in self.core.budgets else ():
-            if e.state == "up" and now - e.online_since < self.cold:
+            if e.state == "up" and now - e.online_since < self.warm_up_ms:
                 self.core.wish(now, "cold_slices", e.host)
 
     @property
-    def refused(self) -> int:
+    def rejected(self) -> int:
         return self.core.refused + self.core.divider.strangers
 
-    def figures(self) -> None:
+    def update_metrics(self) -> None:
         q, now = self.core, self.clock()
         held, used = dict.fromkeys(q.budgets, 0), dict.fromkeys(q.budgets, 0)
         for a in q.holder.accounts.values():
             held[a.budget.name] += q.holder.floor(now, a.budget) + (a.amount if now < a.until else 0)
             used[a.budget.name] += a.count(now, a.uses)
         for name in q.budgets:
-            self.metrics.budget_held.labels(name).set(held[name])
-            self.metrics.budget_used.labels(name).set(used[name])
+            self.metrics.quota_granted.labels(name).set(held[name])
+            self.metrics.quota_in_use.labels(name).set(used[name])
 
     def reload(self, c: ControllerConfig) -> None:
         """Sizes alone may change while it runs."""
-        self.core.retune(self.clock(), {name: b.whole for name, b in budgets_of(c).items()})
+        self.core.retune(self.clock(), {name: b.whole for name, b in configured_quotas(c).items()})
 
     def leave(self, now: float) -> list[Send]:
         return self.core.leave(now)
 
     def close(self) -> None:
-        self.witness.close()
+        self.journal.close()
--- a/corallanding/controller/record_service.py
+++ b/corallanding/controller/record_service.py
@@ -14,22 +14,22 @@
 from ..quorum_records.messages import Answer, Copied, Copy, Fetch, Here, Known, Page, Question, sound
 from ..quorum_records.queries import AskTerms
 from ..telemetry import Metrics, log
-from .action_journal import Witness
-from .record_store import RecordFile
-from .task_service import TaskRoom
+from .action_journal import ActionJournal
+from .record_store import RecordStore
+from .task_service import TaskService
 
 
-class RecordRoom:
+class RecordService:
     """Those who rest on it ask by `fleet.asking`, say by `carry`, and are called by `listeners` when answers may be
     there. Raises OSError if its file or the witness cannot be used."""
 
-    kinds: tuple[type, ...] = (Copy, Copied, Fetch, Page, Here, Known, Question, Answer)
-    sound = staticmethod(sound)
+    message_types: tuple[type, ...] = (Copy, Copied, Fetch, Page, Here, Known, Question, Answer)
+    is_valid = staticmethod(sound)
 
     def __init__(
         self,
         c: ControllerConfig,
-        tasks: TaskRoom,
+        tasks: TaskService,
         voters: tuple[int, ...],
         names: tuple[str, ...],
         terms: RecordTerms,
@@ -38,12 +38,12 @@
         say: Callable[[Iterable[Send]], None],
         clock: Callable[[], float],
         metrics: Metrics,
-        gate: Any,
+        rate_limited_log: Any,
     ) -> None:
         r = c.records
         assert r is not None
-        self.say, self.clock, self.metrics, self.gate = say, clock, metrics, gate
-        self.file = RecordFile(r.path, clock)
+        self.send, self.clock, self.metrics, self.rate_limited_log = say, clock, metrics, rate_limited_log
+        self.store = RecordStore(r.path, clock)
         asks = AskTerms(r.answer_within_ms, r.again_ms, r.questions_most)
         self.fleet = FleetRecords(
             tasks.core,
@@ -51,27 +51,27 @@
             terms,
             asks,
             clock(),
-            self.file.opened,
-            self.file.blank,
+            self.store.opening_number,
+            self.store.is_blank,
             names,
             counted,
             lasting,
             r.words_per_s,
         )
-        self.fleet.records.peers.update(self.file.load(self.fleet.records.shelf))
+        self.fleet.records.peers.update(self.store.load(self.fleet.records.shelf))
         self.unwritten: list[Keep] = []  # while the file does not take them, nothing that rests on them is said
         self.failed_at = float("-inf")
         self.pushing = False
         self.listeners: list[Callable[[], None]] = []
-        self.due: list[Action] = []  # of those who rest on it, for the next tick
-        self.witness = Witness(r.witness)
+        self.due_actions: list[Action] = []  # of those who rest on it, for the next tick
+        self.journal = ActionJournal(r.witness)
 
-    def carry(self, actions: list[Action]) -> None:
+    def carry_out(self, actions: list[Action]) -> None:
         """What is to be on disk first is, or nothing that comes after it is said."""
         self.unwritten += [a for a in actions if isinstance(a, Keep)]
         if not self.write():
             return
-        self.say(a for a in actions if isinstance(a, Send))
+        self.send(a for a in actions if isinstance(a, Send))
         for listener in self.listeners:
             listener()
 
@@ -81,45 +81,45 @@
             return False
         try:
             while self.unwritten:
-                self.file.write(self.unwritten[0].what)
+                self.store.write(self.unwritten[0].what)
                 del self.unwritten[0]
         except OSError as fault:
             self.failed_at = now
-            self.gate.warn("records are not kept; nothing of them is told", why=str(fault))
+            self.rate_limited_log.warn("records are not kept; nothing of them is told", why=str(fault))
             return False
         return True
 
-    def soon(self) -> None:
+    def schedule_queries(self) -> None:
         """What was asked in one turn of the loop goes out together, in the next."""
         if not self.pushing:
             self.pushing = True
-            asyncio.get_running_loop().call_soon(self.push)
+            asyncio.get_running_loop().call_soon(self.send_queries)
 
-    def push(self) -> None:
+    def send_queries(self) -> None:
         self.pushing = False
-        self.carry(self.fleet.push(self.clock()))
+        self.carry_out(self.fleet.push(self.clock()))
 
-    def heard(self, sender: int, word: Any) -> None:
+    def on_message(self, sender: int, word: Any) -> None:
         if self.unwritten and not self.write():
             return  # as if it had been lost
-        self.carry(self.fleet.heard(self.clock(), sender, word))
+        self.carry_out(self.fleet.heard(self.clock(), sender, word))
 
-    def voted(self, now: float) -> None:
+    def on_election_change(self, now: float) -> None:
         """Nothing of ours changes with a vote."""
 
-    def tick(self, now: float, alive: Iterable[int], wall: float) -> None:
+    def on_tick(self, now: float, alive: Iterable[int], wall: float) -> None:
         """After the tasks' tick."""
-        due, self.due = self.due, []
-        self.carry(self.fleet.tick(now, due))
+        due, self.due_actions = self.due_actions, []
+        self.carry_out(self.fleet.tick(now, due))
 
     @property
-    def refused(self) -> int:
+    def rejected(self) -> int:
         r = self.fleet.records
         return r.refused + r.shelf.refused + self.fleet.asking.refused
 
-    def figures(self) -> None:
-        self.metrics.records.set(self.fleet.records.shelf.count)
-        self.metrics.questions.set(len(self.fleet.asking.asked))
+    def update_metrics(self) -> None:
+        self.metrics.record_count.set(self.fleet.records.shelf.count)
+        self.metrics.pending_queries.set(len(self.fleet.asking.asked))
 
     def leave(self, now: float) -> list[Send]:
         return []
@@ -127,11 +127,11 @@
     def reopen(self) -> None:
         """After a handover that came to nothing. What the other process may have kept stands beside ours."""
         try:
-            self.file = RecordFile(self.file.path, self.clock)
-            self.file.load(self.fleet.records.shelf)
+            self.store = RecordStore(self.store.path, self.clock)
+            self.store.load(self.fleet.records.shelf)
         except OSError as fault:
             log.error("records cannot be kept any more; nothing of them is told", why=str(fault))
 
     def close(self) -> None:
-        self.file.close()
-        self.witness.close()
+        self.store.close()
+        self.journal.close()
--- a/corallanding/controller/scheduling_service.py
+++ b/corallanding/controller/scheduling_service.py
@@ -14,36 +14,36 @@
 from ..scheduling.queue import Job
 from ..telemetry import Metrics, log
 from ..wire import frames
-from .action_journal import Witness
-from .fleet_view import Sight
-from .pinning_service import PinRoom, key_of
-from .quota_service import Budgets
-from .record_service import RecordRoom
+from .action_journal import ActionJournal
+from .fleet_view import FleetView
+from .pinning_service import PinningService, record_key_of
+from .quota_service import QuotaService
+from .record_service import RecordService
 from .sessions import Sessions
 
 PART = 2  # of the protocol, in a forwarder's hello
 RELEASES = "releases"
 
 
-class WaitRoom:
+class SchedulingService:
     """Raises OSError if the witness cannot be written. records, pins: where there are any."""
 
-    kinds: tuple[type, ...] = (Line,)
-    sound = staticmethod(sound)
+    message_types: tuple[type, ...] = (Line,)
+    is_valid = staticmethod(sound)
 
     def __init__(
         self,
         c: ControllerConfig,
         office: Desk,
-        budgets: Budgets,
-        records: RecordRoom | None,
-        pins: PinRoom | None,
+        budgets: QuotaService,
+        records: RecordService | None,
+        pins: PinningService | None,
         say: Callable[[Iterable[Send]], None],
         clock: Callable[[], float],
         metrics: Metrics,
-        sight: Sight,
+        sight: FleetView,
     ) -> None:
-        self.say, self.clock, self.metrics, self.sight, self.pins = say, clock, metrics, sight, pins
+        self.send, self.clock, self.metrics, self.fleet_view, self.pinning = say, clock, metrics, sight, pins
         self.records = records
         w, rate = c.waiting, float(c.budget[RELEASES].whole)
         self.numbers = {n: k for k, n in enumerate(n for n, o in enumerate(c.operation.values()) if o.waits)}
@@ -61,7 +61,7 @@
             kinds,
             terms,
             clock(),
-            lambda: budgets.may(RELEASES, 0, True),
+            lambda: budgets.may_begin(RELEASES, 0, True),
             lambda n: quota.aim(clock(), RELEASES, n),
             c.budgets.words_per_s,
         )
@@ -76,20 +76,20 @@
         self.giving: set[int] = set()  # questions by which a fingerprint is given back
         self.versions: dict[tuple[int, int], tuple[bool, bool]] = {}
         self.dry = False
-        self.witness = Witness(w.witness)
+        self.journal = ActionJournal(w.witness)
 
     # ---- forwarders and their sessions ---------------------------------------------------------------------
 
-    def joined(self, forwarder: int) -> None:
-        name = self.sight.session(forwarder)
-        if name is not None and forwarder in self.sight.speakers(PART):
+    def on_proxy_joined(self, forwarder: int) -> None:
+        name = self.fleet_view.session_name(forwarder)
+        if name is not None and forwarder in self.fleet_view.proxies_speaking(PART):
             self.sessions.joined(self.clock(), forwarder, name)
 
-    def left(self, forwarder: int) -> None:
+    def on_proxy_left(self, forwarder: int) -> None:
         """It hands its jobs to another steward, with their ages."""
         self.core.left(forwarder)
 
-    def frame(self, forwarder: int, frame: frames.Wait | frames.Unwait) -> None:
+    def on_proxy_frame(self, forwarder: int, frame: frames.Wait | frames.Unwait) -> None:
         if isinstance(frame, frames.Unwait):
             job = self.core.drop(forwarder, frame.ticket, frame.ended)
             if job and job.granted and frame.ended:
@@ -108,7 +108,7 @@
             self.tell(forwarder, frame.ticket, "does-not-wait", 0.0)
             return
         waited = min(frame.waited + now - came, self.sessions.age(now, forwarder))
-        key = key_of(f"job {frame.fingerprint}") if frame.fingerprint and self.claims else 0
+        key = record_key_of(f"job {frame.fingerprint}") if frame.fingerprint and self.claims else 0
         new = (forwarder, frame.ticket) not in self.core.tickets
         job, why, longest = self.core.take_in(now, self.alive, forwarder, frame.ticket, kind, waited, key, frame.set)
         self.tell(forwarder, frame.ticket, why or "waiting", longest)
@@ -126,10 +126,10 @@
         assert self.claims is not None
         assert self.records is not None
         self.aging[self.claims.seek(now, job.key, now - job.since)] = job
-        self.records.soon()
+        self.records.schedule_queries()
 
     def tell(self, forwarder: int, ticket: int, what: str, longest: float) -> None:
-        self.sight.tell(forwarder, frames.Waits(ticket, what, round(longest, 1)))
+        self.fleet_view.reply(forwarder, frames.Waits(ticket, what, round(longest, 1)))
 
     # ---- what becomes of questions -------------------------------------------------------------------------
 
@@ -159,55 +159,55 @@
             self.give_back(now, job)
         elif what == TWIN:
             self.metrics.jobs.labels(self.names[job.kind], "twin").inc()
-            self.sight.tell(job.forwarder, frames.Go(job.ticket, "twin"))
+            self.fleet_view.reply(job.forwarder, frames.Go(job.ticket, "twin"))
         elif (job.forwarder, job.ticket) in self.core.tickets:
             # In line again, or aside: it could not go while the question was out.
-            until = Witness.now() + (0.0 if what == GRANTED else self.core.terms.hold)
-            self.witness.write("back", at, self.core.life, job.forwarder, job.ticket, until)
+            until = ActionJournal.now() + (0.0 if what == GRANTED else self.core.terms.hold)
+            self.journal.write("back", at, self.core.life, job.forwarder, job.ticket, until)
 
     def give_back(self, now: float, job: Job) -> None:
         """It was granted, no word to send it ever went out, and its client gave it up."""
         if self.claims and self.records:
             self.giving.add(self.claims.give_back(now, job, self.owner(job)))
-            self.records.soon()
+            self.records.schedule_queries()
 
     def go(self, a: Go) -> None:
         job = a.job
         self.metrics.jobs.labels(self.names[job.kind], "gone").inc()
         standing, counted = round(a.standing, 4), list(a.counted)
-        self.witness.write("go", Witness.now(), self.core.life, job.forwarder, job.ticket, standing, counted)
-        self.sight.tell(job.forwarder, frames.Go(job.ticket, "go"))
+        self.journal.write("go", ActionJournal.now(), self.core.life, job.forwarder, job.ticket, standing, counted)
+        self.fleet_view.reply(job.forwarder, frames.Go(job.ticket, "go"))
 
     def owner(self, job: Job) -> int:
         """Of a ticket, whichever steward has it: the same process of a forwarder may let it go again if it must."""
-        return key_of(f"ticket {job.forwarder} {self.sessions.name(job.forwarder)} {job.ticket}") | 2
+        return record_key_of(f"ticket {job.forwarder} {self.sessions.name(job.forwarder)} {job.ticket}") | 2
 
     # ---- by time -------------------------------------------------------------------------------------------
 
-    def tick(self, now: float, alive: Iterable[int], wall: float) -> None:
+    def on_tick(self, now: float, alive: Iterable[int], wall: float) -> None:
         self.alive = list(alive)
-        if self.pins:
-            self.look_at_versions(self.pins)
+        if self.pinning:
+            self.look_at_versions(self.pinning)
         actions, words = self.core.tick(now, self.alive)
         if self.core.dry != self.dry:
             self.dry = self.core.dry
             log.info("waiting", what="no rights come: others go on" if self.dry else "rights come again")
-            self.witness.write("dry" if self.dry else "wet", Witness.now(), self.core.life, -1, -1)
+            self.journal.write("dry" if self.dry else "wet", ActionJournal.now(), self.core.life, -1, -1)
         for a in actions:
             if isinstance(a, Go):
                 self.go(a)
             elif isinstance(a, Ask):
                 self.claim(now, a)
-        self.say(words)
+        self.send(words)
 
     def claim(self, now: float, a: Ask) -> None:
         assert self.claims is not None
         assert self.records is not None
         number = self.claims.claim(now, a.job, self.owner(a.job))
-        self.claiming[number] = (a.job, Witness.now())
-        self.records.soon()
+        self.claiming[number] = (a.job, ActionJournal.now())
+        self.records.schedule_queries()
 
-    def look_at_versions(self, pins: PinRoom) -> None:
+    def look_at_versions(self, pins: PinningService) -> None:
         """Jobs whose version no host serves wait aside; those that keep a set from retiring rise."""
         register = pins.core.releases.register
         for set in list(self.core.queue.by_set):
@@ -220,23 +220,23 @@
         if len(self.versions) > 4_096:
             self.versions.clear()
 
-    def heard(self, sender: int, word: Line) -> None:
+    def on_message(self, sender: int, word: Line) -> None:
         self.core.heard(self.clock(), sender, word)
 
-    def voted(self, now: float) -> None:
+    def on_election_change(self, now: float) -> None:
         """Nothing of ours changes with a vote."""
 
     # ---- what is shown -------------------------------------------------------------------------------------
 
     @property
-    def refused(self) -> int:
+    def rejected(self) -> int:
         return self.core.lines.refused
 
-    def figures(self) -> None:
+    def update_metrics(self) -> None:
         for name, count in zip(self.names, self.core.queue.by_kind, strict=True):
-            self.metrics.jobs_waiting.labels(name).set(count)
+            self.metrics.queued_jobs.labels(name).set(count)
 
-    def page(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         return self.core.page(self.clock(), self.alive)
 
     def reload(self, c: ControllerConfig) -> None:
@@ -246,4 +246,4 @@
         return []
 
     def close(self) -> None:
-        self.witness.close()
+        self.journal.close()
--- a/corallanding/controller/sessions.py
+++ b/corallanding/controller/sessions.py
@@ -7,8 +7,8 @@
 from ..quorum_records.queries import Told
 from ..scheduling.idempotency import NOT_NOW, Claims
 from ..wire import frames
-from .pinning_service import key_of
-from .record_service import RecordRoom
+from .pinning_service import record_key_of
+from .record_service import RecordService
 
 HELD_MOST = 10_000  # jobs of one process that wait for its age
 
@@ -26,7 +26,7 @@
 class Sessions:
     """claims, records: where there are any; without, a process is as old as its link here."""
 
-    def __init__(self, claims: Claims | None, records: RecordRoom | None) -> None:
+    def __init__(self, claims: Claims | None, records: RecordService | None) -> None:
         self.claims, self.records = claims, records
         self.by: dict[int, Session] = {}
         self.seeking: dict[int, tuple[int, str]] = {}  # question: forwarder, its session
@@ -40,8 +40,8 @@
 
     def seek(self, now: float, forwarder: int, name: str) -> None:
         if self.claims and self.records:
-            self.seeking[self.claims.seek(now, key_of(f"session {name}"), 0.0)] = (forwarder, name)
-            self.records.soon()
+            self.seeking[self.claims.seek(now, record_key_of(f"session {name}"), 0.0)] = (forwarder, name)
+            self.records.schedule_queries()
 
     def held(self, now: float, forwarder: int, frame: frames.Wait) -> bool | None:
         """True if its age is known; False if the job waits for that; None if it did not say hello, or has too many."""
--- a/corallanding/controller/task_service.py
+++ b/corallanding/controller/task_service.py
@@ -13,7 +13,7 @@
 from ..lease.messages import Act, Ask, Deal, Seen, sound
 from ..lease.tasks import Task, Tasks
 from ..telemetry import Metrics, log
-from .action_journal import Witness
+from .action_journal import ActionJournal
 
 UPGRADE = "upgrade"  # the task that a steward holds while it hands over to a new process
 
@@ -26,12 +26,12 @@
     return Tasks(found)
 
 
-class TaskRoom:
+class TaskService:
     """Acts on what it holds each `beat_ms`: says so to the other stewards, each of them a place of effect that refuses
     a fence below the highest it has seen. Raises OSError if the witness cannot be written."""
 
-    kinds: tuple[type, ...] = (Ask, Deal, Act, Seen)
-    sound = staticmethod(sound)
+    message_types: tuple[type, ...] = (Ask, Deal, Act, Seen)
+    is_valid = staticmethod(sound)
 
     def __init__(
         self,
@@ -40,9 +40,9 @@
         say: Callable[[Iterable[Send]], None],
         clock: Callable[[], float],
         metrics: Metrics,
-        gate: Any,
+        rate_limited_log: Any,
     ) -> None:
-        self.say, self.clock, self.metrics, self.gate = say, clock, metrics, gate
+        self.send, self.clock, self.metrics, self.rate_limited_log = say, clock, metrics, rate_limited_log
         t, o = c.tasks, office
         terms = Terms(office=c.budgets.office_ms, drift=c.budgets.drift, lease=t.lease_ms, turn=t.turn_leases)
         self.core = Leases(
@@ -57,93 +57,98 @@
             words_per_s=c.budgets.words_per_s,
             chair=office,
         )
-        self.core.holder.said = self.said
-        self.beats = {**{n: b.beat_ms for n, b in c.task.items()}, **{n: b.beat_ms for n, b in c.task_group.items()}}
-        self.next: dict[int, float] = {}
-        self.changed: dict[tuple[str, str], list[int]] = {}
-        self.witness = Witness(t.witness)
-        self.since: float | None = None  # of the office, as last told
-
-    def said(self, what: str, task: int) -> None:
-        self.changed.setdefault((self.core.tasks.task(task).name, what), []).append(task)
-
-    def tell(self) -> None:
+        self.core.holder.said = self.on_task_change
+        self.heartbeat_ms = {
+            **{n: b.beat_ms for n, b in c.task.items()},
+            **{n: b.beat_ms for n, b in c.task_group.items()},
+        }
+        self.next_heartbeat_ms: dict[int, float] = {}
+        self.changes: dict[tuple[str, str], list[int]] = {}
+        self.journal = ActionJournal(t.witness)
+        self.leader_since: float | None = None  # of the office, as last told
+
+    def on_task_change(self, what: str, task: int) -> None:
+        self.changes.setdefault((self.core.tasks.task(task).name, what), []).append(task)
+
+    def log_changes(self) -> None:
         """A line for each task or group that changed hands since the last, not one for each of thousands."""
-        for (name, what), which in self.changed.items():
-            self.metrics.tasks_changed.labels(what).inc(len(which))
+        for (name, what), which in self.changes.items():
+            self.metrics.task_changes.labels(what).inc(len(which))
             few = [self.core.tasks.label(n) for n in which[:4]]
             log.info("task", task=name, what=what, count=len(which), first=few, fence=self.core.holder.fence)
-        self.changed.clear()
+        self.changes.clear()
 
-    def tick(self, now: float, alive: Iterable[int], wall: float) -> None:
+    def on_tick(self, now: float, alive: Iterable[int], wall: float) -> None:
         core = self.core
         core.wall = wall
-        self.say(core.tick(now, alive))
-        if core.dealer.since != self.since:  # it may have changed with a vote, between two ticks
-            self.since = core.dealer.since
-            log.info("deals the tasks" if self.since else "deals no more")
-        if now < core.holder.until and any(self.beats.values()):
+        self.send(core.tick(now, alive))
+        if core.dealer.since != self.leader_since:  # it may have changed with a vote, between two ticks
+            self.leader_since = core.dealer.since
+            log.info("deals the tasks" if self.leader_since else "deals no more")
+        if now < core.holder.until and any(self.heartbeat_ms.values()):
             for task in core.tasks.within(core.holder.bits):
-                self.beat(now, task)
-        if self.changed:
-            self.tell()
+                self.send_heartbeat(now, task)
+        if self.changes:
+            self.log_changes()
 
-    def beat(self, now: float, task: int) -> None:
+    def send_heartbeat(self, now: float, task: int) -> None:
         """An act of its own. It counts as under way for its stated longest time: so long its words may be on theirs."""
-        every = self.beats[self.core.tasks.task(task).name]
-        if not every or now < self.next.get(task, 0.0):
+        every = self.heartbeat_ms[self.core.tasks.task(task).name]
+        if not every or now < self.next_heartbeat_ms.get(task, 0.0):
             return
-        if fence := self.begin(now, task):
-            self.next[task] = now + every
-            self.say(self.core.acted(task, fence))
+        if fence := self.begin_act(now, task):
+            self.next_heartbeat_ms[task] = now + every
+            self.send(self.core.acted(task, fence))
             self.core.holder.progress(now, task)
 
-    def begin(self, now: float, task: int) -> int:
+    def begin_act(self, now: float, task: int) -> int:
         """The fence of an act that may begin now, written down before it does; 0 if none may."""
         fence = self.core.begin(now, task)
         if fence:
-            at, work, core = Witness.now(), self.core.tasks.task(task).work, self.core
-            self.witness.write("act", at, at + work, task, core.me, core.life, fence)
+            at, work, core = ActionJournal.now(), self.core.tasks.task(task).work, self.core
+            self.journal.write("act", at, at + work, task, core.me, core.life, fence)
         return fence
 
-    def begin_for(self, name: str) -> int:
+    def begin_act_on(self, name: str) -> int:
         """Asks for a task that is not always wanted; the fence of an act on it, once one may begin."""
         number = self.core.tasks.number(name)
         if number not in self.core.holder.wishes:
             self.core.want(number, True)
-        return self.begin(self.clock(), number)
+        return self.begin_act(self.clock(), number)
 
-    def give_back(self, name: str) -> None:
+    def release_task(self, name: str) -> None:
         if name in self.core.tasks.by_name:
             number = self.core.tasks.number(name)
             self.core.done(self.clock(), number)
             self.core.want(number, False)
 
-    def heard(self, sender: int, word: Ask | Deal | Act | Seen) -> None:
+    def on_message(self, sender: int, word: Ask | Deal | Act | Seen) -> None:
         taken = self.core.place.taken
-        self.say(self.core.heard(self.clock(), sender, word))
+        self.send(self.core.heard(self.clock(), sender, word))
         if isinstance(word, Act) and word.round < self.core.tasks.count:
             good, me = self.core.place.taken > taken, f"steward {self.core.me} {self.core.life}"
-            self.witness.write("took", Witness.now(), me, word.round, sender, word.life, word.fence, good)
+            self.journal.write("took", ActionJournal.now(), me, word.round, sender, word.life, word.fence, good)
             if not good:
-                self.metrics.fences_refused.inc()
-                self.gate.warn("act behind its fence", task=self.core.tasks.label(word.round), steward=sender)
+                self.metrics.stale_fencing_tokens.inc()
+                self.rate_limited_log.warn(
+                    "act behind its fence", task=self.core.tasks.label(word.round), steward=sender
+                )
 
-    def voted(self, now: float) -> None:
+    def on_election_change(self, now: float) -> None:
         self.core.office(now)
 
     @property
-    def refused(self) -> int:
+    def rejected(self) -> int:
         return self.core.refused + self.core.dealer.strangers
 
-    def figures(self) -> None:
+    def update_metrics(self) -> None:
         h, now = self.core.holder, self.clock()
         self.metrics.tasks_held.set(len(self.core.tasks.within(h.bits)) if now < h.until else 0)
-        self.metrics.task_fence.set(h.fence)
+        self.metrics.task_fencing_token.set(h.fence)
 
     def leave(self, now: float) -> list[Send]:
         return self.core.leave(now)
 
     def close(self) -> None:
-        self.tell()
-        self.witness.close()
+        self.log_changes()
+        self.journal.close()
--- a/corallanding/telemetry/__init__.py
+++ b/corallanding/telemetry/__init__.py
@@ -1,6 +1,6 @@
 """Logs (structlog) and metrics (prometheus-client) of a steward."""
 
-from .logs import Gate, configure, log
+from .logs import RateLimitedLogger, configure, log
 from .metrics import Metrics
 
-__all__ = ["Gate", "Metrics", "configure", "log"]
+__all__ = ["Metrics", "RateLimitedLogger", "configure", "log"]
--- a/corallanding/telemetry/logs.py
+++ b/corallanding/telemetry/logs.py
@@ -56,7 +56,7 @@
 stderr = Stderr()
 
 
-class Gate:
+class RateLimitedLogger:
     """At most `most` lines of one kind in a second; says how many it left out.
 
     Guards against a peer that fills the disk by breaking the protocol in a loop; hides which of many peers
@@ -64,16 +64,16 @@
     """
 
     def __init__(self, clock: Callable[[], float], most: int = 20) -> None:
-        self.clock, self.most = clock, most
-        self.seen: dict[str, tuple[float, int]] = {}
+        self.clock, self.max_per_second = clock, most
+        self.windows: dict[str, tuple[float, int]] = {}
 
     def warn(self, kind: str, **fields: Any) -> None:
         now = self.clock()
-        since, count = self.seen.get(kind, (now, 0))
+        since, count = self.windows.get(kind, (now, 0))
         if now - since >= 1000.0:
-            if count > self.most:
-                log.warning(kind, left_out=count - self.most)
+            if count > self.max_per_second:
+                log.warning(kind, left_out=count - self.max_per_second)
             since, count = now, 0
-        self.seen[kind] = (since, count + 1)
-        if count < self.most:
+        self.windows[kind] = (since, count + 1)
+        if count < self.max_per_second:
             log.warning(kind, **fields)
--- a/tests/test_budgets_config.py
+++ b/tests/test_budgets_config.py
@@ -12,7 +12,7 @@
 
 from corallanding import interface as api
 from corallanding.config import ConfigError, load_controller
-from corallanding.controller.quota_service import budgets_of
+from corallanding.controller.quota_service import configured_quotas
 
 PEERS = 'peer_listen = "127.0.0.1:7000"\n  peers = { "1" = "127.0.0.1:7001", "2" = "127.0.0.1:7002" }\n  stewards = 3\n'
 GOOD = 'budget "probes" {\n whole = 7\n per = "host"\n unit = "per_s"\n floor = 1\n}\n'
@@ -29,7 +29,7 @@
     c = load_controller(
         config(tmp_path, GOOD + 'budget "cold_slices" {\n whole = 4\n per = "host"\n unit = "count"\n}\n')
     )
-    b = budgets_of(c)
+    b = configured_quotas(c)
     assert (b["probes"].whole, b["probes"].floor, b["probes"].most, b["probes"].span) == (7, 1, 3, 1_000.0)
     assert b["cold_slices"].span == c.rules.cold_ms
     assert b["cold_slices"].pool == 4
@@ -69,29 +69,29 @@
     async def scene() -> None:
         async with Running(tmp_path, alone, config=CONFIG.replace("steward {", peers)) as r:
             s = r.steward
-            assert s.shared
-            assert s.shared.budgets
+            assert s.cluster
+            assert s.cluster.quota
             assert s.peers
-            room, q = s.shared.budgets, s.shared.budgets.core
+            room, q = s.cluster.quota, s.cluster.quota.core
             r.do(api.CheckHealth(7), api.CheckHealth(7))
             await until(lambda: sum(isinstance(e, api.HealthCheckResult) for e in r.module.told) == 2)
             ends = [e.outcome for e in r.module.told if isinstance(e, api.HealthCheckResult)]
             assert ends == [api.HealthCheckOutcome.FULL] * 2, "the floor is waited for: a former life may have used it"
-            await until(lambda: room.may("probes", 7, True))
-            assert not room.may("probes", 7, True)
-            assert room.may("probes", 8, True)
-            assert room.may("moves", 0, True)
+            await until(lambda: room.may_begin("probes", 7, True))
+            assert not room.may_begin("probes", 7, True)
+            assert room.may_begin("probes", 8, True)
+            assert room.may_begin("moves", 0, True)
             r.path.write_text(r.path.read_text().replace("whole = 1", "whole = 3"))
             s.reload()
             account = q.holder.account(s.clock(), q.budgets["probes"], 9)
             assert account
-            await until(lambda: room.may("probes", 9, True) and account.count(s.clock(), account.uses) == 3)
-            assert not room.may("probes", 9, True)
-            before = s.metrics.peer_drops._value.get()
+            await until(lambda: room.may_begin("probes", 9, True) and account.count(s.clock(), account.uses) == 3)
+            assert not room.may_begin("probes", 9, True)
+            before = s.metrics.dropped_peer_datagrams._value.get()
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
                 for said in (b"", b"\x92\x01\xc4\x01\xc1", msgspec.msgpack.encode([0, b"\xc1\x95"])):
                     stranger.sendto(said, s.peers.sock.getsockname())
-                await until(lambda: s.metrics.peer_drops._value.get() == before + 3)
+                await until(lambda: s.metrics.dropped_peer_datagrams._value.get() == before + 3)
             _, page = await r.get("GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")
             assert b'corallanding_budget_in_use{budget="probes"}' in page
             assert b"corallanding_budget_divider 0.0" in page
--- a/tests/test_record_file.py
+++ b/tests/test_record_file.py
@@ -9,26 +9,26 @@
 import pytest
 
 from corallanding.controller import record_store
-from corallanding.controller.record_store import RecordFile
+from corallanding.controller.record_store import RecordStore
 from corallanding.quorum_records.limits import RecordTerms
 from corallanding.quorum_records.replica import Shelf, Unkept
 
 
-def opened(path: Path, now: float = 5_000.0) -> tuple[RecordFile, Shelf]:
-    file, shelf = RecordFile(str(path), lambda: now), Shelf(RecordTerms())
-    shelf.blank = file.blank
+def opened(path: Path, now: float = 5_000.0) -> tuple[RecordStore, Shelf]:
+    file, shelf = RecordStore(str(path), lambda: now), Shelf(RecordTerms())
+    shelf.blank = file.is_blank
     file.load(shelf)
     return file, shelf
 
 
-def kept(shelf: Shelf, file: RecordFile) -> None:
+def kept(shelf: Shelf, file: RecordStore) -> None:
     file.write(shelf.take_unkept())
 
 
 def test_what_was_written_is_there_with_its_age_and_the_fences_that_were_seen(tmp_path: Path) -> None:
     file, shelf = opened(tmp_path / "r.db")
-    assert file.blank
-    assert file.opened == 1
+    assert file.is_blank
+    assert file.opening_number == 1
     shelf.unkept.whole = True
     shelf.put(7, 99, 3, (12, 4), 4_000.0)
     shelf.raise_seen(7, 13)
@@ -37,7 +37,7 @@
     file.close()
     file, shelf = opened(tmp_path / "r.db", 1_000.0)
     record = shelf.groups[7][99]
-    assert (record.value, record.order, shelf.seen[7], file.blank, file.opened) == (3, (12, 4), 13, False, 2)
+    assert (record.value, record.order, shelf.seen[7], file.is_blank, file.opening_number) == (3, (12, 4), 13, False, 2)
     assert 1_000.0 <= 1_000.0 - record.born < 6_000.0, "a second old when it was written, and goes on"
     assert file.load(Shelf(RecordTerms())) == {2: (5, 77, 40)}
     assert shelf.writes == 1
@@ -64,13 +64,13 @@
 def test_one_process_at_a_time_and_none_after_it_was_let_go(tmp_path: Path) -> None:
     file, shelf = opened(tmp_path / "r.db")
     with pytest.raises(OSError):
-        RecordFile(str(tmp_path / "r.db"), lambda: 0.0)
+        RecordStore(str(tmp_path / "r.db"), lambda: 0.0)
     file.close()
     shelf.put(7, 99, 3, (12, 4), 0.0)
     with pytest.raises(OSError, match="another process"):
         kept(shelf, file)
     other, _ = opened(tmp_path / "r.db")
-    assert other.opened == 2
+    assert other.opening_number == 2
     other.close()
 
 
@@ -100,7 +100,7 @@
         kept_at.append(shelf.writes)
     file.close()
     old, had = opened(tmp_path / "copy.db")
-    assert kept_at == [1, 2, 3, 4, 5] and had.writes == 3 and old.opened == 2, "by its openings it would pass"
+    assert kept_at == [1, 2, 3, 4, 5] and had.writes == 3 and old.opening_number == 2, "by its openings it would pass"
     old.close()
 
 
@@ -113,8 +113,8 @@
     kept(shelf, file)
     file.close()
     file, shelf = opened(tmp_path / "r.db")
-    assert file.blank
+    assert file.is_blank
     assert not shelf.groups
     file.write(Unkept(whole=True, writes=9))
     file.close()
-    assert not opened(tmp_path / "r.db")[0].blank
+    assert not opened(tmp_path / "r.db")[0].is_blank
--- a/tests/test_steward.py
+++ b/tests/test_steward.py
@@ -76,7 +76,7 @@
             r.do(api.SetWeight(1, 10, 1.0))
             assert (await other.until(frames.Orders)).lines == [(1, 10, 1.0)]
             keep.cancel()
-            page = r.steward.metrics.text().decode()
+            page = r.steward.metrics.exposition().decode()
             assert f'corallanding_links_closed_total{{reason="{code}"}} 1.0' in page
 
     play(scene())
@@ -144,7 +144,7 @@
                     break
             assert 1 not in r.steward.forwarders
             assert 2 in r.steward.forwarders
-            assert 'reason="not-reading"} 1.0' in r.steward.metrics.text().decode()
+            assert 'reason="not-reading"} 1.0' in r.steward.metrics.exposition().decode()
             keep.cancel()
             reading.cancel()
             back = await r.joined(1)
@@ -379,6 +379,6 @@
             await until(lambda: sum(isinstance(e, api.PeerMessage) for e in b.module.told) == 2)
             got = [e for e in b.module.told if isinstance(e, api.PeerMessage)]
             assert got == [api.PeerMessage(0, b"hi"), api.PeerMessage(0, b"there")]
-            assert "peer_messages_dropped_total 2.0" in b.steward.metrics.text().decode()
+            assert "peer_messages_dropped_total 2.0" in b.steward.metrics.exposition().decode()
 
     play(scene())
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -42,7 +42,7 @@
     put_link,
     take,
 )
-from corallanding.controller.record_store import RecordFile
+from corallanding.controller.record_store import RecordStore
 from corallanding.controller.recovery import StewardState, check, revive
 from corallanding.interface import stored_names
 from corallanding.load_reports.envelope import Head, Load
@@ -281,8 +281,8 @@
 
 def test_a_file_of_records_is_read(tmp_path: Path, fixed_clocks: None) -> None:
     shutil.copy(FIXTURES / "records.sqlite", tmp_path)
-    found, shelf = RecordFile(str(tmp_path / "records.sqlite"), lambda: 9000.0), Shelf(RecordTerms())
-    assert (found.same_boot, found.blank, found.opened, found.writes) == (True, False, 2, 1)
+    found, shelf = RecordStore(str(tmp_path / "records.sqlite"), lambda: 9000.0), Shelf(RecordTerms())
+    assert (found.is_same_boot, found.is_blank, found.opening_number, found.writes) == (True, False, 2, 1)
     assert found.load(shelf) == {2: (5, 77, 40), 3: (6, 78, 41)}
     assert found.writes == shelf.writes == 1
     pages = [msgspec.to_builtins(shelf.fetch(9000.0, Fetch(1, 1, group, 0))) for group in (7, 8)]
@@ -293,7 +293,7 @@
 
 
 def test_a_file_of_records_is_written_as_before(tmp_path: Path, fixed_clocks: None) -> None:
-    found = RecordFile(str(tmp_path / "records.sqlite"), lambda: 9000.0)
+    found = RecordStore(str(tmp_path / "records.sqlite"), lambda: 9000.0)
     found.load(Shelf(RecordTerms()))
     rows = [(7, 99, 3, 12, 4, 4000.0), (7, 100, 5, 12, 5, 4500.0), (8, 1, 6, 2, 1, 8000.0)]
     peers = {2: (5, 77, 40), 3: (6, 78, 41)}
