--- a/bench/measured.py
+++ b/bench/measured.py
@@ -18,7 +18,7 @@
 
 from corallanding.config import load_controller
 from corallanding.controller.daemon import Controller
-from corallanding.controller.proxy_protocol import LinkProtocol
+from corallanding.controller.proxy_protocol import ProxyConnection
 from corallanding.telemetry import configure
 from corallanding.wire import frames
 
@@ -70,7 +70,7 @@
         if self.engine.last and self.engine.last[1]:
             self.turns.record_value(max(1, int(took)))
 
-    def frame(self, link: LinkProtocol, frame: frames.Frame) -> None:
+    def frame(self, link: ProxyConnection, frame: frames.Frame) -> None:
         if isinstance(frame, frames.Ack) and link.joined and link.link.acks:
             self.acks.record_value(max(1, int((self.clock() - link.link.acks[0][1]) * 1000.0)))
         super().frame(link, frame)
--- a/corallanding/cli/main.py
+++ b/corallanding/cli/main.py
@@ -81,7 +81,7 @@
 
     try:
         found = record.read(file)
-    except (record.RecordFault, OSError) as fault:
+    except (record.RecordingError, OSError) as fault:
         raise fail(fault) from None
     difference = record.compare(found, Assigner)
     if difference:
--- a/corallanding/controller/acceptor.py
+++ b/corallanding/controller/acceptor.py
@@ -111,7 +111,7 @@
             self.socket.close()
 
 
-def descriptors(needed: int) -> int:
+def raise_descriptor_limit(needed: int) -> int:
     """Raise the soft limit on descriptors up to what is needed, as far as the hard one lets; the limit that holds."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < needed:
--- a/corallanding/controller/components.py
+++ b/corallanding/controller/components.py
@@ -29,12 +29,12 @@
 from .acceptor import Listener
 from .cluster import Cluster
 from .event_inbox import Decider
-from .join_admission import Joins
+from .join_admission import JoinAdmission
 from .peer_dispatch import PeerDispatcher
-from .peer_transport import Peers
-from .proxy_protocol import LinkProtocol
+from .peer_transport import PeerTransport
+from .proxy_protocol import ProxyConnection
 from .recorder import Recorder
-from .recovery import StewardState
+from .recovery import ControllerState
 
 if TYPE_CHECKING:
     from ..admin.http_server import AdminServer
@@ -95,11 +95,11 @@
         self.store: Store = store or SqliteStore(config.store.path, config.store.sync)
         self.recorder: Recorder | None = None
         self.record = record
-        self.links: dict[LinkProtocol, None] = {}
-        self.forwarders: dict[int, LinkProtocol] = {}
-        self.strangers: dict[LinkProtocol, None] = {}  # links that have not said hello, the oldest first
+        self.links: dict[ProxyConnection, None] = {}
+        self.forwarders: dict[int, ProxyConnection] = {}
+        self.strangers: dict[ProxyConnection, None] = {}  # links that have not said hello, the oldest first
         f = config.forwarders
-        self.joins = Joins(f.reads_per_s, f.again_ms, f.again_most_ms, self.clock())
+        self.joins = JoinAdmission(f.reads_per_s, f.again_ms, f.again_most_ms, self.clock())
         self.admitting: asyncio.TimerHandle | None = None
         c = config.channel
         self.channel = Channel(
@@ -123,7 +123,7 @@
         self.store_again = 0.0
         self.roster_dirty = False
         self.servers: list[asyncio.Server | Listener] = []
-        self.peers: Peers | None = None
+        self.peers: PeerTransport | None = None
         self.stopped: asyncio.Future[int] | None = None
         self.ready = False
         self.feed: Feed | None = None
@@ -160,10 +160,10 @@
     def seed(self, life: int) -> int: ...
 
     @abstractmethod
-    def state(self, log: int) -> StewardState | None: ...
+    def state(self, log: int) -> ControllerState | None: ...
 
     @abstractmethod
-    def keep(self, now: float, writes: core.Writes) -> bool: ...
+    def keep(self, now: float, writes: core.StoreWrites) -> bool: ...
 
     @abstractmethod
     async def keep_shared(self, begun: float) -> None: ...
@@ -178,10 +178,10 @@
     def pump(self) -> None: ...
 
     @abstractmethod
-    def frame(self, link: LinkProtocol, frame: frames.Frame) -> None: ...
+    def frame(self, link: ProxyConnection, frame: frames.Frame) -> None: ...
 
     @abstractmethod
-    def takes(self, link: LinkProtocol, takes: bool) -> None: ...
+    def takes(self, link: ProxyConnection, takes: bool) -> None: ...
 
     @abstractmethod
     def admit(self) -> None: ...
@@ -190,10 +190,10 @@
     def greet_all(self) -> None: ...
 
     @abstractmethod
-    def join(self, link: LinkProtocol) -> None: ...
+    def join(self, link: ProxyConnection) -> None: ...
 
     @abstractmethod
-    def gone(self, link: LinkProtocol) -> None: ...
+    def gone(self, link: ProxyConnection) -> None: ...
 
     @abstractmethod
     def keep_roster(self) -> None: ...
--- a/corallanding/controller/crash_loop.py
+++ b/corallanding/controller/crash_loop.py
@@ -21,17 +21,17 @@
 FREE = 3  # starts that wait for nothing
 FIRST, MOST = 1_000.0, 30_000.0  # ms
 DOUBT = 3  # deaths after which the snapshot is not used
-CALM = 10_000.0  # ms of life after which all is forgotten
+STABLE_AFTER_MS = 10_000.0  # ms of life after which all is forgotten
 
 
 @dataclass(frozen=True)
-class Advice:
+class StartAdvice:
     count: int  # starts before this one, each of which ended without a calm time
     wait: float  # ms
     trust: bool  # whether the snapshot may be used
 
 
-def advise(before: Sequence[float], now: float) -> Advice:
+def advise_start(before: Sequence[float], now: float) -> StartAdvice:
     """before: wall-clock times of starts that were not followed by a calm time, ms."""
     recent, last = 0, now
     for at in sorted((t for t in before if t <= now), reverse=True):
@@ -39,10 +39,10 @@
             break
         recent, last = recent + 1, at
     wait = 0.0 if recent < FREE else min(MOST, FIRST * 2.0 ** (recent - FREE))
-    return Advice(recent, wait, recent < DOUBT)
+    return StartAdvice(recent, wait, recent < DOUBT)
 
 
-class Starts:
+class StartHistory:
     """The file; a steward that cannot write it starts all the same."""
 
     def __init__(self, path: str) -> None:
--- a/corallanding/controller/daemon.py
+++ b/corallanding/controller/daemon.py
@@ -16,22 +16,22 @@
 from ..snapshot import marks
 from ..telemetry import log
 from . import engine as core
-from .acceptor import descriptors
+from .acceptor import raise_descriptor_limit
 from .cluster import Cluster
 from .components import ORIGIN, Clock
 from .config_reload import reload
 from .decision_loop import Turning
 from .fleet_view import FleetView
 from .handover import Passing
-from .handover_state import Handed
+from .handover_state import HandoverState
 from .host_sources import Hosts
-from .inherited_sockets import Given
-from .overload import Limits as OverloadLimits
+from .inherited_sockets import InheritedSockets
+from .overload import OverloadLimits
 from .peer_dispatch import PeerDispatcher
-from .peer_transport import Peers
+from .peer_transport import PeerTransport
 from .persistence import Keeping
 from .proxy_connections import Joining
-from .proxy_protocol import LinkProtocol
+from .proxy_protocol import ProxyConnection
 from .recorder import Recorder
 from .status_views import Pages
 
@@ -44,7 +44,7 @@
     """One steward. `start` raises `StoreFault` or `OSError` if it cannot run; `stopped` ends when it is over."""
 
     async def start(
-        self, handed: Handed | None = None, fds: Sequence[int] = (), ranked: Sequence[marks.Row] = ()
+        self, handed: HandoverState | None = None, fds: Sequence[int] = (), ranked: Sequence[marks.Row] = ()
     ) -> None:
         """handed, fds, ranked: what the process before this one hands over (`upgrade`)."""
         loop = asyncio.get_running_loop()
@@ -77,7 +77,7 @@
             self.take_over(handed, now, ranked)
         elif not revived:
             self.engine.begin(now, saved)
-        given = Given(fds)
+        given = InheritedSockets(fds)
         if self.record:
             # The seed of a life is its own: a restart must not draw the same chances again.
             seed, most = self.seed(life.number), c.record.most_mb * 1e6
@@ -99,7 +99,7 @@
         self.roster = self.make_source()
         host, port = loopback(c.steward.listen)
         needed = c.forwarders.most + c.forwarders.strangers_most + SPARE_DESCRIPTORS
-        if (have := descriptors(needed)) < needed:
+        if (have := raise_descriptor_limit(needed)) < needed:
             log.warning("few descriptors: not all forwarders can be joined", have=have, needed=needed)
         self.listener = self.make_listener(host, port, given.listening(host, port))
         self.servers.append(self.listener)
@@ -121,7 +121,7 @@
         if c.steward.peer_listen:
             where = given.listening(*loopback(c.steward.peer_listen), socket.SOCK_DGRAM)
             me, dropped = c.steward.number, self.metrics.dropped_peer_datagrams.inc
-            self.peers = Peers(me, c.steward.peer_listen, c.steward.peers, self.peer_said, dropped, where)
+            self.peers = PeerTransport(me, c.steward.peer_listen, c.steward.peers, self.peer_said, dropped, where)
         self.open_shared()
         if c.load_reports:
             self.feed = self.make_feed(c.load_reports)
@@ -137,7 +137,7 @@
         if handed:
             for link, sock in zip(handed.links, given.rest(len(handed.links)), strict=True):
                 if sock:
-                    await loop.connect_accepted_socket(lambda link=link: LinkProtocol(self, link), sock)  # type: ignore[misc]
+                    await loop.connect_accepted_socket(lambda link=link: ProxyConnection(self, link), sock)  # type: ignore[misc]
             self.greet_all()  # should this process die too, its forwarders must know whose messages they hold
             for f in [f for f in self.engine.joined if f not in self.forwarders]:
                 self.channel.leave(f)
--- a/corallanding/controller/decision_loop.py
+++ b/corallanding/controller/decision_loop.py
@@ -105,10 +105,10 @@
 
     def submit(self, data: bytes, lines: int, to: tuple[int, ...]) -> None:
         """A frame that is no order of the module's."""
-        self.queue(self.clock(), core.Send(data, lines, -1, to))
+        self.queue(self.clock(), core.SendFrame(data, lines, -1, to))
         self.pump()
 
-    def queue(self, now: float, o: core.Send) -> None:
+    def queue(self, now: float, o: core.SendFrame) -> None:
         try:
             self.channel.submit(now, o.frame, o.lines, o.mark, o.to, o.orders, o.urgent)
         except Overrun as over:
@@ -119,9 +119,9 @@
 
     def carry_out(self, now: float, output: core.Output) -> None:
         match output:
-            case core.Send():
+            case core.SendFrame():
                 self.queue(now, output)
-            case core.ProbeHost():
+            case core.CheckHost():
                 budgets = self.cluster.quota if self.cluster else None
                 if budgets and not budgets.may_begin("probes", output.host, True):
                     # Others ask it already: for the module one that says neither good nor bad.
@@ -130,12 +130,12 @@
                     self.prober.ask(output.host, output.address)
                 else:
                     self.probed(api.HealthCheckResult(output.host, api.HealthCheckOutcome.UNREACHABLE))
-            case core.FollowRoster():
+            case core.WatchHostList():
                 self.roster.follow(output.on)
-            case core.FetchRoster():
+            case core.FetchHostList():
                 self.roster.fetch()
-            case core.ToPeer():
+            case core.SendToPeer():
                 if self.peers:
                     self.peers.say(output.peer, output.payload)
-            case core.Say():
+            case core.LogNote():
                 log.info("note", text=output.text)
--- a/corallanding/controller/engine.py
+++ b/corallanding/controller/engine.py
@@ -14,14 +14,14 @@
 from ..channel.merge import cost
 from ..store.api import Life
 from ..wire import frames
-from .event_inbox import Decider, Turns
-from .overload import Limits as OverloadLimits
-from .overload import Overload
-from .report_aggregation import Gather
+from .event_inbox import Decider, EventInbox
+from .overload import OverloadDetector
+from .overload import OverloadLimits as OverloadLimits
+from .report_aggregation import UsageAggregator
 
 
 @dataclass(frozen=True)
-class Writes:
+class StoreWrites:
     """To be kept before anything of the step is sent: emptied tables, then lines (table, host, weight)."""
 
     seq: int
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True)
-class Send:
+class SendFrame:
     """One frame for some forwarders, by the channel. `lines` is what it costs beside the head."""
 
     frame: bytes
@@ -42,33 +42,33 @@
 
 
 @dataclass(frozen=True)
-class ProbeHost:
+class CheckHost:
     host: int
     address: str
 
 
 @dataclass(frozen=True)
-class FollowRoster:
+class WatchHostList:
     on: bool
 
 
 @dataclass(frozen=True)
-class FetchRoster:
+class FetchHostList:
     pass
 
 
 @dataclass(frozen=True)
-class ToPeer:
+class SendToPeer:
     peer: int | None
     payload: bytes
 
 
 @dataclass(frozen=True)
-class Say:
+class LogNote:
     text: str
 
 
-Output = Send | ProbeHost | FollowRoster | FetchRoster | ToPeer | Say
+Output = SendFrame | CheckHost | WatchHostList | FetchHostList | SendToPeer | LogNote
 
 
 @dataclass
@@ -93,7 +93,7 @@
     return any(w <= 0 and (h in going or t in new) for t, h, w in lines)
 
 
-class Engine(Turns):
+class Engine(EventInbox):
     """settings, seed: the module's. charge: the slices that this steward holds (none at sites without).
 
     `addresses` is shared with the roster's view: host to "ip:port".
@@ -112,7 +112,7 @@
         super().__init__(decider(settings, seed))
         self.set = settings
         self.can_wait: int | None = getattr(self.module, "can_wait", None)
-        self.overload = Overload(overload or OverloadLimits())
+        self.overload = OverloadDetector(overload or OverloadLimits())
         self.addresses = addresses
         self.life, self.seq = life, 0
         self.charge = set(charge)
@@ -121,7 +121,7 @@
         for table, lines in life.tables.items():
             if table in self.charge or not settings.slice_count:
                 self.state.tables[table] = dict(lines)
-        self.gather = Gather(settings)
+        self.gather = UsageAggregator(settings)
         self.gather_at = 0.0
         self.recall_until, self.recalled_seq = float("inf"), life.seq
         self.discarded = 0  # orders for slices outside the charge
@@ -227,7 +227,7 @@
 
     store_waits = False  # set by the owner while it holds off from a store that fails
 
-    def decide(self, now: float) -> Writes:
+    def decide(self, now: float) -> StoreWrites:
         """Run the module on all that came until `now`; returns what is to be kept first."""
         now = self.now = max(now, self.now)  # a clock that steps back stands still for the module
         self.fall_due(now)
@@ -246,7 +246,7 @@
         wait = handle == self.can_wait and self.overload.waits(now, handle)
         return self.set.report_interval_ms / 8 if wait else None
 
-    def carry_out(self, now: float, actions: list[api.Action]) -> Writes:
+    def carry_out(self, now: float, actions: list[api.Action]) -> StoreWrites:
         lines: dict[tuple[int, int], float] = {}
         resets: list[int] = []
         levels: list[frames.LevelRow] = []
@@ -288,15 +288,15 @@
                 case api.StartTimer():
                     self.remind(now + a.delay_ms, a.timer)
                 case api.CheckHealth():
-                    out.append(ProbeHost(a.host, self.addresses.get(a.host, "")))
+                    out.append(CheckHost(a.host, self.addresses.get(a.host, "")))
                 case api.WatchHostList():
-                    out.append(FollowRoster(a.is_watching))
+                    out.append(WatchHostList(a.is_watching))
                 case api.FetchHostList():
-                    out.append(FetchRoster())
+                    out.append(FetchHostList())
                 case api.SendToPeer():
-                    out.append(ToPeer(a.peer, a.payload[:256]))
+                    out.append(SendToPeer(a.peer, a.payload[:256]))
                 case api.LogNote():
-                    out.append(Say(a.text))
+                    out.append(LogNote(a.text))
         rows = [(t, h, w) for (t, h), w in lines.items()]
         out += self.messages(rows, resets, levels, cordons, points, mark, everyone)
         if rows or resets or cordons or levels:
@@ -307,7 +307,7 @@
         for table, host, weight in rows:
             self.unsaved.setdefault(table, {})[host] = weight
         kept = tuple((t, h, w) for t, row in self.unsaved.items() for h, w in row.items())
-        return Writes(self.seq, kept, tuple(self.unsaved_resets))
+        return StoreWrites(self.seq, kept, tuple(self.unsaved_resets))
 
     def mine(self, table: int) -> bool:
         if self.set.slice_count and table not in self.charge:
@@ -368,7 +368,7 @@
         cordons: Sequence[tuple[int, bool]] = (),
         points: Sequence[tuple[int, int]] = (),
         withdrawn: Sequence[int] = (),
-    ) -> Send:
+    ) -> SendFrame:
         frame = frames.Orders(
             self.seq,
             mark,
@@ -380,7 +380,7 @@
             {h: self.addresses[h] for _, h, w in lines if w > 0 and h in self.addresses},
             list(withdrawn),
         )
-        return Send(frames.encode(frame), cost(frame), mark, to, frame, urgent(lines, cordons, self.going))
+        return SendFrame(frames.encode(frame), cost(frame), mark, to, frame, urgent(lines, cordons, self.going))
 
     def reconcile(self, now: float, life: Life) -> None:
         """Another process wrote the store meanwhile: what it kept is the truth, and numbers go on above its own."""
@@ -399,7 +399,7 @@
         if moved and self.joined:
             self.seq += 1
             frame = frames.encode(frames.Orders(self.seq, addresses=moved))
-            self.pending.append(Send(frame, len(moved), -1, tuple(self.joined)))
+            self.pending.append(SendFrame(frame, len(moved), -1, tuple(self.joined)))
         self.snapshot = None
 
     def tables(self, forwarder: int) -> bytes:
@@ -428,7 +428,7 @@
             self.snapshot = (self.seq, frame)
         return frame
 
-    def reread(self, slices: list[int]) -> Send:
+    def reread(self, slices: list[int]) -> SendFrame:
         """Slices given anew: every joined forwarder reads them from the store."""
         self.seq += 1
         rows = [(s, sorted(self.state.tables.get(s, {}).items())) for s in slices]
@@ -439,13 +439,13 @@
             addresses={h: self.addresses[h] for h in sorted(named) if h in self.addresses},
             given=slices,
         )
-        return Send(frames.encode(frame), sum(1 + len(lines) for _, lines in rows), -1, tuple(self.joined))
+        return SendFrame(frames.encode(frame), sum(1 + len(lines) for _, lines in rows), -1, tuple(self.joined))
 
     def fenced(self, now: float) -> None:
         """The step's writes were refused for a slice that is not ours any more: nothing of the step's messages may
         go out. Forwarders get the tables that are still ours anew instead; the module's mark goes unanswered, and
         its hold ends by time."""
-        self.pending = [o for o in self.pending if not isinstance(o, Send)]
+        self.pending = [o for o in self.pending if not isinstance(o, SendFrame)]
         if touched := sorted(t for t in self.unsaved if t in self.charge):
             self.pending.append(self.reread(touched))
 
--- a/corallanding/controller/event_inbox.py
+++ b/corallanding/controller/event_inbox.py
@@ -15,7 +15,7 @@
     def step(self, now: float, events: Sequence[api.Event]) -> list[api.Action]: ...
 
 
-class Turns:
+class EventInbox:
     """Times in milliseconds on the owner's clock. Both fronts drive the module through this."""
 
     def __init__(self, module: Decider) -> None:
--- a/corallanding/controller/fleet_view.py
+++ b/corallanding/controller/fleet_view.py
@@ -10,7 +10,7 @@
 from ..version_pinning.version_selection import Server
 from ..wire import frames
 from .engine import Engine
-from .proxy_protocol import LinkProtocol
+from .proxy_protocol import ProxyConnection
 
 
 class FleetSource(Protocol):
@@ -19,7 +19,7 @@
     config: ControllerConfig
     view: View
     engine: Engine
-    forwarders: dict[int, LinkProtocol]
+    forwarders: dict[int, ProxyConnection]
 
     @property
     def clock(self) -> Callable[[], float]: ...
--- a/corallanding/controller/handover.py
+++ b/corallanding/controller/handover.py
@@ -13,34 +13,34 @@
 from ..snapshot.module import load as load_module
 from ..store import StoreFault, StoreHeld
 from ..telemetry import log
-from ..upgrade.pipe import peer_of
-from .handover_sender import Giver, Speaker, command_of, why_not
-from .handover_state import Handed, take
-from .recovery import Unfit, boot_id, check
+from ..upgrade.pipe import peer_credentials
+from .handover_sender import HandoverSender, HandoverSource, handover_obstacle, successor_command
+from .handover_state import HandoverState, restore_handover
+from .recovery import StateMismatchError, boot_id, check_state
 from .task_service import UPGRADE
 
 FLUSH = 300.0  # ms that a link may take to send what was written before a handover
 RANKED = 300  # lists of marks made ready for a handover at a time: a few milliseconds
 
 
-class Passing(Speaker):
+class Passing(HandoverSource):
     """Nothing is said by two processes at once: what was paused goes on only once the other is gone."""
 
-    def can_take(self, h: Handed) -> None:
+    def can_take(self, h: HandoverState) -> None:
         """Whether this process can go on from there. Raises `Unfit`."""
-        check(h.state, self.config.steward.number, self.settings, boot_id(), h.state.life + 1)
+        check_state(h.state, self.config.steward.number, self.settings, boot_id(), h.state.life + 1)
         try:
             self.loaded = load_module(self.settings, h.state.module)
         except (ValueError, TypeError) as fault:
-            raise Unfit(str(fault)) from None
+            raise StateMismatchError(str(fault)) from None
 
-    def take_over(self, h: Handed, now: float, ranked: Sequence[marks.Row]) -> None:
+    def take_over(self, h: HandoverState, now: float, ranked: Sequence[marks.Row]) -> None:
         v = self.view
         v.version, v.entries = h.version, {e.host: e for e in map(HostEntryState.entry, h.entries)}
         v.addresses, v.starts, v.known = dict(h.addresses), dict(h.starts), set(h.known)
         v.origins = {(host, started): since for host, started, since in h.state.origins}
         self.engine.addresses = v.addresses
-        take(self.engine, h, self.channel, self.joins, now, self.loaded)
+        restore_handover(self.engine, h, self.channel, self.joins, now, self.loaded)
         if self.loaded:
             marks.put(self.loaded.ranks, ranked)
         self.loaded = None
@@ -141,14 +141,14 @@
         """Hand over to a new process; why nothing came of it, or "" once it speaks."""
         if self.giving:
             return "a handover is under way"
-        if why := why_not(self):
+        if why := handover_obstacle(self):
             return why
         self.giving = True
         begun = self.clock()
         try:
-            command = command or command_of(str(self.path))
+            command = command or successor_command(str(self.path))
             log.info("handing over", command=" ".join(command))
-            giver = Giver(self, command, self.config.steward.upgrade_within_ms)
+            giver = HandoverSender(self, command, self.config.steward.upgrade_within_ms)
             why = await giver.run()
             self.successor = giver.process.pid if giver.process else 0
         finally:
@@ -182,7 +182,7 @@
 
     async def controlled(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            _, uid = peer_of(writer.get_extra_info("socket"))
+            _, uid = peer_credentials(writer.get_extra_info("socket"))
             words = (await asyncio.wait_for(reader.readline(), 2.0)).decode("utf-8", "replace").split("\0")
             if uid != os.getuid():
                 answer = "failed: another user"
--- a/corallanding/controller/handover_driver.py
+++ b/corallanding/controller/handover_driver.py
@@ -10,11 +10,11 @@
 from abc import ABC, abstractmethod
 from typing import Generic, TypeVar
 
-from ..upgrade.core import Do, New, Old, Phase
-from ..upgrade.pipe import Gone, Pipe
+from ..upgrade.core import HandoverCommand, Phase, Predecessor, Successor
+from ..upgrade.pipe import HandoverPipe, PipeClosedError
 
 
-def halt(point: str) -> None:
+def stop_at_test_point(point: str) -> None:
     """Where tests end a process or let it stand still: CORALLANDING_HALT=<kill|stop>:<point>. Every step is named."""
     how, _, where = os.environ.get("CORALLANDING_HALT", "").partition(":")
     if where == point:
@@ -25,7 +25,7 @@
     return time.monotonic() * 1000.0
 
 
-class Arbiter:
+class TerminationLock:
     """A file lock: only who has it may end the other. It goes with its process."""
 
     def __init__(self, path: str) -> None:
@@ -44,28 +44,28 @@
         os.close(self.fd)
 
 
-Core = TypeVar("Core", Old, New)
+Core = TypeVar("Core", Predecessor, Successor)
 
 
-class Side(ABC, Generic[Core]):
+class HandoverSide(ABC, Generic[Core]):
     """One process's part: does what the core says, hears the other, watches the time."""
 
     name: str
     core: Core
-    pipe: Pipe | None
+    pipe: HandoverPipe | None
 
     @property
-    def words(self) -> Pipe:
+    def words(self) -> HandoverPipe:
         assert self.pipe, "no process was started"
         return self.pipe
 
-    async def drive(self, todo: list[Do]) -> None:
+    async def drive(self, todo: list[HandoverCommand]) -> None:
         """Until the core has come to its end."""
         loop = asyncio.get_running_loop()
         hearing: asyncio.Future[tuple[str, bytes]] | None = None
         while True:
             for a in todo:
-                halt(f"{self.name} before {a.value}")
+                stop_at_test_point(f"{self.name} before {a.value}")
                 more = await self.do(a)
                 if more is not None:
                     todo = more
@@ -81,17 +81,17 @@
                     continue
                 try:
                     todo = await self.heard(*hearing.result())
-                except Gone:
+                except PipeClosedError:
                     todo = await self.lost()
                 hearing = None
 
-    async def heard(self, word: str, detail: bytes) -> list[Do]:
+    async def heard(self, word: str, detail: bytes) -> list[HandoverCommand]:
         """Raises `Gone`."""
         return self.core.heard(now(), word, detail.decode("utf-8", "replace"))
 
-    async def lost(self) -> list[Do]:
+    async def lost(self) -> list[HandoverCommand]:
         return self.core.lost(now())
 
     @abstractmethod
-    async def do(self, a: Do) -> list[Do] | None:
+    async def do(self, a: HandoverCommand) -> list[HandoverCommand] | None:
         """Another list of things to do in place of the rest, if this one did not go."""
--- a/corallanding/controller/handover_receiver.py
+++ b/corallanding/controller/handover_receiver.py
@@ -13,14 +13,14 @@
 from ..snapshot import marks
 from ..store import StoreFault
 from ..telemetry import log
-from ..upgrade.core import PROTOCOL, Do, New, Phase
-from ..upgrade.pipe import Gone, Pipe, peer_of
-from .handover_driver import Arbiter, Side, halt, now
-from .handover_state import Handed
-from .recovery import Unfit
+from ..upgrade.core import PROTOCOL, HandoverCommand, Phase, Successor
+from ..upgrade.pipe import HandoverPipe, PipeClosedError, peer_credentials
+from .handover_driver import HandoverSide, TerminationLock, now, stop_at_test_point
+from .handover_state import HandoverState
+from .recovery import StateMismatchError
 
 
-class Taker(Side[New]):
+class HandoverReceiver(HandoverSide[Successor]):
     """The process that is to speak. `start(handed, fds)` builds the steward and opens the store (raises `StoreFault`,
     `OSError`, `Unfit`); `check(handed)` tells whether the state can be used."""
 
@@ -28,18 +28,18 @@
 
     def __init__(
         self,
-        pipe: Pipe,
+        pipe: HandoverPipe,
         within: float,
         store: str,
-        check: Callable[[Handed], None],
-        start: Callable[[Handed | None, list[int], list[marks.Row]], Awaitable[None]],
+        check: Callable[[HandoverState], None],
+        start: Callable[[HandoverState | None, list[int], list[marks.Row]], Awaitable[None]],
     ) -> None:
-        self.pipe, self.core = pipe, New(within)
-        self.arbiter, self.check, self.start = Arbiter(f"{store}.handover"), check, start
-        self.old, self.user = peer_of(pipe.sock)
+        self.pipe, self.core = pipe, Successor(within)
+        self.arbiter, self.check, self.start = TerminationLock(f"{store}.handover"), check, start
+        self.old, self.user = peer_credentials(pipe.sock)
         self.body = b""
         self.marks: list[marks.Row] = []
-        self.handed: Handed | None = None
+        self.handed: HandoverState | None = None
         self.fds: list[int] = []
         self.why = ""
 
@@ -51,11 +51,11 @@
         await self.drive(self.core.begin(now()))
         if self.core.phase is not Phase.OWNER:
             return False
-        halt("new after all")
+        stop_at_test_point("new after all")
         self.words.close()
         return True
 
-    async def heard(self, word: str, detail: bytes) -> list[Do]:
+    async def heard(self, word: str, detail: bytes) -> list[HandoverCommand]:
         if word == "marks":
             self.core.deadline = now() + self.core.within
             try:
@@ -67,49 +67,49 @@
             loop, self.body = asyncio.get_running_loop(), detail
             count_word, count = await loop.run_in_executor(None, self.words.hear)
             if count_word != "sockets":
-                raise Gone(f"{count_word!r} in place of sockets")
+                raise PipeClosedError(f"{count_word!r} in place of sockets")
             self.fds = await loop.run_in_executor(None, self.words.receive, int(count))
         return self.core.heard(now(), word)
 
-    async def lost(self) -> list[Do]:
+    async def lost(self) -> list[HandoverCommand]:
         # Its end of the pipe closes before its lock on the store does.
         await self.gone(self.old)
         return self.core.lost(now())
 
-    async def do(self, a: Do) -> list[Do] | None:
+    async def do(self, a: HandoverCommand) -> list[HandoverCommand] | None:
         try:
             match a:
-                case Do.SEND_READY:
+                case HandoverCommand.SEND_READY:
                     self.words.say("ready", str(PROTOCOL).encode())
-                case Do.LOAD:
+                case HandoverCommand.LOAD:
                     try:
-                        self.handed = snapshots.unpack(self.body, Handed)
+                        self.handed = snapshots.unpack(self.body, HandoverState)
                         self.check(self.handed)
-                    except (snapshots.SnapshotFault, Unfit) as fault:
+                    except (snapshots.SnapshotFault, StateMismatchError) as fault:
                         # Versions or settings that share no state: sockets are taken, forwarders dial anew.
                         log.warning("state not used; forwarders will join anew", why=str(fault))
                         self.handed = None
                     return self.core.loaded(now(), True)
-                case Do.SEND_CHECKED:
+                case HandoverCommand.SEND_CHECKED:
                     self.words.say("checked")
-                case Do.OPEN_STORE | Do.COLD_START:
+                case HandoverCommand.OPEN_STORE | HandoverCommand.COLD_START:
                     # Steward and store in one: nothing of it speaks before it returns.
                     await self.start(self.handed, self.fds, self.marks)
-                case Do.SEND_TAKEN:
+                case HandoverCommand.SEND_TAKEN:
                     self.words.say("taken")
-                case Do.SEND_FAILED:
+                case HandoverCommand.SEND_FAILED:
                     self.words.say("failed", self.why.encode())
-                case Do.END_OTHER:
+                case HandoverCommand.END_OTHER:
                     if not self.arbiter.take():
                         return self.core.beaten()
                     await self.end(self.old)
                     self.arbiter.drop()
-        except (StoreFault, Unfit, OSError) as fault:
+        except (StoreFault, StateMismatchError, OSError) as fault:
             self.why = str(fault)
             log.error("cannot take over", why=self.why)
             return self.core.opened(now(), False)
-        except Gone:
-            return self.core.lost(now()) if a is not Do.SEND_TAKEN else None
+        except PipeClosedError:
+            return self.core.lost(now()) if a is not HandoverCommand.SEND_TAKEN else None
         return None
 
     async def end(self, process: int) -> None:
--- a/corallanding/controller/handover_sender.py
+++ b/corallanding/controller/handover_sender.py
@@ -13,14 +13,14 @@
 from ..snapshot import marks
 from ..store import StoreHeld
 from ..telemetry import log
-from ..upgrade.core import Do, Old
-from ..upgrade.pipe import Gone, Pipe
+from ..upgrade.core import HandoverCommand, Predecessor
+from ..upgrade.pipe import HandoverPipe, PipeClosedError
 from .components import Parts
-from .handover_driver import Arbiter, Side, now
-from .handover_state import hand, link_state
+from .handover_driver import HandoverSide, TerminationLock, now
+from .handover_state import capture_connection, capture_handover
 
 
-class Speaker(Parts):
+class HandoverSource(Parts):
     """What a handover asks of the steward that speaks."""
 
     @abstractmethod
@@ -36,7 +36,7 @@
     def take_back(self) -> None: ...
 
 
-def why_not(s: Parts) -> str:
+def handover_obstacle(s: Parts) -> str:
     """What of this steward cannot be handed over; empty if all can."""
     registry = s.config.registry
     if registry and registry.charge:
@@ -44,14 +44,14 @@
     return ""
 
 
-class Giver(Side[Old]):
+class HandoverSender(HandoverSide[Predecessor]):
     """The process that speaks. `run` returns why nothing came of it, or "" once the new one has taken over."""
 
     name = "old"
 
-    def __init__(self, steward: Speaker, command: list[str], within: float) -> None:
-        self.s, self.command, self.core = steward, command, Old(within)
-        self.arbiter = Arbiter(f"{steward.config.store.path}.handover")
+    def __init__(self, steward: HandoverSource, command: list[str], within: float) -> None:
+        self.s, self.command, self.core = steward, command, Predecessor(within)
+        self.arbiter = TerminationLock(f"{steward.config.store.path}.handover")
         self.process: asyncio.subprocess.Process | None = None
         self.pipe = None
 
@@ -63,26 +63,26 @@
             if self.pipe:
                 self.pipe.close()
 
-    async def do(self, a: Do) -> list[Do] | None:
+    async def do(self, a: HandoverCommand) -> list[HandoverCommand] | None:
         try:
             match a:
-                case Do.SPAWN:
+                case HandoverCommand.SPAWN:
                     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
-                    self.pipe = Pipe(ours)
+                    self.pipe = HandoverPipe(ours)
                     fd = theirs.fileno()
                     command = [*self.command, "--take-over", str(fd)]
                     self.process = await asyncio.create_subprocess_exec(*command, pass_fds=[fd])
                     theirs.close()
-                case Do.PAUSE:
+                case HandoverCommand.PAUSE:
                     await self.send_marks()
                     await self.s.pause()
-                case Do.SEND_STATE:
+                case HandoverCommand.SEND_STATE:
                     await self.send_state()
-                case Do.CLOSE_STORE:
+                case HandoverCommand.CLOSE_STORE:
                     self.s.let_go()
-                case Do.SEND_COMMIT:
+                case HandoverCommand.SEND_COMMIT:
                     self.words.say("commit")
-                case Do.END_OTHER:
+                case HandoverCommand.END_OTHER:
                     if not self.arbiter.take():
                         return self.core.beaten()
                     if self.process:
@@ -90,13 +90,13 @@
                             self.process.kill()
                         await self.process.wait()
                     self.arbiter.drop()
-                case Do.RESUME:
+                case HandoverCommand.RESUME:
                     self.s.take_back()
-                case Do.EXIT:
+                case HandoverCommand.EXIT:
                     self.s.handed_over = True
                     if self.s.stopped and not self.s.stopped.done():
                         self.s.stopped.set_result(0)
-        except (Gone, OSError) as fault:
+        except (PipeClosedError, OSError) as fault:
             return self.core.back(f"{a.value}: {fault}")
         except StoreHeld as fault:
             log.error("the store is not to be had again", why=str(fault))
@@ -116,7 +116,7 @@
         links = [x for x in s.links if x.link.hello and not x.over and x.transport]
         v = s.view
         roster = (v.version, list(v.entries.values()), dict(v.addresses), dict(v.starts), sorted(v.known))
-        rows = [link_state(x.link, x.joined, x.paused, x.beat_at) for x in links]
+        rows = [capture_connection(x.link, x.joined, x.paused, x.beat_at) for x in links]
         fds = [server.sockets[0].fileno() for server in s.servers]
         feed = None
         if s.feed:
@@ -125,7 +125,9 @@
         if s.peers:
             fds.append(s.peers.sock.fileno())
         kept = (str(s.recorder.path), s.recorder.written) if s.recorder else None
-        body = snapshots.pack(hand(s.engine, state, s.channel, rows, s.joins, roster, s.factors, feed, kept))
+        body = snapshots.pack(
+            capture_handover(s.engine, state, s.channel, rows, s.joins, roster, s.factors, feed, kept)
+        )
         fds += [x.transport.get_extra_info("socket").fileno() for x in links if x.transport]
 
         def work() -> None:
@@ -136,5 +138,5 @@
         await asyncio.get_running_loop().run_in_executor(None, work)
 
 
-def command_of(config: str) -> list[str]:
+def successor_command(config: str) -> list[str]:
     return [sys.executable, "-m", "corallanding.cli.main", "steward", "--config", config]
--- a/corallanding/controller/handover_state.py
+++ b/corallanding/controller/handover_state.py
@@ -19,13 +19,13 @@
 from ..wire.frames import Hello, Orders
 from ..wire.link import Link
 from .engine import Engine
-from .join_admission import Habit, Joins
+from .join_admission import JoinAdmission, JoinHistory
 from .recorder import pack, unpack
-from .recovery import StewardState, Unfit, revive
-from .report_aggregation import Tally
+from .recovery import ControllerState, StateMismatchError, restore
+from .report_aggregation import UsageTally
 
 
-class LinkState(msgspec.Struct, array_like=True):
+class ConnectionState(msgspec.Struct, array_like=True):
     """One connection; its descriptor comes beside, in the same order."""
 
     began: float
@@ -67,8 +67,8 @@
     most: float = msgspec.field(name="most")
 
 
-class Handed(msgspec.Struct):
-    state: StewardState = msgspec.field(name="state")
+class HandoverState(msgspec.Struct):
+    state: ControllerState = msgspec.field(name="state")
     seq: int = msgspec.field(name="seq")
     counter: int = msgspec.field(name="counter")
     tables: list[tuple[int, list[tuple[int, float]]]] = msgspec.field(name="tables")
@@ -81,7 +81,7 @@
     tallies: list[tuple[str, int, int, float, int, int, float]] = msgspec.field(name="tallies")
     sums: tuple[float, float] = msgspec.field(name="sums")  # what the intake may still take, and since when
     channel: ChannelState = msgspec.field(name="channel")
-    links: list[LinkState] = msgspec.field(name="links")
+    links: list[ConnectionState] = msgspec.field(name="links")
     habits: list[tuple[int, float, float]] = msgspec.field(name="habits")
     waiting: list[tuple[int, float, int]] = msgspec.field(name="waiting")  # forwarder, not before, order of coming
     pace: tuple[float, float] = msgspec.field(name="pace")  # of joins: what may still go, and since when
@@ -95,7 +95,7 @@
     recording: tuple[str, int] | None = msgspec.field(name="recording")  # its file, and the bytes in it
 
 
-def channel_state(c: Channel) -> ChannelState:
+def capture_channel(c: Channel) -> ChannelState:
     messages: dict[Message, int] = {}
     ports = []
     for p in c.ports.values():
@@ -111,7 +111,7 @@
     )
 
 
-def put_channel(c: Channel, s: ChannelState) -> None:
+def restore_channel(c: Channel, s: ChannelState) -> None:
     """Into a channel that is new. What had its turn and waited for a socket or the cap is looked at at once."""
     messages = [Message(m.frame, m.lines, m.mark, m.at, m.orders) for m in s.messages]
     c.ports, c.ready = {}, deque()
@@ -129,8 +129,8 @@
     c.free_at, c.most = s.free_at, s.most
 
 
-def link_state(k: Link, joined: bool, paused: bool, beat_at: float) -> LinkState:
-    return LinkState(
+def capture_connection(k: Link, joined: bool, paused: bool, beat_at: float) -> ConnectionState:
+    return ConnectionState(
         k.now,
         k.hello,
         joined,
@@ -146,26 +146,26 @@
     )
 
 
-def put_link(k: Link, s: LinkState) -> None:
+def restore_connection(k: Link, s: ConnectionState) -> None:
     k.now, k.hello, k.heard, k.marks = s.began, s.hello, s.heard, deque((m, at) for m, at in s.marks)
     k.recalled, k.allowance, k.flow, k.counted = s.recalled, s.allowance, s.flow, s.counted
     k.reader.held = bytearray(s.held)
 
 
-def hand(
+def capture_handover(
     e: Engine,
-    state: StewardState,
+    state: ControllerState,
     channel: Channel,
-    links: list[LinkState],
-    joins: Joins,
+    links: list[ConnectionState],
+    joins: JoinAdmission,
     roster: tuple[int, list[api.HostEntry], dict[int, str], dict[int, float], list[int]],
     factors: dict[int, float],
     feed: FeedState | None,
     recording: tuple[str, int] | None = None,
-) -> Handed:
+) -> HandoverState:
     g = e.gather
     version, entries, addresses, starts, known = roster
-    return Handed(
+    return HandoverState(
         state,
         e.seq,
         e.counter,
@@ -178,7 +178,7 @@
         e.gather_at,
         [(*key, t.since, t.total, t.errored, t.weighed) for key, t in g.tallies.items()],
         (g.allowance, g.counted),
-        channel_state(channel),
+        capture_channel(channel),
         links,
         [(f, h.last, h.wait) for f, h in joins.habits.items()],
         [(f, at, n) for at, n, f in sorted(joins.queue) if joins.waiting.get(f) == at],
@@ -194,13 +194,15 @@
     )
 
 
-def take(e: Engine, h: Handed, channel: Channel, joins: Joins, now: float, module: Assigner | None = None) -> None:
+def restore_handover(
+    e: Engine, h: HandoverState, channel: Channel, joins: JoinAdmission, now: float, module: Assigner | None = None
+) -> None:
     """Puts a new process's engine, channel and joins where the old one's were. Raises `Unfit`, nothing touched."""
     stored = e.state.tables
     e.state.tables = {t: dict(row) for t, row in h.tables}  # what is not kept yet, too
     try:
-        revive(e, h.state, [], now, False, module)
-    except Unfit:
+        restore(e, h.state, [], now, False, module)
+    except StateMismatchError:
         e.state.tables = stored
         raise
     e.seq, e.counter = h.seq, h.counter + len(e.inbox) + len(e.timers)
@@ -210,10 +212,10 @@
     e.joined, e.going, e.gather_at = dict(h.joined), set(h.going), h.gather_at
     e.recall_until = now - 1.0  # established links hold what this process has
     for what, a, b, since, total, errored, weighed in h.tallies:
-        e.gather.tallies[what, a, b] = Tally(since, total, errored, weighed)
+        e.gather.tallies[what, a, b] = UsageTally(since, total, errored, weighed)
     e.gather.allowance, e.gather.counted = h.sums
-    put_channel(channel, h.channel)
-    joins.habits = {f: Habit(last, wait) for f, last, wait in h.habits}
+    restore_channel(channel, h.channel)
+    joins.habits = {f: JoinHistory(last, wait) for f, last, wait in h.habits}
     joins.waiting = {f: at for f, at, _ in h.waiting}
     joins.queue = sorted((at, n, f) for f, at, n in h.waiting)
     joins.allowance, joins.counted = h.pace
--- a/corallanding/controller/inherited_sockets.py
+++ b/corallanding/controller/inherited_sockets.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 
 
-class Given:
+class InheritedSockets:
     """Descriptors that came from the process before: sockets that listen or take datagrams by address, the pair with
     the intake of load reports, links in their order."""
 
--- a/corallanding/controller/join_admission.py
+++ b/corallanding/controller/join_admission.py
@@ -12,7 +12,7 @@
 
 
 @dataclass
-class Habit:
+class JoinHistory:
     """How often one forwarder came of late."""
 
     last: float
@@ -20,7 +20,7 @@
 
 
 @dataclass
-class Joins:
+class JoinAdmission:
     """rate: a second, a quarter of a second's worth at once. again, again_most: ms between two of one forwarder,
     doubling while it comes back sooner than four times its last wait. Bounded by the numbers forwarders may have."""
 
@@ -30,7 +30,7 @@
     now: float
     allowance: float = field(init=False)
     counted: float = field(init=False)
-    habits: dict[int, Habit] = field(default_factory=dict)
+    habits: dict[int, JoinHistory] = field(default_factory=dict)
     waiting: dict[int, float] = field(default_factory=dict)  # forwarder: not before
     queue: list[tuple[float, int, int]] = field(default_factory=list)  # (not before, order of coming, forwarder)
     counter: int = 0
@@ -44,7 +44,7 @@
             return self.waiting[forwarder]
         habit, at = self.habits.get(forwarder), now
         if habit is None:
-            self.habits[forwarder] = Habit(now)
+            self.habits[forwarder] = JoinHistory(now)
         else:
             soon = now - habit.last < max(self.again, habit.wait * 4.0)
             habit.wait = min(self.again_most, max(self.again, habit.wait * 2.0)) if soon else 0.0
--- a/corallanding/controller/main.py
+++ b/corallanding/controller/main.py
@@ -17,11 +17,11 @@
 from ..config import ConfigError, load_controller
 from ..store import StoreFault
 from ..telemetry import configure, log
-from ..upgrade.pipe import Pipe
-from .crash_loop import CALM, Starts, advise
+from ..upgrade.pipe import HandoverPipe
+from .crash_loop import STABLE_AFTER_MS, StartHistory, advise_start
 from .daemon import Controller
 from .event_inbox import Decider
-from .handover_receiver import Taker
+from .handover_receiver import HandoverReceiver
 
 
 async def serve(
@@ -33,11 +33,11 @@
     config = load_controller(path)
     configure(config.log.format, config.log.level)
     controller = Controller(config, decider, record, path)
-    starts, loop = Starts(f"{config.store.path}.starts"), asyncio.get_running_loop()
+    starts, loop = StartHistory(f"{config.store.path}.starts"), asyncio.get_running_loop()
     try:
         if take_over is None:
             wall, before = time.time() * 1000.0, starts.read()
-            advice = advise(before, wall)
+            advice = advise_start(before, wall)
             starts.keep([*before[-advice.count :], wall] if advice.count else [wall])
             controller.trust_snapshot = advice.trust
             if advice.wait:
@@ -45,9 +45,9 @@
                 await asyncio.sleep(advice.wait / 1000.0)
             await controller.start()
         else:
-            pipe = Pipe(socket.socket(fileno=take_over))
+            pipe = HandoverPipe(socket.socket(fileno=take_over))
             within = config.steward.upgrade_within_ms
-            if not await Taker(pipe, within, config.store.path, controller.can_take, controller.start).run():
+            if not await HandoverReceiver(pipe, within, config.store.path, controller.can_take, controller.start).run():
                 return 6
     except StoreFault as fault:
         log.error("cannot start", why=str(fault))
@@ -55,7 +55,7 @@
     except OSError as fault:
         log.error("cannot start", why=str(fault))
         return 5
-    calm = loop.call_later(CALM / 1000.0, starts.keep, [])
+    calm = loop.call_later(STABLE_AFTER_MS / 1000.0, starts.keep, [])
     retiring = list[asyncio.Task[None]]()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, lambda: retiring.append(loop.create_task(controller.retire())))
--- a/corallanding/controller/overload.py
+++ b/corallanding/controller/overload.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True)
-class Limits:
+class OverloadLimits:
     """late: ms that a step may be late. share: of the time that steps may fill. put_off_most: ms."""
 
     late: float = 100.0
@@ -21,8 +21,8 @@
 
 
 @dataclass
-class Overload:
-    limits: Limits
+class OverloadDetector:
+    limits: OverloadLimits
     lag: float = 0.0  # smoothed lateness, ms
     busy: float = 0.0  # smoothed part of the time that steps fill
     strained: bool = False
--- a/corallanding/controller/peer_transport.py
+++ b/corallanding/controller/peer_transport.py
@@ -15,7 +15,7 @@
 SHARED = b"\xc1"  # before words on members and budgets; no msgpack begins so, and modules pass over it
 
 
-class Peers:
+class PeerTransport:
     """peers: number to "ip:port". `heard(peer, payload)` for each word of a known one; `dropped()` for the rest.
 
     What comes while reading is held stays in the kernel's buffer, for whoever reads next. Raises OSError if the
--- a/corallanding/controller/persistence.py
+++ b/corallanding/controller/persistence.py
@@ -12,8 +12,8 @@
 from . import engine as core
 from . import recorder
 from .components import Parts
-from .recorder import Recorder, RecordFault
-from .recovery import Step, StewardState, Unfit, boot_id, capture, check, revive
+from .recorder import Recorder, RecordingError
+from .recovery import ControllerState, StateMismatchError, Step, boot_id, capture_state, check_state, restore
 
 
 class Keeping(Parts):
@@ -22,7 +22,7 @@
     def seed(self, life: int) -> int:
         return self.config.steward.seed * 1_000_003 + life
 
-    def last_state(self, life: int) -> StewardState | None:
+    def last_state(self, life: int) -> ControllerState | None:
         """What the last life left; its clock goes on. None if there is nothing that can be used; the log says why."""
         path = self.config.store.snapshot_path
         if not path:
@@ -31,18 +31,18 @@
             log.warning("snapshot not used; the tables alone are", why="the last starts ended in deaths soon after")
             return None
         try:
-            state = snapshots.read(path, StewardState)
-            check(state, self.config.steward.number, self.settings, boot_id(), life)
+            state = snapshots.read(path, ControllerState)
+            check_state(state, self.config.steward.number, self.settings, boot_id(), life)
         except snapshots.Missing:
             return None
-        except (snapshots.SnapshotFault, Unfit, OSError) as fault:
+        except (snapshots.SnapshotFault, StateMismatchError, OSError) as fault:
             log.warning("snapshot not used; the tables alone are", why=str(fault))
             return None
         self.clock.zero, self.log_number = state.zero, state.log
         self.stepped_at = self.clock()
         return state
 
-    def take_up(self, state: StewardState, now: float) -> bool:
+    def take_up(self, state: ControllerState, now: float) -> bool:
         """Begin where the last life was; false if that cannot be, and the log says why."""
         origins = self.view.origins
         try:
@@ -51,8 +51,8 @@
                 steps += recorder.read(path).steps
                 self.log_number += 1
             self.view.origins = {(h, started): since for h, started, since in state.origins}
-            count, anew = revive(self.engine, state, steps, now)
-        except (Unfit, RecordFault, OSError) as fault:
+            count, anew = restore(self.engine, state, steps, now)
+        except (StateMismatchError, RecordingError, OSError) as fault:
             log.warning("snapshot not used; the tables alone are", why=str(fault))
             self.view.origins = origins
             return False
@@ -94,10 +94,10 @@
         self.metrics.snapshot_seconds.observe((self.clock() - begun) / 1000.0)
         self.state_task = loop.create_task(self.write_state(c.snapshot_path, data, number))
 
-    def state(self, log: int) -> StewardState | None:
+    def state(self, log: int) -> ControllerState | None:
         """As it stands between two steps; None if the module is not one that can be kept."""
         me = self.config.steward.number
-        return capture(self.engine, me, boot_id(), self.clock.zero, self.view.origins, log)
+        return capture_state(self.engine, me, boot_id(), self.clock.zero, self.view.origins, log)
 
     async def write_state(self, path: str, data: bytes, number: int) -> None:
         def work() -> None:
@@ -109,7 +109,7 @@
         except OSError as fault:
             self.rate_limited_log.warn("snapshot not kept", why=str(fault))
 
-    def keep(self, now: float, writes: core.Writes) -> bool:
+    def keep(self, now: float, writes: core.StoreWrites) -> bool:
         """Write to the store; false while it does not take it."""
         if not writes.lines and not writes.resets:
             return not self.store_faults
--- a/corallanding/controller/proxy_connections.py
+++ b/corallanding/controller/proxy_connections.py
@@ -10,7 +10,7 @@
 from ..wire import frames
 from .acceptor import Listener
 from .components import Parts
-from .proxy_protocol import LinkProtocol
+from .proxy_protocol import ProxyConnection
 
 
 class Joining(Parts):
@@ -19,7 +19,7 @@
     def make_listener(self, host: str, port: int, given: socket.socket | None) -> Listener:
         rate = self.config.forwarders.accepts_per_s
         said = lambda why: self.rate_limited_log.warn("link not taken", why=why)  # noqa: E731
-        return Listener(host, port, 1024, rate, lambda: LinkProtocol(self), said, given)
+        return Listener(host, port, 1024, rate, lambda: ProxyConnection(self), said, given)
 
     def pump(self) -> None:
         """Send what the channel lets go by now, and come again when it lets go more."""
@@ -49,7 +49,7 @@
             loop = asyncio.get_running_loop()
             self.pump_timer = loop.call_later(max(0.0005, (at - now) / 1000.0), self.pump)
 
-    def frame(self, link: LinkProtocol, frame: frames.Frame) -> None:
+    def frame(self, link: ProxyConnection, frame: frames.Frame) -> None:
         now = self.clock()
         match frame:
             case frames.Hello():
@@ -75,14 +75,14 @@
                 self.cluster.on_proxy_frame(link.forwarder, frame)
         self.wake()
 
-    def takes(self, link: LinkProtocol, takes: bool) -> None:
+    def takes(self, link: ProxyConnection, takes: bool) -> None:
         """A forwarder's socket takes no more for now, or takes more again."""
         if link.joined and self.forwarders.get(link.forwarder) is link:
             self.channel.block(link.forwarder, not takes)
             if takes:
                 self.pump()
 
-    def hello(self, link: LinkProtocol, hello: frames.Hello) -> None:
+    def hello(self, link: ProxyConnection, hello: frames.Hello) -> None:
         if hello.zone >= len(self.config.zones):
             link.end("malformed", f"zone {hello.zone}: there are {len(self.config.zones)}")
             return
@@ -117,7 +117,7 @@
             wait = max(0.001, (at - now) / 1000.0)
             self.admitting = asyncio.get_running_loop().call_later(wait, self.admit)
 
-    def greet(self, link: LinkProtocol) -> None:
+    def greet(self, link: ProxyConnection) -> None:
         c = self.config
         welcome = frames.Welcome(
             frames.VERSION,
@@ -135,7 +135,7 @@
         for link in [x for x in self.links if x.joined and not x.over]:
             self.greet(link)
 
-    def welcome(self, link: LinkProtocol, hello: frames.Hello) -> None:
+    def welcome(self, link: ProxyConnection, hello: frames.Hello) -> None:
         self.greet(link)
         if self.engine.wants_recall(self.clock(), hello):
             link.link.recalled = True
@@ -145,7 +145,7 @@
         else:
             self.join(link)
 
-    def join(self, link: LinkProtocol) -> None:
+    def join(self, link: ProxyConnection) -> None:
         """The forwarder gets its tables, and counts as joined from here on."""
         hello = link.link.hello
         if link.over or link.joined or hello is None or self.forwarders.get(link.forwarder) is not link:
@@ -163,7 +163,7 @@
             self.cluster.on_proxy_joined(link.forwarder)
         self.wake()
 
-    def gone(self, link: LinkProtocol) -> None:
+    def gone(self, link: ProxyConnection) -> None:
         """A link is over: its forwarder has left, unless a later link of its has taken the place."""
         self.links.pop(link, None)
         self.strangers.pop(link, None)
--- a/corallanding/controller/proxy_protocol.py
+++ b/corallanding/controller/proxy_protocol.py
@@ -9,13 +9,13 @@
 from ..wire import frames
 from ..wire.frames import LinkFault
 from ..wire.link import Link
-from .handover_state import put_link
+from .handover_state import restore_connection
 
 if TYPE_CHECKING:
     from ..config import ControllerConfig
     from ..telemetry import Metrics, RateLimitedLogger
     from ..wire.link import Limits
-    from .handover_state import LinkState
+    from .handover_state import ConnectionState
 
 
 class Owner(Protocol):
@@ -25,31 +25,31 @@
     limits: Limits
     rate_limited_log: RateLimitedLogger
     metrics: Metrics
-    links: dict[LinkProtocol, None]
-    forwarders: dict[int, LinkProtocol]
-    strangers: dict[LinkProtocol, None]
+    links: dict[ProxyConnection, None]
+    forwarders: dict[int, ProxyConnection]
+    strangers: dict[ProxyConnection, None]
 
     @property
     def clock(self) -> Callable[[], float]: ...
 
-    def frame(self, link: LinkProtocol, frame: frames.Frame) -> None: ...
+    def frame(self, link: ProxyConnection, frame: frames.Frame) -> None: ...
 
-    def takes(self, link: LinkProtocol, takes: bool) -> None: ...
+    def takes(self, link: ProxyConnection, takes: bool) -> None: ...
 
-    def gone(self, link: LinkProtocol) -> None: ...
+    def gone(self, link: ProxyConnection) -> None: ...
 
 
-class LinkProtocol(asyncio.Protocol):
+class ProxyConnection(asyncio.Protocol):
     """One connection of a forwarder. `joined` once its tables were sent."""
 
-    def __init__(self, steward: Owner, handed: LinkState | None = None) -> None:
+    def __init__(self, steward: Owner, handed: ConnectionState | None = None) -> None:
         """handed: the connection was another process's."""
         self.steward, self.handed = steward, handed
         self.link = Link(steward.limits, steward.clock())
         self.joined = self.over = self.paused = False
         self.beat_at = steward.clock()
         if handed:
-            put_link(self.link, handed)
+            restore_connection(self.link, handed)
             self.joined, self.beat_at = handed.joined, handed.beat_at
         self.transport: asyncio.Transport | None = None
 
--- a/corallanding/controller/recorder.py
+++ b/corallanding/controller/recorder.py
@@ -23,7 +23,7 @@
 _decoder = msgspec.msgpack.Decoder()
 
 
-class RecordFault(Exception):
+class RecordingError(Exception):
     """A file that is no recording, or one of another version."""
 
 
@@ -33,7 +33,7 @@
 
 def unpack(raw: Any) -> Any:
     if not isinstance(raw, list) or len(raw) != 2 or raw[0] not in stored_names.TYPES:
-        raise RecordFault(f"no event or action: {str(raw)[:80]}")
+        raise RecordingError(f"no event or action: {str(raw)[:80]}")
     return from_stored(raw[1], stored_names.TYPES[raw[0]])
 
 
@@ -106,7 +106,7 @@
     try:
         head = _decoder.decode(next(parts, b""))
         if not isinstance(head, dict) or head.get("corallanding") != VERSION:
-            raise RecordFault(f"{path}: no recording of version {VERSION}")
+            raise RecordingError(f"{path}: no recording of version {VERSION}")
         settings = from_stored(head["settings"], api.Settings)
         found = Recording(settings, int(head["seed"]), [], False, bool(head.get("middle")))
         for part in parts:
@@ -116,7 +116,7 @@
             now, events, actions = _decoder.decode(part)
             found.steps.append((float(now), [unpack(e) for e in events], [unpack(a) for a in actions]))
     except (msgspec.DecodeError, msgspec.ValidationError, KeyError, TypeError, ValueError) as fault:
-        raise RecordFault(f"{path}: not a recording: {str(fault)[:200]}") from None
+        raise RecordingError(f"{path}: not a recording: {str(fault)[:200]}") from None
     return found
 
 
--- a/corallanding/controller/recovery.py
+++ b/corallanding/controller/recovery.py
@@ -22,11 +22,11 @@
 Step = tuple[float, Sequence[Any], Sequence[Any]]
 
 
-class Unfit(Exception):
+class StateMismatchError(Exception):
     """The snapshot is sound and does not belong to this start; the text says why."""
 
 
-class StewardState(msgspec.Struct):
+class ControllerState(msgspec.Struct):
     number: int = msgspec.field(name="number")  # of the steward
     settings: bytes = msgspec.field(name="settings")  # digest of what the module goes by
     boot: str = msgspec.field(name="boot")  # of the machine: its monotonic clock goes on while this is the same
@@ -52,20 +52,20 @@
         return ""
 
 
-def digest(settings: api.Settings) -> bytes:
+def settings_digest(settings: api.Settings) -> bytes:
     return hashlib.blake2b(msgspec.json.encode(to_stored(settings)), digest_size=16).digest()
 
 
-def capture(
+def capture_state(
     engine: Engine, number: int, boot: str, zero: float, origins: dict[tuple[int, float], float], log: int
-) -> StewardState | None:
+) -> ControllerState | None:
     """Between two steps. None if the module is not one that can be kept."""
     if not isinstance(engine.module, Assigner):
         return None
     s = engine.state
-    return StewardState(
+    return ControllerState(
         number,
-        digest(engine.set),
+        settings_digest(engine.set),
         boot,
         zero,
         engine.now,
@@ -80,21 +80,21 @@
     )
 
 
-def check(state: StewardState, number: int, settings: api.Settings, boot: str, life: int) -> None:
+def check_state(state: ControllerState, number: int, settings: api.Settings, boot: str, life: int) -> None:
     """Raises `Unfit`."""
     if state.number != number:
-        raise Unfit(f"it is of steward {state.number}, this is {number}")
-    if state.settings != digest(settings):
-        raise Unfit("the settings that decisions go by are others now")
+        raise StateMismatchError(f"it is of steward {state.number}, this is {number}")
+    if state.settings != settings_digest(settings):
+        raise StateMismatchError("the settings that decisions go by are others now")
     if state.boot != boot or not boot:
-        raise Unfit("the machine has been started anew: its clock tells nothing of then")
+        raise StateMismatchError("the machine has been started anew: its clock tells nothing of then")
     if state.life != life - 1:
-        raise Unfit(f"it is of life {state.life}, the last one was {life - 1}")
+        raise StateMismatchError(f"it is of life {state.life}, the last one was {life - 1}")
 
 
-def revive(
+def restore(
     engine: Engine,
-    state: StewardState,
+    state: ControllerState,
     steps: Iterable[Step],
     now: float,
     gone: bool = True,
@@ -109,7 +109,7 @@
     try:
         module = module or load(engine.set, state.module)
     except ValueError as fault:
-        raise Unfit(str(fault)) from None
+        raise StateMismatchError(str(fault)) from None
     timers: list[tuple[float, int]]
     levels = {(t, bits): (a, r) for t, bits, a, r in state.levels}
     cordons, timers, count = set(state.cordons), list(state.timers), 0
@@ -118,7 +118,7 @@
             if isinstance(e, api.TimerFired) and (due := [t for t in timers if t[1] == e.timer]):
                 timers.remove(min(due))
         if list(module.step(at, list(events))) != list(actions):
-            raise Unfit(f"step {count + 1} of its log is decided otherwise now")
+            raise StateMismatchError(f"step {count + 1} of its log is decided otherwise now")
         count += 1
         for a in actions:
             if isinstance(a, api.StartTimer):
@@ -128,7 +128,7 @@
             elif isinstance(a, api.Cordon):
                 (cordons.add if a.is_cordoned else cordons.discard)(a.host)
     if module.orders.now > now:
-        raise Unfit("its clock is ahead of this one")
+        raise StateMismatchError("its clock is ahead of this one")
     engine.module, engine.steps, engine.now = module, 1, module.orders.now
     engine.can_wait = getattr(module, "can_wait", None)
     engine.state.levels, engine.state.cordons = levels, cordons
--- a/corallanding/controller/report_aggregation.py
+++ b/corallanding/controller/report_aggregation.py
@@ -13,7 +13,7 @@
 
 
 @dataclass
-class Tally:
+class UsageTally:
     since: float  # when the period began that this tally covers
     total: int = 0
     errored: int = 0
@@ -23,10 +23,10 @@
 Key = tuple[str, int, int]  # "host", zone, host / "slice", slice, operation / "own", forwarder, operation
 
 
-class Gather:
+class UsageAggregator:
     def __init__(self, settings: api.Settings, keys_most: int = 100_000) -> None:
         self.set, self.keys_most = settings, keys_most
-        self.tallies: dict[Key, Tally] = {}  # in the order of their first word: the oldest first
+        self.tallies: dict[Key, UsageTally] = {}  # in the order of their first word: the oldest first
         self.allowance, self.counted = 0.0, 0.0
         self.dropped = 0  # rows beyond the bound, or of hosts, slices or operations that do not exist
 
@@ -53,12 +53,12 @@
             elif tally := self.tally(now, ("own", forwarder, operation), sums.span):
                 tally.total, tally.errored = tally.total + came, tally.errored + unanswered
 
-    def tally(self, now: float, key: Key, span: float) -> Tally | None:
+    def tally(self, now: float, key: Key, span: float) -> UsageTally | None:
         if key not in self.tallies:
             if len(self.tallies) >= self.keys_most:
                 self.dropped += 1
                 return None
-            self.tallies[key] = Tally(now - min(span, self.set.report_interval_ms))
+            self.tallies[key] = UsageTally(now - min(span, self.set.report_interval_ms))
         return self.tallies[key]
 
     def due(self, now: float) -> list[api.Event]:
--- a/corallanding/lab/fleet/settings.py
+++ b/corallanding/lab/fleet/settings.py
@@ -71,7 +71,7 @@
         day = recorded_day(str(path), str(exact or ""), s.scenario.roster.notice_ms)
     except NoDay as fault:
         raise ConfigError(f"{path}: {fault}") from None
-    except (recorder.RecordFault, OSError) as fault:
+    except (recorder.RecordingError, OSError) as fault:
         raise ConfigError(str(fault)) from None
     except (EOFError, msgspec.DecodeError) as fault:
         raise ConfigError(f"{exact}: no trace: {fault}") from None
--- a/corallanding/lab/fleet/steward.py
+++ b/corallanding/lab/fleet/steward.py
@@ -11,7 +11,7 @@
 from ...config.sources import RegistryBlock
 from ...controller.daemon import Controller
 from ...controller.event_inbox import Decider
-from ...controller.proxy_protocol import LinkProtocol
+from ...controller.proxy_protocol import ProxyConnection
 from ...endpoints.endpoint_list import loopback
 from ...load_reports.feed import Feed
 from ...load_reports.intake import Datagrams, Intake, attend
@@ -138,7 +138,7 @@
         self.loop = loop
 
     def make_listener(self, host: str, port: int, given: Any) -> Any:
-        return SimListener(self.loop.listen(lambda: LinkProtocol(self), host, port))
+        return SimListener(self.loop.listen(lambda: ProxyConnection(self), host, port))
 
     def dial_registry(self, g: RegistryBlock, said: Callable[[str], None]) -> Callable[[], Any]:
         from .registry import LocalClient
--- a/corallanding/platform/service.py
+++ b/corallanding/platform/service.py
@@ -11,7 +11,7 @@
 from ..assignment import Assigner
 from ..collector.core import Intake
 from ..collector.server import Door
-from ..controller.event_inbox import Turns
+from ..controller.event_inbox import EventInbox
 from ..health_check.prober import Prober
 from ..host_names import name
 from ..relay.call_connection import CallLink
@@ -41,7 +41,7 @@
         self.clock = Clock()
         self.seldom = Seldom()
         s = config.settings
-        self.turns = Turns(Assigner(s, config.seed))
+        self.turns = EventInbox(Assigner(s, config.seed))
         self.lists = Lists(config, self.seldom, self.tell, traced)
         self.view, self.agent = self.lists.view, self.lists.agent
         self.news = News(s, config.places.zones)
--- a/corallanding/platform/trace.py
+++ b/corallanding/platform/trace.py
@@ -10,7 +10,7 @@
 from ..assignment import Assigner
 from ..collector.core import Intake
 from ..collector.server import Door
-from ..controller.event_inbox import Turns
+from ..controller.event_inbox import EventInbox
 from ..discovery.core import View
 from ..discovery.long_poll import Agent
 from ..host_names import name
@@ -31,7 +31,7 @@
     calls: Calls
     intake: Intake
     door: Door | None
-    turns: Turns
+    turns: EventInbox
     clock: Clock
     took: float
     took_most: float
--- a/corallanding/upgrade/core.py
+++ b/corallanding/upgrade/core.py
@@ -22,7 +22,7 @@
 PROTOCOL = 1
 
 
-class Do(Enum):
+class HandoverCommand(Enum):
     SPAWN = "spawn"
     PAUSE = "pause"  # no step, no read, no accept; what was written has left
     SEND_STATE = "send state"
@@ -54,7 +54,7 @@
 
 
 @dataclass
-class Old:
+class Predecessor:
     """The process that speaks now. within: ms for each phase. ended: why it came to an end without handing over."""
 
     within: float
@@ -62,103 +62,103 @@
     deadline: float = 0.0
     why: str = ""
 
-    def begin(self, now: float) -> list[Do]:
+    def begin(self, now: float) -> list[HandoverCommand]:
         self.phase, self.deadline, self.why = Phase.SPAWNED, now + self.within, ""
-        return [Do.SPAWN]
+        return [HandoverCommand.SPAWN]
 
-    def heard(self, now: float, what: str, detail: str = "") -> list[Do]:
+    def heard(self, now: float, what: str, detail: str = "") -> list[HandoverCommand]:
         self.deadline = now + self.within
         match self.phase, what:
             case Phase.SPAWNED, "ready":
                 if detail != str(PROTOCOL):
                     return self.back(f"the new process speaks handover protocol {detail}, this one {PROTOCOL}")
                 self.phase = Phase.OFFERED
-                return [Do.PAUSE, Do.SEND_STATE]
+                return [HandoverCommand.PAUSE, HandoverCommand.SEND_STATE]
             case Phase.OFFERED, "checked":
                 self.phase = Phase.COMMITTED
-                return [Do.CLOSE_STORE, Do.SEND_COMMIT]
+                return [HandoverCommand.CLOSE_STORE, HandoverCommand.SEND_COMMIT]
             case Phase.COMMITTED, "taken":
                 self.phase = Phase.OVER
-                return [Do.EXIT]
+                return [HandoverCommand.EXIT]
             case _, "failed":
                 return self.back(detail)
         return self.back(f"{what!r} came while {self.phase.value}")
 
-    def lost(self, now: float) -> list[Do]:
+    def lost(self, now: float) -> list[HandoverCommand]:
         """The new process is gone, or its end of the pipe."""
         return self.back("the new process ended")
 
-    def tick(self, now: float) -> list[Do]:
+    def tick(self, now: float) -> list[HandoverCommand]:
         if self.phase in (Phase.IDLE, Phase.OVER) or now < self.deadline:
             return []
         return self.back(f"nothing came from the new process within {self.within:g} ms ({self.phase.value})")
 
-    def back(self, why: str) -> list[Do]:
+    def back(self, why: str) -> list[HandoverCommand]:
         if self.phase in (Phase.IDLE, Phase.OVER):
             return []
         self.phase, self.why = Phase.IDLE, why
-        return [Do.END_OTHER, Do.RESUME]
+        return [HandoverCommand.END_OTHER, HandoverCommand.RESUME]
 
-    def beaten(self) -> list[Do]:
+    def beaten(self) -> list[HandoverCommand]:
         """The arbiter is the other's: it takes over, and this process is as good as dead."""
         self.phase = Phase.OVER
-        return [Do.EXIT]
+        return [HandoverCommand.EXIT]
 
 
 @dataclass
-class New:
+class Successor:
     """The process that is to speak."""
 
     within: float
     phase: Phase = Phase.STARTING
     deadline: float = 0.0
 
-    def begin(self, now: float) -> list[Do]:
+    def begin(self, now: float) -> list[HandoverCommand]:
         self.phase, self.deadline = Phase.WAITING, now + self.within
-        return [Do.SEND_READY]
+        return [HandoverCommand.SEND_READY]
 
-    def heard(self, now: float, what: str, detail: str = "") -> list[Do]:
+    def heard(self, now: float, what: str, detail: str = "") -> list[HandoverCommand]:
         self.deadline = now + self.within
         match self.phase, what:
             case Phase.WAITING, "state":
-                return [Do.LOAD]
+                return [HandoverCommand.LOAD]
             case Phase.CHECKED, "commit":
                 self.phase = Phase.OWNER
-                return [Do.OPEN_STORE, Do.RUN, Do.SEND_TAKEN]
+                return [HandoverCommand.OPEN_STORE, HandoverCommand.RUN, HandoverCommand.SEND_TAKEN]
         self.phase = Phase.OVER
-        return [Do.EXIT]
+        return [HandoverCommand.EXIT]
 
-    def loaded(self, now: float, ok: bool) -> list[Do]:
+    def loaded(self, now: float, ok: bool) -> list[HandoverCommand]:
         if not ok:
             self.phase = Phase.OVER
-            return [Do.SEND_FAILED, Do.EXIT]
+            return [HandoverCommand.SEND_FAILED, HandoverCommand.EXIT]
         self.phase, self.deadline = Phase.CHECKED, now + self.within
-        return [Do.SEND_CHECKED]
+        return [HandoverCommand.SEND_CHECKED]
 
-    def opened(self, now: float, ok: bool) -> list[Do]:
+    def opened(self, now: float, ok: bool) -> list[HandoverCommand]:
         """The store was opened, or not: then the old one takes it again."""
         if ok:
             return []
         self.phase = Phase.OVER
-        return [Do.SEND_FAILED, Do.EXIT]
+        return [HandoverCommand.SEND_FAILED, HandoverCommand.EXIT]
 
-    def lost(self, now: float) -> list[Do]:
+    def lost(self, now: float) -> list[HandoverCommand]:
         """The old process is gone: nothing but this one is left."""
         match self.phase:
             case Phase.CHECKED:
                 self.phase = Phase.OWNER
-                return [Do.OPEN_STORE, Do.RUN]
+                return [HandoverCommand.OPEN_STORE, HandoverCommand.RUN]
             case Phase.STARTING | Phase.WAITING:
                 self.phase = Phase.OWNER
-                return [Do.COLD_START]
+                return [HandoverCommand.COLD_START]
         return []
 
-    def tick(self, now: float) -> list[Do]:
+    def tick(self, now: float) -> list[HandoverCommand]:
         if self.phase not in (Phase.WAITING, Phase.CHECKED) or now < self.deadline:
             return []
         # It stands still, and may wake up.
-        return [Do.END_OTHER, *self.lost(now)]
+        return [HandoverCommand.END_OTHER, *self.lost(now)]
 
-    def beaten(self) -> list[Do]:
+    def beaten(self) -> list[HandoverCommand]:
         self.phase = Phase.OVER
-        return [Do.EXIT]
+        return [HandoverCommand.EXIT]
--- a/corallanding/upgrade/pipe.py
+++ b/corallanding/upgrade/pipe.py
@@ -15,18 +15,18 @@
 AT_ONCE = 200  # descriptors a message; the kernel takes 253
 
 
-class Gone(Exception):
+class PipeClosedError(Exception):
     """The other side has ended, or what came is no word."""
 
 
-def peer_of(sock: socket.socket) -> tuple[int, int]:
+def peer_credentials(sock: socket.socket) -> tuple[int, int]:
     """(process, user) of the other side, as the kernel says."""
     raw = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
     pid, uid, _ = struct.unpack("3i", raw)
     return pid, uid
 
 
-class Pipe:
+class HandoverPipe:
     def __init__(self, sock: socket.socket) -> None:
         sock.setblocking(True)
         self.sock = sock
@@ -37,17 +37,17 @@
         try:
             self.sock.sendall(len(body).to_bytes(4, "big") + body)
         except OSError as fault:
-            raise Gone(str(fault)) from None
+            raise PipeClosedError(str(fault)) from None
 
     def hear(self) -> tuple[str, bytes]:
         """Raises `Gone`."""
         length = int.from_bytes(self.take(4), "big")
         if length > MOST:
-            raise Gone(f"a word of {length} bytes")
+            raise PipeClosedError(f"a word of {length} bytes")
         try:
             word, detail = msgspec.msgpack.decode(self.take(length), type=tuple[str, bytes])
         except msgspec.DecodeError as fault:
-            raise Gone(str(fault)) from None
+            raise PipeClosedError(str(fault)) from None
         return word, detail
 
     def take(self, size: int) -> bytes:
@@ -56,9 +56,9 @@
             try:
                 got = self.sock.recv(min(size - len(data), 1 << 20))
             except OSError as fault:
-                raise Gone(str(fault)) from None
+                raise PipeClosedError(str(fault)) from None
             if not got:
-                raise Gone("the other side has ended")
+                raise PipeClosedError("the other side has ended")
             data += got
         return bytes(data)
 
@@ -68,7 +68,7 @@
             try:
                 socket.send_fds(self.sock, [b"F"], fds[at : at + AT_ONCE])
             except OSError as fault:
-                raise Gone(str(fault)) from None
+                raise PipeClosedError(str(fault)) from None
 
     def receive(self, count: int) -> list[int]:
         """As many as were given; all are closed if they do not come whole. Raises `Gone`."""
@@ -78,11 +78,11 @@
                 data, fds, flags, _ = socket.recv_fds(self.sock, 1, AT_ONCE)
                 found += fds
                 if not data or not fds or flags & socket.MSG_CTRUNC:
-                    raise Gone(f"{len(found)} of {count} descriptors came")
-        except (OSError, Gone) as fault:
+                    raise PipeClosedError(f"{len(found)} of {count} descriptors came")
+        except (OSError, PipeClosedError) as fault:
             for fd in found:
                 os.close(fd)
-            raise Gone(str(fault)) from None
+            raise PipeClosedError(str(fault)) from None
         return found
 
     def close(self) -> None:
--- a/tests/stored_samples.py
+++ b/tests/stored_samples.py
@@ -13,10 +13,10 @@
 from corallanding.assignment import Assigner
 from corallanding.channel import Channel
 from corallanding.channel import Limits as ChannelLimits
-from corallanding.controller.engine import Engine, Send
-from corallanding.controller.handover_state import Handed, LinkState, hand, link_state
-from corallanding.controller.join_admission import Joins
-from corallanding.controller.recovery import StewardState, capture
+from corallanding.controller.engine import Engine, SendFrame
+from corallanding.controller.handover_state import ConnectionState, HandoverState, capture_connection, capture_handover
+from corallanding.controller.join_admission import JoinAdmission
+from corallanding.controller.recovery import ControllerState, capture_state
 from corallanding.lease import messages as lease
 from corallanding.load_reports.load_estimator import Counts, HostLoad, Process
 from corallanding.load_reports.state import FeedState
@@ -215,7 +215,7 @@
     def __init__(self, life: int, tables: dict[int, dict[int, float]] | None = None) -> None:
         found = Life(life, 0, tables or {})
         self.engine = Engine(SETTINGS, 3, found, range(SLICES), dict(ADDRESSES), Assigner)
-        self.channel, self.joins = Channel(CHANNEL), Joins(20.0, 300.0, 2000.0, START)
+        self.channel, self.joins = Channel(CHANNEL), JoinAdmission(20.0, 300.0, 2000.0, START)
         self.now = START
         self.said: list[str] = []
         self.steps: list[Any] = []
@@ -253,7 +253,7 @@
         engine.decide(self.now)
         self.steps.append(engine.last)
         for output in engine.publish(chance.random() < 0.9):
-            if isinstance(output, Send):
+            if isinstance(output, SendFrame):
                 self.channel.submit(
                     self.now, output.frame, output.lines, output.mark, output.to, output.orders, output.urgent
                 )
@@ -275,13 +275,13 @@
         one.helpers.append(host)
         one.lines[host] = self.engine.state.tables[0][2] = 1.0
 
-    def state(self) -> StewardState:
-        found = capture(self.engine, 1, "boot", 5.0, {(3, 1.0): 7.0, (4, 2.0): 8.0}, 2)
+    def state(self) -> ControllerState:
+        found = capture_state(self.engine, 1, "boot", 5.0, {(3, 1.0): 7.0, (4, 2.0): 8.0}, 2)
         assert found
         return found
 
 
-def links() -> list[LinkState]:
+def links() -> list[ConnectionState]:
     """Two links: one with half a frame and marks that are out, one that has said no more than hello."""
     busy, idle = Link(LinkLimits(), START), Link(LinkLimits(), START + 1.0)
     beat = frames.encode(frames.Beat(3.5))
@@ -289,10 +289,10 @@
     busy.marked(START + 3.0, 40)
     busy.marked(START + 4.0, 41)
     idle.receive(START + 5.0, frames.encode(frames.Hello(1, 2, "two")))
-    return [link_state(busy, True, False, START + 6.0), link_state(idle, False, True, START + 7.0)]
+    return [capture_connection(busy, True, False, START + 6.0), capture_connection(idle, False, True, START + 7.0)]
 
 
-def handed(rig: Rig) -> Handed:
+def handed(rig: Rig) -> HandoverState:
     """The rig's own state, and one of each thing that it has not come to."""
     engine = rig.engine
     engine.unsaved, engine.unsaved_resets = {2: {1: 1.0, 3: 0.0}}, {2}
@@ -304,6 +304,6 @@
     rig.joins.ask(rig.now, 1)
     rig.joins.ask(rig.now, 2)
     roster = (12, list(ENTRIES), dict(ADDRESSES), dict(STARTED), [0, 1, 5])
-    return hand(
+    return capture_handover(
         engine, rig.state(), rig.channel, links(), rig.joins, roster, {1: 0.5, 2: 0.84}, FEED, ("/var/s.rec", 4096)
     )
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -6,7 +6,7 @@
 
 from corallanding import interface as api
 from corallanding.controller import engine as core
-from corallanding.controller.report_aggregation import Gather
+from corallanding.controller.report_aggregation import UsageAggregator
 from corallanding.store import Life
 from corallanding.wire import frames
 
@@ -25,7 +25,7 @@
     return frames.Reader(frames.to_forwarder, 1 << 20).feed(data)
 
 
-def step(engine: core.Engine, now: float, stored: bool = True) -> tuple[core.Writes, list[core.Output]]:
+def step(engine: core.Engine, now: float, stored: bool = True) -> tuple[core.StoreWrites, list[core.Output]]:
     engine.event(now, api.TimerFired(99))
     writes = engine.decide(now)
     return writes, engine.publish(stored)
@@ -58,9 +58,9 @@
         engine.join(0.0, hello(f))
     module.todo = [api.SetWeight(0, 10, 1.0), api.SetWeight(1, 11, 1.0), api.PublishVersion(7)]
     writes = engine.decide(10.0)
-    assert writes == core.Writes(1, ((0, 10, 1.0), (1, 11, 1.0)))
+    assert writes == core.StoreWrites(1, ((0, 10, 1.0), (1, 11, 1.0)))
     [send] = engine.publish(True)
-    assert isinstance(send, core.Send)
+    assert isinstance(send, core.SendFrame)
     assert send.to == (1, 2)
     assert (send.lines, send.mark) == (3, 7)
     [order] = read(send.frame)
@@ -134,19 +134,19 @@
         api.AssignTable(2, 6, 1),
     ]
     _, out = step(engine, 10.0)
-    got = {s.to: read(s.frame)[0] for s in out if isinstance(s, core.Send)}
+    got = {s.to: read(s.frame)[0] for s in out if isinstance(s, core.SendFrame)}
     assert set(got) == {(1,), (2,)}
     assert got[1,].lines_sent == [(5, 10, 1.0)]
     assert got[1,].points == [(5, 0)]
     module.todo = [api.SetWeight(6, 11, 0.0), api.PublishVersion(1, to_all_proxies=True)]
     _, out = step(engine, 20.0)
-    assert {s.to for s in out if isinstance(s, core.Send)} == {(2,), (1, 3)}
+    assert {s.to for s in out if isinstance(s, core.SendFrame)} == {(2,), (1, 3)}
     [tables] = read(engine.join(30.0, hello(1)))
     assert isinstance(tables, frames.Tables) and tables.tables == [], "a binding ends with the stream"
 
 
 def test_sums_add_up_and_come_oldest_first_at_the_intake_s_pace() -> None:
-    gather = Gather(SETTINGS)
+    gather = UsageAggregator(SETTINGS)
     for now, host in ((0.0, 10), (100.0, 11), (200.0, 12)):
         gather.add(now, 1, 0, frames.Sums(500.0, hosts=[(host, 4, 1, 20.0)]), {10, 11, 12}, set())
     odd = frames.Sums(500.0, hosts=[(10, 2, 0, 50.0), (99, 1, 0, 1.0), (11, 1, 2, 1.0)])
@@ -162,7 +162,7 @@
 
 
 def test_sums_are_bounded() -> None:
-    gather = Gather(SETTINGS, keys_most=2)
+    gather = UsageAggregator(SETTINGS, keys_most=2)
     gather.add(0.0, 1, 0, frames.Sums(500.0, slices=[(s, 0, 1, 0) for s in range(4)]), set(), set(range(4)))
     assert len(gather.tallies) == 2
     assert gather.dropped == 2
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -16,15 +16,15 @@
 
 from corallanding import interface as api
 from corallanding.controller.acceptor import Listener
-from corallanding.controller.join_admission import Joins
-from corallanding.controller.overload import Limits, Overload
+from corallanding.controller.join_admission import JoinAdmission
+from corallanding.controller.overload import OverloadDetector, OverloadLimits
 from corallanding.wire import frames
 
 # ---- joins ---------------------------------------------------------------------------------------------------
 
 
 def test_a_thousand_joins_go_at_the_pace_and_in_the_order_of_coming() -> None:
-    joins = Joins(rate=100.0, again=500.0, again_most=4000.0, now=0.0)
+    joins = JoinAdmission(rate=100.0, again=500.0, again_most=4000.0, now=0.0)
     for f in range(1000):
         joins.ask(0.0, f)
     log = [(now, f) for now in range(0, 12_000, 10) for f in joins.due(float(now))]
@@ -35,7 +35,7 @@
 
 
 def test_one_that_comes_in_a_loop_waits_longer_and_does_not_hold_up_the_others() -> None:
-    joins = Joins(rate=10.0, again=500.0, again_most=4000.0, now=0.0)
+    joins = JoinAdmission(rate=10.0, again=500.0, again_most=4000.0, now=0.0)
     went: dict[int, list[int]] = {1: [], 2: []}
     for now in range(0, 60_000, 10):
         joins.ask(float(now), 1)  # joins again at once, for ever
@@ -52,7 +52,7 @@
 
 
 def test_a_forwarder_whose_link_broke_while_it_waited_is_passed_over() -> None:
-    joins = Joins(rate=1.0, again=500.0, again_most=4000.0, now=0.0)
+    joins = JoinAdmission(rate=1.0, again=500.0, again_most=4000.0, now=0.0)
     for f in (1, 2, 3):
         joins.ask(0.0, f)
     joins.forget(2)
@@ -62,7 +62,7 @@
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.sampled_from(["ask", "forget", "run"]), st.integers(0, 3), st.floats(1, 3000))))
 def test_nobody_waits_for_ever_and_nobody_goes_unasked(moves: list[tuple[str, int, float]]) -> None:
-    joins = Joins(rate=20.0, again=300.0, again_most=2000.0, now=0.0)
+    joins = JoinAdmission(rate=20.0, again=300.0, again_most=2000.0, now=0.0)
     now, wants = 0.0, set[int]()
     for what, f, ms in moves:
         if what == "ask":
@@ -89,7 +89,7 @@
 
 
 def test_a_turn_waits_while_the_steward_is_late_and_no_longer_than_the_settings_say() -> None:
-    o = Overload(Limits(late=100.0, share=0.5, put_off_most=1000.0))
+    o = OverloadDetector(OverloadLimits(late=100.0, share=0.5, put_off_most=1000.0))
     assert not o.waits(0.0, 0)
     o.lagged(400.0)
     waits = []
@@ -107,7 +107,7 @@
 
 
 def test_steps_that_fill_the_time_strain_it_and_a_single_long_one_does_not() -> None:
-    o = Overload(Limits(late=1e9, share=0.5))
+    o = OverloadDetector(OverloadLimits(late=1e9, share=0.5))
     now = 0.0
     for _ in range(20):
         now += 100.0
--- a/tests/test_revive.py
+++ b/tests/test_revive.py
@@ -18,9 +18,16 @@
 from corallanding import interface as api
 from corallanding.assignment import Assigner
 from corallanding.controller import recorder
-from corallanding.controller.crash_loop import Advice, Starts, advise
+from corallanding.controller.crash_loop import StartAdvice, StartHistory, advise_start
 from corallanding.controller.engine import Engine
-from corallanding.controller.recovery import StewardState, Unfit, boot_id, capture, check, revive
+from corallanding.controller.recovery import (
+    ControllerState,
+    StateMismatchError,
+    boot_id,
+    capture_state,
+    check_state,
+    restore,
+)
 from corallanding.lab.roster import Roster
 from corallanding.lab.trace import Trace
 from corallanding.snapshot import file
@@ -62,10 +69,10 @@
             self.log.append(self.engine.last)
             self.engine.publish(True)
 
-    def state(self) -> StewardState:
-        found = capture(self.engine, 0, "boot", 5.0, {(3, 1.0): 7.0}, 1)
+    def state(self) -> ControllerState:
+        found = capture_state(self.engine, 0, "boot", 5.0, {(3, 1.0): 7.0}, 1)
         assert found
-        return file.unpack(file.pack(found), StewardState)
+        return file.unpack(file.pack(found), ControllerState)
 
 
 def lines(e: Engine) -> dict[int, dict[int, float]]:
@@ -82,7 +89,7 @@
     one.run(cut)
     two = Rig(2, lines(one.engine))
     two.now = one.now
-    assert revive(two.engine, state, one.log[tail:], one.now) == (cut, [])
+    assert restore(two.engine, state, one.log[tail:], one.now) == (cut, [])
     assert isinstance(one.engine.module, Assigner)
     assert isinstance(two.engine.module, Assigner)
     assert two.engine.module.level == one.engine.module.level < 1.0
@@ -101,7 +108,7 @@
     tables = lines(one.engine)
     tables[4] = {1: 1.0, 2: 1.0}  # a step that was kept and not logged, or the other way round
     two = Rig(2, tables)
-    assert revive(two.engine, one.state(), [], one.now)[1] == [4]
+    assert restore(two.engine, one.state(), [], one.now)[1] == [4]
     two.now = one.now
     two.run(8)
     module = two.engine.module
@@ -122,8 +129,8 @@
     steps[5] = (at, events, [*actions, api.LogNote("a thought of another version")])
     two = Rig(2, lines(one.engine))
     module = two.engine.module
-    with pytest.raises(Unfit, match="step 6 of its log"):
-        revive(two.engine, state, steps, one.now)
+    with pytest.raises(StateMismatchError, match="step 6 of its log"):
+        restore(two.engine, state, steps, one.now)
     assert two.engine.module is module
     assert not two.engine.inbox
     assert not two.engine.timers
@@ -143,11 +150,11 @@
     one.begin()
     one.run(5)
     state = one.state()
-    check(state, 0, SETTINGS, "boot", 2)
+    check_state(state, 0, SETTINGS, "boot", 2)
     for k, v in change.items():
         setattr(state, k, v)
-    with pytest.raises(Unfit, match=why):
-        check(state, 0, SETTINGS, "boot", 2)
+    with pytest.raises(StateMismatchError, match=why):
+        check_state(state, 0, SETTINGS, "boot", 2)
 
 
 def test_a_log_cut_at_any_byte_is_taken_up_to_its_last_whole_step(tmp_path: Path) -> None:
@@ -168,7 +175,7 @@
         steps = recorder.read(tmp_path / "log").steps
         assert len(steps) == sum(size <= cut for size in sizes[1:])
         if cut in sizes or cut % 97 == 0:
-            assert revive(Rig(2, lines(one.engine)).engine, state, steps, one.now)[0] == len(steps)
+            assert restore(Rig(2, lines(one.engine)).engine, state, steps, one.now)[0] == len(steps)
 
 
 # ---- crash loops -----------------------------------------------------------------------------------------------
@@ -177,7 +184,7 @@
 def test_starts_soon_after_one_another_wait_ever_longer_and_leave_the_snapshot_alone() -> None:
     now, before, seen = 1e12, list[float](), []
     for _ in range(9):
-        advice = advise(before, now)
+        advice = advise_start(before, now)
         seen.append((advice.count, advice.wait, advice.trust))
         before.append(now)
         now += advice.wait + 500.0
@@ -192,18 +199,18 @@
         (7, 16000.0, False),
         (8, 30000.0, False),
     ]
-    assert advise(before, now + 61_000.0) == Advice(0, 0.0, True), "after a calm minute it is a start as any"
-    assert advise([now + 1e6], now) == Advice(0, 0.0, True), "a clock that went back"
+    assert advise_start(before, now + 61_000.0) == StartAdvice(0, 0.0, True), "after a calm minute it is a start as any"
+    assert advise_start([now + 1e6], now) == StartAdvice(0, 0.0, True), "a clock that went back"
 
 
 def test_the_file_of_starts_may_be_damaged_or_not_be_writable(tmp_path: Path) -> None:
-    starts = Starts(str(tmp_path / "x.starts"))
+    starts = StartHistory(str(tmp_path / "x.starts"))
     assert starts.read() == []
     starts.keep([1.0, 2.0])
     assert starts.read() == [1.0, 2.0]
     (tmp_path / "x.starts").write_text("{nonsense")
     assert starts.read() == []
-    Starts(str(tmp_path / "no" / "x.starts")).keep([1.0])
+    StartHistory(str(tmp_path / "no" / "x.starts")).keep([1.0])
 
 
 def test_a_crash_loop_is_backed_off_and_seen(tmp_path: Path) -> None:
--- a/tests/test_settings_any.py
+++ b/tests/test_settings_any.py
@@ -13,7 +13,7 @@
 from corallanding import interface as api
 from corallanding.assignment import Assigner
 from corallanding.collector.core import Intake
-from corallanding.controller.event_inbox import Turns
+from corallanding.controller.event_inbox import EventInbox
 from corallanding.host_names import number
 from corallanding.platform.config import BadConfig, Config, parse
 from corallanding.relay.pending_calls import Calls, Channel
@@ -89,7 +89,7 @@
     assert c.dial_timeout > 0.0
     assert math.isfinite(intake.slowest)
     assert intake.span_most > 0
-    turns, now, sent = Turns(Assigner(s, c.seed)), 1e9, list[float]()
+    turns, now, sent = EventInbox(Assigner(s, c.seed)), 1e9, list[float]()
     hosts = [number(f"h{n}") for n in range(4)]
     entries = [api.HostEntry(h, n % max(1, s.zone_count), 0, n) for n, h in enumerate(hosts)]
 
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -29,21 +29,21 @@
 from corallanding.cli.main import app
 from corallanding.controller import main, record_store
 from corallanding.controller import recorder as record
-from corallanding.controller.crash_loop import Starts
+from corallanding.controller.crash_loop import StartHistory
 from corallanding.controller.decision_loop import Turning
-from corallanding.controller.handover_driver import Arbiter
-from corallanding.controller.handover_sender import command_of
+from corallanding.controller.handover_driver import TerminationLock
+from corallanding.controller.handover_sender import successor_command
 from corallanding.controller.handover_state import (
-    Handed,
-    LinkState,
-    channel_state,
-    link_state,
-    put_channel,
-    put_link,
-    take,
+    ConnectionState,
+    HandoverState,
+    capture_channel,
+    capture_connection,
+    restore_channel,
+    restore_connection,
+    restore_handover,
 )
 from corallanding.controller.record_store import RecordStore
-from corallanding.controller.recovery import StewardState, check, revive
+from corallanding.controller.recovery import ControllerState, check_state, restore
 from corallanding.interface import stored_names
 from corallanding.load_reports.envelope import Head, Load
 from corallanding.load_reports.framing import pack as pack_intake
@@ -60,8 +60,8 @@
 from corallanding.snapshot.module import dump, load
 from corallanding.store import Life, SqliteStore
 from corallanding.telemetry.metrics import Metrics
-from corallanding.upgrade.core import PROTOCOL, Do, New, Old
-from corallanding.upgrade.pipe import Pipe
+from corallanding.upgrade.core import PROTOCOL, HandoverCommand, Predecessor, Successor
+from corallanding.upgrade.pipe import HandoverPipe
 from corallanding.wire import frames
 from corallanding.wire.link import Limits as LinkLimits
 from corallanding.wire.link import Link
@@ -222,7 +222,7 @@
     for row in raw["slices"]:
         row[5][1:-1] = [DISTINCT + n for n in range(1, len(SLICE) - 1)]
     raw["values"] = {name: DISTINCT + n for n, name in enumerate(VALUES)}
-    state = file.read(FIXTURES / "snapshot.bin", StewardState)
+    state = file.read(FIXTURES / "snapshot.bin", ControllerState)
     found = load(samples.SETTINGS, msgspec.convert(raw, type(state.module)))
     for row, host in zip(raw["hosts"], found.hosts.values(), strict=True):
         assert row[1] == [of(host) for of in HOST.values()]
@@ -236,21 +236,21 @@
 
 def test_the_figures_of_every_host_slice_and_part_are_written_as_before() -> None:
     data = (FIXTURES / "snapshot.bin").read_bytes()
-    state = file.unpack(data, StewardState)
+    state = file.unpack(data, ControllerState)
     assert file.pack(state) == data
     again = msgspec.msgpack.encode(dump(load(samples.SETTINGS, state.module)))
     assert again == msgspec.msgpack.encode(plain(data)["module"])
 
 
 def test_a_snapshot_and_its_log_are_taken_up_and_the_next_steps_are_the_same(tmp_path: Path) -> None:
-    state = file.read(FIXTURES / "snapshot.bin", StewardState)
-    check(state, 1, samples.SETTINGS, "boot", 2)
+    state = file.read(FIXTURES / "snapshot.bin", ControllerState)
+    check_state(state, 1, samples.SETTINGS, "boot", 2)
     tables = json.loads((FIXTURES / "snapshot.tables.json").read_text())
     rig = samples.Rig(2, {int(table): {int(h): w for h, w in row.items()} for table, row in tables.items()})
     log = record.read(FIXTURES / "snapshot.log")
     rig.now = log.steps[-1][0]
     assert log.middle
-    assert revive(rig.engine, state, log.steps, rig.now) == (10, [])
+    assert restore(rig.engine, state, log.steps, rig.now) == (10, [])
     rig.turns(82, 122)
     assert (
         recorded(tmp_path / "next", samples.SETTINGS, 3, rig.steps, True) == (FIXTURES / "snapshot.next").read_bytes()
@@ -310,7 +310,7 @@
     ours, theirs = socket.socketpair()
     theirs.sendall((FIXTURES / "handover.bin").read_bytes())
     theirs.shutdown(socket.SHUT_WR)
-    pipe = Pipe(ours)
+    pipe = HandoverPipe(ours)
     words = dict(pipe.hear() for _ in range(4))
     pipe.close()
     theirs.close()
@@ -321,16 +321,16 @@
     words = handover_words()
     assert list(words) == ["marks", "state", "sockets", "commit"]
     assert words["sockets"] == b"3"
-    handed = file.unpack(words["state"], Handed)
-    check(handed.state, 1, samples.SETTINGS, "boot", 2)
+    handed = file.unpack(words["state"], HandoverState)
+    check_state(handed.state, 1, samples.SETTINGS, "boot", 2)
     rig = samples.Rig(2, {0: {5: 1.0}})
     rig.now = handed.state.now
     loaded = load(samples.SETTINGS, handed.state.module)
-    take(rig.engine, handed, rig.channel, rig.joins, rig.now, loaded)
+    restore_handover(rig.engine, handed, rig.channel, rig.joins, rig.now, loaded)
     rows = msgspec.msgpack.decode(words["marks"], type=list[marks.Row])
     assert marks.put(loaded.ranks, rows) == samples.SLICES
     assert [event for _, _, event in rig.engine.inbox][: len(samples.EVENTS)] == [e for _, e in samples.EVENTS]
-    assert channel_state(rig.channel) == handed.channel
+    assert capture_channel(rig.channel) == handed.channel
     rig.turns(72, 110)
     assert "\n".join(rig.said) + "\n" == (FIXTURES / "handover.next").read_text()
 
@@ -344,7 +344,7 @@
     assert isinstance(rig.engine.module, Assigner)
     rows = marks.out(rig.engine.module.ranks, range(samples.SLICES))
     ours, theirs = socket.socketpair()
-    pipe, said = Pipe(ours), io.BytesIO()
+    pipe, said = HandoverPipe(ours), io.BytesIO()
     pipe.say("marks", msgspec.msgpack.encode(rows))
     pipe.say("state", file.pack(handed))
     pipe.say("sockets", b"3")
@@ -393,26 +393,26 @@
 
 
 def test_load_reports_and_links_go_over_whole() -> None:
-    handed = file.unpack(handover_words()["state"], Handed)
+    handed = file.unpack(handover_words()["state"], HandoverState)
     assert handed.feed == samples.FEED
     assert [row.entry() for row in handed.entries] == list(samples.ENTRIES)
     assert handed.links == samples.links()
     busy, idle = Link(LinkLimits(), 0.0), Link(LinkLimits(), 0.0)
-    put_link(busy, handed.links[0])
-    put_link(idle, handed.links[1])
-    assert link_state(busy, True, False, samples.START + 6.0) == handed.links[0]
+    restore_connection(busy, handed.links[0])
+    restore_connection(idle, handed.links[1])
+    assert capture_connection(busy, True, False, samples.START + 6.0) == handed.links[0]
     assert busy.receive(samples.START + 9.0, frames.encode(frames.Beat(3.5))[6:]) == [frames.Beat(3.5)]
     assert [number for number, _ in busy.marks] == [40, 41]
     assert not idle.marks
     assert idle.hello == frames.Hello(1, 2, "two")
     rig = samples.Rig(2)
-    put_channel(rig.channel, handed.channel)
-    assert channel_state(rig.channel) == handed.channel
+    restore_channel(rig.channel, handed.channel)
+    assert capture_channel(rig.channel) == handed.channel
 
 
 def test_each_place_in_the_arrays_of_a_handover_stands_for_what_it_stood_for() -> None:
-    handed = file.unpack(handover_words()["state"], Handed)
-    assert handed.links[0] == LinkState(
+    handed = file.unpack(handover_words()["state"], HandoverState)
+    assert handed.links[0] == ConnectionState(
         began=1e9,
         hello=frames.Hello(1, 1, "one", 0, 9.5, True, 4, 5, 3),
         joined=True,
@@ -440,15 +440,15 @@
 def test_the_words_of_both_processes_of_a_handover() -> None:
     """An old process knows a new one's words, and the other way round."""
     assert PROTOCOL == 1
-    old, new = Old(1000.0), New(1000.0)
+    old, new = Predecessor(1000.0), Successor(1000.0)
     old.begin(0.0)
     new.begin(0.0)
-    assert old.heard(1.0, "ready", "1") == [Do.PAUSE, Do.SEND_STATE]
-    assert new.heard(1.0, "state") == [Do.LOAD]
-    assert new.loaded(1.0, True) == [Do.SEND_CHECKED]
-    assert old.heard(2.0, "checked") == [Do.CLOSE_STORE, Do.SEND_COMMIT]
-    assert new.heard(2.0, "commit") == [Do.OPEN_STORE, Do.RUN, Do.SEND_TAKEN]
-    assert old.heard(3.0, "taken") == [Do.EXIT]
+    assert old.heard(1.0, "ready", "1") == [HandoverCommand.PAUSE, HandoverCommand.SEND_STATE]
+    assert new.heard(1.0, "state") == [HandoverCommand.LOAD]
+    assert new.loaded(1.0, True) == [HandoverCommand.SEND_CHECKED]
+    assert old.heard(2.0, "checked") == [HandoverCommand.CLOSE_STORE, HandoverCommand.SEND_COMMIT]
+    assert new.heard(2.0, "commit") == [HandoverCommand.OPEN_STORE, HandoverCommand.RUN, HandoverCommand.SEND_TAKEN]
+    assert old.heard(3.0, "taken") == [HandoverCommand.EXIT]
 
 
 def test_an_old_process_can_start_a_new_one(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -464,11 +464,11 @@
     words = ["steward", "--config", f"{tmp_path}/s.hcl", "--take-over", "7"]
     told = CliRunner().invoke(app, words)
     assert told.exit_code == 0 and taken == [(f"{tmp_path}/s.hcl", None, 7)], told.output
-    assert command_of("s.hcl")[1:] == ["-m", "corallanding.cli.main", "steward", "--config", "s.hcl"]
+    assert successor_command("s.hcl")[1:] == ["-m", "corallanding.cli.main", "steward", "--config", "s.hcl"]
 
 
 def test_both_processes_of_a_handover_ask_for_the_same_arbiter(tmp_path: Path) -> None:
-    first, second = Arbiter(f"{tmp_path}/s.db.handover"), Arbiter(f"{tmp_path}/s.db.handover")
+    first, second = TerminationLock(f"{tmp_path}/s.db.handover"), TerminationLock(f"{tmp_path}/s.db.handover")
     assert first.take()
     assert not second.take()
     first.drop()
@@ -478,8 +478,8 @@
 
 
 def test_starts_that_ended_soon_are_read_and_written_as_before(tmp_path: Path) -> None:
-    assert Starts(str(FIXTURES / "starts.json")).read() == [1000.5, 2000.0]
-    Starts(str(tmp_path / "starts")).keep([1000.5, 2000.0])
+    assert StartHistory(str(FIXTURES / "starts.json")).read() == [1000.5, 2000.0]
+    StartHistory(str(tmp_path / "starts")).keep([1000.5, 2000.0])
     assert (tmp_path / "starts").read_bytes() == (FIXTURES / "starts.json").read_bytes()
 
 
@@ -614,7 +614,7 @@
 
 def test_what_is_stored_of_a_wrong_form_is_refused() -> None:
     for raw in (["Due"], ["Dew", {"handle": 1}], ["Due", {}], ["Due", {"handle": "one"}], ["Due", [1]], 7):
-        with pytest.raises((record.RecordFault, msgspec.ValidationError)):
+        with pytest.raises((record.RecordingError, msgspec.ValidationError)):
             record.unpack(raw)
     for entries in (7, [7], [{"zone": 1}], [{"host": 1, "zone": "x"}]):
         with pytest.raises(msgspec.ValidationError):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -27,7 +27,7 @@
 from corallanding.lab.trace import Trace
 from corallanding.load_reports.envelope import Head, pack
 from corallanding.store import SqliteStore
-from corallanding.upgrade.core import Do
+from corallanding.upgrade.core import HandoverCommand
 from corallanding.wire import frames
 
 pytestmark = pytest.mark.processes
@@ -451,7 +451,7 @@
     # A new process that dies or stands still before it was told to speak costs nothing at all.
     quiet = [p for p in KILLS if p.startswith("new") and p not in ("new before run", "new before send taken")]
     assert all(rows[f"{how}:{p}"] == "failed; links joined anew: 0" for how in ("kill", "stop") for p in quiet)
-    assert {p.split(" before ")[1] for p in KILLS} <= {d.value for d in Do}
+    assert {p.split(" before ")[1] for p in KILLS} <= {d.value for d in HandoverCommand}
 
 
 def test_a_control_path_that_is_a_file_is_refused_and_the_file_stands(tmp_path: Path) -> None:
--- a/tests/test_upgrade_core.py
+++ b/tests/test_upgrade_core.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from corallanding.upgrade.core import PROTOCOL, Do, New, Old, Phase
+from corallanding.upgrade.core import PROTOCOL, HandoverCommand, Phase, Predecessor, Successor
 
 WITHIN = 2.0
 
@@ -15,12 +15,18 @@
 class World:
     """Both processes with what they have still to do, one pipe each way, a clock, the arbiter and the store's lock."""
 
-    def __init__(self, old: type[Old] = Old, new: type[New] = New, arbiter: bool = True, faults: int = 1) -> None:
+    def __init__(
+        self,
+        old: type[Predecessor] = Predecessor,
+        new: type[Successor] = Successor,
+        arbiter: bool = True,
+        faults: int = 1,
+    ) -> None:
         self.now = 0.0
         self.kinds, self.arbiter = (old, new), arbiter
         self.side: list[Any] = [old(WITHIN), None]
         self.alive, self.asleep = [True, False], [False, False]
-        self.todo: list[list[Do]] = [[], []]
+        self.todo: list[list[HandoverCommand]] = [[], []]
         self.wire: list[list[tuple[str, str]]] = [[], []]  # to old, to new
         self.speaks, self.store = [True, False], 0
         self.has_arbiter: int | None = None
@@ -109,17 +115,17 @@
         if self.has_arbiter == me:
             self.has_arbiter = None
 
-    def do(self, me: int, a: Do) -> None:
+    def do(self, me: int, a: HandoverCommand) -> None:
         s = self.side[me]
         match a:
-            case Do.SPAWN:
+            case HandoverCommand.SPAWN:
                 self.alive[1], self.side[1] = True, self.kinds[1](WITHIN)
                 self.todo[1] = self.side[1].begin(self.now)
-            case Do.PAUSE:
+            case HandoverCommand.PAUSE:
                 self.speaks[me] = False
-            case Do.CLOSE_STORE:
+            case HandoverCommand.CLOSE_STORE:
                 self.store = -1
-            case Do.END_OTHER:
+            case HandoverCommand.END_OTHER:
                 if self.arbiter and self.has_arbiter not in (None, me):
                     self.todo[me] = s.beaten()
                     return
@@ -130,30 +136,30 @@
                     self.todo[me].insert(0, a)
                 else:
                     self.has_arbiter = None
-            case Do.RESUME:
+            case HandoverCommand.RESUME:
                 assert self.store in (-1, me), "the store is the other's"
                 self.store, self.speaks[me] = me, True
-            case Do.LOAD:
+            case HandoverCommand.LOAD:
                 self.todo[me] += s.loaded(self.now, True)
-            case Do.OPEN_STORE | Do.COLD_START:
+            case HandoverCommand.OPEN_STORE | HandoverCommand.COLD_START:
                 if self.store not in (-1, me):
                     self.todo[me] = s.opened(self.now, False)
                     return
                 self.store = me
-                if a is Do.COLD_START:
+                if a is HandoverCommand.COLD_START:
                     self.speaks[me] = True
-            case Do.RUN:
+            case HandoverCommand.RUN:
                 self.speaks[me] = True
-            case Do.EXIT:
+            case HandoverCommand.EXIT:
                 self.dies(me)
             case _:
                 said = {
-                    Do.SEND_READY: "ready",
-                    Do.SEND_STATE: "state",
-                    Do.SEND_CHECKED: "checked",
-                    Do.SEND_COMMIT: "commit",
-                    Do.SEND_TAKEN: "taken",
-                    Do.SEND_FAILED: "failed",
+                    HandoverCommand.SEND_READY: "ready",
+                    HandoverCommand.SEND_STATE: "state",
+                    HandoverCommand.SEND_CHECKED: "checked",
+                    HandoverCommand.SEND_COMMIT: "commit",
+                    HandoverCommand.SEND_TAKEN: "taken",
+                    HandoverCommand.SEND_FAILED: "failed",
                 }[a]
                 self.taken = self.taken or said == "taken"
                 if self.alive[1 - me]:
@@ -191,19 +197,19 @@
     assert ends > 0
 
 
-class Hasty(Old):
+class Hasty(Predecessor):
     """Resumes without making sure that the other is dead."""
 
-    def back(self, why: str) -> list[Do]:
-        return [a for a in super().back(why) if a is not Do.END_OTHER]
+    def back(self, why: str) -> list[HandoverCommand]:
+        return [a for a in super().back(why) if a is not HandoverCommand.END_OTHER]
 
 
-class Timid(New):
+class Timid(Successor):
     """Ends when the old one is gone."""
 
-    def lost(self, now: float) -> list[Do]:
+    def lost(self, now: float) -> list[HandoverCommand]:
         self.phase = Phase.OVER
-        return [Do.EXIT]
+        return [HandoverCommand.EXIT]
 
 
 @pytest.mark.parametrize(
@@ -221,7 +227,7 @@
 
 
 def test_a_wrong_protocol_is_refused_by_number() -> None:
-    old = Old(WITHIN)
+    old = Predecessor(WITHIN)
     old.begin(0.0)
-    assert old.heard(0.0, "ready", "7") == [Do.END_OTHER, Do.RESUME]
+    assert old.heard(0.0, "ready", "7") == [HandoverCommand.END_OTHER, HandoverCommand.RESUME]
     assert "protocol 7" in old.why
--- a/tests/test_upgrade_state.py
+++ b/tests/test_upgrade_state.py
@@ -10,10 +10,16 @@
 from corallanding import interface as api
 from corallanding.assignment import Assigner
 from corallanding.channel import Channel, Limits
-from corallanding.controller.engine import Engine, Send
-from corallanding.controller.handover_state import Handed, hand, link_state, put_link, take
-from corallanding.controller.join_admission import Joins
-from corallanding.controller.recovery import Unfit, capture
+from corallanding.controller.engine import Engine, SendFrame
+from corallanding.controller.handover_state import (
+    HandoverState,
+    capture_connection,
+    capture_handover,
+    restore_connection,
+    restore_handover,
+)
+from corallanding.controller.join_admission import JoinAdmission
+from corallanding.controller.recovery import StateMismatchError, capture_state
 from corallanding.snapshot import file
 from corallanding.store.api import Life
 from corallanding.wire import frames
@@ -40,7 +46,7 @@
 
     def __init__(self, life: int, tables: dict[int, dict[int, float]] | None = None) -> None:
         self.engine = Engine(SETTINGS, 3, Life(life, tables=tables or {}), range(12), dict(ADDRESSES), Assigner)
-        self.channel, self.joins = Channel(LIMITS), Joins(20.0, 300.0, 2000.0, 1e9)
+        self.channel, self.joins = Channel(LIMITS), JoinAdmission(20.0, 300.0, 2000.0, 1e9)
         self.log: list[Any] = []
 
     def join(self, now: float, f: int) -> None:
@@ -68,18 +74,21 @@
             e.event(now, api.VersionAcked(r.randrange(4), r.randrange(3) + e.module.pending.mark - 2, 5.0))
         e.decide(now)
         for out in e.publish(r.random() < 0.9):
-            if isinstance(out, Send):
+            if isinstance(out, SendFrame):
                 self.channel.submit(now, out.frame, out.lines, out.mark, out.to, out.orders, out.urgent)
             else:
                 self.log.append(out)
         for f, m in self.channel.due(now):
             self.log.append((f, m.mark, m.frame))
 
-    def handed(self) -> Handed:
-        state = capture(self.engine, 0, "boot", 5.0, {}, 1)
+    def handed(self) -> HandoverState:
+        state = capture_state(self.engine, 0, "boot", 5.0, {}, 1)
         assert state
         roster = (1, list[api.HostEntry](), dict(ADDRESSES), dict[int, float](), [1])
-        return file.unpack(file.pack(hand(self.engine, state, self.channel, [], self.joins, roster, {}, None)), Handed)
+        return file.unpack(
+            file.pack(capture_handover(self.engine, state, self.channel, [], self.joins, roster, {}, None)),
+            HandoverState,
+        )
 
 
 @pytest.mark.parametrize("at", [5, 17, 40, 41, 42, 43, 44, 45, 80, 119])
@@ -94,7 +103,7 @@
         if step == at:
             # What the store has may lag behind: the state has the tables, and what is still to be kept.
             two = Steward(2, {0: {5: 1.0}})
-            take(two.engine, one.handed(), two.channel, two.joins, now)
+            restore_handover(two.engine, one.handed(), two.channel, two.joins, now)
             two.engine.inbox = [x for x in two.engine.inbox if not isinstance(x[2], api.HealthCheckResult)]
             one.log = []
             waits, held = one.channel.waiting > 0, any(one.engine.module.pending.proxies.values())  # type: ignore[attr-defined]
@@ -115,8 +124,8 @@
     h = one.handed()
     h.state.module.slice_fields.append("mood")
     two = Steward(2, {0: {5: 1.0}})
-    with pytest.raises(Unfit, match="mood"):
-        take(two.engine, h, two.channel, two.joins, 1e9 + 200.0)
+    with pytest.raises(StateMismatchError, match="mood"):
+        restore_handover(two.engine, h, two.channel, two.joins, 1e9 + 200.0)
     assert two.engine.state.tables == {0: {5: 1.0}}
     assert not two.engine.inbox
 
@@ -129,7 +138,12 @@
     old.marked(3.0, 5)
     cut = len(frames.encode(frames.Hello(1, 7, "s"))) + 2
     assert old.receive(4.0, data[cut - 2 : cut]) == []
-    put_link(new, file.unpack(file.pack(link_state(old, True, False, 9.0)), type(link_state(old, True, False, 9.0))))
+    restore_connection(
+        new,
+        file.unpack(
+            file.pack(capture_connection(old, True, False, 9.0)), type(capture_connection(old, True, False, 9.0))
+        ),
+    )
     got = new.receive(5.0, data[cut:])
     assert [f.number for f in got if isinstance(f, frames.Ack)] == [4, 5]
     assert not new.marks
