--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -136,8 +136,10 @@
     _, out = step(engine, 10.0)
     got = {s.to: read(s.frame)[0] for s in out if isinstance(s, core.SendFrame)}
     assert set(got) == {(1,), (2,)}
-    assert got[1,].lines_sent == [(5, 10, 1.0)]
-    assert got[1,].points == [(5, 0)]
+    order = got[1,]
+    assert isinstance(order, frames.Orders)
+    assert order.lines == [(5, 10, 1.0)]
+    assert order.points == [(5, 0)]
     module.todo = [api.SetWeight(6, 11, 0.0), api.PublishVersion(1, to_all_proxies=True)]
     _, out = step(engine, 20.0)
     assert {s.to for s in out if isinstance(s, core.SendFrame)} == {(2,), (1, 3)}
