--- a/bench/leases.py
+++ b/bench/leases.py
@@ -13,8 +13,8 @@
 from corallanding.lab.fences import judge
 from corallanding.lab.stewards.tasks import TaskWorld
 from corallanding.lab.stewards.world import troubled
-from corallanding.lease.limits import Terms
-from corallanding.lease.tasks import SHARDS, Task, Tasks
+from corallanding.lease.limits import LeaseTimings
+from corallanding.lease.tasks import SHARDS, TaskCatalog, TaskSpec
 
 from .machine import machine
 from .run import RESULTS
@@ -24,8 +24,8 @@
 
 def sized(stewards: int, tasks: int, seed: int) -> dict[str, Any]:
     """Calm, then a holder dies, then a new steward comes; each counted from its own instant."""
-    names = Tasks({"group": Task("group", tasks, work=100.0)})
-    w = TaskWorld(seed, stewards + 1, min(stewards, 5), names, Terms(), acting=5, first=stewards)
+    names = TaskCatalog({"group": TaskSpec("group", tasks, work=100.0)})
+    w = TaskWorld(seed, stewards + 1, min(stewards, 5), names, LeaseTimings(), acting=5, first=stewards)
     w.run(CALM)
     w.weigh = True
     begun = time.perf_counter()
@@ -74,9 +74,9 @@
     """Seeded days with every fault and no rest."""
     kinds = ("acts", "overlaps", "falls", "shared", "late", "refused_by_fence", "takeovers")
     total = {"days": days, **dict.fromkeys(kinds, 0)}
-    names = Tasks({"ledger": Task("ledger", 7, work=100.0), "sweep": Task("sweep", work=200.0)})
+    names = TaskCatalog({"ledger": TaskSpec("ledger", 7, work=100.0), "sweep": TaskSpec("sweep", work=200.0)})
     for seed in range(1_000, 1_000 + days):
-        terms = Terms(lease=600.0, office=400.0) if seed % 2 else Terms(lease=1_500.0, office=300.0)
+        terms = LeaseTimings(lease=600.0, office=400.0) if seed % 2 else LeaseTimings(lease=1_500.0, office=300.0)
         w = TaskWorld(seed, 5, 5, names, terms, acting=8)
         troubled(w, 12_000.0, longest=2_500.0)
         w.run(12_000.0)
--- a/bench/one_fleet.py
+++ b/bench/one_fleet.py
@@ -110,10 +110,10 @@
     """What records ask of leases: one steward that holds all."""
 
     def __init__(self) -> None:
-        from corallanding.lease.tasks import Task, Tasks
+        from corallanding.lease.tasks import TaskCatalog, TaskSpec
 
         self.me, self.others, self.life, self.holder = 1, (), 7, self
-        self.tasks = Tasks({RELEASE: Task(RELEASE), RUNS: Task(RUNS, 64)})
+        self.tasks = TaskCatalog({RELEASE: TaskSpec(RELEASE), RUNS: TaskSpec(RUNS, 64)})
         self.fence = 1
 
     def holds(self, now: float, task: int) -> bool:
--- a/corallanding/controller/cluster.py
+++ b/corallanding/controller/cluster.py
@@ -13,13 +13,13 @@
 from .. import membership
 from ..config import ControllerConfig
 from ..config.scheduling import JOBS
-from ..lease.election import Desk, Office, Send
-from ..lease.limits import OfficeTerms
-from ..lease.messages import Quit, Stand, Vote
-from ..lease.messages import sound as sound_office
-from ..lease.registry_election import RegistryOffice
-from ..membership.messages import Ack, Ask, Ping
-from ..membership.messages import sound as sound_news
+from ..lease.election import LeaderElection, OutgoingMessage, VotedElection
+from ..lease.limits import ElectionTimings
+from ..lease.messages import VoteRelease, VoteReply, VoteRequest
+from ..lease.messages import sound as is_valid_lease_message
+from ..lease.registry_election import RegistryElection
+from ..membership.messages import Ack, Ping, PingRequest
+from ..membership.messages import sound as is_valid_membership_message
 from ..quorum_records.limits import RecordTerms
 from ..telemetry import Metrics, log
 from ..version_pinning.core import RELEASE, RUNS, record_terms
@@ -68,18 +68,18 @@
         # Of the system's own chance, not of the seed: a life must differ from all that were before it.
         life = random.SystemRandom().getrandbits(62)
         chance = random.Random(life).random
-        words = membership.Terms(b.period_ms, b.timeout_ms, words_per_s=b.words_per_s)
-        self.membership = membership.Members(me, others, life, words, chance, now)
+        words = membership.MembershipConfig(b.period_ms, b.timeout_ms, words_per_s=b.words_per_s)
+        self.membership = membership.Membership(me, others, life, words, chance, now)
         self.keeper = keeper
         if keeper:
-            self.election: Desk = RegistryOffice(me, others, life, keeper.charge)
+            self.election: LeaderElection = RegistryElection(me, others, life, keeper.charge)
             keeper.start()
         else:
-            terms = OfficeTerms(b.office_ms, b.drift)
-            self.election = Office(me, others, voters, terms, life, now, chance, b.words_per_s)
+            terms = ElectionTimings(b.office_ms, b.drift)
+            self.election = VotedElection(me, others, voters, terms, life, now, chance, b.words_per_s)
         self.timer: asyncio.TimerHandle | None = None
-        door.register((Ping, Ack, Ask), self.on_membership_message, sound_news)
-        door.register((Stand, Vote, Quit), self.on_election_message, sound_office)
+        door.register((Ping, Ack, PingRequest), self.on_membership_message, is_valid_membership_message)
+        door.register((VoteRequest, VoteReply, VoteRelease), self.on_election_message, is_valid_lease_message)
         self.quota = QuotaService(c, self.election, self.send, clock, metrics, rate_limited_log) if c.budget else None
         self.tasks = (
             TaskService(c, self.election, self.send, clock, metrics, rate_limited_log)
@@ -181,23 +181,25 @@
         for room in self.services:
             room.on_tick(now, alive, time.time() * 1000.0)
 
-    def on_membership_message(self, sender: int, word: Ping | Ack | Ask) -> None:
+    def on_membership_message(self, sender: int, word: Ping | Ack | PingRequest) -> None:
         self.carry_out_membership(self.membership.heard(self.clock(), sender, word))
 
-    def on_election_message(self, sender: int, word: Stand | Vote | Quit) -> None:
+    def on_election_message(self, sender: int, word: VoteRequest | VoteReply | VoteRelease) -> None:
         now = self.clock()
         self.send(self.election.heard(now, sender, word))
         for room in self.services:
             room.on_election_change(now)
 
-    def carry_out_membership(self, actions: Iterable[membership.Send | membership.Changed]) -> None:
+    def carry_out_membership(
+        self, actions: Iterable[membership.Action]
+    ) -> None:
         for a in actions:
-            if isinstance(a, membership.Changed):
+            if isinstance(a, membership.MemberStateChanged):
                 log.info("steward", number=a.member, state=STATES[a.state])
             else:
                 self.dispatcher.send(a.to, a.word)
 
-    def send(self, actions: Iterable[Send]) -> None:
+    def send(self, actions: Iterable[OutgoingMessage]) -> None:
         for a in actions:
             self.dispatcher.send(a.to, a.word)
 
--- a/corallanding/controller/pinning_service.py
+++ b/corallanding/controller/pinning_service.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from ..config import ControllerConfig
-from ..lease.election import Send
-from ..rate_limit import Allowances
+from ..lease.election import OutgoingMessage
+from ..rate_limit import PeerRateLimiter
 from ..telemetry import Metrics, log
 from ..version_pinning.core import pins_on
 from ..version_pinning.limits import PinTerms
@@ -69,7 +69,7 @@
         self.stamp: tuple[object, ...] = ()  # of what the last plan was made of
         self.cold = False
         self.asks: dict[int, tuple[int, int, str]] = {}  # question: forwarder, its own number, run
-        self.allowances = Allowances(records.fleet.asking.others, c.budgets.words_per_s, records.clock())
+        self.allowances = PeerRateLimiter(records.fleet.asking.others, c.budgets.words_per_s, records.clock())
         self.rejected = 0
         records.listeners.append(self.answer)
 
@@ -174,7 +174,7 @@
             log.info("release", what=f"set {c.pins.current} wanted")
             self.core.wanted = c.pins.current
 
-    def leave(self, now: float) -> list[Send]:
+    def leave(self, now: float) -> list[OutgoingMessage]:
         return []
 
     def close(self) -> None:
--- a/corallanding/controller/quota_service.py
+++ b/corallanding/controller/quota_service.py
@@ -9,7 +9,7 @@
 from .. import interface as api
 from .. import quota
 from ..config import ControllerConfig
-from ..lease.election import Desk, Send
+from ..lease.election import LeaderElection, OutgoingMessage
 from ..quota.messages import sound
 from ..telemetry import Metrics, log
 from .action_journal import ActionJournal
@@ -35,8 +35,8 @@
     def __init__(
         self,
         c: ControllerConfig,
-        office: Desk,
-        say: Callable[[Iterable[Send]], None],
+        office: LeaderElection,
+        say: Callable[[Iterable[OutgoingMessage]], None],
         clock: Callable[[], float],
         metrics: Metrics,
         rate_limited_log: Any,
@@ -117,7 +117,7 @@
         """Sizes alone may change while it runs."""
         self.core.retune(self.clock(), {name: b.whole for name, b in configured_quotas(c).items()})
 
-    def leave(self, now: float) -> list[Send]:
+    def leave(self, now: float) -> list[OutgoingMessage]:
         return self.core.leave(now)
 
     def close(self) -> None:
--- a/corallanding/controller/record_service.py
+++ b/corallanding/controller/record_service.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ..config import ControllerConfig
-from ..lease.election import Send
+from ..lease.election import OutgoingMessage
 from ..quorum_records.core import Action, Keep
 from ..quorum_records.fleet import FleetRecords
 from ..quorum_records.limits import RecordTerms
@@ -35,7 +35,7 @@
         terms: RecordTerms,
         counted: tuple[str, ...],
         lasting: tuple[str, ...],
-        say: Callable[[Iterable[Send]], None],
+        say: Callable[[Iterable[OutgoingMessage]], None],
         clock: Callable[[], float],
         metrics: Metrics,
         rate_limited_log: Any,
@@ -71,7 +71,7 @@
         self.unwritten += [a for a in actions if isinstance(a, Keep)]
         if not self.write():
             return
-        self.send(a for a in actions if isinstance(a, Send))
+        self.send(a for a in actions if isinstance(a, OutgoingMessage))
         for listener in self.listeners:
             listener()
 
@@ -121,7 +121,7 @@
         self.metrics.record_count.set(self.fleet.records.shelf.count)
         self.metrics.pending_queries.set(len(self.fleet.asking.asked))
 
-    def leave(self, now: float) -> list[Send]:
+    def leave(self, now: float) -> list[OutgoingMessage]:
         return []
 
     def reopen(self) -> None:
--- a/corallanding/controller/scheduling_service.py
+++ b/corallanding/controller/scheduling_service.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ..config import ControllerConfig
-from ..lease.election import Desk, Send
+from ..lease.election import LeaderElection, OutgoingMessage
 from ..scheduling.core import Ask, Go, Waiting
 from ..scheduling.idempotency import FOUND, GRANTED, NOT_NOW, TWIN, Claims
 from ..scheduling.limits import Kind, WaitTerms
@@ -34,11 +34,11 @@
     def __init__(
         self,
         c: ControllerConfig,
-        office: Desk,
+        office: LeaderElection,
         budgets: QuotaService,
         records: RecordService | None,
         pins: PinningService | None,
-        say: Callable[[Iterable[Send]], None],
+        say: Callable[[Iterable[OutgoingMessage]], None],
         clock: Callable[[], float],
         metrics: Metrics,
         sight: FleetView,
@@ -242,7 +242,7 @@
     def reload(self, c: ControllerConfig) -> None:
         """Nothing of it changes while it runs: order must be the same at all stewards."""
 
-    def leave(self, now: float) -> list[Send]:
+    def leave(self, now: float) -> list[OutgoingMessage]:
         return []
 
     def close(self) -> None:
--- a/corallanding/controller/task_service.py
+++ b/corallanding/controller/task_service.py
@@ -7,45 +7,45 @@
 from typing import Any
 
 from ..config import ControllerConfig
-from ..lease.core import Leases
-from ..lease.election import Desk, Send
-from ..lease.limits import Terms
-from ..lease.messages import Act, Ask, Deal, Seen, sound
-from ..lease.tasks import Task, Tasks
+from ..lease.core import TaskLeases
+from ..lease.election import LeaderElection, OutgoingMessage
+from ..lease.limits import LeaseTimings
+from ..lease.messages import ActionRejected, FencedAction, LeaseGrant, LeaseRequest, sound
+from ..lease.tasks import TaskCatalog, TaskSpec
 from ..telemetry import Metrics, log
 from .action_journal import ActionJournal
 
 UPGRADE = "upgrade"  # the task that a steward holds while it hands over to a new process
 
 
-def tasks_of(c: ControllerConfig) -> Tasks:
+def tasks_of(c: ControllerConfig) -> TaskCatalog:
     """What the configuration asks for, as the core knows it."""
-    found = {name: Task(name, 1, t.work_most_ms, t.idle_ms, name != UPGRADE) for name, t in c.task.items()} | {
-        name: Task(name, g.count, g.work_most_ms, g.idle_ms) for name, g in c.task_group.items()
+    found = {name: TaskSpec(name, 1, t.work_most_ms, t.idle_ms, name != UPGRADE) for name, t in c.task.items()} | {
+        name: TaskSpec(name, g.count, g.work_most_ms, g.idle_ms) for name, g in c.task_group.items()
     }
-    return Tasks(found)
+    return TaskCatalog(found)
 
 
 class TaskService:
     """Acts on what it holds each `beat_ms`: says so to the other stewards, each of them a place of effect that refuses
     a fence below the highest it has seen. Raises OSError if the witness cannot be written."""
 
-    message_types: tuple[type, ...] = (Ask, Deal, Act, Seen)
+    message_types: tuple[type, ...] = (LeaseRequest, LeaseGrant, FencedAction, ActionRejected)
     is_valid = staticmethod(sound)
 
     def __init__(
         self,
         c: ControllerConfig,
-        office: Desk,
-        say: Callable[[Iterable[Send]], None],
+        office: LeaderElection,
+        say: Callable[[Iterable[OutgoingMessage]], None],
         clock: Callable[[], float],
         metrics: Metrics,
         rate_limited_log: Any,
     ) -> None:
         self.send, self.clock, self.metrics, self.rate_limited_log = say, clock, metrics, rate_limited_log
         t, o = c.tasks, office
-        terms = Terms(office=c.budgets.office_ms, drift=c.budgets.drift, lease=t.lease_ms, turn=t.turn_leases)
-        self.core = Leases(
+        terms = LeaseTimings(office=c.budgets.office_ms, drift=c.budgets.drift, lease=t.lease_ms, turn=t.turn_leases)
+        self.core = TaskLeases(
             o.me,
             o.others,
             (),
@@ -122,10 +122,10 @@
             self.core.done(self.clock(), number)
             self.core.want(number, False)
 
-    def on_message(self, sender: int, word: Ask | Deal | Act | Seen) -> None:
+    def on_message(self, sender: int, word: LeaseRequest | LeaseGrant | FencedAction | ActionRejected) -> None:
         taken = self.core.place.taken
         self.send(self.core.heard(self.clock(), sender, word))
-        if isinstance(word, Act) and word.round < self.core.tasks.count:
+        if isinstance(word, FencedAction) and word.round < self.core.tasks.count:
             good, me = self.core.place.taken > taken, f"steward {self.core.me} {self.core.life}"
             self.journal.write("took", ActionJournal.now(), me, word.round, sender, word.life, word.fence, good)
             if not good:
@@ -146,7 +146,7 @@
         self.metrics.tasks_held.set(len(self.core.tasks.within(h.bits)) if now < h.until else 0)
         self.metrics.task_fencing_token.set(h.fence)
 
-    def leave(self, now: float) -> list[Send]:
+    def leave(self, now: float) -> list[OutgoingMessage]:
         return self.core.leave(now)
 
     def close(self) -> None:
--- a/corallanding/lab/stewards/runs.py
+++ b/corallanding/lab/stewards/runs.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ...lease.limits import Terms
-from ...lease.tasks import Task, Tasks
+from ...lease.limits import LeaseTimings
+from ...lease.tasks import TaskCatalog, TaskSpec
 from ...quorum_records.core import Keep
 from ...quorum_records.fleet import FleetRecords
 from ...quorum_records.queries import AskTerms, Told
@@ -21,7 +21,7 @@
 from .tasks import TaskWorld
 from .world import Process
 
-LEASE = Terms(lease=600.0, office=400.0)
+LEASE = LeaseTimings(lease=600.0, office=400.0)
 TERMS = PinTerms(run=6_000.0, settle=150.0)
 ASKS = AskTerms(answer=900.0, again=60.0)
 SETS = {n: {"quote": n, "claim": n} for n in range(1, 9)}
@@ -70,7 +70,7 @@
         per_s: float = 20.0,
         runs: int = 60,
         terms: PinTerms = TERMS,
-        lease: Terms = LEASE,
+        lease: LeaseTimings = LEASE,
     ) -> None:
         self.disks = [Disk() for _ in range(numbers)]
         self.pins: dict[int, Pins] = {}
@@ -83,7 +83,7 @@
         self.drawn = random.Random(f"runs {seed}")
         self.retired_at: dict[int, float] = {}  # set: when some steward first knew
         self.files = True  # whether files outlive processes
-        tasks = Tasks({RELEASE: Task(RELEASE, work=50.0), RUNS: Task(RUNS, groups, work=50.0)})
+        tasks = TaskCatalog({RELEASE: TaskSpec(RELEASE, work=50.0), RUNS: TaskSpec(RUNS, groups, work=50.0)})
         super().__init__(seed, numbers, voters, tasks, lease, acting=0)
         if per_s:
             self.at(0.0, self.client)
--- a/corallanding/lab/stewards/tasks.py
+++ b/corallanding/lab/stewards/tasks.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from ...lease.core import Leases
-from ...lease.fenced_resource import Place
-from ...lease.limits import Terms
-from ...lease.tasks import Tasks
+from ...lease.core import TaskLeases
+from ...lease.fenced_resource import FencedResource
+from ...lease.limits import LeaseTimings
+from ...lease.tasks import TaskCatalog
 from ..fences import Act, Taking
 from .world import Process, World
 
@@ -25,22 +25,22 @@
         seed: int,
         numbers: int,
         voters: int,
-        tasks: Tasks,
-        terms: Terms,
+        tasks: TaskCatalog,
+        terms: LeaseTimings,
         acting: int = 3,
         first: int | None = None,
         wall: Callable[[float], float] = lambda t: WALL + t,
         lag: float = 5.0,
     ) -> None:
         self.tasks, self.task_terms, self.acting, self.wall, self.lag = tasks, terms, acting, wall, lag
-        self.place = Place(tasks.count)
+        self.place = FencedResource(tasks.count)
         self.acts: list[Act] = []
         self.takings: list[Taking] = []
         self.picks = random.Random(f"picks {seed}")
         super().__init__(seed, numbers, voters, {}, terms, lambda t, n: [], first)  # type: ignore[arg-type]
 
     def core(self, n: int, others: tuple[int, ...], life: int, born: float, chance: Callable[[], float]) -> Any:
-        return Leases(n, others, self.voters, self.tasks, self.task_terms, life, born, chance, self.wall(self.now))
+        return TaskLeases(n, others, self.voters, self.tasks, self.task_terms, life, born, chance, self.wall(self.now))
 
     def tick(self, n: int, p: Process) -> None:
         p.quota.wall = self.wall(self.now)
--- a/corallanding/lab/stewards/walk.py
+++ b/corallanding/lab/stewards/walk.py
@@ -10,7 +10,7 @@
 import random
 from typing import Any
 
-from ...lease.tasks import Task, Tasks
+from ...lease.tasks import TaskCatalog, TaskSpec
 from ...quorum_records.core import Keep
 from ...quorum_records.fleet import FleetRecords
 from ...quorum_records.queries import AskTerms
@@ -21,7 +21,7 @@
 
 TERMS = PinTerms(run=1e9, settle=60.0)
 ASKS = AskTerms(answer=300.0, again=60.0)
-TASKS = Tasks({RELEASE: Task(RELEASE, work=50.0), RUNS: Task(RUNS, 1, work=50.0)})
+TASKS = TaskCatalog({RELEASE: TaskSpec(RELEASE, work=50.0), RUNS: TaskSpec(RUNS, 1, work=50.0)})
 BAG = 120
 
 
--- a/corallanding/lab/stewards/world.py
+++ b/corallanding/lab/stewards/world.py
@@ -9,8 +9,7 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from ...membership import Ack, Ask, Changed, Members, Ping
-from ...membership import Terms as MemberTerms
+from ...membership import Ack, Membership, MembershipConfig, MemberStateChanged, Ping, PingRequest
 from ...membership import encode as encode_news
 from ...quota import Budget, Quota, Terms
 from ...quota.messages import encode as encode_words
@@ -33,7 +32,7 @@
 @dataclass
 class Process:
     quota: Any  # the core under test: `tick` and `heard` as of `Quota`
-    members: Members
+    members: Membership
     zero: float
     rate: float
     alive: bool = True
@@ -96,7 +95,9 @@
         born, others = zero + self.now * rate, tuple(k for k in range(self.numbers) if k != n)
         chance = random.Random(life).random
         quota = self.core(n, others, life, born, chance)
-        p = self.processes[n] = Process(quota, Members(n, others, life, MemberTerms(), chance, born), zero, rate)
+        p = self.processes[n] = Process(
+            quota, Membership(n, others, life, MembershipConfig(), chance, born), zero, rate
+        )
         self.act(n, p.members.greet(born))
         self.at(self.now + self.chance.uniform(0.0, TICK), lambda: self.tick(n, p))
 
@@ -152,7 +153,7 @@
 
     def act(self, n: int, actions: Any) -> None:
         for a in actions:
-            if isinstance(a, Changed):
+            if isinstance(a, MemberStateChanged):
                 self.seen.append((self.now, n, a.member, a.state))
             else:
                 self.send(n, a.to, a.word)
@@ -160,7 +161,7 @@
     def send(self, a: int, b: int, word: Any) -> None:
         self.sent += 1
         if self.weigh:
-            size = len(encode_news(word) if isinstance(word, Ping | Ack | Ask) else encode_words(word)) + 6
+            size = len(encode_news(word) if isinstance(word, Ping | Ack | PingRequest) else encode_words(word)) + 6
             words, total = self.by.get(a, (0, 0))
             self.by[a] = (words + 1, total + size)
         way = self.ways.get((a, b), self.usual)
@@ -182,7 +183,7 @@
 
     def take(self, n: int, p: Process, sender: int, word: Any) -> None:
         now = p.clock(self.now)
-        if isinstance(word, Ping | Ack | Ask):
+        if isinstance(word, Ping | Ack | PingRequest):
             self.act(n, p.members.heard(now, sender, word))
         else:
             self.act(n, p.quota.heard(now, sender, word))
--- a/corallanding/lease/core.py
+++ b/corallanding/lease/core.py
@@ -6,17 +6,27 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from ..rate_limit import Allowances
-from .election import Desk, Office, Send
-from .fenced_resource import Place
-from .lease_holder import Holder
-from .limits import Terms
-from .messages import Act, Ask, Deal, OfficeWords, Quit, Seen, Stand, TaskWords, Vote
-from .shard_allocator import Dealer
-from .tasks import Tasks
-
-
-class Leases:
+from ..rate_limit import PeerRateLimiter
+from .election import LeaderElection, OutgoingMessage, VotedElection
+from .fenced_resource import FencedResource
+from .lease_holder import LeaseHolder
+from .limits import LeaseTimings
+from .messages import (
+    ActionRejected,
+    ElectionMessage,
+    FencedAction,
+    LeaseGrant,
+    LeaseMessage,
+    LeaseRequest,
+    VoteRelease,
+    VoteReply,
+    VoteRequest,
+)
+from .shard_allocator import ShardAllocator
+from .tasks import TaskCatalog
+
+
+class TaskLeases:
     """me, others: numbers. wall: ms of the wall clock, which the owner sets before each tick: a new dealer begins its
     fences there, or above all that it has heard of, so that they rise through a restart of all.
 
@@ -28,22 +38,22 @@
         me: int,
         others: tuple[int, ...],
         voters: tuple[int, ...],
-        tasks: Tasks,
-        terms: Terms,
+        tasks: TaskCatalog,
+        terms: LeaseTimings,
         life: int,
         born: float,
         chance: Callable[[], float],
         wall: float = 0.0,
         words_per_s: float = 200.0,
-        chair: Desk | None = None,
+        chair: LeaderElection | None = None,
     ) -> None:
         self.me, self.others, self.tasks, self.terms, self.life = me, others, tasks, terms, life
         self.wall, self.shared = wall, chair is not None
-        self.desk: Desk = chair or Office(me, others, voters, terms, life, born, chance, words_per_s)
-        self.allowances = Allowances(others, words_per_s, born)
-        self.holder = Holder(life, terms, tasks, born)
-        self.dealer = Dealer(terms, tasks, life)
-        self.place = Place(tasks.count)
+        self.desk: LeaderElection = chair or VotedElection(me, others, voters, terms, life, born, chance, words_per_s)
+        self.allowances = PeerRateLimiter(others, words_per_s, born)
+        self.holder = LeaseHolder(life, terms, tasks, born)
+        self.dealer = ShardAllocator(terms, tasks, life)
+        self.place = FencedResource(tasks.count)
         self.refused = 0  # words of nobody that we know, or too many
         self.alone = 0  # asks that found nobody in office to go to
 
@@ -61,9 +71,9 @@
             return 0
         return fence
 
-    def acted(self, task: int, fence: int) -> list[Send]:
+    def acted(self, task: int, fence: int) -> list[OutgoingMessage]:
         """Words for the others, each a place of effect."""
-        return [Send(n, Act(self.life, task, fence)) for n in self.others]
+        return [OutgoingMessage(n, FencedAction(self.life, task, fence)) for n in self.others]
 
     def done(self, now: float, task: int, progress: bool = True) -> None:
         self.holder.done(now, task, progress)
@@ -90,14 +100,14 @@
         self.dealer.kept = self.desk.ceiling
         return True
 
-    def tick(self, now: float, alive: Iterable[int]) -> list[Send]:
+    def tick(self, now: float, alive: Iterable[int]) -> list[OutgoingMessage]:
         """Call every 50 ms or so. alive: the stewards reckoned with, by the membership."""
         self.office(now)
         out = [] if self.shared else self.desk.tick(now, alive)
         self.office(now)
         return out + self.ask(now)
 
-    def ask(self, now: float) -> list[Send]:
+    def ask(self, now: float) -> list[OutgoingMessage]:
         to, life, office = self.desk.holder
         word = self.holder.ask(now, life, office)
         if word is None:
@@ -105,15 +115,15 @@
         if to is None:
             self.alone += 1
         elif to != self.me:
-            return [Send(to, word)]
+            return [OutgoingMessage(to, word)]
         elif self.office(now) and (deal := self.dealer.asked(now, self.me, word)):
             if self.holder.dealt(now, deal):
                 return self.ask(now)
         return []
 
-    def heard(self, now: float, sender: int, word: OfficeWords | TaskWords) -> list[Send]:
+    def heard(self, now: float, sender: int, word: ElectionMessage | LeaseMessage) -> list[OutgoingMessage]:
         """A word of a known steward."""
-        if isinstance(word, Stand | Vote | Quit):
+        if isinstance(word, VoteRequest | VoteReply | VoteRelease):
             out = self.desk.heard(now, sender, word)
             self.office(now)
             return out
@@ -121,23 +131,23 @@
             self.refused += 1
             return []
         match word:
-            case Ask():
+            case LeaseRequest():
                 if self.office(now) and (deal := self.dealer.asked(now, sender, word)):
-                    return [Send(sender, deal)]
-            case Deal():
+                    return [OutgoingMessage(sender, deal)]
+            case LeaseGrant():
                 if self.holder.dealt(now, word):
                     return self.ask(now)
-            case Act():
+            case FencedAction():
                 if word.round >= self.tasks.count:
                     self.refused += 1
                 elif not self.place.takes(word.round, word.fence):
-                    return [Send(sender, Seen(word.life, word.round, self.place.seen[word.round]))]
-            case Seen():
+                    return [OutgoingMessage(sender, ActionRejected(word.life, word.round, self.place.seen[word.round]))]
+            case ActionRejected():
                 if word.life == self.life:
                     self.holder.behind_of(word.fence)
         return []
 
-    def leave(self, now: float) -> list[Send]:
+    def leave(self, now: float) -> list[OutgoingMessage]:
         """A planned end: everything is given back, but what is under way; the office too."""
         self.holder.leaving, self.holder.asked_at = True, float("-inf")
         return [*self.ask(now), *(() if self.shared else self.desk.leave(now))]
--- a/corallanding/lease/election.py
+++ b/corallanding/lease/election.py
@@ -9,19 +9,19 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from ..rate_limit import Allowances
-from .limits import SALT, OfficeTerms
-from .messages import OfficeWords, Quit, Stand, Vote
+from ..rate_limit import PeerRateLimiter
+from .limits import SALT, ElectionTimings
+from .messages import ElectionMessage, VoteRelease, VoteReply, VoteRequest
 from .voting import Candidate, Voter, electorate
 
 
 @dataclass(frozen=True)
-class Send:
+class OutgoingMessage:
     to: int
     word: Any
 
 
-class Desk(Protocol):
+class LeaderElection(Protocol):
     """An office of the fleet, whatever holds it: a majority's votes (`Office`), the registry (`RegistryOffice`)."""
 
     me: int
@@ -64,14 +64,14 @@
     @property
     def refused(self) -> int: ...
 
-    def tick(self, now: float, alive: Iterable[int]) -> list[Send]: ...
+    def tick(self, now: float, alive: Iterable[int]) -> list[OutgoingMessage]: ...
 
-    def heard(self, now: float, sender: int, word: OfficeWords) -> list[Send]: ...
+    def heard(self, now: float, sender: int, word: ElectionMessage) -> list[OutgoingMessage]: ...
 
-    def leave(self, now: float) -> list[Send]: ...
+    def leave(self, now: float) -> list[OutgoingMessage]: ...
 
 
-class Office:
+class VotedElection:
     """me, others, voters: numbers. life: drawn at the start. All times in ms by one clock."""
 
     def __init__(
@@ -79,7 +79,7 @@
         me: int,
         others: tuple[int, ...],
         voters: tuple[int, ...],
-        terms: OfficeTerms,
+        terms: ElectionTimings,
         life: int,
         born: float,
         chance: Callable[[], float],
@@ -88,7 +88,7 @@
         self.me, self.others, self.voters, self.terms, self.life = me, others, voters, terms, life
         self.voter = Voter(terms, born, electorate(voters))
         self.candidate = Candidate(me, life, voters, terms, chance, born)
-        self.allowances = Allowances(others, words_per_s, born)
+        self.allowances = PeerRateLimiter(others, words_per_s, born)
         self.dropped = 0  # words of nobody that we know, or too many
 
     # ---- what is asked in the instant of an act ------------------------------------------------------------
@@ -129,7 +129,7 @@
 
     # ---- the core ------------------------------------------------------------------------------------------
 
-    def tick(self, now: float, alive: Iterable[int]) -> list[Send]:
+    def tick(self, now: float, alive: Iterable[int]) -> list[OutgoingMessage]:
         """Call every 50 ms or so. alive: the stewards reckoned with, by the membership."""
         known = {self.me, *alive}
         able = [v for v in self.voters if v in known]
@@ -137,30 +137,30 @@
         word = self.candidate.tick(now, rank)
         return self.to_all(now, word) if word else []
 
-    def to_all(self, now: float, word: Stand | Quit) -> list[Send]:
+    def to_all(self, now: float, word: VoteRequest | VoteRelease) -> list[OutgoingMessage]:
         if self.me in self.voters:
-            if isinstance(word, Stand):
+            if isinstance(word, VoteRequest):
                 self.candidate.voted(now, self.me, self.voter.asked(now, self.me, word))
             else:
                 self.voter.quit(self.me, word)
-        return [Send(n, word) for n in self.others]
+        return [OutgoingMessage(n, word) for n in self.others]
 
-    def heard(self, now: float, sender: int, word: OfficeWords) -> list[Send]:
+    def heard(self, now: float, sender: int, word: ElectionMessage) -> list[OutgoingMessage]:
         """A word of a known steward."""
         if not self.allowances.take(sender, now):
             self.dropped += 1
             return []
         match word:
-            case Stand():
+            case VoteRequest():
                 self.candidate.said(now, sender, word)
                 if self.me in self.voters and sender in self.voters:
-                    return [Send(sender, self.voter.asked(now, sender, word))]
-            case Vote():
+                    return [OutgoingMessage(sender, self.voter.asked(now, sender, word))]
+            case VoteReply():
                 self.candidate.voted(now, sender, word)
-            case Quit():
+            case VoteRelease():
                 self.voter.quit(sender, word)
         return []
 
-    def leave(self, now: float) -> list[Send]:
+    def leave(self, now: float) -> list[OutgoingMessage]:
         """A planned end: the office is given back."""
         return self.to_all(now, self.candidate.leave())
--- a/corallanding/lease/fenced_resource.py
+++ b/corallanding/lease/fenced_resource.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Place:
+class FencedResource:
     """Takes an act only if no later holder's act was taken before it."""
 
     def __init__(self, tasks: int) -> None:
--- a/corallanding/lease/lease_holder.py
+++ b/corallanding/lease/lease_holder.py
@@ -5,18 +5,18 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from .limits import Terms
-from .messages import Ask, Deal
-from .tasks import Tasks, pack, unpack
+from .limits import LeaseTimings
+from .messages import LeaseGrant, LeaseRequest
+from .tasks import TaskCatalog, pack, unpack
 
 
 @dataclass
-class Holder:
+class LeaseHolder:
     """life: drawn at the start. All times in ms by one clock."""
 
     life: int
-    terms: Terms
-    tasks: Tasks
+    terms: LeaseTimings
+    tasks: TaskCatalog
     born: float
     bits: int = 0  # shards dealt to us
     fence: int = 0
@@ -92,7 +92,7 @@
                 self.asked_at = float("-inf")
                 self.said("turn lost", task)
 
-    def ask(self, now: float, to: int, office: int) -> Ask | None:
+    def ask(self, now: float, to: int, office: int) -> LeaseRequest | None:
         """The word for the dealer, if one is due. One for all that is held."""
         self.watch(now)
         if now - self.asked_at < self.terms.again:
@@ -104,11 +104,11 @@
         self.asked = {r: at for r, at in self.asked.items() if now - at < 2 * self.terms.lease}
         self.asked[self.round] = self.asked_at = now
         held |= self.working(now)
-        return Ask(
+        return LeaseRequest(
             self.life, self.round, to, office, pack(wanted), pack(held), self.taken, self.tasks.digest, self.seen
         )
 
-    def dealt(self, now: float, word: Deal) -> bool:
+    def dealt(self, now: float, word: LeaseGrant) -> bool:
         """A deal, good from when it was asked for. True if it gave less: the dealer waits to hear of it."""
         at = self.asked.get(word.round)
         if word.life != self.life or at is None or word.round <= self.taken:
--- a/corallanding/lease/limits.py
+++ b/corallanding/lease/limits.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True)
-class OfficeTerms:
+class ElectionTimings:
     """ms. office: for how long a vote is lent. drift: the share by which a clock may run fast or slow; all that is lent
     is used for less by the one, and waited for longer by the other."""
 
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class Terms(OfficeTerms):
+class LeaseTimings(ElectionTimings):
     """lease: ms for which tasks are dealt. again: ms between two words of a holder, a part of the lease. turn: ms for
     which one that lost its turn at a task does not ask for it, in leases."""
 
--- a/corallanding/lease/registry_election.py
+++ b/corallanding/lease/registry_election.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from .election import Send
-from .messages import OfficeWords
+from .election import OutgoingMessage
+from .messages import ElectionMessage
 
 OFFICE = 0  # the number of the one thing that is held
 WIDE = 32  # bits of a fence below the term's
@@ -25,7 +25,7 @@
     def may_speak(self, now: float) -> bool: ...
 
 
-class RegistryOffice:
+class RegistryElection:
     """me, others: numbers. life: drawn at the start."""
 
     def __init__(self, me: int, others: tuple[int, ...], life: int, charge: Held) -> None:
@@ -64,12 +64,12 @@
     def tell(self, top: int) -> None:
         """Nobody needs to be told: the next term's fences are above all of this one's."""
 
-    def tick(self, now: float, alive: Iterable[int]) -> list[Send]:
+    def tick(self, now: float, alive: Iterable[int]) -> list[OutgoingMessage]:
         return []
 
-    def heard(self, now: float, sender: int, word: OfficeWords) -> list[Send]:
+    def heard(self, now: float, sender: int, word: ElectionMessage) -> list[OutgoingMessage]:
         self.refused += 1
         return []
 
-    def leave(self, now: float) -> list[Send]:
+    def leave(self, now: float) -> list[OutgoingMessage]:
         return []
--- a/corallanding/lease/shard_allocator.py
+++ b/corallanding/lease/shard_allocator.py
@@ -9,17 +9,17 @@
 
 from dataclasses import dataclass, field
 
-from .limits import SALT, Terms
-from .messages import Ask, Deal
+from .limits import SALT, LeaseTimings
+from .messages import LeaseGrant, LeaseRequest
 from .shard_plan import plan
-from .tasks import Tasks, each, pack, unpack
+from .tasks import TaskCatalog, each, pack, unpack
 
 LIVES_MOST = 4  # of one steward, that something may still be out to
 PLANNED = 100.0  # ms for which a plan stands
 
 
 @dataclass
-class Life:
+class ProcessLeases:
     """What one process may hold: every entry that has not ended."""
 
     round: int = -1  # of its last ask
@@ -45,17 +45,17 @@
 
 
 @dataclass
-class Dealer:
+class ShardAllocator:
     """life: by what asks name the one in office. fence: the last one given out; `kept`: the highest that may be."""
 
-    terms: Terms
-    tasks: Tasks
+    terms: LeaseTimings
+    tasks: TaskCatalog
     life: int = 0
     first: int = 0
     since: float | None = None
     fence: int = 0
     kept: int = 0
-    book: dict[Who, Life] = field(default_factory=dict)
+    book: dict[Who, ProcessLeases] = field(default_factory=dict)
     known: int = 0  # shards of a predecessor's deals, by what holders said
     turns: dict[tuple[int, int], float] = field(default_factory=dict)  # (shard, steward): when it last had it
     planned: dict[int, int] = field(default_factory=dict)
@@ -83,7 +83,7 @@
         that it is beyond them by the time that voters who all forgot elect another."""
         return self.fence + (int(self.terms.office / 2.0) << SALT)
 
-    def asked(self, now: float, sender: int, word: Ask) -> Deal | None:
+    def asked(self, now: float, sender: int, word: LeaseRequest) -> LeaseGrant | None:
         """now: an instant at which the office was held. None: no answer that could be of use."""
         if word.to != self.life or word.office < self.first:
             self.late += 1
@@ -102,7 +102,7 @@
             assert self.since is not None
             if now < self.since + self.good:
                 self.known |= held
-            mine = self.book[who] = Life()
+            mine = self.book[who] = ProcessLeases()
         if word.round <= mine.round:
             return None  # late or repeated: it was answered, and says what is no longer so
         mine.round, mine.at, mine.wanted = word.round, now, unpack(word.wanted)
@@ -110,7 +110,7 @@
         self.settle(now, mine, word.taken, held)
         return self.deal(now, who, mine, word)
 
-    def settle(self, now: float, life: Life, taken: int, held: int) -> None:
+    def settle(self, now: float, life: ProcessLeases, taken: int, held: int) -> None:
         """It has taken up the answer to its round `taken`, will take up none before that any more, and holds or acts on
         no more than `held` of all those. A later answer may still be on its way: what that dealt stands beside this."""
         assert self.since is not None
@@ -126,7 +126,7 @@
                 lent |= bits
             life.entries.append((taken, held & lent, ends))
 
-    def deal(self, now: float, who: Who, mine: Life, word: Ask) -> Deal:
+    def deal(self, now: float, who: Who, mine: ProcessLeases, word: LeaseRequest) -> LeaseGrant:
         assert self.since is not None
         others = 0
         for other, life in self.book.items():
@@ -146,12 +146,12 @@
             self.moves += self.last.get(shard, who[0]) != who[0]
             self.last[shard] = who[0]
         mine.entries.append((word.round, bits, now + self.good))
-        return Deal(word.life, word.round, pack(bits), mine.fence)
+        return LeaseGrant(word.life, word.round, pack(bits), mine.fence)
 
     def part(self, now: float, sender: int) -> int:
         """What the plan gives it. A plan is made of all that asked of late, their last lives."""
         if now - self.planned_at > PLANNED or sender not in self.planned:
-            newest: dict[int, Life] = {}
+            newest: dict[int, ProcessLeases] = {}
             for (steward, _), life in self.book.items():
                 late = now - life.at > self.terms.lease
                 if not late and (steward not in newest or life.at > newest[steward].at):
--- a/corallanding/lease/tasks.py
+++ b/corallanding/lease/tasks.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class Task:
+class TaskSpec:
     """count: tasks of a group by number, 1 for a single one. work: ms that one act takes at the longest. idle: ms
     without progress after which its holder loses its turn, 0 for never. wanted: whether every steward wants it always;
     else only those that say so."""
@@ -28,13 +28,13 @@
     wanted: bool = True
 
 
-class Tasks:
+class TaskCatalog:
     """By name, in an order that all stewards share. Numbers run through all of them, 0 on."""
 
-    def __init__(self, tasks: Mapping[str, Task]) -> None:
+    def __init__(self, tasks: Mapping[str, TaskSpec]) -> None:
         self.by_name = dict(sorted(tasks.items()))
         self.first: dict[str, int] = {}
-        self.rows: list[tuple[int, Task]] = []  # first number, task
+        self.rows: list[tuple[int, TaskSpec]] = []  # first number, task
         at = 0
         for name, task in self.by_name.items():
             self.first[name] = at
@@ -43,10 +43,14 @@
         self.count = at
         self.last: tuple[int, list[int]] = (0, [])
         self.weights = [at // SHARDS + (k < at % SHARDS) for k in range(SHARDS)]
-        self.digest = zlib.crc32(repr(list(self.by_name.values())).encode())
+        self.digest = zlib.crc32(self.digest_text().encode())
         self.sticky = self.shards(n for first, t in self.rows if not t.wanted for n in range(first, first + t.count))
         self.always = self.shards(n for first, t in self.rows if t.wanted for n in range(first, first + t.count))
 
+    def digest_text(self) -> str:
+        """What the digest is computed from. Frozen: controllers of other versions compare theirs with it."""
+        return f"[{', '.join(_digest_row(task) for task in self.by_name.values())}]"
+
     def number(self, name: str, which: int = 0) -> int:
         """Raises KeyError for a task that is not configured."""
         task = self.by_name[name]
@@ -54,11 +58,11 @@
             raise KeyError(f"{name}[{which}]")
         return self.first[name] + which
 
-    def row(self, number: int) -> tuple[int, Task]:
+    def row(self, number: int) -> tuple[int, TaskSpec]:
         """The first number of its task or group, and that."""
         return next(row for row in reversed(self.rows) if row[0] <= number)
 
-    def task(self, number: int) -> Task:
+    def task(self, number: int) -> TaskSpec:
         return self.row(number)[1]
 
     def label(self, number: int) -> str:
@@ -84,6 +88,11 @@
         return self.last[1]
 
 
+def _digest_row(task: TaskSpec) -> str:
+    row = f"name={task.name!r}, count={task.count!r}, work={task.work!r}, idle={task.idle!r}, wanted={task.wanted!r}"
+    return f"Task({row})"
+
+
 def pack(bits: int) -> bytes:
     return bits.to_bytes(BITS, "little")
 
--- a/corallanding/lease/voting.py
+++ b/corallanding/lease/voting.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
 
-from .limits import OfficeTerms
-from .messages import Quit, Stand, Vote
+from .limits import ElectionTimings
+from .messages import VoteRelease, VoteReply, VoteRequest
 
 
 def electorate(voters: Collection[int]) -> int:
@@ -22,7 +22,7 @@
 class Voter:
     """born: when this process started, by its clock."""
 
-    terms: OfficeTerms
+    terms: ElectionTimings
     born: float
     electorate: int
     to: tuple[int, int] | None = None  # candidate and its life
@@ -32,18 +32,18 @@
     refused: int = 0
     top: int = 0  # the highest that a candidate told
 
-    def asked(self, now: float, candidate: int, word: Stand) -> Vote:
+    def asked(self, now: float, candidate: int, word: VoteRequest) -> VoteReply:
         who = (candidate, word.life)
         if word.electorate != self.electorate:
             self.refused += 1
-            return Vote(word.life, word.round, False)
+            return VoteReply(word.life, word.round, False)
         self.top = max(self.top, word.top)
         if now < self.born + self.terms.theirs(self.terms.office):
-            return Vote(word.life, word.round, False)
+            return VoteReply(word.life, word.round, False)
         if who != self.to and self.to is not None and now < self.until:
-            return Vote(word.life, word.round, False)
+            return VoteReply(word.life, word.round, False)
         if who == self.to and word.round <= self.round:
-            return Vote(word.life, word.round, False)  # an old or repeated word: its vote was given, or taken back
+            return VoteReply(word.life, word.round, False)  # an old or repeated word: its vote was given, or taken back
         if word.holds:
             self.idle.pop(candidate, None)
         else:
@@ -52,11 +52,11 @@
             if now - since > 2 * self.terms.office:
                 if now - since > 4 * self.terms.office:
                     del self.idle[candidate]
-                return Vote(word.life, word.round, False)
+                return VoteReply(word.life, word.round, False)
         self.to, self.round, self.until = who, word.round, now + self.terms.theirs(self.terms.office)
-        return Vote(word.life, word.round, True, self.top)
+        return VoteReply(word.life, word.round, True, self.top)
 
-    def quit(self, candidate: int, word: Quit) -> None:
+    def quit(self, candidate: int, word: VoteRelease) -> None:
         """Its votes are given back. A quit that comes late, behind a newer round, frees nothing."""
         if self.to == (candidate, word.life) and word.round >= self.round:
             self.until, self.round = 0.0, word.round
@@ -69,7 +69,7 @@
     me: int
     life: int
     voters: tuple[int, ...]
-    terms: OfficeTerms
+    terms: ElectionTimings
     chance: Callable[[], float]
     born: float
     round: int = 0
@@ -114,7 +114,7 @@
             self.office, self.next_at = (self.life, self.round + 1), now  # said at once
         return held
 
-    def voted(self, now: float, voter: int, word: Vote) -> None:
+    def voted(self, now: float, voter: int, word: VoteReply) -> None:
         asked = self.asked.get(word.round)
         if word.life != self.life or not word.given or asked is None or voter not in self.voters:
             return
@@ -125,14 +125,14 @@
         self.told[voter] = max(self.told.get(voter, 0), self.tops.get(word.round, 0))
         self.holds(now)
 
-    def said(self, now: float, sender: int, word: Stand) -> None:
+    def said(self, now: float, sender: int, word: VoteRequest) -> None:
         """Another stands, or holds the office."""
         if word.holds:
             if self.office[0] != word.life or self.office[1] < word.round:
                 self.office = (word.life, word.round)
             self.heard_at, self.holder = now, sender
 
-    def tick(self, now: float, rank: int) -> Stand | Quit | None:
+    def tick(self, now: float, rank: int) -> VoteRequest | VoteRelease | None:
         """The word for all, if one is due. rank: how many able voters come before us."""
         if self.me not in self.voters or now < self.next_at:
             return None
@@ -153,15 +153,15 @@
         self.round += 1
         self.asked[self.round], self.tops[self.round] = now, self.top
         self.tops = {r: top for r, top in self.tops.items() if r in self.asked}
-        return Stand(self.life, self.round, holds, electorate(self.voters), self.top)
+        return VoteRequest(self.life, self.round, holds, electorate(self.voters), self.top)
 
-    def give_up(self) -> Quit:
+    def give_up(self) -> VoteRelease:
         """Votes that are still on their way count for nothing: who cast them is free to vote for another."""
         self.votes.clear()
         self.asked.clear()
         self.since = None
-        return Quit(self.life, self.round)
+        return VoteRelease(self.life, self.round)
 
-    def leave(self) -> Quit:
+    def leave(self) -> VoteRelease:
         self.back_off = float("inf")
         return self.give_up()
--- a/corallanding/membership/__init__.py
+++ b/corallanding/membership/__init__.py
@@ -1,8 +1,8 @@
 """Who is a steward now. `core` is pure; `words` are what goes by datagram. See docs/budgets.md."""
 
-from .core import Members
-from .messages import Ack, Ask, Ping, Word, decode, encode
-from .table import ALIVE, DEAD, LEFT, SUSPECT, UNKNOWN, Changed, Send, Terms
+from .core import Membership
+from .messages import Ack, MembershipMessage, Ping, PingRequest, decode, encode
+from .table import ALIVE, DEAD, LEFT, SUSPECT, UNKNOWN, Action, MembershipConfig, MemberStateChanged, OutgoingMessage
 
 __all__ = [
     "ALIVE",
@@ -11,13 +11,14 @@
     "SUSPECT",
     "UNKNOWN",
     "Ack",
-    "Ask",
-    "Changed",
-    "Members",
+    "Action",
+    "MemberStateChanged",
+    "Membership",
+    "MembershipConfig",
+    "MembershipMessage",
+    "OutgoingMessage",
     "Ping",
-    "Send",
-    "Terms",
-    "Word",
+    "PingRequest",
     "decode",
     "encode",
 ]
--- a/corallanding/membership/core.py
+++ b/corallanding/membership/core.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from ..rate_limit import Allowance
-from .messages import NEWS_MOST, Ack, Ask, News, Ping
+from ..rate_limit import TokenBucket
+from .messages import NEWS_MOST, Ack, News, Ping, PingRequest
 from .table import (
     ALIVE,
     DEAD,
@@ -21,22 +21,22 @@
     SUSPECTS_AT_ONCE,
     UNKNOWN,
     Action,
-    Changed,
     Member,
+    MembershipConfig,
+    MemberStateChanged,
+    OutgoingMessage,
     Probe,
-    Send,
-    Terms,
 )
 
 
 @dataclass
-class Members:
+class Membership:
     """me, others: numbers, as configured. chance: 0 <= x < 1. All calls return actions in order."""
 
     me: int
     others: Iterable[int]
     life: int
-    terms: Terms
+    terms: MembershipConfig
     chance: Callable[[], float]
     born: float
     incarnation: int = 1
@@ -54,7 +54,7 @@
     ticked: float = 0.0
 
     def __post_init__(self) -> None:
-        self.table = {n: Member(Allowance(self.terms.words_per_s, 10.0, self.born)) for n in self.others}
+        self.table = {n: Member(TokenBucket(self.terms.words_per_s, 10.0, self.born)) for n in self.others}
         self.table.pop(self.me, None)
         self.next_at = self.ticked = self.born
         self.rumours[self.me] = self.times
@@ -74,7 +74,7 @@
 
     # ---- what comes in -----------------------------------------------------------------------------------
 
-    def heard(self, now: float, sender: int, word: Ping | Ack | Ask) -> list[Action]:
+    def heard(self, now: float, sender: int, word: Ping | Ack | PingRequest) -> list[Action]:
         """A word of a peer, whose address was checked against its number by the socket's owner."""
         peer = self.table.get(sender)
         if peer is None or not 0 < word.incarnation < INCARNATIONS:
@@ -98,7 +98,7 @@
                     self.refused += 1
                 else:
                     out.append(self.say(sender, Ack(word.seq, self.life, self.incarnation, self.news(sender))))
-            case Ask():
+            case PingRequest():
                 if word.aim in self.table and len(self.relayed) < 64:
                     self.seq += 1
                     self.relayed[self.seq] = (sender, word.seq, now)
@@ -145,7 +145,7 @@
             return []
         m.state = state
         m.deadline = now + self.suspicion() if state == SUSPECT else math.inf
-        return [Changed(number, state)]
+        return [MemberStateChanged(number, state)]
 
     def suspicion(self) -> float:
         size = max(1.0, math.log10(len(self.table) + 1))
@@ -176,7 +176,7 @@
             p.asked = True
             able = [n for n, m in self.table.items() if m.state == ALIVE and n != p.member]
             for n in self.draw(able, self.terms.helpers):
-                out.append(self.say(n, Ask(p.seq, self.life, self.incarnation, self.news(n), p.member)))
+                out.append(self.say(n, PingRequest(p.seq, self.life, self.incarnation, self.news(n), p.member)))
         if now >= self.next_at:
             if self.probe:
                 out += self.missed(now, self.probe)
@@ -241,5 +241,5 @@
                 del self.rumours[n]
         return out
 
-    def say(self, to: int, word: Ping | Ack | Ask) -> Send:
-        return Send(to, word)
+    def say(self, to: int, word: Ping | Ack | PingRequest) -> OutgoingMessage:
+        return OutgoingMessage(to, word)
--- a/corallanding/membership/table.py
+++ b/corallanding/membership/table.py
@@ -5,8 +5,8 @@
 import math
 from dataclasses import dataclass
 
-from ..rate_limit import Allowance
-from .messages import Ack, Ask, Ping
+from ..rate_limit import TokenBucket
+from .messages import Ack, Ping, PingRequest
 
 UNKNOWN, ALIVE, SUSPECT, DEAD, LEFT = range(5)
 INCARNATIONS = 1 << 32  # above this a claim is nonsense: nobody refutes four thousand million times
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True)
-class Terms:
+class MembershipConfig:
     """Times in ms. health_most: how many times slower a steward that fails itself may probe and suspect."""
 
     period: float = 500.0
@@ -27,25 +27,25 @@
 
 
 @dataclass(frozen=True)
-class Send:
+class OutgoingMessage:
     to: int
-    word: Ping | Ack | Ask
+    word: Ping | Ack | PingRequest
 
 
 @dataclass(frozen=True)
-class Changed:
+class MemberStateChanged:
     """A member's state as seen here changed."""
 
     member: int
     state: int
 
 
-Action = Send | Changed
+Action = OutgoingMessage | MemberStateChanged
 
 
 @dataclass
 class Member:
-    may: Allowance  # words that it may still send
+    may: TokenBucket  # words that it may still send
     state: int = UNKNOWN
     incarnation: int = 0
     life: int = 0  # as it said itself
--- a/corallanding/quorum_records/core.py
+++ b/corallanding/quorum_records/core.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ..lease.election import Send
-from ..rate_limit import Allowances
+from ..lease.election import OutgoingMessage
+from ..rate_limit import PeerRateLimiter
 from .limits import RecordTerms
 from .messages import Copied, Copy, Fetch, Here, Known, Page, RecordWords
 from .proposer import Writer
@@ -23,7 +23,7 @@
     what: Unkept
 
 
-Action = Send | Keep
+Action = OutgoingMessage | Keep
 
 
 class Records:
@@ -59,7 +59,7 @@
         self.rounds = itertools.count(1)
         self.at: dict[int, tuple[int, int]] = {}  # group: the highest fence heard, and whose
         self.peers: dict[int, tuple[int, int, int]] = {}  # keeper: most openings heard of, in which life; most writes
-        self.allowances = Allowances(others, words_per_s, born)
+        self.allowances = PeerRateLimiter(others, words_per_s, born)
         self.refused = 0
         self.swept = born
 
@@ -84,7 +84,7 @@
 
     def tick(self, now: float) -> list[Action]:
         """Call every 50 ms or so, and after writes that are to go at once."""
-        out: list[Send] = []
+        out: list[OutgoingMessage] = []
         if self.keeps:
             out += self.catch.tick(now)
         for writer in self.held.values():
@@ -97,9 +97,9 @@
                     writer.forget(key)
         return self.settled(now, out)
 
-    def settled(self, now: float, words: list[Send]) -> list[Action]:
+    def settled(self, now: float, words: list[OutgoingMessage]) -> list[Action]:
         """Words to ourselves are answered here; what the shelf took in is kept before any word goes out."""
-        out: list[Send] = []
+        out: list[OutgoingMessage] = []
         while words:
             here, words = [s for s in words if s.to == self.me], [s for s in words if s.to != self.me]
             out += words
@@ -116,7 +116,7 @@
             return []
         return self.settled(now, self.hear(now, sender, word))
 
-    def hear(self, now: float, sender: int, word: RecordWords) -> list[Send]:
+    def hear(self, now: float, sender: int, word: RecordWords) -> list[OutgoingMessage]:
         match word:
             case Copy() | Fetch():
                 if word.group not in self.groups or not self.keeps:
@@ -125,7 +125,7 @@
                 if word.fence:
                     self.holder(word.group, word.fence, sender)
                 answer = self.catch.answer(now, word)
-                return [Send(sender, answer)] if answer else []
+                return [OutgoingMessage(sender, answer)] if answer else []
             case Copied():
                 if (w := self.held.get(word.group)) and sender in self.keepers:
                     w.copied(now, sender, word)
@@ -138,7 +138,7 @@
                     return w.page(now, sender, word)
             case Here():
                 if sender in self.keepers:
-                    return [Send(sender, self.known(sender, word))]
+                    return [OutgoingMessage(sender, self.known(sender, word))]
             case Known():
                 return self.catch.known(now, sender, word)
         return []
--- a/corallanding/quorum_records/fleet.py
+++ b/corallanding/quorum_records/fleet.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from ..lease.core import Leases
+from ..lease.core import TaskLeases
 from .core import Action, Keep, Records
 from .groups import Groups, group_of
 from .limits import RecordTerms
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        leases: Leases,
+        leases: TaskLeases,
         keepers: tuple[int, ...],
         terms: RecordTerms,
         asks: AskTerms,
--- a/corallanding/quorum_records/groups.py
+++ b/corallanding/quorum_records/groups.py
@@ -5,7 +5,7 @@
 import zlib
 from collections.abc import Iterable
 
-from ..lease.core import Leases
+from ..lease.core import TaskLeases
 from .core import Records
 
 
@@ -17,7 +17,7 @@
 class Groups:
     """tasks: numbers of the tasks that stand for a group each."""
 
-    def __init__(self, leases: Leases, records: Records, tasks: Iterable[int]) -> None:
+    def __init__(self, leases: TaskLeases, records: Records, tasks: Iterable[int]) -> None:
         self.leases, self.records = leases, records
         self.of = {number: group_of(leases.tasks.label(number)) for number in tasks}
         self.behind: dict[int, int] = {}  # group: the fence that its keepers have seen
--- a/corallanding/quorum_records/messages.py
+++ b/corallanding/quorum_records/messages.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..lease.messages import Word
+from ..lease.messages import ControllerMessage
 
 COPIED_MOST, PAGED_MOST = 8, 6  # rows of a word
 VALUE_MOST = (1 << 63) - 1
@@ -12,7 +12,7 @@
 FencedRow = tuple[int, int, int, int, int]  # the same, and under which fence and in which round it was written
 
 
-class Copy(Word, frozen=True, array_like=True, tag=30):
+class Copy(ControllerMessage, frozen=True, array_like=True, tag=30):
     """The holder of a group to a keeper: keep these. first: they are beginnings, nobody was told of them yet."""
 
     group: int = 0
@@ -21,7 +21,7 @@
     rows: list[Row] = []
 
 
-class Copied(Word, frozen=True, array_like=True, tag=31):
+class Copied(ControllerMessage, frozen=True, array_like=True, tag=31):
     """The answer to the copy of that life and round. seen: the highest fence that the keeper has seen in that group."""
 
     group: int = 0
@@ -29,7 +29,7 @@
     seen: int = 0
 
 
-class Fetch(Word, frozen=True, array_like=True, tag=32):
+class Fetch(ControllerMessage, frozen=True, array_like=True, tag=32):
     """A new holder to a keeper: what do you have of the group, with keys above `after`? From here on nothing is kept
     that comes under a lower fence. fence 0: asked by a keeper that has lost its own, and promises nothing."""
 
@@ -38,7 +38,7 @@
     after: int = -1
 
 
-class Page(Word, frozen=True, array_like=True, tag=33):
+class Page(ControllerMessage, frozen=True, array_like=True, tag=33):
     """The answer to the fetch of that life and round."""
 
     group: int = 0
@@ -48,13 +48,13 @@
     more: bool = False
 
 
-class Here(Word, frozen=True, array_like=True, tag=34):
+class Here(ControllerMessage, frozen=True, array_like=True, tag=34):
     """A keeper, now and then: `round` counts the openings of its file, `writes` what was ever written to it."""
 
     writes: int = 0
 
 
-class Known(Word, frozen=True, array_like=True, tag=35):
+class Known(ControllerMessage, frozen=True, array_like=True, tag=35):
     """The answer to `Here` of that life: of how many openings we know that another life of that keeper had, and of how
     many writes to its file. blank: we remember nothing."""
 
@@ -62,7 +62,7 @@
     writes: int = 0
 
 
-class Question(Word, frozen=True, array_like=True, tag=36):
+class Question(ControllerMessage, frozen=True, array_like=True, tag=36):
     """A steward to the holder of a record's group. kind, more: what is asked, by the group's subject."""
 
     group: int = 0
@@ -71,7 +71,7 @@
     more: int = 0
 
 
-class Answer(Word, frozen=True, array_like=True, tag=37):
+class Answer(ControllerMessage, frozen=True, array_like=True, tag=37):
     """The answer to the question of that life and round. key: on what, so that none is taken for another's."""
 
     key: int = 0
@@ -82,7 +82,7 @@
 RecordWords = Copy | Copied | Fetch | Page | Here | Known
 
 
-def sound(word: Word) -> bool:
+def sound(word: ControllerMessage) -> bool:
     """Whether its fields can be meant."""
     if not (0 <= word.life < 1 << 63 and 0 <= word.round < 1 << 53):
         return False
--- a/corallanding/quorum_records/proposer.py
+++ b/corallanding/quorum_records/proposer.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ..lease.election import Send
+from ..lease.election import OutgoingMessage
 from .limits import RecordTerms
 from .messages import BEHIND, BLANK, CLOSED, COPIED_MOST, FULL, KEPT, Copied, Copy, Fetch, Page, Row
 
@@ -105,9 +105,9 @@
 
     # ---- words ---------------------------------------------------------------------------------------------
 
-    def tick(self, now: float) -> list[Send]:
+    def tick(self, now: float) -> list[OutgoingMessage]:
         """Fetches until a majority has answered, then copies; what is not answered is said again."""
-        out: list[Send] = []
+        out: list[OutgoingMessage] = []
         if self.behind:
             return out
         if not self.open:
@@ -133,12 +133,12 @@
                 out += self.copies(now, number, o)
         return out
 
-    def fetch(self, now: float, keeper: int, r: Reading) -> Send:
+    def fetch(self, now: float, keeper: int, r: Reading) -> OutgoingMessage:
         r.asked_at = now
         r.round = r.round or self.next_round()  # said again it is the same: an answer that took long is as good
-        return Send(keeper, Fetch(self.life, r.round, self.group, self.fence, r.after))
+        return OutgoingMessage(keeper, Fetch(self.life, r.round, self.group, self.fence, r.after))
 
-    def copies(self, now: float, number: int, o: Out) -> list[Send]:
+    def copies(self, now: float, number: int, o: Out) -> list[OutgoingMessage]:
         rows: list[Row] = [
             (k, e.value, max(0, int(now - e.born))) for k in o.rows if (e := self.rows.get(k)) and e.round == number
         ]
@@ -146,9 +146,9 @@
             del self.outs[number]
             return []
         word = Copy(self.life, number, self.group, self.fence, o.first, rows)
-        return [Send(k, word) for k in sorted(o.waits)]
+        return [OutgoingMessage(k, word) for k in sorted(o.waits)]
 
-    def page(self, now: float, keeper: int, word: Page) -> list[Send]:
+    def page(self, now: float, keeper: int, word: Page) -> list[OutgoingMessage]:
         r = self.reads.get(keeper)
         if r is None or word.life != self.life or word.round != r.round or r.done or self.open:
             return []
--- a/corallanding/quorum_records/queries.py
+++ b/corallanding/quorum_records/queries.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from ..lease.election import Send
+from ..lease.election import OutgoingMessage
 from .core import Records
 from .messages import Answer, Question
 
@@ -91,12 +91,12 @@
             self.fresh.append(self.count)
         return self.count
 
-    def push(self, now: float) -> list[Send]:
+    def push(self, now: float) -> list[OutgoingMessage]:
         """What was just asked goes out at once."""
         fresh, self.fresh = self.fresh, []
         return [s for n in fresh if n in self.asked for s in self.say(now, n, self.asked[n])]
 
-    def tick(self, now: float) -> list[Send]:
+    def tick(self, now: float) -> list[OutgoingMessage]:
         out = self.push(now)
         if now - self.said_at < self.terms.again / 3.0:
             return out
@@ -110,7 +110,7 @@
         self.owed = {k: who for k, who in self.owed.items() if k[0] in self.records.held}
         return out
 
-    def say(self, now: float, number: int, a: Asked) -> list[Send]:
+    def say(self, now: float, number: int, a: Asked) -> list[OutgoingMessage]:
         """To the holder, or to all while it is not known, or does not answer."""
         first, a.asked_at = a.asked_at == float("-inf"), now
         word = Question(self.life, number, a.group, a.key, a.kind, a.more)
@@ -118,8 +118,8 @@
             return self.heard(now, self.me, word)
         to = self.at.get(a.group, self.records.where(a.group))
         if first and to is not None and to != self.me:
-            return [Send(to, word)]
-        return [Send(n, word) for n in self.others]
+            return [OutgoingMessage(to, word)]
+        return [OutgoingMessage(n, word) for n in self.others]
 
     def told(self, sender: int, word: Answer) -> None:
         a = self.asked.get(word.round)
@@ -136,7 +136,7 @@
 
     # ---- at the holder of the group ------------------------------------------------------------------------
 
-    def heard(self, now: float, sender: int, word: Question) -> list[Send]:
+    def heard(self, now: float, sender: int, word: Question) -> list[OutgoingMessage]:
         """No answer if the group is not ours: it is asked elsewhere, and again."""
         if word.group not in self.records.held or word.group not in self.looks:
             return []
@@ -153,12 +153,12 @@
             owed[who] = (word.round, word.more)
         return self.look(now, word.group, word.key)
 
-    def look(self, now: float, group: int, key: int) -> list[Send]:
+    def look(self, now: float, group: int, key: int) -> list[OutgoingMessage]:
         """Answers whoever asked and can be told."""
         writer, owed = self.records.held.get(group), self.owed.get((group, key))
         if writer is None or not writer.open or writer.behind or owed is None:
             return []
-        out: list[Send] = []
+        out: list[OutgoingMessage] = []
         for who, (number, more) in list(owed.items()):
             if found := self.looks[group][0](now, group, key, who[2], more):
                 del owed[who]
@@ -167,15 +167,15 @@
             self.owed.pop((group, key), None)
         return out
 
-    def answer(self, who: tuple[int, int, int], number: int, key: int, found: Found) -> list[Send]:
+    def answer(self, who: tuple[int, int, int], number: int, key: int, found: Found) -> list[OutgoingMessage]:
         if who[0] == self.me:
             self.answered(number, *found)
             return []
-        return [Send(who[0], Answer(who[1], number, key, *found))]
+        return [OutgoingMessage(who[0], Answer(who[1], number, key, *found))]
 
-    def decided(self, now: float) -> list[Send]:
+    def decided(self, now: float) -> list[OutgoingMessage]:
         """After words of keepers: what a majority has taken in is told; what it refused is begun anew, or told so."""
-        out: list[Send] = []
+        out: list[OutgoingMessage] = []
         for group, writer in self.records.held.items():
             if group not in self.looks or not (writer.decided or writer.denied):
                 continue
--- a/corallanding/quorum_records/replica_recovery.py
+++ b/corallanding/quorum_records/replica_recovery.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from ..lease.election import Send
+from ..lease.election import OutgoingMessage
 from .limits import RecordTerms
 from .messages import BLANK, Copied, Copy, Fetch, Here, Known, Page
 from .replica import Shelf
@@ -52,12 +52,12 @@
         self.round = ANSWERS
         self.read = {n: Read() for n in self.others}
 
-    def tick(self, now: float) -> list[Send]:
-        out: list[Send] = []
+    def tick(self, now: float) -> list[OutgoingMessage]:
+        out: list[OutgoingMessage] = []
         # Said on and on: others are to know how far the file was written, should it ever be put back.
         if now - self.said_at >= (self.terms.again if not self.vouched else self.terms.heartbeat):
             self.said_at = now
-            out += [Send(n, Here(self.life, self.opened, self.shelf.writes)) for n in self.others]
+            out += [OutgoingMessage(n, Here(self.life, self.opened, self.shelf.writes)) for n in self.others]
         if self.ready:
             return out
         if self.shelf.blank:
@@ -96,17 +96,17 @@
                 self.shelf.blank, self.shelf.unkept.whole = False, True
             self.ready = True
 
-    def fetch(self, now: float, keeper: int, r: Read) -> Send:
+    def fetch(self, now: float, keeper: int, r: Read) -> OutgoingMessage:
         r.asked_at = now
         if not r.round:
             self.round += 1
             r.round = self.round
-        return Send(keeper, Fetch(self.life, r.round, self.groups[r.group], 0, r.after))
+        return OutgoingMessage(keeper, Fetch(self.life, r.round, self.groups[r.group], 0, r.after))
 
     def reads(self, sender: int, word: Page) -> bool:
         return word.life == self.life and word.round > ANSWERS
 
-    def page(self, now: float, sender: int, word: Page) -> list[Send]:
+    def page(self, now: float, sender: int, word: Page) -> list[OutgoingMessage]:
         """The answer of another keeper to a fetch of ours."""
         r = self.read.get(sender)
         if r is None or not self.shelf.blank or word.round != r.round or r.done:
@@ -129,7 +129,7 @@
             return []
         return [self.fetch(now, sender, r)]
 
-    def known(self, now: float, sender: int, word: Known) -> list[Send]:
+    def known(self, now: float, sender: int, word: Known) -> list[OutgoingMessage]:
         if word.life != self.life or sender not in self.read or self.ready:
             return []
         if word.round >= self.opened or word.writes > self.shelf.writes:
--- a/corallanding/quota/__init__.py
+++ b/corallanding/quota/__init__.py
@@ -1,7 +1,7 @@
 """Budgets of the whole fleet of stewards, divided among them by demand. Pure. See docs/budgets.md."""
 
-from ..lease.election import Send
-from ..lease.messages import Quit, Stand, Vote
+from ..lease.election import OutgoingMessage
+from ..lease.messages import VoteRelease, VoteReply, VoteRequest
 from ..lease.voting import Candidate, Voter
 from .core import Quota
 from .fair_share import share
@@ -16,12 +16,12 @@
     "Divider",
     "Give",
     "Holder",
-    "Quit",
+    "OutgoingMessage",
     "Quota",
-    "Send",
-    "Stand",
     "Terms",
-    "Vote",
+    "VoteRelease",
+    "VoteReply",
+    "VoteRequest",
     "Voter",
     "Want",
     "Words",
--- a/corallanding/quota/core.py
+++ b/corallanding/quota/core.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, replace
 
-from ..lease.election import Desk, Office, Send
-from ..lease.messages import Quit, Stand, Vote
+from ..lease.election import LeaderElection, OutgoingMessage, VotedElection
+from ..lease.messages import VoteRelease, VoteReply, VoteRequest
 from ..lease.voting import Candidate, Voter
-from ..rate_limit import Allowances
+from ..rate_limit import PeerRateLimiter
 from .limits import Budget, Terms
 from .messages import Give, Want, Words
 from .quota_allocator import Divider
@@ -33,14 +33,14 @@
     alone: int = 0  # wants that found no divider to go to
     refused: int = 0  # words of nobody that we know, or too many
     words_per_s: float = 200.0  # taken from one
-    chair: Desk | None = None
+    chair: LeaderElection | None = None
 
     def __post_init__(self) -> None:
-        self.allowances = Allowances(self.others, self.words_per_s, self.born)
+        self.allowances = PeerRateLimiter(self.others, self.words_per_s, self.born)
         self.ids = {b.id: b for b in self.budgets.values()}
         self.holder = Holder(self.life, self.terms, self.born)
         self.shared = self.chair is not None
-        self.desk: Desk = self.chair or Office(
+        self.desk: LeaderElection = self.chair or VotedElection(
             self.me, self.others, self.voters, self.terms, self.life, self.born, self.chance, self.words_per_s
         )
         self.divider = Divider(self.terms, self.ids, self.life)
@@ -71,12 +71,12 @@
     @property
     def candidate(self) -> Candidate:
         """Where the office is held by votes."""
-        assert isinstance(self.desk, Office)
+        assert isinstance(self.desk, VotedElection)
         return self.desk.candidate
 
     @property
     def voter(self) -> Voter:
-        assert isinstance(self.desk, Office)
+        assert isinstance(self.desk, VotedElection)
         return self.desk.voter
 
     # ---- the core ------------------------------------------------------------------------------------------
@@ -92,9 +92,9 @@
             self.divider.begin(now, term[1])
         return True
 
-    def tick(self, now: float, alive: Iterable[int]) -> list[Send]:
+    def tick(self, now: float, alive: Iterable[int]) -> list[OutgoingMessage]:
         """Call every 50 ms or so. alive: the stewards reckoned with, by the membership."""
-        out: list[Send] = []
+        out: list[OutgoingMessage] = []
         self.office(now)
         for budget in self.budgets.values():
             if budget.per == "fleet" and budget.pool > 0:
@@ -104,21 +104,21 @@
             self.office(now)
         return out + self.ask(now)
 
-    def ask(self, now: float) -> list[Send]:
-        out: list[Send] = []
+    def ask(self, now: float) -> list[OutgoingMessage]:
+        out: list[OutgoingMessage] = []
         divider, identity, office = self.desk.holder
         for want in self.holder.ask(now, identity, office):
             if divider is None:
                 self.alone += 1
             elif divider != self.me:
-                out.append(Send(divider, want))
+                out.append(OutgoingMessage(divider, want))
             elif self.office(now):
                 self.holder.given(now, self.divider.asked(now, self.me, want))
         return out
 
-    def heard(self, now: float, sender: int, word: Words) -> list[Send]:
+    def heard(self, now: float, sender: int, word: Words) -> list[OutgoingMessage]:
         """A word of a known steward."""
-        if isinstance(word, Stand | Vote | Quit):
+        if isinstance(word, VoteRequest | VoteReply | VoteRelease):
             out = self.desk.heard(now, sender, word)
             self.office(now)
             return out
@@ -128,7 +128,7 @@
         match word:
             case Want():
                 if self.office(now):
-                    return [Send(sender, self.divider.asked(now, sender, word))]
+                    return [OutgoingMessage(sender, self.divider.asked(now, sender, word))]
             case Give():
                 if self.holder.given(now, word):
                     return self.ask(now)
@@ -140,7 +140,7 @@
             new = replace(self.budgets[name], whole=whole)
             self.budgets[name] = self.ids[new.id] = new
 
-    def leave(self, now: float) -> list[Send]:
+    def leave(self, now: float) -> list[OutgoingMessage]:
         """A planned end: nothing more is asked for, the office is given back."""
         self.holder.leaving = True
         for a in self.holder.accounts.values():
--- a/corallanding/quota/limits.py
+++ b/corallanding/quota/limits.py
@@ -5,7 +5,7 @@
 import zlib
 from dataclasses import dataclass
 
-from ..lease.limits import OfficeTerms
+from ..lease.limits import ElectionTimings
 
 Key = tuple[int, int]  # budget's id, subject: a host's number, or 0 for a budget of the fleet
 
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class Terms(OfficeTerms):
+class Terms(ElectionTimings):
     """ms. lease: a right lent is good for this and the budget's span."""
 
     lease: float = 3_000.0
--- a/corallanding/quota/messages.py
+++ b/corallanding/quota/messages.py
@@ -4,15 +4,15 @@
 
 import msgspec
 
-from ..lease.messages import OfficeWords, Word
-from ..lease.messages import sound as sound_office
+from ..lease.messages import ControllerMessage, ElectionMessage
+from ..lease.messages import sound as is_valid_lease_message
 
 # budget, subject, wanted, what a good grant holds, the most that may be in use, round of the grant that was taken up
 Row = tuple[int, int, int, int, int, int]
 Given = tuple[int, int, int]  # budget, subject, amount
 
 
-class Want(Word, frozen=True, array_like=True, tag=14):
+class Want(ControllerMessage, frozen=True, array_like=True, tag=14):
     """to, office: life and round of the last word by which that divider said that it holds the office. So it knows that
     what a row says was so in its own term, and that no former divider can have lent it to another since."""
 
@@ -21,13 +21,13 @@
     rows: list[Row] = []
 
 
-class Give(Word, frozen=True, array_like=True, tag=15):
+class Give(ControllerMessage, frozen=True, array_like=True, tag=15):
     """The answer to the want of that life and round."""
 
     rows: list[Given] = []
 
 
-Words = OfficeWords | Want | Give
+Words = ElectionMessage | Want | Give
 _decoder: msgspec.msgpack.Decoder[Words] = msgspec.msgpack.Decoder(Words)
 
 
@@ -50,4 +50,4 @@
         return min(word.life, word.round) >= 0 and all(min(row) >= 0 for row in word.rows)
     if isinstance(word, Give):
         return min(word.life, word.round) >= 0 and all(row[2] >= 0 for row in word.rows)
-    return sound_office(word)
+    return is_valid_lease_message(word)
--- a/corallanding/rate_limit.py
+++ b/corallanding/rate_limit.py
@@ -7,7 +7,7 @@
 
 
 @dataclass
-class Allowance:
+class TokenBucket:
     """rate: a second. left: what it may say now, as of `at`.
 
     What is refused costs nothing, so that one that says too much still gets its rate through.
@@ -26,11 +26,11 @@
         return True
 
 
-class Allowances:
+class PeerRateLimiter:
     """One for each of those that may speak, by number; nobody else may."""
 
     def __init__(self, numbers: Iterable[int], rate: float, now: float) -> None:
-        self.by = {n: Allowance(rate, rate, now) for n in numbers}
+        self.by = {n: TokenBucket(rate, rate, now) for n in numbers}
 
     def take(self, sender: int, now: float) -> bool:
         may = self.by.get(sender)
--- a/corallanding/scheduling/core.py
+++ b/corallanding/scheduling/core.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..lease.election import Send
-from ..rate_limit import Allowances
+from ..lease.election import OutgoingMessage
+from ..rate_limit import PeerRateLimiter
 from .limits import Kind, WaitTerms
 from .messages import LEVELS_MOST, ROWS_MOST, Line
 from .peer_queues import Lines
@@ -58,7 +58,7 @@
         self.right, self.aim = right, aim
         self.queue = Queue(kinds, terms.rise)
         self.lines = Lines(kinds, terms.rise, terms.stale)
-        self.allowances = Allowances(others, words_per_s, born)
+        self.allowances = PeerRateLimiter(others, words_per_s, born)
         self.tickets: dict[tuple[int, int], Job] = {}  # (forwarder, its ticket)
         self.claiming = 0
         self.aside: deque[tuple[float, int]] = deque()  # until when, job: nobody could say whose its fingerprint is
@@ -134,10 +134,10 @@
 
     # ---- the core ------------------------------------------------------------------------------------------
 
-    def tick(self, now: float, alive: Iterable[int]) -> tuple[list[Action], list[Send]]:
+    def tick(self, now: float, alive: Iterable[int]) -> tuple[list[Action], list[OutgoingMessage]]:
         """Call every 50 ms or so. alive: the other stewards reckoned with."""
         alive = [n for n in alive if n in self.others]
-        actions, words = self.release(now, alive), list[Send]()
+        actions, words = self.release(now, alive), list[OutgoingMessage]()
         if now - self.told_at >= self.terms.tell:
             top = self.queue.top(now, max(1, int(self.terms.rate)))
             if top and top[0] >= self.lines.water(now, alive) - self.slack:
@@ -203,7 +203,7 @@
             self.aside.append((now + self.terms.hold, job.number))
         return False
 
-    def tell(self, now: float, top: list[float]) -> list[Send]:
+    def tell(self, now: float, top: list[float]) -> list[OutgoingMessage]:
         """What waits here and could go. One without rights for long holds nobody up with what it has."""
         self.told_at = now
         self.round += 1
@@ -211,7 +211,7 @@
         rows = [] if dry else self.queue.rows(now, ROWS_MOST)
         levels = [] if dry else [int(top[k] * 1000.0) for k in (2**n - 1 for n in range(LEVELS_MOST)) if k < len(top)]
         word = Line(self.life, self.round, rows, levels, len(self.queue.jobs))
-        return [Send(n, word) for n in self.others]
+        return [OutgoingMessage(n, word) for n in self.others]
 
     def heard(self, now: float, sender: int, word: Line) -> None:
         if self.allowances.take(sender, now):
--- a/corallanding/scheduling/messages.py
+++ b/corallanding/scheduling/messages.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from ..lease.messages import Word
+from ..lease.messages import ControllerMessage
 
 ROWS_MOST = 10
 LEVELS_MOST = 12
 Row = tuple[int, int, int]  # class, ms that its oldest job has waited, jobs
 
 
-class Line(Word, frozen=True, array_like=True, tag=41):
+class Line(ControllerMessage, frozen=True, array_like=True, tag=41):
     """Classes of jobs that could go at once, the highest standing first. levels: standings of the first, second, fourth
     ... of these jobs, in thousandths. total: all jobs, those among them that cannot go now."""
 
--- a/corallanding/version_pinning/core.py
+++ b/corallanding/version_pinning/core.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from ..lease.election import Send
+from ..lease.election import OutgoingMessage
 from ..quorum_records.core import Action
 from ..quorum_records.fleet import FleetRecords
 from ..quorum_records.limits import RecordTerms
@@ -76,13 +76,13 @@
         strength = {s: self.strength(s) for s in self.sets}
         return list(self.releases.tick(now, self.wanted, self.sets, lambda: strength))
 
-    def heard(self, now: float, sender: int, word: PinWords) -> list[Send]:
+    def heard(self, now: float, sender: int, word: PinWords) -> list[OutgoingMessage]:
         """A word of a known steward, within what it may say."""
         match word:
             case Settled():
                 self.releases.settled(word)
             case Tally():
-                return [Send(sender, self.releases.asked(word))]
+                return [OutgoingMessage(sender, self.releases.asked(word))]
             case Tallied():
                 self.releases.tallied(sender, word)
         return []
--- a/corallanding/version_pinning/messages.py
+++ b/corallanding/version_pinning/messages.py
@@ -2,24 +2,24 @@
 
 from __future__ import annotations
 
-from ..lease.messages import Word
+from ..lease.messages import ControllerMessage
 
 NOT_NOW, PINNED, OVER, FULL = range(4)  # what a run is told
 ENTER, ENDED = range(2)  # what is asked of a run: it goes on, or it is over
 TALLIES_MOST = 8
 
 
-class Settled(Word, frozen=True, array_like=True, tag=38):
+class Settled(ControllerMessage, frozen=True, array_like=True, tag=38):
     """The register of releases that is in force, by whoever holds the release task."""
 
     value: int = 0
 
 
-class Tally(Word, frozen=True, array_like=True, tag=39):
+class Tally(ControllerMessage, frozen=True, array_like=True, tag=39):
     """The holder of the release task to a keeper: how many live runs of each set do you have?"""
 
 
-class Tallied(Word, frozen=True, array_like=True, tag=40):
+class Tallied(ControllerMessage, frozen=True, array_like=True, tag=40):
     """The answer to the tally of that life and round; value: the register that this keeper has taken in."""
 
     value: int = 0
@@ -29,7 +29,7 @@
 PinWords = Settled | Tally | Tallied
 
 
-def sound(word: Word) -> bool:
+def sound(word: ControllerMessage) -> bool:
     """Whether its fields can be meant."""
     if not (0 <= word.life < 1 << 63 and 0 <= word.round < 1 << 53):
         return False
--- a/corallanding/version_pinning/releases.py
+++ b/corallanding/version_pinning/releases.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Collection, Mapping
 from dataclasses import dataclass, field
 
-from ..lease.election import Send
+from ..lease.election import OutgoingMessage
 from ..quorum_records.core import Records
 from .limits import PinTerms
 from .messages import TALLIES_MOST, Settled, Tallied, Tally
@@ -57,7 +57,7 @@
 
     def tick(
         self, now: float, wanted: int, known: Collection[int], strength: Callable[[], Mapping[int, float]]
-    ) -> list[Send]:
+    ) -> list[OutgoingMessage]:
         """What the holder of the task has to do; nothing for all others."""
         writer = self.records.held.get(self.group)
         if writer is None or not writer.open or writer.behind:
@@ -90,12 +90,12 @@
         self.blocked = "" if step else why
         return out
 
-    def settle(self, now: float, register: Register) -> list[Send]:
+    def settle(self, now: float, register: Register) -> list[OutgoingMessage]:
         new = self.register is None or register.version > self.register.version
         if not new and now - self.settled_at < self.terms.settle:
             return []
         self.register, self.settled_at = register, now
-        return [Send(n, Settled(self.life, 0, register.pack())) for n in self.others]
+        return [OutgoingMessage(n, Settled(self.life, 0, register.pack())) for n in self.others]
 
     def settled(self, word: Settled) -> None:
         register = unpack(word.value)
@@ -104,12 +104,12 @@
 
     # ---- whether a closed set is still needed --------------------------------------------------------------
 
-    def tally(self, now: float, value: int) -> list[Send]:
+    def tally(self, now: float, value: int) -> list[OutgoingMessage]:
         self.count = Count(next(self.records.rounds), now)
         word = Tally(self.life, self.count.round)
         if self.records.keeps:
             self.tallied(self.me, self.asked(word))
-        return [Send(n, word) for n in self.records.keepers if n != self.me]
+        return [OutgoingMessage(n, word) for n in self.records.keepers if n != self.me]
 
     def asked(self, word: Tally) -> Tallied:
         record = self.records.shelf.groups.get(self.group, {}).get(KEY)
--- a/corallanding/version_pinning/workflow_runs.py
+++ b/corallanding/version_pinning/workflow_runs.py
@@ -7,7 +7,7 @@
 
 from ..quorum_records.messages import FULL as NO_ROOM
 from ..quorum_records.queries import Asking, Found
-from ..rate_limit import Allowance
+from ..rate_limit import TokenBucket
 from .limits import PinTerms
 from .messages import ENDED, ENTER, FULL, OVER, PINNED
 from .release_register import Register
@@ -30,7 +30,7 @@
     ) -> None:
         self.asking, self.groups, self.terms, self.register, self.strength = asking, groups, terms, register, strength
         self.records = asking.records
-        self.buckets: dict[int, Allowance] = {}
+        self.buckets: dict[int, TokenBucket] = {}
         self.begun = self.refused = 0
         asking.serve(groups, self.look, self.denied)
 
@@ -58,7 +58,7 @@
         register, rate = self.register(), self.terms.begins_per_s
         if register is None:
             return None
-        if not self.buckets.setdefault(bucket % self.terms.clients, Allowance(rate, rate, now)).take(now):
+        if not self.buckets.setdefault(bucket % self.terms.clients, TokenBucket(rate, rate, now)).take(now):
             self.refused += 1
             return FULL, 0
         value = draw(key, register.opens, [self.strength(s) for s in register.opens])
--- a/tests/stored_samples.py
+++ b/tests/stored_samples.py
@@ -105,16 +105,16 @@
 PEER_MESSAGES: dict[str, Any] = {
     "membership ping": membership.Ping(seq=1, life=2, incarnation=3, news=[(4, 0, 5)], aim=6),
     "membership ack": membership.Ack(seq=7, life=8, incarnation=9, news=[(1, 1, 2), (3, 2, 4)], of=5),
-    "membership indirect ping": membership.Ask(seq=10, life=11, incarnation=12, news=[], aim=13),
-    "lease candidacy": lease.Stand(life=1, round=2, holds=True, electorate=3, top=4),
-    "lease vote": lease.Vote(life=5, round=6, given=True, top=7),
-    "lease votes not wanted": lease.Quit(life=8, round=9),
-    "lease request": lease.Ask(
+    "membership indirect ping": membership.PingRequest(seq=10, life=11, incarnation=12, news=[], aim=13),
+    "lease candidacy": lease.VoteRequest(life=1, round=2, holds=True, electorate=3, top=4),
+    "lease vote": lease.VoteReply(life=5, round=6, given=True, top=7),
+    "lease votes not wanted": lease.VoteRelease(life=8, round=9),
+    "lease request": lease.LeaseRequest(
         life=1, round=2, to=3, office=4, wanted=SHARDS, held=OTHER_SHARDS, taken=5, tasks=6, seen=7
     ),
-    "lease grant": lease.Deal(life=1, round=2, held=SHARDS, fence=3),
-    "lease act": lease.Act(life=1, round=2, fence=3),
-    "lease seen": lease.Seen(life=4, round=5, fence=6),
+    "lease grant": lease.LeaseGrant(life=1, round=2, held=SHARDS, fence=3),
+    "lease act": lease.FencedAction(life=1, round=2, fence=3),
+    "lease seen": lease.ActionRejected(life=4, round=5, fence=6),
     "quota request": quota.Want(life=1, round=2, to=3, office=4, rows=[(5, 6, 7, 8, 9, 10)]),
     "quota grant": quota.Give(life=1, round=2, rows=[(3, 4, 5)]),
     "record copy": once.Copy(life=1, round=2, group=3, fence=4, first=True, rows=[(5, 6, 7)]),
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -15,24 +15,33 @@
 from corallanding.lab.stewards.world import Way, troubled
 from corallanding.lease import shard_allocator as dealer_module
 from corallanding.lease import voting as vote_module
-from corallanding.lease.core import Leases
-from corallanding.lease.fenced_resource import Place
-from corallanding.lease.lease_holder import Holder
-from corallanding.lease.limits import Terms
-from corallanding.lease.messages import BITS, Act, Ask, Deal, Stand, Vote, decode, encode
-from corallanding.lease.registry_election import RegistryOffice
-from corallanding.lease.shard_allocator import Dealer
+from corallanding.lease.core import TaskLeases
+from corallanding.lease.fenced_resource import FencedResource
+from corallanding.lease.lease_holder import LeaseHolder
+from corallanding.lease.limits import LeaseTimings
+from corallanding.lease.messages import (
+    BITS,
+    FencedAction,
+    LeaseGrant,
+    LeaseRequest,
+    VoteReply,
+    VoteRequest,
+    decode,
+    encode,
+)
+from corallanding.lease.registry_election import RegistryElection
+from corallanding.lease.shard_allocator import ShardAllocator
 from corallanding.lease.shard_plan import plan
-from corallanding.lease.tasks import SHARDS, Task, Tasks, each, pack, unpack
+from corallanding.lease.tasks import SHARDS, TaskCatalog, TaskSpec, each, pack, unpack
 from corallanding.registry.slice_ownership import Charge
 from corallanding.registry.slice_ownership import Terms as ChargeTerms
 
-TIGHT = Terms(lease=600.0, office=400.0)
-LONG = Terms(lease=1_500.0, office=300.0)  # leases that outlast the office under which they were dealt
-TASKS = Tasks({"ledger": Task("ledger", 7, work=100.0), "sweep": Task("sweep", work=200.0)})
+TIGHT = LeaseTimings(lease=600.0, office=400.0)
+LONG = LeaseTimings(lease=1_500.0, office=300.0)  # leases that outlast the office under which they were dealt
+TASKS = TaskCatalog({"ledger": TaskSpec("ledger", 7, work=100.0), "sweep": TaskSpec("sweep", work=200.0)})
 
 
-def world(seed: int, until: float = 14_000.0, tasks: Tasks = TASKS) -> TaskWorld:
+def world(seed: int, until: float = 14_000.0, tasks: TaskCatalog = TASKS) -> TaskWorld:
     w = TaskWorld(seed, 5, 5, tasks, (TIGHT, LONG)[seed // 2 % 2], acting=8)
     if seed % 2:  # a way that is bad all day long: words come later than some leases last, twice, or not
         w.usual = w.rest = Way(loss=0.1, repeat=0.3, mean=w.chance.choice((20.0, 60.0, 120.0)))
@@ -74,7 +83,7 @@
 
 
 def test_tasks_are_spread_evenly_and_move_as_little_as_can_be_when_stewards_come_and_go() -> None:
-    many = Tasks({"group": Task("group", 10_000, work=100.0)})
+    many = TaskCatalog({"group": TaskSpec("group", 10_000, work=100.0)})
     w = TaskWorld(3, 9, 5, many, TIGHT, acting=0, first=8)
     w.run(6_000.0)
 
@@ -96,7 +105,7 @@
 def test_words_follow_members_not_tasks() -> None:
     sent = []
     for count in (10, 10_000):
-        w = TaskWorld(4, 6, 5, Tasks({"g": Task("g", count, work=100.0)}), TIGHT, acting=0)
+        w = TaskWorld(4, 6, 5, TaskCatalog({"g": TaskSpec("g", count, work=100.0)}), TIGHT, acting=0)
         w.weigh = True
         w.run(8_000.0)
         sent.append(sum(words for words, _ in w.by.values()))
@@ -104,7 +113,7 @@
 
 
 def test_one_that_shows_no_progress_loses_its_turn() -> None:
-    tasks = Tasks({"sweep": Task("sweep", work=100.0, idle=500.0)})
+    tasks = TaskCatalog({"sweep": TaskSpec("sweep", work=100.0, idle=500.0)})
     w = TaskWorld(5, 3, 3, tasks, TIGHT, acting=0)
     holders = set()
     for t in range(1_000, 9_000, 100):
@@ -114,7 +123,7 @@
 
 
 def test_a_task_on_demand_is_had_in_turns_and_kept_until_it_is_given_back() -> None:
-    tasks = Tasks({"upgrade": Task("upgrade", work=200.0, wanted=False), "g": Task("g", 30, work=100.0)})
+    tasks = TaskCatalog({"upgrade": TaskSpec("upgrade", work=200.0, wanted=False), "g": TaskSpec("g", 30, work=100.0)})
     w = TaskWorld(6, 4, 3, tasks, TIGHT, acting=0)
     number, turns = tasks.number("upgrade"), list[int]()
     w.run(2_000.0)
@@ -133,10 +142,10 @@
 
 
 def test_an_act_begins_only_if_its_longest_time_ends_within_the_lease() -> None:
-    h = Holder(1, TIGHT, TASKS, 0.0)
+    h = LeaseHolder(1, TIGHT, TASKS, 0.0)
     ask = h.ask(0.0, 9, 1)
     assert ask
-    assert not h.dealt(10.0, Deal(1, ask.round, pack(1), 5))
+    assert not h.dealt(10.0, LeaseGrant(1, ask.round, pack(1), 5))
     assert h.until == TIGHT.mine(600.0), "counted from when it was asked for"
     assert h.begin(100.0, 0) == 5 and h.begin(150.0, 0) == 0, "one act on a task at a time"
     h.done(160.0, 0)
@@ -177,16 +186,16 @@
 
 def test_words_fit_a_datagram_and_odd_fields_are_refused() -> None:
     big = 2**62
-    ask = Ask(big, 2**40, big, 2**40, b"\xff" * BITS, b"\xff" * BITS, 2**40, 2**32 - 1, big)
+    ask = LeaseRequest(big, 2**40, big, 2**40, b"\xff" * BITS, b"\xff" * BITS, 2**40, 2**32 - 1, big)
     assert len(encode(ask)) <= 250
     assert decode(encode(ask)) == ask
     for odd in (
-        Ask(1, 1, 0, 0, b"x", b"x"),
-        Deal(1, 1, b"\0" * (BITS - 1), 1),
-        Act(1, 1, 0),
-        Stand(-1, 1),
-        Vote(1, -1),
-        Deal(1, 1, b"\0" * BITS, 1 << 63),
+        LeaseRequest(1, 1, 0, 0, b"x", b"x"),
+        LeaseGrant(1, 1, b"\0" * (BITS - 1), 1),
+        FencedAction(1, 1, 0),
+        VoteRequest(-1, 1),
+        VoteReply(1, -1),
+        LeaseGrant(1, 1, b"\0" * BITS, 1 << 63),
     ):
         assert decode(encode(odd)) is None, odd
     assert unpack(pack(1 << 255 | 5)) == 1 << 255 | 5
@@ -194,7 +203,7 @@
 
 def test_an_office_of_the_registry_ends_with_its_lease_and_its_fences_rise_with_its_revision() -> None:
     charge = Charge(2, range(1), ChargeTerms(ttl=1_000.0))
-    desk = RegistryOffice(2, (0, 1), 77, charge)
+    desk = RegistryElection(2, (0, 1), 77, charge)
     assert not desk.holds(0.0)
     assert desk.term is None
     assert desk.holder == (None, 0, 0)
@@ -213,10 +222,10 @@
     charge.granted(2_010.0, 6)
     charge.claimed(2_020.0, 0, 6, 58)
     assert desk.holds(2_030.0) and desk.base(1e15) > before, "whatever the wall clock says"
-    core = Leases(2, (0, 1), (), TASKS, TIGHT, 77, 2_030.0, random.random, chair=desk)
+    core = TaskLeases(2, (0, 1), (), TASKS, TIGHT, 77, 2_030.0, random.random, chair=desk)
     assert core.office(2_030.0)
     assert core.dealer.life == 58
-    late = core.dealer.asked(2_031.0, 0, Ask(1, 1, 41, 41, pack(1), pack(0), 0, TASKS.digest))
+    late = core.dealer.asked(2_031.0, 0, LeaseRequest(1, 1, 41, 41, pack(1), pack(0), 0, TASKS.digest))
     assert late is None and core.dealer.late == 1, "it was meant for the term before"
 
 
@@ -230,22 +239,22 @@
 
     def __init__(self) -> None:
         self.dealer = self.elect(-1e6, 9)
-        self.holders = [Holder(n + 1, TIGHT, TASKS, -1e6) for n in range(2)]
+        self.holders = [LeaseHolder(n + 1, TIGHT, TASKS, -1e6) for n in range(2)]
         self.acts: list[Any] = []
 
-    def elect(self, now: float, life: int) -> Dealer:
-        self.dealer = Dealer(TIGHT, TASKS, life, kept=1 << 60)
+    def elect(self, now: float, life: int) -> ShardAllocator:
+        self.dealer = ShardAllocator(TIGHT, TASKS, life, kept=1 << 60)
         self.dealer.begin(now, 1, life << 20)
         return self.dealer
 
-    def ask(self, now: float, n: int, holder: Holder | None = None) -> Ask:
+    def ask(self, now: float, n: int, holder: LeaseHolder | None = None) -> LeaseRequest:
         h = holder or self.holders[n]
         h.asked_at = float("-inf")
         word = h.ask(now, self.dealer.life, self.dealer.first)
         assert word
         return word
 
-    def answer(self, now: float, n: int, word: Ask) -> Deal:
+    def answer(self, now: float, n: int, word: LeaseRequest) -> LeaseGrant:
         deal = self.dealer.asked(now, n, word)
         assert deal
         return deal
@@ -253,7 +262,7 @@
     def both(self, now: float, n: int) -> None:
         self.holders[n].dealt(now, self.answer(now, n, self.ask(now, n)))
 
-    def act(self, now: float, n: int, holder: Holder | None = None) -> None:
+    def act(self, now: float, n: int, holder: LeaseHolder | None = None) -> None:
         h = holder or self.holders[n]
         for task in range(TASKS.count):
             if fence := h.begin(now, task):
@@ -282,7 +291,7 @@
 def a_process_that_came_after_another() -> int:
     d = Desk()
     d.both(0.0, 0)
-    new = Holder(77, TIGHT, TASKS, 0.0)
+    new = LeaseHolder(77, TIGHT, TASKS, 0.0)
     new.dealt(10.0, d.answer(10.0, 0, d.ask(10.0, 0, new)))
     d.act(20.0, 0)
     d.act(20.0, 0, new)
@@ -345,80 +354,82 @@
 
 
 def counted_from_the_answer(m: pytest.MonkeyPatch) -> None:
-    real = Holder.dealt
+    real = LeaseHolder.dealt
 
-    def dealt(self: Holder, now: float, word: Deal) -> bool:
+    def dealt(self: LeaseHolder, now: float, word: LeaseGrant) -> bool:
         if word.round in self.asked:
             self.asked[word.round] = now
         return real(self, now, word)
 
-    m.setattr(Holder, "dealt", dealt)
+    m.setattr(LeaseHolder, "dealt", dealt)
 
 
 def margin_on_the_wrong_side(m: pytest.MonkeyPatch) -> None:
-    m.setattr(Terms, "mine", lambda self, span: span * 1.3)
+    m.setattr(LeaseTimings, "mine", lambda self, span: span * 1.3)
 
 
 def deals_without_learning(m: pytest.MonkeyPatch) -> None:
-    real = Dealer.deal
+    real = ShardAllocator.deal
 
-    def deal(self: Dealer, *args: Any) -> Deal:
+    def deal(self: ShardAllocator, *args: Any) -> LeaseGrant:
         self.known = -1
         return real(self, *args)
 
-    m.setattr(Dealer, "deal", deal)
+    m.setattr(ShardAllocator, "deal", deal)
 
 
 def a_former_life_forgotten(m: pytest.MonkeyPatch) -> None:
-    real = Dealer.asked
+    real = ShardAllocator.asked
 
-    def asked(self: Dealer, now: float, sender: int, word: Ask) -> Deal | None:
+    def asked(self: ShardAllocator, now: float, sender: int, word: LeaseRequest) -> LeaseGrant | None:
         for who in [w for w in self.book if w[0] == sender and w[1] != word.life]:
             del self.book[who]
         return real(self, now, sender, word)
 
-    m.setattr(Dealer, "asked", asked)
+    m.setattr(ShardAllocator, "asked", asked)
 
 
 def answers_in_any_order(m: pytest.MonkeyPatch) -> None:
-    real = Holder.dealt
+    real = LeaseHolder.dealt
 
-    def dealt(self: Holder, now: float, word: Deal) -> bool:
+    def dealt(self: LeaseHolder, now: float, word: LeaseGrant) -> bool:
         self.taken = -1
         return real(self, now, word)
 
-    m.setattr(Holder, "dealt", dealt)
+    m.setattr(LeaseHolder, "dealt", dealt)
 
 
 def acts_outlast_the_lease(m: pytest.MonkeyPatch) -> None:
-    def begin(self: Holder, now: float, task: int) -> int:
+    def begin(self: LeaseHolder, now: float, task: int) -> int:
         return self.fence if self.holds(now, task) else 0
 
-    m.setattr(Holder, "begin", begin)
+    m.setattr(LeaseHolder, "begin", begin)
 
 
 def what_is_under_way_not_said(m: pytest.MonkeyPatch) -> None:
-    m.setattr(Holder, "working", lambda self, now: 0)
+    m.setattr(LeaseHolder, "working", lambda self, now: 0)
 
 
 def answers_on_their_way_forgotten(m: pytest.MonkeyPatch) -> None:
-    real = Dealer.settle
+    real = ShardAllocator.settle
 
-    def settle(self: Dealer, now: float, life: Any, taken: int, held: int) -> None:
+    def settle(self: ShardAllocator, now: float, life: Any, taken: int, held: int) -> None:
         real(self, now, life, taken, held)
         life.entries = [e for e in life.entries if e[0] <= taken]
 
-    m.setattr(Dealer, "settle", settle)
+    m.setattr(ShardAllocator, "settle", settle)
 
 
 def a_word_to_a_former_office_counts(m: pytest.MonkeyPatch) -> None:
-    real = Dealer.asked
+    real = ShardAllocator.asked
 
-    def asked(self: Dealer, now: float, sender: int, word: Ask) -> Deal | None:
+    def asked(self: ShardAllocator, now: float, sender: int, word: LeaseRequest) -> LeaseGrant | None:
         to = (self.life, self.first)
-        return real(self, now, sender, Ask(word.life, word.round, *to, word.wanted, word.held, word.taken, word.tasks))
+        return real(
+            self, now, sender, LeaseRequest(word.life, word.round, *to, word.wanted, word.held, word.taken, word.tasks)
+        )
 
-    m.setattr(Dealer, "asked", asked)
+    m.setattr(ShardAllocator, "asked", asked)
 
 
 def half_is_enough(m: pytest.MonkeyPatch) -> None:
@@ -426,30 +437,30 @@
 
 
 def the_last_entry_alone_is_out(m: pytest.MonkeyPatch) -> None:
-    m.setattr(dealer_module.Life, "out", lambda self, now: self.entries[-1][1] if self.entries else 0)
+    m.setattr(dealer_module.ProcessLeases, "out", lambda self, now: self.entries[-1][1] if self.entries else 0)
 
 
 def fences_do_not_rise(m: pytest.MonkeyPatch) -> None:
-    real = Dealer.deal
+    real = ShardAllocator.deal
 
-    def deal(self: Dealer, *args: Any) -> Deal:
+    def deal(self: ShardAllocator, *args: Any) -> LeaseGrant:
         word = real(self, *args)
-        return Deal(word.life, word.round, word.held, self.fence if not unpack(word.held) else 1 << 40)
+        return LeaseGrant(word.life, word.round, word.held, self.fence if not unpack(word.held) else 1 << 40)
 
-    m.setattr(Dealer, "deal", deal)
+    m.setattr(ShardAllocator, "deal", deal)
 
 
 def a_new_dealer_counts_from_nothing(m: pytest.MonkeyPatch) -> None:
-    real = Dealer.begin
-    m.setattr(Dealer, "begin", lambda self, now, first, fence: real(self, now, first, 1 << 12))
+    real = ShardAllocator.begin
+    m.setattr(ShardAllocator, "begin", lambda self, now, first, fence: real(self, now, first, 1 << 12))
 
 
 def a_place_takes_all(m: pytest.MonkeyPatch) -> None:
-    def takes(self: Place, task: int, fence: int) -> bool:
+    def takes(self: FencedResource, task: int, fence: int) -> bool:
         self.seen[task] = max(fence, self.seen.get(task, 0))
         return True
 
-    m.setattr(Place, "takes", takes)
+    m.setattr(FencedResource, "takes", takes)
 
 
 MISTAKES: list[Callable[[pytest.MonkeyPatch], None]] = [
--- a/tests/test_lease_small.py
+++ b/tests/test_lease_small.py
@@ -14,17 +14,17 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from corallanding.lease import voting as vote_module
-from corallanding.lease.fenced_resource import Place
-from corallanding.lease.lease_holder import Holder
-from corallanding.lease.limits import Terms
-from corallanding.lease.messages import Ask, Deal, Stand, Vote
-from corallanding.lease.shard_allocator import Dealer
-from corallanding.lease.tasks import Task, Tasks
+from corallanding.lease.fenced_resource import FencedResource
+from corallanding.lease.lease_holder import LeaseHolder
+from corallanding.lease.limits import LeaseTimings
+from corallanding.lease.messages import LeaseGrant, LeaseRequest, VoteReply, VoteRequest
+from corallanding.lease.shard_allocator import ShardAllocator
+from corallanding.lease.tasks import TaskCatalog, TaskSpec
 from corallanding.lease.voting import Candidate, Voter, electorate
 
 # A lease of three steps and an act of one and a half: a few steps see leases end, and acts that would outlast them.
-TERMS = Terms(lease=300.0, office=200.0, drift=0.0)
-TASKS = Tasks({"sweep": Task("sweep", work=150.0)})
+TERMS = LeaseTimings(lease=300.0, office=200.0, drift=0.0)
+TASKS = TaskCatalog({"sweep": TaskSpec("sweep", work=150.0)})
 STEP = 100.0
 
 
@@ -33,13 +33,13 @@
 
     def __init__(self) -> None:
         self.now, self.lives = 0.0, 10
-        self.dealer = Dealer(TERMS, TASKS, 9, kept=1 << 60)
+        self.dealer = ShardAllocator(TERMS, TASKS, 9, kept=1 << 60)
         self.dealer.begin(-1e6, 1, 1 << 20)
-        self.holders = [Holder(n + 1, TERMS, TASKS, -1e6) for n in range(2)]
+        self.holders = [LeaseHolder(n + 1, TERMS, TASKS, -1e6) for n in range(2)]
         self.words: list[tuple[int, Any]] = []  # on their way: whose, what
         self.looks: list[tuple[int, int]] = []  # acts begun and not written: whose, fence
         self.ends: dict[tuple[int, int], float] = {}  # (steward, life): when its act has ended at the longest
-        self.place, self.highest = Place(1), 0
+        self.place, self.highest = FencedResource(1), 0
         self.wrong = ""
 
     def moves(self) -> list[tuple[str, int]]:
@@ -67,12 +67,12 @@
                 who, word = self.words[n]
                 if kind == "word":
                     del self.words[n]
-                if isinstance(word, Ask):
+                if isinstance(word, LeaseRequest):
                     deal = self.dealer.asked(self.now, who, word)
                     if deal:
                         self.words.append((who, deal))
                     return deal is not None or kind == "word"
-                assert isinstance(word, Deal)
+                assert isinstance(word, LeaseGrant)
                 self.holders[who].dealt(self.now, word)
             case "look":
                 h = self.holders[n]
@@ -91,7 +91,7 @@
                     self.highest = max(self.highest, fence)
             case "start":
                 self.lives += 1
-                self.holders[0] = Holder(self.lives, TERMS, TASKS, self.now)
+                self.holders[0] = LeaseHolder(self.lives, TERMS, TASKS, self.now)
         return True
 
     def key(self) -> str:
@@ -188,7 +188,7 @@
 
 # ---- the office -------------------------------------------------------------------------------------------------
 
-DRIFT = Terms(office=200.0, drift=0.1)
+DRIFT = LeaseTimings(office=200.0, drift=0.1)
 
 
 class Booth:
@@ -199,8 +199,8 @@
         self.now, self.starts = 0.0, 0
         self.voters = [Voter(DRIFT, -1e6, electorate((0, 1, 2))) for _ in range(3)]
         self.candidates = [Candidate(n, n + 1, (0, 1, 2), DRIFT, lambda: 0.0, -1e6) for n in range(2)]
-        self.stands: list[Stand | None] = [None, None]
-        self.votes: list[tuple[int, int, Vote]] = []
+        self.stands: list[VoteRequest | None] = [None, None]
+        self.votes: list[tuple[int, int, VoteReply]] = []
         self.wrong = ""
 
     def clock(self, who: int) -> float:
@@ -220,7 +220,7 @@
             case "stand":
                 self.candidates[n].next_at = float("-inf")
                 word = self.candidates[n].tick(self.clock(n), 0)
-                if not isinstance(word, Stand):
+                if not isinstance(word, VoteRequest):
                     return False
                 self.stands[n] = word
             case "ask":
@@ -271,14 +271,14 @@
 
 
 def no_drift(m: pytest.MonkeyPatch) -> None:
-    m.setattr(Terms, "mine", lambda self, span: span)
-    m.setattr(Terms, "theirs", lambda self, span: span)
+    m.setattr(LeaseTimings, "mine", lambda self, span: span)
+    m.setattr(LeaseTimings, "theirs", lambda self, span: span)
 
 
 def starts_at_once(m: pytest.MonkeyPatch) -> None:
     real = vote_module.Voter.asked
 
-    def asked(self: Any, now: float, candidate: int, word: Stand) -> Vote:
+    def asked(self: Any, now: float, candidate: int, word: VoteRequest) -> VoteReply:
         self.born = -1e12
         return real(self, now, candidate, word)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,12 +14,12 @@
     LEFT,
     SUSPECT,
     Ack,
-    Ask,
-    Changed,
-    Members,
+    Membership,
+    MembershipConfig,
+    MemberStateChanged,
+    OutgoingMessage,
     Ping,
-    Send,
-    Terms,
+    PingRequest,
     decode,
     encode,
 )
@@ -103,8 +103,8 @@
     assert {row[3] for row in w.seen if row[2] == 3 and row[0] > 8_000.0} == {LEFT}
 
 
-def members(others: int = 3) -> Members:
-    return Members(0, range(1, others + 1), 77, Terms(), random.Random(1).random, 0.0)
+def members(others: int = 3) -> Membership:
+    return Membership(0, range(1, others + 1), 77, MembershipConfig(), random.Random(1).random, 0.0)
 
 
 def test_nonsense_floods_and_strangers_cost_a_counted_refusal() -> None:
@@ -113,7 +113,9 @@
     assert m.heard(0.0, 1, Ping(1, 5, 0, [])) == [] and m.refused == 2, "an incarnation that cannot be"
     assert m.heard(0.0, 1, Ping(1, 5, 1 << 40, [])) == []
     assert m.refused == 3
-    assert not [a for a in m.heard(0.0, 1, Ping(1, 5, 1, [], aim=2)) if isinstance(a, Send)], "meant for another"
+    assert not [a for a in m.heard(0.0, 1, Ping(1, 5, 1, [], aim=2)) if isinstance(a, OutgoingMessage)], (
+        "meant for another"
+    )
     before = m.refused
     for _ in range(1_000):
         m.heard(1.0, 2, Ping(1, 5, 1, []))
@@ -121,7 +123,7 @@
     assert m.state(2) == ALIVE
     for word in (Ping(1, 2, 3, [(1, 2, 3)] * (NEWS_MOST + 1)), Ack(1, 2, 3, [])):
         assert (decode(encode(word)) is None) == bool(word.news)
-    wide = Ask(2**32, 2**62, 2**32 - 1, [(65_535, 4, 2**32 - 1)] * NEWS_MOST, 65_535)
+    wide = PingRequest(2**32, 2**62, 2**32 - 1, [(65_535, 4, 2**32 - 1)] * NEWS_MOST, 65_535)
     assert len(encode(wide)) <= 255
 
 
@@ -138,8 +140,8 @@
 def test_late_news_of_a_former_incarnation_changes_nothing() -> None:
     m = members()
     m.heard(0.0, 1, Ping(1, 5, 1, [(2, ALIVE, 7)]))
-    assert Changed(2, SUSPECT) in m.heard(1.0, 1, Ping(2, 5, 1, [(2, SUSPECT, 7)]))
-    assert Changed(2, ALIVE) in m.heard(2.0, 1, Ping(3, 5, 1, [(2, ALIVE, 8)]))
+    assert MemberStateChanged(2, SUSPECT) in m.heard(1.0, 1, Ping(2, 5, 1, [(2, SUSPECT, 7)]))
+    assert MemberStateChanged(2, ALIVE) in m.heard(2.0, 1, Ping(3, 5, 1, [(2, ALIVE, 8)]))
     m.heard(3.0, 1, Ping(4, 5, 1, [(2, DEAD, 7), (2, SUSPECT, 6)]))
     assert m.state(2) == ALIVE
 
--- a/tests/test_mutation.py
+++ b/tests/test_mutation.py
@@ -21,10 +21,10 @@
 from corallanding.lab.stewards.waits import WaitWorld, bound_of
 from corallanding.lab.stewards.world import World
 from corallanding.lab.uses import most
-from corallanding.lease.limits import Terms
+from corallanding.lease.limits import LeaseTimings
 from corallanding.lease.messages import sound as sound_task
-from corallanding.lease.tasks import Task, Tasks
-from corallanding.membership.messages import Ack, Ask, Ping
+from corallanding.lease.tasks import TaskCatalog, TaskSpec
+from corallanding.membership.messages import Ack, Ping, PingRequest
 from corallanding.quorum_records.messages import sound as sound_record
 from corallanding.quota import Budget
 from corallanding.quota import Terms as QuotaTerms
@@ -34,7 +34,7 @@
 from corallanding.version_pinning.messages import PinWords
 from corallanding.version_pinning.messages import sound as sound_pin
 
-LEASE = Terms(lease=600.0, office=400.0)
+LEASE = LeaseTimings(lease=600.0, office=400.0)
 UNTIL = 5_000.0
 ODD: dict[type, tuple[Any, ...]] = {
     int: (0, -1, 1 << 40, 1 << 70),
@@ -99,7 +99,7 @@
 
 
 def tasks(seed: int) -> TaskWorld:
-    return TaskWorld(seed, 3, 3, Tasks({"g": Task("g", 4, work=100.0)}), LEASE, acting=4)
+    return TaskWorld(seed, 3, 3, TaskCatalog({"g": TaskSpec("g", 4, work=100.0)}), LEASE, acting=4)
 
 
 def budgets(seed: int) -> World:
@@ -175,7 +175,7 @@
         for at, word in chosen.sample(rows, min(sample, len(rows))):
             changes = list(ways(plain).items())
             for odd in fields(word):
-                good = len(odd.news) <= 12 if isinstance(odd, Ping | Ack | Ask) else sound(odd)
+                good = len(odd.news) <= 12 if isinstance(odd, Ping | Ack | PingRequest) else sound(odd)
                 if not good:
                     table[kind, "a field", "refused"] += 1  # at the peers' door, before any core
                     continue
@@ -205,7 +205,7 @@
 # Its acts still meet the fences at the place. So is a grant that lies, and an answer on a record that says another
 # value. Datagrams carry a checksum of their own against harm on the way.
 BELIEVED = {
-    "lease": {("Deal", "a field")},
+    "lease": {("LeaseGrant", "a field")},
     "quota": {("Give", "a field")},
     "runs": {("Answer", "a field")},
     "waiting": set[Any](),
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -13,7 +13,20 @@
 from corallanding.lab.stewards.world import Way, World, troubled
 from corallanding.lab.uses import most
 from corallanding.lease import voting as vote_module
-from corallanding.quota import Budget, Divider, Give, Holder, Quota, Stand, Terms, Vote, Want, decode, encode, share
+from corallanding.quota import (
+    Budget,
+    Divider,
+    Give,
+    Holder,
+    Quota,
+    Terms,
+    VoteReply,
+    VoteRequest,
+    Want,
+    decode,
+    encode,
+    share,
+)
 from corallanding.quota import quota_allocator as divider_module
 
 TIGHT = Terms(lease=500.0, office=400.0)
@@ -256,7 +269,7 @@
 
     def stand(self, now: float, c: Any, voters: tuple[int, ...], answered: float | None = None) -> None:
         word = c.tick(now, 0)
-        assert isinstance(word, Stand)
+        assert isinstance(word, VoteRequest)
         votes = {v: self.voters[v].asked(now, c.me, word) for v in voters}
         for v, vote in votes.items():
             c.voted(now if answered is None else answered, v, vote)
@@ -283,7 +296,7 @@
 def votes_behind_a_quit() -> float:
     b = Booth()
     word = b.a.tick(0.0, 0)
-    assert isinstance(word, Stand)
+    assert isinstance(word, VoteRequest)
     votes = {v: b.voters[v].asked(0.0, 0, word) for v in (1, 2)}
     quit = b.a.give_up()
     for v in (1, 2):
@@ -356,7 +369,7 @@
 def votes_at_once(m: pytest.MonkeyPatch) -> None:
     real = vote_module.Voter.asked
 
-    def asked(self: Any, now: float, candidate: int, word: Stand) -> Vote:
+    def asked(self: Any, now: float, candidate: int, word: VoteRequest) -> VoteReply:
         self.born = -1e12
         return real(self, now, candidate, word)
 
@@ -443,7 +456,7 @@
 def votes_counted_after_a_quit(m: pytest.MonkeyPatch) -> None:
     def give_up(self: Any) -> Any:
         self.votes.clear()
-        return vote_module.Quit(self.life, self.round)
+        return vote_module.VoteRelease(self.life, self.round)
 
     m.setattr(vote_module.Candidate, "give_up", give_up)
 
@@ -451,7 +464,7 @@
 def an_office_votes_come_late_for(m: pytest.MonkeyPatch) -> None:
     real = vote_module.Candidate.voted
 
-    def voted(self: Any, now: float, voter: int, word: Vote) -> None:
+    def voted(self: Any, now: float, voter: int, word: VoteReply) -> None:
         real(self, now, voter, word)
         if word.given and word.life == self.life:
             self.votes[voter] = now + self.terms.office  # from the answer, not from the question
