--- a/corallanding/collector/core.py
+++ b/corallanding/collector/core.py
@@ -177,7 +177,7 @@
                         self.intake.trace(f"spoilt ({fault}): {b' '.join(words)[:300]!r}")
             if heard.over:
                 return heard
-        if self.reader.fault:
+        if self.reader.error:
             # A collector is never written to; a stranger is told.
             heard.answer, heard.over = b"" if self.zone is not None else REJECT, "what cannot be read"
         return heard
@@ -188,7 +188,7 @@
         if words[0] == b"telemetry" and len(words) == 3 and words[1] == b"locality":
             zone = zones.get(words[2].decode("utf-8", "replace"))
             if zone is not None:
-                self.zone, self.reader.most = zone, COLLECTOR_MOST
+                self.zone, self.reader.max_bytes = zone, COLLECTOR_MOST
                 return
             heard.over = "a collector of no zone there is"
         else:
--- a/corallanding/collector/server.py
+++ b/corallanding/collector/server.py
@@ -8,7 +8,7 @@
 from typing import cast
 
 from .. import interface as api
-from ..connection import Limit
+from ..connection import ReadTimeout
 from ..controller.acceptor import Listener
 from .core import REJECT, SIGN_OF_LIFE, Intake, Peer
 
@@ -21,7 +21,7 @@
         self.door = door
         self.peer = Peer(door.intake)
         self.owed = 0
-        self.timer: Limit | None = None
+        self.timer: ReadTimeout | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -29,8 +29,8 @@
         self.timer = self.limit()
         self.door.came(self)
 
-    def limit(self) -> Limit:
-        return Limit(asyncio.get_running_loop(), JOIN_WITHIN, self.late)
+    def limit(self) -> ReadTimeout:
+        return ReadTimeout(asyncio.get_running_loop(), JOIN_WITHIN, self.late)
 
     def data_received(self, data: bytes) -> None:
         heard = self.peer.feed(data)
--- a/corallanding/controller/components.py
+++ b/corallanding/controller/components.py
@@ -19,7 +19,7 @@
 from ..config import ControllerConfig, assigner_settings
 from ..endpoints.endpoint_list import View
 from ..endpoints.source import Source
-from ..health_check.prober import Prober
+from ..health_check.checker import HealthChecker
 from ..load_reports.feed import Feed
 from ..store import Life, SqliteStore, Store
 from ..telemetry import Metrics, RateLimitedLogger
@@ -106,7 +106,7 @@
             ChannelLimits(c.rate_lines_per_s, c.head_lines, c.queue_most_lines, c.messages_most, c.messages_span_ms)
         )
         self.view = View(config.roster.hosts_most)
-        self.prober = Prober(
+        self.prober = HealthChecker(
             self.probed,
             self.clock,
             config.probe.path,
--- a/corallanding/controller/config_reload.py
+++ b/corallanding/controller/config_reload.py
@@ -69,8 +69,8 @@
         link.link.limits = s.limits
         link.link.reader.most = s.limits.frame_most
     p = s.config.probe
-    s.prober.timeout, s.prober.most_in_flight = p.timeout_ms, p.most_in_flight
-    s.prober.most_waiting = p.most_waiting
+    s.prober.timeout_ms, s.prober.max_in_flight = p.timeout_ms, p.most_in_flight
+    s.prober.max_waiting = p.most_waiting
     if d := s.config.door:
         s.admin_server.max_connections, s.admin_server.max_header_bytes = d.connections_most, d.header_most_bytes
         s.admin_server.request_timeout_ms = d.request_within_ms
--- a/corallanding/controller/decision_loop.py
+++ b/corallanding/controller/decision_loop.py
@@ -127,7 +127,7 @@
                     # Others ask it already: for the module one that says neither good nor bad.
                     self.probed(api.HealthCheckResult(output.host, api.HealthCheckOutcome.FULL))
                 elif output.address:
-                    self.prober.ask(output.host, output.address)
+                    self.prober.check(output.host, output.address)
                 else:
                     self.probed(api.HealthCheckResult(output.host, api.HealthCheckOutcome.UNREACHABLE))
             case core.WatchHostList():
--- a/corallanding/discovery/core.py
+++ b/corallanding/discovery/core.py
@@ -13,7 +13,7 @@
 
 from .. import interface as api
 from ..host_names import number
-from ..json_errors import UNREADABLE
+from ..json_errors import JSON_DECODE_ERRORS
 
 STATES = {
     "in_service": api.HostState.UP,
@@ -59,7 +59,7 @@
         """Raises BadAnswer."""
         try:
             return msgspec.json.decode(body, type=Answer)
-        except UNREADABLE as fault:
+        except JSON_DECODE_ERRORS as fault:
             raise BadAnswer(str(fault)) from None
 
     def entry(self, raw: Any) -> tuple[api.HostEntry, str]:
--- a/corallanding/discovery/http_connection.py
+++ b/corallanding/discovery/http_connection.py
@@ -7,12 +7,12 @@
 
 import httptools
 
-from ..connection import Address, Dialled
+from ..connection import Address, OutboundConnection
 
 MOST = 8 << 20  # bytes of an answer
 
 
-class Conversation(Dialled):
+class Conversation(OutboundConnection):
     """answered(self, body, fault): the answer to the question that is open, or what is wrong with it. An answer that no
     question is open for ends the connection: what comes after it would be taken for the next one's."""
 
@@ -58,19 +58,19 @@
             self.parser.feed_data(data)
         except httptools.HttpParserError as fault:
             self.fail(f"no HTTP: {fault}")
-        if self.whole and self.asking and self.open:
+        if self.whole and self.asking and self.is_open:
             self.conclude()
 
     def conclude(self) -> None:
         status, body = self.parser.get_status_code(), bytes(self.body)
         self.asking = self.whole = False
         if not self.keep:
-            self.drop()
+            self.discard()
         self.answered(self, body, "" if status == 200 else f"status {status}")
 
     def connection_lost(self, exc: Exception | None) -> None:
         # Without a length the end of the connection is the end of the body, as HTTP/1.1 has it.
-        if self.open and self.asking and exc is None and self.until_close and not self.why:
+        if self.is_open and self.asking and exc is None and self.until_close and not self.close_reason:
             self.keep = False
             self.conclude()
         super().connection_lost(exc)
--- a/corallanding/discovery/long_poll.py
+++ b/corallanding/discovery/long_poll.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ..connection import Address, Dialer, Limit
+from ..connection import Address, Connector, ReadTimeout
 from .http_connection import Conversation
 
 SOON = 0.02  # s: within the time that a watch continues
@@ -43,13 +43,15 @@
     ) -> None:
         self.where, self.listener, self.wait, self.late, self.again_most = where, listener, wait, late, again_most
         self.loop = asyncio.get_running_loop()
-        self.dialer = Dialer(lambda at: Conversation(at, self.answered, self.lost), self.adopted, self.unreached, late)
+        self.dialer = Connector(
+            lambda at: Conversation(at, self.answered, self.lost), self.adopted, self.unreached, late
+        )
         self.on_request = on_request
         self.following, self.fetching = not on_request, False
         self.conn: Conversation | None = None
         self.asking_whole = False  # of the question that is open
         self.asked_at, self.asked_version = 0.0, 0
-        self.limit: Limit | None = None  # of that question
+        self.limit: ReadTimeout | None = None  # of that question
         self.rest: asyncio.TimerHandle | None = None  # after a failure
         self.again = 0.0  # how long the next one would be
         self.polls, self.closed = 0, True
@@ -71,8 +73,8 @@
         """Ask, if there is something to ask and nothing is under way."""
         if self.closed or self.limit or self.rest or not (self.following or self.fetching):
             return
-        if (self.conn is None or self.conn.where != self.where) and not self.dialer.busy:
-            self.dialer.dial(self.where)
+        if (self.conn is None or self.conn.address != self.where) and not self.dialer.is_connecting:
+            self.dialer.connect(self.where)
         if self.conn:
             self.asking_whole, self.fetching = self.fetching, False
             self.ask(self.conn)
@@ -83,14 +85,14 @@
         path = f"/v1/servers?index={self.listener.version}&wait={self.wait:.0f}"
         conn.ask("/v1/servers" if self.asking_whole else path)
         limit = self.late + (0.0 if self.asking_whole else self.wait)
-        self.limit = Limit(self.loop, limit, self.silent)
+        self.limit = ReadTimeout(self.loop, limit, self.silent)
 
     # ---- what becomes of it ------------------------------------------------------------------------------
 
     def adopted(self, conn: Conversation) -> None:
         """The old connection goes now; what was asked there is asked here."""
         if self.conn:
-            self.conn.drop()
+            self.conn.discard()
         self.conn = conn
         if self.limit:
             self.limit.cancel()
@@ -104,17 +106,17 @@
 
     def silent(self) -> None:
         if self.conn:
-            self.conn.drop()
+            self.conn.discard()
         self.conn = None
         self.failed("no answer in time")
 
     def lost(self, conn: Conversation) -> None:
         self.conn = None
         if self.limit:
-            self.failed(conn.why or "the connection broke")
+            self.failed(conn.close_reason or "the connection broke")
 
     def answered(self, conn: Conversation, body: bytes, fault: str) -> None:
-        if not conn.open:
+        if not conn.is_open:
             self.conn = None
         if fault:
             self.failed(fault)
@@ -159,7 +161,7 @@
         if where != self.where:
             self.where = where
             if not self.closed:
-                self.dialer.dial(where)
+                self.dialer.connect(where)
 
     def stop(self) -> None:
         self.closed = True
@@ -169,5 +171,5 @@
             self.rest.cancel()
             self.rest = None
         if self.conn:
-            self.conn.drop()
+            self.conn.discard()
             self.conn = None
--- a/corallanding/host_names.py
+++ b/corallanding/host_names.py
@@ -1,22 +1,22 @@
-"""Hosts by name, where a platform names them: a number for the module and back. Pure, without a table.
+"""Host names as numbers and back, for platforms that name their hosts. Pure, without a table.
 
-The module scores numbers. This one is the name's bytes read as one number, a 1 before them: every steward has the same
-after every start, two names never share one, and nothing is kept that would have to be forgotten.
+The assigner knows hosts by number. The number of a name is its bytes read as one big-endian integer, behind a byte of
+value 1. Every controller computes the same number after every start, no two names share one, and nothing is stored.
 """
 
 from __future__ import annotations
 
-NAME_MOST = 64  # bytes
+MAX_NAME_BYTES = 64
 
 
 def number(name: str) -> int:
-    """Raises ValueError on a name that is empty or too long."""
+    """Return the number of a host name. Raises ValueError if the name is empty or longer than `MAX_NAME_BYTES`."""
     raw = name.encode()
-    if not 0 < len(raw) <= NAME_MOST:
-        raise ValueError(f"a host's name of {len(raw)} bytes: 1 to {NAME_MOST} are allowed")
+    if not 0 < len(raw) <= MAX_NAME_BYTES:
+        raise ValueError(f"a host's name of {len(raw)} bytes: 1 to {MAX_NAME_BYTES} are allowed")
     return int.from_bytes(b"\x01" + raw, "big")
 
 
 def name(number: int) -> str:
-    """The name that `number` came from."""
+    """Return the name from which `number` was computed."""
     return number.to_bytes((number.bit_length() + 7) // 8, "big")[1:].decode()
--- a/corallanding/json_errors.py
+++ b/corallanding/json_errors.py
@@ -1,8 +1,8 @@
-"""What reading JSON may raise on bytes that are none, or none that we read."""
+"""The exceptions that decoding untrusted JSON may raise."""
 
 from __future__ import annotations
 
 import msgspec
 
-# The last one is msgspec's word on objects nested some hundreds deep: no DecodeError, and no fault of ours either.
-UNREADABLE: tuple[type[Exception], ...] = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
+# msgspec raises RecursionError, which is no DecodeError, for objects that are nested some hundreds deep.
+JSON_DECODE_ERRORS: tuple[type[Exception], ...] = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
--- a/corallanding/platform/config.py
+++ b/corallanding/platform/config.py
@@ -14,7 +14,7 @@
 from ..collector.core import Places
 from ..connection import Address
 from ..discovery.core import Answer
-from ..json_errors import UNREADABLE
+from ..json_errors import JSON_DECODE_ERRORS
 from ..simulator_adapter.fields import Malformed
 from ..simulator_adapter.settings import above_0, ms
 from ..simulator_adapter.settings import settings as settings_of
@@ -123,7 +123,7 @@
         top = msgspec.json.decode(raw, type=Top)
     except msgspec.ValidationError as fault:
         raise BadConfig(named(fault)) from None
-    except UNREADABLE as fault:
+    except JSON_DECODE_ERRORS as fault:
         raise BadConfig(f"no JSON: {fault}") from None
 
     def where(path: str, text: str) -> Address:
--- a/corallanding/platform/service.py
+++ b/corallanding/platform/service.py
@@ -12,7 +12,7 @@
 from ..collector.core import Intake
 from ..collector.server import Door
 from ..controller.event_inbox import EventInbox
-from ..health_check.prober import Prober
+from ..health_check.checker import HealthChecker
 from ..host_names import name
 from ..relay.call_connection import CallLink
 from ..relay.channel import Channel
@@ -54,13 +54,13 @@
         self.news_link = NewsLink(config.store, self.news, self.clock, self.tell, self.calls.under_way, self.said)
         self.gaps = Gaps(s, self.news, self.clock, self.tell)
         self.news_link.gap = self.gaps.bridged
-        self.prober = Prober(
+        self.prober = HealthChecker(
             self.probed,
             self.clock,
             "/load" if s.health_check_load_fields else "/healthz",
             2.0 * config.dial_timeout,
             PROBES_MOST,
-            where=address,
+            parse_address=address,
             load_in_body=True,
         )
         self.door: Door | None = None
@@ -234,7 +234,7 @@
                 case api.StartTimer():
                     self.turns.remind(now + a.delay_ms, a.timer)
                 case api.CheckHealth():
-                    self.prober.ask(a.host, self.view.dials.get(a.host, ""))
+                    self.prober.check(a.host, self.view.dials.get(a.host, ""))
                 case api.WatchHostList():
                     self.agent.follow(a.is_watching)
                 case api.FetchHostList():
--- a/corallanding/relay/call_connection.py
+++ b/corallanding/relay/call_connection.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from ..connection import Address, Dialer, Limit
+from ..connection import Address, Connector, ReadTimeout
 from .line_protocol import Lines
 from .orders import Order
 from .pending_calls import Calls
@@ -31,17 +31,17 @@
         self.where, self.calls, self.clock, self.stood = where, calls, clock, stood
         self.answer_within, self.idle_most = answer_within, idle_most
         self.loop = asyncio.get_running_loop()
-        self.dialer = Dialer(lambda at: Lines(at, self.heard, self.lost), self.adopted, self.unreached, dial_within)
+        self.dialer = Connector(lambda at: Lines(at, self.heard, self.lost), self.adopted, self.unreached, dial_within)
         self.conn: Lines | None = None
         self.used = 0.0
         self.waits: asyncio.TimerHandle | None = None  # for the time of the next call
-        self.limit: Limit | None = None  # of the call in flight
+        self.limit: ReadTimeout | None = None  # of the call in flight
         self.last = False  # no call begins any more
         self.idle = asyncio.Event()  # none is in flight, and none will be
 
     def kick(self) -> None:
         """Something waits, or may go now."""
-        if self.calls.flying or self.dialer.busy or self.last:
+        if self.calls.flying or self.dialer.is_connecting or self.last:
             return
         self.stop_waiting()
         now = self.clock()
@@ -50,8 +50,8 @@
             return
         if at > now:
             self.waits = self.loop.call_later((at - now) / 1000.0, self.kick)
-        elif self.conn is None or self.conn.where != self.where or now - self.used > self.idle_most:
-            self.dialer.dial(self.where)
+        elif self.conn is None or self.conn.address != self.where or now - self.used > self.idle_most:
+            self.dialer.connect(self.where)
         else:
             self.send(self.conn, now)
 
@@ -73,7 +73,7 @@
         if call := self.calls.next(now):
             conn.transport.write(call.line)
             self.used = now
-            self.limit = Limit(self.loop, self.answer_within, self.unknown)
+            self.limit = ReadTimeout(self.loop, self.answer_within, self.unknown)
 
     def unknown(self) -> None:
         self.give_up()
@@ -82,12 +82,12 @@
 
     def give_up(self) -> None:
         if self.conn:
-            self.conn.drop()
+            self.conn.discard()
             self.conn = None
 
     def heard(self, conn: Lines, lines: list[bytes]) -> None:
         for line in lines:
-            if not conn.open or not self.calls.flying:
+            if not conn.is_open or not self.calls.flying:
                 return
             orders = self.calls.answered(self.clock(), line)
             if orders is None:
--- a/corallanding/relay/line_protocol.py
+++ b/corallanding/relay/line_protocol.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..connection import Address, Dialled
+from ..connection import Address, OutboundConnection
 
 LINE_MOST = 1 << 20
 
 
-class Lines(Dialled):
+class Lines(OutboundConnection):
     """A connection that brings lines: `heard(self, lines)` for each read."""
 
     def __init__(self, where: Address, heard: Callable[[Any, list[bytes]], None], lost: Callable[[Any], None]) -> None:
@@ -20,7 +20,7 @@
         self.at = 0.0  # when bytes last came, as the owner notes it
 
     def data_received(self, data: bytes) -> None:
-        if not self.open:
+        if not self.is_open:
             return
         *lines, self.rest = (self.rest + data).split(b"\n")
         if len(self.rest) > LINE_MOST:
--- a/corallanding/relay/pending_calls.py
+++ b/corallanding/relay/pending_calls.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from .. import interface as api
-from ..json_errors import UNREADABLE
+from ..json_errors import JSON_DECODE_ERRORS
 from .channel import Channel
 from .orders import Key, Order, encode, key, rank
 
@@ -134,7 +134,7 @@
             return []
         try:
             answer = msgspec.json.decode(line, type=Answer)
-        except UNREADABLE:
+        except JSON_DECODE_ERRORS:
             return None
         if type(answer.id) is int and 0 < answer.id < call.id:
             return []  # an echo of a call that has ended: it says nothing of this one
--- a/corallanding/relay/subscription.py
+++ b/corallanding/relay/subscription.py
@@ -14,7 +14,7 @@
 
 from .. import interface as api
 from ..host_names import number
-from ..json_errors import UNREADABLE
+from ..json_errors import JSON_DECODE_ERRORS
 
 TableOrder = api.SetWeight | api.ResetTable
 
@@ -89,7 +89,7 @@
         """Raises BadNews."""
         try:
             return decoder.decode(line)
-        except UNREADABLE as fault:
+        except JSON_DECODE_ERRORS as fault:
             raise BadNews(f"{line[:80]!r}: {fault}") from None
 
     def begun(self, s: Standing, n: Notice) -> None:
--- a/corallanding/relay/subscription_connection.py
+++ b/corallanding/relay/subscription_connection.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from .. import interface as api
-from ..connection import Address, Dialer, Limit
+from ..connection import Address, Connector, ReadTimeout
 from .line_protocol import Lines
 from .subscription import BadNews, News, Standing, TableOrder
 
@@ -24,10 +24,10 @@
         self.begun = False  # the relay has said that it will tell
         self.quiet: asyncio.TimerHandle | None = None
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         if self.quiet:
             self.quiet.cancel()
-        super().drop()
+        super().discard()
 
 
 class NewsLink:
@@ -55,10 +55,12 @@
         self.under_way, self.said = under_way, said
         self.silence, self.whole_after, self.lines_after = silence, whole_after, lines_after
         self.loop = asyncio.get_running_loop()
-        self.dialer = Dialer(lambda at: Session(at, self.heard, self.over), self.adopted, self.unreached, dial_within)
+        self.dialer = Connector(
+            lambda at: Session(at, self.heard, self.over), self.adopted, self.unreached, dial_within
+        )
         self.current: Session | None = None  # whose news counts
         self.coming: Session | None = None  # that will take its place
-        self.timer: Limit | None = None
+        self.timer: ReadTimeout | None = None
         self.again: asyncio.TimerHandle | None = None  # for the next dial
         self.lines: asyncio.TimerHandle | None = None
         self.lines_since = 0.0
@@ -76,21 +78,21 @@
             if session and now - session.at > self.silence:
                 if session is self.current:
                     self.said("news has fallen silent")
-                session.drop()
+                session.discard()
                 self.over(session)
         self.dial()
-        self.timer = Limit(self.loop, self.silence / 4.0, self.watch)
+        self.timer = ReadTimeout(self.loop, self.silence / 4.0, self.watch)
 
     def dial(self) -> None:
         """A new connection, if one is wanted and none is on its way."""
-        wanted = self.current is None or self.current.where != self.where
-        if wanted and not (self.coming or self.dialer.busy or self.again or self.closed):
+        wanted = self.current is None or self.current.address != self.where
+        if wanted and not (self.coming or self.dialer.is_connecting or self.again or self.closed):
             self.again = self.loop.call_later(self.wait / 1000.0, self.dial_now)
             self.wait = min(500.0, max(20.0, self.wait * 2.0))
 
     def dial_now(self) -> None:
         self.again = None
-        self.dialer.dial(self.where)
+        self.dialer.connect(self.where)
 
     def unreached(self, why: str) -> None:
         self.dial()
@@ -111,7 +113,7 @@
                     if notice.method in ("owner", "entry"):
                         self.lines_come()
                 elif notice.error is not None:
-                    session.drop()  # not yet, or not here: asked again after a wait
+                    session.discard()  # not yet, or not here: asked again after a wait
                     self.over(session)
                     return
                 elif notice.method == "ping" and session.begun:
@@ -136,7 +138,7 @@
             session.quiet.cancel()
         standing, session.standing = session.standing, None
         if self.current:
-            self.current.drop()
+            self.current.discard()
         self.current, self.coming, self.wait, self.settled_once = session, None, 0.0, True
         self.tell(self.news.settled(standing, self.under_way()))
         if self.breaks > self.bridged:
@@ -183,14 +185,14 @@
             self.again.cancel()
             self.again = None
         if self.coming:
-            self.coming.drop()
+            self.coming.discard()
             self.coming = None
 
     def close(self) -> None:
         self.closed = True
         self.stop_coming()
         if self.current:
-            self.current.drop()
+            self.current.discard()
             self.current = None
         for timer in (self.timer, self.lines):
             if timer:
--- a/corallanding/resp/__init__.py
+++ b/corallanding/resp/__init__.py
@@ -1,94 +1,120 @@
 """RESP2 arrays of bulk strings: bytes to messages and back. Pure; limits are arguments.
 
-Whole messages are taken apart by hiredis, four times faster than we did it. It knows more kinds than we allow, and
-sets no limit on a message that is still coming: what it gives must be, byte for byte, the array of bulk strings that
-we would have written, and what is not whole yet is looked at here, so that an impossible length is refused at once.
+hiredis parses complete messages, four times faster than Python code does. It accepts more types than are allowed here
+and sets no limit on a message that is still incomplete. So every parsed message is compared with the array of bulk
+strings that `encode` would have written, and the incomplete rest is checked here, which rejects an impossible length at
+once.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from typing import NamedTuple
 
 import hiredis
 
-DIGITS_MOST = 10
+from ..errors import ProtocolError
 
+MAX_LENGTH_DIGITS = 10  # of the length of an array or a bulk string
+DEFAULT_MAX_STRINGS = 64
 
-class BadFrame(Exception):
-    """What came is no array of bulk strings, or larger than allowed. Nothing after it can be read."""
+
+class FrameError(ProtocolError):
+    """The bytes are no array of bulk strings, or exceed a limit. Nothing after them can be parsed."""
+
+
+class _Header(NamedTuple):
+    """A length line such as `$12`: its value, and the offset behind its end of line."""
+
+    length: int
+    end: int
 
 
 class Reader:
-    """most: bytes of one message, heads included. words_most: bulk strings in one. Holds at most `most` bytes, and
-    what one `feed` brought. Raise `most` any time: it is looked at as bytes come."""
+    """Splits a byte stream into messages.
 
-    def __init__(self, most: int, words_most: int = 64) -> None:
-        self.most, self.words_most = most, words_most
+    `max_bytes` limits one message, headers included; `max_strings` the bulk strings in it. The reader buffers at most
+    `max_bytes` and what one `feed` brought. `max_bytes` may be raised at any time. `error` is set once the stream can
+    no longer be parsed.
+    """
+
+    def __init__(self, max_bytes: int, max_strings: int = DEFAULT_MAX_STRINGS) -> None:
+        self.max_bytes = max_bytes
+        self.max_strings = max_strings
         self.buffer = bytearray()
         self.parser = hiredis.Reader()
-        self.fault: BadFrame | None = None
+        self.error: FrameError | None = None
 
     def feed(self, data: bytes) -> list[list[bytes]]:
-        """The messages that are whole by now. `fault` tells of what cannot be read after them: nothing more comes."""
-        out: list[list[bytes]] = []
-        if self.fault:
-            return out
+        """Add bytes and return the messages that are complete by now; none after an error."""
+        messages: list[list[bytes]] = []
+        if self.error:
+            return messages
         self.buffer += data
-        at = 0
+        offset = 0
         try:
             self.parser.feed(data)
-            while (words := self.parser.gets()) is not False:
-                at += self.size(words, at)
-                out.append(words)
-            self.partial(at)
-        except (BadFrame, hiredis.ProtocolError, MemoryError) as fault:
-            self.fault = fault if isinstance(fault, BadFrame) else BadFrame(str(fault) or "a message of any length")
-            self.parser, at = hiredis.Reader(), len(self.buffer)
-        del self.buffer[:at]
-        return out
-
-    def size(self, words: object, at: int) -> int:
-        """Of the message that stands at `at`, if it is one that we allow."""
-        if not isinstance(words, list) or not 1 <= len(words) <= self.words_most:
-            raise BadFrame(f"{str(words)[:40]!r} where an array was due")
-        if not all(type(word) is bytes for word in words):
-            raise BadFrame("an array of other things than bulk strings")
-        raw = b"*%d\r\n" % len(words) + b"".join([b"$%d\r\n%s\r\n" % (len(w), w) for w in words])
-        if len(raw) > self.most:
-            raise BadFrame(f"a message of over {self.most} bytes")
-        if not self.buffer.startswith(raw, at):
-            raise BadFrame("an array of other things than bulk strings")
+            while (strings := self.parser.gets()) is not False:
+                offset += self._message_bytes(strings, offset)
+                messages.append(strings)
+            self._check_incomplete(offset)
+        except (FrameError, hiredis.ProtocolError, MemoryError) as error:
+            self.error = error if isinstance(error, FrameError) else FrameError(str(error) or "a message of any length")
+            self.parser = hiredis.Reader()
+            offset = len(self.buffer)
+        del self.buffer[:offset]
+        return messages
+
+    def _message_bytes(self, strings: object, offset: int) -> int:
+        """Return the size of the message at `offset`. Raises FrameError if it is not allowed."""
+        if not isinstance(strings, list) or not 1 <= len(strings) <= self.max_strings:
+            raise FrameError(f"{str(strings)[:40]!r} where an array was due")
+        if not all(type(string) is bytes for string in strings):
+            raise FrameError("an array of other things than bulk strings")
+        raw = _encode_strings(strings)
+        if len(raw) > self.max_bytes:
+            raise FrameError(f"a message of over {self.max_bytes} bytes")
+        if not self.buffer.startswith(raw, offset):
+            raise FrameError("an array of other things than bulk strings")
         return len(raw)
 
-    def partial(self, start: int) -> None:
-        """What began at `start` and is not whole: whether it may still become a message."""
-        if len(self.buffer) - start > self.most:
-            raise BadFrame(f"a message of over {self.most} bytes")
-        if not (head := self.figure(start, b"*")):
+    def _check_incomplete(self, start: int) -> None:
+        """Raise FrameError if the bytes from `start` cannot become an allowed message."""
+        if len(self.buffer) - start > self.max_bytes:
+            raise FrameError(f"a message of over {self.max_bytes} bytes")
+        array = self._header(start, b"*")
+        if array is None:
             return
-        count, at = head
-        if not 1 <= count <= self.words_most:
-            raise BadFrame(f"an array of {count}")
-        while head := self.figure(at, b"$"):
-            at = head[0] + head[1] + 2
-            if at - start > self.most:
-                raise BadFrame(f"a message of over {self.most} bytes")
-
-    def figure(self, at: int, sign: bytes) -> tuple[int, int] | None:
-        """`sign`, digits, end of line: the figure and where the line ends; None while it is not whole."""
-        if len(self.buffer) <= at:
-            return None
-        if self.buffer[at : at + 1] != sign:
-            raise BadFrame(f"{bytes(self.buffer[at : at + 1])!r} where {sign!r} was due")
-        end = self.buffer.find(b"\r\n", at + 1, at + DIGITS_MOST + 3)
-        digits = bytes(self.buffer[at + 1 : end if end >= 0 else at + DIGITS_MOST + 2])
-        if end < 0 and len(digits) <= DIGITS_MOST and (digits.rstrip(b"\r").isdigit() or digits in (b"", b"\r")):
+        if not 1 <= array.length <= self.max_strings:
+            raise FrameError(f"an array of {array.length}")
+        offset = array.end
+        while string := self._header(offset, b"$"):
+            offset = string.end + string.length + len(b"\r\n")
+            if offset - start > self.max_bytes:
+                raise FrameError(f"a message of over {self.max_bytes} bytes")
+
+    def _header(self, offset: int, sign: bytes) -> _Header | None:
+        """Parse a length line that begins with `sign`; None while it is incomplete. Raises FrameError."""
+        if len(self.buffer) <= offset:
             return None
+        if self.buffer[offset : offset + 1] != sign:
+            raise FrameError(f"{bytes(self.buffer[offset : offset + 1])!r} where {sign!r} was due")
+        end = self.buffer.find(b"\r\n", offset + 1, offset + MAX_LENGTH_DIGITS + 3)
+        if end < 0:
+            digits = bytes(self.buffer[offset + 1 : offset + MAX_LENGTH_DIGITS + 2])
+            if len(digits) <= MAX_LENGTH_DIGITS and (digits.rstrip(b"\r").isdigit() or digits in (b"", b"\r")):
+                return None
+        else:
+            digits = bytes(self.buffer[offset + 1 : end])
         if end < 0 or not digits.isdigit():
-            raise BadFrame(f"{digits[:DIGITS_MOST]!r} is no length")
-        return int(digits), end + 2
+            raise FrameError(f"{digits[:MAX_LENGTH_DIGITS]!r} is no length")
+        return _Header(int(digits), end + len(b"\r\n"))
+
+
+def encode(strings: Iterable[str]) -> bytes:
+    """Return the array of bulk strings as bytes."""
+    return _encode_strings([string.encode() for string in strings])
 
 
-def encode(words: Iterable[str]) -> bytes:
-    raw = [word.encode() for word in words]
-    return b"*%d\r\n" % len(raw) + b"".join(b"$%d\r\n%s\r\n" % (len(w), w) for w in raw)
+def _encode_strings(strings: list[bytes]) -> bytes:
+    return b"*%d\r\n" % len(strings) + b"".join([b"$%d\r\n%s\r\n" % (len(string), string) for string in strings])
