--- a/bench/one_fleet.py
+++ b/bench/one_fleet.py
@@ -24,9 +24,9 @@
 from corallanding.lab.stewards.waits import QUOTA, TERMS, WaitWorld, bound_of
 from corallanding.lab.stewards.walk import Walk
 from corallanding.lab.stewards.world import troubled
-from corallanding.quorum_records.core import Keep
+from corallanding.quorum_records.core import Persist
 from corallanding.quorum_records.fleet import FleetRecords
-from corallanding.quorum_records.queries import AskTerms
+from corallanding.quorum_records.queries import QueryLimits
 from corallanding.scheduling.core import Go, Waiting
 from corallanding.scheduling.limits import Kind, WaitTerms
 from corallanding.scheduling.queue import Queue
@@ -127,12 +127,12 @@
     with tempfile.TemporaryDirectory() as folder:
         disk = RecordStore(str(Path(folder) / "r.db"), lambda: now) if file else None
         bounds = record_terms(terms, 2 * count)
-        fleet = FleetRecords(lone, (1,), bounds, AskTerms(), now, 1, True, (RUNS, RELEASE), (RUNS,), (RELEASE,))  # type: ignore[arg-type]
+        fleet = FleetRecords(lone, (1,), bounds, QueryLimits(), now, 1, True, (RUNS, RELEASE), (RUNS,), (RELEASE,))  # type: ignore[arg-type]
         pins = pins_on(fleet, terms, SETS, 1, lambda s: 1.0)
 
         def carry(actions: list[Any]) -> None:
             for a in actions:
-                if isinstance(a, Keep) and disk:
+                if isinstance(a, Persist) and disk:
                     disk.write(a.what)
 
         for _ in range(10):
--- a/corallanding/controller/cluster.py
+++ b/corallanding/controller/cluster.py
@@ -20,7 +20,7 @@
 from ..lease.registry_election import RegistryElection
 from ..membership.messages import Ack, Ping, PingRequest
 from ..membership.messages import sound as is_valid_membership_message
-from ..quorum_records.limits import RecordTerms
+from ..quorum_records.limits import RecordLimits
 from ..telemetry import Metrics, log
 from ..version_pinning.core import RELEASE, RUNS, record_terms
 from ..wire.frames import Enter, Unwait, Wait
@@ -114,7 +114,7 @@
         budgets, now = self.quota, self.clock
         names = tuple(n for n in (RUNS, RELEASE, JOBS) if (n == JOBS or c.pins) and n in self.tasks.core.tasks.by_name)
         longest = max((o.waits.most_ms for o in c.operation.values() if o.waits), default=0.0)
-        terms = RecordTerms(2.0 * longest, longest, c.records.most, c.records.again_ms)
+        terms = RecordLimits(2.0 * longest, longest, c.records.most, c.records.again_ms)
         if c.pins:
             mine = record_terms(pinning_limits(c), c.records.most, c.records.again_ms)
             terms = replace(mine, keep=max(mine.keep, terms.keep))
@@ -190,9 +190,7 @@
         for room in self.services:
             room.on_election_change(now)
 
-    def carry_out_membership(
-        self, actions: Iterable[membership.Action]
-    ) -> None:
+    def carry_out_membership(self, actions: Iterable[membership.Action]) -> None:
         for a in actions:
             if isinstance(a, membership.MemberStateChanged):
                 log.info("steward", number=a.member, state=STATES[a.state])
--- a/corallanding/controller/quota_service.py
+++ b/corallanding/controller/quota_service.py
@@ -29,7 +29,7 @@
 class QuotaService:
     """Raises OSError if the witness cannot be written."""
 
-    message_types: tuple[type, ...] = (quota.Want, quota.Give)
+    message_types: tuple[type, ...] = (quota.CapacityRequest, quota.CapacityGrant)
     is_valid = staticmethod(sound)
 
     def __init__(
@@ -49,8 +49,8 @@
             c.rules.cold_ms,
         )
         b, o = c.budgets, office
-        terms = quota.Terms(office=b.office_ms, drift=b.drift, lease=b.lease_ms, keys_most=b.keys_most)
-        self.core = quota.Quota(
+        terms = quota.QuotaLimits(office=b.office_ms, drift=b.drift, lease=b.lease_ms, keys_most=b.keys_most)
+        self.core = quota.QuotaManager(
             o.me,
             o.others,
             (),
@@ -71,7 +71,7 @@
             self.leader_since = self.core.divider.since
             log.info("divides the budgets" if self.leader_since else "divides no more")
 
-    def on_message(self, sender: int, word: quota.Want | quota.Give) -> None:
+    def on_message(self, sender: int, word: quota.CapacityRequest | quota.CapacityGrant) -> None:
         self.send(self.core.heard(self.clock(), sender, word))
 
     def on_election_change(self, now: float) -> None:
--- a/corallanding/controller/record_service.py
+++ b/corallanding/controller/record_service.py
@@ -8,11 +8,21 @@
 
 from ..config import ControllerConfig
 from ..lease.election import OutgoingMessage
-from ..quorum_records.core import Action, Keep
+from ..quorum_records.core import Action, Persist
 from ..quorum_records.fleet import FleetRecords
-from ..quorum_records.limits import RecordTerms
-from ..quorum_records.messages import Answer, Copied, Copy, Fetch, Here, Known, Page, Question, sound
-from ..quorum_records.queries import AskTerms
+from ..quorum_records.limits import RecordLimits
+from ..quorum_records.messages import (
+    Accept,
+    AcceptReply,
+    FileAnnouncement,
+    FileAnnouncementReply,
+    Prepare,
+    PrepareReply,
+    Query,
+    QueryReply,
+    sound,
+)
+from ..quorum_records.queries import QueryLimits
 from ..telemetry import Metrics, log
 from .action_journal import ActionJournal
 from .record_store import RecordStore
@@ -23,7 +33,16 @@
     """Those who rest on it ask by `fleet.asking`, say by `carry`, and are called by `listeners` when answers may be
     there. Raises OSError if its file or the witness cannot be used."""
 
-    message_types: tuple[type, ...] = (Copy, Copied, Fetch, Page, Here, Known, Question, Answer)
+    message_types: tuple[type, ...] = (
+        Accept,
+        AcceptReply,
+        Prepare,
+        PrepareReply,
+        FileAnnouncement,
+        FileAnnouncementReply,
+        Query,
+        QueryReply,
+    )
     is_valid = staticmethod(sound)
 
     def __init__(
@@ -32,7 +51,7 @@
         tasks: TaskService,
         voters: tuple[int, ...],
         names: tuple[str, ...],
-        terms: RecordTerms,
+        terms: RecordLimits,
         counted: tuple[str, ...],
         lasting: tuple[str, ...],
         say: Callable[[Iterable[OutgoingMessage]], None],
@@ -44,7 +63,7 @@
         assert r is not None
         self.send, self.clock, self.metrics, self.rate_limited_log = say, clock, metrics, rate_limited_log
         self.store = RecordStore(r.path, clock)
-        asks = AskTerms(r.answer_within_ms, r.again_ms, r.questions_most)
+        asks = QueryLimits(r.answer_within_ms, r.again_ms, r.questions_most)
         self.fleet = FleetRecords(
             tasks.core,
             voters,
@@ -59,7 +78,7 @@
             r.words_per_s,
         )
         self.fleet.records.peers.update(self.store.load(self.fleet.records.shelf))
-        self.unwritten: list[Keep] = []  # while the file does not take them, nothing that rests on them is said
+        self.unwritten: list[Persist] = []  # while the file does not take them, nothing that rests on them is said
         self.failed_at = float("-inf")
         self.pushing = False
         self.listeners: list[Callable[[], None]] = []
@@ -68,7 +87,7 @@
 
     def carry_out(self, actions: list[Action]) -> None:
         """What is to be on disk first is, or nothing that comes after it is said."""
-        self.unwritten += [a for a in actions if isinstance(a, Keep)]
+        self.unwritten += [a for a in actions if isinstance(a, Persist)]
         if not self.write():
             return
         self.send(a for a in actions if isinstance(a, OutgoingMessage))
--- a/corallanding/controller/record_store.py
+++ b/corallanding/controller/record_store.py
@@ -11,7 +11,7 @@
 import time
 from collections.abc import Callable
 
-from ..quorum_records.replica import Shelf, Unkept
+from ..quorum_records.replica import Replica, UnsavedChanges
 from .recovery import boot_id
 
 TABLES = """
@@ -53,7 +53,7 @@
         """ms: of the steward's clock, since boot, of the wall clock."""
         return self.clock(), time.monotonic() * 1000.0, time.time() * 1000.0
 
-    def load(self, shelf: Shelf) -> dict[int, tuple[int, int, int]]:
+    def load(self, shelf: Replica) -> dict[int, tuple[int, int, int]]:
         """Puts all into the shelf; the openings of others' files that were heard of."""
         mine, booted, wall = self.clocks()
         for group, key, value, fence, number, born, walled in self.db.execute("select * from record"):
@@ -75,7 +75,7 @@
             self.is_same_boot = True
         return {n: (opened, life, writes) for n, opened, life, writes in self.db.execute("select * from peer")}
 
-    def write(self, what: Unkept) -> None:
+    def write(self, what: UnsavedChanges) -> None:
         """One transaction. Raises OSError; nothing of it is written then."""
         if self.lock < 0:
             raise OSError(f"{self.path}: it is another process's now")
--- a/corallanding/controller/sessions.py
+++ b/corallanding/controller/sessions.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from ..quorum_records.queries import Told
+from ..quorum_records.queries import QueryResult
 from ..scheduling.idempotency import NOT_NOW, Claims
 from ..wire import frames
 from .pinning_service import record_key_of
@@ -53,7 +53,7 @@
         session.waits.append((now, frame))
         return False
 
-    def answered(self, now: float, told: Told) -> tuple[int, list[tuple[float, frames.Wait]]]:
+    def answered(self, now: float, told: QueryResult) -> tuple[int, list[tuple[float, frames.Wait]]]:
         """The jobs that waited for it, with the times at which they came."""
         forwarder, name = self.seeking.pop(told.number)
         session = self.by.get(forwarder)
--- a/corallanding/lab/stewards/figures.py
+++ b/corallanding/lab/stewards/figures.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from ...quota import Budget, Terms
+from ...quota import Budget, QuotaLimits
 from ..uses import most
 from .world import World, troubled
 
@@ -40,7 +40,7 @@
 def day(seed: int, stewards: int, floors: float, faults: bool, ms: float = 60_000.0) -> tuple[float, float]:
     """The share of wishes that were granted, and the ms for which more than a whole was in use."""
     own = budgets(stewards, floors)
-    w = World(seed, stewards, min(stewards, 5), own, Terms(), uneven(seed), static=floors == 1.0)
+    w = World(seed, stewards, min(stewards, 5), own, QuotaLimits(), uneven(seed), static=floors == 1.0)
     if faults:
         troubled(w, ms)
     w.run(ms)
@@ -80,7 +80,7 @@
     out = []
     for what in ("a fifth dies", "the divider dies", "two halves", "one comes"):
         own = {"moves": Budget("moves", max(WHOLE, 3 * stewards), 0, stewards + 1, SPAN)}
-        w = World(seed, stewards + 1, min(stewards, 5), own, Terms(), greedy, first=stewards)
+        w = World(seed, stewards + 1, min(stewards, 5), own, QuotaLimits(), greedy, first=stewards)
         w.run(15_000.0)
         divider = next((n for n, p in w.processes.items() if p.quota.office(p.clock(w.now))), 0)
         if what == "a fifth dies":
@@ -111,7 +111,7 @@
 
 def cost(seed: int, stewards: int, ms: float = 10_000.0) -> tuple[float, float]:
     """Words and bytes a second and steward, with uneven demand and no fault: mean, and of the one that sent most."""
-    w = World(seed, stewards, min(stewards, 5), budgets(stewards, 0.0), Terms(), uneven(seed))
+    w = World(seed, stewards, min(stewards, 5), budgets(stewards, 0.0), QuotaLimits(), uneven(seed))
     w.weigh = True
     w.run(ms)
     sent = np.array([w.by.get(n, (0, 0)) for n in range(stewards)], dtype=float) / (ms / 1000.0)
--- a/corallanding/lab/stewards/runs.py
+++ b/corallanding/lab/stewards/runs.py
@@ -11,10 +11,10 @@
 
 from ...lease.limits import LeaseTimings
 from ...lease.tasks import TaskCatalog, TaskSpec
-from ...quorum_records.core import Keep
+from ...quorum_records.core import Persist
 from ...quorum_records.fleet import FleetRecords
-from ...quorum_records.queries import AskTerms, Told
-from ...quorum_records.replica import Shelf, Unkept
+from ...quorum_records.queries import QueryLimits, QueryResult
+from ...quorum_records.replica import Replica, UnsavedChanges
 from ...version_pinning.core import RELEASE, RUNS, Pins, pins_on, record_terms
 from ...version_pinning.limits import PinTerms
 from ...version_pinning.messages import PINNED
@@ -23,7 +23,7 @@
 
 LEASE = LeaseTimings(lease=600.0, office=400.0)
 TERMS = PinTerms(run=6_000.0, settle=150.0)
-ASKS = AskTerms(answer=900.0, again=60.0)
+ASKS = QueryLimits(answer=900.0, again=60.0)
 SETS = {n: {"quote": n, "claim": n} for n in range(1, 9)}
 
 
@@ -38,7 +38,7 @@
     writes: int = 0
     blank: bool = True
 
-    def write(self, what: Unkept, real: Callable[[float], float]) -> None:
+    def write(self, what: UnsavedChanges, real: Callable[[float], float]) -> None:
         if what.wiped:
             self.rows, self.seen, self.blank = {}, {}, True
         for gone in what.gone:
@@ -50,7 +50,7 @@
         self.opened, self.writes = max(self.opened, what.opened), what.writes
         self.blank = self.blank and not what.whole
 
-    def load(self, shelf: Shelf, local: Callable[[float], float]) -> None:
+    def load(self, shelf: Replica, local: Callable[[float], float]) -> None:
         for (group, key), (value, fence, number, born) in self.rows.items():
             shelf.put(group, key, value, (fence, number), local(born))
         shelf.seen.update(self.seen)
@@ -147,7 +147,7 @@
     def carry(self, n: int, p: Process, actions: list[Any]) -> None:
         """What must be on disk is, before anything that comes after it."""
         for a in actions:
-            if isinstance(a, Keep):
+            if isinstance(a, Persist):
                 self.disks[n].write(a.what, lambda born: self.now - (p.clock(self.now) - born) / p.rate)
             else:
                 self.send(n, a.to, a.word)
@@ -155,7 +155,7 @@
         for answer in pins.answers():
             self.answered(n, pins, answer)
 
-    def answered(self, n: int, pins: Pins, answer: Told) -> None:
+    def answered(self, n: int, pins: Pins, answer: QueryResult) -> None:
         key, _ = self.asked.pop((n, pins.asking.life, answer.number))
         self.told.append((self.now, key, n, answer.what, answer.value))
 
--- a/corallanding/lab/stewards/waits.py
+++ b/corallanding/lab/stewards/waits.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ...quota import Budget, Terms
+from ...quota import Budget, QuotaLimits
 from ...scheduling.core import Go, Waiting
 from ...scheduling.limits import Kind, WaitTerms
 from ...scheduling.messages import Line
@@ -17,7 +17,7 @@
 
 KINDS = (Kind("claim", 2.0, 2_000.0, 30_000.0), Kind("rank", 0.0, 1_000.0, 30_000.0))
 TERMS = WaitTerms(tell=100.0, stale=600.0, slack=150.0, hold=1_500.0, rate=20.0)
-QUOTA = Terms(lease=600.0, office=400.0)
+QUOTA = QuotaLimits(lease=600.0, office=400.0)
 NOTICED = 120.0  # ms until a forwarder sees that its steward is gone
 
 
--- a/corallanding/lab/stewards/walk.py
+++ b/corallanding/lab/stewards/walk.py
@@ -11,16 +11,16 @@
 from typing import Any
 
 from ...lease.tasks import TaskCatalog, TaskSpec
-from ...quorum_records.core import Keep
+from ...quorum_records.core import Persist
 from ...quorum_records.fleet import FleetRecords
-from ...quorum_records.queries import AskTerms
+from ...quorum_records.queries import QueryLimits
 from ...version_pinning.core import RELEASE, RUNS, Pins, pins_on, record_terms
 from ...version_pinning.limits import PinTerms
 from ...version_pinning.messages import PINNED
 from .runs import SETS, Disk
 
 TERMS = PinTerms(run=1e9, settle=60.0)
-ASKS = AskTerms(answer=300.0, again=60.0)
+ASKS = QueryLimits(answer=300.0, again=60.0)
 TASKS = TaskCatalog({RELEASE: TaskSpec(RELEASE, work=50.0), RUNS: TaskSpec(RUNS, 1, work=50.0)})
 BAG = 120
 
@@ -87,7 +87,7 @@
 
     def carry(self, n: int, actions: list[Any]) -> None:
         for a in actions:
-            if isinstance(a, Keep):
+            if isinstance(a, Persist):
                 self.disks[n].write(a.what, lambda born: born)
             elif len(self.bag) < BAG:
                 self.bag.append((n, a.to, a.word))
--- a/corallanding/lab/stewards/world.py
+++ b/corallanding/lab/stewards/world.py
@@ -11,7 +11,7 @@
 
 from ...membership import Ack, Membership, MembershipConfig, MemberStateChanged, Ping, PingRequest
 from ...membership import encode as encode_news
-from ...quota import Budget, Quota, Terms
+from ...quota import Budget, QuotaLimits, QuotaManager
 from ...quota.messages import encode as encode_words
 from ..uses import Use
 
@@ -53,11 +53,11 @@
         numbers: int,
         voters: int,
         budgets: dict[str, Budget],
-        terms: Terms,
+        terms: QuotaLimits,
         wish: Demand,
         first: int | None = None,
         static: bool = False,
-        make: Callable[..., Quota] = Quota,
+        make: Callable[..., QuotaManager] = QuotaManager,
     ) -> None:
         self.chance = random.Random(seed)
         self.numbers, self.voters, self.budgets, self.terms = numbers, tuple(range(voters)), budgets, terms
--- a/corallanding/quorum_records/core.py
+++ b/corallanding/quorum_records/core.py
@@ -9,24 +9,24 @@
 
 from ..lease.election import OutgoingMessage
 from ..rate_limit import PeerRateLimiter
-from .limits import RecordTerms
-from .messages import Copied, Copy, Fetch, Here, Known, Page, RecordWords
-from .proposer import Writer
-from .replica import May, Shelf, Unkept, anything
-from .replica_recovery import CatchUp
+from .limits import RecordLimits
+from .messages import Accept, AcceptReply, FileAnnouncement, FileAnnouncementReply, Prepare, PrepareReply, RecordMessage
+from .proposer import Proposer
+from .replica import AcceptRule, Replica, UnsavedChanges, accept_any
+from .replica_recovery import ReplicaRecovery
 
 
 @dataclass(frozen=True)
-class Keep:
+class Persist:
     """To be on disk before anything that follows is said."""
 
-    what: Unkept
+    what: UnsavedChanges
 
 
-Action = OutgoingMessage | Keep
+Action = OutgoingMessage | Persist
 
 
-class Records:
+class QuorumRecords:
     """me, others, keepers: numbers. life: drawn at the start. opened: how often this steward's file was opened, 0 for
     one that keeps nothing; blank: the file was new. groups: all that there may be;
     counted: those whose values are tallied; lasting: those whose records have no end.
@@ -40,22 +40,22 @@
         others: tuple[int, ...],
         keepers: tuple[int, ...],
         life: int,
-        terms: RecordTerms,
+        terms: RecordLimits,
         born: float,
         groups: Iterable[int],
         opened: int,
         blank: bool,
-        may: May = anything,
+        may: AcceptRule = accept_any,
         counted: Iterable[int] = (),
         lasting: Iterable[int] = (),
         words_per_s: float = 2_000.0,
     ) -> None:
         self.me, self.others, self.keepers, self.life, self.terms = me, others, keepers, life, terms
         self.groups = frozenset(groups)
-        self.shelf = Shelf(terms, may, frozenset(counted), frozenset(lasting))
+        self.shelf = Replica(terms, may, frozenset(counted), frozenset(lasting))
         self.shelf.blank = blank
-        self.catch = CatchUp(me, others, keepers, life, terms, self.groups, opened, self.shelf)
-        self.held: dict[int, Writer] = {}
+        self.catch = ReplicaRecovery(me, others, keepers, life, terms, self.groups, opened, self.shelf)
+        self.held: dict[int, Proposer] = {}
         self.rounds = itertools.count(1)
         self.at: dict[int, tuple[int, int]] = {}  # group: the highest fence heard, and whose
         self.peers: dict[int, tuple[int, int, int]] = {}  # keeper: most openings heard of, in which life; most writes
@@ -75,7 +75,7 @@
 
     def hold(self, group: int, fence: int) -> None:
         """The group is ours from here on; what a majority has of it is read first."""
-        self.held[group] = Writer(self.life, group, self.keepers, self.terms, fence, self.rounds.__next__)
+        self.held[group] = Proposer(self.life, group, self.keepers, self.terms, fence, self.rounds.__next__)
 
     def drop(self, group: int) -> None:
         self.held.pop(group, None)
@@ -107,18 +107,18 @@
             for s in here:
                 words += self.hear(now, self.me, s.word)
         unkept = self.shelf.take_unkept()
-        return [*([Keep(unkept)] if unkept else []), *out]
+        return [*([Persist(unkept)] if unkept else []), *out]
 
-    def heard(self, now: float, sender: int, word: RecordWords) -> list[Action]:
+    def heard(self, now: float, sender: int, word: RecordMessage) -> list[Action]:
         """A word of a known steward."""
         if not self.allowances.take(sender, now):
             self.refused += 1
             return []
         return self.settled(now, self.hear(now, sender, word))
 
-    def hear(self, now: float, sender: int, word: RecordWords) -> list[OutgoingMessage]:
+    def hear(self, now: float, sender: int, word: RecordMessage) -> list[OutgoingMessage]:
         match word:
-            case Copy() | Fetch():
+            case Accept() | Prepare():
                 if word.group not in self.groups or not self.keeps:
                     self.refused += 1
                     return []
@@ -126,20 +126,20 @@
                     self.holder(word.group, word.fence, sender)
                 answer = self.catch.answer(now, word)
                 return [OutgoingMessage(sender, answer)] if answer else []
-            case Copied():
+            case AcceptReply():
                 if (w := self.held.get(word.group)) and sender in self.keepers:
                     w.copied(now, sender, word)
-            case Page():
+            case PrepareReply():
                 if sender not in self.keepers:
                     return []
                 if self.catch.reads(sender, word):
                     return self.catch.page(now, sender, word)
                 if w := self.held.get(word.group):
                     return w.page(now, sender, word)
-            case Here():
+            case FileAnnouncement():
                 if sender in self.keepers:
                     return [OutgoingMessage(sender, self.known(sender, word))]
-            case Known():
+            case FileAnnouncementReply():
                 return self.catch.known(now, sender, word)
         return []
 
@@ -147,7 +147,7 @@
         if fence >= self.at.get(group, (0, None))[0]:
             self.at[group] = (fence, sender)
 
-    def known(self, sender: int, word: Here) -> Known:
+    def known(self, sender: int, word: FileAnnouncement) -> FileAnnouncementReply:
         """What we know of its file. An opening of another life with as high a number was made of the same contents, and
         so was one of a file with fewer writes."""
         count, life, writes = self.peers.get(sender, (0, 0, 0))
@@ -157,4 +157,4 @@
             self.peers[sender] = (opened, word.life if word.round > count else life, most)
             self.shelf.unkept.peers[sender] = self.peers[sender]
         other = 0 if word.round > count or life == word.life else count
-        return Known(word.life, other, self.shelf.blank or not self.keeps, most)
+        return FileAnnouncementReply(word.life, other, self.shelf.blank or not self.keeps, most)
--- a/corallanding/quorum_records/fleet.py
+++ b/corallanding/quorum_records/fleet.py
@@ -7,12 +7,12 @@
 from typing import Any
 
 from ..lease.core import TaskLeases
-from .core import Action, Keep, Records
-from .groups import Groups, group_of
-from .limits import RecordTerms
-from .messages import Answer, Question, RecordWords
-from .queries import Asking, AskTerms
-from .replica import May
+from .core import Action, Persist, QuorumRecords
+from .groups import GroupLeases, group_of
+from .limits import RecordLimits
+from .messages import Query, QueryReply, RecordMessage
+from .queries import Queries, QueryLimits
+from .replica import AcceptRule
 
 
 class FleetRecords:
@@ -26,8 +26,8 @@
         self,
         leases: TaskLeases,
         keepers: tuple[int, ...],
-        terms: RecordTerms,
-        asks: AskTerms,
+        terms: RecordLimits,
+        asks: QueryLimits,
         born: float,
         opened: int,
         blank: bool,
@@ -42,8 +42,8 @@
         every = [g for rows in self.of.values() for g in rows]
         some, more = [g for name in counted for g in self.of[name]], [g for name in lasting for g in self.of[name]]
         self.rules: dict[int, Callable[[int, bool], bool]] = {}  # by group: what a keeper takes in
-        may: May = lambda group, value, first: group not in self.rules or self.rules[group](value, first)  # noqa: E731
-        self.records = Records(
+        may: AcceptRule = lambda group, value, first: group not in self.rules or self.rules[group](value, first)  # noqa: E731
+        self.records = QuorumRecords(
             leases.me,
             leases.others,
             keepers,
@@ -58,8 +58,8 @@
             more,
             words_per_s,
         )
-        self.groups = Groups(leases, self.records, [n for rows in self.numbers.values() for n in rows])
-        self.asking = Asking(leases.me, leases.others, leases.life, self.records, asks)
+        self.groups = GroupLeases(leases, self.records, [n for rows in self.numbers.values() for n in rows])
+        self.asking = Queries(leases.me, leases.others, leases.life, self.records, asks)
 
     def tick(self, now: float, actions: list[Action] | None = None) -> list[Action]:
         """Call after each tick of the leases; actions: of those who rest on us."""
@@ -70,14 +70,14 @@
         """What was just asked goes out at once."""
         return self.after(now, list(self.asking.push(now)))
 
-    def heard(self, now: float, sender: int, word: RecordWords | Question | Answer) -> list[Action]:
+    def heard(self, now: float, sender: int, word: RecordMessage | Query | QueryReply) -> list[Action]:
         """A word of a known steward."""
-        if not isinstance(word, Question | Answer):
+        if not isinstance(word, Query | QueryReply):
             return self.after(now, self.records.heard(now, sender, word))
         if not self.records.allowances.take(sender, now):
             self.records.refused += 1
             return []
-        if isinstance(word, Answer):
+        if isinstance(word, QueryReply):
             self.asking.told(sender, word)
             return []
         return self.after(now, list(self.asking.heard(now, sender, word)))
@@ -92,7 +92,7 @@
 
     def after(self, now: float, actions: list[Action]) -> list[Action]:
         out = [*actions, *self.asking.decided(now), *self.flush(now), *self.asking.decided(now)]
-        return [*[a for a in out if isinstance(a, Keep)], *[a for a in out if not isinstance(a, Keep)]]
+        return [*[a for a in out if isinstance(a, Persist)], *[a for a in out if not isinstance(a, Persist)]]
 
     def page(self) -> Mapping[str, Any]:
         """What the door shows."""
--- a/corallanding/quorum_records/groups.py
+++ b/corallanding/quorum_records/groups.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 
 from ..lease.core import TaskLeases
-from .core import Records
+from .core import QuorumRecords
 
 
 def group_of(label: str) -> int:
@@ -14,10 +14,10 @@
     return zlib.crc32(label.encode())
 
 
-class Groups:
+class GroupLeases:
     """tasks: numbers of the tasks that stand for a group each."""
 
-    def __init__(self, leases: TaskLeases, records: Records, tasks: Iterable[int]) -> None:
+    def __init__(self, leases: TaskLeases, records: QuorumRecords, tasks: Iterable[int]) -> None:
         self.leases, self.records = leases, records
         self.of = {number: group_of(leases.tasks.label(number)) for number in tasks}
         self.behind: dict[int, int] = {}  # group: the fence that its keepers have seen
--- a/corallanding/quorum_records/limits.py
+++ b/corallanding/quorum_records/limits.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True)
-class RecordTerms:
+class RecordLimits:
     """ms. keep: for how long a record is kept from its beginning on; live: for how long it is tallied. most: records
     that one keeper holds. again: until an unanswered word is said once more. writes_most: of one group that may be
     under way at once."""
--- a/corallanding/quorum_records/messages.py
+++ b/corallanding/quorum_records/messages.py
@@ -6,30 +6,30 @@
 
 COPIED_MOST, PAGED_MOST = 8, 6  # rows of a word
 VALUE_MOST = (1 << 63) - 1
-KEPT, BEHIND, FULL, CLOSED, BLANK = range(5)  # what a keeper says
+ACCEPTED, SUPERSEDED, FULL, CLOSED, RECOVERING = range(5)  # what a keeper says
 
-Row = tuple[int, int, int]  # key, value, age in ms
-FencedRow = tuple[int, int, int, int, int]  # the same, and under which fence and in which round it was written
+RecordRow = tuple[int, int, int]  # key, value, age in ms
+VersionedRow = tuple[int, int, int, int, int]  # the same, and under which fence and in which round it was written
 
 
-class Copy(ControllerMessage, frozen=True, array_like=True, tag=30):
+class Accept(ControllerMessage, frozen=True, array_like=True, tag=30):
     """The holder of a group to a keeper: keep these. first: they are beginnings, nobody was told of them yet."""
 
     group: int = 0
     fence: int = 0
     first: bool = False
-    rows: list[Row] = []
+    rows: list[RecordRow] = []
 
 
-class Copied(ControllerMessage, frozen=True, array_like=True, tag=31):
+class AcceptReply(ControllerMessage, frozen=True, array_like=True, tag=31):
     """The answer to the copy of that life and round. seen: the highest fence that the keeper has seen in that group."""
 
     group: int = 0
-    what: int = KEPT
+    what: int = ACCEPTED
     seen: int = 0
 
 
-class Fetch(ControllerMessage, frozen=True, array_like=True, tag=32):
+class Prepare(ControllerMessage, frozen=True, array_like=True, tag=32):
     """A new holder to a keeper: what do you have of the group, with keys above `after`? From here on nothing is kept
     that comes under a lower fence. fence 0: asked by a keeper that has lost its own, and promises nothing."""
 
@@ -38,23 +38,23 @@
     after: int = -1
 
 
-class Page(ControllerMessage, frozen=True, array_like=True, tag=33):
+class PrepareReply(ControllerMessage, frozen=True, array_like=True, tag=33):
     """The answer to the fetch of that life and round."""
 
     group: int = 0
-    what: int = KEPT
+    what: int = ACCEPTED
     seen: int = 0
-    rows: list[FencedRow] = []
+    rows: list[VersionedRow] = []
     more: bool = False
 
 
-class Here(ControllerMessage, frozen=True, array_like=True, tag=34):
+class FileAnnouncement(ControllerMessage, frozen=True, array_like=True, tag=34):
     """A keeper, now and then: `round` counts the openings of its file, `writes` what was ever written to it."""
 
     writes: int = 0
 
 
-class Known(ControllerMessage, frozen=True, array_like=True, tag=35):
+class FileAnnouncementReply(ControllerMessage, frozen=True, array_like=True, tag=35):
     """The answer to `Here` of that life: of how many openings we know that another life of that keeper had, and of how
     many writes to its file. blank: we remember nothing."""
 
@@ -62,7 +62,7 @@
     writes: int = 0
 
 
-class Question(ControllerMessage, frozen=True, array_like=True, tag=36):
+class Query(ControllerMessage, frozen=True, array_like=True, tag=36):
     """A steward to the holder of a record's group. kind, more: what is asked, by the group's subject."""
 
     group: int = 0
@@ -71,7 +71,7 @@
     more: int = 0
 
 
-class Answer(ControllerMessage, frozen=True, array_like=True, tag=37):
+class QueryReply(ControllerMessage, frozen=True, array_like=True, tag=37):
     """The answer to the question of that life and round. key: on what, so that none is taken for another's."""
 
     key: int = 0
@@ -79,7 +79,7 @@
     value: int = 0
 
 
-RecordWords = Copy | Copied | Fetch | Page | Here | Known
+RecordMessage = Accept | AcceptReply | Prepare | PrepareReply | FileAnnouncement | FileAnnouncementReply
 
 
 def sound(word: ControllerMessage) -> bool:
@@ -87,26 +87,26 @@
     if not (0 <= word.life < 1 << 63 and 0 <= word.round < 1 << 53):
         return False
     match word:
-        case Copy():
+        case Accept():
             good = 0 < word.fence < 1 << 63 and 0 < len(word.rows) <= COPIED_MOST
             return good and 0 <= word.group < 1 << 32 and all(map(sound_row, word.rows))
-        case Copied():
-            return 0 <= word.seen < 1 << 63 and KEPT <= word.what <= BLANK
-        case Fetch():
+        case AcceptReply():
+            return 0 <= word.seen < 1 << 63 and ACCEPTED <= word.what <= RECOVERING
+        case Prepare():
             return 0 <= word.fence < 1 << 63 and 0 <= word.group < 1 << 32 and -1 <= word.after < 1 << 63
-        case Page():
-            good = 0 <= word.seen < 1 << 63 and KEPT <= word.what <= BLANK and len(word.rows) <= PAGED_MOST
+        case PrepareReply():
+            good = 0 <= word.seen < 1 << 63 and ACCEPTED <= word.what <= RECOVERING and len(word.rows) <= PAGED_MOST
             return good and all(sound_row(r[:3]) and 0 < r[3] < 1 << 63 and 0 <= r[4] < 1 << 53 for r in word.rows)
-        case Here() | Known():
+        case FileAnnouncement() | FileAnnouncementReply():
             return 0 <= word.writes < 1 << 62
-        case Question():
+        case Query():
             good = 0 <= word.group < 1 << 32 and 0 < word.key < 1 << 63
             return good and 0 <= word.kind < 16 and 0 <= word.more < 1 << 63
-        case Answer():
+        case QueryReply():
             return 0 < word.key < 1 << 63 and 0 <= word.what < 16 and 0 <= word.value < 1 << 63
     return True
 
 
-def sound_row(row: Row) -> bool:
+def sound_row(row: RecordRow) -> bool:
     key, value, age = row
     return 0 <= key < 1 << 63 and 0 < value <= VALUE_MOST and 0 <= age < 1 << 50
--- a/corallanding/quorum_records/proposer.py
+++ b/corallanding/quorum_records/proposer.py
@@ -9,12 +9,24 @@
 from dataclasses import dataclass, field
 
 from ..lease.election import OutgoingMessage
-from .limits import RecordTerms
-from .messages import BEHIND, BLANK, CLOSED, COPIED_MOST, FULL, KEPT, Copied, Copy, Fetch, Page, Row
+from .limits import RecordLimits
+from .messages import (
+    ACCEPTED,
+    CLOSED,
+    COPIED_MOST,
+    FULL,
+    RECOVERING,
+    SUPERSEDED,
+    Accept,
+    AcceptReply,
+    Prepare,
+    PrepareReply,
+    RecordRow,
+)
 
 
 @dataclass
-class Reading:
+class ReadProgress:
     """How far one keeper has told what it has."""
 
     after: int = -1
@@ -25,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class Entry:
+class ProposedRecord:
     """order: fence and round under which it was read; None: it is ours. round: of the copies that carry it, 0 before
     they go. votes: bits of the keepers that have it so. decided: they are a majority."""
 
@@ -39,7 +51,7 @@
 
 
 @dataclass
-class Out:
+class WriteInFlight:
     rows: list[int]  # keys
     sent_at: float
     waits: set[int]  # keepers that have not answered
@@ -47,27 +59,27 @@
 
 
 @dataclass
-class Writer:
+class Proposer:
     """keepers: numbers, ourselves among them where we are one. next_round: one count for all writers of this life, so
     that what a later one writes stands behind what an earlier one wrote under the same fence."""
 
     life: int
     group: int
     keepers: tuple[int, ...]
-    terms: RecordTerms
+    terms: RecordLimits
     fence: int
     next_round: Callable[[], int]
     open: bool = False  # whether a majority has told all it has
     behind: int = 0  # a fence above ours that a keeper has seen: nothing can be written here any more
-    rows: dict[int, Entry] = field(default_factory=dict)
-    reads: dict[int, Reading] = field(default_factory=dict)
-    outs: dict[int, Out] = field(default_factory=dict)
+    rows: dict[int, ProposedRecord] = field(default_factory=dict)
+    reads: dict[int, ReadProgress] = field(default_factory=dict)
+    outs: dict[int, WriteInFlight] = field(default_factory=dict)
     queue: list[int] = field(default_factory=list)  # keys to be copied
     decided: list[int] = field(default_factory=list)  # since the owner last looked
     denied: dict[int, int] = field(default_factory=dict)  # key: why its beginning was refused, since then
 
     def __post_init__(self) -> None:
-        self.reads = {k: Reading() for k in self.keepers}
+        self.reads = {k: ReadProgress() for k in self.keepers}
         self.bit = {k: 1 << n for n, k in enumerate(self.keepers)}
 
     @property
@@ -76,7 +88,7 @@
 
     # ---- what the owner asks -------------------------------------------------------------------------------
 
-    def get(self, key: int) -> Entry | None:
+    def get(self, key: int) -> ProposedRecord | None:
         """None: nobody has it, as far as a majority knows. Only good once `open`."""
         return self.rows.get(key)
 
@@ -87,7 +99,7 @@
         old = self.rows.get(key)
         if old is not None and old.value == value and (old.decided or old.order is None):
             return True
-        self.rows[key] = Entry(value, born if old is None else old.born, first=first and old is None)
+        self.rows[key] = ProposedRecord(value, born if old is None else old.born, first=first and old is None)
         self.queue.append(key)
         return True
 
@@ -125,7 +137,7 @@
             number = self.next_round()
             for k in keys:
                 self.rows[k].round = number
-            self.outs[number] = o = Out(keys, now, set(self.keepers), first)
+            self.outs[number] = o = WriteInFlight(keys, now, set(self.keepers), first)
             out += self.copies(now, number, o)
         for number, o in list(self.outs.items()):
             if now - o.sent_at >= self.terms.again:
@@ -133,28 +145,28 @@
                 out += self.copies(now, number, o)
         return out
 
-    def fetch(self, now: float, keeper: int, r: Reading) -> OutgoingMessage:
+    def fetch(self, now: float, keeper: int, r: ReadProgress) -> OutgoingMessage:
         r.asked_at = now
         r.round = r.round or self.next_round()  # said again it is the same: an answer that took long is as good
-        return OutgoingMessage(keeper, Fetch(self.life, r.round, self.group, self.fence, r.after))
+        return OutgoingMessage(keeper, Prepare(self.life, r.round, self.group, self.fence, r.after))
 
-    def copies(self, now: float, number: int, o: Out) -> list[OutgoingMessage]:
-        rows: list[Row] = [
+    def copies(self, now: float, number: int, o: WriteInFlight) -> list[OutgoingMessage]:
+        rows: list[RecordRow] = [
             (k, e.value, max(0, int(now - e.born))) for k in o.rows if (e := self.rows.get(k)) and e.round == number
         ]
         if not rows:
             del self.outs[number]
             return []
-        word = Copy(self.life, number, self.group, self.fence, o.first, rows)
+        word = Accept(self.life, number, self.group, self.fence, o.first, rows)
         return [OutgoingMessage(k, word) for k in sorted(o.waits)]
 
-    def page(self, now: float, keeper: int, word: Page) -> list[OutgoingMessage]:
+    def page(self, now: float, keeper: int, word: PrepareReply) -> list[OutgoingMessage]:
         r = self.reads.get(keeper)
         if r is None or word.life != self.life or word.round != r.round or r.done or self.open:
             return []
-        if word.what == BEHIND:
+        if word.what == SUPERSEDED:
             self.behind = max(self.behind, word.seen)
-        if word.what != KEPT:
+        if word.what != ACCEPTED:
             return []  # a blank one counts for nobody; it is asked again
         for key, value, age, fence, number in word.rows:
             self.read(keeper, key, value, now - age, (fence, number))
@@ -172,21 +184,23 @@
     def read(self, keeper: int, key: int, value: int, born: float, order: tuple[int, int]) -> None:
         e = self.rows.get(key)
         if e is None or e.order is None or order > e.order:
-            self.rows[key] = Entry(value, born if e is None else min(born, e.born), order, votes=self.bit[keeper])
+            self.rows[key] = ProposedRecord(
+                value, born if e is None else min(born, e.born), order, votes=self.bit[keeper]
+            )
         elif order == e.order:
             e.votes |= self.bit[keeper]
             e.born = min(e.born, born)
 
-    def copied(self, now: float, keeper: int, word: Copied) -> None:
+    def copied(self, now: float, keeper: int, word: AcceptReply) -> None:
         o = self.outs.get(word.round)
         if o is None or word.life != self.life or keeper not in o.waits:
             return
-        if word.what == BEHIND:
+        if word.what == SUPERSEDED:
             self.behind = max(self.behind, word.seen)
             return
-        if word.what == BLANK:
+        if word.what == RECOVERING:
             return  # it is asked again until it has caught up
-        if word.what == KEPT:
+        if word.what == ACCEPTED:
             for key in o.rows:
                 if (e := self.rows.get(key)) and not e.decided and e.round == word.round:
                     e.votes |= self.bit[keeper]
@@ -199,7 +213,7 @@
         if not o.waits:
             del self.outs[word.round]
 
-    def no(self, o: Out, why: int) -> None:
+    def no(self, o: WriteInFlight, why: int) -> None:
         """So many refuse it that no majority can take it: nobody was told of it, and the owner may write another."""
         refusals = len(self.keepers) - len(o.waits)
         for key in o.rows:
--- a/corallanding/quorum_records/queries.py
+++ b/corallanding/quorum_records/queries.py
@@ -10,18 +10,18 @@
 from dataclasses import dataclass
 
 from ..lease.election import OutgoingMessage
-from .core import Records
-from .messages import Answer, Question
+from .core import QuorumRecords
+from .messages import Query, QueryReply
 
 NOT_NOW = 0  # what an answer says where nobody could be asked in time; all else is its subject's own
 
-Found = tuple[int, int]  # what, value
-Look = Callable[[float, int, int, int, int], Found | None]  # now, group, key, kind, more
-Denied = Callable[[int], Found | None]  # why
+Outcome = tuple[int, int]  # what, value
+RecordHandler = Callable[[float, int, int, int, int], Outcome | None]  # now, group, key, kind, more
+RejectionHandler = Callable[[int], Outcome | None]  # why
 
 
 @dataclass(frozen=True)
-class AskTerms:
+class QueryLimits:
     """ms. answer: within which a question is answered, if only by "not now". most: that wait for an answer here, and
     that others wait for from here."""
 
@@ -31,7 +31,7 @@
 
 
 @dataclass
-class Asked:
+class PendingQuery:
     """A question of ours that has no answer yet."""
 
     group: int
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True)
-class Told:
+class QueryResult:
     """number: as `ask` gave it."""
 
     number: int
@@ -51,28 +51,28 @@
     value: int
 
 
-class Asking:
+class Queries:
     """Subjects `serve` their groups: `look` says what there is, or begins to write it and says nothing yet."""
 
-    def __init__(self, me: int, others: tuple[int, ...], life: int, records: Records, terms: AskTerms) -> None:
+    def __init__(self, me: int, others: tuple[int, ...], life: int, records: QuorumRecords, terms: QueryLimits) -> None:
         self.me, self.others, self.life, self.records, self.terms = me, others, life, records, terms
-        self.looks: dict[int, tuple[Look, Denied]] = {}
-        self.asked: dict[int, Asked] = {}
+        self.looks: dict[int, tuple[RecordHandler, RejectionHandler]] = {}
+        self.asked: dict[int, PendingQuery] = {}
         self.fresh: list[int] = []  # that were not said yet
-        self.answers: dict[int, list[Told]] = {}  # by the first group of the subject
+        self.answers: dict[int, list[QueryResult]] = {}  # by the first group of the subject
         self.parts: dict[int, tuple[int, ...]] = {}  # group: all of its subject; a key is of the one at its remainder
         self.count = self.refused = 0
         self.owed: dict[tuple[int, int], dict[tuple[int, int, int], tuple[int, int]]] = {}
         self.at: dict[int, int] = {}  # group: who answered last
         self.said_at = float("-inf")
 
-    def serve(self, groups: Iterable[int], look: Look, denied: Denied) -> None:
+    def serve(self, groups: Iterable[int], look: RecordHandler, denied: RejectionHandler) -> None:
         groups = tuple(groups)
         self.answers[groups[0]] = []
         for group in groups:
             self.looks[group], self.parts[group] = (look, denied), groups
 
-    def take(self, group: int) -> list[Told]:
+    def take(self, group: int) -> list[QueryResult]:
         """Answers to questions on the subject of that group, since last taken."""
         first = self.parts[group][0]
         out, self.answers[first] = self.answers[first], []
@@ -84,10 +84,10 @@
         """The number under which `take` will have the answer. key: not 0."""
         self.count += 1
         if len(self.asked) >= self.terms.most:
-            self.answers[self.parts[group][0]].append(Told(self.count, NOT_NOW, 0))
+            self.answers[self.parts[group][0]].append(QueryResult(self.count, NOT_NOW, 0))
             self.refused += 1
         else:
-            self.asked[self.count] = Asked(group, key, kind, more, now)
+            self.asked[self.count] = PendingQuery(group, key, kind, more, now)
             self.fresh.append(self.count)
         return self.count
 
@@ -110,10 +110,10 @@
         self.owed = {k: who for k, who in self.owed.items() if k[0] in self.records.held}
         return out
 
-    def say(self, now: float, number: int, a: Asked) -> list[OutgoingMessage]:
+    def say(self, now: float, number: int, a: PendingQuery) -> list[OutgoingMessage]:
         """To the holder, or to all while it is not known, or does not answer."""
         first, a.asked_at = a.asked_at == float("-inf"), now
-        word = Question(self.life, number, a.group, a.key, a.kind, a.more)
+        word = Query(self.life, number, a.group, a.key, a.kind, a.more)
         if a.group in self.records.held:
             return self.heard(now, self.me, word)
         to = self.at.get(a.group, self.records.where(a.group))
@@ -121,7 +121,7 @@
             return [OutgoingMessage(to, word)]
         return [OutgoingMessage(n, word) for n in self.others]
 
-    def told(self, sender: int, word: Answer) -> None:
+    def told(self, sender: int, word: QueryReply) -> None:
         a = self.asked.get(word.round)
         if word.life == self.life and a is not None and word.key != a.key:
             self.refused += 1
@@ -132,11 +132,11 @@
 
     def answered(self, number: int, what: int, value: int) -> None:
         if a := self.asked.pop(number, None):
-            self.answers[self.parts[a.group][0]].append(Told(number, what, value))
+            self.answers[self.parts[a.group][0]].append(QueryResult(number, what, value))
 
     # ---- at the holder of the group ------------------------------------------------------------------------
 
-    def heard(self, now: float, sender: int, word: Question) -> list[OutgoingMessage]:
+    def heard(self, now: float, sender: int, word: Query) -> list[OutgoingMessage]:
         """No answer if the group is not ours: it is asked elsewhere, and again."""
         if word.group not in self.records.held or word.group not in self.looks:
             return []
@@ -167,11 +167,11 @@
             self.owed.pop((group, key), None)
         return out
 
-    def answer(self, who: tuple[int, int, int], number: int, key: int, found: Found) -> list[OutgoingMessage]:
+    def answer(self, who: tuple[int, int, int], number: int, key: int, found: Outcome) -> list[OutgoingMessage]:
         if who[0] == self.me:
             self.answered(number, *found)
             return []
-        return [OutgoingMessage(who[0], Answer(who[1], number, key, *found))]
+        return [OutgoingMessage(who[0], QueryReply(who[1], number, key, *found))]
 
     def decided(self, now: float) -> list[OutgoingMessage]:
         """After words of keepers: what a majority has taken in is told; what it refused is begun anew, or told so."""
--- a/corallanding/quorum_records/replica.py
+++ b/corallanding/quorum_records/replica.py
@@ -10,12 +10,24 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from .limits import RecordTerms
-from .messages import BEHIND, BLANK, CLOSED, FULL, KEPT, PAGED_MOST, Copied, Copy, FencedRow, Fetch, Page
+from .limits import RecordLimits
+from .messages import (
+    ACCEPTED,
+    CLOSED,
+    FULL,
+    PAGED_MOST,
+    RECOVERING,
+    SUPERSEDED,
+    Accept,
+    AcceptReply,
+    Prepare,
+    PrepareReply,
+    VersionedRow,
+)
 
 
 @dataclass(slots=True)
-class Record:
+class ReplicaRecord:
     """order: fence and round in which it was written; what was written later goes before. born: by our clock."""
 
     value: int
@@ -24,14 +36,14 @@
     live: bool = True  # it is tallied
 
 
-Kept = tuple[int, int, int, int, int, float]  # group, key, value, fence, round, born
+UnsavedRow = tuple[int, int, int, int, int, float]  # group, key, value, fence, round, born
 
 
 @dataclass
-class Unkept:
+class UnsavedChanges:
     """To be written in one transaction."""
 
-    rows: list[Kept] = field(default_factory=list)
+    rows: list[UnsavedRow] = field(default_factory=list)
     seen: dict[int, int] = field(default_factory=dict)
     gone: list[tuple[int, int]] = field(default_factory=list)  # group, key
     peers: dict[int, tuple[int, int, int]] = field(default_factory=dict)  # keeper: openings of its file, life, writes
@@ -44,64 +56,64 @@
         return any(vars(self).values())
 
 
-May = Callable[[int, int, bool], bool]
+AcceptRule = Callable[[int, int, bool], bool]
 
 
-def anything(group: int, value: int, first: bool) -> bool:
+def accept_any(group: int, value: int, first: bool) -> bool:
     return True
 
 
-class Shelf:
+class Replica:
     """may: whether a record of that group and value is taken in; first: nobody was told of it yet. counted: groups of
     which it is known how many live records there are of each value. blank: it has lost what it promised, and answers
     nothing until it has caught up."""
 
     def __init__(
         self,
-        terms: RecordTerms,
-        may: May = anything,
+        terms: RecordLimits,
+        may: AcceptRule = accept_any,
         counted: frozenset[int] = frozenset(),
         lasting: frozenset[int] = frozenset(),
     ) -> None:
         self.terms, self.may, self.counted, self.lasting = terms, may, counted, lasting
         self.tallies: Counter[int] = Counter()
-        self.groups: dict[int, dict[int, Record]] = {}
+        self.groups: dict[int, dict[int, ReplicaRecord]] = {}
         self.seen: dict[int, int] = {}
         self.sorted: dict[int, list[int]] = {}  # keys of a group that is being read, ascending
         self.count = self.refused = 0
         self.writes = 0  # to its file, ever: one that was put back from a copy has had fewer than others know of
         self.blank = False
-        self.unkept = Unkept()
+        self.unkept = UnsavedChanges()
         self.swept = -1
 
-    def copy(self, now: float, word: Copy) -> Copied:
+    def copy(self, now: float, word: Accept) -> AcceptReply:
         """The answer; nothing of a word is kept that is not kept whole."""
         what = self.takes(word)
-        if what == KEPT:
+        if what == ACCEPTED:
             self.raise_seen(word.group, word.fence)
             for key, value, age in word.rows:
                 self.put(word.group, key, value, (word.fence, word.round), now - age)
         else:
             self.refused += 1
-        return Copied(word.life, word.round, word.group, what, self.seen.get(word.group, 0))
+        return AcceptReply(word.life, word.round, word.group, what, self.seen.get(word.group, 0))
 
-    def takes(self, word: Copy) -> int:
+    def takes(self, word: Accept) -> int:
         if self.blank:
-            return BLANK
+            return RECOVERING
         if word.fence < self.seen.get(word.group, 0):
-            return BEHIND
+            return SUPERSEDED
         have = self.groups.get(word.group, {})
         if self.count + sum(key not in have for key, _, _ in word.rows) > self.terms.most:
             return FULL
         if not all(self.may(word.group, v, word.first) for k, v, _ in word.rows if k not in have or have[k].value != v):
             return CLOSED
-        return KEPT
+        return ACCEPTED
 
     def put(self, group: int, key: int, value: int, order: tuple[int, int], born: float) -> None:
         rows = self.groups.setdefault(group, {})
         old = rows.get(key)
         if old is None:
-            rows[key] = Record(value, order, born)
+            rows[key] = ReplicaRecord(value, order, born)
             self.count += 1
             self.sorted.pop(group, None)
         elif order >= old.order:
@@ -124,11 +136,11 @@
         if fence > self.seen.get(group, 0):
             self.seen[group] = self.unkept.seen[group] = fence
 
-    def fetch(self, now: float, word: Fetch) -> Page:
+    def fetch(self, now: float, word: Prepare) -> PrepareReply:
         """A page of the group, which promises the fence that it was asked under."""
         seen = self.seen.get(word.group, 0)
         if self.blank or (word.fence and word.fence < seen):
-            return Page(word.life, word.round, word.group, BLANK if self.blank else BEHIND, seen)
+            return PrepareReply(word.life, word.round, word.group, RECOVERING if self.blank else SUPERSEDED, seen)
         self.raise_seen(word.group, word.fence)
         rows = self.groups.get(word.group, {})
         keys = self.sorted.get(word.group)
@@ -138,9 +150,9 @@
         more = len(page) == PAGED_MOST and page[-1][0] != keys[-1]
         if not more:
             self.sorted.pop(word.group, None)
-        return Page(word.life, word.round, word.group, KEPT, self.seen.get(word.group, 0), page, more)
+        return PrepareReply(word.life, word.round, word.group, ACCEPTED, self.seen.get(word.group, 0), page, more)
 
-    def page(self, now: float, rows: dict[int, Record], keys: list[int], after: int) -> list[FencedRow]:
+    def page(self, now: float, rows: dict[int, ReplicaRecord], keys: list[int], after: int) -> list[VersionedRow]:
         at = bisect_right(keys, after)
         out = []
         for key in keys[at : at + PAGED_MOST]:
@@ -170,10 +182,10 @@
         """What stands here is a copy of former days: nothing of it is to be trusted."""
         self.groups, self.seen, self.sorted, self.count, self.blank = {}, {}, {}, 0, True
         self.tallies.clear()
-        self.unkept = Unkept(wiped=True)
+        self.unkept = UnsavedChanges(wiped=True)
 
-    def take_unkept(self) -> Unkept:
-        out, self.unkept = self.unkept, Unkept()
+    def take_unkept(self) -> UnsavedChanges:
+        out, self.unkept = self.unkept, UnsavedChanges()
         if out:
             self.writes += 1
             out.writes = self.writes
--- a/corallanding/quorum_records/replica_recovery.py
+++ b/corallanding/quorum_records/replica_recovery.py
@@ -9,15 +9,15 @@
 from dataclasses import dataclass
 
 from ..lease.election import OutgoingMessage
-from .limits import RecordTerms
-from .messages import BLANK, Copied, Copy, Fetch, Here, Known, Page
-from .replica import Shelf
+from .limits import RecordLimits
+from .messages import RECOVERING, Accept, AcceptReply, FileAnnouncement, FileAnnouncementReply, Prepare, PrepareReply
+from .replica import Replica
 
 ANSWERS = 1 << 52  # rounds of our fetches begin there, so that they are told from a writer's
 
 
 @dataclass
-class Read:
+class RecoveryProgress:
     """How far one other keeper has told all its groups."""
 
     group: int = 0  # place in the order of groups
@@ -28,7 +28,7 @@
     done: bool = False
 
 
-class CatchUp:
+class ReplicaRecovery:
     """opened: of our file, this opening counted. `ready`: we count as a keeper."""
 
     def __init__(
@@ -37,10 +37,10 @@
         others: tuple[int, ...],
         keepers: tuple[int, ...],
         life: int,
-        terms: RecordTerms,
+        terms: RecordLimits,
         groups: frozenset[int],
         opened: int,
-        shelf: Shelf,
+        shelf: Replica,
     ) -> None:
         self.life, self.terms, self.opened, self.shelf = life, terms, opened, shelf
         self.others = tuple(n for n in keepers if n != me)
@@ -50,14 +50,16 @@
         self.answered: dict[int, bool] = {}  # keepers that know of no later life of our file; whether they lost theirs
         self.said_at = float("-inf")
         self.round = ANSWERS
-        self.read = {n: Read() for n in self.others}
+        self.read = {n: RecoveryProgress() for n in self.others}
 
     def tick(self, now: float) -> list[OutgoingMessage]:
         out: list[OutgoingMessage] = []
         # Said on and on: others are to know how far the file was written, should it ever be put back.
         if now - self.said_at >= (self.terms.again if not self.vouched else self.terms.heartbeat):
             self.said_at = now
-            out += [OutgoingMessage(n, Here(self.life, self.opened, self.shelf.writes)) for n in self.others]
+            out += [
+                OutgoingMessage(n, FileAnnouncement(self.life, self.opened, self.shelf.writes)) for n in self.others
+            ]
         if self.ready:
             return out
         if self.shelf.blank:
@@ -96,22 +98,22 @@
                 self.shelf.blank, self.shelf.unkept.whole = False, True
             self.ready = True
 
-    def fetch(self, now: float, keeper: int, r: Read) -> OutgoingMessage:
+    def fetch(self, now: float, keeper: int, r: RecoveryProgress) -> OutgoingMessage:
         r.asked_at = now
         if not r.round:
             self.round += 1
             r.round = self.round
-        return OutgoingMessage(keeper, Fetch(self.life, r.round, self.groups[r.group], 0, r.after))
+        return OutgoingMessage(keeper, Prepare(self.life, r.round, self.groups[r.group], 0, r.after))
 
-    def reads(self, sender: int, word: Page) -> bool:
+    def reads(self, sender: int, word: PrepareReply) -> bool:
         return word.life == self.life and word.round > ANSWERS
 
-    def page(self, now: float, sender: int, word: Page) -> list[OutgoingMessage]:
+    def page(self, now: float, sender: int, word: PrepareReply) -> list[OutgoingMessage]:
         """The answer of another keeper to a fetch of ours."""
         r = self.read.get(sender)
         if r is None or not self.shelf.blank or word.round != r.round or r.done:
             return []
-        r.blank = word.what == BLANK
+        r.blank = word.what == RECOVERING
         if r.blank:
             return []  # asked again: it may get all back before we do
         group = self.groups[r.group]
@@ -129,7 +131,7 @@
             return []
         return [self.fetch(now, sender, r)]
 
-    def known(self, now: float, sender: int, word: Known) -> list[OutgoingMessage]:
+    def known(self, now: float, sender: int, word: FileAnnouncementReply) -> list[OutgoingMessage]:
         if word.life != self.life or sender not in self.read or self.ready:
             return []
         if word.round >= self.opened or word.writes > self.shelf.writes:
@@ -144,8 +146,8 @@
             self.answered[sender] = word.blank
         return self.tick(now)
 
-    def answer(self, now: float, word: Copy | Fetch) -> Copied | Page | None:
+    def answer(self, now: float, word: Accept | Prepare) -> AcceptReply | PrepareReply | None:
         """The shelf's, once we count. One that only waits for others says nothing: it must not be taken for blank."""
         if not self.ready and not self.shelf.blank:
             return None
-        return self.shelf.copy(now, word) if isinstance(word, Copy) else self.shelf.fetch(now, word)
+        return self.shelf.copy(now, word) if isinstance(word, Accept) else self.shelf.fetch(now, word)
--- a/corallanding/quota/__init__.py
+++ b/corallanding/quota/__init__.py
@@ -3,28 +3,28 @@
 from ..lease.election import OutgoingMessage
 from ..lease.messages import VoteRelease, VoteReply, VoteRequest
 from ..lease.voting import Candidate, Voter
-from .core import Quota
+from .core import QuotaManager
 from .fair_share import share
-from .limits import Budget, Terms
-from .messages import Give, Want, Words, decode, encode
-from .quota_allocator import Divider
-from .quota_client import Holder
+from .limits import Budget, QuotaLimits
+from .messages import CapacityGrant, CapacityRequest, QuotaMessage, decode, encode
+from .quota_allocator import QuotaAllocator
+from .quota_client import QuotaClient
 
 __all__ = [
     "Budget",
     "Candidate",
-    "Divider",
-    "Give",
-    "Holder",
+    "CapacityGrant",
+    "CapacityRequest",
     "OutgoingMessage",
-    "Quota",
-    "Terms",
+    "QuotaAllocator",
+    "QuotaClient",
+    "QuotaLimits",
+    "QuotaManager",
+    "QuotaMessage",
     "VoteRelease",
     "VoteReply",
     "VoteRequest",
     "Voter",
-    "Want",
-    "Words",
     "decode",
     "encode",
     "share",
--- a/corallanding/quota/core.py
+++ b/corallanding/quota/core.py
@@ -9,14 +9,14 @@
 from ..lease.messages import VoteRelease, VoteReply, VoteRequest
 from ..lease.voting import Candidate, Voter
 from ..rate_limit import PeerRateLimiter
-from .limits import Budget, Terms
-from .messages import Give, Want, Words
-from .quota_allocator import Divider
-from .quota_client import Holder
+from .limits import Budget, QuotaLimits
+from .messages import CapacityGrant, CapacityRequest, QuotaMessage
+from .quota_allocator import QuotaAllocator
+from .quota_client import QuotaClient
 
 
 @dataclass
-class Quota:
+class QuotaManager:
     """me, others, voters: numbers. life: drawn at the start. budgets: as configured. All times in ms by one clock.
 
     chair: the office, where others rest on it too; whoever made it then ticks it and hears its words.
@@ -26,7 +26,7 @@
     others: tuple[int, ...]
     voters: tuple[int, ...]
     budgets: dict[str, Budget]
-    terms: Terms
+    terms: QuotaLimits
     life: int
     born: float
     chance: Callable[[], float]
@@ -38,12 +38,12 @@
     def __post_init__(self) -> None:
         self.allowances = PeerRateLimiter(self.others, self.words_per_s, self.born)
         self.ids = {b.id: b for b in self.budgets.values()}
-        self.holder = Holder(self.life, self.terms, self.born)
+        self.holder = QuotaClient(self.life, self.terms, self.born)
         self.shared = self.chair is not None
         self.desk: LeaderElection = self.chair or VotedElection(
             self.me, self.others, self.voters, self.terms, self.life, self.born, self.chance, self.words_per_s
         )
-        self.divider = Divider(self.terms, self.ids, self.life)
+        self.divider = QuotaAllocator(self.terms, self.ids, self.life)
 
     # ---- what is asked in the instant of a use -------------------------------------------------------------
 
@@ -116,7 +116,7 @@
                 self.holder.given(now, self.divider.asked(now, self.me, want))
         return out
 
-    def heard(self, now: float, sender: int, word: Words) -> list[OutgoingMessage]:
+    def heard(self, now: float, sender: int, word: QuotaMessage) -> list[OutgoingMessage]:
         """A word of a known steward."""
         if isinstance(word, VoteRequest | VoteReply | VoteRelease):
             out = self.desk.heard(now, sender, word)
@@ -126,10 +126,10 @@
             self.refused += 1
             return []
         match word:
-            case Want():
+            case CapacityRequest():
                 if self.office(now):
                     return [OutgoingMessage(sender, self.divider.asked(now, sender, word))]
-            case Give():
+            case CapacityGrant():
                 if self.holder.given(now, word):
                     return self.ask(now)
         return []
--- a/corallanding/quota/limits.py
+++ b/corallanding/quota/limits.py
@@ -7,7 +7,7 @@
 
 from ..lease.limits import ElectionTimings
 
-Key = tuple[int, int]  # budget's id, subject: a host's number, or 0 for a budget of the fleet
+BudgetKey = tuple[int, int]  # budget's id, subject: a host's number, or 0 for a budget of the fleet
 
 
 @dataclass(frozen=True)
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class Terms(ElectionTimings):
+class QuotaLimits(ElectionTimings):
     """ms. lease: a right lent is good for this and the budget's span."""
 
     lease: float = 3_000.0
--- a/corallanding/quota/messages.py
+++ b/corallanding/quota/messages.py
@@ -8,34 +8,34 @@
 from ..lease.messages import sound as is_valid_lease_message
 
 # budget, subject, wanted, what a good grant holds, the most that may be in use, round of the grant that was taken up
-Row = tuple[int, int, int, int, int, int]
-Given = tuple[int, int, int]  # budget, subject, amount
+RequestRow = tuple[int, int, int, int, int, int]
+GrantRow = tuple[int, int, int]  # budget, subject, amount
 
 
-class Want(ControllerMessage, frozen=True, array_like=True, tag=14):
+class CapacityRequest(ControllerMessage, frozen=True, array_like=True, tag=14):
     """to, office: life and round of the last word by which that divider said that it holds the office. So it knows that
     what a row says was so in its own term, and that no former divider can have lent it to another since."""
 
     to: int = 0
     office: int = 0
-    rows: list[Row] = []
+    rows: list[RequestRow] = []
 
 
-class Give(ControllerMessage, frozen=True, array_like=True, tag=15):
+class CapacityGrant(ControllerMessage, frozen=True, array_like=True, tag=15):
     """The answer to the want of that life and round."""
 
-    rows: list[Given] = []
+    rows: list[GrantRow] = []
 
 
-Words = ElectionMessage | Want | Give
-_decoder: msgspec.msgpack.Decoder[Words] = msgspec.msgpack.Decoder(Words)
+QuotaMessage = ElectionMessage | CapacityRequest | CapacityGrant
+_decoder: msgspec.msgpack.Decoder[QuotaMessage] = msgspec.msgpack.Decoder(QuotaMessage)
 
 
-def encode(word: Words) -> bytes:
+def encode(word: QuotaMessage) -> bytes:
     return msgspec.msgpack.encode(word)
 
 
-def decode(data: bytes) -> Words | None:
+def decode(data: bytes) -> QuotaMessage | None:
     """None for what is no word of ours, or a newer one's that we do not know."""
     try:
         word = _decoder.decode(data)
@@ -44,10 +44,10 @@
     return word if sound(word) else None
 
 
-def sound(word: Words) -> bool:
+def sound(word: QuotaMessage) -> bool:
     """Whether its fields can be meant."""
-    if isinstance(word, Want):
+    if isinstance(word, CapacityRequest):
         return min(word.life, word.round) >= 0 and all(min(row) >= 0 for row in word.rows)
-    if isinstance(word, Give):
+    if isinstance(word, CapacityGrant):
         return min(word.life, word.round) >= 0 and all(row[2] >= 0 for row in word.rows)
     return is_valid_lease_message(word)
--- a/corallanding/quota/quota_allocator.py
+++ b/corallanding/quota/quota_allocator.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass, field
 
 from .fair_share import share
-from .limits import Budget, Key, Terms
-from .messages import Give, Given, Row, Want
+from .limits import Budget, BudgetKey, QuotaLimits
+from .messages import CapacityGrant, CapacityRequest, GrantRow, RequestRow
 
 LIVES_MOST = 4  # of one steward, that something may still be lent to
 
 
 @dataclass
-class Life:
+class ClientState:
     """What one process may have in use beyond its floor: the largest of its entries."""
 
     round: int = -1  # of its last want
@@ -32,16 +32,16 @@
 
 
 @dataclass
-class Divider:
+class QuotaAllocator:
     """budgets: by id, as configured here; changed in place by a reload. since: when the office began."""
 
-    terms: Terms
+    terms: QuotaLimits
     budgets: Mapping[int, Budget]
     life: int = 0  # of this process, and the round of its first word in the present office
     first: int = 0
     since: float | None = None
-    books: dict[Key, dict[tuple[int, int], Life]] = field(default_factory=dict)  # (steward, life)
-    known: dict[Key, int] = field(default_factory=dict)  # of a predecessor's grants, by what holders said
+    books: dict[BudgetKey, dict[tuple[int, int], ClientState]] = field(default_factory=dict)  # (steward, life)
+    known: dict[BudgetKey, int] = field(default_factory=dict)  # of a predecessor's grants, by what holders said
     late: int = 0  # wants that were meant for a former office
     strangers: int = 0  # rows of budgets that are not ours, or that differ
     refused: int = 0  # rows beyond the bounds
@@ -51,15 +51,15 @@
         in which we can say that we hold it."""
         self.since, self.first, self.books, self.known = now, first, {}, {}
 
-    def asked(self, now: float, sender: int, word: Want) -> Give:
+    def asked(self, now: float, sender: int, word: CapacityRequest) -> CapacityGrant:
         """now: an instant at which the office was held."""
         if word.to != self.life or word.office < self.first:
             self.late += 1
-            return Give(word.life, word.round, [])
+            return CapacityGrant(word.life, word.round, [])
         rows = [given for row in word.rows[:64] if (given := self.row(now, sender, word, row))]
-        return Give(word.life, word.round, rows)
+        return CapacityGrant(word.life, word.round, rows)
 
-    def row(self, now: float, sender: int, word: Want, row: Row) -> Given | None:
+    def row(self, now: float, sender: int, word: CapacityRequest, row: RequestRow) -> GrantRow | None:
         number, subject, wanted, have, held, taken = row
         budget, key = self.budgets.get(number), (number, subject)
         if budget is None or (budget.per == "fleet" and subject):
@@ -84,7 +84,7 @@
         learning = now < self.since + good
         if me not in book and learning:
             self.known[key] = min(pool, self.known.get(key, 0) + have)
-        mine = book.setdefault(me, Life())
+        mine = book.setdefault(me, ClientState())
         if word.round <= mine.round:
             return None  # late or repeated: it was answered, and says what is no longer so
         mine.round, mine.at, mine.wanted = word.round, now, min(wanted, pool)
@@ -95,7 +95,7 @@
         mine.entries.append((word.round, amount, now + good))
         return number, subject, amount
 
-    def settle(self, now: float, life: Life, taken: int, held: int, learning: float | None) -> None:
+    def settle(self, now: float, life: ClientState, taken: int, held: int, learning: float | None) -> None:
         """It has taken up the answer to its round `taken`, will take up none before that any more, and has no more
         than `held` in use of all those. A later answer may still be on its way: what that lent stands beside this.
         learning: until when what it says of a former divider's grants is good."""
@@ -107,7 +107,7 @@
         elif over and held:
             life.entries.append((taken, min(held, max(amount for _, amount, _ in over)), ends))
 
-    def part(self, now: float, key: Key, pool: int, sender: int) -> int:
+    def part(self, now: float, key: BudgetKey, pool: int, sender: int) -> int:
         """The max-min fair part, and of what nobody wants an even part, one kept in hand for the next to come."""
         wants: dict[int, int] = {}
         for (steward, _), life in self.books[key].items():
@@ -117,7 +117,7 @@
         spare = max(0, pool - sum(parts.values()))
         return parts[sender] + (spare // (len(wants) + 1) if wants[sender] else 0)
 
-    def drop(self, now: float, book: dict[tuple[int, int], Life]) -> None:
+    def drop(self, now: float, book: dict[tuple[int, int], ClientState]) -> None:
         for who in [w for w, life in book.items() if not life.out(now) and now - life.at > self.terms.lease]:
             del book[who]
 
--- a/corallanding/quota/quota_client.py
+++ b/corallanding/quota/quota_client.py
@@ -5,8 +5,8 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from .limits import Budget, Key, Terms
-from .messages import Give, Row, Want
+from .limits import Budget, BudgetKey, QuotaLimits
+from .messages import CapacityGrant, CapacityRequest, RequestRow
 
 BUCKETS = 64  # in which the uses of one key are kept: each is taken as ending with the last of its bucket
 
@@ -39,7 +39,7 @@
 
 
 @dataclass
-class Holder:
+class QuotaClient:
     """life: drawn at the start. born: when, by our clock; what a former life used is waited for before the floor is.
 
     Nothing is kept on disk: a store can be put back from a copy, so that what it says of rights cannot be trusted, and
@@ -47,11 +47,11 @@
     """
 
     life: int
-    terms: Terms
+    terms: QuotaLimits
     born: float
-    accounts: dict[Key, Account] = field(default_factory=dict)
+    accounts: dict[BudgetKey, Account] = field(default_factory=dict)
     round: int = 0
-    wants: dict[int, tuple[float, set[Key]]] = field(default_factory=dict)  # round: when, what
+    wants: dict[int, tuple[float, set[BudgetKey]]] = field(default_factory=dict)  # round: when, what
     refused: int = 0  # takes without a right
     stale: int = 0  # grants that came too late or for nothing
     overfull: int = 0
@@ -103,7 +103,7 @@
         if a := self.account(now, budget, subject):
             a.add(a.missed, now + self.terms.theirs(budget.span), n)
 
-    def row(self, now: float, key: Key) -> Row:
+    def row(self, now: float, key: BudgetKey) -> RequestRow:
         a = self.accounts[key]
         floor, used = a.budget.floor, a.count(now, a.uses)
         wanted = min(a.budget.whole, used + a.count(now, a.missed))
@@ -116,10 +116,10 @@
         # What was lent counts as in use as long as it could be: the divider may lend the rest anew once it hears this.
         return (*key, wanted, have, max(have, used - self.floor(now, a.budget), 0), a.round)
 
-    def ask(self, now: float, to: int = 0, office: int = 0) -> list[Want]:
+    def ask(self, now: float, to: int = 0, office: int = 0) -> list[CapacityRequest]:
         """Words for the divider: accounts whose grant wants renewal, or whose wish it does not meet. to, office: as
         in `Want`."""
-        due: list[Key] = []
+        due: list[BudgetKey] = []
         for key, a in list(self.accounts.items()):
             used, missed = a.count(now, a.uses), a.count(now, a.missed)
             good = now < a.until and a.amount > 0
@@ -140,10 +140,10 @@
             keys = due[k : k + self.terms.rows_most]
             self.round += 1
             self.wants[self.round] = (now, set(keys))
-            out.append(Want(self.life, self.round, to, office, [self.row(now, key) for key in keys]))
+            out.append(CapacityRequest(self.life, self.round, to, office, [self.row(now, key) for key in keys]))
         return out
 
-    def given(self, now: float, word: Give) -> bool:
+    def given(self, now: float, word: CapacityGrant) -> bool:
         """A grant, good from when it was asked for. True if one was made smaller: the divider wants to hear of it."""
         asked = self.wants.get(word.round)
         if word.life != self.life or asked is None:
--- a/corallanding/scheduling/idempotency.py
+++ b/corallanding/scheduling/idempotency.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from ..quorum_records.messages import FULL as NO_ROOM
-from ..quorum_records.queries import Asking, Found
+from ..quorum_records.queries import Outcome, Queries
 from .queue import Job
 
 SEEK, CLAIM, BACK = range(3)  # what is asked: how old it is, whether it may go, that it has not gone and will not
@@ -20,7 +20,7 @@
 class Claims:
     """groups: of records, the same at all stewards."""
 
-    def __init__(self, asking: Asking, groups: tuple[int, ...]) -> None:
+    def __init__(self, asking: Queries, groups: tuple[int, ...]) -> None:
         self.asking, self.groups, self.records = asking, groups, asking.records
         self.clock: Callable[[], float] = lambda: 0.0
         asking.serve(groups, self.look, self.denied)
@@ -36,7 +36,7 @@
         """Granted, and surely never sent: its client may bring it again."""
         return self.asking.ask(now, self.groups[job.key % len(self.groups)], job.key, BACK, owner)
 
-    def look(self, now: float, group: int, key: int, kind: int, more: int) -> Found | None:
+    def look(self, now: float, group: int, key: int, kind: int, more: int) -> Outcome | None:
         writer = self.records.held[group]
         entry = writer.get(key)
         if entry is None:
@@ -57,5 +57,5 @@
             return None
         return (GRANTED if entry.value == more else TWIN), 0
 
-    def denied(self, why: int) -> Found | None:
+    def denied(self, why: int) -> Outcome | None:
         return (FULL, 0) if why == NO_ROOM else None
--- a/corallanding/version_pinning/core.py
+++ b/corallanding/version_pinning/core.py
@@ -9,8 +9,8 @@
 from ..lease.election import OutgoingMessage
 from ..quorum_records.core import Action
 from ..quorum_records.fleet import FleetRecords
-from ..quorum_records.limits import RecordTerms
-from ..quorum_records.queries import Asking, Told
+from ..quorum_records.limits import RecordLimits
+from ..quorum_records.queries import Queries, QueryResult
 from .limits import PinTerms
 from .messages import PinWords, Settled, Tallied, Tally
 from .releases import Releases
@@ -20,9 +20,9 @@
 RUNS, RELEASE = "runs", "release"  # names of the task group and the task
 
 
-def record_terms(terms: PinTerms, most: int = 200_000, again: float = 150.0) -> RecordTerms:
+def record_terms(terms: PinTerms, most: int = 200_000, again: float = 150.0) -> RecordLimits:
     """One that is over is told so for as long again as it may have lasted."""
-    return RecordTerms(2.0 * terms.run, terms.run * (1.0 + terms.drift), most, again)
+    return RecordLimits(2.0 * terms.run, terms.run * (1.0 + terms.drift), most, again)
 
 
 def pins_on(
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        asking: Asking,
+        asking: Queries,
         groups: tuple[int, ...],
         release: int,
         terms: PinTerms,
@@ -68,7 +68,7 @@
         """Asked for a run; the answer comes by `answers`, later."""
         return self.runs.enter(now, key, client, ended)
 
-    def answers(self) -> list[Told]:
+    def answers(self) -> list[QueryResult]:
         return self.asking.take(self.runs.groups[0])
 
     def tick(self, now: float) -> list[Action]:
--- a/corallanding/version_pinning/releases.py
+++ b/corallanding/version_pinning/releases.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from ..lease.election import OutgoingMessage
-from ..quorum_records.core import Records
+from ..quorum_records.core import QuorumRecords
 from .limits import PinTerms
 from .messages import TALLIES_MOST, Settled, Tallied, Tally
 from .release_register import Register, unpack
@@ -32,7 +32,7 @@
         me: int,
         others: tuple[int, ...],
         life: int,
-        records: Records,
+        records: QuorumRecords,
         group: int,
         terms: PinTerms,
         said: Callable[[str], None] = lambda text: None,
--- a/corallanding/version_pinning/workflow_runs.py
+++ b/corallanding/version_pinning/workflow_runs.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from ..quorum_records.messages import FULL as NO_ROOM
-from ..quorum_records.queries import Asking, Found
+from ..quorum_records.queries import Outcome, Queries
 from ..rate_limit import TokenBucket
 from .limits import PinTerms
 from .messages import ENDED, ENTER, FULL, OVER, PINNED
@@ -22,7 +22,7 @@
 
     def __init__(
         self,
-        asking: Asking,
+        asking: Queries,
         groups: tuple[int, ...],
         terms: PinTerms,
         register: Callable[[], Register | None],
@@ -39,7 +39,7 @@
         bucket = zlib.crc32(client.encode()) % self.terms.clients
         return self.asking.ask(now, self.groups[key % len(self.groups)], key, ENDED if ended else ENTER, bucket)
 
-    def look(self, now: float, group: int, key: int, kind: int, bucket: int) -> Found | None:
+    def look(self, now: float, group: int, key: int, kind: int, bucket: int) -> Outcome | None:
         """What is known of the run, or its beginning."""
         writer = self.records.held[group]
         entry = writer.get(key)
@@ -54,7 +54,7 @@
             return OVER, 0
         return PINNED, entry.value
 
-    def begin(self, now: float, group: int, key: int, bucket: int) -> Found | None:
+    def begin(self, now: float, group: int, key: int, bucket: int) -> Outcome | None:
         register, rate = self.register(), self.terms.begins_per_s
         if register is None:
             return None
@@ -66,7 +66,7 @@
             self.begun += 1
         return None
 
-    def denied(self, why: int) -> Found | None:
+    def denied(self, why: int) -> Outcome | None:
         """A set that closed meanwhile: it begins anew in the one that is open now."""
         if why != NO_ROOM:
             return None
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -24,11 +24,11 @@
     encode,
 )
 from corallanding.membership.messages import NEWS_MOST
-from corallanding.quota import Terms as QuotaTerms
+from corallanding.quota import QuotaLimits
 
 
 def world(seed: int, numbers: int, first: int | None = None) -> World:
-    return World(seed, numbers, 3, {}, QuotaTerms(), lambda t, n: [], first, static=True)
+    return World(seed, numbers, 3, {}, QuotaLimits(), lambda t, n: [], first, static=True)
 
 
 def views(w: World) -> dict[int, list[int]]:
--- a/tests/test_mutation.py
+++ b/tests/test_mutation.py
@@ -26,9 +26,8 @@
 from corallanding.lease.tasks import TaskCatalog, TaskSpec
 from corallanding.membership.messages import Ack, Ping, PingRequest
 from corallanding.quorum_records.messages import sound as sound_record
-from corallanding.quota import Budget
-from corallanding.quota import Terms as QuotaTerms
-from corallanding.quota.messages import Give, Want
+from corallanding.quota import Budget, QuotaLimits
+from corallanding.quota.messages import CapacityGrant, CapacityRequest
 from corallanding.quota.messages import sound as sound_quota
 from corallanding.scheduling.messages import sound as sound_line
 from corallanding.version_pinning.messages import PinWords
@@ -103,7 +102,7 @@
 
 
 def budgets(seed: int) -> World:
-    terms = QuotaTerms(lease=600.0, office=400.0)
+    terms = QuotaLimits(lease=600.0, office=400.0)
     return World(seed, 3, 3, {"moves": Budget("moves", 5, 1, 3, 300.0)}, terms, lambda t, n: [("moves", 0)] * 2)
 
 
@@ -195,7 +194,7 @@
 
 WORLDS: dict[str, tuple[Callable[[int], Any], Callable[[Any], bool]]] = {
     "lease": (tasks, sound_task),
-    "quota": (budgets, lambda w: sound_quota(w) if isinstance(w, Want | Give) else sound_task(w)),
+    "quota": (budgets, lambda w: sound_quota(w) if isinstance(w, CapacityRequest | CapacityGrant) else sound_task(w)),
     "runs": (runs, lambda w: sound_pin(w) if isinstance(w, PinWords) else sound_record(w)),
     "waiting": (waits, sound_line),
 }
@@ -206,12 +205,12 @@
 # value. Datagrams carry a checksum of their own against harm on the way.
 BELIEVED = {
     "lease": {("LeaseGrant", "a field")},
-    "quota": {("Give", "a field")},
-    "runs": {("Answer", "a field")},
+    "quota": {("CapacityGrant", "a field")},
+    "runs": {("QueryReply", "a field")},
     "waiting": set[Any](),
 }
 NEW = {
-    "runs": ("Copy", "Copied", "Fetch", "Page", "Question", "Answer", "Settled", "Tally", "Tallied"),
+    "runs": ("Accept", "AcceptReply", "Prepare", "PrepareReply", "Query", "QueryReply", "Settled", "Tally", "Tallied"),
     "waiting": ("Line",),
 }
 
--- a/tests/test_pins.py
+++ b/tests/test_pins.py
@@ -14,9 +14,9 @@
 from corallanding.lab.stewards.runs import RunWorld
 from corallanding.lab.stewards.walk import Walk
 from corallanding.lab.stewards.world import troubled
-from corallanding.quorum_records.core import Keep, Records
-from corallanding.quorum_records.proposer import Entry, Writer
-from corallanding.quorum_records.replica import Shelf
+from corallanding.quorum_records.core import Persist, QuorumRecords
+from corallanding.quorum_records.proposer import ProposedRecord, Proposer
+from corallanding.quorum_records.replica import Replica
 from corallanding.version_pinning import rollout
 from corallanding.version_pinning.messages import PINNED
 from corallanding.version_pinning.release_register import Register
@@ -68,55 +68,55 @@
 
 
 def no_fences(patch: Any) -> None:
-    real = Shelf.takes
+    real = Replica.takes
 
-    def takes(self: Shelf, word: Any) -> int:
+    def takes(self: Replica, word: Any) -> int:
         seen = self.seen.pop(word.group, 0)
         out = real(self, word)
         self.seen[word.group] = seen
         return out
 
-    patch.setattr(Shelf, "takes", takes)
+    patch.setattr(Replica, "takes", takes)
 
 
 def no_promise(patch: Any) -> None:
-    real = Shelf.fetch
+    real = Replica.fetch
 
-    def fetch(self: Shelf, now: float, word: Any) -> Any:
+    def fetch(self: Replica, now: float, word: Any) -> Any:
         seen = dict(self.seen)
         out = real(self, now, word)
         self.seen = seen
         return out
 
-    patch.setattr(Shelf, "fetch", fetch)
+    patch.setattr(Replica, "fetch", fetch)
 
 
 def no_reading(patch: Any) -> None:
-    real = Records.hold
+    real = QuorumRecords.hold
 
-    def hold(self: Records, group: int, fence: int) -> None:
+    def hold(self: QuorumRecords, group: int, fence: int) -> None:
         real(self, group, fence)
         self.held[group].open = True
 
-    patch.setattr(Records, "hold", hold)
+    patch.setattr(QuorumRecords, "hold", hold)
 
 
 def first_read_wins(patch: Any) -> None:
-    def read(self: Writer, keeper: int, key: int, value: int, born: float, order: tuple[int, int]) -> None:
+    def read(self: Proposer, keeper: int, key: int, value: int, born: float, order: tuple[int, int]) -> None:
         e = self.rows.get(key)
         if e is None:
-            self.rows[key] = Entry(value, born, order, votes=self.bit[keeper])
+            self.rows[key] = ProposedRecord(value, born, order, votes=self.bit[keeper])
         elif order == e.order:
             e.votes |= self.bit[keeper]
 
-    patch.setattr(Writer, "read", read)
+    patch.setattr(Proposer, "read", read)
 
 
 def one_refusal_denies(patch: Any) -> None:
-    def no(self: Writer, o: Any, why: int) -> None:
+    def no(self: Proposer, o: Any, why: int) -> None:
         self.denied.update((k, why) for k in o.rows if (e := self.rows.get(k)) and not e.decided)
 
-    patch.setattr(Writer, "no", no)
+    patch.setattr(Proposer, "no", no)
 
 
 def words_before_the_file(patch: Any) -> None:
@@ -124,7 +124,7 @@
         real = world.carry
 
         def carry(self: Any, *rest: Any, real: Any = real) -> None:
-            real(self, *rest[:-1], [a for a in rest[-1] if not isinstance(a, Keep)])
+            real(self, *rest[:-1], [a for a in rest[-1] if not isinstance(a, Persist)])
 
         patch.setattr(world, "carry", carry)
 
@@ -149,10 +149,10 @@
 
 MISTAKES: dict[str, tuple[Callable[[Any], None], str, int]] = {
     # name: the mistake, where it is looked for, the seed from which on
-    "told before a majority has it": (lambda p: p.setattr(Writer, "needed", property(lambda s: 1)), "world", 0),
+    "told before a majority has it": (lambda p: p.setattr(Proposer, "needed", property(lambda s: 1)), "world", 0),
     "a new holder does not read": (no_reading, "walk", 0),
     "what was read is told unconfirmed": (
-        lambda p: p.setattr(Writer, "confirm", lambda self, now, key: True),
+        lambda p: p.setattr(Proposer, "confirm", lambda self, now, key: True),
         "world",
         2,
     ),
--- a/tests/test_pins_scenes.py
+++ b/tests/test_pins_scenes.py
@@ -11,10 +11,10 @@
 
 from corallanding.lab.stewards.runs import RunWorld
 from corallanding.lab.stewards.walk import TASKS, Walk
-from corallanding.quorum_records.limits import RecordTerms
-from corallanding.quorum_records.messages import Copied, Copy
-from corallanding.quorum_records.proposer import Writer
-from corallanding.quorum_records.replica import Shelf
+from corallanding.quorum_records.limits import RecordLimits
+from corallanding.quorum_records.messages import Accept, AcceptReply
+from corallanding.quorum_records.proposer import Proposer
+from corallanding.quorum_records.replica import Replica
 from corallanding.version_pinning.messages import FULL, NOT_NOW, OVER, PINNED, Tally
 from corallanding.version_pinning.releases import Releases
 
@@ -55,18 +55,18 @@
     w = Scripted()
     w.ask(0, 99)
     assert not w.told, "its copies are on their way"
-    run = lambda a, b, word: isinstance(word, Copy) and word.first  # noqa: E731
+    run = lambda a, b, word: isinstance(word, Accept) and word.first  # noqa: E731
     held, w.bag = [x for x in w.bag if run(*x)], [x for x in w.bag if not run(*x)]
     assert held
     w.goal = 2
     w.passes = lambda a, b, word: (
         not run(a, b, word)
-        and not (isinstance(word, Copy) and b not in seen_by)
+        and not (isinstance(word, Accept) and b not in seen_by)
         and not (isinstance(word, Tally) and b not in counted)
     )
     w.pump(60)
     w.bag += held
-    w.passes = lambda a, b, word: run(a, b, word) or isinstance(word, Copied)
+    w.passes = lambda a, b, word: run(a, b, word) or isinstance(word, AcceptReply)
     w.pump(3)
     w.ask(0, 99)
     w.pump(6)
@@ -92,9 +92,9 @@
     words of the first arrive there."""
 
     def scene() -> list[bool]:
-        shelves = {k: Shelf(RecordTerms()) for k in range(3)}
+        shelves = {k: Replica(RecordLimits()) for k in range(3)}
         rounds = itertools.count(1)
-        first, second = (Writer(life, 7, (0, 1, 2), RecordTerms(), life, rounds.__next__) for life in (1, 2))
+        first, second = (Proposer(life, 7, (0, 1, 2), RecordLimits(), life, rounds.__next__) for life in (1, 2))
 
         def deliver(words: list[Any], to: set[int]) -> list[Any]:
             late = []
@@ -102,7 +102,7 @@
                 writer = first if s.word.life == 1 else second
                 if s.to not in to:
                     late.append(s)
-                elif isinstance(s.word, Copy):
+                elif isinstance(s.word, Accept):
                     writer.copied(0.0, s.to, shelves[s.to].copy(0.0, s.word))
                 else:
                     assert not writer.page(0.0, s.to, shelves[s.to].fetch(0.0, s.word))
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -15,25 +15,27 @@
 from corallanding.lease import voting as vote_module
 from corallanding.quota import (
     Budget,
-    Divider,
-    Give,
-    Holder,
-    Quota,
-    Terms,
+    CapacityGrant,
+    CapacityRequest,
+    QuotaAllocator,
+    QuotaClient,
+    QuotaLimits,
+    QuotaManager,
     VoteReply,
     VoteRequest,
-    Want,
     decode,
     encode,
     share,
 )
 from corallanding.quota import quota_allocator as divider_module
 
-TIGHT = Terms(lease=500.0, office=400.0)
+TIGHT = QuotaLimits(lease=500.0, office=400.0)
 WHOLES = {"moves": 7, "cold": 2}
 
 
-def world(seed: int, stewards: int = 4, static: bool = False, terms: Terms = TIGHT, until: float = 20_000.0) -> World:
+def world(
+    seed: int, stewards: int = 4, static: bool = False, terms: QuotaLimits = TIGHT, until: float = 20_000.0
+) -> World:
     """Few rights and many who want them, with short leases, so that much happens in little time."""
     budgets = {
         "moves": Budget("moves", 7, 1, stewards, 300.0),
@@ -93,8 +95,8 @@
 
 def test_a_wide_word_fits_a_datagram() -> None:
     big = 2**32 - 1
-    want = Want(2**62, big, 2**62, big, [(big, 2**20, 2**15, 2**15, 2**15, big)] * Terms().rows_most)
-    give = Give(2**62, big, [(big, 2**20, 2**15)] * Terms().rows_most)
+    want = CapacityRequest(2**62, big, 2**62, big, [(big, 2**20, 2**15, 2**15, 2**15, big)] * QuotaLimits().rows_most)
+    give = CapacityGrant(2**62, big, [(big, 2**20, 2**15)] * QuotaLimits().rows_most)
     assert len(encode(want)) <= 255
     assert len(encode(give)) <= 255
 
@@ -105,11 +107,11 @@
 
 
 def test_one_that_says_too_much_gets_its_rate_through_and_no_more() -> None:
-    q = Quota(0, (1,), (0, 1), {}, TIGHT, 1, 0.0, random.Random(1).random, words_per_s=100.0)
+    q = QuotaManager(0, (1,), (0, 1), {}, TIGHT, 1, 0.0, random.Random(1).random, words_per_s=100.0)
     for k in range(4_000):  # twice the rate for twenty seconds, and the first second's worth at once
-        q.heard(5.0 * k, 1, Give(1, k))
+        q.heard(5.0 * k, 1, CapacityGrant(1, k))
     assert abs(q.refused - (4_000 - 20 * 100 - 100)) <= 2
-    q.heard(20_000.0, 7, Give(1, 1))
+    q.heard(20_000.0, 7, CapacityGrant(1, 1))
     assert abs(q.refused - 1_901) <= 2, "a number that nobody has"
 
 
@@ -153,17 +155,17 @@
     """Holders and a divider by hand: who says what when, and which answer arrives."""
 
     def __init__(self) -> None:
-        self.divider = Divider(TIGHT, {BUDGET.id: BUDGET})
+        self.divider = QuotaAllocator(TIGHT, {BUDGET.id: BUDGET})
         self.divider.begin(-1e6)
-        self.holders = [Holder(n + 1, TIGHT, -1e6) for n in range(2)]
+        self.holders = [QuotaClient(n + 1, TIGHT, -1e6) for n in range(2)]
         self.uses: list[Any] = []
 
     def elect(self, now: float) -> None:
         """Another divider, whose first word all have heard."""
-        self.divider = Divider(TIGHT, {BUDGET.id: BUDGET}, self.divider.life + 1)
+        self.divider = QuotaAllocator(TIGHT, {BUDGET.id: BUDGET}, self.divider.life + 1)
         self.divider.begin(now, 1)
 
-    def ask(self, now: float, n: int, wish: int = 7) -> Want:
+    def ask(self, now: float, n: int, wish: int = 7) -> CapacityRequest:
         h = self.holders[n]
         if wish:
             h.miss(now, BUDGET, 0, wish)
@@ -171,7 +173,7 @@
             a.asked_at = float("-inf")
         return h.ask(now, self.divider.life, self.divider.first)[0]
 
-    def answer(self, now: float, n: int, want: Want) -> Give:
+    def answer(self, now: float, n: int, want: CapacityRequest) -> CapacityGrant:
         return self.divider.asked(now, n, want)
 
     def use(self, now: float, n: int) -> None:
@@ -329,41 +331,41 @@
 
 
 def counted_from_the_answer(m: pytest.MonkeyPatch) -> None:
-    real = Holder.given
+    real = QuotaClient.given
 
-    def given(self: Holder, now: float, word: Give) -> bool:
+    def given(self: QuotaClient, now: float, word: CapacityGrant) -> bool:
         if word.round in self.wants:
             self.wants[word.round] = (now, self.wants[word.round][1])
         return real(self, now, word)
 
-    m.setattr(Holder, "given", given)
+    m.setattr(QuotaClient, "given", given)
 
 
 def margin_on_the_wrong_side(m: pytest.MonkeyPatch) -> None:
-    m.setattr(Terms, "mine", lambda self, span: span * 1.3)
+    m.setattr(QuotaLimits, "mine", lambda self, span: span * 1.3)
 
 
 def lends_without_learning(m: pytest.MonkeyPatch) -> None:
-    def begin(self: Divider, now: float, first: int = 0) -> None:
+    def begin(self: QuotaAllocator, now: float, first: int = 0) -> None:
         self.since, self.first, self.books, self.known = now - 1e6, first, {}, {}
 
-    m.setattr(Divider, "begin", begin)
+    m.setattr(QuotaAllocator, "begin", begin)
 
 
 def a_former_life_forgotten(m: pytest.MonkeyPatch) -> None:
-    real = Divider.row
+    real = QuotaAllocator.row
 
-    def row(self: Divider, now: float, sender: int, word: Want, row: Any) -> Any:
+    def row(self: QuotaAllocator, now: float, sender: int, word: CapacityRequest, row: Any) -> Any:
         book = self.books.get((row[0], row[1]), {})
         for who in [w for w in book if w[0] == sender and w[1] != word.life]:
             del book[who]
         return real(self, now, sender, word, row)
 
-    m.setattr(Divider, "row", row)
+    m.setattr(QuotaAllocator, "row", row)
 
 
 def floor_at_once(m: pytest.MonkeyPatch) -> None:
-    m.setattr(Holder, "floor", lambda self, now, budget: budget.floor)
+    m.setattr(QuotaClient, "floor", lambda self, now, budget: budget.floor)
 
 
 def votes_at_once(m: pytest.MonkeyPatch) -> None:
@@ -377,62 +379,62 @@
 
 
 def answers_in_any_order(m: pytest.MonkeyPatch) -> None:
-    real = Holder.given
+    real = QuotaClient.given
 
-    def given(self: Holder, now: float, word: Give) -> bool:
+    def given(self: QuotaClient, now: float, word: CapacityGrant) -> bool:
         for a in self.accounts.values():
             a.round = -1
         return real(self, now, word)
 
-    m.setattr(Holder, "given", given)
+    m.setattr(QuotaClient, "given", given)
 
 
 def uses_outlast_the_grant(m: pytest.MonkeyPatch) -> None:
-    def free(self: Holder, now: float, budget: Budget, subject: int = 0) -> int:
+    def free(self: QuotaClient, now: float, budget: Budget, subject: int = 0) -> int:
         a = self.account(now, budget, subject)
         assert a
         return max(0, self.floor(now, budget) + (a.amount if now < a.until else 0) - a.count(now, a.uses))
 
-    m.setattr(Holder, "free", free)
+    m.setattr(QuotaClient, "free", free)
 
 
 def what_is_in_use_not_said(m: pytest.MonkeyPatch) -> None:
-    real = Holder.row
+    real = QuotaClient.row
 
-    def row(self: Holder, now: float, key: Any) -> Any:
+    def row(self: QuotaClient, now: float, key: Any) -> Any:
         budget, subject, wanted, have, _, taken = real(self, now, key)
         return budget, subject, wanted, have, have, taken
 
-    m.setattr(Holder, "row", row)
+    m.setattr(QuotaClient, "row", row)
 
 
 def answers_on_their_way_forgotten(m: pytest.MonkeyPatch) -> None:
-    real = Divider.settle
+    real = QuotaAllocator.settle
 
-    def settle(self: Divider, now: float, life: Any, taken: int, held: int, learning: float | None) -> None:
+    def settle(self: QuotaAllocator, now: float, life: Any, taken: int, held: int, learning: float | None) -> None:
         real(self, now, life, taken, held, learning)
         life.entries = [e for e in life.entries if e[0] <= taken]
 
-    m.setattr(Divider, "settle", settle)
+    m.setattr(QuotaAllocator, "settle", settle)
 
 
 def a_word_to_a_former_office_counts(m: pytest.MonkeyPatch) -> None:
-    real = Divider.asked
+    real = QuotaAllocator.asked
 
-    def asked(self: Divider, now: float, sender: int, word: Want) -> Give:
-        return real(self, now, sender, Want(word.life, word.round, self.life, self.first, word.rows))
+    def asked(self: QuotaAllocator, now: float, sender: int, word: CapacityRequest) -> CapacityGrant:
+        return real(self, now, sender, CapacityRequest(word.life, word.round, self.life, self.first, word.rows))
 
-    m.setattr(Divider, "asked", asked)
+    m.setattr(QuotaAllocator, "asked", asked)
 
 
 def what_a_predecessor_lent_counts_twice(m: pytest.MonkeyPatch) -> None:
-    real = Divider.row
+    real = QuotaAllocator.row
 
-    def row(self: Divider, now: float, sender: int, word: Want, row: Any) -> Any:
+    def row(self: QuotaAllocator, now: float, sender: int, word: CapacityRequest, row: Any) -> Any:
         self.books.get((row[0], row[1]), {}).pop((sender, word.life), None)  # as if it were heard of anew each time
         return real(self, now, sender, word, row)
 
-    m.setattr(Divider, "row", row)
+    m.setattr(QuotaAllocator, "row", row)
 
 
 def half_is_enough(m: pytest.MonkeyPatch) -> None:
@@ -441,7 +443,7 @@
 
 def office_kept_over_a_sleep(m: pytest.MonkeyPatch) -> None:
     m.setattr(
-        Quota,
+        QuotaManager,
         "office",
         lambda self, now: (
             self.divider.since is not None or (self.candidate.holds(now) and (self.divider.begin(now) or True))
@@ -450,7 +452,7 @@
 
 
 def lent_again_by_the_new_figure(m: pytest.MonkeyPatch) -> None:
-    m.setattr(divider_module.Life, "out", lambda self, now: self.entries[-1][1] if self.entries else 0)
+    m.setattr(divider_module.ClientState, "out", lambda self, now: self.entries[-1][1] if self.entries else 0)
 
 
 def votes_counted_after_a_quit(m: pytest.MonkeyPatch) -> None:
--- a/tests/test_quota_small.py
+++ b/tests/test_quota_small.py
@@ -8,10 +8,10 @@
 import pytest
 import test_quota
 
-from corallanding.quota import Budget, Divider, Holder, Terms
+from corallanding.quota import Budget, QuotaAllocator, QuotaClient, QuotaLimits
 
 # A grant of two steps and a use of one and a half: a few steps see grants end, and uses that would outlast them.
-TERMS = Terms(lease=50.0, office=100.0, drift=0.0)
+TERMS = QuotaLimits(lease=50.0, office=100.0, drift=0.0)
 BUDGET = Budget("moves", 2, 0, 2, 150.0)
 STEP = 100.0
 DEEP = 8
@@ -20,9 +20,9 @@
 class Small:
     def __init__(self) -> None:
         self.now = 0.0
-        self.divider = Divider(TERMS, {BUDGET.id: BUDGET})
+        self.divider = QuotaAllocator(TERMS, {BUDGET.id: BUDGET})
         self.divider.begin(-1e6)
-        self.holders = [Holder(1, TERMS, -1e6), Holder(2, TERMS, -1e6)]
+        self.holders = [QuotaClient(1, TERMS, -1e6), QuotaClient(2, TERMS, -1e6)]
         self.wants: list[tuple[int, Any]] = []
         self.gives: list[tuple[int, Any]] = []
         self.ends: list[float] = []
--- a/tests/test_record_file.py
+++ b/tests/test_record_file.py
@@ -10,18 +10,18 @@
 
 from corallanding.controller import record_store
 from corallanding.controller.record_store import RecordStore
-from corallanding.quorum_records.limits import RecordTerms
-from corallanding.quorum_records.replica import Shelf, Unkept
+from corallanding.quorum_records.limits import RecordLimits
+from corallanding.quorum_records.replica import Replica, UnsavedChanges
 
 
-def opened(path: Path, now: float = 5_000.0) -> tuple[RecordStore, Shelf]:
-    file, shelf = RecordStore(str(path), lambda: now), Shelf(RecordTerms())
+def opened(path: Path, now: float = 5_000.0) -> tuple[RecordStore, Replica]:
+    file, shelf = RecordStore(str(path), lambda: now), Replica(RecordLimits())
     shelf.blank = file.is_blank
     file.load(shelf)
     return file, shelf
 
 
-def kept(shelf: Shelf, file: RecordStore) -> None:
+def kept(shelf: Replica, file: RecordStore) -> None:
     file.write(shelf.take_unkept())
 
 
@@ -39,7 +39,7 @@
     record = shelf.groups[7][99]
     assert (record.value, record.order, shelf.seen[7], file.is_blank, file.opening_number) == (3, (12, 4), 13, False, 2)
     assert 1_000.0 <= 1_000.0 - record.born < 6_000.0, "a second old when it was written, and goes on"
-    assert file.load(Shelf(RecordTerms())) == {2: (5, 77, 40)}
+    assert file.load(Replica(RecordLimits())) == {2: (5, 77, 40)}
     assert shelf.writes == 1
     file.close()
 
@@ -115,6 +115,6 @@
     file, shelf = opened(tmp_path / "r.db")
     assert file.is_blank
     assert not shelf.groups
-    file.write(Unkept(whole=True, writes=9))
+    file.write(UnsavedChanges(whole=True, writes=9))
     file.close()
     assert not opened(tmp_path / "r.db")[0].is_blank
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -51,9 +51,9 @@
 from corallanding.load_reports.intake import row_of
 from corallanding.load_reports.load_shedding import Counts as TriageCounts
 from corallanding.load_reports.state import digest as intake_digest
-from corallanding.quorum_records.limits import RecordTerms
-from corallanding.quorum_records.messages import Fetch
-from corallanding.quorum_records.replica import Shelf, Unkept
+from corallanding.quorum_records.limits import RecordLimits
+from corallanding.quorum_records.messages import Prepare
+from corallanding.quorum_records.replica import Replica, UnsavedChanges
 from corallanding.registry import slice_ownership
 from corallanding.registry.table_store import REQUESTS
 from corallanding.snapshot import file, marks, module, stored_values
@@ -281,11 +281,11 @@
 
 def test_a_file_of_records_is_read(tmp_path: Path, fixed_clocks: None) -> None:
     shutil.copy(FIXTURES / "records.sqlite", tmp_path)
-    found, shelf = RecordStore(str(tmp_path / "records.sqlite"), lambda: 9000.0), Shelf(RecordTerms())
+    found, shelf = RecordStore(str(tmp_path / "records.sqlite"), lambda: 9000.0), Replica(RecordLimits())
     assert (found.is_same_boot, found.is_blank, found.opening_number, found.writes) == (True, False, 2, 1)
     assert found.load(shelf) == {2: (5, 77, 40), 3: (6, 78, 41)}
     assert found.writes == shelf.writes == 1
-    pages = [msgspec.to_builtins(shelf.fetch(9000.0, Fetch(1, 1, group, 0))) for group in (7, 8)]
+    pages = [msgspec.to_builtins(shelf.fetch(9000.0, Prepare(1, 1, group, 0))) for group in (7, 8)]
     assert pages[0] == [33, 1, 1, 7, 0, 13, [(99, 3, 5000, 12, 4), (100, 5, 4500, 12, 5)], False]
     assert pages[1] == [33, 1, 1, 8, 0, 2, [(1, 6, 1000, 2, 1)], False]
     found.close()
@@ -294,10 +294,10 @@
 
 def test_a_file_of_records_is_written_as_before(tmp_path: Path, fixed_clocks: None) -> None:
     found = RecordStore(str(tmp_path / "records.sqlite"), lambda: 9000.0)
-    found.load(Shelf(RecordTerms()))
+    found.load(Replica(RecordLimits()))
     rows = [(7, 99, 3, 12, 4, 4000.0), (7, 100, 5, 12, 5, 4500.0), (8, 1, 6, 2, 1, 8000.0)]
     peers = {2: (5, 77, 40), 3: (6, 78, 41)}
-    found.write(Unkept(rows, {7: 13, 8: 2}, [], peers, 0, 1, False, True))
+    found.write(UnsavedChanges(rows, {7: 13, 8: 2}, [], peers, 0, 1, False, True))
     found.close()
     assert sql(tmp_path / "records.sqlite") == (FIXTURES / "records.sql").read_text()
 
--- a/tests/test_waiting_core.py
+++ b/tests/test_waiting_core.py
@@ -8,9 +8,9 @@
 import msgspec
 
 from corallanding.lab.order import judge
-from corallanding.quorum_records.core import Records
-from corallanding.quorum_records.limits import RecordTerms
-from corallanding.quorum_records.queries import Asking, AskTerms
+from corallanding.quorum_records.core import QuorumRecords
+from corallanding.quorum_records.limits import RecordLimits
+from corallanding.quorum_records.queries import Queries, QueryLimits
 from corallanding.scheduling.core import Ask, Go, Waiting
 from corallanding.scheduling.idempotency import CLAIM, FOUND, GRANTED, SEEK, TWIN, Claims
 from corallanding.scheduling.limits import OVERDUE, Kind, WaitTerms
@@ -22,8 +22,8 @@
 
 
 def alone() -> Claims:
-    records = Records(1, (), (1,), 9, RecordTerms(), 0.0, [5], 1, True)
-    claims = Claims(Asking(1, (), 9, records, AskTerms()), (5,))
+    records = QuorumRecords(1, (), (1,), 9, RecordLimits(), 0.0, [5], 1, True)
+    claims = Claims(Queries(1, (), 9, records, QueryLimits()), (5,))
     records.tick(0.0)
     records.hold(5, 1)
     for now in range(4):
