--- a/bench/turn.py
+++ b/bench/turn.py
@@ -102,7 +102,7 @@
     rows: list[dict[str, Any]] = []
     for f in fleets:
         begun = time.perf_counter()
-        while f.module.ranks.warm(range(slices), 100_000):
+        while f.module.rendezvous.precompute(range(slices), 100_000):
             pass
         warming = (time.perf_counter() - begun) * 1000.0
         rows.append(
--- a/corallanding/controller/daemon.py
+++ b/corallanding/controller/daemon.py
@@ -182,7 +182,7 @@
             keeper,
         )
         if self.cluster.quota and isinstance(self.engine.module, Assigner):
-            self.engine.module.orders.may = self.cluster.quota.may_begin
+            self.engine.module.publication.acquire_quota = self.cluster.quota.may_begin
         self.cluster.start()
 
     async def retire(self) -> None:
--- a/corallanding/controller/engine.py
+++ b/corallanding/controller/engine.py
@@ -111,7 +111,7 @@
     ) -> None:
         super().__init__(decider(settings, seed))
         self.set = settings
-        self.can_wait: int | None = getattr(self.module, "can_wait", None)
+        self.can_wait: int | None = getattr(self.module, "deferrable_timer", None)
         self.overload = OverloadDetector(overload or OverloadLimits())
         self.addresses = addresses
         self.life, self.seq = life, 0
--- a/corallanding/controller/event_inbox.py
+++ b/corallanding/controller/event_inbox.py
@@ -68,5 +68,5 @@
 
     def ahead(self, marks: int) -> bool:
         """Marks what the module will ask for, between steps; false once nothing is left. Changes no decision."""
-        ranks = getattr(self.module, "ranks", None)
-        return ranks is not None and ranks.warm(self.module.slices, marks)  # type: ignore[attr-defined]
+        rendezvous = getattr(self.module, "rendezvous", None)
+        return rendezvous is not None and rendezvous.precompute(self.module.slices, marks)  # type: ignore[attr-defined]
--- a/corallanding/controller/handover.py
+++ b/corallanding/controller/handover.py
@@ -42,7 +42,7 @@
         self.engine.addresses = v.addresses
         restore_handover(self.engine, h, self.channel, self.joins, now, self.loaded)
         if self.loaded:
-            marks.put(self.loaded.ranks, ranked)
+            marks.put(self.loaded.rendezvous, ranked)
         self.loaded = None
         self.listed, self.factors = True, dict(h.factors)
         self.metrics.lowered_weights.set(len(self.factors))
@@ -75,9 +75,9 @@
         module = self.engine.module
         if not isinstance(module, Assigner):
             return []
-        found, slices = list[marks.Row](), list(module.ranks.rows)
+        found, slices = list[marks.Row](), list(module.rendezvous.rankings)
         for k in range(0, len(slices), RANKED):
-            found += marks.out(module.ranks, slices[k : k + RANKED])
+            found += marks.out(module.rendezvous, slices[k : k + RANKED])
             await asyncio.sleep(0.001)
         return found
 
--- a/corallanding/controller/recovery.py
+++ b/corallanding/controller/recovery.py
@@ -127,17 +127,17 @@
                 levels[a.slice, a.request_classes] = (a.amount, int(a.retry))
             elif isinstance(a, api.Cordon):
                 (cordons.add if a.is_cordoned else cordons.discard)(a.host)
-    if module.orders.now > now:
+    if module.publication.now_ms > now:
         raise StateMismatchError("its clock is ahead of this one")
-    engine.module, engine.steps, engine.now = module, 1, module.orders.now
-    engine.can_wait = getattr(module, "can_wait", None)
+    engine.module, engine.steps, engine.now = module, 1, module.publication.now_ms
+    engine.can_wait = getattr(module, "deferrable_timer", None)
     engine.state.levels, engine.state.cordons = levels, cordons
     engine.timers = [(when, n, handle) for n, (when, handle) in enumerate(sorted(timers), 1)]  # sorted: a heap
     engine.counter += len(timers)
     for h in module.hosts.values():
-        if h.probing:  # that probe died with the last life, and says nothing
+        if h.is_being_checked:  # that probe died with the last life, and says nothing
             engine.event(now, api.HealthCheckResult(h.id, api.HealthCheckOutcome.FULL))
-    for proxy in module.pending.proxies if gone else ():
+    for proxy in module.pending_versions.unacked_by_proxy if gone else ():
         engine.event(now, api.ProxyLeft(proxy))
     # The store has the last word on tables: what differs, and what is new or gone, is told as ever.
     anew = []
@@ -146,7 +146,7 @@
     for id in sorted(engine.charge):
         kept = engine.state.tables.get(id, {})
         here = module.slices.get(id)
-        if here is None or {h.id for h in here.lines} != set(kept):
+        if here is None or {h.id for h in here.weights} != set(kept):
             engine.given(now, id)
             anew.append(id)
     return count, anew
--- a/corallanding/platform/trace.py
+++ b/corallanding/platform/trace.py
@@ -53,13 +53,15 @@
 
 def module(a: Assigner) -> Iterator[str]:
     """The four most strained hosts, each as name:strain/load/fair part, and what slices the first of them owns."""
-    crowd = sorted((h for h in a.hosts.values() if h.listed), key=lambda h: -h.stress)
-    pooled = sum(h.pooled for h in a.hosts.values())
-    said = " ".join(f"{name(h.id)}:{h.stress:.2f}/{h.load:.1f}/{h.fair:.1f}" for h in crowd[:4])
-    yield f"pooled={pooled} median={a.figures.median:.2f} level={a.level:.2f} worst {said}"
+    crowd = sorted((h for h in a.hosts.values() if h.is_listed), key=lambda h: -h.latency_ratio)
+    pooled = sum(h.is_eligible for h in a.hosts.values())
+    said = " ".join(f"{name(h.id)}:{h.latency_ratio:.2f}/{h.load:.1f}/{h.fair_load:.1f}" for h in crowd[:4])
+    yield f"pooled={pooled} median={a.fleet.median_latency_ratio:.2f} level={a.admission_level:.2f} worst {said}"
     if crowd:
-        rows = sorted((s for s in a.slices.values() if s.owner is crowd[0]), key=lambda s: -s.part)
-        yield f"{name(crowd[0].id)} owns " + " ".join(f"{s.id}:{s.part:.1f}x{1 + len(s.helpers)}" for s in rows[:12])
+        rows = sorted((s for s in a.slices.values() if s.owner is crowd[0]), key=lambda s: -s.load_per_host)
+        yield f"{name(crowd[0].id)} owns " + " ".join(
+            f"{s.id}:{s.load_per_host:.1f}x{1 + len(s.replicas)}" for s in rows[:12]
+        )
 
 
 def figures(s: Shown) -> Iterator[str]:
--- a/corallanding/snapshot/marks.py
+++ b/corallanding/snapshot/marks.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ..assignment.rendezvous import Ranks
+from ..assignment.rendezvous import RendezvousTable
 
 
 class Row(msgspec.Struct, array_like=True):
@@ -22,29 +22,29 @@
     places: bytes  # unsigned, four bytes each
 
 
-def out(ranks: Ranks[Any], slices: Iterable[int]) -> list[Row]:
+def out(ranks: RendezvousTable[Any], slices: Iterable[int]) -> list[Row]:
     """Those of `slices` that have a list. Positions are looked up anew for each call: a call is a piece of work."""
-    place = {id(server): n for n, server in enumerate(ranks.servers)}
+    place = {id(server): n for n, server in enumerate(ranks.hosts)}
     found = []
     for s in slices:
-        if row := ranks.rows.get(s):
+        if row := ranks.rankings.get(s):
             places = array("I", [place[id(x)] for x in row[1]])
-            found.append(Row(s, ranks.done[s], array("d", row[0]).tobytes(), places.tobytes()))
+            found.append(Row(s, ranks.hosts_seen[s], array("d", row[0]).tobytes(), places.tobytes()))
     return found
 
 
-def put(ranks: Ranks[Any], rows: Iterable[Row]) -> int:
+def put(ranks: RendezvousTable[Any], rows: Iterable[Row]) -> int:
     """Into ranks that know their hosts; how many lists were taken. One that does not fit is left to be worked out."""
-    taken, servers = 0, ranks.servers
+    taken, servers = 0, ranks.hosts
     for r in rows:
-        if r.done > len(servers) or len(r.marks) != 2 * len(r.places) or r.slice in ranks.rows:
+        if r.done > len(servers) or len(r.marks) != 2 * len(r.places) or r.slice in ranks.rankings:
             continue
         marks, places = array("d"), array("I")
         marks.frombytes(r.marks)
         places.frombytes(r.places)
-        if len(places) > ranks.kept or max(places, default=0) >= r.done:
+        if len(places) > ranks.max_ranked or max(places, default=0) >= r.done:
             continue
-        ranks.rows[r.slice] = (marks.tolist(), [servers[n] for n in places])
-        ranks.done[r.slice] = r.done
+        ranks.rankings[r.slice] = (marks.tolist(), [servers[n] for n in places])
+        ranks.hosts_seen[r.slice] = r.done
         taken += 1
     return taken
--- a/corallanding/snapshot/module.py
+++ b/corallanding/snapshot/module.py
@@ -20,69 +20,69 @@
 # on the right side alone.
 HOST: dict[str, str] = {
     "id": "id",
-    "listed": "listed",
-    "since": "since",
-    "told": "told",
-    "failed_at": "failed_at",
-    "good": "good",
-    "bad": "bad",
-    "run": "run",
-    "good_at": "good_at",
-    "shown": "shown",
-    "latency": "latency",
-    "floor": "floor",
+    "listed": "is_listed",
+    "since": "process_started_at_ms",
+    "told": "start_learned_at_ms",
+    "failed_at": "failed_at_ms",
+    "good": "successes",
+    "bad": "failures",
+    "run": "consecutive_failures",
+    "good_at": "succeeded_at_ms",
+    "shown": "alive_at_ms",
+    "latency": "latency_ms",
+    "floor": "base_latency_ms",
     "load": "load",
-    "probing": "probing",
-    "echo": "echo",
-    "cordoned": "cordoned",
-    "taken": "taken",
-    "taken_at": "taken_at",
-    "shed_at": "shed_at",
-    "goal": "goal",
-    "pooled": "pooled",
-    "sound": "sound",
-    "chilly": "chilly",
-    "space": "space",
-    "fair": "fair",
-    "stress": "stress",
+    "probing": "is_being_checked",
+    "echo": "health_check_latency_ms",
+    "cordoned": "is_cordoned",
+    "taken": "slices_taken",
+    "taken_at": "taking_since_ms",
+    "shed_at": "shed_at_ms",
+    "goal": "shed_target_load",
+    "pooled": "is_eligible",
+    "sound": "is_healthy",
+    "chilly": "is_warming_up",
+    "space": "capacity",
+    "fair": "fair_load",
+    "stress": "latency_ratio",
 }
 SLICE: dict[str, str] = {
     "id": "id",
-    "rate": "rate",
-    "want_at": "want_at",
-    "hold_mark": "hold_mark",
-    "hold_end": "hold_end",
-    "looked": "looked",
-    "rates": "rates",
+    "rate": "requests_per_second",
+    "want_at": "candidate_since_ms",
+    "hold_mark": "hold_version",
+    "hold_end": "hold_ends_at_ms",
+    "looked": "hosts_considered",
+    "rates": "rate_by_class",
 }
 # Figures of the module and of its parts; a dot leads to a part. What else they hold follows from the settings and the
 # seed, or is worked out at the head of a turn.
 VALUES: dict[str, str] = {
-    "level": "level",
-    "level_at": "level_at",
-    "levels_due": "levels_due",
-    "born": "born",
-    "now": "orders.now",
-    "urgent": "orders.urgent",
-    "room": "orders.room",
-    "orders": "orders.orders",
-    "mark": "pending.mark",
-    "fresh": "known.fresh",
-    "draws": "known.draws",
-    "done": "known.done",
-    "asked": "survey.asked",
-    "faded_at": "survey.faded_at",
-    "shared_at": "survey.shared_at",
-    "peak": "survey.peak",
-    "window": "figures.window",
-    "wait": "figures.wait",
-    "median": "figures.median",
-    "usual": "figures.usual",
-    "strained": "figures.strained",
-    "fit": "figures.fit",
-    "mean": "figures.mean",
-    "whole": "figures.whole",
-    "heaviest": "figures.heaviest",
+    "level": "admission_level",
+    "level_at": "admission_changed_at_ms",
+    "levels_due": "is_admission_due",
+    "born": "started_at_ms",
+    "now": "publication.now_ms",
+    "urgent": "publication.is_decision_due",
+    "room": "publication.line_budget",
+    "orders": "publication.lines_published",
+    "mark": "pending_versions.last_version",
+    "fresh": "host_health.has_fresh_list",
+    "draws": "host_health.random_draws",
+    "done": "host_health.recent_successes",
+    "asked": "load_estimator.recent_requests",
+    "faded_at": "load_estimator.decayed_at_ms",
+    "shared_at": "load_estimator.ownership_changed_at_ms",
+    "peak": "load_estimator.peak_load_per_capacity",
+    "window": "fleet.report_window_ms",
+    "wait": "fleet.feedback_delay_ms",
+    "median": "fleet.median_latency_ratio",
+    "usual": "fleet.typical_latency_ms",
+    "strained": "fleet.overload_ratio",
+    "fit": "fleet.answerable_share",
+    "mean": "fleet.load_per_capacity",
+    "whole": "fleet.site_load_per_capacity",
+    "heaviest": "fleet.max_score_factor",
 }
 
 HOST_FIELDS, SLICE_FIELDS = list(HOST), list(SLICE)
@@ -145,24 +145,24 @@
     return ModuleState(
         a.seed,
         dict(zip(VALUES, _values(a), strict=True)),
-        [(p, list(out)) for p, out in a.pending.proxies.items()],
-        list(a.pending.sent),
-        list(a.figures.typical.items()),
+        [(p, list(out)) for p, out in a.pending_versions.unacked_by_proxy.items()],
+        list(a.pending_versions.sent_at_ms),
+        list(a.fleet.typical_latency_ms_by_kind.items()),
         HOST_FIELDS,
         SLICE_FIELDS,
         [HostState(HostEntryState.of(h.entry), list(_host_values(h))) for h in a.hosts.values()],
         [
             SliceState(
-                [(h.id, w) for h, w in s.lines.items()],
+                [(h.id, w) for h, w in s.weights.items()],
                 s.owner.id if s.owner else None,
-                [h.id for h in s.helpers],
-                s.want.id if s.want else None,
-                s.held.id if s.held else None,
+                [h.id for h in s.replicas],
+                s.candidate.id if s.candidate else None,
+                s.previous_owner.id if s.previous_owner else None,
                 slice_fields(s),
             )
             for s in a.slices.values()
         ],
-        [h.id for h in a.ranks.servers],
+        [h.id for h in a.rendezvous.hosts],
     )
 
 
@@ -194,13 +194,15 @@
         s = Slice(-1)
         for name, value in zip(SLICE, one.fields, strict=True):
             setattr(s, SLICE[name], dict(value) if name == "rates" else value)
-        s.lines = {at(id): w for id, w in one.lines}
-        s.owner, s.want, s.held = (None if id is None else at(id) for id in (one.owner, one.want, one.held))
-        s.helpers = [at(id) for id in one.helpers]
+        s.weights = {at(id): w for id, w in one.lines}
+        s.owner, s.candidate, s.previous_owner = (
+            None if id is None else at(id) for id in (one.owner, one.want, one.held)
+        )
+        s.replicas = [at(id) for id in one.helpers]
         a.slices[s.id] = s
-    a.pending.proxies = {p: deque((m, c) for m, c in out) for p, out in state.proxies}
-    a.pending.sent, a.figures.typical = deque(state.sent), dict(state.typical)
-    a.ranks.add(at(id) for id in state.ranked)
+    a.pending_versions.unacked_by_proxy = {p: deque((m, c) for m, c in out) for p, out in state.proxies}
+    a.pending_versions.sent_at_ms, a.fleet.typical_latency_ms_by_kind = deque(state.sent), dict(state.typical)
+    a.rendezvous.add(at(id) for id in state.ranked)
     for name, value in state.values.items():
         if name not in VALUES:
             raise ValueError(f"no part of this module has a figure {name}")
--- a/corallanding/version_pinning/version_selection.py
+++ b/corallanding/version_pinning/version_selection.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Collection, Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from ..assignment.rendezvous import mark
+from ..assignment.rendezvous import rendezvous_score
 
 
 def draw(key: int, sets: Sequence[int], strength: Sequence[float]) -> int:
@@ -68,11 +68,11 @@
     fit = [s for s in servers.values() if s.sound and s.serves(operation, version)]
     warm = [s for s in fit if s.able >= whole]
     if warm:
-        best = max(warm, key=lambda s: (s.used, mark(slice, s.host) * s.weight, s.host))
+        best = max(warm, key=lambda s: (s.used, rendezvous_score(slice, s.host) * s.weight, s.host))
         return {**able, best.host: max([1.0, *able.values()])}
     if able:
         return able
-    for s in sorted(fit, key=lambda s: (-mark(slice, s.host) * s.weight, s.host)):
+    for s in sorted(fit, key=lambda s: (-rendezvous_score(slice, s.host) * s.weight, s.host)):
         if may(s.host):
             return {s.host: 1.0}
     return {}
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -73,7 +73,10 @@
             events: list[api.Event] = [api.TimerFired(h) for t, h in self.due if t <= at]
             self.due = [(t, h) for t, h in self.due if t > at]
             if ack:
-                events += [api.VersionAcked(p, self.assigner.pending.mark) for p in self.assigner.pending.proxies]
+                events += [
+                    api.VersionAcked(p, self.assigner.pending_versions.last_version)
+                    for p in self.assigner.pending_versions.unacked_by_proxy
+                ]
             ended = [(h, self.ends.get(h, api.HealthCheckOutcome.OK), self.took.get(h, 0.0)) for h in self.probed]
             events += [api.HealthCheckResult(*row) for row in ended]
             self.probed = []
--- a/tests/stored_samples.py
+++ b/tests/stored_samples.py
@@ -271,9 +271,9 @@
         module = self.engine.module
         assert isinstance(module, Assigner)
         one, host = module.slices[0], module.hosts[2]
-        assert host not in one.lines
-        one.helpers.append(host)
-        one.lines[host] = self.engine.state.tables[0][2] = 1.0
+        assert host not in one.weights
+        one.replicas.append(host)
+        one.weights[host] = self.engine.state.tables[0][2] = 1.0
 
     def state(self) -> ControllerState:
         found = capture_state(self.engine, 1, "boot", 5.0, {(3, 1.0): 7.0, (4, 2.0): 8.0}, 2)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -169,7 +169,7 @@
     rig.say("half of what went unanswered is clients' repeats: slice 2 weighs as before, no move for its load")
     jam: list[api.Event] = [api.SliceUsageReport(2, 0, 20, 20, 1000.0)]
     rig.run(4, lambda: sums(dict.fromkeys((11, 12, 13, 14), 20)) + jam)
-    rig.say(f"slice 2 counts as {rig.assigner.slices[2].rate:.1f} a second")
+    rig.say(f"slice 2 counts as {rig.assigner.slices[2].requests_per_second:.1f} a second")
     rig.check("repeats")
 
 
@@ -186,7 +186,7 @@
 def test_one_quick_answer_tells_no_speed() -> None:
     rig = calm()
     rig.step(api.HostUsageReport(0, 14, 1, 0, 20.0, 1000.0))
-    speeds = [round(rig.assigner.hosts[h].floor) for h in (13, 14)]
+    speeds = [round(rig.assigner.hosts[h].base_latency_ms) for h in (13, 14)]
     rig.say(f"after one quick answer of 14, servers 13 and 14 count as answering in {speeds} ms")
     rig.check("one_answer")
 
@@ -194,8 +194,8 @@
 def test_speed_counts_half_way_to_its_kind() -> None:
     rig = calm()
     slow, usual = rig.assigner.hosts[14], rig.assigner.hosts[13]
-    slow.floor = 4 * usual.floor
-    ratio = rig.assigner.survey.capacity(slow) / rig.assigner.survey.capacity(usual)
+    slow.base_latency_ms = 4 * usual.base_latency_ms
+    ratio = rig.assigner.load_estimator.capacity(slow) / rig.assigner.load_estimator.capacity(usual)
     rig.say(f"14 was seen four times as slow as its kind: its part is {ratio:.2f} of the others'")
     rig.check("half_way")
 
@@ -271,11 +271,11 @@
     rig.run(3, lambda: sums({12: 20, 13: 20, 14: 20}) + hardly(11))
     rig.say("they take sixteen times as long: it was emptied, and stays out while they do")
     rig.run(9, lambda: sums({12: 20, 13: 20, 14: 20}))
-    assert not rig.assigner.hosts[11].pooled
+    assert not rig.assigner.hosts[11].is_eligible
     rig.took = {11: 8.0}
     rig.run(8, lambda: sums({12: 20, 13: 20, 14: 20}))
     rig.say("well again")
-    assert rig.assigner.hosts[11].pooled
+    assert rig.assigner.hosts[11].is_eligible
     rig.check("slow-by-itself")
 
 
@@ -304,7 +304,7 @@
     rates = []
     for count in (10, 9, 40, 30):
         rig.step(api.SliceUsageReport(2, 0, count, 0, 1000.0))
-        rates.append(round(rig.assigner.slices[2].rate, 1))
+        rates.append(round(rig.assigner.slices[2].requests_per_second, 1))
     rig.say(f"10, 9, 40 and 30 invocations of slice 2 a second count as {rates}")
     rig.check("burst")
 
@@ -312,7 +312,7 @@
 def test_servers_replaced_by_the_thousand_are_forgotten_and_decided_on_as_if_they_were_not() -> None:
     """Two modules live the same day of replacements; one forgets nothing."""
     rigs = [Rig(), Rig()]
-    rigs[1].assigner.forget = lambda: None  # type: ignore[method-assign]
+    rigs[1].assigner.forget_departed_hosts = lambda: None  # type: ignore[method-assign]
     for rig in rigs:
         rig.start(HOSTS, EVEN)
         for n in range(600):
@@ -325,9 +325,9 @@
     assert rigs[0].lines == rigs[1].lines
     assert len(whole.hosts) == 604
     assert len(a.hosts) < 100
-    assert len(a.ranks.servers) <= len(a.hosts)
-    assert len(a.ranks.known) <= len(a.hosts)
-    assert all(len(values) <= a.ranks.kept for values, _ in a.ranks.rows.values())
+    assert len(a.rendezvous.hosts) <= len(a.hosts)
+    assert len(a.rendezvous.host_ids) <= len(a.hosts)
+    assert all(len(values) <= a.rendezvous.max_ranked for values, _ in a.rendezvous.rankings.values())
 
 
 def test_five_stewards_round_a_cold_servers_part_but_once() -> None:
@@ -345,7 +345,7 @@
         for s in rig.assigner.slices.values():
             if s.owner and s.owner.id in given:
                 given[s.owner.id] += 1
-    part = rigs[0].assigner.hosts[51].space / sum(h.space for h in rigs[0].assigner.hosts.values()) * 40
+    part = rigs[0].assigner.hosts[51].capacity / sum(h.capacity for h in rigs[0].assigner.hosts.values()) * 40
     rigs[0].lines = []
     rigs[0].say(f"three of eight servers drain at five stewards of 8 slices each; a new one's part is {part:.1f} of 40")
     rigs[0].say("they are given " + " ".join(f"{h}:{n}" for h, n in given.items()))
@@ -362,7 +362,7 @@
         rig.step(*(e for s in more for e in (api.SliceOwnershipChange(s, True), api.StoredWeight(s, 11 + s % 4, 1.0))))
         rig.run(2, all_well)
         h = a.hosts[15]
-        parts.append(h.fair / h.space / a.figures.mean)
+        parts.append(h.fair_load / h.capacity / a.fleet.load_per_capacity)
     rig.lines = []
     rig.say("another steward dies and its slices come; a cold server's part, to that of a warm one of its capacity, is")
     rig.say(f"{parts[0]:.2f} before and {parts[1]:.2f} after")
@@ -373,8 +373,8 @@
     rig = Rig(reports_per_second=1.8)
     rig.start(HOSTS, EVEN)
     rig.run(10, lambda: [api.HostUsageReport(1, 11, 20, 0, 200.0, 5000.0)])
-    assert rig.assigner.figures.window > 10_000
-    assert rig.assigner.survey.peak == float("inf")
+    assert rig.assigner.fleet.report_window_ms > 10_000
+    assert rig.assigner.load_estimator.peak_load_per_capacity == float("inf")
 
 
 def test_a_slice_given_in_demand_stays_shared_until_it_is_heard_of() -> None:
@@ -387,8 +387,8 @@
     rig.step(*(api.SliceOwnershipChange(s, on) for on in (False, True) for s in (2, 6)), *rows)
     listed(rig, up(13, "draining"))
     rig.run(2)
-    assert {len(s.lines) for s in rig.assigner.slices.values() if s.id == 2} == {2}
-    assert not rig.assigner.slices[2].rates
+    assert {len(s.weights) for s in rig.assigner.slices.values() if s.id == 2} == {2}
+    assert not rig.assigner.slices[2].rate_by_class
     rig.check("unheard_of")
 
 
@@ -402,7 +402,7 @@
         rig.say(f"{stewards} stewards: slice 0 asks for more than half of all, 31 answers one in six")
         hot = [api.SliceUsageReport(0, 0, 150, 60, 1000.0)]
         rig.run(2.1, lambda hot=hot: sums({31: 9, **dict.fromkeys(range(32, 41), 20)}, {31: 50}) + hot)  # type: ignore[misc]
-        shown = sorted(h.id for h in rig.assigner.slices[0].lines)
+        shown = sorted(h.id for h in rig.assigner.slices[0].weights)
         rig.lines = [line for line in rig.lines if line.startswith("#") or "slice=0," in line]
         rig.say(f"after two seconds of it: {shown}")
         rig.check(f"great_demand_{stewards}")
@@ -444,8 +444,8 @@
             rig.step(*sums({11: 10}, {11: 40}), *well, *much)
             seen.append((rig.now, sum(s.owner is not a.hosts[11] for s in a.slices.values())))
         begun, first = next((at, n) for at, n in seen if n)
-        assert a.figures.wait > 4_000.0
-        left[stewards] = max(n for at, n in seen if at < begun + a.figures.wait) - first
+        assert a.fleet.feedback_delay_ms > 4_000.0
+        left[stewards] = max(n for at, n in seen if at < begun + a.fleet.feedback_delay_ms) - first
     assert left[2] > left[1] + 10, f"one that hears all waits for its sums, of several each goes on: {left}"
 
 
@@ -457,6 +457,6 @@
         rig.run(2, all_well)
         rig.step(*sums({11: 2}, {11: 2}))
         rig.run(6.1)
-        stress[stewards] = rig.assigner.hosts[11].stress
-        assert rig.assigner.figures.window > 8_000.0
+        stress[stewards] = rig.assigner.hosts[11].latency_ratio
+        assert rig.assigner.fleet.report_window_ms > 8_000.0
     assert stress[2] > 0.1 > stress[1] == 0.0, "few sums come: what one told must last until the next"
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -14,9 +14,9 @@
 
 from corallanding import interface as api
 from corallanding.assignment import Assigner
-from corallanding.assignment.host_health import CROWDED, strain
-from corallanding.assignment.placement import FEW, ROOM
-from corallanding.assignment.rendezvous import Ranks, mark
+from corallanding.assignment.host_health import OVERLOAD_RATIO, latency_ratio
+from corallanding.assignment.placement import MAX_SLICES_PER_WINDOW, MAX_UTILIZATION
+from corallanding.assignment.rendezvous import RendezvousTable, rendezvous_score
 from corallanding.assignment.state import Host, Slice
 from corallanding.controller.recorder import compare, read
 
@@ -41,22 +41,37 @@
 
 def test_the_days_find_a_small_change(monkeypatch: pytest.MonkeyPatch) -> None:
     """A mistake of the kind that they must find: one host too many counts as having room."""
-    used = Host.used
-    monkeypatch.setattr(Host, "used", lambda h, more=0.0: used(h, more) * (0.98 if h.id == 3 else 1.0))
+    used = Host.utilization
+    monkeypatch.setattr(Host, "utilization", lambda h, more=0.0: used(h, more) * (0.98 if h.id == 3 else 1.0))
     assert [seed for seed in (1, 6) if golden.play(Assigner, seed) != WANT[str(seed)]] == [1, 6]
 
 
 def plain(a: Assigner, s: Slice, more: float, must: bool) -> Host | None:
     """`best`, by its sentence, over all hosts."""
-    taken = [s.owner, *s.helpers]
-    room = [h for h in a.figures.pool if h not in taken and h.used(more) <= ROOM]
-    room = [h for h in room if ((s.rates or not s.helpers) and h.taken < FEW) or not a.known.cold(h)]
-    room = [h for h in room if strain(h, a.known.tight) <= (CROWDED if a.known.cold(h) else a.figures.strained)]
+    taken = [s.owner, *s.replicas]
+    room = [h for h in a.fleet.eligible_hosts if h not in taken and h.utilization(more) <= MAX_UTILIZATION]
+    room = [
+        h
+        for h in room
+        if ((s.rate_by_class or not s.replicas) and h.slices_taken < MAX_SLICES_PER_WINDOW)
+        or not a.host_health.is_warming_up(h)
+    ]
+    room = [
+        h
+        for h in room
+        if latency_ratio(h, a.host_health.min_latency_objective_ms)
+        <= (OVERLOAD_RATIO if a.host_health.is_warming_up(h) else a.fleet.overload_ratio)
+    ]
     if room:
-        return max(room, key=lambda h: h.entry.weight * mark(s.id, h.id) * (ROOM * 1.05 - h.used(more)))
-    rest = [h for h in a.figures.pool if must and h not in taken]
-    rest = [h for h in rest if not a.known.cold(h)] or rest
-    return min(rest, key=lambda h: h.used(more)) if rest else None
+        return max(
+            room,
+            key=lambda h: (
+                h.entry.weight * rendezvous_score(s.id, h.id) * (MAX_UTILIZATION * 1.05 - h.utilization(more))
+            ),
+        )
+    rest = [h for h in a.fleet.eligible_hosts if must and h not in taken]
+    rest = [h for h in rest if not a.host_health.is_warming_up(h)] or rest
+    return min(rest, key=lambda h: h.utilization(more)) if rest else None
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -76,25 +91,33 @@
     a.step(100_001.0, [api.SliceUsageReport(s, 0, 9, 0, 9_000.0) for s in range(0, hosts[1], 2)])
     for _ in range(30):
         for h in a.hosts.values():
-            h.load = r.uniform(0.0, 2.2) * h.fair if r.random() < 0.8 else 0.0
-            h.sound = h.pooled = r.random() < r.choice((0.02, 0.5, 1.0))
-            h.good, h.bad, h.latency = 10.0, 0.0, (100.0 if h.sound else 5000.0)
-            h.stress = strain(h, a.known.tight)
-            h.sound = h.sound and h.stress <= (CROWDED if h.chilly else a.figures.strained)
-        a.figures.pool = [h for h in a.hosts.values() if h.pooled]
-        room = [(ROOM * h.fair - h.load if h.fair else math.inf, h) for h in a.figures.pool if h.sound]
-        a.figures.spare, a.figures.shifted = sorted(room, key=lambda row: row[0]), {}
-        for h in r.sample(a.figures.pool, len(a.figures.pool) // 5):  # what a turn does to loads after its survey
-            a.owners.shift(h, -r.random() * h.load)
+            h.load = r.uniform(0.0, 2.2) * h.fair_load if r.random() < 0.8 else 0.0
+            h.is_healthy = h.is_eligible = r.random() < r.choice((0.02, 0.5, 1.0))
+            h.successes, h.failures, h.latency_ms = 10.0, 0.0, (100.0 if h.is_healthy else 5000.0)
+            h.latency_ratio = latency_ratio(h, a.host_health.min_latency_objective_ms)
+            h.is_healthy = h.is_healthy and h.latency_ratio <= (
+                OVERLOAD_RATIO if h.is_warming_up else a.fleet.overload_ratio
+            )
+        a.fleet.eligible_hosts = [h for h in a.hosts.values() if h.is_eligible]
+        room = [
+            (MAX_UTILIZATION * h.fair_load - h.load if h.fair_load else math.inf, h)
+            for h in a.fleet.eligible_hosts
+            if h.is_healthy
+        ]
+        a.fleet.spare_loads, a.fleet.hosts_with_changed_load = sorted(room, key=lambda row: row[0]), {}
+        for h in r.sample(
+            a.fleet.eligible_hosts, len(a.fleet.eligible_hosts) // 5
+        ):  # what a turn does to loads after its survey
+            a.placement.shift_load(h, -r.random() * h.load)
         for s in a.slices.values():
-            s.helpers = r.sample([*a.hosts.values()], r.choice((0, 0, 2)))
-            more, must = r.choice((0.0, s.part, 3 * s.part)), r.random() < 0.5
+            s.replicas = r.sample([*a.hosts.values()], r.choice((0, 0, 2)))
+            more, must = r.choice((0.0, s.load_per_host, 3 * s.load_per_host)), r.random() < 0.5
             want = plain(a, s, more, must)
-            assert a.owners.best(s, more, must) is want
+            assert a.placement.best_host(s, more, must) is want
             least = r.choice((0.1, 10.0, 1e4))
-            got = a.owners.best(s, more, False, least)
+            got = a.placement.best_host(s, more, False, least)
             want = plain(a, s, more, False)
-            able = [h for h in (got, want) if h and a.owners.score(s, h) > least]
+            able = [h for h in (got, want) if h and a.placement.score(s, h) > least]
             assert got is want or not able
             slices += 1
     assert slices
@@ -107,27 +130,27 @@
 
 @pytest.mark.parametrize("steps", [(300,), (1, 47, 1, 1), (10, 200, 3, 90), (48,), (49, 5, 500)])
 def test_a_list_holds_the_highest_marks_whenever_servers_came(steps: tuple[int, ...]) -> None:
-    ranks: Ranks[Any] = Ranks(48)
+    ranks: RendezvousTable[Any] = RendezvousTable(48)
     servers: list[Server] = []
     for count in steps:
         servers += [Server(7 * len(servers) + k) for k in range(count)]
         servers = list({s.id: s for s in servers}.values())
         ranks.add(servers)
         for slice in (0, 5, 77):
-            marks, whose = ranks.of(slice)
-            want = sorted(((mark(slice, s.id), s.id) for s in servers), reverse=True)[:48]
+            marks, whose = ranks.ranking(slice)
+            want = sorted(((rendezvous_score(slice, s.id), s.id) for s in servers), reverse=True)[:48]
             assert list(zip(marks, [s.id for s in whose], strict=True)) == want
-    assert ranks.whole == (len(servers) <= 48)
+    assert ranks.is_complete == (len(servers) <= 48)
 
 
 def test_warming_marks_a_few_slices_at_a_time_and_ends() -> None:
-    ranks: Ranks[Any] = Ranks()
+    ranks: RendezvousTable[Any] = RendezvousTable()
     ranks.add(Server(n) for n in range(100))
     calls = 1
-    while ranks.warm(range(40), 500):
+    while ranks.precompute(range(40), 500):
         calls += 1
     assert 7 <= calls <= 9
-    assert set(ranks.done.values()) == {100}
+    assert set(ranks.hosts_seen.values()) == {100}
 
 
 def test_work_done_ahead_changes_no_decision_and_a_first_turn_looks_at_so_many_slices_only() -> None:
@@ -154,10 +177,10 @@
                 *(api.SliceUsageReport(s, 0, 9, 0, 500.0) for s in range(slices)),
                 *(api.VersionAcked(0, x.version) for x in out if isinstance(x, api.PublishVersion)),
             ]
-            looked = sum(s.looked > 0 for s in a.slices.values())
+            looked = sum(s.hosts_considered > 0 for s in a.slices.values())
             assert looked == min(slices, 600 * (1 + round((now - 100_000.0) / 500.0)))
             now += 500.0
-            while eager and a.ranks.warm(a.slices, 50_000):
+            while eager and a.rendezvous.precompute(a.slices, 50_000):
                 pass
         logs.append(log)
     assert logs[0] == logs[1]
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -126,7 +126,7 @@
 class Slow(Scripted):
     """A module whose ordinary turns cost more than the time that there is."""
 
-    can_wait = 0
+    deferrable_timer = 0
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
--- a/tests/test_relay_news.py
+++ b/tests/test_relay_news.py
@@ -160,5 +160,5 @@
     gone = [replace(h, state="draining") for h in hosts[:2]]
     drain = api.HostListUpdate(api.HostListKind.CHANGES, 2, tuple(gone))
     assert not [a for a in module.step(1e9 + 2_000, [drain]) if isinstance(a, api.SetWeight | api.Cordon)]
-    said = module.step(1e9 + 2_001, [*news.lost(module.pending.mark), api.TimerFired(0)])
+    said = module.step(1e9 + 2_001, [*news.lost(module.pending_versions.last_version), api.TimerFired(0)])
     assert [a for a in said if isinstance(a, api.SetWeight | api.Cordon)]
--- a/tests/test_revive.py
+++ b/tests/test_revive.py
@@ -92,7 +92,7 @@
     assert restore(two.engine, state, one.log[tail:], one.now) == (cut, [])
     assert isinstance(one.engine.module, Assigner)
     assert isinstance(two.engine.module, Assigner)
-    assert two.engine.module.level == one.engine.module.level < 1.0
+    assert two.engine.module.admission_level == one.engine.module.admission_level < 1.0
     assert two.engine.state.levels == one.engine.state.levels
     assert [t[::2] for t in sorted(two.engine.timers)] == [t[::2] for t in sorted(one.engine.timers)]
     two.engine.inbox = []  # but for the forwarders that are gone, which only the second is told of
@@ -114,7 +114,7 @@
     module = two.engine.module
     assert isinstance(module, Assigner)
     assert {t: set(row) for t, row in lines(two.engine).items()} == {
-        s.id: {h.id for h in s.lines} for s in module.slices.values()
+        s.id: {h.id for h in s.weights} for s in module.slices.values()
     }
 
 
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -11,7 +11,7 @@
 
 from corallanding import interface as api
 from corallanding.assignment import Assigner
-from corallanding.assignment.rendezvous import Ranks
+from corallanding.assignment.rendezvous import RendezvousTable
 from corallanding.assignment.state import Host
 from corallanding.snapshot import file, marks
 from corallanding.snapshot.module import VALUES, ModuleState, dump, load
@@ -45,14 +45,29 @@
     a = Assigner(golden.api.Settings(request_classes=(golden.QUOTE,)), 1)
     a.step(0.0, [])
     state = dump(a)
+    parts = {"publication", "host_health", "fleet", "pending_versions", "load_estimator", "placement", "migration"}
     # All else follows from settings and seed, is shared between the parts, or is what the head of a turn works out.
-    parts = {"orders", "known", "figures", "pending", "survey", "owners", "moves", "hears"}
-    shared = {"set", "seed", "hosts", "slices", "ranks", "out", "may", "turn", "tight", "pool", "spare", "shifted"}
+    derived = {
+        *("settings", "seed", "hosts", "slices", "rendezvous", "actions", "acquire_quota", "handlers"),
+        *("turn_interval_ms", "min_latency_objective_ms"),
+        *("eligible_hosts", "spare_loads", "hosts_with_changed_load"),
+    }
     assert set(state.values) == set(VALUES)
-    kept = set(VALUES.values()) | {"pending.proxies", "pending.sent", "figures.typical"}
-    owners = {"orders.": a.orders, "pending.": a.pending, "known.": a.known, "survey.": a.survey, "figures.": a.figures}
-    every = [(at, k, v) for at, part in {"": a, **owners}.items() for k, v in vars(part).items() if k not in shared]
-    held = [at + k for at, k, v in every if k not in parts or type(v) is int]  # `Orders.orders` is a count
+    separately_stored = {
+        "pending_versions.unacked_by_proxy",
+        "pending_versions.sent_at_ms",
+        "fleet.typical_latency_ms_by_kind",
+    }
+    kept = set(VALUES.values()) | separately_stored
+    owners = {
+        "publication.": a.publication,
+        "pending_versions.": a.pending_versions,
+        "host_health.": a.host_health,
+        "load_estimator.": a.load_estimator,
+        "fleet.": a.fleet,
+    }
+    every = [(at, name) for at, part in {"": a, **owners}.items() for name in vars(part) if name not in derived]
+    held = [at + name for at, name in every if name not in parts]
     assert sorted(held) == sorted(kept), "each is kept, once, under a name of its own"
     assert len(set(VALUES.values())) == len(VALUES)
     assert msgspec.msgpack.encode(state.values), "plain values only"
@@ -64,7 +79,7 @@
     state = dump(a)
     state.host_fields = [*state.host_fields, "mood"]
     with pytest.raises(ValueError, match="mood"):
-        load(a.set, state)
+        load(a.settings, state)
 
 
 class Body(msgspec.Struct):
@@ -107,10 +122,10 @@
 def test_marks_go_over_and_grow_on_as_if_worked_out_anew() -> None:
     """Also into ranks that have more hosts by then; what does not fit is left to be worked out."""
     servers = [Host(h, api.HostEntry(h)) for h in range(300)]
-    old, new, fresh = Ranks[Host](), Ranks[Host](), Ranks[Host]()
+    old, new, fresh = RendezvousTable[Host](), RendezvousTable[Host](), RendezvousTable[Host]()
     old.add(servers[:200])
     for s in range(20):
-        old.of(s)
+        old.ranking(s)
     rows = marks.out(old, range(25))
     assert len(rows) == 20
     new.add(servers[:250])
@@ -119,4 +134,4 @@
     new.add(servers)
     fresh.add(servers)
     for s in range(25):
-        assert new.of(s) == fresh.of(s)
+        assert new.ranking(s) == fresh.ranking(s)
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -147,67 +147,67 @@
 
 HOST: dict[str, Callable[[Host], Any]] = {
     "id": lambda h: h.id,
-    "listed": lambda h: h.listed,
-    "since": lambda h: h.since,
-    "told": lambda h: h.told,
-    "failed_at": lambda h: h.failed_at,
-    "good": lambda h: h.good,
-    "bad": lambda h: h.bad,
-    "run": lambda h: h.run,
-    "good_at": lambda h: h.good_at,
-    "shown": lambda h: h.shown,
-    "latency": lambda h: h.latency,
-    "floor": lambda h: h.floor,
+    "listed": lambda h: h.is_listed,
+    "since": lambda h: h.process_started_at_ms,
+    "told": lambda h: h.start_learned_at_ms,
+    "failed_at": lambda h: h.failed_at_ms,
+    "good": lambda h: h.successes,
+    "bad": lambda h: h.failures,
+    "run": lambda h: h.consecutive_failures,
+    "good_at": lambda h: h.succeeded_at_ms,
+    "shown": lambda h: h.alive_at_ms,
+    "latency": lambda h: h.latency_ms,
+    "floor": lambda h: h.base_latency_ms,
     "load": lambda h: h.load,
-    "probing": lambda h: h.probing,
-    "echo": lambda h: h.echo,
-    "cordoned": lambda h: h.cordoned,
-    "taken": lambda h: h.taken,
-    "taken_at": lambda h: h.taken_at,
-    "shed_at": lambda h: h.shed_at,
-    "goal": lambda h: h.goal,
-    "pooled": lambda h: h.pooled,
-    "sound": lambda h: h.sound,
-    "chilly": lambda h: h.chilly,
-    "space": lambda h: h.space,
-    "fair": lambda h: h.fair,
-    "stress": lambda h: h.stress,
+    "probing": lambda h: h.is_being_checked,
+    "echo": lambda h: h.health_check_latency_ms,
+    "cordoned": lambda h: h.is_cordoned,
+    "taken": lambda h: h.slices_taken,
+    "taken_at": lambda h: h.taking_since_ms,
+    "shed_at": lambda h: h.shed_at_ms,
+    "goal": lambda h: h.shed_target_load,
+    "pooled": lambda h: h.is_eligible,
+    "sound": lambda h: h.is_healthy,
+    "chilly": lambda h: h.is_warming_up,
+    "space": lambda h: h.capacity,
+    "fair": lambda h: h.fair_load,
+    "stress": lambda h: h.latency_ratio,
 }
 SLICE: dict[str, Callable[[Slice], Any]] = {
     "id": lambda s: s.id,
-    "rate": lambda s: s.rate,
-    "want_at": lambda s: s.want_at,
-    "hold_mark": lambda s: s.hold_mark,
-    "hold_end": lambda s: s.hold_end,
-    "looked": lambda s: s.looked,
-    "rates": lambda s: [list(row) for row in s.rates.items()],
+    "rate": lambda s: s.requests_per_second,
+    "want_at": lambda s: s.candidate_since_ms,
+    "hold_mark": lambda s: s.hold_version,
+    "hold_end": lambda s: s.hold_ends_at_ms,
+    "looked": lambda s: s.hosts_considered,
+    "rates": lambda s: [list(row) for row in s.rate_by_class.items()],
 }
 VALUES: dict[str, Callable[[Assigner], Any]] = {
-    "level": lambda a: a.level,
-    "level_at": lambda a: a.level_at,
-    "levels_due": lambda a: a.levels_due,
-    "born": lambda a: a.born,
-    "now": lambda a: a.orders.now,
-    "urgent": lambda a: a.orders.urgent,
-    "room": lambda a: a.orders.room,
-    "orders": lambda a: a.orders.orders,
-    "mark": lambda a: a.pending.mark,
-    "fresh": lambda a: a.known.fresh,
-    "draws": lambda a: a.known.draws,
-    "done": lambda a: a.known.done,
-    "asked": lambda a: a.survey.asked,
-    "faded_at": lambda a: a.survey.faded_at,
-    "shared_at": lambda a: a.survey.shared_at,
-    "peak": lambda a: a.survey.peak,
-    "window": lambda a: a.figures.window,
-    "wait": lambda a: a.figures.wait,
-    "median": lambda a: a.figures.median,
-    "usual": lambda a: a.figures.usual,
-    "strained": lambda a: a.figures.strained,
-    "fit": lambda a: a.figures.fit,
-    "mean": lambda a: a.figures.mean,
-    "whole": lambda a: a.figures.whole,
-    "heaviest": lambda a: a.figures.heaviest,
+    "level": lambda a: a.admission_level,
+    "level_at": lambda a: a.admission_changed_at_ms,
+    "levels_due": lambda a: a.is_admission_due,
+    "born": lambda a: a.started_at_ms,
+    "now": lambda a: a.publication.now_ms,
+    "urgent": lambda a: a.publication.is_decision_due,
+    "room": lambda a: a.publication.line_budget,
+    "orders": lambda a: a.publication.lines_published,
+    "mark": lambda a: a.pending_versions.last_version,
+    "fresh": lambda a: a.host_health.has_fresh_list,
+    "draws": lambda a: a.host_health.random_draws,
+    "done": lambda a: a.host_health.recent_successes,
+    "asked": lambda a: a.load_estimator.recent_requests,
+    "faded_at": lambda a: a.load_estimator.decayed_at_ms,
+    "shared_at": lambda a: a.load_estimator.ownership_changed_at_ms,
+    "peak": lambda a: a.load_estimator.peak_load_per_capacity,
+    "window": lambda a: a.fleet.report_window_ms,
+    "wait": lambda a: a.fleet.feedback_delay_ms,
+    "median": lambda a: a.fleet.median_latency_ratio,
+    "usual": lambda a: a.fleet.typical_latency_ms,
+    "strained": lambda a: a.fleet.overload_ratio,
+    "fit": lambda a: a.fleet.answerable_share,
+    "mean": lambda a: a.fleet.load_per_capacity,
+    "whole": lambda a: a.fleet.site_load_per_capacity,
+    "heaviest": lambda a: a.fleet.max_score_factor,
 }
 DISTINCT = 900.0  # each stored figure is replaced by one of its own, so that two that change places are seen
 
@@ -227,9 +227,9 @@
     for row, host in zip(raw["hosts"], found.hosts.values(), strict=True):
         assert row[1] == [of(host) for of in HOST.values()]
     for row, slice in zip(raw["slices"], found.slices.values(), strict=True):
-        assert row[0] == [[host.id, weight] for host, weight in slice.lines.items()]
-        ids = [None if host is None else host.id for host in (slice.owner, slice.want, slice.held)]
-        assert [row[1], row[3], row[4], row[2]] == [*ids, [host.id for host in slice.helpers]]
+        assert row[0] == [[host.id, weight] for host, weight in slice.weights.items()]
+        ids = [None if host is None else host.id for host in (slice.owner, slice.candidate, slice.previous_owner)]
+        assert [row[1], row[3], row[4], row[2]] == [*ids, [host.id for host in slice.replicas]]
         assert row[5] == [of(slice) for of in SLICE.values()]
     assert raw["values"] == {name: of(found) for name, of in VALUES.items()}
 
@@ -328,7 +328,7 @@
     loaded = load(samples.SETTINGS, handed.state.module)
     restore_handover(rig.engine, handed, rig.channel, rig.joins, rig.now, loaded)
     rows = msgspec.msgpack.decode(words["marks"], type=list[marks.Row])
-    assert marks.put(loaded.ranks, rows) == samples.SLICES
+    assert marks.put(loaded.rendezvous, rows) == samples.SLICES
     assert [event for _, _, event in rig.engine.inbox][: len(samples.EVENTS)] == [e for _, e in samples.EVENTS]
     assert capture_channel(rig.channel) == handed.channel
     rig.turns(72, 110)
@@ -342,7 +342,7 @@
     rig.add_helper()
     handed = samples.handed(rig)
     assert isinstance(rig.engine.module, Assigner)
-    rows = marks.out(rig.engine.module.ranks, range(samples.SLICES))
+    rows = marks.out(rig.engine.module.rendezvous, range(samples.SLICES))
     ours, theirs = socket.socketpair()
     pipe, said = HandoverPipe(ours), io.BytesIO()
     pipe.say("marks", msgspec.msgpack.encode(rows))
@@ -607,7 +607,7 @@
 
 def test_every_figure_of_hosts_and_slices_has_a_stored_name() -> None:
     """But for what is a host, or follows from the hosts: these are kept by their ids, or worked out."""
-    apart = {"entry", "marks"}, {"lines", "owner", "helpers", "want", "held"}
+    apart = {"entry", "scores"}, {"weights", "owner", "replicas", "candidate", "previous_owner"}
     for kind, names, left in ((Host, module.HOST, apart[0]), (Slice, module.SLICE, apart[1])):
         assert set(names.values()) == {field.name for field in fields(kind)} - left
 
--- a/tests/test_upgrade_state.py
+++ b/tests/test_upgrade_state.py
@@ -71,7 +71,9 @@
             e.sums(now, f, frames.Sums(1000.0, hosts, [(s, 0, r.randrange(20), 0) for s in range(12)]))
         if r.random() < 0.4:
             assert isinstance(e.module, Assigner)
-            e.event(now, api.VersionAcked(r.randrange(4), r.randrange(3) + e.module.pending.mark - 2, 5.0))
+            e.event(
+                now, api.VersionAcked(r.randrange(4), r.randrange(3) + e.module.pending_versions.last_version - 2, 5.0)
+            )
         e.decide(now)
         for out in e.publish(r.random() < 0.9):
             if isinstance(out, SendFrame):
@@ -106,7 +108,7 @@
             restore_handover(two.engine, one.handed(), two.channel, two.joins, now)
             two.engine.inbox = [x for x in two.engine.inbox if not isinstance(x[2], api.HealthCheckResult)]
             one.log = []
-            waits, held = one.channel.waiting > 0, any(one.engine.module.pending.proxies.values())  # type: ignore[attr-defined]
+            waits, held = one.channel.waiting > 0, any(one.engine.module.pending_versions.unacked_by_proxy.values())  # type: ignore[attr-defined]
         if step >= at:
             two.turn(now, random.Random(f"{at}:{step}"))
         one.turn(now, random.Random(f"{at}:{step}"))
