--- a/corallanding/controller/action_journal.py
+++ b/corallanding/controller/action_journal.py
@@ -1,28 +1,46 @@
-"""A file to which a steward writes what it did and when, by the clock that all processes of a machine share: for the
-lab's audits. Each line goes out whole, before what it tells of is done."""
+"""A file in which a controller notes what it did and when, by the clock that all processes of a machine share.
+
+The audits of the lab read it. Each line goes out whole, before what it tells of is done.
+"""
 
 from __future__ import annotations
 
 import json
 import os
 import time
+from enum import StrEnum
+
+
+class JournalEvent(StrEnum):
+    """What a line tells of: its first item, where lines of several kinds stand in one file."""
+
+    ACT_BEGUN = "act"
+    ACT_RECEIVED = "took"
+    RUN_ANSWERED = "told"
+    JOB_RELEASED = "go"
+    JOB_RETURNED = "back"
+    QUOTA_EXHAUSTED = "dry"
+    QUOTA_RESTORED = "wet"
 
 
 class ActionJournal:
-    """path: None writes nothing. Raises OSError if it cannot be written."""
+    """Appends lines to the file `path`; without a path it writes nothing. Raises OSError if it cannot be opened."""
 
     def __init__(self, path: str | None) -> None:
-        self.fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644) if path else None
+        self.descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644) if path else None
 
     @staticmethod
     def now() -> float:
+        """The time of the machine's monotonic clock, ms."""
         return round(time.monotonic() * 1000.0, 3)
 
     def write(self, *row: object) -> None:
-        if self.fd is not None:
-            os.write(self.fd, json.dumps(row).encode() + b"\n")
+        """Append one line, a JSON array of the items of `row`."""
+        if self.descriptor is not None:
+            os.write(self.descriptor, json.dumps(row).encode() + b"\n")
 
     def close(self) -> None:
-        if self.fd is not None:
-            os.close(self.fd)
-            self.fd = None
+        """Close the file; later writes do nothing."""
+        if self.descriptor is not None:
+            os.close(self.descriptor)
+            self.descriptor = None
--- a/corallanding/controller/fleet_view.py
+++ b/corallanding/controller/fleet_view.py
@@ -1,9 +1,9 @@
-"""What rooms that rest on hosts and forwarders see of the steward, and how they reach its forwarders. No decision."""
+"""What services that rest on hosts and proxies see of the controller, and how they reach its proxies. No decision."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from ..config import ControllerConfig
 from ..endpoints.endpoint_list import View
@@ -14,7 +14,7 @@
 
 
 class FleetSource(Protocol):
-    """What the steward must show."""
+    """What the controller must show."""
 
     config: ControllerConfig
     view: View
@@ -22,56 +22,80 @@
     forwarders: dict[int, ProxyConnection]
 
     @property
-    def clock(self) -> Callable[[], float]: ...
+    def clock(self) -> Callable[[], float]:
+        """The controller's own clock, ms."""
+        ...
 
-    def submit(self, data: bytes, lines: int, to: tuple[int, ...]) -> None: ...
+    def submit(self, data: bytes, lines: int, to: tuple[int, ...]) -> None:
+        """Queue an encoded frame in the channel to these proxies, at a price in table lines."""
+        ...
+
+
+class ChangeStamp(NamedTuple):
+    """Differs from an earlier one if tables, the slices that are ours or the host list have changed since."""
+
+    step: int
+    host_list_version: int
+    owned_slice_count: int
 
 
 class FleetView:
-    def __init__(self, steward: FleetSource) -> None:
-        self.controller = steward
+    """Hosts, tables and proxies of one controller, as its services ask for them."""
+
+    def __init__(self, controller: FleetSource) -> None:
+        self.controller = controller
 
     def hosts(self) -> dict[int, Server]:
         """Every listed host, by number."""
-        s, r = self.controller, self.controller.config.rules
-        now, shut = s.clock(), s.engine.state.cordons | s.engine.going
-        used = {h for lines in s.engine.state.tables.values() for h in lines}
-        out = {}
-        for h, e in s.view.entries.items():
-            age = min(1.0, (now - e.online_since) / r.cold_ms)
-            able = r.cold_from + (1.0 - r.cold_from) * age
-            sound = e.state == "up" and h not in shut
-            out[h] = Server(h, e.weight, able, sound, s.view.versions.get(h, {}), h in used)
-        return out
-
-    def change_stamp(self) -> tuple[int, int, int]:
-        """Changes whenever tables, the charge or the list do."""
-        return self.controller.engine.seq, self.controller.view.version, len(self.controller.engine.charge)
+        controller, rules = self.controller, self.controller.config.rules
+        state, view = controller.engine.state, controller.view
+        now = controller.clock()
+        excluded = state.cordons | controller.engine.going
+        in_tables = {host for lines in state.tables.values() for host in lines}
+        found = {}
+        for host, entry in view.entries.items():
+            warm_up = min(1.0, (now - entry.online_since) / rules.cold_ms)
+            capacity = rules.cold_from + (1.0 - rules.cold_from) * warm_up
+            is_eligible = entry.state == "up" and host not in excluded
+            versions = view.versions.get(host, {})
+            found[host] = Server(host, entry.weight, capacity, is_eligible, versions, host in in_tables)
+        return found
+
+    def change_stamp(self) -> ChangeStamp:
+        """Compared with an earlier one, it tells whether a plan made from this view still holds."""
+        engine = self.controller.engine
+        return ChangeStamp(engine.seq, self.controller.view.version, len(engine.charge))
 
     def tables(self) -> Mapping[int, Mapping[int, float]]:
-        """Of the slices in our charge."""
-        state, charge = self.controller.engine.state, self.controller.engine.charge
-        return {t: lines for t, lines in state.tables.items() if t in charge}
+        """Slice to the weights of its hosts, for the slices that this controller decides on."""
+        engine = self.controller.engine
+        return {number: lines for number, lines in engine.state.tables.items() if number in engine.charge}
 
     def addresses(self, hosts: set[int]) -> dict[int, str]:
-        at = self.controller.engine.addresses
-        return {h: at[h] for h in sorted(hosts) if h in at}
+        """Host to "ip:port", for those of `hosts` whose address is known."""
+        known = self.controller.engine.addresses
+        return {host: known[host] for host in sorted(hosts) if host in known}
 
     def proxies_speaking(self, part: int) -> list[int]:
-        """Forwarders that are joined and speak this part of the protocol."""
-        links = self.controller.forwarders.items()
-        return [f for f, x in links if x.joined and not x.over and x.link.hello and x.link.hello.parts & part]
+        """Proxies that are joined and stated in their hello that they know this part of the protocol."""
+        found = []
+        for number, connection in self.controller.forwarders.items():
+            hello = connection.link.hello
+            if connection.joined and not connection.over and hello and hello.parts & part:
+                found.append(number)
+        return found
 
     def session_name(self, forwarder: int) -> str | None:
-        """The name of its process."""
-        link = self.controller.forwarders.get(forwarder)
-        return link.link.hello.session if link and link.link.hello else None
+        """The name of the proxy's process; None if it is not connected or said no hello."""
+        connection = self.controller.forwarders.get(forwarder)
+        return connection.link.hello.session if connection and connection.link.hello else None
 
     def reply(self, forwarder: int, frame: frames.Frame) -> None:
-        """An answer to what it asked: to this one at once. Lost if it is gone: it asks again."""
-        if (link := self.controller.forwarders.get(forwarder)) and link.joined:
-            link.send(frames.encode(frame))
+        """Send an answer to one proxy at once. Lost if the proxy is gone: it asks again."""
+        connection = self.controller.forwarders.get(forwarder)
+        if connection and connection.joined:
+            connection.send(frames.encode(frame))
 
     def publish(self, frame: frames.Frame, lines: int, to: list[int]) -> None:
-        """Paced and counted like any order."""
+        """Queue a frame for these proxies, paced and counted like any update of tables."""
         self.controller.submit(frames.encode(frame), lines, tuple(to))
--- a/corallanding/controller/peer_dispatch.py
+++ b/corallanding/controller/peer_dispatch.py
@@ -1,11 +1,11 @@
-"""What peers say, at one door: subsystems register the words that they take, and say theirs through it."""
+"""Messages between controllers: services register the types that they take, and send through one dispatcher."""
 
 from __future__ import annotations
 
 import functools
 import operator
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -14,37 +14,47 @@
 Handler = Callable[[int, Any], None]
 
 
+class Registration(NamedTuple):
+    """Who takes a type of messages, and the check that its fields must pass first."""
+
+    handler: Handler
+    is_valid: Callable[[Any], bool]
+
+
 class PeerDispatcher:
-    """say: a datagram to one peer. dropped: called for each word that nobody takes.
+    """Decodes datagrams of other controllers and hands each message to the service that registered its type.
 
-    Words are msgpack arrays whose first item names their kind; no two kinds share a tag, and unknown ones, of newer
-    versions, are passed over.
+    Messages are msgpack arrays whose first item names their type; no two types have one tag, and unknown ones, of newer
+    versions, are ignored. send_datagram: sends bytes to one controller. on_dropped: called for each message that is
+    not taken.
     """
 
-    def __init__(self, say: Callable[[int, bytes], None], dropped: Callable[[], None]) -> None:
-        self.send_datagram, self.on_dropped = say, dropped
-        self.handlers: dict[type, tuple[Handler, Callable[[Any], bool]]] = {}
+    def __init__(self, send_datagram: Callable[[int, bytes], None], on_dropped: Callable[[], None]) -> None:
+        self.send_datagram = send_datagram
+        self.on_dropped = on_dropped
+        self.handlers: dict[type, Registration] = {}
         self.decoder: msgspec.msgpack.Decoder[Any] | None = None
 
-    def register(self, kinds: tuple[type, ...], handler: Handler, sound: Callable[[Any], bool]) -> None:
-        """sound: whether a word's fields can be meant. Raises TypeError if a tag is taken."""
-        self.handlers.update(dict.fromkeys(kinds, (handler, sound)))
+    def register(self, message_types: tuple[type, ...], handler: Handler, is_valid: Callable[[Any], bool]) -> None:
+        """Hand messages of these types to `handler` if they are valid. Raises TypeError if a tag is taken."""
+        self.handlers.update(dict.fromkeys(message_types, Registration(handler, is_valid)))
         self.decoder = msgspec.msgpack.Decoder(functools.reduce(operator.or_, self.handlers))
 
     def on_datagram(self, sender: int, data: bytes) -> None:
-        """What came behind `SHARED` from a peer whose address was checked against its number."""
+        """Take what followed `SHARED` in a datagram of a controller whose address was checked against its number."""
         if self.decoder is None:
-            return  # a peer has parts that we have not
+            return  # the other controller has services that are not configured here
         try:
-            word = self.decoder.decode(data)
+            message = self.decoder.decode(data)
         except (msgspec.DecodeError, msgspec.ValidationError):
             self.on_dropped()
             return
-        handler, sound = self.handlers[type(word)]
-        if sound(word):
-            handler(sender, word)
+        registration = self.handlers[type(message)]
+        if registration.is_valid(message):
+            registration.handler(sender, message)
         else:
             self.on_dropped()
 
-    def send(self, to: int, word: msgspec.Struct) -> None:
-        self.send_datagram(to, SHARED + msgspec.msgpack.encode(word))
+    def send(self, to: int, message: msgspec.Struct) -> None:
+        """Send a message to the controller `to`; it may be lost."""
+        self.send_datagram(to, SHARED + msgspec.msgpack.encode(message))
--- a/corallanding/controller/pinning_service.py
+++ b/corallanding/controller/pinning_service.py
@@ -1,181 +1,234 @@
-"""Runs and releases: what forwarders ask and are told. Decided in `pins`."""
+"""Workflow runs that keep their release set: what proxies ask and are answered. The core is `version_pinning`."""
 
 from __future__ import annotations
 
-import hashlib
-from collections.abc import Callable, Iterable
-from typing import Any
+from collections.abc import Callable
+from typing import Any, ClassVar, NamedTuple
 
 from ..config import ControllerConfig
-from ..lease.election import OutgoingMessage
+from ..config.version_pinning import PinsBlock
+from ..quorum_records.core import Action
 from ..rate_limit import PeerRateLimiter
-from ..telemetry import Metrics, log
+from ..telemetry import log
+from ..version_pinning import messages
 from ..version_pinning.core import pins_on
 from ..version_pinning.limits import PinTerms
-from ..version_pinning.messages import PINNED, Settled, Tallied, Tally, sound
+from ..version_pinning.messages import PINNED, Settled, Tallied, Tally
 from ..version_pinning.routes import NoHost, Routes, Row
-from ..version_pinning.version_selection import Server, strength
+from ..version_pinning.version_selection import Server, Versions, strength
 from ..wire import frames
-from .action_journal import ActionJournal
-from .fleet_view import FleetView
-from .record_service import RecordService
+from .action_journal import ActionJournal, JournalEvent
+from .cluster_service import ClusterService, ServiceContext, Tick
+from .fleet_view import ChangeStamp, FleetView
+from .record_service import RecordService, record_key_of
 
-PART = 1  # of the protocol, in a forwarder's hello
-SAID = ("not-now", "pinned", "over", "full")
+PROTOCOL_PART = 1  # the bit in a proxy's hello that says that it knows pinned runs
+RUN_ANSWERS = ("not-now", "pinned", "over", "full")  # by the number that the core answers with
+NOT_NOW = 0
+UNKNOWN_PROXY = -1  # in place of the proxy whose query is not known any more
 
 
-def record_key_of(name: str) -> int:
-    """The number of a run, a job, a session: not 0, the same at all stewards."""
-    return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big") >> 1 or 1
+class PendingRun(NamedTuple):
+    """A query of a proxy on a run. query: the proxy's own number for it."""
 
+    forwarder: int
+    query: int
+    run: str
 
-def pinning_limits(c: ControllerConfig) -> PinTerms:
-    assert c.pins is not None
-    return PinTerms(c.pins.run_most_ms, c.budgets.drift, c.pins.settle_ms, c.pins.begins_per_s)
 
+class PlanStamp(NamedTuple):
+    """What the last plan of routes was made of."""
 
-class PinningService:
-    """may_cold: whether a cold host may take a slice more."""
+    view: ChangeStamp
+    register: object
+    proxies: tuple[int, ...]
 
-    message_types: tuple[type, ...] = (Settled, Tally, Tallied)
-    is_valid = staticmethod(sound)
+
+def pinning_limits(pins: PinsBlock, drift: float) -> PinTerms:
+    """The limits that the core takes, from the block `pins`."""
+    return PinTerms(pins.run_most_ms, drift, pins.settle_ms, pins.begins_per_s)
+
+
+def no_host_rules(config: ControllerConfig) -> dict[str, NoHost]:
+    """What becomes of a request of a pinned run whose version no host serves, by request class."""
+    rules = {}
+    for name, operation in config.operation.items():
+        wait_ms = operation.no_host_wait_ms if operation.no_host != "refuse" else 0.0
+        rules[name] = NoHost(wait_ms, operation.no_host == "carry_over")
+    return rules
+
+
+class PinningService(ClusterService):
+    """Answers proxies on runs, and publishes the routes of all release sets that are alive.
+
+    may_use_cold_host: whether a host that warms up may take one more slice.
+    """
+
+    message_types: ClassVar[tuple[type, ...]] = (Settled, Tally, Tallied)
 
     def __init__(
         self,
-        c: ControllerConfig,
+        config: ControllerConfig,
+        pins: PinsBlock,
+        context: ServiceContext,
         records: RecordService,
-        metrics: Metrics,
-        sight: FleetView,
-        may_cold: Callable[[int], bool],
+        fleet_view: FleetView,
+        may_use_cold_host: Callable[[int], bool],
     ) -> None:
-        assert c.pins is not None
-        self.records, self.metrics, self.fleet_view = records, metrics, sight
-        self.publish_ms, self.operations = c.pins.publish_ms, tuple(c.operation)
-        self.strong: dict[int, float] = {}
-        self.servers: dict[int, Server] = {}
-        sets = {r.number: dict(r.versions) for r in c.release.values()}
-        self.core = pins_on(
-            records.fleet, pinning_limits(c), sets, c.pins.current, lambda s: self.strong.get(s, 0.0), self.said
-        )
-        carries = {r.number: r.carries for r in c.release.values()}
-        no_host = {
-            name: NoHost(o.no_host_wait_ms if o.no_host != "refuse" else 0.0, o.no_host == "carry_over")
-            for name, o in c.operation.items()
-        }
-        self.routes = Routes(self.operations, sets, carries, no_host, may_cold)
+        self.context = context
+        self.records = records
+        self.fleet_view = fleet_view
+        self.publish_ms = pins.publish_ms
+        self.request_classes = tuple(config.operation)
+        self.set_strengths: dict[int, float] = {}
+        self.hosts: dict[int, Server] = {}
+        sets = {release.number: dict(release.versions) for release in config.release.values()}
+        limits = pinning_limits(pins, config.budgets.drift)
+        self.core = pins_on(records.fleet, limits, sets, pins.current, self._strength_of, self._on_release_change)
+        carries = {release.number: release.carries for release in config.release.values()}
+        self.routes = Routes(self.request_classes, sets, carries, no_host_rules(config), may_use_cold_host)
         self.rows: dict[int, list[Row]] = {}
-        self.alive: tuple[int, ...] = ()
+        self.alive_sets: tuple[int, ...] = ()
         self.planned_at = float("-inf")
-        self.stamp: tuple[object, ...] = ()  # of what the last plan was made of
-        self.cold = False
-        self.asks: dict[int, tuple[int, int, str]] = {}  # question: forwarder, its own number, run
-        self.allowances = PeerRateLimiter(records.fleet.asking.others, c.budgets.words_per_s, records.clock())
-        self.rejected = 0
-        records.listeners.append(self.answer)
+        self.plan_stamp: PlanStamp | None = None
+        self.is_any_host_warming = False
+        self.pending: dict[int, PendingRun] = {}  # by the number of the core's query
+        peers = records.fleet.asking.others
+        self.allowances = PeerRateLimiter(peers, config.budgets.words_per_s, context.clock())
+        self.rejected_messages = 0
+        records.listeners.append(self.on_answers)
+
+    @staticmethod
+    def is_valid(message: Any) -> bool:
+        """Whether the fields of a message lie within what a correct controller sends."""
+        return messages.sound(message)
+
+    def _strength_of(self, number: int) -> float:
+        return self.set_strengths.get(number, 0.0)
 
-    def said(self, text: str) -> None:
-        log.info("release", what=text)
+    def _on_release_change(self, text: str) -> None:
+        log.info("release", change=text)
 
-    # ---- what forwarders ask -------------------------------------------------------------------------------
+    # ---- queries of proxies --------------------------------------------------------------------------------
 
     def on_proxy_frame(self, forwarder: int, frame: frames.Enter) -> None:
+        """A proxy asks for the release set of a run, or says that the run has ended."""
         client = frame.client or str(forwarder)
-        number = self.core.enter(self.records.clock(), record_key_of(frame.run), client, frame.ended)
-        self.asks[number] = (forwarder, frame.ask, frame.run)
+        now = self.context.clock()
+        number = self.core.enter(now, record_key_of(frame.run), client, frame.ended)
+        self.pending[number] = PendingRun(forwarder, frame.ask, frame.run)
         self.records.schedule_queries()
 
-    def answer(self) -> None:
+    def on_answers(self) -> None:
+        """Pass answers of the core on to the proxies that asked."""
         for told in self.core.answers():
-            forwarder, ask, run = self.asks.pop(told.number, (-1, 0, ""))
-            if forwarder >= 0:
-                self.tell(forwarder, ask, run, told.what, told.value)
-
-    def tell(self, forwarder: int, ask: int, run: str, what: int, number: int) -> None:
-        known = self.core.sets.get(number) if what == PINNED else None
-        if what == PINNED and known is None:
-            what = 0  # a set that is not configured here: others may know it
-        rows = [(n, known[name]) for n, name in enumerate(self.operations)] if known else []
-        self.metrics.run_answers.labels(SAID[what]).inc()
+            pending = self.pending.pop(told.number, PendingRun(UNKNOWN_PROXY, 0, ""))
+            if pending.forwarder >= 0:
+                self._reply(pending, told.what, told.value)
+
+    def _reply(self, pending: PendingRun, what: int, number: int) -> None:
+        versions = self.core.sets.get(number) if what == PINNED else None
+        if what == PINNED and versions is None:
+            what = NOT_NOW  # the set is not configured here; other controllers may know it
+        answer = RUN_ANSWERS[what]
+        self.context.metrics.run_answers.labels(answer).inc()
         asking = self.core.asking
-        self.records.journal.write("told", ActionJournal.now(), asking.me, asking.life, run, SAID[what], number)
-        self.fleet_view.reply(forwarder, frames.Pinned(ask, SAID[what], number, rows, self.register))
+        event, now = JournalEvent.RUN_ANSWERED, ActionJournal.now()
+        self.records.journal.write(event, now, asking.me, asking.life, pending.run, answer, number)
+        rows = self._version_rows(versions) if versions else []
+        frame = frames.Pinned(pending.query, answer, number, rows, self.register_version)
+        self.fleet_view.reply(pending.forwarder, frame)
 
-    # ---- what peers say ------------------------------------------------------------------------------------
+    def _version_rows(self, versions: Versions) -> list[tuple[int, int]]:
+        return [(index, versions[name]) for index, name in enumerate(self.request_classes)]
 
-    def on_message(self, sender: int, word: Settled | Tally | Tallied) -> None:
-        now = self.records.clock()
+    # ---- messages of controllers ---------------------------------------------------------------------------
+
+    def on_message(self, sender: int, message: Settled | Tally | Tallied) -> None:
+        """Take a message on releases, within the rate that one controller may send."""
+        now = self.context.clock()
         if self.allowances.take(sender, now):
-            self.records.carry_out(self.records.fleet.after(now, list(self.core.heard(now, sender, word))))
+            answers: list[Action] = [*self.core.heard(now, sender, message)]
+            self.records.carry_out(self.records.fleet.after(now, answers))
         else:
-            self.rejected += 1
+            self.rejected_messages += 1
 
-    def on_election_change(self, now: float) -> None:
-        """Nothing of ours changes with a vote."""
+    @property
+    def rejected(self) -> int:
+        """How many messages of other controllers were rejected."""
+        return self.rejected_messages
 
     # ---- by time -------------------------------------------------------------------------------------------
 
-    def on_tick(self, now: float, alive: Iterable[int], wall: float) -> None:
-        """Before the records' tick."""
-        if now - self.planned_at >= self.publish_ms:
-            self.planned_at = now
-            self.plan()
-        self.records.due_actions += self.core.tick(now)
-
-    def plan(self) -> None:
-        """Routes of all sets that live, told where they have changed."""
-        register, to = self.core.releases.register, self.fleet_view.proxies_speaking(PART)
-        stamp = (*self.fleet_view.change_stamp(), register, tuple(to))
-        if stamp == self.stamp and not self.cold:
-            return  # tables, list and register as they were, and nobody is warming up
-        servers = self.servers = self.fleet_view.hosts()
-        self.stamp, self.cold = stamp, any(s.able < 1.0 for s in servers.values())
-        self.strong = {s: strength(v, servers.values()) for s, v in self.core.sets.items()}
+    def on_tick(self, tick: Tick) -> None:
+        """Plan routes and do what is due; call it before the tick of the records."""
+        if tick.now - self.planned_at >= self.publish_ms:
+            self.planned_at = tick.now
+            self.plan_routes()
+        self.records.due_actions += self.core.tick(tick.now)
+
+    def plan_routes(self) -> None:
+        """Compute the routes of all release sets that are alive, and publish those that changed."""
+        register = self.core.releases.register
+        proxies = self.fleet_view.proxies_speaking(PROTOCOL_PART)
+        stamp = PlanStamp(self.fleet_view.change_stamp(), register, tuple(proxies))
+        if stamp == self.plan_stamp and not self.is_any_host_warming:
+            return
+        self.plan_stamp = stamp
+        self.hosts = self.fleet_view.hosts()
+        self.is_any_host_warming = any(host.able < 1.0 for host in self.hosts.values())
+        self.set_strengths = {
+            number: strength(versions, self.hosts.values()) for number, versions in self.core.sets.items()
+        }
         if register is None:
             return
-        rows = self.routes.plan(register.alive, self.fleet_view.tables(), servers)
+        rows = self.routes.plan(register.alive, self.fleet_view.tables(), self.hosts)
+        self._publish_changes(rows, register.alive, proxies)
+        self.rows = rows
+        self.alive_sets = register.alive
+
+    def _publish_changes(self, rows: dict[int, list[Row]], alive_sets: tuple[int, ...], proxies: list[int]) -> None:
+        if not proxies:
+            return
         for number in sorted({*rows, *self.rows}):
             new = rows.get(number, [])
-            if to and (self.rows.get(number) != new or register.alive != self.alive):
-                self.fleet_view.publish(self.frame_of(number, new, register.alive), max(1, len(new)), to)
-        self.rows, self.alive = rows, register.alive
+            if self.rows.get(number) != new or alive_sets != self.alive_sets:
+                self.fleet_view.publish(self._routes_frame(number, new, alive_sets), max(1, len(new)), proxies)
 
-    def frame_of(self, number: int, rows: list[Row], alive: tuple[int, ...]) -> frames.Routes:
-        named = {h for row in rows for h, _ in row[3]}
-        return frames.Routes(number, list(rows), self.fleet_view.addresses(named), list(alive), self.register)
+    def _routes_frame(self, number: int, rows: list[Row], alive_sets: tuple[int, ...]) -> frames.Routes:
+        named = {host for row in rows for host, _ in row[3]}
+        addresses = self.fleet_view.addresses(named)
+        return frames.Routes(number, list(rows), addresses, list(alive_sets), self.register_version)
 
     @property
-    def register(self) -> int:
-        """The version in force as far as we heard: a fence, at forwarders, of what a later one has ended."""
+    def register_version(self) -> int:
+        """The version of the release register as far as known here: a fencing token against what it has ended."""
         register = self.core.releases.register
         return register.version if register else 0
 
     def on_proxy_joined(self, forwarder: int) -> None:
-        """It has its tables; routes of runs come right behind them."""
-        if forwarder in self.fleet_view.proxies_speaking(PART):
+        """Send the routes of runs to a proxy that has just received its tables."""
+        if forwarder in self.fleet_view.proxies_speaking(PROTOCOL_PART):
             for number, rows in self.rows.items():
-                self.fleet_view.reply(forwarder, self.frame_of(number, rows, self.alive))
+                self.fleet_view.reply(forwarder, self._routes_frame(number, rows, self.alive_sets))
 
-    def served(self, number: int, operation: str) -> bool:
-        """Whether some sound host serves that set's version of the operation."""
-        version = self.core.sets.get(number, {}).get(operation, 0)
-        return any(s.sound and s.serves(operation, version) for s in self.servers.values())
+    def is_served(self, number: int, request_class: str) -> bool:
+        """Whether some eligible host serves that release set's version of the request class."""
+        version = self.core.sets.get(number, {}).get(request_class, 0)
+        return any(host.sound and host.serves(request_class, version) for host in self.hosts.values())
 
     # ---- what is shown -------------------------------------------------------------------------------------
 
     def update_metrics(self) -> None:
-        self.metrics.routes_without_host.set(self.routes.stranded)
+        """Set how many routes have no host."""
+        self.context.metrics.routes_without_host.set(self.routes.stranded)
 
     def status(self) -> dict[str, Any]:
+        """The part `pins` of the status page."""
         return {**self.core.page(), "stranded_rows": self.routes.stranded, "carried_rows": self.routes.carried}
 
-    def reload(self, c: ControllerConfig) -> None:
-        """Which set is wanted may change while it runs; sets themselves are the same for ever."""
-        if c.pins and c.pins.current != self.core.wanted:
-            log.info("release", what=f"set {c.pins.current} wanted")
-            self.core.wanted = c.pins.current
-
-    def leave(self, now: float) -> list[OutgoingMessage]:
-        return []
-
-    def close(self) -> None:
-        """Nothing of ours is open."""
+    def reload(self, config: ControllerConfig) -> None:
+        """Take which release set is to be current; the sets themselves may not change."""
+        if config.pins and config.pins.current != self.core.wanted:
+            log.info("release", change=f"set {config.pins.current} wanted")
+            self.core.wanted = config.pins.current
--- a/corallanding/controller/quota_service.py
+++ b/corallanding/controller/quota_service.py
@@ -1,124 +1,143 @@
-"""Budgets of the fleet of stewards: what is asked of them here, and what they say. Decided in `quota`."""
+"""Quota of all controllers together: what is asked for here, and what is exchanged. The core is `quota`."""
 
 from __future__ import annotations
 
 import random
-from collections.abc import Callable, Iterable
-from typing import Any
+from collections.abc import Iterable
+from typing import Any, ClassVar
 
 from .. import interface as api
 from .. import quota
 from ..config import ControllerConfig
-from ..lease.election import LeaderElection, OutgoingMessage
-from ..quota.messages import sound
-from ..telemetry import Metrics, log
+from ..lease.election import OutgoingMessage
+from ..quota import messages
+from ..telemetry import log
 from .action_journal import ActionJournal
+from .cluster_service import ClusterService, ServiceContext, Tick
 
+COLD_SLICES = "cold_slices"  # the budget of slices that a warming host may be given
+RATE_SPAN_MS = 1_000.0  # for so long a unit of a budget per second stays in use
 
-def configured_quotas(c: ControllerConfig) -> dict[str, quota.Budget]:
-    """What the configuration asks for, as the core knows it."""
-    cold = c.rules.cold_ms
-    return {
-        name: quota.Budget(
-            name, b.whole, b.floor, c.stewards_most, 1_000.0 if b.unit == "per_s" else b.span_ms or cold, b.per
-        )
-        for name, b in c.budget.items()
-    }
-
-
-class QuotaService:
-    """Raises OSError if the witness cannot be written."""
-
-    message_types: tuple[type, ...] = (quota.CapacityRequest, quota.CapacityGrant)
-    is_valid = staticmethod(sound)
-
-    def __init__(
-        self,
-        c: ControllerConfig,
-        office: LeaderElection,
-        say: Callable[[Iterable[OutgoingMessage]], None],
-        clock: Callable[[], float],
-        metrics: Metrics,
-        rate_limited_log: Any,
-    ) -> None:
-        self.send, self.clock, self.metrics, self.rate_limited_log, self.warm_up_ms = (
-            say,
-            clock,
-            metrics,
-            rate_limited_log,
-            c.rules.cold_ms,
+
+def configured_quotas(config: ControllerConfig) -> dict[str, quota.Budget]:
+    """The budgets of the configuration, by name, as the core takes them."""
+    budgets = {}
+    for name, block in config.budget.items():
+        span_ms = RATE_SPAN_MS if block.unit == "per_s" else block.span_ms or config.rules.cold_ms
+        budgets[name] = quota.Budget(name, block.whole, block.floor, config.stewards_most, span_ms, block.per)
+    return budgets
+
+
+class QuotaService(ClusterService):
+    """Takes units of quota for what the controller does, and exchanges demand and grants with the other controllers.
+
+    Raises OSError if the journal cannot be written.
+    """
+
+    message_types: ClassVar[tuple[type, ...]] = (quota.CapacityRequest, quota.CapacityGrant)
+
+    def __init__(self, config: ControllerConfig, context: ServiceContext) -> None:
+        self.context = context
+        self.warm_up_ms = config.rules.cold_ms
+        block, election = config.budgets, context.election
+        terms = quota.QuotaLimits(
+            office=block.office_ms, drift=block.drift, lease=block.lease_ms, keys_most=block.keys_most
         )
-        b, o = c.budgets, office
-        terms = quota.QuotaLimits(office=b.office_ms, drift=b.drift, lease=b.lease_ms, keys_most=b.keys_most)
         self.core = quota.QuotaManager(
-            o.me,
-            o.others,
+            election.me,
+            election.others,
             (),
-            configured_quotas(c),
+            configured_quotas(config),
             terms,
-            o.life,
-            clock(),
+            election.life,
+            context.clock(),
             random.random,
-            words_per_s=b.words_per_s,
-            chair=office,
+            words_per_s=block.words_per_s,
+            chair=election,
         )
-        self.journal = ActionJournal(b.witness)
-        self.leader_since: float | None = None  # of the office, as last told
-
-    def on_tick(self, now: float, alive: Iterable[int], wall: float) -> None:
-        self.send(self.core.tick(now, alive))
-        if self.core.divider.since != self.leader_since:  # it may have changed with a vote, between two ticks
-            self.leader_since = self.core.divider.since
-            log.info("divides the budgets" if self.leader_since else "divides no more")
-
-    def on_message(self, sender: int, word: quota.CapacityRequest | quota.CapacityGrant) -> None:
-        self.send(self.core.heard(self.clock(), sender, word))
-
-    def on_election_change(self, now: float) -> None:
-        self.core.office(now)
+        self.journal = ActionJournal(block.witness)
+        self.leader_since: float | None = None  # as last logged
+
+    @staticmethod
+    def is_valid(message: Any) -> bool:
+        """Whether the fields of a message lie within what a correct controller sends."""
+        return messages.sound(message)
+
+    def on_tick(self, tick: Tick) -> None:
+        """Send what is due, and log a change of this controller's leadership."""
+        self.context.send(self.core.tick(tick.now, tick.alive))
+        since = self.core.divider.since  # it may have changed with a vote, between two ticks
+        if since != self.leader_since:
+            self.leader_since = since
+            log.info("quota leadership gained" if since else "quota leadership lost")
+
+    def on_message(self, sender: int, message: quota.CapacityRequest | quota.CapacityGrant) -> None:
+        """Take demand or a grant."""
+        self.context.send(self.core.heard(self.context.clock(), sender, message))
+
+    def on_election_change(self) -> None:
+        """Begin or end the allocation of quota with the leadership."""
+        self.core.office(self.context.clock())
 
     def may_begin(self, kind: str, host: int, now: bool) -> bool:
-        """Whether one more of `kind` may begin; `now`: it does, in this instant."""
-        q, at = self.core, self.clock()
-        if kind not in q.budgets:
+        """Whether one more action of `kind` at `host` may begin. now: it does, and takes a unit of the quota."""
+        if kind not in self.core.budgets:
+            return True
+        if self._take(kind, host) if now else self._is_available(kind, host):
             return True
-        if not now:
-            if q.free(at, kind, host) >= 1:
-                return True
-            q.wish(at, kind, host)
-        elif q.take(at, kind, host):
-            self.journal.write(ActionJournal.now(), q.budgets[kind].span, kind, host, 1)
+        self.context.metrics.quota_denied.labels(kind).inc()
+        self.context.rate_limited_log.warn("quota exhausted", quota=kind, host=host)
+        return False
+
+    def _take(self, kind: str, host: int) -> bool:
+        if not self.core.take(self.context.clock(), kind, host):
+            return False
+        self.journal.write(ActionJournal.now(), self.core.budgets[kind].span, kind, host, 1)
+        return True
+
+    def _is_available(self, kind: str, host: int) -> bool:
+        """Whether a unit is free; if none is, the demand is noted for the next request to the leader."""
+        now = self.context.clock()
+        if self.core.free(now, kind, host) >= 1:
             return True
-        self.metrics.quota_denied.labels(kind).inc()
-        self.rate_limited_log.warn("no right left", budget=kind, host=host)
+        self.core.wish(now, kind, host)
         return False
 
     def on_hosts_listed(self, now: float, entries: Iterable[api.HostEntry]) -> None:
-        """A cold host will be given slices within a turn or two: its rights are asked for before they are needed."""
-        for e in entries if "cold_slices" in self.core.budgets else ():
-            if e.state == "up" and now - e.online_since < self.warm_up_ms:
-                self.core.wish(now, "cold_slices", e.host)
+        """Request quota for hosts that warm up: they will be given slices within a decision step or two."""
+        if COLD_SLICES not in self.core.budgets:
+            return
+        for entry in entries:
+            if entry.state == "up" and now - entry.online_since < self.warm_up_ms:
+                self.core.wish(now, COLD_SLICES, entry.host)
 
     @property
     def rejected(self) -> int:
+        """How many messages of other controllers were rejected."""
         return self.core.refused + self.core.divider.strangers
 
     def update_metrics(self) -> None:
-        q, now = self.core, self.clock()
-        held, used = dict.fromkeys(q.budgets, 0), dict.fromkeys(q.budgets, 0)
-        for a in q.holder.accounts.values():
-            held[a.budget.name] += q.holder.floor(now, a.budget) + (a.amount if now < a.until else 0)
-            used[a.budget.name] += a.count(now, a.uses)
-        for name in q.budgets:
-            self.metrics.quota_granted.labels(name).set(held[name])
-            self.metrics.quota_in_use.labels(name).set(used[name])
-
-    def reload(self, c: ControllerConfig) -> None:
-        """Sizes alone may change while it runs."""
-        self.core.retune(self.clock(), {name: b.whole for name, b in configured_quotas(c).items()})
-
-    def leave(self, now: float) -> list[OutgoingMessage]:
-        return self.core.leave(now)
+        """Set, for each budget, what is granted to this controller and what is in use, over all hosts."""
+        core, now = self.core, self.context.clock()
+        granted = dict.fromkeys(core.budgets, 0)
+        in_use = dict.fromkeys(core.budgets, 0)
+        for account in core.holder.accounts.values():
+            name = account.budget.name
+            granted[name] += core.holder.floor(now, account.budget) + (account.amount if now < account.until else 0)
+            in_use[name] += account.count(now, account.uses)
+        for name in core.budgets:
+            self.context.metrics.quota_granted.labels(name).set(granted[name])
+            self.context.metrics.quota_in_use.labels(name).set(in_use[name])
+
+    def reload(self, config: ControllerConfig) -> None:
+        """Take new sizes of budgets; nothing else of them may change while the controller runs."""
+        sizes = {name: budget.whole for name, budget in configured_quotas(config).items()}
+        self.core.retune(self.context.clock(), sizes)
+
+    def leave(self) -> list[OutgoingMessage]:
+        """Give back what is granted and not in use."""
+        return self.core.leave(self.context.clock())
 
     def close(self) -> None:
+        """Close the journal."""
         self.journal.close()
--- /dev/null
+++ b/corallanding/controller/record_groups.py
@@ -0,0 +1,37 @@
+"""Which task groups have quorum records, and for how long the records live: by what the configuration rests on them."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from ..config import ControllerConfig
+from ..config.scheduling import JOBS
+from ..config.version_pinning import RecordsBlock
+from ..lease.tasks import TaskCatalog
+from ..quorum_records.limits import RecordLimits
+from ..version_pinning.core import RELEASE, RUNS, record_terms
+from .pinning_service import pinning_limits
+from .record_service import RecordGroups
+
+
+def record_groups(
+    config: ControllerConfig, block: RecordsBlock, tasks: TaskCatalog, voters: tuple[int, ...]
+) -> RecordGroups:
+    """The groups for pinned runs, for the release register and for jobs, as far as each is configured."""
+    candidates = (RUNS, RELEASE, JOBS) if config.pins else (JOBS,)
+    names = tuple(name for name in candidates if name in tasks.by_name)
+    if config.pins:
+        return RecordGroups(voters, names, _terms(config, block), counted=(RUNS,), lasting=(RELEASE,))
+    return RecordGroups(voters, names, _terms(config, block), counted=(), lasting=())
+
+
+def _terms(config: ControllerConfig, block: RecordsBlock) -> RecordLimits:
+    """How long records live: twice the longest wait of a job, and as long as pinned runs need."""
+    waits = [operation.waits.most_ms for operation in config.operation.values() if operation.waits]
+    max_wait_ms = max(waits, default=0.0)
+    keep_ms = 2.0 * max_wait_ms
+    if config.pins is None:
+        return RecordLimits(keep_ms, max_wait_ms, block.most, block.again_ms)
+    limits = pinning_limits(config.pins, config.budgets.drift)
+    terms = record_terms(limits, block.most, block.again_ms)
+    return replace(terms, keep=max(terms.keep, keep_ms))
--- a/corallanding/controller/record_service.py
+++ b/corallanding/controller/record_service.py
@@ -1,13 +1,17 @@
-"""Records of the fleet: their file, and what goes out once it is written. Decided in `once`."""
+"""Quorum records: their file, and the messages that go out once it is written. The core is `quorum_records`."""
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Iterable
-from typing import Any
+import hashlib
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any, ClassVar
 
-from ..config import ControllerConfig
+from ..config.version_pinning import RecordsBlock
+from ..lease.core import TaskLeases
 from ..lease.election import OutgoingMessage
+from ..quorum_records import messages
 from ..quorum_records.core import Action, Persist
 from ..quorum_records.fleet import FleetRecords
 from ..quorum_records.limits import RecordLimits
@@ -20,20 +24,43 @@
     PrepareReply,
     Query,
     QueryReply,
-    sound,
 )
 from ..quorum_records.queries import QueryLimits
-from ..telemetry import Metrics, log
+from ..telemetry import log
 from .action_journal import ActionJournal
+from .cluster_service import ClusterService, ServiceContext, Tick
 from .record_store import RecordStore
-from .task_service import TaskService
 
+WRITE_RETRY_MS = 250.0  # after a write that failed
 
-class RecordService:
-    """Those who rest on it ask by `fleet.asking`, say by `carry`, and are called by `listeners` when answers may be
-    there. Raises OSError if its file or the witness cannot be used."""
 
-    message_types: tuple[type, ...] = (
+def record_key_of(name: str) -> int:
+    """The key of the record of a run, a job or a session: not 0, the same at all controllers."""
+    return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big") >> 1 or 1
+
+
+@dataclass(frozen=True)
+class RecordGroups:
+    """Which task groups have records. voters: the controllers that keep replicas.
+
+    counted: groups whose values are tallied; lasting: groups whose records do not expire.
+    """
+
+    voters: tuple[int, ...]
+    names: tuple[str, ...]
+    terms: RecordLimits
+    counted: tuple[str, ...]
+    lasting: tuple[str, ...]
+
+
+class RecordService(ClusterService):
+    """Keeps this controller's replica on disk before any message that rests on it is sent.
+
+    Services that rest on it query by `fleet.asking`, send by `carry_out`, and are called by `listeners` when answers
+    may be there. Raises OSError if its file or the journal cannot be used.
+    """
+
+    message_types: ClassVar[tuple[type, ...]] = (
         Accept,
         AcceptReply,
         Prepare,
@@ -43,114 +70,102 @@
         Query,
         QueryReply,
     )
-    is_valid = staticmethod(sound)
-
-    def __init__(
-        self,
-        c: ControllerConfig,
-        tasks: TaskService,
-        voters: tuple[int, ...],
-        names: tuple[str, ...],
-        terms: RecordLimits,
-        counted: tuple[str, ...],
-        lasting: tuple[str, ...],
-        say: Callable[[Iterable[OutgoingMessage]], None],
-        clock: Callable[[], float],
-        metrics: Metrics,
-        rate_limited_log: Any,
-    ) -> None:
-        r = c.records
-        assert r is not None
-        self.send, self.clock, self.metrics, self.rate_limited_log = say, clock, metrics, rate_limited_log
-        self.store = RecordStore(r.path, clock)
-        asks = QueryLimits(r.answer_within_ms, r.again_ms, r.questions_most)
+
+    def __init__(self, block: RecordsBlock, leases: TaskLeases, groups: RecordGroups, context: ServiceContext) -> None:
+        self.context = context
+        self.store = RecordStore(block.path, context.clock)
         self.fleet = FleetRecords(
-            tasks.core,
-            voters,
-            terms,
-            asks,
-            clock(),
+            leases,
+            groups.voters,
+            groups.terms,
+            QueryLimits(block.answer_within_ms, block.again_ms, block.questions_most),
+            context.clock(),
             self.store.opening_number,
             self.store.is_blank,
-            names,
-            counted,
-            lasting,
-            r.words_per_s,
+            groups.names,
+            groups.counted,
+            groups.lasting,
+            block.words_per_s,
         )
         self.fleet.records.peers.update(self.store.load(self.fleet.records.shelf))
-        self.unwritten: list[Persist] = []  # while the file does not take them, nothing that rests on them is said
-        self.failed_at = float("-inf")
-        self.pushing = False
+        self.unwritten: list[Persist] = []  # while the file does not take them, nothing that rests on them is sent
+        self.write_failed_at = float("-inf")
+        self.is_send_scheduled = False
         self.listeners: list[Callable[[], None]] = []
-        self.due_actions: list[Action] = []  # of those who rest on it, for the next tick
-        self.journal = ActionJournal(r.witness)
+        self.due_actions: list[Action] = []  # of services that rest on this one, for the next tick
+        self.journal = ActionJournal(block.witness)
+
+    @staticmethod
+    def is_valid(message: Any) -> bool:
+        """Whether the fields of a message lie within what a correct controller sends."""
+        return messages.sound(message)
 
     def carry_out(self, actions: list[Action]) -> None:
-        """What is to be on disk first is, or nothing that comes after it is said."""
-        self.unwritten += [a for a in actions if isinstance(a, Persist)]
-        if not self.write():
+        """Write what is to be on disk first, then send; if it cannot be written, nothing is sent."""
+        self.unwritten += [action for action in actions if isinstance(action, Persist)]
+        if not self._write():
             return
-        self.send(a for a in actions if isinstance(a, OutgoingMessage))
+        self.context.send(action for action in actions if isinstance(action, OutgoingMessage))
         for listener in self.listeners:
             listener()
 
-    def write(self) -> bool:
-        now = self.clock()
-        if self.unwritten and now - self.failed_at < 250.0:
+    def _write(self) -> bool:
+        """Whether all changes of the replica are on disk now."""
+        now = self.context.clock()
+        if self.unwritten and now - self.write_failed_at < WRITE_RETRY_MS:
             return False
         try:
             while self.unwritten:
                 self.store.write(self.unwritten[0].what)
                 del self.unwritten[0]
-        except OSError as fault:
-            self.failed_at = now
-            self.rate_limited_log.warn("records are not kept; nothing of them is told", why=str(fault))
+        except OSError as error:
+            self.write_failed_at = now
+            self.context.rate_limited_log.warn("records not stored; answers withheld", reason=str(error))
             return False
         return True
 
     def schedule_queries(self) -> None:
-        """What was asked in one turn of the loop goes out together, in the next."""
-        if not self.pushing:
-            self.pushing = True
-            asyncio.get_running_loop().call_soon(self.send_queries)
-
-    def send_queries(self) -> None:
-        self.pushing = False
-        self.carry_out(self.fleet.push(self.clock()))
-
-    def on_message(self, sender: int, word: Any) -> None:
-        if self.unwritten and not self.write():
-            return  # as if it had been lost
-        self.carry_out(self.fleet.heard(self.clock(), sender, word))
-
-    def on_election_change(self, now: float) -> None:
-        """Nothing of ours changes with a vote."""
+        """Send the queries of one turn of the event loop together, in the next."""
+        if not self.is_send_scheduled:
+            self.is_send_scheduled = True
+            asyncio.get_running_loop().call_soon(self._send_queries)
+
+    def _send_queries(self) -> None:
+        self.is_send_scheduled = False
+        self.carry_out(self.fleet.push(self.context.clock()))
+
+    def on_message(self, sender: int, message: Any) -> None:
+        """Take a message of the records; while the file takes no writes it is ignored, as if it had been lost."""
+        if self.unwritten and not self._write():
+            return
+        self.carry_out(self.fleet.heard(self.context.clock(), sender, message))
 
-    def on_tick(self, now: float, alive: Iterable[int], wall: float) -> None:
-        """After the tasks' tick."""
-        due, self.due_actions = self.due_actions, []
-        self.carry_out(self.fleet.tick(now, due))
+    def on_tick(self, tick: Tick) -> None:
+        """Do what is due; call it after the tick of the tasks and of the services that rest on this one."""
+        due = self.due_actions
+        self.due_actions = []
+        self.carry_out(self.fleet.tick(tick.now, due))
 
     @property
     def rejected(self) -> int:
-        r = self.fleet.records
-        return r.refused + r.shelf.refused + self.fleet.asking.refused
+        """How many messages of other controllers were rejected."""
+        records = self.fleet.records
+        return records.refused + records.shelf.refused + self.fleet.asking.refused
 
     def update_metrics(self) -> None:
-        self.metrics.record_count.set(self.fleet.records.shelf.count)
-        self.metrics.pending_queries.set(len(self.fleet.asking.asked))
-
-    def leave(self, now: float) -> list[OutgoingMessage]:
-        return []
+        """Set how many records the replica has, and how many queries have no answer yet."""
+        self.context.metrics.record_count.set(self.fleet.records.shelf.count)
+        self.context.metrics.pending_queries.set(len(self.fleet.asking.asked))
 
     def reopen(self) -> None:
-        """After a handover that came to nothing. What the other process may have kept stands beside ours."""
+        """Take the file back after a handover that failed. What the other process wrote is read beside ours."""
         try:
-            self.store = RecordStore(self.store.path, self.clock)
+            self.store = RecordStore(self.store.path, self.context.clock)
             self.store.load(self.fleet.records.shelf)
-        except OSError as fault:
-            log.error("records cannot be kept any more; nothing of them is told", why=str(fault))
+        except OSError as error:
+            log.error("records cannot be stored any more; answers withheld", reason=str(error))
 
     def close(self) -> None:
+        """Close the file and the journal."""
         self.store.close()
         self.journal.close()
--- a/corallanding/controller/record_store.py
+++ b/corallanding/controller/record_store.py
@@ -1,6 +1,6 @@
-"""The file in which a steward keeps its copies of records that are written once. SQLite, one transaction for each word.
+"""The file in which a controller keeps its replica of quorum records: SQLite, one transaction for each message.
 
-Ages go on while nobody runs: by the clock of the machine since its boot, or by the wall clock after another boot.
+Records age while nobody runs: by the clock of the machine since its boot, or by the wall clock after another boot.
 """
 
 from __future__ import annotations
@@ -10,6 +10,7 @@
 import sqlite3
 import time
 from collections.abc import Callable
+from typing import NamedTuple
 
 from ..quorum_records.replica import Replica, UnsavedChanges
 from .recovery import boot_id
@@ -22,98 +23,136 @@
 create table if not exists peer (number integer primary key, opened integer not null, life integer not null,
   writes integer not null);
 """
+BUSY_TIMEOUT_S = 0.02  # that a write waits for another process's lock on the file
+NO_DESCRIPTOR = -1  # in place of the lock file's descriptor once it is closed
+
+
+class ClockReadings(NamedTuple):
+    """One instant on three clocks, ms: the controller's own, that of the machine since its boot, the wall clock."""
+
+    own: float
+    since_boot: float
+    wall: float
 
 
 class RecordStore:
-    """clock: the steward's own, ms. Raises OSError if the file cannot be used, or another process holds it."""
+    """Reads and writes the file of quorum records at `path`, which one process holds at a time.
+
+    clock: the controller's own, ms. is_blank: the file holds no complete replica (it is new, or was wiped).
+    opening_number: how often the file was opened, this time included. Raises OSError if the file cannot be used, or
+    another process holds it.
+    """
 
     def __init__(self, path: str, clock: Callable[[], float]) -> None:
-        self.path, self.clock = path, clock
-        self.lock = os.open(f"{path}.lock", os.O_RDWR | os.O_CREAT, 0o600)
+        self.path = path
+        self.clock = clock
+        self.lock_descriptor = os.open(f"{path}.lock", os.O_RDWR | os.O_CREAT, 0o600)
+        self.db: sqlite3.Connection | None = None
         try:
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            self.db = sqlite3.connect(path, isolation_level=None, timeout=0.02)
-            self.db.execute("pragma journal_mode=wal")
-            self.db.execute("pragma synchronous=normal")
-            self.db.executescript(TABLES)
-            meta = dict(self.db.execute("select key, value from meta"))
-            # `born` is on the clock since boot; what was written before another boot is told by the wall clock.
-            self.is_same_boot = meta.get("boot", "") == boot_id()
-            self.is_blank = meta.get("whole") != "1"
-            self.opening_number, self.writes = int(meta.get("opened", 0)) + 1, int(meta.get("writes", 0))
-            self.write_metadata({"opened": str(self.opening_number)})
-        except (BlockingIOError, sqlite3.Error, ValueError) as fault:
+            fcntl.flock(self.lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            self.db = sqlite3.connect(path, isolation_level=None, timeout=BUSY_TIMEOUT_S)
+            self._prepare(self.db)
+        except (BlockingIOError, sqlite3.Error, ValueError) as error:
             self.close()
-            raise OSError(f"{path}: {fault}") from None
+            raise OSError(f"{path}: {error}") from None
+
+    def _prepare(self, db: sqlite3.Connection) -> None:
+        """Create the tables where they are missing, read the metadata and count this opening."""
+        db.execute("pragma journal_mode=wal")
+        db.execute("pragma synchronous=normal")
+        db.executescript(TABLES)
+        metadata = dict(db.execute("select key, value from meta"))
+        # `born` is on the clock since boot; after another boot the age is taken from the wall clock.
+        self.is_same_boot = metadata.get("boot", "") == boot_id()
+        self.is_blank = metadata.get("whole") != "1"
+        self.opening_number = int(metadata.get("opened", 0)) + 1
+        self.writes = int(metadata.get("writes", 0))
+        self._write_metadata(db, {"opened": str(self.opening_number)})
+
+    def _write_metadata(self, db: sqlite3.Connection, rows: dict[str, str]) -> None:
+        db.executemany("insert or replace into meta values (?, ?)", rows.items())
 
-    def write_metadata(self, rows: dict[str, str]) -> None:
-        self.db.executemany("insert or replace into meta values (?, ?)", rows.items())
+    def _open_database(self) -> sqlite3.Connection:
+        """The database. Raises OSError once the file is closed: another process may hold it."""
+        if self.db is None or self.lock_descriptor == NO_DESCRIPTOR:
+            raise OSError(f"{self.path}: it is another process's now")
+        return self.db
 
-    def clocks(self) -> tuple[float, float, float]:
-        """ms: of the steward's clock, since boot, of the wall clock."""
-        return self.clock(), time.monotonic() * 1000.0, time.time() * 1000.0
+    def _read_clocks(self) -> ClockReadings:
+        return ClockReadings(self.clock(), time.monotonic() * 1000.0, time.time() * 1000.0)
 
     def load(self, shelf: Replica) -> dict[int, tuple[int, int, int]]:
-        """Puts all into the shelf; the openings of others' files that were heard of."""
-        mine, booted, wall = self.clocks()
-        for group, key, value, fence, number, born, walled in self.db.execute("select * from record"):
-            age = max(0.0, booted - born if self.is_same_boot else wall - walled)
-            shelf.put(group, key, value, (fence, number), mine - age)
-        for group, fence in self.db.execute("select * from seen"):
+        """Put all that is stored into the replica.
+
+        Returns, by controller, what was heard of the others' files: opening number, incarnation, count of writes.
+        """
+        db = self._open_database()
+        now = self._read_clocks()
+        for group, key, value, fence, number, born, wall in db.execute("select * from record"):
+            age_ms = max(0.0, now.since_boot - born if self.is_same_boot else now.wall - wall)
+            shelf.put(group, key, value, (fence, number), now.own - age_ms)
+        for group, fence in db.execute("select * from seen"):
             shelf.raise_seen(group, fence)
         shelf.take_unkept()
         shelf.writes = max(shelf.writes - 1, self.writes)
         if not self.is_same_boot:
-            rows = list(self.db.execute("select wall, grp, key from record"))
-            self.db.execute("begin")
-            self.db.executemany(
-                "update record set born = ? where grp = ? and key = ?",
-                [(booted - max(0.0, wall - walled), group, key) for walled, group, key in rows],
-            )
-            self.write_metadata({"boot": boot_id()})
-            self.db.execute("commit")
-            self.is_same_boot = True
-        return {n: (opened, life, writes) for n, opened, life, writes in self.db.execute("select * from peer")}
+            self._move_to_this_boot(db, now)
+        return {number: (opened, life, writes) for number, opened, life, writes in db.execute("select * from peer")}
+
+    def _move_to_this_boot(self, db: sqlite3.Connection, now: ClockReadings) -> None:
+        """Restate the times of all records on the clock since this boot, in one transaction."""
+        rows = list(db.execute("select wall, grp, key from record"))
+        db.execute("begin")
+        db.executemany(
+            "update record set born = ? where grp = ? and key = ?",
+            [(now.since_boot - max(0.0, now.wall - wall), group, key) for wall, group, key in rows],
+        )
+        self._write_metadata(db, {"boot": boot_id()})
+        db.execute("commit")
+        self.is_same_boot = True
 
     def write(self, what: UnsavedChanges) -> None:
-        """One transaction. Raises OSError; nothing of it is written then."""
-        if self.lock < 0:
-            raise OSError(f"{self.path}: it is another process's now")
-        mine, booted, wall = self.clocks()
+        """Write changes of the replica in one transaction. Raises OSError; nothing of them is written then."""
+        db = self._open_database()
+        now = self._read_clocks()
         try:
-            self.db.execute("begin immediate")
-            if what.wiped:
-                self.db.execute("delete from record")
-                self.db.execute("delete from seen")
-                self.write_metadata({"whole": "0"})
-            self.db.executemany("delete from record where grp = ? and key = ?", what.gone)
-            self.db.executemany(
-                "insert or replace into record values (?, ?, ?, ?, ?, ?, ?)",
-                [
-                    (group, key, value, fence, number, booted - (mine - born), wall - (mine - born))
-                    for group, key, value, fence, number, born in what.rows
-                ],
-            )
-            self.db.executemany("insert or replace into seen values (?, ?)", what.seen.items())
-            self.db.executemany(
-                "insert or replace into peer values (?, ?, ?, ?)", [(n, *row) for n, row in what.peers.items()]
-            )
-            self.writes = what.writes
-            self.write_metadata({"writes": str(what.writes)})
-            if what.opened:
-                self.opening_number = what.opened
-                self.write_metadata({"opened": str(what.opened)})
-            if what.whole:
-                self.write_metadata({"whole": "1"})
-            self.db.execute("commit")
-        except sqlite3.Error as fault:
-            if self.db.in_transaction:
-                self.db.execute("rollback")
-            raise OSError(f"{self.path}: {fault}") from None
+            db.execute("begin immediate")
+            self._write_records(db, what, now)
+            self._write_counters(db, what)
+            db.execute("commit")
+        except sqlite3.Error as error:
+            if db.in_transaction:
+                db.execute("rollback")
+            raise OSError(f"{self.path}: {error}") from None
+
+    def _write_records(self, db: sqlite3.Connection, what: UnsavedChanges, now: ClockReadings) -> None:
+        if what.wiped:
+            db.execute("delete from record")
+            db.execute("delete from seen")
+            self._write_metadata(db, {"whole": "0"})
+        db.executemany("delete from record where grp = ? and key = ?", what.gone)
+        rows = []
+        for group, key, value, fence, number, born in what.rows:
+            age_ms = now.own - born
+            rows.append((group, key, value, fence, number, now.since_boot - age_ms, now.wall - age_ms))
+        db.executemany("insert or replace into record values (?, ?, ?, ?, ?, ?, ?)", rows)
+        db.executemany("insert or replace into seen values (?, ?)", what.seen.items())
+
+    def _write_counters(self, db: sqlite3.Connection, what: UnsavedChanges) -> None:
+        peers = [(number, *row) for number, row in what.peers.items()]
+        db.executemany("insert or replace into peer values (?, ?, ?, ?)", peers)
+        self.writes = what.writes
+        self._write_metadata(db, {"writes": str(what.writes)})
+        if what.opened:
+            self.opening_number = what.opened
+            self._write_metadata(db, {"opened": str(what.opened)})
+        if what.whole:
+            self._write_metadata(db, {"whole": "1"})
 
     def close(self) -> None:
-        if hasattr(self, "db"):
+        """Close the file and let another process have it."""
+        if self.db is not None:
             self.db.close()
-        if self.lock >= 0:
-            os.close(self.lock)
-            self.lock = -1
+        if self.lock_descriptor != NO_DESCRIPTOR:
+            os.close(self.lock_descriptor)
+            self.lock_descriptor = NO_DESCRIPTOR
--- a/corallanding/controller/scheduling_service.py
+++ b/corallanding/controller/scheduling_service.py
@@ -1,249 +1,248 @@
-"""Work that may wait at forwarders: what they hand in, and when it goes. Decided in `waiting`."""
+"""Jobs that may wait at proxies: what proxies hand in, and when it goes. The core is `scheduling`."""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
-from typing import Any
+from typing import Any, ClassVar
 
 from ..config import ControllerConfig
-from ..lease.election import LeaderElection, OutgoingMessage
+from ..config.scheduling import JOBS, RELEASES
+from ..errors import ConfigurationError
+from ..quorum_records.queries import QueryResult
+from ..scheduling import messages
 from ..scheduling.core import Ask, Go, Waiting
 from ..scheduling.idempotency import FOUND, GRANTED, NOT_NOW, TWIN, Claims
-from ..scheduling.limits import Kind, WaitTerms
-from ..scheduling.messages import Line, sound
+from ..scheduling.messages import Line
 from ..scheduling.queue import Job
-from ..telemetry import Metrics, log
+from ..telemetry import log
 from ..wire import frames
-from .action_journal import ActionJournal
+from .cluster_service import ClusterService, ServiceContext, Tick
 from .fleet_view import FleetView
-from .pinning_service import PinningService, record_key_of
+from .idempotency_queries import AgeQuery, ClaimQuery, IdempotencyQueries
+from .job_journal import JobJournal
+from .job_terms import JobAnswer, JobEnd, JobOrder, scheduling_limits, waiting_classes
+from .pinned_jobs import PinnedJobs
+from .pinning_service import PinningService
 from .quota_service import QuotaService
-from .record_service import RecordService
-from .sessions import Sessions
+from .record_service import RecordService, record_key_of
+from .sessions import Admission, Sessions
 
-PART = 2  # of the protocol, in a forwarder's hello
-RELEASES = "releases"
+PROTOCOL_PART = 2  # the bit in a proxy's hello that says that it knows jobs that wait
+FLEET = 0  # in place of a host, for a budget of all controllers together
 
 
-class SchedulingService:
-    """Raises OSError if the witness cannot be written. records, pins: where there are any."""
+class SchedulingService(ClusterService):
+    """Queues jobs of the proxies that are connected here, and releases them in the order that all controllers share.
 
-    message_types: tuple[type, ...] = (Line,)
-    is_valid = staticmethod(sound)
+    records, pinning: where they are configured. Raises OSError if the journal cannot be written.
+    """
+
+    message_types: ClassVar[tuple[type, ...]] = (Line,)
 
     def __init__(
         self,
-        c: ControllerConfig,
-        office: LeaderElection,
-        budgets: QuotaService,
+        config: ControllerConfig,
+        context: ServiceContext,
+        quota: QuotaService,
         records: RecordService | None,
-        pins: PinningService | None,
-        say: Callable[[Iterable[OutgoingMessage]], None],
-        clock: Callable[[], float],
-        metrics: Metrics,
-        sight: FleetView,
+        pinning: PinningService | None,
+        fleet_view: FleetView,
     ) -> None:
-        self.send, self.clock, self.metrics, self.fleet_view, self.pinning = say, clock, metrics, sight, pins
-        self.records = records
-        w, rate = c.waiting, float(c.budget[RELEASES].whole)
-        self.numbers = {n: k for k, n in enumerate(n for n, o in enumerate(c.operation.values()) if o.waits)}
-        self.names = [name for name, o in c.operation.items() if o.waits]
-        kinds = [
-            Kind(name, o.waits.priority, o.waits.patience_ms, o.waits.most_ms, o.waits.most_jobs)
-            for name, o in c.operation.items()
-            if o.waits
-        ]
-        terms = WaitTerms(w.tell_ms, w.stale_ms, w.slack_ms, w.hold_ms, w.rise, rate, w.batch, w.claims_most)
-        quota = budgets.core
+        self.context = context
+        self.quota = quota
+        self.pinning = pinning
+        self.fleet_view = fleet_view
+        classes = list(config.operation)
+        kinds = waiting_classes(config)
+        self.names = [kind.name for kind in kinds]
+        self.kind_of_class = {classes.index(name): kind for kind, name in enumerate(self.names)}
         self.core = Waiting(
-            office.others,
-            office.life,
+            context.election.others,
+            context.election.life,
             kinds,
-            terms,
-            clock(),
-            lambda: budgets.may_begin(RELEASES, 0, True),
-            lambda n: quota.aim(clock(), RELEASES, n),
-            c.budgets.words_per_s,
+            scheduling_limits(config),
+            context.clock(),
+            self._take_release,
+            self._request_releases,
+            config.budgets.words_per_s,
         )
-        self.claims: Claims | None = None
-        if records and "jobs" in records.fleet.of:
-            self.claims = Claims(records.fleet.asking, records.fleet.of["jobs"])
-            records.listeners.append(self.answered)
+        claims: Claims | None = None
+        self.queries: IdempotencyQueries | None = None
+        if records and JOBS in records.fleet.of:
+            claims = Claims(records.fleet.asking, records.fleet.of[JOBS])
+            self.queries = IdempotencyQueries(claims, records)
+            records.listeners.append(self.on_answers)
         self.alive: list[int] = []
-        self.sessions = Sessions(self.claims, records)
-        self.aging: dict[int, Job] = {}  # question on a fingerprint's age
-        self.claiming: dict[int, tuple[Job, float]] = {}
-        self.giving: set[int] = set()  # questions by which a fingerprint is given back
-        self.versions: dict[tuple[int, int], tuple[bool, bool]] = {}
-        self.dry = False
-        self.journal = ActionJournal(w.witness)
+        self.sessions = Sessions(claims, records)
+        self.pinned_jobs = PinnedJobs(self.core, self.names)
+        self.is_quota_exhausted = False  # as last logged
+        self.journal = JobJournal(config.waiting.witness, self.core.life)
+
+    @staticmethod
+    def is_valid(message: Any) -> bool:
+        """Whether the fields of a message lie within what a correct controller sends."""
+        return messages.sound(message)
+
+    def _take_release(self) -> bool:
+        """Take one unit of the quota of releases, if there is one."""
+        return self.quota.may_begin(RELEASES, FLEET, True)
 
-    # ---- forwarders and their sessions ---------------------------------------------------------------------
+    def _request_releases(self, count: int) -> None:
+        """State how many releases a second would be used here."""
+        self.quota.core.aim(self.context.clock(), RELEASES, count)
 
     def on_proxy_joined(self, forwarder: int) -> None:
+        """A proxy connected: the age of its process bounds the age of its jobs."""
         name = self.fleet_view.session_name(forwarder)
-        if name is not None and forwarder in self.fleet_view.proxies_speaking(PART):
-            self.sessions.joined(self.clock(), forwarder, name)
+        if name is not None and forwarder in self.fleet_view.proxies_speaking(PROTOCOL_PART):
+            self.sessions.on_proxy_joined(self.context.clock(), forwarder, name)
 
     def on_proxy_left(self, forwarder: int) -> None:
-        """It hands its jobs to another steward, with their ages."""
+        """A proxy is gone: it hands its jobs to another controller, with their ages."""
         self.core.left(forwarder)
 
     def on_proxy_frame(self, forwarder: int, frame: frames.Wait | frames.Unwait) -> None:
+        """A proxy hands in a job, or takes one back."""
+        now = self.context.clock()
         if isinstance(frame, frames.Unwait):
             job = self.core.drop(forwarder, frame.ticket, frame.ended)
             if job and job.granted and frame.ended:
-                self.give_back(self.clock(), job)
+                self._give_back(now, job)
             return
-        now, known = self.clock(), self.sessions.held(self.clock(), forwarder, frame)
-        if known is None:
-            self.tell(forwarder, frame.ticket, "not-now", 0.0)
-        elif known:
-            self.take_in(forwarder, frame, now)
-
-    def take_in(self, forwarder: int, frame: frames.Wait, came: float) -> None:
-        """came: when it was handed in: it may have stood here since."""
-        now, kind = self.clock(), self.numbers.get(frame.operation)
+        match self.sessions.admit(now, forwarder, frame):
+            case Admission.NOW:
+                self._take_in(forwarder, frame, received_at=now)
+            case Admission.REJECTED:
+                self._reply(forwarder, frame.ticket, JobAnswer.NOT_NOW, 0.0)
+            case Admission.DELAYED:
+                pass
+
+    def _take_in(self, forwarder: int, frame: frames.Wait, *, received_at: float) -> None:
+        """Queue a job. received_at: when it was handed in, ms; it may have been delayed here since."""
+        now = self.context.clock()
+        kind = self.kind_of_class.get(frame.operation)
         if kind is None:
-            self.tell(forwarder, frame.ticket, "does-not-wait", 0.0)
+            self._reply(forwarder, frame.ticket, JobAnswer.DOES_NOT_WAIT, 0.0)
             return
-        waited = min(frame.waited + now - came, self.sessions.age(now, forwarder))
-        key = record_key_of(f"job {frame.fingerprint}") if frame.fingerprint and self.claims else 0
-        new = (forwarder, frame.ticket) not in self.core.tickets
-        job, why, longest = self.core.take_in(now, self.alive, forwarder, frame.ticket, kind, waited, key, frame.set)
-        self.tell(forwarder, frame.ticket, why or "waiting", longest)
-        if job and new:
-            self.metrics.jobs.labels(self.names[kind], "taken").inc()
-            if job.set:
-                self.versions.pop((kind, job.set), None)
-            if key:
-                self.age(now, job)
-        elif job is None:
-            self.metrics.jobs.labels(self.names[kind], why).inc()
-
-    def age(self, now: float, job: Job) -> None:
-        """Its client may have brought it before, elsewhere: then it is as old as that."""
-        assert self.claims is not None
-        assert self.records is not None
-        self.aging[self.claims.seek(now, job.key, now - job.since)] = job
-        self.records.schedule_queries()
-
-    def tell(self, forwarder: int, ticket: int, what: str, longest: float) -> None:
-        self.fleet_view.reply(forwarder, frames.Waits(ticket, what, round(longest, 1)))
-
-    # ---- what becomes of questions -------------------------------------------------------------------------
-
-    def answered(self) -> None:
-        assert self.claims is not None
-        now = self.clock()
-        for told in self.claims.asking.take(self.claims.groups[0]):
-            if told.number in self.sessions.seeking:
-                forwarder, waits = self.sessions.answered(now, told)
-                for came, frame in waits:
-                    self.take_in(forwarder, frame, came)
-            elif job := self.aging.pop(told.number, None):
-                if told.what in (FOUND, TWIN):
-                    self.core.older(job, now - told.value)
-                elif told.what == NOT_NOW and (job.forwarder, job.ticket) in self.core.tickets:
-                    self.age(now, job)  # nobody could say
-                if told.what == TWIN and (ask := self.core.claim(now, job)):
-                    self.claim(now, ask)
-            elif claim := self.claiming.pop(told.number, None):
-                self.claimed(now, *claim, told.what)
-            else:
-                self.giving.discard(told.number)
-
-    def claimed(self, now: float, job: Job, at: float, what: int) -> None:
-        """at: when it was asked for, by the witness's clock."""
+        waited_ms = min(frame.waited + now - received_at, self.sessions.age_ms(now, forwarder))
+        key = record_key_of(f"job {frame.fingerprint}") if frame.fingerprint and self.queries else 0
+        is_new = (forwarder, frame.ticket) not in self.core.tickets
+        job, reason, max_wait_ms = self.core.take_in(
+            now, self.alive, forwarder, frame.ticket, kind, waited_ms, key, frame.set
+        )
+        self._reply(forwarder, frame.ticket, reason or JobAnswer.WAITING, max_wait_ms)
+        if job is None:
+            self._count(kind, reason)
+        elif is_new:
+            self._count(kind, JobEnd.TAKEN)
+            self._on_new_job(now, job)
+
+    def _on_new_job(self, now: float, job: Job) -> None:
+        if job.set:
+            self.pinned_jobs.forget(job)
+        if job.key:
+            self._idempotency().query_age(now, job)
+
+    def _reply(self, forwarder: int, ticket: int, what: str, max_wait_ms: float) -> None:
+        self.fleet_view.reply(forwarder, frames.Waits(ticket, what, round(max_wait_ms, 1)))
+
+    def _count(self, kind: int, end: str) -> None:
+        self.context.metrics.jobs.labels(self.names[kind], end).inc()
+
+    def _idempotency(self) -> IdempotencyQueries:
+        """Queries on idempotency keys. Raises ConfigurationError where no records are configured for them."""
+        if self.queries is None:
+            raise ConfigurationError(f'task_group "{JOBS}": jobs with idempotency keys need records')
+        return self.queries
+
+    def on_answers(self) -> None:
+        """Take answers on the ages of sessions and jobs, and on claims."""
+        now = self.context.clock()
+        for query, told in self._idempotency().take_answers():
+            if told.number in self.sessions.queries:
+                forwarder, jobs = self.sessions.on_answer(now, told)
+                for received_at, frame in jobs:
+                    self._take_in(forwarder, frame, received_at=received_at)
+            elif isinstance(query, AgeQuery):
+                self._on_age(now, query.job, told)
+            elif isinstance(query, ClaimQuery):
+                self._on_claim_answer(now, query, told.what)
+
+    def _on_age(self, now: float, job: Job, told: QueryResult) -> None:
+        if told.what in (FOUND, TWIN):
+            self.core.older(job, now - told.value)
+        elif told.what == NOT_NOW and (job.forwarder, job.ticket) in self.core.tickets:
+            self._idempotency().query_age(now, job)  # no majority could answer
+        if told.what == TWIN and self.core.claim(now, job):
+            self._claim(now, job)
+
+    def _on_claim_answer(self, now: float, query: ClaimQuery, what: int) -> None:
+        job = query.job
         if self.core.claimed(now, job, what == GRANTED, what == TWIN):
-            self.give_back(now, job)
+            self._give_back(now, job)
         elif what == TWIN:
-            self.metrics.jobs.labels(self.names[job.kind], "twin").inc()
-            self.fleet_view.reply(job.forwarder, frames.Go(job.ticket, "twin"))
+            self._count(job.kind, JobEnd.DUPLICATE)
+            self.fleet_view.reply(job.forwarder, frames.Go(job.ticket, JobOrder.DROP_DUPLICATE))
         elif (job.forwarder, job.ticket) in self.core.tickets:
-            # In line again, or aside: it could not go while the question was out.
-            until = ActionJournal.now() + (0.0 if what == GRANTED else self.core.terms.hold)
-            self.journal.write("back", at, self.core.life, job.forwarder, job.ticket, until)
-
-    def give_back(self, now: float, job: Job) -> None:
-        """It was granted, no word to send it ever went out, and its client gave it up."""
-        if self.claims and self.records:
-            self.giving.add(self.claims.give_back(now, job, self.owner(job)))
-            self.records.schedule_queries()
-
-    def go(self, a: Go) -> None:
-        job = a.job
-        self.metrics.jobs.labels(self.names[job.kind], "gone").inc()
-        standing, counted = round(a.standing, 4), list(a.counted)
-        self.journal.write("go", ActionJournal.now(), self.core.life, job.forwarder, job.ticket, standing, counted)
-        self.fleet_view.reply(job.forwarder, frames.Go(job.ticket, "go"))
-
-    def owner(self, job: Job) -> int:
-        """Of a ticket, whichever steward has it: the same process of a forwarder may let it go again if it must."""
-        return record_key_of(f"ticket {job.forwarder} {self.sessions.name(job.forwarder)} {job.ticket}") | 2
+            # Queued again, or set aside: it could not go while the query was pending.
+            self.journal.on_returned(job, query.asked_at, 0.0 if what == GRANTED else self.core.terms.hold)
 
-    # ---- by time -------------------------------------------------------------------------------------------
+    def _claim(self, now: float, job: Job) -> None:
+        self._idempotency().claim(now, job, self._owner(job))
 
-    def on_tick(self, now: float, alive: Iterable[int], wall: float) -> None:
-        self.alive = list(alive)
+    def _give_back(self, now: float, job: Job) -> None:
+        """The job was granted, no message to send it ever went out, and its client gave it up."""
+        if self.queries:
+            self.queries.give_back(now, job, self._owner(job))
+
+    def _owner(self, job: Job) -> int:
+        """The number of a ticket, the same at all controllers: the same process of a proxy may release it again."""
+        return record_key_of(f"ticket {job.forwarder} {self.sessions.name(job.forwarder)} {job.ticket}") | 2
+
+    def on_tick(self, tick: Tick) -> None:
+        """Release the jobs whose turn it is, claim those that need it, and send what the other controllers need."""
+        self.alive = tick.alive
         if self.pinning:
-            self.look_at_versions(self.pinning)
-        actions, words = self.core.tick(now, self.alive)
-        if self.core.dry != self.dry:
-            self.dry = self.core.dry
-            log.info("waiting", what="no rights come: others go on" if self.dry else "rights come again")
-            self.journal.write("dry" if self.dry else "wet", ActionJournal.now(), self.core.life, -1, -1)
-        for a in actions:
-            if isinstance(a, Go):
-                self.go(a)
-            elif isinstance(a, Ask):
-                self.claim(now, a)
-        self.send(words)
-
-    def claim(self, now: float, a: Ask) -> None:
-        assert self.claims is not None
-        assert self.records is not None
-        number = self.claims.claim(now, a.job, self.owner(a.job))
-        self.claiming[number] = (a.job, ActionJournal.now())
-        self.records.schedule_queries()
-
-    def look_at_versions(self, pins: PinningService) -> None:
-        """Jobs whose version no host serves wait aside; those that keep a set from retiring rise."""
-        register = pins.core.releases.register
-        for set in list(self.core.queue.by_set):
-            rises = register is not None and set not in register.opens
-            for kind, name in enumerate(self.names):
-                state = (pins.served(set, name), rises)
-                if self.versions.get((kind, set)) != state:
-                    self.versions[kind, set] = state
-                    self.core.versions(kind, set, *state)
-        if len(self.versions) > 4_096:
-            self.versions.clear()
-
-    def on_message(self, sender: int, word: Line) -> None:
-        self.core.heard(self.clock(), sender, word)
-
-    def on_election_change(self, now: float) -> None:
-        """Nothing of ours changes with a vote."""
-
-    # ---- what is shown -------------------------------------------------------------------------------------
+            self.pinned_jobs.update(self.pinning)
+        actions, to_send = self.core.tick(tick.now, self.alive)
+        if self.core.dry != self.is_quota_exhausted:
+            self._log_exhaustion(is_exhausted=self.core.dry)
+        for action in actions:
+            if isinstance(action, Go):
+                self._release(action)
+            elif isinstance(action, Ask):
+                self._claim(tick.now, action.job)
+        self.context.send(to_send)
+
+    def _log_exhaustion(self, *, is_exhausted: bool) -> None:
+        self.is_quota_exhausted = is_exhausted
+        text = "no quota granted: other controllers go on" if is_exhausted else "quota granted again"
+        log.info("scheduling", change=text)
+        self.journal.on_quota(is_exhausted=is_exhausted)
+
+    def _release(self, action: Go) -> None:
+        job = action.job
+        self._count(job.kind, JobEnd.GONE)
+        self.journal.on_released(job, action.standing, action.counted)
+        self.fleet_view.reply(job.forwarder, frames.Go(job.ticket, JobOrder.SEND))
+
+    def on_message(self, sender: int, message: Line) -> None:
+        """Take what waits at another controller."""
+        self.core.heard(self.context.clock(), sender, message)
 
     @property
     def rejected(self) -> int:
+        """How many messages of other controllers were rejected."""
         return self.core.lines.refused
 
     def update_metrics(self) -> None:
+        """Set how many jobs wait here, by request class."""
         for name, count in zip(self.names, self.core.queue.by_kind, strict=True):
-            self.metrics.queued_jobs.labels(name).set(count)
+            self.context.metrics.queued_jobs.labels(name).set(count)
 
     def status(self) -> dict[str, Any]:
-        return self.core.page(self.clock(), self.alive)
-
-    def reload(self, c: ControllerConfig) -> None:
-        """Nothing of it changes while it runs: order must be the same at all stewards."""
-
-    def leave(self, now: float) -> list[OutgoingMessage]:
-        return []
+        """The part `waiting` of the status page."""
+        return self.core.page(self.context.clock(), self.alive)
 
     def close(self) -> None:
+        """Close the journal."""
         self.journal.close()
--- a/corallanding/controller/sessions.py
+++ b/corallanding/controller/sessions.py
@@ -1,75 +1,110 @@
-"""Forwarders' processes and their ages: no job that one hands in is older than itself, whichever steward sees it."""
+"""Processes of proxies and their ages: no job that one hands in is older than its process, at whichever controller."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from enum import Enum, auto
+from typing import NamedTuple
 
 from ..quorum_records.queries import QueryResult
 from ..scheduling.idempotency import NOT_NOW, Claims
 from ..wire import frames
-from .pinning_service import record_key_of
-from .record_service import RecordService
+from .record_service import RecordService, record_key_of
 
-HELD_MOST = 10_000  # jobs of one process that wait for its age
+MAX_DELAYED_JOBS = 10_000  # of one process, until its age is known
+
+
+class Admission(Enum):
+    """What becomes of a job that a proxy hands in."""
+
+    NOW = auto()  # the age of its process is known
+    DELAYED = auto()  # the job waits until that age is known
+    REJECTED = auto()  # the proxy did not say hello, or too many of its jobs are delayed
+
+
+class DelayedJob(NamedTuple):
+    """A job that was handed in before the age of its process was known. received_at: ms."""
+
+    received_at: float
+    frame: frames.Wait
+
+
+class ReleasedJobs(NamedTuple):
+    """Jobs of one proxy that need not be delayed any longer."""
+
+    forwarder: int
+    jobs: list[DelayedJob]
 
 
 @dataclass
 class Session:
-    """since: when any steward first saw it, by our clock. waits: handed in before that was known, and when."""
+    """One process of a proxy. started_at: when a controller first saw it, by our clock; is_confirmed: that is final."""
 
     name: str
-    since: float
-    vouched: bool
-    waits: list[tuple[float, frames.Wait]] = field(default_factory=list)
+    started_at: float
+    is_confirmed: bool
+    delayed: list[DelayedJob] = field(default_factory=list)
 
 
 class Sessions:
-    """claims, records: where there are any; without, a process is as old as its link here."""
+    """The processes of the proxies that are connected here.
+
+    claims, records: where the age of a process is stored for all controllers. Without them a process is as old as its
+    connection here.
+    """
 
     def __init__(self, claims: Claims | None, records: RecordService | None) -> None:
-        self.claims, self.records = claims, records
-        self.by: dict[int, Session] = {}
-        self.seeking: dict[int, tuple[int, str]] = {}  # question: forwarder, its session
-
-    def joined(self, now: float, forwarder: int, name: str) -> None:
-        """Its age is asked for, once for each process."""
-        old = self.by.get(forwarder)
-        if old is None or old.name != name:
-            self.by[forwarder] = Session(name, now, self.claims is None)
-            self.seek(now, forwarder, name)
-
-    def seek(self, now: float, forwarder: int, name: str) -> None:
+        self.claims = claims
+        self.records = records
+        self.by_proxy: dict[int, Session] = {}
+        self.queries: dict[int, tuple[int, str]] = {}  # number of the query: proxy, name of its session
+
+    def on_proxy_joined(self, now: float, forwarder: int, name: str) -> None:
+        """A proxy connected; the age of its process is asked for, once."""
+        known = self.by_proxy.get(forwarder)
+        if known is None or known.name != name:
+            self.by_proxy[forwarder] = Session(name, now, self.claims is None)
+            self._query_age(now, forwarder, name)
+
+    def _query_age(self, now: float, forwarder: int, name: str) -> None:
         if self.claims and self.records:
-            self.seeking[self.claims.seek(now, record_key_of(f"session {name}"), 0.0)] = (forwarder, name)
+            query = self.claims.seek(now, record_key_of(f"session {name}"), 0.0)
+            self.queries[query] = (forwarder, name)
             self.records.schedule_queries()
 
-    def held(self, now: float, forwarder: int, frame: frames.Wait) -> bool | None:
-        """True if its age is known; False if the job waits for that; None if it did not say hello, or has too many."""
-        session = self.by.get(forwarder)
-        if session is None or session.vouched:
-            return True if session else None
-        if len(session.waits) >= HELD_MOST:
-            return None
-        session.waits.append((now, frame))
-        return False
-
-    def answered(self, now: float, told: QueryResult) -> tuple[int, list[tuple[float, frames.Wait]]]:
-        """The jobs that waited for it, with the times at which they came."""
-        forwarder, name = self.seeking.pop(told.number)
-        session = self.by.get(forwarder)
+    def admit(self, now: float, forwarder: int, frame: frames.Wait) -> Admission:
+        """Whether the job may be queued now; if it is delayed it is stored here."""
+        session = self.by_proxy.get(forwarder)
+        if session is None:
+            return Admission.REJECTED
+        if session.is_confirmed:
+            return Admission.NOW
+        if len(session.delayed) >= MAX_DELAYED_JOBS:
+            return Admission.REJECTED
+        session.delayed.append(DelayedJob(now, frame))
+        return Admission.DELAYED
+
+    def on_answer(self, now: float, told: QueryResult) -> ReleasedJobs:
+        """Take the answer to a query of this object. Returns the jobs that waited for it."""
+        forwarder, name = self.queries.pop(told.number)
+        session = self.by_proxy.get(forwarder)
         if session is None or session.name != name:
-            return forwarder, []
+            return ReleasedJobs(forwarder, [])
         if told.what == NOT_NOW:
-            self.seek(now, forwarder, name)  # nobody could say: its jobs wait for it
-            return forwarder, []
-        session.since, session.vouched = min(session.since, now - told.value), True
-        waits, session.waits = session.waits, []
-        return forwarder, waits
-
-    def age(self, now: float, forwarder: int) -> float:
-        session = self.by.get(forwarder)
-        return max(0.0, now - session.since) if session else 0.0
+            self._query_age(now, forwarder, name)  # no majority could answer: the jobs wait on
+            return ReleasedJobs(forwarder, [])
+        session.started_at = min(session.started_at, now - told.value)
+        session.is_confirmed = True
+        delayed = session.delayed
+        session.delayed = []
+        return ReleasedJobs(forwarder, delayed)
+
+    def age_ms(self, now: float, forwarder: int) -> float:
+        """How long the process of a proxy has run, as far as known; 0 if it is unknown."""
+        session = self.by_proxy.get(forwarder)
+        return max(0.0, now - session.started_at) if session else 0.0
 
     def name(self, forwarder: int) -> str:
-        session = self.by.get(forwarder)
+        """The name of the proxy's process; "" if it is unknown."""
+        session = self.by_proxy.get(forwarder)
         return session.name if session else ""
--- a/corallanding/controller/task_service.py
+++ b/corallanding/controller/task_service.py
@@ -1,154 +1,176 @@
-"""Tasks of the fleet: what this steward holds, acts on and says of it. Decided in `lease`."""
+"""Tasks that one controller does for all: which shards this one holds, and its acts on them. The core is `lease`."""
 
 from __future__ import annotations
 
 import random
-from collections.abc import Callable, Iterable
-from typing import Any
+from typing import Any, ClassVar
 
 from ..config import ControllerConfig
+from ..lease import messages
 from ..lease.core import TaskLeases
-from ..lease.election import LeaderElection, OutgoingMessage
+from ..lease.election import OutgoingMessage
 from ..lease.limits import LeaseTimings
-from ..lease.messages import ActionRejected, FencedAction, LeaseGrant, LeaseRequest, sound
+from ..lease.messages import ActionRejected, FencedAction, LeaseGrant, LeaseRequest
 from ..lease.tasks import TaskCatalog, TaskSpec
-from ..telemetry import Metrics, log
-from .action_journal import ActionJournal
+from ..telemetry import log
+from .action_journal import ActionJournal, JournalEvent
+from .cluster_service import ClusterService, ServiceContext, Tick
 
-UPGRADE = "upgrade"  # the task that a steward holds while it hands over to a new process
+UPGRADE = "upgrade"  # the task that a controller holds while it hands over to a new process
+MAX_LOGGED_SHARDS = 4  # that a log line names; it counts the rest
 
 
-def tasks_of(c: ControllerConfig) -> TaskCatalog:
-    """What the configuration asks for, as the core knows it."""
-    found = {name: TaskSpec(name, 1, t.work_most_ms, t.idle_ms, name != UPGRADE) for name, t in c.task.items()} | {
-        name: TaskSpec(name, g.count, g.work_most_ms, g.idle_ms) for name, g in c.task_group.items()
-    }
+def configured_tasks(config: ControllerConfig) -> TaskCatalog:
+    """The tasks and groups of the configuration, as the core takes them."""
+    found = {}
+    for name, block in config.task.items():
+        found[name] = TaskSpec(name, 1, block.work_most_ms, block.idle_ms, name != UPGRADE)
+    for name, group in config.task_group.items():
+        found[name] = TaskSpec(name, group.count, group.work_most_ms, group.idle_ms)
     return TaskCatalog(found)
 
 
-class TaskService:
-    """Acts on what it holds each `beat_ms`: says so to the other stewards, each of them a place of effect that refuses
-    a fence below the highest it has seen. Raises OSError if the witness cannot be written."""
-
-    message_types: tuple[type, ...] = (LeaseRequest, LeaseGrant, FencedAction, ActionRejected)
-    is_valid = staticmethod(sound)
-
-    def __init__(
-        self,
-        c: ControllerConfig,
-        office: LeaderElection,
-        say: Callable[[Iterable[OutgoingMessage]], None],
-        clock: Callable[[], float],
-        metrics: Metrics,
-        rate_limited_log: Any,
-    ) -> None:
-        self.send, self.clock, self.metrics, self.rate_limited_log = say, clock, metrics, rate_limited_log
-        t, o = c.tasks, office
-        terms = LeaseTimings(office=c.budgets.office_ms, drift=c.budgets.drift, lease=t.lease_ms, turn=t.turn_leases)
+class TaskService(ClusterService):
+    """Acts on the shards that it holds, each time their `beat_ms` has passed, and tells the other controllers.
+
+    Each of them is a fenced resource: it rejects an act whose fencing token is below the highest that it has seen.
+    Raises OSError if the journal cannot be written.
+    """
+
+    message_types: ClassVar[tuple[type, ...]] = (LeaseRequest, LeaseGrant, FencedAction, ActionRejected)
+
+    def __init__(self, config: ControllerConfig, context: ServiceContext) -> None:
+        self.context = context
+        block, budgets, election = config.tasks, config.budgets, context.election
+        terms = LeaseTimings(
+            office=budgets.office_ms, drift=budgets.drift, lease=block.lease_ms, turn=block.turn_leases
+        )
         self.core = TaskLeases(
-            o.me,
-            o.others,
+            election.me,
+            election.others,
             (),
-            tasks_of(c),
+            configured_tasks(config),
             terms,
-            o.life,
-            clock(),
+            election.life,
+            context.clock(),
             random.random,
-            words_per_s=c.budgets.words_per_s,
-            chair=office,
+            words_per_s=budgets.words_per_s,
+            chair=election,
         )
         self.core.holder.said = self.on_task_change
-        self.heartbeat_ms = {
-            **{n: b.beat_ms for n, b in c.task.items()},
-            **{n: b.beat_ms for n, b in c.task_group.items()},
-        }
-        self.next_heartbeat_ms: dict[int, float] = {}
-        self.changes: dict[tuple[str, str], list[int]] = {}
-        self.journal = ActionJournal(t.witness)
-        self.leader_since: float | None = None  # of the office, as last told
-
-    def on_task_change(self, what: str, task: int) -> None:
-        self.changes.setdefault((self.core.tasks.task(task).name, what), []).append(task)
+        self.heartbeat_ms = {name: one.beat_ms for name, one in [*config.task.items(), *config.task_group.items()]}
+        self.next_heartbeat: dict[int, float] = {}  # shard: when its next act is due
+        self.changes: dict[tuple[str, str], list[int]] = {}  # task and change: shards, since the last log line
+        self.journal = ActionJournal(block.witness)
+        self.leader_since: float | None = None  # as last logged
+
+    @staticmethod
+    def is_valid(message: Any) -> bool:
+        """Whether the fields of a message lie within what a correct controller sends."""
+        return messages.sound(message)
+
+    def on_task_change(self, change: str, shard: int) -> None:
+        """A shard was taken up, given up or lost; it is logged with the others of this tick."""
+        self.changes.setdefault((self.core.tasks.task(shard).name, change), []).append(shard)
 
     def log_changes(self) -> None:
-        """A line for each task or group that changed hands since the last, not one for each of thousands."""
-        for (name, what), which in self.changes.items():
-            self.metrics.task_changes.labels(what).inc(len(which))
-            few = [self.core.tasks.label(n) for n in which[:4]]
-            log.info("task", task=name, what=what, count=len(which), first=few, fence=self.core.holder.fence)
+        """Log one line for each task or group that changed hands since the last, not one for each of its shards."""
+        for (name, change), shards in self.changes.items():
+            self.context.metrics.task_changes.labels(change).inc(len(shards))
+            first = [self.core.tasks.label(shard) for shard in shards[:MAX_LOGGED_SHARDS]]
+            token = self.core.holder.fence
+            log.info("task", task=name, change=change, count=len(shards), first=first, fencing_token=token)
         self.changes.clear()
 
-    def on_tick(self, now: float, alive: Iterable[int], wall: float) -> None:
+    def on_tick(self, tick: Tick) -> None:
+        """Send what is due, act on the shards that are held, and log what changed."""
         core = self.core
-        core.wall = wall
-        self.send(core.tick(now, alive))
-        if core.dealer.since != self.leader_since:  # it may have changed with a vote, between two ticks
-            self.leader_since = core.dealer.since
-            log.info("deals the tasks" if self.leader_since else "deals no more")
-        if now < core.holder.until and any(self.heartbeat_ms.values()):
-            for task in core.tasks.within(core.holder.bits):
-                self.send_heartbeat(now, task)
+        core.wall = tick.wall_ms
+        self.context.send(core.tick(tick.now, tick.alive))
+        since = core.dealer.since  # it may have changed with a vote, between two ticks
+        if since != self.leader_since:
+            self.leader_since = since
+            log.info("task leadership gained" if since else "task leadership lost")
+        if tick.now < core.holder.until and any(self.heartbeat_ms.values()):
+            for shard in core.tasks.within(core.holder.bits):
+                self.send_heartbeat(tick.now, shard)
         if self.changes:
             self.log_changes()
 
-    def send_heartbeat(self, now: float, task: int) -> None:
-        """An act of its own. It counts as under way for its stated longest time: so long its words may be on theirs."""
-        every = self.heartbeat_ms[self.core.tasks.task(task).name]
-        if not every or now < self.next_heartbeat_ms.get(task, 0.0):
+    def send_heartbeat(self, now: float, shard: int) -> None:
+        """Begin an act of this controller's own if one is due.
+
+        It counts as under way for the stated longest time of an act: so long its messages may be on their way.
+        """
+        interval_ms = self.heartbeat_ms[self.core.tasks.task(shard).name]
+        if not interval_ms or now < self.next_heartbeat.get(shard, 0.0):
             return
-        if fence := self.begin_act(now, task):
-            self.next_heartbeat_ms[task] = now + every
-            self.send(self.core.acted(task, fence))
-            self.core.holder.progress(now, task)
-
-    def begin_act(self, now: float, task: int) -> int:
-        """The fence of an act that may begin now, written down before it does; 0 if none may."""
-        fence = self.core.begin(now, task)
-        if fence:
-            at, work, core = ActionJournal.now(), self.core.tasks.task(task).work, self.core
-            self.journal.write("act", at, at + work, task, core.me, core.life, fence)
-        return fence
+        if token := self.begin_act(now, shard):
+            self.next_heartbeat[shard] = now + interval_ms
+            self.context.send(self.core.acted(shard, token))
+            self.core.holder.progress(now, shard)
+
+    def begin_act(self, now: float, shard: int) -> int:
+        """The fencing token of an act that may begin now, written down before it does; 0 if none may."""
+        core = self.core
+        token = core.begin(now, shard)
+        if token:
+            begun_at = ActionJournal.now()
+            ends_by = begun_at + core.tasks.task(shard).work
+            self.journal.write(JournalEvent.ACT_BEGUN, begun_at, ends_by, shard, core.me, core.life, token)
+        return token
 
     def begin_act_on(self, name: str) -> int:
-        """Asks for a task that is not always wanted; the fence of an act on it, once one may begin."""
-        number = self.core.tasks.number(name)
-        if number not in self.core.holder.wishes:
-            self.core.want(number, True)
-        return self.begin_act(self.clock(), number)
+        """Request a task that is not always wanted; the fencing token of an act on it, 0 until one may begin."""
+        shard = self.core.tasks.number(name)
+        if shard not in self.core.holder.wishes:
+            self.core.want(shard, True)
+        return self.begin_act(self.context.clock(), shard)
 
     def release_task(self, name: str) -> None:
+        """Give back a task that `begin_act_on` requested; nothing if it is not configured."""
         if name in self.core.tasks.by_name:
-            number = self.core.tasks.number(name)
-            self.core.done(self.clock(), number)
-            self.core.want(number, False)
-
-    def on_message(self, sender: int, word: LeaseRequest | LeaseGrant | FencedAction | ActionRejected) -> None:
-        taken = self.core.place.taken
-        self.send(self.core.heard(self.clock(), sender, word))
-        if isinstance(word, FencedAction) and word.round < self.core.tasks.count:
-            good, me = self.core.place.taken > taken, f"steward {self.core.me} {self.core.life}"
-            self.journal.write("took", ActionJournal.now(), me, word.round, sender, word.life, word.fence, good)
-            if not good:
-                self.metrics.stale_fencing_tokens.inc()
-                self.rate_limited_log.warn(
-                    "act behind its fence", task=self.core.tasks.label(word.round), steward=sender
-                )
-
-    def on_election_change(self, now: float) -> None:
-        self.core.office(now)
+            shard = self.core.tasks.number(name)
+            self.core.done(self.context.clock(), shard)
+            self.core.want(shard, False)
+
+    def on_message(self, sender: int, message: LeaseRequest | LeaseGrant | FencedAction | ActionRejected) -> None:
+        """Take a request, a grant, an act or its rejection."""
+        accepted_before = self.core.place.taken
+        self.context.send(self.core.heard(self.context.clock(), sender, message))
+        if isinstance(message, FencedAction) and message.round < self.core.tasks.count:
+            self._note_act(sender, message, is_accepted=self.core.place.taken > accepted_before)
+
+    def _note_act(self, sender: int, act: FencedAction, *, is_accepted: bool) -> None:
+        resource = f"steward {self.core.me} {self.core.life}"
+        event, now = JournalEvent.ACT_RECEIVED, ActionJournal.now()
+        self.journal.write(event, now, resource, act.round, sender, act.life, act.fence, is_accepted)
+        if not is_accepted:
+            self.context.metrics.stale_fencing_tokens.inc()
+            label = self.core.tasks.label(act.round)
+            self.context.rate_limited_log.warn("stale fencing token rejected", task=label, controller=sender)
+
+    def on_election_change(self) -> None:
+        """Begin or end the allocation of shards with the leadership."""
+        self.core.office(self.context.clock())
 
     @property
     def rejected(self) -> int:
+        """How many messages of other controllers were rejected."""
         return self.core.refused + self.core.dealer.strangers
 
     def update_metrics(self) -> None:
-        h, now = self.core.holder, self.clock()
-        self.metrics.tasks_held.set(len(self.core.tasks.within(h.bits)) if now < h.until else 0)
-        self.metrics.task_fencing_token.set(h.fence)
+        """Set how many shards are held, and under which fencing token."""
+        holder, now = self.core.holder, self.context.clock()
+        held = len(self.core.tasks.within(holder.bits)) if now < holder.until else 0
+        self.context.metrics.tasks_held.set(held)
+        self.context.metrics.task_fencing_token.set(holder.fence)
 
-    def leave(self, now: float) -> list[OutgoingMessage]:
-        return self.core.leave(now)
+    def leave(self) -> list[OutgoingMessage]:
+        """Give back the shards on which nothing is under way."""
+        return self.core.leave(self.context.clock())
 
     def close(self) -> None:
+        """Log the last changes and close the journal."""
         self.log_changes()
         self.journal.close()
--- a/tests/test_lab_stewards.py
+++ b/tests/test_lab_stewards.py
@@ -48,7 +48,7 @@
     assert sum(map(len, asked.values())) <= rows["probes"]["uses"]
     assert all(b - a >= 950.0 for times in asked.values() for a, b in zip(times, times[2:], strict=False))
     log = "".join((folder / f"steward{k}.log").read_text() for k in range(6))
-    for word in ('"state": "dead"', '"state": "left"', "divides the budgets", "no right left"):
+    for word in ('"state": "dead"', '"state": "left"', "quota leadership gained", "quota exhausted"):
         assert word in log, word
 
 
@@ -64,7 +64,7 @@
     assert (found["overlaps"], found["falls"], found["shared"], found["late"]) == (0, 0, 0, 0), found
     assert found["acts"] > 2_000 and found["takeovers"] > 65, found
     log = "".join((folder / f"steward{k}.log").read_text() for k in range(6))
-    for word in ('"what": "taken up"', '"what": "given up"', '"what": "lost"', "deals the tasks"):
+    for word in ('"change": "taken up"', '"change": "given up"', '"change": "lost"', "task leadership gained"):
         assert word in log, word
 
 
