--- a/corallanding/platform/config.py
+++ b/corallanding/platform/config.py
@@ -15,9 +15,8 @@
 from ..connection import Address
 from ..discovery.core import Answer
 from ..json_errors import JSON_DECODE_ERRORS
-from ..simulator_adapter.fields import Malformed
-from ..simulator_adapter.settings import above_0, ms
-from ..simulator_adapter.settings import settings as settings_of
+from ..simulator_adapter.fields import MalformedLineError
+from ..simulator_adapter.settings import milliseconds, positive, read_settings
 
 
 class BadConfig(Exception):
@@ -134,9 +133,9 @@
 
     flat = flatten(top.settings)
     try:
-        settings = settings_of(flat)
-        dial_timeout = above_0(ms, flat, "limits.dialTimeout", 300.0)
-    except Malformed as fault:
+        settings = read_settings(flat)
+        dial_timeout = positive(milliseconds, flat, "limits.dialTimeout", 300.0)
+    except MalformedLineError as fault:
         raise BadConfig(f"settings: {fault}") from None
     try:
         seed = int(top.seed, 16) if isinstance(top.seed, str) else top.seed
--- a/tests/test_platform_state.py
+++ b/tests/test_platform_state.py
@@ -14,7 +14,7 @@
 from corallanding.discovery.core import GONE_MOST, Answer, BadAnswer, View
 from corallanding.host_names import name, number
 from corallanding.platform.config import BadConfig, flatten, parse, read
-from corallanding.simulator_adapter.settings import settings as settings_of
+from corallanding.simulator_adapter.settings import read_settings
 
 
 def row(host: str, health: str = "in_service", **other: Any) -> dict[str, Any]:
@@ -142,7 +142,7 @@
     pairs = dict(pair.split("=", 1) for pair in WIRE.split(" "))
     assert flatten(SETTINGS) == pairs
     settings = parse(msgspec.json.encode(TOP)).settings
-    assert settings == settings_of(pairs)
+    assert settings == read_settings(pairs)
     assert settings.request_classes[1].is_write
     assert settings.slice_count == 127
 
