--- a/corallanding/connection.py
+++ b/corallanding/connection.py
@@ -39,7 +39,7 @@
         self.is_open = True
         self.on_connected(self)
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - the signature is asyncio's
         """Tell the owner, unless the connection was discarded."""
         if self.is_open:
             self.is_open = False
--- a/corallanding/simulator_adapter/batches.py
+++ b/corallanding/simulator_adapter/batches.py
@@ -97,7 +97,7 @@
         self.events[instance] = []
         try:
             self.instances[instance] = Assigner(settings, seed)
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - the wire wants any error reported, not the process ended
             self._fail_instance(instance, error)
 
     def _finish_batch(self, now_ms: float) -> list[str]:
@@ -115,7 +115,7 @@
         try:
             for action in self.instances[instance].step(now_ms, events):
                 self.replies.append(encode_action(instance, action))
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - the wire wants any error reported, not the process ended
             self._fail_instance(instance, error)
 
     def _fail_instance(self, instance: int, error: Exception) -> None:
