--- a/bench/one_fleet.py
+++ b/bench/one_fleet.py
@@ -27,18 +27,18 @@
 from corallanding.quorum_records.core import Persist
 from corallanding.quorum_records.fleet import FleetRecords
 from corallanding.quorum_records.queries import QueryLimits
-from corallanding.scheduling.core import Go, Waiting
-from corallanding.scheduling.limits import Kind, WaitTerms
-from corallanding.scheduling.queue import Queue
-from corallanding.version_pinning.core import RELEASE, RUNS, pins_on, record_terms
-from corallanding.version_pinning.limits import PinTerms
+from corallanding.scheduling.core import Dispatch, Scheduler
+from corallanding.scheduling.limits import JobClass, SchedulingLimits
+from corallanding.scheduling.queue import JobQueue
+from corallanding.version_pinning.core import RELEASE_TASK, RUNS_TASK_GROUP, run_record_limits, version_pinning_on
+from corallanding.version_pinning.limits import PinningLimits
 from corallanding.version_pinning.messages import PINNED
 
 from .machine import machine
 from .measured import resident_mib
 from .run import RESULTS
 
-KINDS = (Kind("claim", 2.0, 2_000.0, 1e9, 10_000_000), Kind("rank", 0.0, 1_000.0, 1e9, 10_000_000))
+KINDS = (JobClass("claim", 2.0, 2_000.0, 1e9, 10_000_000), JobClass("rank", 0.0, 1_000.0, 1e9, 10_000_000))
 
 
 def run_day(seed: int) -> dict[str, int]:
@@ -74,9 +74,12 @@
 def way_day(job: tuple[str, int]) -> tuple[float, float]:
     """Longest wait of a job, and jobs let go, of one calm day with a flood of high priority in its middle."""
     way, seed = job
-    terms, kinds = replace(TERMS, rate=40.0), (Kind("claim", 4.0, 2_000.0, 1e9), Kind("rank", 0.0, 1_000.0, 1e9))
+    terms, kinds = (
+        replace(TERMS, dispatches_per_second=40.0),
+        (JobClass("claim", 4.0, 2_000.0, 1e9), JobClass("rank", 0.0, 1_000.0, 1e9)),
+    )
     if way == "no ageing":
-        kinds = tuple(replace(k, patience=1e9) for k in kinds)
+        kinds = tuple(replace(k, aging_interval_ms=1e9) for k in kinds)
     w = WaitWorld(
         seed,
         5,
@@ -113,7 +116,7 @@
         from corallanding.lease.tasks import TaskCatalog, TaskSpec
 
         self.me, self.others, self.life, self.holder = 1, (), 7, self
-        self.tasks = TaskCatalog({RELEASE: TaskSpec(RELEASE), RUNS: TaskSpec(RUNS, 64)})
+        self.tasks = TaskCatalog({RELEASE_TASK: TaskSpec(RELEASE_TASK), RUNS_TASK_GROUP: TaskSpec(RUNS_TASK_GROUP, 64)})
         self.fence = 1
 
     def holds(self, now: float, task: int) -> bool:
@@ -123,12 +126,23 @@
 def live_runs(count: int, file: bool) -> dict[str, Any]:
     """One keeper that holds all groups: what a run costs in memory, and its beginning in time, the file among it."""
     now, lone = 1e6, Lone()
-    terms = PinTerms(run=1e9, begins_per_s=1e9)
+    terms = PinningLimits(max_run_ms=1e9, begins_per_second=1e9)
     with tempfile.TemporaryDirectory() as folder:
         disk = RecordStore(str(Path(folder) / "r.db"), lambda: now) if file else None
-        bounds = record_terms(terms, 2 * count)
-        fleet = FleetRecords(lone, (1,), bounds, QueryLimits(), now, 1, True, (RUNS, RELEASE), (RUNS,), (RELEASE,))  # type: ignore[arg-type]
-        pins = pins_on(fleet, terms, SETS, 1, lambda s: 1.0)
+        bounds = run_record_limits(terms, 2 * count)
+        fleet = FleetRecords(
+            lone,
+            (1,),
+            bounds,
+            QueryLimits(),
+            now,
+            1,
+            True,
+            (RUNS_TASK_GROUP, RELEASE_TASK),
+            (RUNS_TASK_GROUP,),
+            (RELEASE_TASK,),
+        )  # type: ignore[arg-type]
+        pins = version_pinning_on(fleet, terms, SETS, 1, lambda s: 1.0)
 
         def carry(actions: list[Any]) -> None:
             for a in actions:
@@ -142,9 +156,9 @@
         for _ in range(count):
             key = chance.getrandbits(62) | 1
             begun = time.perf_counter()
-            pins.enter(now, key)
+            pins.request_run(now, key)
             carry(fleet.push(now))
-            (told,) = pins.answers()
+            (told,) = pins.take_answers()
             times.append(time.perf_counter() - begun)
             assert told.what == PINNED
         size = (resident_mib() - before) * 2**20 / count
@@ -155,21 +169,29 @@
 
 def waiting_jobs(count: int) -> dict[str, Any]:
     """One steward: what a job costs in memory, and its taking in and release in time."""
-    w = Waiting((2,), 1, KINDS, WaitTerms(rate=1e9, batch=1), 0.0, lambda: True, lambda n: None)
+    w = Scheduler(
+        (2,),
+        1,
+        KINDS,
+        SchedulingLimits(dispatches_per_second=1e9, max_dispatches_per_tick=1),
+        0.0,
+        lambda: True,
+        lambda n: None,
+    )
     before, chance, taken = resident_mib(), random.Random(1), list[float]()
     for n in range(count):
         begun = time.perf_counter()
-        w.take_in(0.0, (), 1, n, n % 2, chance.uniform(0.0, 1e6))
+        w.admit(0.0, (), 1, n, n % 2, chance.uniform(0.0, 1e6))
         taken.append(time.perf_counter() - begun)
     size = (resident_mib() - before) * 2**20 / count
     gone = []
     for _ in range(min(count, 20_000)):
         begun = time.perf_counter()
-        (go,) = w.release(0.0, [])
+        (go,) = w.dispatch_ready(0.0, [])
         gone.append(time.perf_counter() - begun)
-        assert isinstance(go, Go)
+        assert isinstance(go, Dispatch)
     begun = time.perf_counter()
-    Queue.top(w.queue, 0.0, 50)
+    JobQueue.highest_priorities(w.queue, 0.0, 50)
     word = (time.perf_counter() - begun) * 1e6
     times = {"take_in": spans(taken), "release": spans(gone), "word_us": round(word, 1)}
     return {"jobs": count, "bytes_each": round(size), **times}
--- a/corallanding/config/version_pinning.py
+++ b/corallanding/config/version_pinning.py
@@ -7,10 +7,10 @@
 
 from pydantic import Field
 
-from ..version_pinning.release_register import SETS
+from ..version_pinning.release_register import SET_NUMBER_LIMIT
 from .blocks import Block, Ms
 
-Number = Annotated[int, Field(ge=1, lt=SETS)]
+Number = Annotated[int, Field(ge=1, lt=SET_NUMBER_LIMIT)]
 RELEASE, RUNS = "release", "runs"  # the task and the group of tasks that pins rest on
 
 
--- a/corallanding/controller/components.py
+++ b/corallanding/controller/components.py
@@ -21,7 +21,7 @@
 from ..endpoints.source import Source
 from ..health_check.checker import HealthChecker
 from ..load_reports.feed import Feed
-from ..store import Life, SqliteStore, Store
+from ..store import SqliteStore, Store, StoreContents
 from ..telemetry import Metrics, RateLimitedLogger
 from ..wire import frames
 from ..wire.link import Limits
@@ -172,7 +172,7 @@
     def store_failed(self, now: float, why: str, tries: int) -> None: ...
 
     @abstractmethod
-    def reopened(self, life: Life) -> bool: ...
+    def reopened(self, life: StoreContents) -> bool: ...
 
     @abstractmethod
     def pump(self) -> None: ...
--- a/corallanding/controller/daemon.py
+++ b/corallanding/controller/daemon.py
@@ -57,11 +57,11 @@
             state, self.clock.zero, self.log_number = None, handed.state.zero, handed.state.log
             self.stepped_at = self.clock()
         else:
-            state = self.last_state(life.number)
+            state = self.last_state(life.start_number)
         now, wall = self.clock(), self.wall() * 1000.0
         self.engine = core.Engine(
             self.settings,
-            self.seed(life.number),
+            self.seed(life.start_number),
             life,
             () if has_slice_leases else charge,
             self.view.addresses,
@@ -70,7 +70,9 @@
         )
         self.engine.recall_until = now + c.forwarders.silence_ms * 2 if not has_slice_leases else now - 1.0
         self.engine.gather.keys_most = c.reports.keys_most
-        saved = self.view.restore(now, wall, life.roster_version, life.roster, life.addresses, life.starts)
+        saved = self.view.restore(
+            now, wall, life.host_list_version, life.host_entries, life.addresses, life.started_at_ms
+        )
         self.engine.addresses = self.view.addresses
         revived = handed is not None or (state is not None and self.take_up(state, now))
         if handed:
@@ -80,7 +82,7 @@
         given = InheritedSockets(fds)
         if self.record:
             # The seed of a life is its own: a restart must not draw the same chances again.
-            seed, most = self.seed(life.number), c.record.most_mb * 1e6
+            seed, most = self.seed(life.start_number), c.record.most_mb * 1e6
             self.recorder = Recorder(self.record, self.settings, seed, most, revived)
         elif handed and handed.recording:
             try:
@@ -156,11 +158,11 @@
         self.ready = True
         log.info(
             "ready",
-            life=life.number,
+            life=life.start_number,
             listen=[s.sockets[0].getsockname()[:2] for s in self.servers],
             slices=len(self.engine.charge),
             tables=len(life.tables),
-            hosts=len(life.roster),
+            hosts=len(life.host_entries),
         )
 
     def open_shared(self) -> None:
--- a/corallanding/controller/engine.py
+++ b/corallanding/controller/engine.py
@@ -12,7 +12,7 @@
 
 from .. import interface as api
 from ..channel.merge import cost
-from ..store.api import Life
+from ..store.api import StoreContents
 from ..wire import frames
 from .event_inbox import Decider, EventInbox
 from .overload import OverloadDetector
@@ -103,7 +103,7 @@
         self,
         settings: api.Settings,
         seed: int,
-        life: Life,
+        life: StoreContents,
         charge: Iterable[int],
         addresses: dict[int, str],
         decider: Callable[[api.Settings, int], Decider],
@@ -123,7 +123,7 @@
                 self.state.tables[table] = dict(lines)
         self.gather = UsageAggregator(settings)
         self.gather_at = 0.0
-        self.recall_until, self.recalled_seq = float("inf"), life.seq
+        self.recall_until, self.recalled_seq = float("inf"), life.message_number
         self.discarded = 0  # orders for slices outside the charge
         self.snapshot: tuple[int, bytes] | None = None
         self.pending: list[Output] = []
@@ -181,11 +181,11 @@
         Guards against a store that stopped writing before the steward died; could bring back lines of hosts
         that have left since, which the module takes out by its list as at any start.
         """
-        return now <= self.recall_until and hello.life == self.life.number - 1 and hello.seq > self.recalled_seq
+        return now <= self.recall_until and hello.life == self.life.start_number - 1 and hello.seq > self.recalled_seq
 
     def held(self, now: float, held: frames.Held) -> list[int]:
         """Takes what a forwarder held of the former life. Returns the slices that were given anew."""
-        if held.life != self.life.number - 1 or held.seq <= self.recalled_seq or now > self.recall_until:
+        if held.life != self.life.start_number - 1 or held.seq <= self.recalled_seq or now > self.recall_until:
             return []
         self.recalled_seq = held.seq
         changed = []
@@ -382,9 +382,9 @@
         )
         return SendFrame(frames.encode(frame), cost(frame), mark, to, frame, urgent(lines, cordons, self.going))
 
-    def reconcile(self, now: float, life: Life) -> None:
+    def reconcile(self, now: float, life: StoreContents) -> None:
         """Another process wrote the store meanwhile: what it kept is the truth, and numbers go on above its own."""
-        self.seq = max(self.seq, life.seq) + 1_000
+        self.seq = max(self.seq, life.message_number) + 1_000
         self.unsaved, self.unsaved_resets, self.snapshot = {}, set(), None
         for slice in sorted(self.charge):
             kept = life.tables.get(slice, {})
--- a/corallanding/controller/fleet_view.py
+++ b/corallanding/controller/fleet_view.py
@@ -7,7 +7,7 @@
 
 from ..config import ControllerConfig
 from ..endpoints.endpoint_list import View
-from ..version_pinning.version_selection import Server
+from ..version_pinning.version_selection import PinningHost
 from ..wire import frames
 from .engine import Engine
 from .proxy_protocol import ProxyConnection
@@ -45,7 +45,7 @@
     def __init__(self, controller: FleetSource) -> None:
         self.controller = controller
 
-    def hosts(self) -> dict[int, Server]:
+    def hosts(self) -> dict[int, PinningHost]:
         """Every listed host, by number."""
         controller, rules = self.controller, self.controller.config.rules
         state, view = controller.engine.state, controller.view
@@ -58,7 +58,7 @@
             capacity = rules.cold_from + (1.0 - rules.cold_from) * warm_up
             is_eligible = entry.state == "up" and host not in excluded
             versions = view.versions.get(host, {})
-            found[host] = Server(host, entry.weight, capacity, is_eligible, versions, host in in_tables)
+            found[host] = PinningHost(host, entry.weight, capacity, is_eligible, versions, host in in_tables)
         return found
 
     def change_stamp(self) -> ChangeStamp:
--- a/corallanding/controller/handover.py
+++ b/corallanding/controller/handover.py
@@ -11,7 +11,7 @@
 from ..snapshot import marks
 from ..snapshot.module import HostEntryState
 from ..snapshot.module import load as load_module
-from ..store import StoreFault, StoreHeld
+from ..store import StoreError, StoreLockedError
 from ..telemetry import log
 from ..upgrade.pipe import peer_credentials
 from .handover_sender import HandoverSender, HandoverSource, handover_obstacle, successor_command
@@ -90,8 +90,8 @@
             self.cluster.release_files()
 
     def take_back(self) -> None:
-        """Nothing came of the handover. Raises `StoreHeld` if the store is another's; one that cannot be opened, as on
-        a full disk, is tried again later, and tables go out unsaved until then."""
+        """Nothing came of the handover. Raises `StoreLockedError` if the store is another's; one that cannot be
+        opened, as on a full disk, is tried again later, and tables go out unsaved until then."""
         if not self.store_shut:
             self.resume()
             return
@@ -99,9 +99,9 @@
             self.cluster.reopen_files()
         try:
             life = self.store.open()
-        except StoreHeld:
+        except StoreLockedError:
             raise
-        except StoreFault as fault:
+        except StoreError as fault:
             log.error("the store cannot be opened again; tables go out unsaved", why=str(fault))
             self.store_failed(self.clock(), str(fault), 1)
             self.resume(True)  # nobody can say what the new process did
@@ -109,7 +109,7 @@
         spoke = self.reopened(life)
         if spoke:
             # The new one had the store, and may have sent and kept orders before it was ended.
-            log.warning("the new process had begun to speak; tables are read again", life=life.number)
+            log.warning("the new process had begun to speak; tables are read again", life=life.start_number)
             if self.recorder:
                 log.error("the recording ends here", why="the new process may have written to it")
                 self.recorder.close()
--- a/corallanding/controller/handover_receiver.py
+++ b/corallanding/controller/handover_receiver.py
@@ -11,7 +11,7 @@
 
 from ..snapshot import file as snapshots
 from ..snapshot import marks
-from ..store import StoreFault
+from ..store import StoreError
 from ..telemetry import log
 from ..upgrade.core import PROTOCOL, HandoverCommand, Phase, Successor
 from ..upgrade.pipe import HandoverPipe, PipeClosedError, peer_credentials
@@ -104,7 +104,7 @@
                         return self.core.beaten()
                     await self.end(self.old)
                     self.arbiter.drop()
-        except (StoreFault, StateMismatchError, OSError) as fault:
+        except (StoreError, StateMismatchError, OSError) as fault:
             self.why = str(fault)
             log.error("cannot take over", why=self.why)
             return self.core.opened(now(), False)
--- a/corallanding/controller/handover_sender.py
+++ b/corallanding/controller/handover_sender.py
@@ -11,7 +11,7 @@
 
 from ..snapshot import file as snapshots
 from ..snapshot import marks
-from ..store import StoreHeld
+from ..store import StoreLockedError
 from ..telemetry import log
 from ..upgrade.core import HandoverCommand, Predecessor
 from ..upgrade.pipe import HandoverPipe, PipeClosedError
@@ -98,7 +98,7 @@
                         self.s.stopped.set_result(0)
         except (PipeClosedError, OSError) as fault:
             return self.core.back(f"{a.value}: {fault}")
-        except StoreHeld as fault:
+        except StoreLockedError as fault:
             log.error("the store is not to be had again", why=str(fault))
             self.s.stop(4)
         return None
--- a/corallanding/controller/host_sources.py
+++ b/corallanding/controller/host_sources.py
@@ -14,7 +14,7 @@
 from ..load_reports.feed import Feed
 from ..load_reports.load_estimator import Policy
 from ..load_reports.weights import changes, weigh
-from ..store import StoreFault
+from ..store import StoreError
 from ..telemetry import log
 from .components import ORIGIN, Parts
 from .peer_transport import SHARED
@@ -45,7 +45,7 @@
         if g:
             from ..registry.source import make  # gRPC is imported only where it is asked for
 
-            chance = random.Random(f"{seed}:{self.engine.life.number}").random
+            chance = random.Random(f"{seed}:{self.engine.life.start_number}").random
             return make(g, self, self.clock, chance, self.dial_registry)
         assert r.address is not None
         return LineRoster(
@@ -67,7 +67,7 @@
     def make_keeper(self, g: RegistryBlock, slices: range) -> Keeper:
         """Charge and tables of slices in the registry, shared with other stewards."""
         seed, me = self.config.steward.seed, self.config.steward.number
-        chance = random.Random(f"{seed}:{me}:{self.engine.life.number}")
+        chance = random.Random(f"{seed}:{me}:{self.engine.life.start_number}")
         return self.keeper_of(g, g.base, slices, self, chance)
 
     def office_keeper(self, g: RegistryBlock) -> Keeper:
@@ -173,9 +173,9 @@
             return
         entries: Sequence[api.HostEntry] = tuple(self.view.entries.values())
         try:
-            self.store.keep_roster(self.view.version, entries, self.view.addresses, self.view.starts)
+            self.store.save_host_list(self.view.version, entries, self.view.addresses, self.view.starts)
             self.roster_dirty = False
-        except StoreFault as fault:
+        except StoreError as fault:
             self.rate_limited_log.warn("list not kept", why=str(fault))
 
     def probed(self, e: api.HealthCheckResult) -> None:
--- a/corallanding/controller/idempotency_queries.py
+++ b/corallanding/controller/idempotency_queries.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from ..quorum_records.queries import QueryResult
-from ..scheduling.idempotency import Claims
+from ..scheduling.idempotency import IdempotencyRecords
 from ..scheduling.queue import Job
 from .action_journal import ActionJournal
 from .record_service import RecordService
@@ -45,24 +45,24 @@
 class IdempotencyQueries:
     """Sends queries on jobs to the records of their idempotency keys, and knows what each answer is about."""
 
-    def __init__(self, claims: Claims, records: RecordService) -> None:
+    def __init__(self, claims: IdempotencyRecords, records: RecordService) -> None:
         self.claims = claims
         self.records = records
         self.pending: dict[int, Query] = {}  # by the number of the query
 
     def query_age(self, now: float, job: Job) -> None:
         """Ask since when the job has waited, at any controller."""
-        number = self.claims.seek(now, job.key, now - job.since)
+        number = self.claims.query_age(now, job.idempotency_key, now - job.waiting_since_ms)
         self._send(number, AgeQuery(job))
 
     def claim(self, now: float, job: Job, owner: int) -> None:
         """Ask whether the job may go. owner: the ticket's own number, the same at every controller."""
-        number = self.claims.claim(now, job, owner)
+        number = self.claims.query_claim(now, job, owner)
         self._send(number, ClaimQuery(job, ActionJournal.now()))
 
     def give_back(self, now: float, job: Job, owner: int) -> None:
         """Say that a claim was granted and that the job did not go and will not."""
-        self._send(self.claims.give_back(now, job, owner), ReturnQuery())
+        self._send(self.claims.query_release(now, job, owner), ReturnQuery())
 
     def _send(self, number: int, query: Query) -> None:
         self.pending[number] = query
@@ -70,5 +70,5 @@
 
     def take_answers(self) -> list[QueryAnswer]:
         """The answers that have come since the last call, in their order."""
-        answers = self.claims.asking.take(self.claims.groups[0])
+        answers = self.claims.queries.take(self.claims.groups[0])
         return [QueryAnswer(self.pending.pop(told.number, None), told) for told in answers]
--- a/corallanding/controller/job_journal.py
+++ b/corallanding/controller/job_journal.py
@@ -21,13 +21,13 @@
         """A job goes. priority: its effective priority; counted: controllers whose jobs were compared with it."""
         event, now = JournalEvent.JOB_RELEASED, ActionJournal.now()
         row = (round(priority, 4), list(counted))
-        self.journal.write(event, now, self.incarnation, job.forwarder, job.ticket, *row)
+        self.journal.write(event, now, self.incarnation, job.proxy, job.ticket, *row)
 
     def on_returned(self, job: Job, claimed_at: float, blocked_ms: float) -> None:
         """A claim came to nothing. claimed_at: when it was sent; blocked_ms: for how long the job is set aside."""
         until = ActionJournal.now() + blocked_ms
         event = JournalEvent.JOB_RETURNED
-        self.journal.write(event, claimed_at, self.incarnation, job.forwarder, job.ticket, until)
+        self.journal.write(event, claimed_at, self.incarnation, job.proxy, job.ticket, until)
 
     def on_quota(self, *, is_exhausted: bool) -> None:
         """This controller could release jobs and has no quota, or has some again."""
--- a/corallanding/controller/job_terms.py
+++ b/corallanding/controller/job_terms.py
@@ -6,7 +6,7 @@
 
 from ..config import ControllerConfig
 from ..config.scheduling import RELEASES
-from ..scheduling.limits import Kind, WaitTerms
+from ..scheduling.limits import JobClass, SchedulingLimits
 
 
 class JobAnswer(StrEnum):
@@ -32,18 +32,18 @@
     DUPLICATE = "twin"
 
 
-def waiting_classes(config: ControllerConfig) -> list[Kind]:
+def waiting_classes(config: ControllerConfig) -> list[JobClass]:
     """The request classes whose jobs may wait, in the order of the configuration."""
     kinds = []
     for name, operation in config.operation.items():
         if policy := operation.waits:
-            kinds.append(Kind(name, policy.priority, policy.patience_ms, policy.most_ms, policy.most_jobs))
+            kinds.append(JobClass(name, policy.priority, policy.patience_ms, policy.most_ms, policy.most_jobs))
     return kinds
 
 
-def scheduling_limits(config: ControllerConfig) -> WaitTerms:
+def scheduling_limits(config: ControllerConfig) -> SchedulingLimits:
     """The limits that the core takes, from the block `waiting` and the budget of releases."""
     block, rate = config.waiting, float(config.budget[RELEASES].whole)
-    return WaitTerms(
+    return SchedulingLimits(
         block.tell_ms, block.stale_ms, block.slack_ms, block.hold_ms, block.rise, rate, block.batch, block.claims_most
     )
--- a/corallanding/controller/main.py
+++ b/corallanding/controller/main.py
@@ -15,7 +15,7 @@
 from .. import interface as api
 from ..assignment import Assigner
 from ..config import ConfigError, load_controller
-from ..store import StoreFault
+from ..store import StoreError
 from ..telemetry import configure, log
 from ..upgrade.pipe import HandoverPipe
 from .crash_loop import STABLE_AFTER_MS, StartHistory, advise_start
@@ -49,7 +49,7 @@
             within = config.steward.upgrade_within_ms
             if not await HandoverReceiver(pipe, within, config.store.path, controller.can_take, controller.start).run():
                 return 6
-    except StoreFault as fault:
+    except StoreError as fault:
         log.error("cannot start", why=str(fault))
         return 4
     except OSError as fault:
--- a/corallanding/controller/persistence.py
+++ b/corallanding/controller/persistence.py
@@ -7,7 +7,7 @@
 
 from ..registry.slice_ownership import Fenced
 from ..snapshot import file as snapshots
-from ..store import Life, StoreFault, StoreHeld
+from ..store import StoreContents, StoreError, StoreLockedError
 from ..telemetry import log
 from . import engine as core
 from . import recorder
@@ -117,12 +117,12 @@
             return False
         try:
             self.store.write(writes.seq, writes.lines, writes.resets)
-        except StoreHeld as fault:
+        except StoreLockedError as fault:
             # Another steward has the slices: what this one says from now on would be a second voice.
             log.error("store taken by another steward", why=str(fault))
             self.stop(4)
             return False
-        except StoreFault as fault:
+        except StoreError as fault:
             self.store_failed(now, str(fault), self.store_faults)
             log.error(
                 "store does not write; tables go out unsaved",
@@ -191,25 +191,25 @@
         now: it is written whole."""
         try:
             life = self.store.open()
-        except StoreHeld as fault:
+        except StoreLockedError as fault:
             log.error("store taken by another steward", why=str(fault))
             self.stop(4)
             return False
-        except StoreFault as fault:
+        except StoreError as fault:
             self.store_failed(self.clock(), str(fault), self.store_faults)
             return False
         self.reopened(life)
         tables = self.engine.state.tables
         self.engine.unsaved_resets |= set(life.tables) | set(tables)
         self.engine.unsaved = {t: dict(rows) for t, rows in tables.items()}
-        log.info("the store is open again", life=life.number, faults=self.store_faults)
+        log.info("the store is open again", life=life.start_number, faults=self.store_faults)
         self.store_mended()
         self.greet_all()
         return True
 
-    def reopened(self, life: Life) -> bool:
+    def reopened(self, life: StoreContents) -> bool:
         """True if another process had the store since it was let go."""
         self.store_shut = False
-        spoke = life.number != self.engine.life.number + 1
-        self.engine.life.number = life.number
+        spoke = life.start_number != self.engine.life.start_number + 1
+        self.engine.life.start_number = life.start_number
         return spoke
--- a/corallanding/controller/pinned_jobs.py
+++ b/corallanding/controller/pinned_jobs.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from ..scheduling.core import Waiting
+from ..scheduling.core import Scheduler
 from ..scheduling.queue import Job
 from .pinning_service import PinningService
 
@@ -25,24 +25,24 @@
     names: the request classes whose jobs may wait, by the number that the core has for them.
     """
 
-    def __init__(self, core: Waiting, names: Sequence[str]) -> None:
+    def __init__(self, core: Scheduler, names: Sequence[str]) -> None:
         self.core = core
         self.names = names
         self.states: dict[tuple[int, int], VersionState] = {}  # by number of the class and release set; as last told
 
     def forget(self, job: Job) -> None:
         """A job was queued: the queue is told of its class and release set with the next update, changed or not."""
-        self.states.pop((job.kind, job.set), None)
+        self.states.pop((job.job_class, job.release_set), None)
 
     def update(self, pinning: PinningService) -> None:
         """Set aside the jobs whose version no host serves; let the priority rise of those that hold a set back."""
         register = pinning.core.releases.register
-        for release_set in list(self.core.queue.by_set):
-            holds_up_retirement = register is not None and release_set not in register.opens
+        for release_set in list(self.core.queue.jobs_by_set):
+            holds_up_retirement = register is not None and release_set not in register.open_sets
             for kind, name in enumerate(self.names):
                 state = VersionState(pinning.is_served(release_set, name), holds_up_retirement)
                 if self.states.get((kind, release_set)) != state:
                     self.states[kind, release_set] = state
-                    self.core.versions(kind, release_set, *state)
+                    self.core.on_set_change(kind, release_set, *state)
         if len(self.states) > MAX_KNOWN_STATES:
             self.states.clear()
--- a/corallanding/controller/pinning_service.py
+++ b/corallanding/controller/pinning_service.py
@@ -11,11 +11,11 @@
 from ..rate_limit import PeerRateLimiter
 from ..telemetry import log
 from ..version_pinning import messages
-from ..version_pinning.core import pins_on
-from ..version_pinning.limits import PinTerms
-from ..version_pinning.messages import PINNED, Settled, Tallied, Tally
-from ..version_pinning.routes import NoHost, Routes, Row
-from ..version_pinning.version_selection import Server, Versions, strength
+from ..version_pinning.core import version_pinning_on
+from ..version_pinning.limits import PinningLimits
+from ..version_pinning.messages import PINNED, RegisterAnnouncement, RunCountQuery, RunCountReport
+from ..version_pinning.routes import NoHostPolicy, Route, RoutePlanner
+from ..version_pinning.version_selection import PinningHost, ReleaseSet, serving_capacity
 from ..wire import frames
 from .action_journal import ActionJournal, JournalEvent
 from .cluster_service import ClusterService, ServiceContext, Tick
@@ -44,17 +44,17 @@
     proxies: tuple[int, ...]
 
 
-def pinning_limits(pins: PinsBlock, drift: float) -> PinTerms:
+def pinning_limits(pins: PinsBlock, drift: float) -> PinningLimits:
     """The limits that the core takes, from the block `pins`."""
-    return PinTerms(pins.run_most_ms, drift, pins.settle_ms, pins.begins_per_s)
+    return PinningLimits(pins.run_most_ms, drift, pins.settle_ms, pins.begins_per_s)
 
 
-def no_host_rules(config: ControllerConfig) -> dict[str, NoHost]:
+def no_host_rules(config: ControllerConfig) -> dict[str, NoHostPolicy]:
     """What becomes of a request of a pinned run whose version no host serves, by request class."""
     rules = {}
     for name, operation in config.operation.items():
         wait_ms = operation.no_host_wait_ms if operation.no_host != "refuse" else 0.0
-        rules[name] = NoHost(wait_ms, operation.no_host == "carry_over")
+        rules[name] = NoHostPolicy(wait_ms, operation.no_host == "carry_over")
     return rules
 
 
@@ -64,7 +64,7 @@
     may_use_cold_host: whether a host that warms up may take one more slice.
     """
 
-    message_types: ClassVar[tuple[type, ...]] = (Settled, Tally, Tallied)
+    message_types: ClassVar[tuple[type, ...]] = (RegisterAnnouncement, RunCountQuery, RunCountReport)
 
     def __init__(
         self,
@@ -81,13 +81,15 @@
         self.publish_ms = pins.publish_ms
         self.request_classes = tuple(config.operation)
         self.set_strengths: dict[int, float] = {}
-        self.hosts: dict[int, Server] = {}
+        self.hosts: dict[int, PinningHost] = {}
         sets = {release.number: dict(release.versions) for release in config.release.values()}
         limits = pinning_limits(pins, config.budgets.drift)
-        self.core = pins_on(records.fleet, limits, sets, pins.current, self._strength_of, self._on_release_change)
+        self.core = version_pinning_on(
+            records.fleet, limits, sets, pins.current, self._strength_of, self._on_release_change
+        )
         carries = {release.number: release.carries for release in config.release.values()}
-        self.routes = Routes(self.request_classes, sets, carries, no_host_rules(config), may_use_cold_host)
-        self.rows: dict[int, list[Row]] = {}
+        self.routes = RoutePlanner(self.request_classes, sets, carries, no_host_rules(config), may_use_cold_host)
+        self.rows: dict[int, list[Route]] = {}
         self.alive_sets: tuple[int, ...] = ()
         self.planned_at = float("-inf")
         self.plan_stamp: PlanStamp | None = None
@@ -101,7 +103,7 @@
     @staticmethod
     def is_valid(message: Any) -> bool:
         """Whether the fields of a message lie within what a correct controller sends."""
-        return messages.sound(message)
+        return messages.is_valid(message)
 
     def _strength_of(self, number: int) -> float:
         return self.set_strengths.get(number, 0.0)
@@ -115,40 +117,40 @@
         """A proxy asks for the release set of a run, or says that the run has ended."""
         client = frame.client or str(forwarder)
         now = self.context.clock()
-        number = self.core.enter(now, record_key_of(frame.run), client, frame.ended)
+        number = self.core.request_run(now, record_key_of(frame.run), client, frame.ended)
         self.pending[number] = PendingRun(forwarder, frame.ask, frame.run)
         self.records.schedule_queries()
 
     def on_answers(self) -> None:
         """Pass answers of the core on to the proxies that asked."""
-        for told in self.core.answers():
+        for told in self.core.take_answers():
             pending = self.pending.pop(told.number, PendingRun(UNKNOWN_PROXY, 0, ""))
             if pending.forwarder >= 0:
                 self._reply(pending, told.what, told.value)
 
     def _reply(self, pending: PendingRun, what: int, number: int) -> None:
-        versions = self.core.sets.get(number) if what == PINNED else None
+        versions = self.core.release_sets.get(number) if what == PINNED else None
         if what == PINNED and versions is None:
             what = NOT_NOW  # the set is not configured here; other controllers may know it
         answer = RUN_ANSWERS[what]
         self.context.metrics.run_answers.labels(answer).inc()
-        asking = self.core.asking
+        asking = self.core.queries
         event, now = JournalEvent.RUN_ANSWERED, ActionJournal.now()
         self.records.journal.write(event, now, asking.me, asking.life, pending.run, answer, number)
         rows = self._version_rows(versions) if versions else []
         frame = frames.Pinned(pending.query, answer, number, rows, self.register_version)
         self.fleet_view.reply(pending.forwarder, frame)
 
-    def _version_rows(self, versions: Versions) -> list[tuple[int, int]]:
+    def _version_rows(self, versions: ReleaseSet) -> list[tuple[int, int]]:
         return [(index, versions[name]) for index, name in enumerate(self.request_classes)]
 
     # ---- messages of controllers ---------------------------------------------------------------------------
 
-    def on_message(self, sender: int, message: Settled | Tally | Tallied) -> None:
+    def on_message(self, sender: int, message: RegisterAnnouncement | RunCountQuery | RunCountReport) -> None:
         """Take a message on releases, within the rate that one controller may send."""
         now = self.context.clock()
         if self.allowances.take(sender, now):
-            answers: list[Action] = [*self.core.heard(now, sender, message)]
+            answers: list[Action] = [*self.core.on_message(now, sender, message)]
             self.records.carry_out(self.records.fleet.after(now, answers))
         else:
             self.rejected_messages += 1
@@ -176,18 +178,19 @@
             return
         self.plan_stamp = stamp
         self.hosts = self.fleet_view.hosts()
-        self.is_any_host_warming = any(host.able < 1.0 for host in self.hosts.values())
+        self.is_any_host_warming = any(host.capacity_share < 1.0 for host in self.hosts.values())
         self.set_strengths = {
-            number: strength(versions, self.hosts.values()) for number, versions in self.core.sets.items()
+            number: serving_capacity(versions, self.hosts.values())
+            for number, versions in self.core.release_sets.items()
         }
         if register is None:
             return
-        rows = self.routes.plan(register.alive, self.fleet_view.tables(), self.hosts)
-        self._publish_changes(rows, register.alive, proxies)
+        rows = self.routes.plan(register.live_sets, self.fleet_view.tables(), self.hosts)
+        self._publish_changes(rows, register.live_sets, proxies)
         self.rows = rows
-        self.alive_sets = register.alive
+        self.alive_sets = register.live_sets
 
-    def _publish_changes(self, rows: dict[int, list[Row]], alive_sets: tuple[int, ...], proxies: list[int]) -> None:
+    def _publish_changes(self, rows: dict[int, list[Route]], alive_sets: tuple[int, ...], proxies: list[int]) -> None:
         if not proxies:
             return
         for number in sorted({*rows, *self.rows}):
@@ -195,7 +198,7 @@
             if self.rows.get(number) != new or alive_sets != self.alive_sets:
                 self.fleet_view.publish(self._routes_frame(number, new, alive_sets), max(1, len(new)), proxies)
 
-    def _routes_frame(self, number: int, rows: list[Row], alive_sets: tuple[int, ...]) -> frames.Routes:
+    def _routes_frame(self, number: int, rows: list[Route], alive_sets: tuple[int, ...]) -> frames.Routes:
         named = {host for row in rows for host, _ in row[3]}
         addresses = self.fleet_view.addresses(named)
         return frames.Routes(number, list(rows), addresses, list(alive_sets), self.register_version)
@@ -214,21 +217,25 @@
 
     def is_served(self, number: int, request_class: str) -> bool:
         """Whether some eligible host serves that release set's version of the request class."""
-        version = self.core.sets.get(number, {}).get(request_class, 0)
-        return any(host.sound and host.serves(request_class, version) for host in self.hosts.values())
+        version = self.core.release_sets.get(number, {}).get(request_class, 0)
+        return any(host.is_eligible and host.serves(request_class, version) for host in self.hosts.values())
 
     # ---- what is shown -------------------------------------------------------------------------------------
 
     def update_metrics(self) -> None:
         """Set how many routes have no host."""
-        self.context.metrics.routes_without_host.set(self.routes.stranded)
+        self.context.metrics.routes_without_host.set(self.routes.unserved_count)
 
     def status(self) -> dict[str, Any]:
         """The part `pins` of the status page."""
-        return {**self.core.page(), "stranded_rows": self.routes.stranded, "carried_rows": self.routes.carried}
+        return {
+            **self.core.status(),
+            "stranded_rows": self.routes.unserved_count,
+            "carried_rows": self.routes.carried_over_count,
+        }
 
     def reload(self, config: ControllerConfig) -> None:
         """Take which release set is to be current; the sets themselves may not change."""
-        if config.pins and config.pins.current != self.core.wanted:
+        if config.pins and config.pins.current != self.core.wanted_set:
             log.info("release", change=f"set {config.pins.current} wanted")
-            self.core.wanted = config.pins.current
+            self.core.wanted_set = config.pins.current
--- a/corallanding/controller/proxy_connections.py
+++ b/corallanding/controller/proxy_connections.py
@@ -122,7 +122,7 @@
         welcome = frames.Welcome(
             frames.VERSION,
             c.steward.number,
-            self.engine.life.number,
+            self.engine.life.start_number,
             c.forwarders.beat_ms,
             c.forwarders.silence_ms,
             c.reports.every_ms,
--- a/corallanding/controller/record_groups.py
+++ b/corallanding/controller/record_groups.py
@@ -9,7 +9,7 @@
 from ..config.version_pinning import RecordsBlock
 from ..lease.tasks import TaskCatalog
 from ..quorum_records.limits import RecordLimits
-from ..version_pinning.core import RELEASE, RUNS, record_terms
+from ..version_pinning.core import RELEASE_TASK, RUNS_TASK_GROUP, run_record_limits
 from .pinning_service import pinning_limits
 from .record_service import RecordGroups
 
@@ -18,10 +18,10 @@
     config: ControllerConfig, block: RecordsBlock, tasks: TaskCatalog, voters: tuple[int, ...]
 ) -> RecordGroups:
     """The groups for pinned runs, for the release register and for jobs, as far as each is configured."""
-    candidates = (RUNS, RELEASE, JOBS) if config.pins else (JOBS,)
+    candidates = (RUNS_TASK_GROUP, RELEASE_TASK, JOBS) if config.pins else (JOBS,)
     names = tuple(name for name in candidates if name in tasks.by_name)
     if config.pins:
-        return RecordGroups(voters, names, _terms(config, block), counted=(RUNS,), lasting=(RELEASE,))
+        return RecordGroups(voters, names, _terms(config, block), counted=(RUNS_TASK_GROUP,), lasting=(RELEASE_TASK,))
     return RecordGroups(voters, names, _terms(config, block), counted=(), lasting=())
 
 
@@ -33,5 +33,5 @@
     if config.pins is None:
         return RecordLimits(keep_ms, max_wait_ms, block.most, block.again_ms)
     limits = pinning_limits(config.pins, config.budgets.drift)
-    terms = record_terms(limits, block.most, block.again_ms)
+    terms = run_record_limits(limits, block.most, block.again_ms)
     return replace(terms, keep=max(terms.keep, keep_ms))
--- a/corallanding/controller/recovery.py
+++ b/corallanding/controller/recovery.py
@@ -69,7 +69,7 @@
         boot,
         zero,
         engine.now,
-        engine.life.number,
+        engine.life.start_number,
         log,
         dump(engine.module),
         [(t, bits, a, r) for (t, bits), (a, r) in s.levels.items()],
--- a/corallanding/controller/scheduling_service.py
+++ b/corallanding/controller/scheduling_service.py
@@ -9,9 +9,9 @@
 from ..errors import ConfigurationError
 from ..quorum_records.queries import QueryResult
 from ..scheduling import messages
-from ..scheduling.core import Ask, Go, Waiting
-from ..scheduling.idempotency import FOUND, GRANTED, NOT_NOW, TWIN, Claims
-from ..scheduling.messages import Line
+from ..scheduling.core import ClaimKey, Dispatch, Scheduler
+from ..scheduling.idempotency import FOUND, GRANTED, NOT_NOW, TWIN, IdempotencyRecords
+from ..scheduling.messages import QueueSummary
 from ..scheduling.queue import Job
 from ..telemetry import log
 from ..wire import frames
@@ -36,7 +36,7 @@
     records, pinning: where they are configured. Raises OSError if the journal cannot be written.
     """
 
-    message_types: ClassVar[tuple[type, ...]] = (Line,)
+    message_types: ClassVar[tuple[type, ...]] = (QueueSummary,)
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         kinds = waiting_classes(config)
         self.names = [kind.name for kind in kinds]
         self.kind_of_class = {classes.index(name): kind for kind, name in enumerate(self.names)}
-        self.core = Waiting(
+        self.core = Scheduler(
             context.election.others,
             context.election.life,
             kinds,
@@ -65,22 +65,22 @@
             self._request_releases,
             config.budgets.words_per_s,
         )
-        claims: Claims | None = None
+        claims: IdempotencyRecords | None = None
         self.queries: IdempotencyQueries | None = None
         if records and JOBS in records.fleet.of:
-            claims = Claims(records.fleet.asking, records.fleet.of[JOBS])
+            claims = IdempotencyRecords(records.fleet.asking, records.fleet.of[JOBS])
             self.queries = IdempotencyQueries(claims, records)
             records.listeners.append(self.on_answers)
         self.alive: list[int] = []
         self.sessions = Sessions(claims, records)
         self.pinned_jobs = PinnedJobs(self.core, self.names)
         self.is_quota_exhausted = False  # as last logged
-        self.journal = JobJournal(config.waiting.witness, self.core.life)
+        self.journal = JobJournal(config.waiting.witness, self.core.incarnation)
 
     @staticmethod
     def is_valid(message: Any) -> bool:
         """Whether the fields of a message lie within what a correct controller sends."""
-        return messages.sound(message)
+        return messages.is_valid(message)
 
     def _take_release(self) -> bool:
         """Take one unit of the quota of releases, if there is one."""
@@ -98,14 +98,14 @@
 
     def on_proxy_left(self, forwarder: int) -> None:
         """A proxy is gone: it hands its jobs to another controller, with their ages."""
-        self.core.left(forwarder)
+        self.core.on_proxy_left(forwarder)
 
     def on_proxy_frame(self, forwarder: int, frame: frames.Wait | frames.Unwait) -> None:
         """A proxy hands in a job, or takes one back."""
         now = self.context.clock()
         if isinstance(frame, frames.Unwait):
-            job = self.core.drop(forwarder, frame.ticket, frame.ended)
-            if job and job.granted and frame.ended:
+            job = self.core.remove(forwarder, frame.ticket, frame.ended)
+            if job and job.has_claim and frame.ended:
                 self._give_back(now, job)
             return
         match self.sessions.admit(now, forwarder, frame):
@@ -126,7 +126,7 @@
         waited_ms = min(frame.waited + now - received_at, self.sessions.age_ms(now, forwarder))
         key = record_key_of(f"job {frame.fingerprint}") if frame.fingerprint and self.queries else 0
         is_new = (forwarder, frame.ticket) not in self.core.tickets
-        job, reason, max_wait_ms = self.core.take_in(
+        job, reason, max_wait_ms = self.core.admit(
             now, self.alive, forwarder, frame.ticket, kind, waited_ms, key, frame.set
         )
         self._reply(forwarder, frame.ticket, reason or JobAnswer.WAITING, max_wait_ms)
@@ -137,9 +137,9 @@
             self._on_new_job(now, job)
 
     def _on_new_job(self, now: float, job: Job) -> None:
-        if job.set:
+        if job.release_set:
             self.pinned_jobs.forget(job)
-        if job.key:
+        if job.idempotency_key:
             self._idempotency().query_age(now, job)
 
     def _reply(self, forwarder: int, ticket: int, what: str, max_wait_ms: float) -> None:
@@ -169,22 +169,22 @@
 
     def _on_age(self, now: float, job: Job, told: QueryResult) -> None:
         if told.what in (FOUND, TWIN):
-            self.core.older(job, now - told.value)
-        elif told.what == NOT_NOW and (job.forwarder, job.ticket) in self.core.tickets:
+            self.core.set_waiting_since(job, now - told.value)
+        elif told.what == NOT_NOW and (job.proxy, job.ticket) in self.core.tickets:
             self._idempotency().query_age(now, job)  # no majority could answer
-        if told.what == TWIN and self.core.claim(now, job):
+        if told.what == TWIN and self.core.start_claim(now, job):
             self._claim(now, job)
 
     def _on_claim_answer(self, now: float, query: ClaimQuery, what: int) -> None:
         job = query.job
-        if self.core.claimed(now, job, what == GRANTED, what == TWIN):
+        if self.core.on_claim_result(now, job, what == GRANTED, what == TWIN):
             self._give_back(now, job)
         elif what == TWIN:
-            self._count(job.kind, JobEnd.DUPLICATE)
-            self.fleet_view.reply(job.forwarder, frames.Go(job.ticket, JobOrder.DROP_DUPLICATE))
-        elif (job.forwarder, job.ticket) in self.core.tickets:
+            self._count(job.job_class, JobEnd.DUPLICATE)
+            self.fleet_view.reply(job.proxy, frames.Go(job.ticket, JobOrder.DROP_DUPLICATE))
+        elif (job.proxy, job.ticket) in self.core.tickets:
             # Queued again, or set aside: it could not go while the query was pending.
-            self.journal.on_returned(job, query.asked_at, 0.0 if what == GRANTED else self.core.terms.hold)
+            self.journal.on_returned(job, query.asked_at, 0.0 if what == GRANTED else self.core.limits.blocked_ms)
 
     def _claim(self, now: float, job: Job) -> None:
         self._idempotency().claim(now, job, self._owner(job))
@@ -196,7 +196,7 @@
 
     def _owner(self, job: Job) -> int:
         """The number of a ticket, the same at all controllers: the same process of a proxy may release it again."""
-        return record_key_of(f"ticket {job.forwarder} {self.sessions.name(job.forwarder)} {job.ticket}") | 2
+        return record_key_of(f"ticket {job.proxy} {self.sessions.name(job.proxy)} {job.ticket}") | 2
 
     def on_tick(self, tick: Tick) -> None:
         """Release the jobs whose turn it is, claim those that need it, and send what the other controllers need."""
@@ -204,12 +204,12 @@
         if self.pinning:
             self.pinned_jobs.update(self.pinning)
         actions, to_send = self.core.tick(tick.now, self.alive)
-        if self.core.dry != self.is_quota_exhausted:
-            self._log_exhaustion(is_exhausted=self.core.dry)
+        if self.core.is_starved != self.is_quota_exhausted:
+            self._log_exhaustion(is_exhausted=self.core.is_starved)
         for action in actions:
-            if isinstance(action, Go):
+            if isinstance(action, Dispatch):
                 self._release(action)
-            elif isinstance(action, Ask):
+            elif isinstance(action, ClaimKey):
                 self._claim(tick.now, action.job)
         self.context.send(to_send)
 
@@ -219,29 +219,29 @@
         log.info("scheduling", change=text)
         self.journal.on_quota(is_exhausted=is_exhausted)
 
-    def _release(self, action: Go) -> None:
+    def _release(self, action: Dispatch) -> None:
         job = action.job
-        self._count(job.kind, JobEnd.GONE)
-        self.journal.on_released(job, action.standing, action.counted)
-        self.fleet_view.reply(job.forwarder, frames.Go(job.ticket, JobOrder.SEND))
+        self._count(job.job_class, JobEnd.GONE)
+        self.journal.on_released(job, action.effective_priority, action.observed_peers)
+        self.fleet_view.reply(job.proxy, frames.Go(job.ticket, JobOrder.SEND))
 
-    def on_message(self, sender: int, message: Line) -> None:
+    def on_message(self, sender: int, message: QueueSummary) -> None:
         """Take what waits at another controller."""
-        self.core.heard(self.context.clock(), sender, message)
+        self.core.on_summary(self.context.clock(), sender, message)
 
     @property
     def rejected(self) -> int:
         """How many messages of other controllers were rejected."""
-        return self.core.lines.refused
+        return self.core.peer_queues.rejected_count
 
     def update_metrics(self) -> None:
         """Set how many jobs wait here, by request class."""
-        for name, count in zip(self.names, self.core.queue.by_kind, strict=True):
+        for name, count in zip(self.names, self.core.queue.counts_by_class, strict=True):
             self.context.metrics.queued_jobs.labels(name).set(count)
 
     def status(self) -> dict[str, Any]:
         """The part `waiting` of the status page."""
-        return self.core.page(self.context.clock(), self.alive)
+        return self.core.status(self.context.clock(), self.alive)
 
     def close(self) -> None:
         """Close the journal."""
--- a/corallanding/controller/sessions.py
+++ b/corallanding/controller/sessions.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from ..quorum_records.queries import QueryResult
-from ..scheduling.idempotency import NOT_NOW, Claims
+from ..scheduling.idempotency import NOT_NOW, IdempotencyRecords
 from ..wire import frames
 from .record_service import RecordService, record_key_of
 
@@ -53,7 +53,7 @@
     connection here.
     """
 
-    def __init__(self, claims: Claims | None, records: RecordService | None) -> None:
+    def __init__(self, claims: IdempotencyRecords | None, records: RecordService | None) -> None:
         self.claims = claims
         self.records = records
         self.by_proxy: dict[int, Session] = {}
@@ -68,7 +68,7 @@
 
     def _query_age(self, now: float, forwarder: int, name: str) -> None:
         if self.claims and self.records:
-            query = self.claims.seek(now, record_key_of(f"session {name}"), 0.0)
+            query = self.claims.query_age(now, record_key_of(f"session {name}"), 0.0)
             self.queries[query] = (forwarder, name)
             self.records.schedule_queries()
 
--- a/corallanding/controller/status_views.py
+++ b/corallanding/controller/status_views.py
@@ -35,7 +35,7 @@
     def tables_page(self) -> HttpResponse:
         state = self.engine.state
         page = {
-            "life": self.engine.life.number,
+            "life": self.engine.life.start_number,
             "seq": self.engine.seq,
             "cordons": sorted(state.cordons),
             "levels": [[t, bits, a, r] for (t, bits), (a, r) in state.levels.items()],
--- a/corallanding/lab/fleet/steward.py
+++ b/corallanding/lab/fleet/steward.py
@@ -16,7 +16,7 @@
 from ...load_reports.feed import Feed
 from ...load_reports.intake import Datagrams, Intake, attend
 from ...load_reports.state import FeedState
-from ...store import Life, StoreFault, StoreHeld
+from ...store import StoreContents, StoreError, StoreLockedError
 from .loop import Machine, Server, SimLoop, Stream
 
 if TYPE_CHECKING:
@@ -38,20 +38,20 @@
     def __init__(self, store: MemoryStore) -> None:
         self.store, self.life = store, -1
 
-    def open(self) -> Life:
+    def open(self) -> StoreContents:
         s = self.store
         s.life += 1
         self.life = s.life
         seq, s.seq = s.seq, 0
         version, entries, addresses, starts = s.roster
         tables = {t: dict(row) for t, row in sorted(s.tables.items()) if row}
-        return Life(s.life, seq, tables, entries, version, dict(addresses), dict(starts))
+        return StoreContents(s.life, seq, tables, entries, version, dict(addresses), dict(starts))
 
     def check(self) -> MemoryStore:
         if self.life != self.store.life:
-            raise StoreHeld(f"taken by a later steward (life {self.store.life}, this is {self.life})")
+            raise StoreLockedError(f"taken by a later steward (life {self.store.life}, this is {self.life})")
         if self.store.down:
-            raise StoreFault("the store does not write")
+            raise StoreError("the store does not write")
         return self.store
 
     def write(self, seq: int, lines: Sequence[tuple[int, int, float]], resets: Sequence[int] = ()) -> None:
@@ -66,7 +66,7 @@
                 row.pop(host, None)
         s.seq = seq
 
-    def keep_roster(
+    def save_host_list(
         self, version: int, entries: Sequence[api.HostEntry], addresses: dict[int, str], starts: dict[int, float]
     ) -> None:
         self.check().roster = (version, tuple(entries), dict(addresses), dict(starts))
--- a/corallanding/lab/stewards/runs.py
+++ b/corallanding/lab/stewards/runs.py
@@ -15,14 +15,14 @@
 from ...quorum_records.fleet import FleetRecords
 from ...quorum_records.queries import QueryLimits, QueryResult
 from ...quorum_records.replica import Replica, UnsavedChanges
-from ...version_pinning.core import RELEASE, RUNS, Pins, pins_on, record_terms
-from ...version_pinning.limits import PinTerms
+from ...version_pinning.core import RELEASE_TASK, RUNS_TASK_GROUP, VersionPinning, run_record_limits, version_pinning_on
+from ...version_pinning.limits import PinningLimits
 from ...version_pinning.messages import PINNED
 from .tasks import TaskWorld
 from .world import Process
 
 LEASE = LeaseTimings(lease=600.0, office=400.0)
-TERMS = PinTerms(run=6_000.0, settle=150.0)
+TERMS = PinningLimits(max_run_ms=6_000.0, announce_interval_ms=150.0)
 ASKS = QueryLimits(answer=900.0, again=60.0)
 SETS = {n: {"quote": n, "claim": n} for n in range(1, 9)}
 
@@ -69,11 +69,11 @@
         groups: int = 4,
         per_s: float = 20.0,
         runs: int = 60,
-        terms: PinTerms = TERMS,
+        terms: PinningLimits = TERMS,
         lease: LeaseTimings = LEASE,
     ) -> None:
         self.disks = [Disk() for _ in range(numbers)]
-        self.pins: dict[int, Pins] = {}
+        self.pins: dict[int, VersionPinning] = {}
         self.told: list[tuple[float, int, int, int, int]] = []
         self.asked: dict[tuple[int, int, int], tuple[int, float]] = {}  # (steward, life, ask): run, when
         self.goal, self.strong = 1, dict.fromkeys(SETS, 1.0)
@@ -83,7 +83,12 @@
         self.drawn = random.Random(f"runs {seed}")
         self.retired_at: dict[int, float] = {}  # set: when some steward first knew
         self.files = True  # whether files outlive processes
-        tasks = TaskCatalog({RELEASE: TaskSpec(RELEASE, work=50.0), RUNS: TaskSpec(RUNS, groups, work=50.0)})
+        tasks = TaskCatalog(
+            {
+                RELEASE_TASK: TaskSpec(RELEASE_TASK, work=50.0),
+                RUNS_TASK_GROUP: TaskSpec(RUNS_TASK_GROUP, groups, work=50.0),
+            }
+        )
         super().__init__(seed, numbers, voters, tasks, lease, acting=0)
         if per_s:
             self.at(0.0, self.client)
@@ -97,16 +102,16 @@
         fleet = FleetRecords(
             leases,
             self.voters,
-            record_terms(self.pin_terms, again=ASKS.again),
+            run_record_limits(self.pin_terms, again=ASKS.again),
             ASKS,
             born,
             disk.opened,
             disk.blank,
-            (RUNS, RELEASE),
-            (RUNS,),
-            (RELEASE,),
+            (RUNS_TASK_GROUP, RELEASE_TASK),
+            (RUNS_TASK_GROUP,),
+            (RELEASE_TASK,),
         )
-        pins = pins_on(fleet, self.pin_terms, SETS, self.goal, lambda s: self.strong[s])
+        pins = version_pinning_on(fleet, self.pin_terms, SETS, self.goal, lambda s: self.strong[s])
         pins.records.peers.update(disk.peers)
         disk.load(pins.records.shelf, lambda real: born - (self.now - real))
         self.pins[n], self.fleets[n] = pins, fleet
@@ -114,7 +119,7 @@
 
     def client(self) -> None:
         """A run's next step, or a new run; at stewards drawn anew. None comes back once nobody may remember it."""
-        recent = [key for began, key in self.keys[-self.runs :] if self.now - began < 1.8 * self.pin_terms.run]
+        recent = [key for began, key in self.keys[-self.runs :] if self.now - began < 1.8 * self.pin_terms.max_run_ms]
         if len(recent) < self.runs or self.drawn.random() < 0.2:
             recent.append(self.drawn.getrandbits(62) | 1)
             self.keys.append((self.now, recent[-1]))
@@ -125,14 +130,14 @@
         up = [n for n, p in self.processes.items() if not p.stopped]
         for n in self.drawn.sample(up, min(len(up), 2 if twice else 1)):
             p, pins = self.processes[n], self.pins[n]
-            number = pins.enter(p.clock(self.now), key)
-            self.asked[n, pins.asking.life, number] = (key, self.now)
+            number = pins.request_run(p.clock(self.now), key)
+            self.asked[n, pins.queries.life, number] = (key, self.now)
             self.carry(n, p, self.fleets[n].push(p.clock(self.now)))
 
     def tick(self, n: int, p: Process) -> None:
         if p.alive and not p.stopped:
             pins = self.pins[n]
-            pins.wanted = self.goal
+            pins.wanted_set = self.goal
         super().tick(n, p)
 
     def work(self, n: int, p: Process) -> None:
@@ -140,8 +145,8 @@
         self.carry(n, p, self.fleets[n].tick(now, self.pins[n].tick(now)))
         register = self.pins[n].releases.register
         if register:
-            for number in range(1, register.highest + 1):
-                if number not in register.alive:
+            for number in range(1, register.highest_set + 1):
+                if number not in register.live_sets:
                     self.retired_at.setdefault(number, self.now)
 
     def carry(self, n: int, p: Process, actions: list[Any]) -> None:
@@ -152,11 +157,11 @@
             else:
                 self.send(n, a.to, a.word)
         pins = self.pins[n]
-        for answer in pins.answers():
+        for answer in pins.take_answers():
             self.answered(n, pins, answer)
 
-    def answered(self, n: int, pins: Pins, answer: QueryResult) -> None:
-        key, _ = self.asked.pop((n, pins.asking.life, answer.number))
+    def answered(self, n: int, pins: VersionPinning, answer: QueryResult) -> None:
+        key, _ = self.asked.pop((n, pins.queries.life, answer.number))
         self.told.append((self.now, key, n, answer.what, answer.value))
 
     def take(self, n: int, p: Process, sender: int, word: Any) -> None:
@@ -164,7 +169,7 @@
         if kind.startswith("corallanding.quorum_records"):
             self.carry(n, p, self.fleets[n].heard(now, sender, word))
         elif kind.startswith("corallanding.version_pinning"):
-            self.carry(n, p, self.fleets[n].after(now, list(self.pins[n].heard(now, sender, word))))
+            self.carry(n, p, self.fleets[n].after(now, list(self.pins[n].on_message(now, sender, word))))
         else:
             super().take(n, p, sender, word)
 
--- a/corallanding/lab/stewards/waits.py
+++ b/corallanding/lab/stewards/waits.py
@@ -9,14 +9,20 @@
 from typing import Any
 
 from ...quota import Budget, QuotaLimits
-from ...scheduling.core import Go, Waiting
-from ...scheduling.limits import Kind, WaitTerms
-from ...scheduling.messages import Line
+from ...scheduling.core import Dispatch, Scheduler
+from ...scheduling.limits import JobClass, SchedulingLimits
+from ...scheduling.messages import QueueSummary
 from ..order import Held, Went, judge
 from .world import Process, World
 
-KINDS = (Kind("claim", 2.0, 2_000.0, 30_000.0), Kind("rank", 0.0, 1_000.0, 30_000.0))
-TERMS = WaitTerms(tell=100.0, stale=600.0, slack=150.0, hold=1_500.0, rate=20.0)
+KINDS = (JobClass("claim", 2.0, 2_000.0, 30_000.0), JobClass("rank", 0.0, 1_000.0, 30_000.0))
+TERMS = SchedulingLimits(
+    announce_interval_ms=100.0,
+    peer_timeout_ms=600.0,
+    order_slack_ms=150.0,
+    blocked_ms=1_500.0,
+    dispatches_per_second=20.0,
+)
 QUOTA = QuotaLimits(lease=600.0, office=400.0)
 NOTICED = 120.0  # ms until a forwarder sees that its steward is gone
 
@@ -46,15 +52,15 @@
         forwarders: int = 6,
         rate: int = 20,
         floor: int = 1,
-        terms: WaitTerms = TERMS,
-        kinds: tuple[Kind, ...] = KINDS,
+        terms: SchedulingLimits = TERMS,
+        kinds: tuple[JobClass, ...] = KINDS,
         lone: bool = False,
         mix: Callable[[float, random.Random], int] = lambda t, c: c.randrange(2),
         skew: float = 1.0,
     ) -> None:
         self.kinds, self.wait_terms, self.lone, self.mix, self.skew = kinds, terms, lone, mix, skew
         self.drawn = random.Random(f"jobs {seed}")
-        self.waits: dict[int, Waiting] = {}
+        self.waits: dict[int, Scheduler] = {}
         self.jobs: dict[int, Waits] = {}
         self.held: list[Held] = []
         self.went: list[Went] = []
@@ -72,7 +78,7 @@
             return born + (self.now - start) * self.rate_of(n)
 
         start = self.now
-        self.waits[n] = Waiting(
+        self.waits[n] = Scheduler(
             others,
             life,
             self.kinds,
@@ -114,7 +120,7 @@
             return
         n, p = up[0], self.processes[up[0]]
         w.at, w.begun = n, self.now
-        job, _, _ = self.waits[n].take_in(
+        job, _, _ = self.waits[n].admit(
             p.clock(self.now), p.members.alive(), w.forwarder, w.job, w.kind, self.now - w.came
         )
         if job is None:
@@ -141,7 +147,7 @@
             if self.processes.get(n) is p and p.stopped:
                 self.away(n)
                 self.waits[n].tickets.clear()  # it hears of its links' end when it wakes, before all else
-                self.waits[n].queue.__init__(self.kinds, self.wait_terms.rise)  # type: ignore[misc]
+                self.waits[n].queue.__init__(self.kinds, self.wait_terms.retirement_boost)  # type: ignore[misc]
 
         self.at(self.now + 1_000.0, silent)
 
@@ -151,23 +157,23 @@
         alive = [] if self.lone else p.members.alive()
         actions, words = self.waits[n].tick(p.clock(self.now), alive)
         for a in actions:
-            assert isinstance(a, Go)
+            assert isinstance(a, Dispatch)
             self.gone(n, a)
         for s in words:
             self.send(n, s.to, s.word)
 
-    def gone(self, n: int, a: Go) -> None:
+    def gone(self, n: int, a: Dispatch) -> None:
         w = self.jobs[a.job.ticket]
         if w.at != n or w.done:
             self.again += w.done and w.at == n
             return  # the link is over: nobody hears it
         w.done = True
         self.held.append((w.job, n, w.begun, self.now))
-        self.went.append((self.now, w.job, n, a.counted))
+        self.went.append((self.now, w.job, n, a.observed_peers))
 
     def take(self, n: int, p: Process, sender: int, word: Any) -> None:
-        if isinstance(word, Line):
-            self.waits[n].heard(p.clock(self.now), sender, word)
+        if isinstance(word, QueueSummary):
+            self.waits[n].on_summary(p.clock(self.now), sender, word)
         else:
             super().take(n, p, sender, word)
 
@@ -175,13 +181,13 @@
 
     def found(self, bound: float) -> dict[str, Any]:
         still = [(w.job, w.at, w.begun, float("inf")) for w in self.jobs.values() if not w.done and w.at >= 0]
-        kinds = [(k.priority, k.patience, k.most) for k in self.kinds]
+        kinds = [(k.priority, k.aging_interval_ms, k.max_wait_ms) for k in self.kinds]
         came = {w.job: (w.came, w.kind) for w in self.jobs.values()}
         moving = [w.job for w in self.jobs.values() if not w.done and w.at < 0]
         return judge(kinds, came, [*self.held, *still], self.went, bound, moving)
 
 
-def bound_of(terms: WaitTerms, drift: float, oldest: float) -> float:
+def bound_of(terms: SchedulingLimits, drift: float, oldest: float) -> float:
     """ms by which a job may go too early: what waits elsewhere is known by words of up to `stale`, on two clocks that
     drift, looked at every 50 ms, with the stated slack."""
-    return terms.stale + terms.slack + 100.0 + 2.0 * drift * oldest
+    return terms.peer_timeout_ms + terms.order_slack_ms + 100.0 + 2.0 * drift * oldest
--- a/corallanding/lab/stewards/walk.py
+++ b/corallanding/lab/stewards/walk.py
@@ -14,14 +14,16 @@
 from ...quorum_records.core import Persist
 from ...quorum_records.fleet import FleetRecords
 from ...quorum_records.queries import QueryLimits
-from ...version_pinning.core import RELEASE, RUNS, Pins, pins_on, record_terms
-from ...version_pinning.limits import PinTerms
+from ...version_pinning.core import RELEASE_TASK, RUNS_TASK_GROUP, VersionPinning, run_record_limits, version_pinning_on
+from ...version_pinning.limits import PinningLimits
 from ...version_pinning.messages import PINNED
 from .runs import SETS, Disk
 
-TERMS = PinTerms(run=1e9, settle=60.0)
+TERMS = PinningLimits(max_run_ms=1e9, announce_interval_ms=60.0)
 ASKS = QueryLimits(answer=300.0, again=60.0)
-TASKS = TaskCatalog({RELEASE: TaskSpec(RELEASE, work=50.0), RUNS: TaskSpec(RUNS, 1, work=50.0)})
+TASKS = TaskCatalog(
+    {RELEASE_TASK: TaskSpec(RELEASE_TASK, work=50.0), RUNS_TASK_GROUP: TaskSpec(RUNS_TASK_GROUP, 1, work=50.0)}
+)
 BAG = 120
 
 
@@ -59,7 +61,7 @@
         self.broken: list[str] = []
         self.asked: dict[tuple[int, int], int] = {}
         self.leases: dict[int, Anyone] = {}
-        self.pins: dict[int, Pins] = {}
+        self.pins: dict[int, VersionPinning] = {}
         self.fleets: dict[int, FleetRecords] = {}
         for n in self.keepers:
             self.start(n)
@@ -71,17 +73,17 @@
         fleet = self.fleets[n] = FleetRecords(
             leases,  # type: ignore[arg-type]
             self.keepers,
-            record_terms(TERMS, again=ASKS.again),
+            run_record_limits(TERMS, again=ASKS.again),
             ASKS,
             self.now,
             disk.opened,
             disk.blank,
-            (RUNS, RELEASE),
-            (RUNS,),
-            (RELEASE,),
+            (RUNS_TASK_GROUP, RELEASE_TASK),
+            (RUNS_TASK_GROUP,),
+            (RELEASE_TASK,),
             1e9,
         )
-        pins = self.pins[n] = pins_on(fleet, TERMS, SETS, self.goal, lambda s: 1.0)
+        pins = self.pins[n] = version_pinning_on(fleet, TERMS, SETS, self.goal, lambda s: 1.0)
         pins.records.peers.update(disk.peers)
         disk.load(pins.records.shelf, lambda real: real)
 
@@ -91,7 +93,7 @@
                 self.disks[n].write(a.what, lambda born: born)
             elif len(self.bag) < BAG:
                 self.bag.append((n, a.to, a.word))
-        for answer in self.pins[n].answers():
+        for answer in self.pins[n].take_answers():
             key = self.asked.pop((n, answer.number), None)
             if key is not None and answer.what == PINNED:
                 self.answers += 1
@@ -102,7 +104,7 @@
                     self.broken.append(f"run {key}: set {answer.value} is retired")
         register = self.pins[n].releases.register
         if register:
-            self.gone |= {s for s in range(1, register.highest + 1) if s not in register.alive}
+            self.gone |= {s for s in range(1, register.highest_set + 1) if s not in register.live_sets}
 
     def deliver(self, at: int) -> None:
         row = self.bag[at]
@@ -114,16 +116,16 @@
         if type(word).__module__.startswith("corallanding.quorum_records"):
             self.carry(to, self.fleets[to].heard(self.now, sender, word))
         else:
-            self.carry(to, self.fleets[to].after(self.now, list(self.pins[to].heard(self.now, sender, word))))
+            self.carry(to, self.fleets[to].after(self.now, list(self.pins[to].on_message(self.now, sender, word))))
 
     def ask(self, n: int, key: int) -> None:
-        number = self.pins[n].enter(self.now, key)
+        number = self.pins[n].request_run(self.now, key)
         self.asked[n, number] = key
         self.carry(n, self.fleets[n].push(self.now))
 
     def tick(self, n: int) -> None:
         self.now += self.chance.uniform(0.0, 20.0)
-        self.pins[n].wanted = self.goal
+        self.pins[n].wanted_set = self.goal
         self.carry(n, self.fleets[n].tick(self.now, self.pins[n].tick(self.now)))
 
     def grant(self) -> None:
@@ -174,7 +176,7 @@
             self.keys[at] = c.getrandbits(40) | 1
         if self.over and not c.randrange(15):
             n, key = c.choice(self.keepers), c.choice(self.over[-8:])
-            self.pins[n].enter(self.now, key, ended=True)
+            self.pins[n].request_run(self.now, key, ended=True)
 
     def run(self, steps: int) -> list[str]:
         """What broke, in words."""
--- a/corallanding/scheduling/idempotency.py
+++ b/corallanding/scheduling/idempotency.py
@@ -17,26 +17,30 @@
 WAITING = 1  # the value of a record that nobody owns
 
 
-class Claims:
+class IdempotencyRecords:
     """groups: of records, the same at all stewards."""
 
     def __init__(self, asking: Queries, groups: tuple[int, ...]) -> None:
-        self.asking, self.groups, self.records = asking, groups, asking.records
+        self.queries, self.groups, self.records = asking, groups, asking.records
         self.clock: Callable[[], float] = lambda: 0.0
-        asking.serve(groups, self.look, self.denied)
+        asking.serve(groups, self.on_query, self.on_write_denied)
 
-    def seek(self, now: float, key: int, waited: float) -> int:
-        return self.asking.ask(now, self.groups[key % len(self.groups)], key, SEEK, int(max(0.0, waited)))
+    def query_age(self, now: float, key: int, waited: float) -> int:
+        return self.queries.ask(now, self.groups[key % len(self.groups)], key, SEEK, int(max(0.0, waited)))
 
-    def claim(self, now: float, job: Job, owner: int) -> int:
+    def query_claim(self, now: float, job: Job, owner: int) -> int:
         """owner: a number of that ticket's own, above 1, the same if it comes again through another steward."""
-        return self.asking.ask(now, self.groups[job.key % len(self.groups)], job.key, CLAIM, owner)
+        return self.queries.ask(
+            now, self.groups[job.idempotency_key % len(self.groups)], job.idempotency_key, CLAIM, owner
+        )
 
-    def give_back(self, now: float, job: Job, owner: int) -> int:
+    def query_release(self, now: float, job: Job, owner: int) -> int:
         """Granted, and surely never sent: its client may bring it again."""
-        return self.asking.ask(now, self.groups[job.key % len(self.groups)], job.key, BACK, owner)
+        return self.queries.ask(
+            now, self.groups[job.idempotency_key % len(self.groups)], job.idempotency_key, BACK, owner
+        )
 
-    def look(self, now: float, group: int, key: int, kind: int, more: int) -> Outcome | None:
+    def on_query(self, now: float, group: int, key: int, kind: int, more: int) -> Outcome | None:
         writer = self.records.held[group]
         entry = writer.get(key)
         if entry is None:
@@ -57,5 +61,5 @@
             return None
         return (GRANTED if entry.value == more else TWIN), 0
 
-    def denied(self, why: int) -> Outcome | None:
+    def on_write_denied(self, why: int) -> Outcome | None:
         return (FULL, 0) if why == NO_ROOM else None
--- a/corallanding/scheduling/peer_queues.py
+++ b/corallanding/scheduling/peer_queues.py
@@ -6,70 +6,77 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from .limits import Kind
-from .messages import Line, Row
+from .limits import JobClass
+from .messages import QueueRow, QueueSummary
 
 
 @dataclass
-class Other:
+class PeerQueue:
     """at: when it was last heard, by our clock."""
 
-    at: float
-    life: int
+    received_at_ms: float
+    incarnation: int
     round: int
-    rows: list[Row] = field(default_factory=list)
-    levels: list[int] = field(default_factory=list)
-    total: int = 0
+    groups: list[QueueRow] = field(default_factory=list)
+    priority_levels: list[int] = field(default_factory=list)
+    job_count: int = 0
 
 
-class Lines:
+class PeerQueues:
     """stale: ms. What one was heard to have waiting is reckoned to have grown older with our clock: late by the word's
     way and the drift, never early by more than the drift."""
 
-    def __init__(self, kinds: Sequence[Kind], rise: float, stale: float) -> None:
-        self.kinds, self.rise, self.stale = kinds, rise, stale
-        self.others: dict[int, Other] = {}
-        self.refused = 0
+    def __init__(self, kinds: Sequence[JobClass], rise: float, stale: float) -> None:
+        self.job_classes, self.retirement_boost, self.peer_timeout_ms = kinds, rise, stale
+        self.by_peer: dict[int, PeerQueue] = {}
+        self.rejected_count = 0
 
-    def heard(self, now: float, sender: int, word: Line) -> None:
-        if any(group >= 2 * len(self.kinds) for group, _, _ in word.rows):
-            self.refused += 1  # it has other operations than we
+    def on_summary(self, now: float, sender: int, word: QueueSummary) -> None:
+        if any(group >= 2 * len(self.job_classes) for group, _, _ in word.groups):
+            self.rejected_count += 1  # it has other operations than we
             return
-        old = self.others.get(sender)
-        if old is None or old.life != word.life or word.round > old.round:
-            self.others[sender] = Other(now, word.life, word.round, list(word.rows), list(word.levels), word.total)
+        old = self.by_peer.get(sender)
+        if old is None or old.incarnation != word.life or word.round > old.round:
+            self.by_peer[sender] = PeerQueue(
+                now, word.life, word.round, list(word.groups), list(word.priority_levels), word.job_count
+            )
 
-    def counted(self, now: float, alive: Iterable[int]) -> list[int]:
+    def observed_peers(self, now: float, alive: Iterable[int]) -> list[int]:
         """Those that are waited for: alive, and heard of late."""
-        return [n for n in alive if n in self.others and now - self.others[n].at <= self.stale]
+        return [n for n in alive if n in self.by_peer and now - self.by_peer[n].received_at_ms <= self.peer_timeout_ms]
 
-    def water(self, now: float, alive: Iterable[int]) -> float:
+    def watermark(self, now: float, alive: Iterable[int]) -> float:
         """The highest standing that waits at another; below all if none does."""
         return max(
-            (self.standing(now, o, row) for n in self.counted(now, alive) if (o := self.others[n]) for row in o.rows),
+            (
+                self.effective_priority(now, o, row)
+                for n in self.observed_peers(now, alive)
+                if (o := self.by_peer[n])
+                for row in o.groups
+            ),
             default=float("-inf"),
         )
 
-    def standing(self, now: float, other: Other, row: Row) -> float:
+    def effective_priority(self, now: float, other: PeerQueue, row: QueueRow) -> float:
         group, waited, _ = row
-        rise = self.rise if group & 1 else 0.0
-        return self.kinds[group // 2].standing(waited + now - other.at, rise)
+        rise = self.retirement_boost if group & 1 else 0.0
+        return self.job_classes[group // 2].effective_priority(waited + now - other.received_at_ms, rise)
 
-    def share(self, now: float, alive: Iterable[int], own: Sequence[float], rate: int) -> int:
+    def own_share(self, now: float, alive: Iterable[int], own: Sequence[float], rate: int) -> int:
         """Of the next `rate` jobs of all, how many are ours. own: our highest standings, descending."""
-        elsewhere = [self.others[n].levels for n in self.counted(now, alive)]
+        elsewhere = [self.by_peer[n].priority_levels for n in self.observed_peers(now, alive)]
 
         def until(k: int) -> float:
             """So many of all stand as high as our k-th, it among them: more with each k."""
-            return k + sum(above(levels, own[k - 1] * 1000.0) for levels in elsewhere)
+            return k + sum(estimate_jobs_above(levels, own[k - 1] * 1000.0) for levels in elsewhere)
 
         return max(min(1, len(own)), bisect_right(range(1, min(len(own), rate) + 1), float(rate), key=until))
 
-    def total(self, now: float, alive: Iterable[int]) -> int:
-        return sum(self.others[n].total for n in self.counted(now, alive))
+    def total_jobs(self, now: float, alive: Iterable[int]) -> int:
+        return sum(self.by_peer[n].job_count for n in self.observed_peers(now, alive))
 
 
-def above(levels: Sequence[int], level: float) -> float:
+def estimate_jobs_above(levels: Sequence[int], level: float) -> float:
     """About how many jobs stand above `level`, by the standings of the first, second, fourth, eighth ..."""
     count = sum(x > level for x in levels)
     if count in (0, len(levels)):
--- a/corallanding/store/__init__.py
+++ b/corallanding/store/__init__.py
@@ -1,6 +1,6 @@
 """Durable tables: the interface that the steward writes through, and the embedded store (`sqlite`)."""
 
-from .api import Life, Store, StoreFault, StoreHeld
+from .api import Store, StoreContents, StoreError, StoreLockedError
 from .sqlite import SqliteStore
 
-__all__ = ["Life", "SqliteStore", "Store", "StoreFault", "StoreHeld"]
+__all__ = ["SqliteStore", "Store", "StoreContents", "StoreError", "StoreLockedError"]
--- a/corallanding/store/sqlite.py
+++ b/corallanding/store/sqlite.py
@@ -15,7 +15,7 @@
 
 from .. import interface as api
 from ..interface import stored_names
-from .api import Life, StoreFault, StoreHeld
+from .api import StoreContents, StoreError, StoreLockedError
 
 SCHEMA = 1
 TABLES = """
@@ -36,27 +36,27 @@
     through a lost machine). `halt` is called at every write point with its name."""
 
     def __init__(self, path: str | Path, sync: str = "normal", halt: Callable[[str], None] = no_halt) -> None:
-        self.path, self.sync, self.halt = Path(path), sync, halt
-        self.life = 0
+        self.path, self.sync, self.on_write_point = Path(path), sync, halt
+        self.start_number = 0
         self.lock: int | None = None
         self.db: sqlite3.Connection | None = None
 
-    def open(self) -> Life:
-        """Raises `StoreHeld` while another process holds the file, `StoreFault` if it cannot be used; closed then."""
+    def open(self) -> StoreContents:
+        """Raise `StoreLockedError` while another process holds the file, `StoreError` if it cannot be used."""
         try:
             return self.take()
         except BaseException:
             self.close()
             raise
 
-    def take(self) -> Life:
+    def take(self) -> StoreContents:
         try:
             self.lock = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT, 0o600)
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            raise StoreHeld(f"{self.path}: another steward holds this store") from None
+            raise StoreLockedError(f"{self.path}: another steward holds this store") from None
         except OSError as fault:
-            raise StoreFault(f"{self.path}: {fault.strerror}") from None
+            raise StoreError(f"{self.path}: {fault.strerror}") from None
         try:
             self.db = sqlite3.connect(self.path, isolation_level=None, timeout=0.02, check_same_thread=False)
             self.db.execute("pragma journal_mode=wal")
@@ -64,30 +64,30 @@
             self.db.executescript(TABLES)
             schema = int(self.value("schema") or SCHEMA)
             if schema != SCHEMA:
-                raise StoreFault(f"{self.path}: schema {schema}; this version reads {SCHEMA}")
+                raise StoreError(f"{self.path}: schema {schema}; this version reads {SCHEMA}")
             self.db.execute("begin immediate")
-            self.life = int(self.value("life") or 0) + 1
+            self.start_number = int(self.value("life") or 0) + 1
             seq = int(self.value("seq") or 0)
             self.put("schema", str(SCHEMA))
-            self.put("life", str(self.life))
+            self.put("life", str(self.start_number))
             self.put("seq", "0")
             self.db.execute("commit")
             return self.read(seq)
         except sqlite3.Error as fault:
-            raise StoreFault(f"{self.path}: {fault}") from None
+            raise StoreError(f"{self.path}: {fault}") from None
 
-    def read(self, seq: int) -> Life:
+    def read(self, seq: int) -> StoreContents:
         assert self.db is not None
-        life = Life(self.life, seq, roster_version=int(self.value("roster_version") or 0))
+        life = StoreContents(self.start_number, seq, host_list_version=int(self.value("roster_version") or 0))
         for table, host, weight in self.db.execute("select tbl, host, weight from line order by tbl, host"):
             life.tables.setdefault(table, {})[host] = weight
         entries = []
         for host, text in self.db.execute("select host, entry from roster order by host"):
             row = json.loads(text)
             life.addresses[host] = row.pop("address", "")
-            life.starts[host] = row.pop("started", 0.0)
+            life.started_at_ms[host] = row.pop("started", 0.0)
             entries.append(api.HostEntry(host, **{HOST_ENTRY[name]: value for name, value in row.items()}))
-        life.roster = tuple(entries)
+        life.host_entries = tuple(entries)
         return life
 
     def value(self, key: str) -> str | None:
@@ -101,25 +101,27 @@
 
     def transact(self, work: Callable[[sqlite3.Connection], None]) -> None:
         if self.db is None:
-            raise StoreFault(f"{self.path}: not open")
+            raise StoreError(f"{self.path}: not open")
         try:
-            self.halt("before begin")
+            self.on_write_point("before begin")
             self.db.execute("begin immediate")
             try:
                 found = self.value("life")
-                if found != str(self.life):
-                    raise StoreHeld(f"{self.path}: taken by a later steward (life {found}, this is {self.life})")
-                self.halt("after begin")
+                if found != str(self.start_number):
+                    raise StoreLockedError(
+                        f"{self.path}: taken by a later steward (life {found}, this is {self.start_number})"
+                    )
+                self.on_write_point("after begin")
                 work(self.db)
-                self.halt("before commit")
+                self.on_write_point("before commit")
                 self.db.execute("commit")
-                self.halt("after commit")
+                self.on_write_point("after commit")
             except BaseException:
                 if self.db.in_transaction:
                     self.db.execute("rollback")
                 raise
         except sqlite3.Error as fault:
-            raise StoreFault(f"{self.path}: {fault}") from None
+            raise StoreError(f"{self.path}: {fault}") from None
 
     def write(self, seq: int, lines: Sequence[tuple[int, int, float]], resets: Sequence[int] = ()) -> None:
         def work(db: sqlite3.Connection) -> None:
@@ -129,17 +131,17 @@
                     db.execute("insert or replace into line values (?, ?, ?)", (table, host, weight))
                 else:
                     db.execute("delete from line where tbl = ? and host = ?", (table, host))
-                self.halt("between lines")
+                self.on_write_point("between lines")
             self.put("seq", str(seq))
 
         self.transact(work)
 
-    def keep_roster(
+    def save_host_list(
         self, version: int, entries: Sequence[api.HostEntry], addresses: dict[int, str], starts: dict[int, float]
     ) -> None:
         def work(db: sqlite3.Connection) -> None:
             db.execute("delete from roster")
-            self.halt("between roster rows")
+            self.on_write_point("between roster rows")
             for e in entries:
                 row = {
                     "zone": e.zone,
--- a/corallanding/version_pinning/rollout.py
+++ b/corallanding/version_pinning/rollout.py
@@ -6,16 +6,16 @@
 from collections.abc import Collection, Mapping
 from dataclasses import replace
 
-from .release_register import ALIVE_MOST, Register
+from .release_register import MAX_LIVE_SETS, ReleaseRegister
 
 
-def first(wanted: int) -> Register:
-    return Register(1, wanted, (wanted,))
+def first_register(wanted: int) -> ReleaseRegister:
+    return ReleaseRegister(1, wanted, (wanted,))
 
 
 def next_register(
-    now: Register, wanted: int, known: Collection[int], strength: Mapping[int, float], over: Collection[int]
-) -> tuple[Register | None, str]:
+    now: ReleaseRegister, wanted: int, known: Collection[int], strength: Mapping[int, float], over: Collection[int]
+) -> tuple[ReleaseRegister | None, str]:
     """wanted: the set that is to be current. known: sets that are configured. strength: of each set, the work that the
     sound hosts which serve it whole can do now. over: closed sets that no run needs any more.
 
@@ -24,30 +24,32 @@
     stands in the way ("" if nothing is to be done).
     """
     step = replace(now, version=now.version + 1)
-    for number in now.alive[now.open :]:
+    for number in now.live_sets[now.open_count :]:
         if number in over:
-            return replace(step, alive=tuple(n for n in now.alive if n != number)), f"set {number} retired"
-    if now.current != wanted:
+            return replace(step, live_sets=tuple(n for n in now.live_sets if n != number)), f"set {number} retired"
+    if now.current_set != wanted:
         return opened(now, step, wanted, known, strength)
-    if now.open > 1:
-        old = now.alive[1]
+    if now.open_count > 1:
+        old = now.live_sets[1]
         if strength.get(wanted, 0.0) >= strength.get(old, 0.0):
-            return replace(step, open=1), f"set {old} closed"
+            return replace(step, open_count=1), f"set {old} closed"
         return None, ""
     return None, ""
 
 
 def opened(
-    now: Register, step: Register, wanted: int, known: Collection[int], strength: Mapping[int, float]
-) -> tuple[Register | None, str]:
+    now: ReleaseRegister, step: ReleaseRegister, wanted: int, known: Collection[int], strength: Mapping[int, float]
+) -> tuple[ReleaseRegister | None, str]:
     if wanted not in known:
         return None, f"set {wanted} is not configured here"
-    if wanted not in now.alive and wanted <= now.highest:
+    if wanted not in now.live_sets and wanted <= now.highest_set:
         return None, f"set {wanted} is retired"
     if strength.get(wanted, 0.0) <= 0.0:
         return None, f"no host serves set {wanted} whole"
-    rest = tuple(n for n in now.alive if n != wanted)
-    if len(rest) >= ALIVE_MOST:
-        return None, f"{ALIVE_MOST} sets are alive"
+    rest = tuple(n for n in now.live_sets if n != wanted)
+    if len(rest) >= MAX_LIVE_SETS:
+        return None, f"{MAX_LIVE_SETS} sets are alive"
     alive = (wanted, *rest)
-    return replace(step, alive=alive, open=2, highest=max(now.highest, wanted)), f"set {wanted} opened"
+    return replace(
+        step, live_sets=alive, open_count=2, highest_set=max(now.highest_set, wanted)
+    ), f"set {wanted} opened"
--- a/corallanding/version_pinning/version_selection.py
+++ b/corallanding/version_pinning/version_selection.py
@@ -9,11 +9,11 @@
 from ..assignment.rendezvous import rendezvous_score
 
 
-def draw(key: int, sets: Sequence[int], strength: Sequence[float]) -> int:
+def choose_set(key: int, sets: Sequence[int], capacities: Sequence[float]) -> int:
     """The set of a run: by chance of its key, in the shares of what hosts can do for each."""
-    total = sum(strength)
+    total = sum(capacities)
     at = (zlib.crc32(b"%d" % key) + 0.5) / 2.0**32 * total
-    for number, part in zip(sets, strength, strict=True):
+    for number, part in zip(sets, capacities, strict=True):
         at -= part
         if at < 0.0:
             return number
@@ -21,35 +21,39 @@
 
 
 @dataclass(frozen=True)
-class Server:
+class PinningHost:
     """A host as pins see it. able: the share of its full work that it can do now. sound: it may be given work. used:
     some table of ours names it, so that it is not one that was found dead or slow."""
 
     host: int
     weight: float
-    able: float
-    sound: bool
+    capacity_share: float
+    is_eligible: bool
     versions: Mapping[str, Collection[int]]
-    used: bool = True
+    is_in_tables: bool = True
 
     def serves(self, operation: str, version: int) -> bool:
         return version in self.versions.get(operation, ())
 
 
-Versions = Mapping[str, int]  # of a set: operation to version
+ReleaseSet = Mapping[str, int]  # of a set: operation to version
 
 
-def strength(versions: Versions, servers: Iterable[Server]) -> float:
+def serving_capacity(versions: ReleaseSet, servers: Iterable[PinningHost]) -> float:
     """The work that hosts can do now which serve all of the set."""
-    return sum(s.weight * s.able for s in servers if s.sound and all(s.serves(o, v) for o, v in versions.items()))
+    return sum(
+        s.weight * s.capacity_share
+        for s in servers
+        if s.is_eligible and all(s.serves(o, v) for o, v in versions.items())
+    )
 
 
-def lines_for(
+def select_hosts(
     slice: int,
     operation: str,
     version: int,
     lines: Mapping[int, float],
-    servers: Mapping[int, Server],
+    servers: Mapping[int, PinningHost],
     may: Callable[[int], bool],
     whole: float = 1.0,
 ) -> dict[int, float] | None:
@@ -60,15 +64,15 @@
     sound warm host with the highest mark by weight; a cold one only where no warm one serves it, and if it may. A host
     that drains or is gone has no part in it, whatever is pinned to it: rules 1 to 3 go before pins.
     """
-    able = {h: w for h, w in lines.items() if (s := servers.get(h)) and s.sound and s.serves(operation, version)}
+    able = {h: w for h, w in lines.items() if (s := servers.get(h)) and s.is_eligible and s.serves(operation, version)}
     if able and len(able) == len(lines):
         return None
-    if any(servers[h].able >= whole for h in able):
+    if any(servers[h].capacity_share >= whole for h in able):
         return able
-    fit = [s for s in servers.values() if s.sound and s.serves(operation, version)]
-    warm = [s for s in fit if s.able >= whole]
+    fit = [s for s in servers.values() if s.is_eligible and s.serves(operation, version)]
+    warm = [s for s in fit if s.capacity_share >= whole]
     if warm:
-        best = max(warm, key=lambda s: (s.used, rendezvous_score(slice, s.host) * s.weight, s.host))
+        best = max(warm, key=lambda s: (s.is_in_tables, rendezvous_score(slice, s.host) * s.weight, s.host))
         return {**able, best.host: max([1.0, *able.values()])}
     if able:
         return able
--- a/tests/stored_samples.py
+++ b/tests/stored_samples.py
@@ -24,7 +24,7 @@
 from corallanding.quorum_records import messages as once
 from corallanding.quota import messages as quota
 from corallanding.scheduling import messages as waiting
-from corallanding.store.api import Life
+from corallanding.store.api import StoreContents
 from corallanding.version_pinning import messages as pins
 from corallanding.wire import frames
 from corallanding.wire.link import Limits as LinkLimits
@@ -125,10 +125,10 @@
     "record heartbeat answer": once.FileAnnouncementReply(life=1, round=2, blank=True, writes=3),
     "record question": once.Query(life=1, round=2, group=3, key=4, kind=5, more=6),
     "record answer": once.QueryReply(life=1, round=2, key=3, what=4, value=5),
-    "release register": pins.Settled(life=1, round=2, value=3),
-    "release tally": pins.Tally(life=1, round=2),
-    "release tallied": pins.Tallied(life=1, round=2, value=3, rows=[(4, 5)]),
-    "waiting jobs": waiting.Line(life=1, round=2, rows=[(3, 4, 5)], levels=[6, 7], total=8),
+    "release register": pins.RegisterAnnouncement(life=1, round=2, value=3),
+    "release tally": pins.RunCountQuery(life=1, round=2),
+    "release tallied": pins.RunCountReport(life=1, round=2, value=3, rows=[(4, 5)]),
+    "waiting jobs": waiting.QueueSummary(life=1, round=2, groups=[(3, 4, 5)], priority_levels=[6, 7], job_count=8),
 }
 
 FROM_FORWARDER: dict[str, Any] = {
@@ -213,7 +213,7 @@
     """An engine with its channel and joins, without sockets. What happens in a turn is drawn by the turn's number."""
 
     def __init__(self, life: int, tables: dict[int, dict[int, float]] | None = None) -> None:
-        found = Life(life, 0, tables or {})
+        found = StoreContents(life, 0, tables or {})
         self.engine = Engine(SETTINGS, 3, found, range(SLICES), dict(ADDRESSES), Assigner)
         self.channel, self.joins = Channel(CHANNEL), JoinAdmission(20.0, 300.0, 2000.0, START)
         self.now = START
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -7,16 +7,16 @@
 from corallanding import interface as api
 from corallanding.controller import engine as core
 from corallanding.controller.report_aggregation import UsageAggregator
-from corallanding.store import Life
+from corallanding.store import StoreContents
 from corallanding.wire import frames
 
 OPS = (api.RequestClass("quote", api.Idempotency.IDEMPOTENT, "all", 0, 1, 0, 1000, 3000),)
 SETTINGS = api.Settings(OPS, slice_count=4, proxy_count=2, report_interval_ms=1000.0, reports_per_second=2.0)
 
 
-def make(settings: api.Settings = SETTINGS, life: Life | None = None) -> tuple[core.Engine, Scripted]:
+def make(settings: api.Settings = SETTINGS, life: StoreContents | None = None) -> tuple[core.Engine, Scripted]:
     addresses = {h: f"127.0.0.1:{h}" for h in (10, 11, 12)}
-    engine = core.Engine(settings, 1, life or Life(2), range(settings.slice_count), addresses, Scripted)
+    engine = core.Engine(settings, 1, life or StoreContents(2), range(settings.slice_count), addresses, Scripted)
     assert isinstance(engine.module, Scripted)
     return engine, engine.module
 
@@ -107,7 +107,7 @@
 
 
 def test_a_forwarder_gives_back_what_the_store_had_not_kept() -> None:
-    life = Life(5, seq=3, tables={0: {10: 1.0}, 1: {10: 1.0}})
+    life = StoreContents(5, message_number=3, tables={0: {10: 1.0}, 1: {10: 1.0}})
     engine, module = make(life=life)
     engine.recall_until = 1000.0
     assert not engine.wants_recall(0.0, hello(1, life=4, seq=3)), "as new as the store"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,7 +22,7 @@
 from corallanding.lab.fleet.steward import Handle, MemoryStore
 from corallanding.lab.publishers import PUBLISHERS
 from corallanding.lab.scenario import Fault, load_scenario
-from corallanding.store import StoreFault, StoreHeld
+from corallanding.store import StoreError, StoreLockedError
 
 HERE = Path(__file__).parent
 HARD, SABOTAGE = load_scenario(HERE / "hard.hcl"), load_scenario(HERE / "sabotage.hcl")
@@ -164,16 +164,16 @@
 def test_the_store_in_memory_outlives_its_process_and_fences_it() -> None:
     memory = MemoryStore()
     first = Handle(memory)
-    assert first.open().number == 1
+    assert first.open().start_number == 1
     first.write(7, [(0, 5, 1.0), (1, 5, 1.0), (1, 6, 0.5)])
     first.write(8, [(1, 5, 0.0)], [0])
     second = Handle(memory)
     life = second.open()
-    assert (life.number, life.seq, life.tables) == (2, 8, {1: {6: 0.5}})
-    with pytest.raises(StoreHeld):
+    assert (life.start_number, life.message_number, life.tables) == (2, 8, {1: {6: 0.5}})
+    with pytest.raises(StoreLockedError):
         first.write(9, [(0, 1, 1.0)])
     memory.down = True
-    with pytest.raises(StoreFault):
+    with pytest.raises(StoreError):
         second.write(1, [])
 
 
--- a/tests/test_mutation.py
+++ b/tests/test_mutation.py
@@ -29,9 +29,9 @@
 from corallanding.quota import Budget, QuotaLimits
 from corallanding.quota.messages import CapacityGrant, CapacityRequest
 from corallanding.quota.messages import sound as sound_quota
-from corallanding.scheduling.messages import sound as sound_line
-from corallanding.version_pinning.messages import PinWords
-from corallanding.version_pinning.messages import sound as sound_pin
+from corallanding.scheduling.messages import is_valid as sound_line
+from corallanding.version_pinning.messages import PinningMessage
+from corallanding.version_pinning.messages import is_valid as sound_pin
 
 LEASE = LeaseTimings(lease=600.0, office=400.0)
 UNTIL = 5_000.0
@@ -144,7 +144,7 @@
     total = sum(c.refused + c.desk.refused + d.strangers + d.late + c.holder.stale for c, d in desks)
     for fleet in getattr(w, "fleets", {}).values():
         total += fleet.records.refused + fleet.records.shelf.refused + fleet.asking.refused
-    total += sum(x.lines.refused for x in getattr(w, "waits", {}).values())
+    total += sum(x.peer_queues.rejected_count for x in getattr(w, "waits", {}).values())
     return total + sum(p.members.refused for p in w.processes.values())
 
 
@@ -195,7 +195,7 @@
 WORLDS: dict[str, tuple[Callable[[int], Any], Callable[[Any], bool]]] = {
     "lease": (tasks, sound_task),
     "quota": (budgets, lambda w: sound_quota(w) if isinstance(w, CapacityRequest | CapacityGrant) else sound_task(w)),
-    "runs": (runs, lambda w: sound_pin(w) if isinstance(w, PinWords) else sound_record(w)),
+    "runs": (runs, lambda w: sound_pin(w) if isinstance(w, PinningMessage) else sound_record(w)),
     "waiting": (waits, sound_line),
 }
 
--- a/tests/test_pins.py
+++ b/tests/test_pins.py
@@ -19,8 +19,8 @@
 from corallanding.quorum_records.replica import Replica
 from corallanding.version_pinning import rollout
 from corallanding.version_pinning.messages import PINNED
-from corallanding.version_pinning.release_register import Register
-from corallanding.version_pinning.releases import Releases
+from corallanding.version_pinning.release_register import ReleaseRegister
+from corallanding.version_pinning.releases import ReleaseCoordinator
 
 SETS = {n: {"quote": n, "claim": (n + 1) // 2} for n in range(1, 5)}
 
@@ -132,19 +132,19 @@
 def a_retired_set_opens_again(patch: Any) -> None:
     real = rollout.opened
 
-    def opened(now: Register, step: Register, wanted: int, known: Any, strong: Any) -> Any:
-        found, why = real(replace(now, highest=0), step, wanted, known, strong)
-        return (replace(found, highest=max(now.highest, wanted)) if found else None), why
+    def opened(now: ReleaseRegister, step: ReleaseRegister, wanted: int, known: Any, strong: Any) -> Any:
+        found, why = real(replace(now, highest_set=0), step, wanted, known, strong)
+        return (replace(found, highest_set=max(now.highest_set, wanted)) if found else None), why
 
     patch.setattr(rollout, "opened", opened)
 
 
 def any_tally_counts(patch: Any) -> None:
-    def over(self: Releases, value: int, set: int) -> bool:
-        told = list(self.count.told.values())
+    def over(self: ReleaseCoordinator, value: int, set: int) -> bool:
+        told = list(self.run_counts.by_voter.values())
         return len(told) > len(self.records.keepers) // 2 and not any(rows.get(set) for rows in told)
 
-    patch.setattr(Releases, "over", over)
+    patch.setattr(ReleaseCoordinator, "is_unused", over)
 
 
 MISTAKES: dict[str, tuple[Callable[[Any], None], str, int]] = {
@@ -158,7 +158,11 @@
     ),
     "the first that is read wins": (first_read_wins, "world", 10),
     "one refusal counts for all": (one_refusal_denies, "world", 10),
-    "retired without a tally": (lambda p: p.setattr(Releases, "over", lambda self, value, set: True), "world", 0),
+    "retired without a tally": (
+        lambda p: p.setattr(ReleaseCoordinator, "is_unused", lambda self, value, set: True),
+        "world",
+        0,
+    ),
     "words go before the file is written": (words_before_the_file, "world", 1),
     "a retired set opens again": (a_retired_set_opens_again, "walk", 0),
 }
--- a/tests/test_pins_scenes.py
+++ b/tests/test_pins_scenes.py
@@ -15,8 +15,8 @@
 from corallanding.quorum_records.messages import Accept, AcceptReply
 from corallanding.quorum_records.proposer import Proposer
 from corallanding.quorum_records.replica import Replica
-from corallanding.version_pinning.messages import FULL, NOT_NOW, OVER, PINNED, Tally
-from corallanding.version_pinning.releases import Releases
+from corallanding.version_pinning.messages import FULL, NOT_NOW, OVER, PINNED, RunCountQuery
+from corallanding.version_pinning.releases import ReleaseCoordinator
 
 
 class Scripted(Walk):
@@ -42,7 +42,7 @@
                 self.hand(*self.bag.pop(at))
 
     def tick_at(self, n: int) -> None:
-        self.pins[n].wanted = self.goal
+        self.pins[n].wanted_set = self.goal
         self.carry(n, self.fleets[n].tick(self.now, self.pins[n].tick(self.now)))
 
 
@@ -62,7 +62,7 @@
     w.passes = lambda a, b, word: (
         not run(a, b, word)
         and not (isinstance(word, Accept) and b not in seen_by)
-        and not (isinstance(word, Tally) and b not in counted)
+        and not (isinstance(word, RunCountQuery) and b not in counted)
     )
     w.pump(60)
     w.bag += held
@@ -76,7 +76,7 @@
 def test_what_was_counted_as_nothing_stays_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     w = closing({0, 1, 2}, {1, 2})
     assert 1 in w.gone and not w.broken, "set 1 is retired, and the late words of the run are refused"
-    monkeypatch.setattr(Releases, "may", lambda self, value, begins: True)
+    monkeypatch.setattr(ReleaseCoordinator, "may_accept", lambda self, value, begins: True)
     assert closing({0, 1, 2}, {1, 2}).broken == ["run 99: set 1 is retired"], "keepers that take what is closed"
 
 
@@ -142,8 +142,8 @@
     key = 12_345
     for n in range(5):
         p, pins = w.processes[n], w.pins[n]
-        number = pins.enter(p.clock(w.now), key)
-        w.asked[n, pins.asking.life, number] = (key, w.now)
+        number = pins.request_run(p.clock(w.now), key)
+        w.asked[n, pins.queries.life, number] = (key, w.now)
         w.carry(n, p, w.fleets[n].push(p.clock(w.now)))
     w.run(w.now + 3_000.0)
     rows = [row for row in w.told if row[1] == key]
@@ -199,18 +199,18 @@
     w.goal = 1
     w.run(w.now + 3_000.0)
     assert not w.revived()
-    assert all(p.releases.register.current == 2 for p in w.pins.values() if p.releases.register)
-    assert any("set 1 is retired" in p.releases.blocked for p in w.pins.values())
+    assert all(p.releases.register.current_set == 2 for p in w.pins.values() if p.releases.register)
+    assert any("set 1 is retired" in p.releases.obstacle for p in w.pins.values())
 
 
 def test_a_flood_of_one_client_is_refused_and_pushes_out_no_run() -> None:
     w = settled(RunWorld(9, 3, 3, groups=1))
     running = [row[1] for row in w.told if row[3] == PINNED][-5:]
-    n, p = next((n, p) for n, p in w.processes.items() if w.pins[n].records.held.get(w.pins[n].runs.groups[0]))
+    n, p = next((n, p) for n, p in w.processes.items() if w.pins[n].records.held.get(w.pins[n].workflow_runs.groups[0]))
     pins, flood = w.pins[n], []
     for k in range(400):
-        flood.append(pins.enter(p.clock(w.now), 10**9 + k, "one client"))
-        w.asked[n, pins.asking.life, flood[-1]] = (10**9 + k, w.now)
+        flood.append(pins.request_run(p.clock(w.now), 10**9 + k, "one client"))
+        w.asked[n, pins.queries.life, flood[-1]] = (10**9 + k, w.now)
     w.carry(n, p, w.fleets[n].push(p.clock(w.now)))
     w.run(w.now + 300.0)
     ends = [row[3] for row in w.told if row[1] >= 10**9 and row[1] < 10**9 + 400]
--- a/tests/test_revive.py
+++ b/tests/test_revive.py
@@ -31,7 +31,7 @@
 from corallanding.lab.roster import Roster
 from corallanding.lab.trace import Trace
 from corallanding.snapshot import file
-from corallanding.store.api import Life
+from corallanding.store.api import StoreContents
 from corallanding.wire import frames
 
 pytestmark = pytest.mark.processes
@@ -48,7 +48,7 @@
 
     def __init__(self, life: int = 1, tables: dict[int, dict[int, float]] | None = None) -> None:
         addresses = {h: f"127.0.0.1:{9000 + h}" for h in range(5)}
-        self.engine = Engine(SETTINGS, life, Life(life, tables=tables or {}), range(12), addresses, Assigner)
+        self.engine = Engine(SETTINGS, life, StoreContents(life, tables=tables or {}), range(12), addresses, Assigner)
         self.log: list[Any] = []
         self.now = 1e9
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -10,7 +10,7 @@
 import pytest
 
 from corallanding import interface as api
-from corallanding.store import SqliteStore, StoreFault, StoreHeld
+from corallanding.store import SqliteStore, StoreError, StoreLockedError
 
 STEPS = [
     ([(1, 10, 1.0), (2, 10, 1.0), (3, 11, 0.5)], []),
@@ -39,7 +39,7 @@
     for number, (lines, resets) in enumerate(STEPS, 1):
         store.write(number, lines, resets)
         os.write(told, b"k")  # acknowledged
-    store.keep_roster(7, HOSTS, {10: "127.0.0.1:1"}, {10: 5.0})
+    store.save_host_list(7, HOSTS, {10: "127.0.0.1:1"}, {10: 5.0})
     os.write(told, b"r")
 
 
@@ -85,10 +85,10 @@
         tables = {t: row for t, row in life.tables.items() if row}
         whole = [n for n in range(done, len(STEPS) + 1) if tables == {t: r for t, r in after(n).items() if r}]
         assert whole and whole[0] <= done + 1, (point, name, done, tables)
-        assert life.seq == whole[0]
-        assert life.number == 2
-        assert (len(life.roster) == 2) >= (b"r" in acked)
-        assert len(life.roster) in (0, 2)
+        assert life.message_number == whole[0]
+        assert life.start_number == 2
+        assert (len(life.host_entries) == 2) >= (b"r" in acked)
+        assert len(life.host_entries) in (0, 2)
         if not name:
             break
         names.add(name)
@@ -106,10 +106,10 @@
 def test_a_store_has_one_holder(tmp_path: Path) -> None:
     first = SqliteStore(tmp_path / "s.db")
     first.open()
-    with pytest.raises(StoreHeld, match="another steward holds"):
+    with pytest.raises(StoreLockedError, match="another steward holds"):
         SqliteStore(tmp_path / "s.db").open()
     first.close()
-    assert SqliteStore(tmp_path / "s.db").open().number == 2
+    assert SqliteStore(tmp_path / "s.db").open().start_number == 2
 
 
 def test_a_steward_that_slept_through_a_takeover_cannot_write(tmp_path: Path) -> None:
@@ -120,7 +120,7 @@
     os.close(old.lock)  # its lock is lost, as on a file system that drops it
     new = SqliteStore(tmp_path / "s.db")
     new.open()
-    with pytest.raises(StoreHeld, match="taken by a later steward"):
+    with pytest.raises(StoreLockedError, match="taken by a later steward"):
         old.write(2, [(1, 11, 1.0)])
     old.lock = None
     assert new.read(0).tables == {1: {10: 1.0}}
@@ -133,12 +133,12 @@
     assert store.db is not None
     pages = store.db.execute("pragma page_count").fetchone()[0]
     store.db.execute(f"pragma max_page_count={pages}")
-    with pytest.raises(StoreFault, match="full"):
+    with pytest.raises(StoreError, match="full"):
         store.write(2, [(t, h, 1.0) for t in range(500) for h in range(20)])
     store.db.execute("pragma max_page_count=100000")
     other = sqlite3.connect(tmp_path / "s.db", isolation_level=None)
     other.execute("begin immediate")
-    with pytest.raises(StoreFault, match="locked"):
+    with pytest.raises(StoreError, match="locked"):
         store.write(3, [(2, 10, 1.0)])
     other.execute("rollback")
     store.write(4, [(3, 10, 1.0)])
@@ -147,9 +147,9 @@
 
 def test_what_cannot_be_a_store_is_named(tmp_path: Path) -> None:
     (tmp_path / "s.db").write_bytes(b"no database" * 100)
-    with pytest.raises(StoreFault, match="s.db"):
+    with pytest.raises(StoreError, match="s.db"):
         SqliteStore(tmp_path / "s.db").open()
-    with pytest.raises(StoreFault, match="No such file"):
+    with pytest.raises(StoreError, match="No such file"):
         SqliteStore(tmp_path / "none" / "s.db").open()
 
 
@@ -158,5 +158,5 @@
     store.open()
     store.put("schema", "9")
     store.close()
-    with pytest.raises(StoreFault, match="schema 9; this version reads 1"):
+    with pytest.raises(StoreError, match="schema 9; this version reads 1"):
         SqliteStore(tmp_path / "s.db").open()
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -58,7 +58,7 @@
 from corallanding.registry.table_store import REQUESTS
 from corallanding.snapshot import file, marks, module, stored_values
 from corallanding.snapshot.module import dump, load
-from corallanding.store import Life, SqliteStore
+from corallanding.store import SqliteStore, StoreContents
 from corallanding.telemetry.metrics import Metrics
 from corallanding.upgrade.core import PROTOCOL, HandoverCommand, Predecessor, Successor
 from corallanding.upgrade.pipe import HandoverPipe
@@ -98,7 +98,7 @@
     addresses = {host: samples.ADDRESSES[host] for host in (0, 1, 5)}
     started = {host: samples.STARTED[host] for host in (0, 1, 5)}
     listed = tuple(replace(entry, online_since=0.0) for entry in samples.ENTRIES)  # `starts` has it, by the wall clock
-    assert life == Life(3, 42, {1: {2: 1.0}, 7: {0: 1.0}}, listed, 9, addresses, started)
+    assert life == StoreContents(3, 42, {1: {2: 1.0}, 7: {0: 1.0}}, listed, 9, addresses, started)
     store.close()
     assert (tmp_path / "store.sqlite.lock").exists(), "an old process's lock must keep a new one out"
 
@@ -110,7 +110,7 @@
     store.open()
     store.write(41, [(1, 2, 1.0), (1, 3, 0.5), (4, 5, 0.25)])
     store.write(42, [(1, 3, 0.0), (7, 0, 1.0)], [4])
-    store.keep_roster(9, samples.ENTRIES, samples.ADDRESSES, samples.STARTED)
+    store.save_host_list(9, samples.ENTRIES, samples.ADDRESSES, samples.STARTED)
     store.close()
     assert sql(tmp_path / "store.sqlite") == (FIXTURES / "store.sql").read_text()
 
--- a/tests/test_upgrade_state.py
+++ b/tests/test_upgrade_state.py
@@ -21,7 +21,7 @@
 from corallanding.controller.join_admission import JoinAdmission
 from corallanding.controller.recovery import StateMismatchError, capture_state
 from corallanding.snapshot import file
-from corallanding.store.api import Life
+from corallanding.store.api import StoreContents
 from corallanding.wire import frames
 from corallanding.wire.link import Limits as LinkLimits
 from corallanding.wire.link import Link
@@ -45,7 +45,9 @@
     """An engine and what is around it, without sockets; the world's part is drawn by a seed that both sides share."""
 
     def __init__(self, life: int, tables: dict[int, dict[int, float]] | None = None) -> None:
-        self.engine = Engine(SETTINGS, 3, Life(life, tables=tables or {}), range(12), dict(ADDRESSES), Assigner)
+        self.engine = Engine(
+            SETTINGS, 3, StoreContents(life, tables=tables or {}), range(12), dict(ADDRESSES), Assigner
+        )
         self.channel, self.joins = Channel(LIMITS), JoinAdmission(20.0, 300.0, 2000.0, 1e9)
         self.log: list[Any] = []
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -13,10 +13,10 @@
 from corallanding.lab.stewards.waits import QUOTA, TERMS, WaitWorld, bound_of
 from corallanding.lab.stewards.world import troubled
 from corallanding.lab.uses import most
-from corallanding.scheduling.core import Go, Waiting
-from corallanding.scheduling.limits import Kind, WaitTerms
-from corallanding.scheduling.peer_queues import Lines
-from corallanding.scheduling.queue import Queue
+from corallanding.scheduling.core import Dispatch, Scheduler
+from corallanding.scheduling.limits import JobClass, SchedulingLimits
+from corallanding.scheduling.peer_queues import PeerQueues
+from corallanding.scheduling.queue import JobQueue
 
 BOUND = bound_of(TERMS, QUOTA.drift, 15_000.0)
 
@@ -48,7 +48,7 @@
         # By what all have, whether they looked at it or not.
         went = [(at, job, n, [0, 1, 2, 3, 4]) for at, job, n, _ in w.went]
         still = [(j.job, j.at, j.begun, float("inf")) for j in w.jobs.values() if not j.done]
-        kinds = [(k.priority, k.patience, k.most) for k in w.kinds]
+        kinds = [(k.priority, k.aging_interval_ms, k.max_wait_ms) for k in w.kinds]
         came = {j.job: (j.came, j.kind) for j in w.jobs.values()}
         both.append(judge(kinds, came, [*w.held, *still], went, BOUND))
     assert both[0]["inversions_over_bound"] == 0 and both[0]["worst_inversion_ms"] < 1_000.0, both[0]
@@ -57,9 +57,16 @@
 
 def test_an_hour_of_high_priority_does_not_keep_the_low_for_longer_than_is_stated() -> None:
     """A flood of high priority, shortened: the low ones rise past it, or are over their time and go first."""
-    kinds = (Kind("claim", 50.0, 2_000.0, 60_000.0), Kind("rank", 0.0, 1_000.0, 8_000.0))
+    kinds = (JobClass("claim", 50.0, 2_000.0, 60_000.0), JobClass("rank", 0.0, 1_000.0, 8_000.0))
     w = WaitWorld(
-        4, 3, 3, per_s=22, rate=20, terms=replace(TERMS, rate=20.0), kinds=kinds, mix=lambda t, c: int(c.random() < 0.1)
+        4,
+        3,
+        3,
+        per_s=22,
+        rate=20,
+        terms=replace(TERMS, dispatches_per_second=20.0),
+        kinds=kinds,
+        mix=lambda t, c: int(c.random() < 0.1),
     )
     w.run(40_000.0)
     waited = [at - w.jobs[job].came for at, job, _, _ in w.went if w.jobs[job].kind == 1]
@@ -69,19 +76,25 @@
 
 def test_one_whose_rights_do_not_come_holds_the_others_up_for_a_stated_time_only() -> None:
     """Two stewards, all the old work at one that cannot release: the other goes on with its own after `hold`."""
-    terms = WaitTerms(tell=100.0, stale=600.0, slack=100.0, hold=400.0, rate=10.0)
-    kinds = (Kind("rank", 0.0, 1_000.0, 60_000.0),)
-    a = Waiting((2,), 1, kinds, terms, 0.0, lambda: False, lambda n: None)
-    b = Waiting((1,), 2, kinds, terms, 0.0, lambda: True, lambda n: None)
-    a.take_in(0.0, [], 1, 1, 0, 5_000.0)
-    b.take_in(0.0, [], 1, 1, 0, 0.0)
+    terms = SchedulingLimits(
+        announce_interval_ms=100.0,
+        peer_timeout_ms=600.0,
+        order_slack_ms=100.0,
+        blocked_ms=400.0,
+        dispatches_per_second=10.0,
+    )
+    kinds = (JobClass("rank", 0.0, 1_000.0, 60_000.0),)
+    a = Scheduler((2,), 1, kinds, terms, 0.0, lambda: False, lambda n: None)
+    b = Scheduler((1,), 2, kinds, terms, 0.0, lambda: True, lambda n: None)
+    a.admit(0.0, [], 1, 1, 0, 5_000.0)
+    b.admit(0.0, [], 1, 1, 0, 0.0)
     gone = None
     for now in range(0, 2_000, 50):
         for here, there, me in ((a, b, 1), (b, a, 2)):
             actions, words = here.tick(float(now), [3 - me])
             for s in words:
-                there.heard(float(now), me, s.word)
-            gone = gone or next((now for x in actions if isinstance(x, Go)), None)
+                there.on_summary(float(now), me, s.word)
+            gone = gone or next((now for x in actions if isinstance(x, Dispatch)), None)
     assert gone is not None
     assert 400 <= gone <= 700
 
@@ -90,39 +103,49 @@
 
 
 def ages_not_carried(patch: Any) -> None:
-    real = Waiting.take_in
+    real = Scheduler.admit
     patch.setattr(
-        Waiting,
-        "take_in",
+        Scheduler,
+        "admit",
         lambda self, now, alive, f, t, kind, waited, key=0, set=0: real(self, now, alive, f, t, kind, 0.0, key, set),
     )
 
 
 def heads_do_not_age(patch: Any) -> None:
-    real = Lines.standing
-    patch.setattr(Lines, "standing", lambda self, now, other, row: real(self, other.at, other, row) - 1.5)
+    real = PeerQueues.effective_priority
+    patch.setattr(
+        PeerQueues,
+        "effective_priority",
+        lambda self, now, other, row: real(self, other.received_at_ms, other, row) - 1.5,
+    )
 
 
 MISTAKES: dict[str, Callable[[Any], None]] = {
-    "nobody else is looked at": lambda p: p.setattr(Lines, "water", lambda self, now, alive: float("-inf")),
+    "nobody else is looked at": lambda p: p.setattr(PeerQueues, "watermark", lambda self, now, alive: float("-inf")),
     "no age is carried along": ages_not_carried,
-    "priority without patience": lambda p: p.setattr(Kind, "standing", lambda self, waited, rise=0.0: self.priority),
+    "priority without patience": lambda p: p.setattr(
+        JobClass, "effective_priority", lambda self, waited, rise=0.0: self.priority
+    ),
     "the youngest first": lambda p: p.setattr(
-        Queue, "best", lambda self, now: min(self.heads(now), key=lambda row: row[0], default=None)
+        JobQueue, "highest", lambda self, now: min(self.oldest_by_group(now), key=lambda row: row[0], default=None)
     ),
     "released and kept": lambda p: p.setattr(
-        Waiting, "go", lambda self, now, job, standing, counted: Go(job, standing, counted)
+        Scheduler, "dispatch", lambda self, now, job, standing, counted: Dispatch(job, standing, counted)
     ),
     "patience is not compared": lambda p: p.setattr(
-        Kind, "standing", lambda self, waited, rise=0.0: self.priority + waited / 1_000.0
+        JobClass, "effective_priority", lambda self, waited, rise=0.0: self.priority + waited / 1_000.0
     ),
     "a slack of seconds": lambda p: p.setattr(
-        Waiting, "release", lambda self, now, alive, real=Waiting.release: real(slackened(self), now, alive)
+        Scheduler,
+        "dispatch_ready",
+        lambda self, now, alive, real=Scheduler.dispatch_ready: real(slackened(self), now, alive),
     ),
     "what others have is taken for younger": heads_do_not_age,
     "jobs of a link that is gone are forgotten": lambda p: p.setattr(WaitWorld, "hand", lost_when_moved),
     "rights are not asked for": lambda p: p.setattr(
-        Waiting, "release", lambda self, now, alive, real=Waiting.release: unpaid(self, now, alive, real)
+        Scheduler,
+        "dispatch_ready",
+        lambda self, now, alive, real=Scheduler.dispatch_ready: unpaid(self, now, alive, real),
     ),
 }
 
@@ -134,17 +157,17 @@
         real(self, w)
 
 
-def slackened(self: Waiting) -> Waiting:
-    self.slack = 9.0
+def slackened(self: Scheduler) -> Scheduler:
+    self.order_slack = 9.0
     return self
 
 
-def unpaid(self: Waiting, now: float, alive: list[int], real: Any) -> Any:
-    right, self.right = self.right, lambda: True
+def unpaid(self: Scheduler, now: float, alive: list[int], real: Any) -> Any:
+    right, self.take_permit = self.take_permit, lambda: True
     try:
         return real(self, now, alive)
     finally:
-        self.right = right
+        self.take_permit = right
 
 
 @pytest.mark.parametrize("name", MISTAKES)
--- a/tests/test_waiting_core.py
+++ b/tests/test_waiting_core.py
@@ -11,19 +11,19 @@
 from corallanding.quorum_records.core import QuorumRecords
 from corallanding.quorum_records.limits import RecordLimits
 from corallanding.quorum_records.queries import Queries, QueryLimits
-from corallanding.scheduling.core import Ask, Go, Waiting
-from corallanding.scheduling.idempotency import CLAIM, FOUND, GRANTED, SEEK, TWIN, Claims
-from corallanding.scheduling.limits import OVERDUE, Kind, WaitTerms
-from corallanding.scheduling.messages import LEVELS_MOST, ROWS_MOST, Line, sound
-from corallanding.scheduling.peer_queues import Lines, above
-from corallanding.scheduling.queue import Job, Queue
+from corallanding.scheduling.core import ClaimKey, Dispatch, Scheduler
+from corallanding.scheduling.idempotency import CLAIM, FOUND, GRANTED, SEEK, TWIN, IdempotencyRecords
+from corallanding.scheduling.limits import OVERDUE_PRIORITY, JobClass, SchedulingLimits
+from corallanding.scheduling.messages import MAX_LEVELS, MAX_ROWS, QueueSummary, is_valid
+from corallanding.scheduling.peer_queues import PeerQueues, estimate_jobs_above
+from corallanding.scheduling.queue import Job, JobQueue
 
 # ---- one job, one record -----------------------------------------------------------------------------------
 
 
-def alone() -> Claims:
+def alone() -> IdempotencyRecords:
     records = QuorumRecords(1, (), (1,), 9, RecordLimits(), 0.0, [5], 1, True)
-    claims = Claims(Queries(1, (), 9, records, QueryLimits()), (5,))
+    claims = IdempotencyRecords(Queries(1, (), 9, records, QueryLimits()), (5,))
     records.tick(0.0)
     records.hold(5, 1)
     for now in range(4):
@@ -32,8 +32,8 @@
     return claims
 
 
-def asked(claims: Claims, now: float, number: int) -> tuple[int, int]:
-    asking = claims.asking
+def asked(claims: IdempotencyRecords, now: float, number: int) -> tuple[int, int]:
+    asking = claims.queries
     asking.push(now)
     for _ in range(6):
         claims.records.tick(now)
@@ -45,129 +45,133 @@
 
 def test_a_fingerprint_keeps_its_age_and_goes_to_one_owner() -> None:
     claims = alone()
-    assert asked(claims, 10.0, claims.seek(10.0, 77, 400.0)) == (FOUND, 400)
-    assert asked(claims, 1_010.0, claims.seek(1_010.0, 77, 0.0)) == (FOUND, 1_400), "brought again elsewhere"
-    job = Job(1, 0, 3, 8, 0.0, key=77)
-    assert asked(claims, 1_020.0, claims.claim(1_020.0, job, 500))[0] == GRANTED
-    assert asked(claims, 1_030.0, claims.claim(1_030.0, job, 501))[0] == TWIN
-    assert asked(claims, 1_040.0, claims.claim(1_040.0, job, 500))[0] == GRANTED, "its word was lost: it may go again"
-    assert asked(claims, 1_050.0, claims.seek(1_050.0, 77, 0.0))[0] == TWIN
+    assert asked(claims, 10.0, claims.query_age(10.0, 77, 400.0)) == (FOUND, 400)
+    assert asked(claims, 1_010.0, claims.query_age(1_010.0, 77, 0.0)) == (FOUND, 1_400), "brought again elsewhere"
+    job = Job(1, 0, 3, 8, 0.0, idempotency_key=77)
+    assert asked(claims, 1_020.0, claims.query_claim(1_020.0, job, 500))[0] == GRANTED
+    assert asked(claims, 1_030.0, claims.query_claim(1_030.0, job, 501))[0] == TWIN
+    assert asked(claims, 1_040.0, claims.query_claim(1_040.0, job, 500))[0] == GRANTED, (
+        "its word was lost: it may go again"
+    )
+    assert asked(claims, 1_050.0, claims.query_age(1_050.0, 77, 0.0))[0] == TWIN
     assert (SEEK, CLAIM) == (0, 1)
 
 
 def test_two_claims_at_one_time_are_granted_once() -> None:
-    claims, job = alone(), Job(1, 0, 3, 8, 0.0, key=77)
-    first, second = claims.claim(10.0, job, 500), claims.claim(10.0, job, 600)
-    claims.asking.push(10.0)
+    claims, job = alone(), Job(1, 0, 3, 8, 0.0, idempotency_key=77)
+    first, second = claims.query_claim(10.0, job, 500), claims.query_claim(10.0, job, 600)
+    claims.queries.push(10.0)
     for _ in range(8):
         claims.records.tick(10.0)
-        claims.asking.decided(10.0)
-    claims.asking.tick(500.0)
+        claims.queries.decided(10.0)
+    claims.queries.tick(500.0)
     for _ in range(8):
         claims.records.tick(500.0)
-        claims.asking.decided(500.0)
-    ends = {t.number: t.what for t in claims.asking.take(5)}
+        claims.queries.decided(500.0)
+    ends = {t.number: t.what for t in claims.queries.take(5)}
     assert sorted(ends.values()) == [GRANTED, TWIN]
     assert set(ends) == {first, second}
 
 
-def held(right: bool = True, **terms: Any) -> Waiting:
-    kinds = (Kind("claim", 2.0, 2_000.0, 30_000.0, 3), Kind("rank", 0.0, 1_000.0, 30_000.0))
-    return Waiting((2,), 1, kinds, WaitTerms(**terms), 0.0, lambda: right, lambda n: None)
+def held(right: bool = True, **terms: Any) -> Scheduler:
+    kinds = (JobClass("claim", 2.0, 2_000.0, 30_000.0, 3), JobClass("rank", 0.0, 1_000.0, 30_000.0))
+    return Scheduler((2,), 1, kinds, SchedulingLimits(**terms), 0.0, lambda: right, lambda n: None)
 
 
 def test_a_full_table_refuses_the_new_by_name_and_throws_out_none() -> None:
     w = held()
     for k in range(3):
-        assert w.take_in(0.0, [], 1, k, 0, 0.0)[1] == ""
-    assert w.take_in(0.0, [], 1, 9, 0, 0.0)[1] == "full"
+        assert w.admit(0.0, [], 1, k, 0, 0.0)[1] == ""
+    assert w.admit(0.0, [], 1, 9, 0, 0.0)[1] == "full"
     assert len(w.queue.jobs) == 3
-    assert w.take_in(0.0, [], 1, 2, 0, 0.0)[1] == "", "one that it has is the same job"
-    w = held(rate=0.05)
-    assert w.take_in(0.0, [], 1, 1, 1, 0.0)[1] == ""
-    job, why, longest = w.take_in(0.0, [], 1, 2, 1, 0.0)
+    assert w.admit(0.0, [], 1, 2, 0, 0.0)[1] == "", "one that it has is the same job"
+    w = held(dispatches_per_second=0.05)
+    assert w.admit(0.0, [], 1, 1, 1, 0.0)[1] == ""
+    job, why, longest = w.admit(0.0, [], 1, 2, 1, 0.0)
     assert job is None and why == "too-long" and longest == 40_000.0, "it is told so when it is taken in"
-    assert w.take_in(0.0, [], 1, 3, 1, 9_000.0)[1] == "", "one that is handed on is never sent away for that"
+    assert w.admit(0.0, [], 1, 3, 1, 9_000.0)[1] == "", "one that is handed on is never sent away for that"
 
 
 def test_of_several_patiences_the_order_is_that_of_the_instant() -> None:
     w = held()
-    w.take_in(0.0, [], 1, 1, 0, 0.0)
-    w.take_in(0.0, [], 1, 2, 1, 0.0)
-    best = lambda now: w.queue.best(now)[1].ticket  # type: ignore[index]  # noqa: E731
+    w.admit(0.0, [], 1, 1, 0, 0.0)
+    w.admit(0.0, [], 1, 2, 1, 0.0)
+    best = lambda now: w.queue.highest(now)[1].ticket  # type: ignore[index]  # noqa: E731
     assert best(0.0) == 1 and best(3_900.0) == 1 and best(4_100.0) == 2, "2 + t/2000 against t/1000"
-    assert w.queue.best(30_000.0)[0] > OVERDUE  # type: ignore[index]
+    assert w.queue.highest(30_000.0)[0] > OVERDUE_PRIORITY  # type: ignore[index]
 
 
 def test_jobs_without_a_host_stand_aside_and_those_that_keep_a_set_alive_rise() -> None:
-    w = held(rise=5.0)
-    w.take_in(0.0, [], 1, 1, 1, 0.0, set=3)
-    w.take_in(0.0, [], 1, 2, 1, 500.0)
-    w.versions(1, 3, False, False)
-    assert [s.ticket for _, s in w.queue.heads(100.0)] == [2]
-    assert w.queue.rows(100.0, 9) == [(2, 600, 1)]
-    w.versions(1, 3, True, True)
-    standing, job = w.queue.best(100.0)  # type: ignore[misc]
+    w = held(retirement_boost=5.0)
+    w.admit(0.0, [], 1, 1, 1, 0.0, set=3)
+    w.admit(0.0, [], 1, 2, 1, 500.0)
+    w.on_set_change(1, 3, False, False)
+    assert [s.ticket for _, s in w.queue.oldest_by_group(100.0)] == [2]
+    assert w.queue.summarize(100.0, 9) == [(2, 600, 1)]
+    w.on_set_change(1, 3, True, True)
+    standing, job = w.queue.highest(100.0)  # type: ignore[misc]
     assert job.ticket == 1
     assert standing == 5.1
-    w.versions(1, 3, True, False)
-    assert w.queue.best(100.0)[1].ticket == 2  # type: ignore[index]
+    w.on_set_change(1, 3, True, False)
+    assert w.queue.highest(100.0)[1].ticket == 2  # type: ignore[index]
 
 
 def test_a_fingerprinted_job_is_asked_for_before_it_goes_and_stands_aside_if_nobody_can_say() -> None:
-    w = held(hold=400.0)
-    w.take_in(0.0, [], 1, 1, 0, 0.0, key=7)
-    w.take_in(0.0, [], 1, 2, 1, 0.0)
+    w = held(blocked_ms=400.0)
+    w.admit(0.0, [], 1, 1, 0, 0.0, key=7)
+    w.admit(0.0, [], 1, 2, 1, 0.0)
     (ask, other), _ = w.tick(50.0, [])
-    assert isinstance(ask, Ask) and ask.job.ticket == 1 and isinstance(other, Go), "one that needs no answer goes on"
-    w.claimed(150.0, ask.job, False, False)
+    assert isinstance(ask, ClaimKey) and ask.job.ticket == 1 and isinstance(other, Dispatch), (
+        "one that needs no answer goes on"
+    )
+    w.on_claim_result(150.0, ask.job, False, False)
     assert w.tick(200.0, [])[0] == []
     assert w.tick(500.0, [])[0] == []
     (again,), _ = w.tick(600.0, [])
-    assert isinstance(again, Ask)
-    w.claimed(650.0, again.job, True, False)
+    assert isinstance(again, ClaimKey)
+    w.on_claim_result(650.0, again.job, True, False)
     (go,), _ = w.tick(700.0, [])
-    assert isinstance(go, Go)
+    assert isinstance(go, Dispatch)
     assert not w.tickets
     assert not w.queue.jobs
-    assert w.claiming == 0
-    w.claimed(760.0, again.job, True, False)
+    assert w.claims_in_flight == 0
+    w.on_claim_result(760.0, again.job, True, False)
     assert w.tick(800.0, [])[0] == [], "said twice"
 
 
 def test_no_right_is_spent_while_a_claim_is_out() -> None:
     spent = []
-    w = Waiting((2,), 1, (Kind("k"),), WaitTerms(), 0.0, lambda: spent.append(1) is None, lambda n: None)
+    w = Scheduler((2,), 1, (JobClass("k"),), SchedulingLimits(), 0.0, lambda: spent.append(1) is None, lambda n: None)
     for ticket in range(5):
-        w.take_in(0.0, [], 1, ticket, 0, 0.0, key=10 + ticket)
+        w.admit(0.0, [], 1, ticket, 0, 0.0, key=10 + ticket)
     assert len(w.tick(50.0, [])[0]) == 5
     assert not spent
 
 
 def test_a_claim_that_came_to_nothing_is_given_back() -> None:
-    claims, job = alone(), Job(1, 0, 3, 8, 0.0, key=77)
-    assert asked(claims, 10.0, claims.claim(10.0, job, 500))[0] == GRANTED
-    assert asked(claims, 20.0, claims.give_back(20.0, job, 501))[0] == FOUND, "another's is not given back"
-    assert asked(claims, 30.0, claims.claim(30.0, job, 600))[0] == TWIN
-    assert asked(claims, 40.0, claims.give_back(40.0, job, 500))[0] == FOUND
-    assert asked(claims, 50.0, claims.claim(50.0, job, 600))[0] == GRANTED
+    claims, job = alone(), Job(1, 0, 3, 8, 0.0, idempotency_key=77)
+    assert asked(claims, 10.0, claims.query_claim(10.0, job, 500))[0] == GRANTED
+    assert asked(claims, 20.0, claims.query_release(20.0, job, 501))[0] == FOUND, "another's is not given back"
+    assert asked(claims, 30.0, claims.query_claim(30.0, job, 600))[0] == TWIN
+    assert asked(claims, 40.0, claims.query_release(40.0, job, 500))[0] == FOUND
+    assert asked(claims, 50.0, claims.query_claim(50.0, job, 600))[0] == GRANTED
 
 
 def test_a_million_jobs_stay_in_order_and_a_word_stays_within_a_datagram() -> None:
-    kinds, c = tuple(Kind(f"k{n}", float(n), 1_000.0 * (n + 1)) for n in range(8)), random.Random(1)
-    q = Queue(kinds, 2.0)
+    kinds, c = tuple(JobClass(f"k{n}", float(n), 1_000.0 * (n + 1)) for n in range(8)), random.Random(1)
+    q = JobQueue(kinds, 2.0)
     for n in range(200_000):
-        q.put(Job(0, n % 8, 1, n, c.uniform(-1e6, 0.0)))
-    top = q.top(0.0, 50)
-    assert top == sorted((q.standing(0.0, j) for j in q.jobs.values()), reverse=True)[:50]
-    word = Line(2**62, 2**40, q.rows(0.0, ROWS_MOST), [int(x * 1e3) for x in top[:LEVELS_MOST]], len(q.jobs))
+        q.add(Job(0, n % 8, 1, n, c.uniform(-1e6, 0.0)))
+    top = q.highest_priorities(0.0, 50)
+    assert top == sorted((q.effective_priority(0.0, j) for j in q.jobs.values()), reverse=True)[:50]
+    word = QueueSummary(2**62, 2**40, q.summarize(0.0, MAX_ROWS), [int(x * 1e3) for x in top[:MAX_LEVELS]], len(q.jobs))
     assert len(msgspec.msgpack.encode(word)) < 240
-    assert sound(word)
+    assert is_valid(word)
 
 
 def test_counts_between_levels_are_estimates_in_order() -> None:
     levels = [1_000, 800, 400, 100]
-    found = [above(levels, x) for x in (2_000, 900, 600, 200, 50)]
+    found = [estimate_jobs_above(levels, x) for x in (2_000, 900, 600, 200, 50)]
     assert found == sorted(found)
     assert found[0] == 0.0
     assert 1.0 <= found[1] < 2.0
@@ -175,14 +179,14 @@
 
 
 def test_a_word_of_one_with_other_operations_is_refused() -> None:
-    lines = Lines((Kind("a"),), 2.0, 1_000.0)
-    lines.heard(0.0, 2, Line(1, 1, [(2, 5, 1)], [], 1))
-    assert lines.refused == 1
-    assert lines.water(0.0, [2]) == float("-inf")
-    lines.heard(0.0, 2, Line(1, 5, [(0, 5_000, 1)], [], 1))
-    lines.heard(0.0, 2, Line(1, 4, [(0, 90_000, 1)], [], 1))
-    assert lines.water(1_000.0, [2]) == 0.6, "an older word that came late is passed over"
-    assert lines.water(1_001.0, [2]) == float("-inf"), "one that was not heard of for long is not waited for"
+    lines = PeerQueues((JobClass("a"),), 2.0, 1_000.0)
+    lines.on_summary(0.0, 2, QueueSummary(1, 1, [(2, 5, 1)], [], 1))
+    assert lines.rejected_count == 1
+    assert lines.watermark(0.0, [2]) == float("-inf")
+    lines.on_summary(0.0, 2, QueueSummary(1, 5, [(0, 5_000, 1)], [], 1))
+    lines.on_summary(0.0, 2, QueueSummary(1, 4, [(0, 90_000, 1)], [], 1))
+    assert lines.watermark(1_000.0, [2]) == 0.6, "an older word that came late is passed over"
+    assert lines.watermark(1_001.0, [2]) == float("-inf"), "one that was not heard of for long is not waited for"
 
 
 def test_the_audit_finds_an_order_that_is_wrong_one_that_went_twice_and_one_that_is_lost() -> None:
@@ -202,11 +206,11 @@
     its fingerprint then would let a second ticket go as well."""
     for ended in (True, False):
         w = held()
-        w.take_in(0.0, [], 1, 1, 0, 0.0, key=7)
+        w.admit(0.0, [], 1, 1, 0, 0.0, key=7)
         (ask,), _ = w.tick(50.0, [])
         if ended:
-            w.drop(1, 1, ended=True)
+            w.remove(1, 1, ended=True)
         else:
-            w.left(1)
-        assert isinstance(ask, Ask)
-        assert w.claimed(100.0, ask.job, True, False) is ended
+            w.on_proxy_left(1)
+        assert isinstance(ask, ClaimKey)
+        assert w.on_claim_result(100.0, ask.job, True, False) is ended
