--- a/corallanding/discovery/__init__.py
+++ b/corallanding/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's discovery: lists and changes as the module's events (`core`, pure); long polls (`agent`)."""
+"""The platform's discovery service: its answers as events (`host_list`, pure), and long polls (`long_poll`)."""
--- a/corallanding/discovery/http_connection.py
+++ b/corallanding/discovery/http_connection.py
@@ -1,76 +1,93 @@
-"""A connection to the platform's discovery agent: HTTP/1.1, one question at a time."""
+"""A connection to the platform's discovery service: HTTP/1.1, one request at a time."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from http import HTTPStatus
 from typing import Any
 
 import httptools
 
 from ..connection import Address, OutboundConnection
 
-MOST = 8 << 20  # bytes of an answer
+MAX_ANSWER_BYTES = 8 << 20
 
 
-class Conversation(OutboundConnection):
-    """answered(self, body, fault): the answer to the question that is open, or what is wrong with it. An answer that no
-    question is open for ends the connection: what comes after it would be taken for the next one's."""
+class HttpConnection(OutboundConnection):
+    """Sends requests and reports their answers.
+
+    `on_answer(connection, body, error)` is called with the answer to the open request; `error` is empty if it can be
+    used. An answer that no request is open for ends the connection: what follows it would be taken for the next one's.
+    The `on_` methods up to `on_message_complete` are the parser's.
+    """
 
     def __init__(
-        self, where: Address, answered: Callable[[Any, bytes, str], None], lost: Callable[[Any], None]
+        self, address: Address, on_answer: Callable[[Any, bytes, str], None], on_lost: Callable[[Any], None]
     ) -> None:
-        super().__init__(where, lost)
-        self.answered = answered
-        host, port = where
-        self.host = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
-        self.asking = self.whole = False  # a question is open; its answer is there to the end
-        self.keep = True
-        self.until_close = False
+        super().__init__(address, on_lost)
+        self.on_answer = on_answer
+        host, port = address
+        self.host_header = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
+        self.has_open_request = False
+        self.has_complete_answer = False
+        self.keeps_alive = True
+        self.ends_with_connection = False  # the body has no length
         self.parser = httptools.HttpResponseParser(self)
         self.body = bytearray()
 
-    def ask(self, path: str) -> None:
-        self.asking = True
+    def request(self, path: str) -> None:
+        """Send a request."""
+        self.has_open_request = True
         self.body.clear()
-        self.transport.write(f"GET {path} HTTP/1.1\r\nHost: {self.host}\r\n\r\n".encode())
+        self.transport.write(f"GET {path} HTTP/1.1\r\nHost: {self.host_header}\r\n\r\n".encode())
 
     def on_message_begin(self) -> None:
-        if not self.asking or self.whole:
+        """Reject an answer that was not asked for."""
+        if not self.has_open_request or self.has_complete_answer:
             self.fail("an answer to no question")
-        self.until_close = True
+        self.ends_with_connection = True
 
-    def on_header(self, name: bytes, value: bytes) -> None:
+    def on_header(self, name: bytes, _: bytes) -> None:
+        """Note whether the body has a length."""
         if name.lower() in (b"content-length", b"transfer-encoding"):
-            self.until_close = False
+            self.ends_with_connection = False
 
     def on_body(self, body: bytes) -> None:
-        if self.whole:
-            return  # of an answer that nobody asked for
+        """Collect the body, within its limit."""
+        if self.has_complete_answer:
+            return  # of an answer that was not asked for
         self.body += body
-        if len(self.body) > MOST:
-            self.fail(f"an answer of over {MOST} bytes")
+        if len(self.body) > MAX_ANSWER_BYTES:
+            self.fail(f"an answer of over {MAX_ANSWER_BYTES} bytes")
 
     def on_message_complete(self) -> None:
-        self.whole, self.keep = True, self.parser.should_keep_alive()
+        """Note the end of an answer; it is delivered once all received data is parsed."""
+        self.has_complete_answer = True
+        self.keeps_alive = self.parser.should_keep_alive()
 
     def data_received(self, data: bytes) -> None:
+        """Parse received data and deliver an answer that is complete."""
         try:
             self.parser.feed_data(data)
-        except httptools.HttpParserError as fault:
-            self.fail(f"no HTTP: {fault}")
-        if self.whole and self.asking and self.is_open:
-            self.conclude()
-
-    def conclude(self) -> None:
-        status, body = self.parser.get_status_code(), bytes(self.body)
-        self.asking = self.whole = False
-        if not self.keep:
+        except httptools.HttpParserError as error:
+            self.fail(f"no HTTP: {error}")
+        if self.has_complete_answer and self.has_open_request and self.is_open:
+            self.deliver_answer()
+
+    def deliver_answer(self) -> None:
+        """Report the answer; a connection that is not kept alive is discarded before."""
+        status = self.parser.get_status_code()
+        body = bytes(self.body)
+        self.has_open_request = False
+        self.has_complete_answer = False
+        if not self.keeps_alive:
             self.discard()
-        self.answered(self, body, "" if status == 200 else f"status {status}")
+        self.on_answer(self, body, "" if status == HTTPStatus.OK else f"status {status}")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        # Without a length the end of the connection is the end of the body, as HTTP/1.1 has it.
-        if self.is_open and self.asking and exc is None and self.until_close and not self.close_reason:
-            self.keep = False
-            self.conclude()
+        """Deliver a body without a length, which in HTTP/1.1 ends with its connection; then report the loss."""
+        is_clean_end = exc is None and not self.close_reason
+        if self.is_open and self.has_open_request and self.ends_with_connection and is_clean_end:
+            self.keeps_alive = False
+            self.deliver_answer()
         super().connection_lost(exc)
--- a/corallanding/discovery/long_poll.py
+++ b/corallanding/discovery/long_poll.py
@@ -1,4 +1,4 @@
-"""Long polls of the platform's discovery agent, one after the other on one connection."""
+"""Long polls of the platform's discovery service, one after the other on one connection."""
 
 from __future__ import annotations
 
@@ -7,169 +7,212 @@
 from typing import Protocol
 
 from ..connection import Address, Connector, ReadTimeout
-from .http_connection import Conversation
+from .http_connection import HttpConnection
 
-SOON = 0.02  # s: within the time that a watch continues
+UNCHANGED_PAUSE_SECONDS = 0.02  # after an answer that came early with nothing new
+MIN_BACKOFF_MS = 20.0
 
 
-class Listener(Protocol):
-    """What the agent's answers come to."""
+class HostListReceiver(Protocol):
+    """Where the answers go."""
 
     @property
-    def version(self) -> int: ...
+    def version(self) -> int:
+        """The version of the list that is in force."""
+        ...
 
-    def listed(self, body: bytes) -> bool:
-        """Takes an answer; false if it cannot be read."""
+    def on_list(self, body: bytes) -> bool:
+        """Take an answer; false if it cannot be parsed."""
         ...
 
-    def unlisted(self, why: str) -> None: ...
+    def on_list_failed(self, reason: str) -> None:
+        """Learn that a request failed; called only for lists on request."""
+        ...
 
 
-class Agent:
-    """Times in ms. wait: how long a poll may stand; short, as a connection that fell silent shows only by its end.
+class DiscoveryClient:
+    """Keeps one request open at the discovery service. Times are in ms.
 
-    on_request: nothing is asked until `follow` or `fetch`, and a failure is told. Waits after failures double up to
-    `again_most`.
+    `poll_wait_ms` is how long the service may hold a poll; it is short, since a connection that fell silent shows only
+    by the end of a poll. `answer_timeout_ms` is allowed beyond it. With `on_request` nothing is requested until `watch`
+    or `fetch`, and a failure is reported to the receiver. The pause after failures doubles up to `max_backoff_ms`.
     """
 
     def __init__(
         self,
-        where: Address,
-        listener: Listener,
+        address: Address,
+        receiver: HostListReceiver,
         on_request: bool = False,
-        wait: float = 1_000.0,
-        late: float = 400.0,
-        again_most: float = 400.0,
+        poll_wait_ms: float = 1_000.0,
+        answer_timeout_ms: float = 400.0,
+        max_backoff_ms: float = 400.0,
     ) -> None:
-        self.where, self.listener, self.wait, self.late, self.again_most = where, listener, wait, late, again_most
+        self.address = address
+        self.receiver = receiver
+        self.on_request = on_request
+        self.poll_wait_ms = poll_wait_ms
+        self.answer_timeout_ms = answer_timeout_ms
+        self.max_backoff_ms = max_backoff_ms
         self.loop = asyncio.get_running_loop()
-        self.dialer = Connector(
-            lambda at: Conversation(at, self.answered, self.lost), self.adopted, self.unreached, late
+        self.connector = Connector(
+            lambda address: HttpConnection(address, self.on_answer, self.on_connection_lost),
+            self.on_connected,
+            self.on_connect_failed,
+            answer_timeout_ms,
         )
-        self.on_request = on_request
-        self.following, self.fetching = not on_request, False
-        self.conn: Conversation | None = None
-        self.asking_whole = False  # of the question that is open
-        self.asked_at, self.asked_version = 0.0, 0
-        self.limit: ReadTimeout | None = None  # of that question
-        self.rest: asyncio.TimerHandle | None = None  # after a failure
-        self.again = 0.0  # how long the next one would be
-        self.polls, self.closed = 0, True
-        self.said: Callable[[str], None] = lambda text: None
+        self.connection: HttpConnection | None = None
+        self.is_watching = not on_request
+        self.is_fetch_due = False  # the full list is to be requested
+        self.is_stopped = True
+        # Of the open request:
+        self.is_full_request = False
+        self.requested_at = 0.0  # s, on the loop's clock
+        self.requested_version = 0
+        self.request_timeout: ReadTimeout | None = None
+        # After a failure:
+        self.retry_timer: asyncio.TimerHandle | None = None
+        self.backoff_ms = 0.0  # of the next pause
+        self.poll_count = 0
+        self.on_warning: Callable[[str], None] = lambda _: None
 
     def start(self) -> None:
-        self.closed = False
-        self.kick()
+        """Begin to request lists."""
+        self.is_stopped = False
+        self.request_next()
 
-    def follow(self, on: bool) -> None:
-        self.following = on
-        self.kick()
+    def watch(self, is_watching: bool) -> None:
+        """Keep polling for changes, or stop doing so."""
+        self.is_watching = is_watching
+        self.request_next()
 
     def fetch(self) -> None:
-        self.fetching = True
-        self.kick()
+        """Request the full list once."""
+        self.is_fetch_due = True
+        self.request_next()
+
+    def set_address(self, address: Address) -> None:
+        """Move to another address: the old connection is used until the new one is established."""
+        if address != self.address:
+            self.address = address
+            if not self.is_stopped:
+                self.connector.connect(address)
 
-    def kick(self) -> None:
-        """Ask, if there is something to ask and nothing is under way."""
-        if self.closed or self.limit or self.rest or not (self.following or self.fetching):
+    def stop(self) -> None:
+        """End the request, the pause and the connection."""
+        self.is_stopped = True
+        self.connector.cancel()
+        self.finish_request()
+        if self.retry_timer:
+            self.retry_timer.cancel()
+            self.retry_timer = None
+        if self.connection:
+            self.connection.discard()
+            self.connection = None
+
+    def request_next(self) -> None:
+        """Send a request, if one is wanted and none is open or paused."""
+        is_wanted = self.is_watching or self.is_fetch_due
+        if self.is_stopped or self.request_timeout or self.retry_timer or not is_wanted:
             return
-        if (self.conn is None or self.conn.address != self.where) and not self.dialer.is_connecting:
-            self.dialer.connect(self.where)
-        if self.conn:
-            self.asking_whole, self.fetching = self.fetching, False
-            self.ask(self.conn)
-
-    def ask(self, conn: Conversation) -> None:
-        self.polls += 1
-        self.asked_at, self.asked_version = self.loop.time(), self.listener.version
-        path = f"/v1/servers?index={self.listener.version}&wait={self.wait:.0f}"
-        conn.ask("/v1/servers" if self.asking_whole else path)
-        limit = self.late + (0.0 if self.asking_whole else self.wait)
-        self.limit = ReadTimeout(self.loop, limit, self.silent)
-
-    # ---- what becomes of it ------------------------------------------------------------------------------
-
-    def adopted(self, conn: Conversation) -> None:
-        """The old connection goes now; what was asked there is asked here."""
-        if self.conn:
-            self.conn.discard()
-        self.conn = conn
-        if self.limit:
-            self.limit.cancel()
-            self.ask(conn)
+        is_connected = self.connection is not None and self.connection.address == self.address
+        if not is_connected and not self.connector.is_connecting:
+            self.connector.connect(self.address)
+        if self.connection:
+            self.is_full_request = self.is_fetch_due
+            self.is_fetch_due = False
+            self.send_request(self.connection)
+
+    def send_request(self, connection: HttpConnection) -> None:
+        """Send the request that is due on this connection."""
+        self.poll_count += 1
+        self.requested_at = self.loop.time()
+        self.requested_version = self.receiver.version
+        if self.is_full_request:
+            connection.request("/v1/servers")
+            timeout_ms = self.answer_timeout_ms
+        else:
+            connection.request(f"/v1/servers?index={self.receiver.version}&wait={self.poll_wait_ms:.0f}")
+            timeout_ms = self.answer_timeout_ms + self.poll_wait_ms
+        self.request_timeout = ReadTimeout(self.loop, timeout_ms, self.on_request_timeout)
+
+    # ---- what becomes of a connection or a request ----------------------------------------------------------
+
+    def on_connected(self, connection: HttpConnection) -> None:
+        """Replace the old connection; a request that was open there is sent here."""
+        if self.connection:
+            self.connection.discard()
+        self.connection = connection
+        if self.request_timeout:
+            self.request_timeout.cancel()
+            self.send_request(connection)
         else:
-            self.kick()
-
-    def unreached(self, why: str) -> None:
-        if self.conn is None:  # else the old connection goes on, and the next poll dials again
-            self.failed(why)
-
-    def silent(self) -> None:
-        if self.conn:
-            self.conn.discard()
-        self.conn = None
-        self.failed("no answer in time")
-
-    def lost(self, conn: Conversation) -> None:
-        self.conn = None
-        if self.limit:
-            self.failed(conn.close_reason or "the connection broke")
-
-    def answered(self, conn: Conversation, body: bytes, fault: str) -> None:
-        if not conn.is_open:
-            self.conn = None
-        if fault:
-            self.failed(fault)
-        elif not self.listener.listed(body):
-            self.failed("an answer that cannot be read")
+            self.request_next()
+
+    def on_connect_failed(self, reason: str) -> None:
+        """Pause, unless an old connection goes on; then the next poll connects again."""
+        if self.connection is None:
+            self.on_failure(reason)
+
+    def on_request_timeout(self) -> None:
+        """Give up a connection on which no answer came."""
+        if self.connection:
+            self.connection.discard()
+        self.connection = None
+        self.on_failure("no answer in time")
+
+    def on_connection_lost(self, connection: HttpConnection) -> None:
+        """Fail the open request, if any."""
+        self.connection = None
+        if self.request_timeout:
+            self.on_failure(connection.close_reason or "the connection broke")
+
+    def on_answer(self, connection: HttpConnection, body: bytes, error: str) -> None:
+        """Hand an answer to the receiver and send the next request."""
+        if not connection.is_open:
+            self.connection = None
+        if error:
+            self.on_failure(error)
+        elif not self.receiver.on_list(body):
+            self.on_failure("an answer that cannot be read")
         else:
-            self.again = 0.0
-            self.done()
-            if self.listener.version == self.asked_version and self.loop.time() - self.asked_at < self.wait / 2_000.0:
-                # Nothing new, and its wait is not over: an agent that does not wait would be asked without end.
-                self.pause(SOON)
-            self.kick()
-
-    def done(self) -> None:
-        if self.limit:
-            self.limit.cancel()
-            self.limit = None
-
-    def failed(self, why: str) -> None:
-        """A question came to nothing, or none could be asked."""
-        self.fetching = self.fetching or (self.limit is not None and self.asking_whole)
-        self.done()
-        self.pause(self.again / 1000.0)
-        self.again = min(self.again_most, max(20.0, self.again * 2.0))
-        self.said(f"discovery: {why}")
+            self.backoff_ms = 0.0
+            self.finish_request()
+            if self._is_answer_early_and_unchanged():
+                # A service that does not hold polls would be asked without end.
+                self.pause(UNCHANGED_PAUSE_SECONDS)
+            self.request_next()
+
+    def _is_answer_early_and_unchanged(self) -> bool:
+        elapsed_ms = (self.loop.time() - self.requested_at) * 1000.0
+        return self.receiver.version == self.requested_version and elapsed_ms < self.poll_wait_ms / 2.0
+
+    def finish_request(self) -> None:
+        """Forget the open request."""
+        if self.request_timeout:
+            self.request_timeout.cancel()
+            self.request_timeout = None
+
+    def on_failure(self, reason: str) -> None:
+        """Pause after a request that failed, or could not be sent."""
+        if self.request_timeout is not None and self.is_full_request:
+            self.is_fetch_due = True
+        self.finish_request()
+        self.pause(self.backoff_ms / 1000.0)
+        self.backoff_ms = min(self.max_backoff_ms, max(MIN_BACKOFF_MS, self.backoff_ms * 2.0))
+        self.on_warning(f"discovery: {reason}")
         if self.on_request:
-            # One word for each call that failed; the module asks again as it sees fit.
-            self.following = self.fetching = False
-            self.listener.unlisted(why)
-
-    def pause(self, s: float) -> None:
-        if self.rest:
-            self.rest.cancel()
-        self.rest = self.loop.call_later(s, self.rested)
-
-    def rested(self) -> None:
-        self.rest = None
-        self.kick()
-
-    def move(self, where: Address) -> None:
-        """The agent is elsewhere: it is dialled first, then the old connection ends."""
-        if where != self.where:
-            self.where = where
-            if not self.closed:
-                self.dialer.connect(where)
-
-    def stop(self) -> None:
-        self.closed = True
-        self.dialer.cancel()
-        self.done()
-        if self.rest:
-            self.rest.cancel()
-            self.rest = None
-        if self.conn:
-            self.conn.discard()
-            self.conn = None
+            # One report for each call that failed; the assigner asks again as it sees fit.
+            self.is_watching = False
+            self.is_fetch_due = False
+            self.receiver.on_list_failed(reason)
+
+    def pause(self, seconds: float) -> None:
+        """Send nothing for a while; replaces a pause that is running."""
+        if self.retry_timer:
+            self.retry_timer.cancel()
+        self.retry_timer = self.loop.call_later(seconds, self.on_pause_over)
+
+    def on_pause_over(self) -> None:
+        """Go on after a pause."""
+        self.retry_timer = None
+        self.request_next()
--- a/corallanding/platform/config.py
+++ b/corallanding/platform/config.py
@@ -13,7 +13,7 @@
 from .. import interface as api
 from ..collector.core import Places
 from ..connection import Address
-from ..discovery.core import Answer
+from ..discovery.host_list import ListAnswer
 from ..json_errors import JSON_DECODE_ERRORS
 from ..simulator_adapter.fields import MalformedLineError
 from ..simulator_adapter.settings import milliseconds, positive, read_settings
@@ -34,7 +34,7 @@
     seed: int
     sockets: int
     memory_mb: float
-    known: Answer
+    known: ListAnswer
     settings: api.Settings
     places: Places
     kinds: dict[str, int]
@@ -100,7 +100,7 @@
     name: str = ""
     seed: str | int = 0
     limits: Limits | None = None
-    known: Answer | None = None
+    known: ListAnswer | None = None
 
 
 MISSING = re.compile(r"missing required field `(?P<key>\w+)`(?: - at `\$\.?(?P<path>.*)`)?")
@@ -151,7 +151,7 @@
         seed,
         max(0, int(limits.sockets)),
         max(0.0, limits.memory_mb),
-        top.known or Answer(0, True, []),
+        top.known or ListAnswer(0, True, []),
         settings,
         Places(places(top.settings.get("zones"), "settings.zones"), places(names, "settings.classes")),
         places(top.settings.get("kinds"), "settings.kinds"),
--- a/corallanding/platform/endpoint_updates.py
+++ b/corallanding/platform/endpoint_updates.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Sequence
 
 from .. import interface as api
-from ..discovery.core import Answer, BadAnswer, View
-from ..discovery.long_poll import Agent
+from ..discovery.host_list import HostListView, InvalidAnswerError, ListAnswer
+from ..discovery.long_poll import DiscoveryClient
 from ..host_names import name
 from .config import Config
 from .logs import Seldom, log
@@ -19,38 +19,38 @@
         self, config: Config, seldom: Seldom, tell: Callable[[Sequence[api.Event]], None], traced: bool
     ) -> None:
         self.seldom, self.tell, self.traced = seldom, tell, traced
-        self.view = View(config.places.zones, config.kinds)
-        self.agent = Agent(config.discovery, self, config.settings.polls_host_list)
-        self.agent.said = lambda text: self.seldom.warn("discovery", text)
+        self.view = HostListView(config.places.zones, config.kinds)
+        self.agent = DiscoveryClient(config.discovery, self, config.settings.polls_host_list)
+        self.agent.on_warning = lambda text: self.seldom.warn("discovery", text)
 
     @property
     def version(self) -> int:
         return self.view.version
 
-    def saved(self, known: Answer) -> api.HostListUpdate | None:
+    def saved(self, known: ListAnswer) -> api.HostListUpdate | None:
         """The list as this steward last had it, with its start."""
-        event = self.view.take(known, api.HostListKind.SAVED)
-        self.bad_entries()
+        event = self.view.apply(known, api.HostListKind.SAVED)
+        self.log_rejected_entries()
         return event
 
-    def listed(self, body: bytes) -> bool:
+    def on_list(self, body: bytes) -> bool:
         try:
             answer = self.view.decode(body)
-        except BadAnswer as fault:
+        except InvalidAnswerError as fault:
             self.seldom.warn("discovery", f"discovery: an answer that cannot be read: {fault}")
             return False
-        event = self.view.take(answer)
+        event = self.view.apply(answer)
         if self.traced and event:
             rows = " ".join(f"{name(e.host)}:{e.state}:{e.online_since:.0f}" for e in event.entries)
             log.info("list %d %s %s", event.version, event.kind.value, rows)
-        self.bad_entries()
+        self.log_rejected_entries()
         if event or self.agent.on_request:
-            self.tell([event or api.HostListUpdate(api.HostListKind.CHANGES, answer.seq)])
+            self.tell([event or api.HostListUpdate(api.HostListKind.CHANGES, answer.version)])
         return True
 
-    def bad_entries(self) -> None:
-        for text in self.view.bad[:5]:
+    def log_rejected_entries(self) -> None:
+        for text in self.view.rejected_entries[:5]:
             self.seldom.warn("entry", f"discovery: {text}")
 
-    def unlisted(self, why: str) -> None:
+    def on_list_failed(self, why: str) -> None:
         self.tell([api.HostListUpdate(api.HostListKind.FAILED, self.view.version)])
--- a/corallanding/platform/service.py
+++ b/corallanding/platform/service.py
@@ -49,7 +49,7 @@
             s.max_queued_lines, s.channel_lines_per_second, s.message_overhead_lines, lambda: len(self.news.proxies)
         )
         self.calls = Calls(list(config.places.operations), s.max_messages, s.message_window_ms, channel)
-        self.intake = Intake(s, config.places, self.view.dials, self.news.tables)
+        self.intake = Intake(s, config.places, self.view.addresses, self.news.tables)
         self.call_link = CallLink(config.store, self.calls, self.clock, self.stood)
         self.news_link = NewsLink(config.store, self.news, self.clock, self.tell, self.calls.under_way, self.said)
         self.gaps = Gaps(s, self.news, self.clock, self.tell)
@@ -122,7 +122,7 @@
         log.info("configuration read again: discovery %s, store %s", new.discovery, new.store)
         self.news_link.move(new.store)
         self.call_link.move(new.store)
-        self.agent.move(new.discovery)
+        self.agent.set_address(new.discovery)
 
     def stop(self) -> None:
         """SIGTERM: no new connection, turn or call. The call in flight may end: it is whole, or it never began."""
@@ -234,9 +234,9 @@
                 case api.StartTimer():
                     self.turns.remind(now + a.delay_ms, a.timer)
                 case api.CheckHealth():
-                    self.prober.check(a.host, self.view.dials.get(a.host, ""))
+                    self.prober.check(a.host, self.view.addresses.get(a.host, ""))
                 case api.WatchHostList():
-                    self.agent.follow(a.is_watching)
+                    self.agent.watch(a.is_watching)
                 case api.FetchHostList():
                     self.agent.fetch()
                 case api.LogNote():
--- a/corallanding/platform/trace.py
+++ b/corallanding/platform/trace.py
@@ -11,8 +11,8 @@
 from ..collector.core import Intake
 from ..collector.server import Door
 from ..controller.event_inbox import EventInbox
-from ..discovery.core import View
-from ..discovery.long_poll import Agent
+from ..discovery.host_list import HostListView
+from ..discovery.long_poll import DiscoveryClient
 from ..host_names import name
 from ..relay.orders import Order
 from ..relay.pending_calls import Calls
@@ -24,8 +24,8 @@
 class Shown(Protocol):
     """What a steward on the platform shows of itself. took, took_most: ms of the last and of the longest step."""
 
-    view: View
-    agent: Agent
+    view: HostListView
+    agent: DiscoveryClient
     news: News
     news_link: NewsLink
     calls: Calls
@@ -69,7 +69,7 @@
     news, door = s.news_link.current, s.door
     yield (
         f"list={s.view.version} hosts={len(s.view.entries)} proxies={len(s.news.proxies)} slices={len(s.news.tables)} "
-        f"news={s.clock() - news.at if news else -1.0:.0f} breaks={s.news_link.breaks} polls={s.agent.polls} "
+        f"news={s.clock() - news.at if news else -1.0:.0f} breaks={s.news_link.breaks} polls={s.agent.poll_count} "
         f"reports={s.intake.taken} spoilt={dict(s.intake.spoilt)} ended={dict(door.ended) if door else {}}"
     )
     usage = resource.getrusage(resource.RUSAGE_SELF)
--- a/tests/crossings_agent.py
+++ b/tests/crossings_agent.py
@@ -6,7 +6,7 @@
 
 from crossings import FOR_EVER, Side, Stand
 
-from corallanding.discovery.long_poll import Agent
+from corallanding.discovery.long_poll import DiscoveryClient
 
 
 class Listed:
@@ -15,7 +15,7 @@
     def __init__(self, raises: int = 0) -> None:
         self.version, self.bodies, self.failures, self.raises = 0, list[bytes](), list[str](), raises
 
-    def listed(self, body: bytes) -> bool:
+    def on_list(self, body: bytes) -> bool:
         if self.raises:
             self.raises -= 1
             raise KeyError("a defect")
@@ -24,12 +24,16 @@
             self.version = int(body)
         return body.isdigit()
 
-    def unlisted(self, why: str) -> None:
+    def on_list_failed(self, why: str) -> None:
         self.failures.append(why)
 
 
-def agent(stand: Stand, listener: Listed, **more: Any) -> Agent:
-    return Agent(stand.where, listener, **{"wait": FOR_EVER, "late": FOR_EVER, "again_most": 20.0, **more})
+def agent(stand: Stand, listener: Listed, **more: Any) -> DiscoveryClient:
+    return DiscoveryClient(
+        stand.where,
+        listener,
+        **{"poll_wait_ms": FOR_EVER, "answer_timeout_ms": FOR_EVER, "max_backoff_ms": 20.0, **more},
+    )
 
 
 async def asked(stand: Stand, path: str) -> Side:
--- a/tests/test_crossings_agent.py
+++ b/tests/test_crossings_agent.py
@@ -17,14 +17,14 @@
             a = agent(old, listener)
             a.start()
             await until(lambda: dials.count.get(old.where))
-            a.move(new.where)
+            a.set_address(new.where)
             fresh = await new.next()
             await turns()
             dials.let(old.where)
             assert await fresh.question() == poll(0)
             await turns()
-            assert a.conn
-            assert a.conn.transport.get_extra_info("peername") == new.where
+            assert a.connection
+            assert a.connection.transport.get_extra_info("peername") == new.where
             for side in old.sides:
                 await side.gone()
             a.stop()
@@ -41,9 +41,9 @@
             a.start()
             side = await asked(old, poll(0))
             dials.early(new.where)
-            a.move(new.where)
+            a.set_address(new.where)
             await until(lambda: dials.count.get(new.where))
-            a.move(old.where)
+            a.set_address(old.where)
             back = await asked(old, poll(0))
             dials.let(new.where)
             await side.gone()
@@ -64,7 +64,7 @@
             a = agent(old, listener)
             a.start()
             side = await asked(old, poll(0))
-            a.move(empty)
+            a.set_address(empty)
             for version in (1, 2):
                 await until(lambda version=version: dials.over.get(empty, 0) >= version)
                 await turns()
@@ -85,7 +85,7 @@
             a.start()
             a.fetch()
             side = await asked(old, "/v1/servers")
-            a.move(new.where)
+            a.set_address(new.where)
             moved = await asked(new, "/v1/servers")
             await side.gone()
             moved.answer(b"5")
@@ -105,12 +105,12 @@
             a.start()
             await until(lambda: dials.count.get(old.where))
             a.stop()
-            a.move(new.where)
+            a.set_address(new.where)
             a.fetch()
             dials.let(old.where)
             await turns()
             assert new.where not in dials.count
-            assert a.conn is None
+            assert a.connection is None
             for side in old.sides:
                 await side.gone()
 
@@ -162,15 +162,15 @@
         async with Stand() as stand:
             a = agent(stand, listener, on_request=True)
             a.start()
-            a.follow(True)
+            a.watch(True)
             side = await asked(stand, poll(0))
-            a.follow(True)
+            a.watch(True)
             side.reset()
             await until(lambda: listener.failures)
             assert len(listener.failures) == 1
             await turns()
             assert stand.came.empty(), "one word for each call; the module asks again"
-            a.follow(True)
+            a.watch(True)
             await asked(stand, poll(0))
             a.stop()
 
--- a/tests/test_crossings_answers.py
+++ b/tests/test_crossings_answers.py
@@ -9,7 +9,7 @@
 from crossings import FOR_EVER, Side, Stand, busy, play, turns, until
 from crossings_agent import Listed, agent, asked, poll
 
-from corallanding.discovery.long_poll import SOON
+from corallanding.discovery.long_poll import UNCHANGED_PAUSE_SECONDS
 
 
 def half(side: Side) -> None:
@@ -21,13 +21,13 @@
     async def scene() -> None:
         listener = Listed()
         async with Stand() as stand:
-            a = agent(stand, listener, wait=0.0, late=30.0)
+            a = agent(stand, listener, poll_wait_ms=0.0, answer_timeout_ms=30.0)
             a.start()
             side = await asked(stand, poll(0, 0))
             said(side)
             again = await asked(stand, poll(0, 0))
             await side.gone()
-            a.late = FOR_EVER
+            a.answer_timeout_ms = FOR_EVER
             side.say(b"456789")
             again.answer(b"7")
             await until(lambda: listener.version == 7)
@@ -41,12 +41,12 @@
     async def scene() -> None:
         listener = Listed()
         async with Stand() as stand:
-            a = agent(stand, listener, wait=0.0, late=100.0)
+            a = agent(stand, listener, poll_wait_ms=0.0, answer_timeout_ms=100.0)
             a.start()
             side = await asked(stand, poll(0, 0))
             busy(lambda: side.now(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n7"), 0.2)
             assert await side.question() == poll(7, 0)
-            assert a.polls == 2
+            assert a.poll_count == 2
             a.stop()
 
     play(scene)
@@ -80,7 +80,7 @@
             side.say(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n1")
             await turns()
             side.say(b"7")
-            await until(lambda: a.conn is None or bytes(a.conn.body) == b"17")
+            await until(lambda: a.connection is None or bytes(a.connection.body) == b"17")
             end(side)
             await asked(stand, poll(17 if bodies else 0))
             assert listener.bodies == bodies
@@ -117,12 +117,12 @@
             if one_write:
                 side.say(*answers)
             else:
-                a.follow(False)  # no question is open when it comes
+                a.watch(False)  # no question is open when it comes
                 side.say(answers[0])
                 await until(lambda: listener.version == 7)
                 side.say(answers[1])
                 await side.gone()
-                a.follow(True)
+                a.watch(True)
             await asked(stand, poll(7))
             assert listener.bodies == [b"7"]
             a.stop()
@@ -145,7 +145,7 @@
         listener, said = Listed(), list[str]()
         async with Stand() as stand:
             a = agent(stand, listener)
-            a.said = said.append
+            a.on_warning = said.append
             a.start()
             side = await asked(stand, poll(0))
             side.say(raw)
@@ -170,10 +170,12 @@
             for _ in range(5):
                 side.answer(b"0")
                 assert await side.question() == poll(0)
-            assert asyncio.get_running_loop().time() - begun > 4.9 * SOON  # the clock is of whole milliseconds
+            assert (
+                asyncio.get_running_loop().time() - begun > 4.9 * UNCHANGED_PAUSE_SECONDS
+            )  # the clock is of whole milliseconds
             side.answer(b"1")  # news is no reason to rest
             await until(lambda: listener.version == 1)
-            assert a.rest is None
+            assert a.retry_timer is None
             a.stop()
 
     play(scene)
@@ -184,7 +186,7 @@
         listener, said = Listed(), list[str]()
         async with Stand() as stand:
             a = agent(stand, listener)
-            a.said = said.append
+            a.on_warning = said.append
             a.start()
             side = await asked(stand, poll(0))
             side.say(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"10000\r\n" + b"7" * 65_536 + b"\r\n")
--- a/tests/test_crossings_life.py
+++ b/tests/test_crossings_life.py
@@ -97,7 +97,7 @@
             await turns()
             assert not dials.count
             assert it.service.news_link.current
-            assert it.service.agent.conn
+            assert it.service.agent.connection
 
     play(scene)
 
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -9,33 +9,33 @@
 from platform_front import KINDS, ZONES
 from test_platform_state import held, row, take
 
-from corallanding.discovery.core import BadAnswer, View
+from corallanding.discovery.host_list import HostListView, InvalidAnswerError
 
 
 def test_objects_nested_without_end_are_an_answer_that_cannot_be_read() -> None:
-    with pytest.raises(BadAnswer):
-        View(ZONES, KINDS).decode(b'{"seq":1,"whole":true,"hosts":' + b"[" * 5_000 + b"]" * 5_000 + b"}")
+    with pytest.raises(InvalidAnswerError):
+        HostListView(ZONES, KINDS).decode(b'{"seq":1,"whole":true,"hosts":' + b"[" * 5_000 + b"]" * 5_000 + b"}")
 
 
 @pytest.mark.parametrize("health", ["terminating", "terminated"])
 @pytest.mark.parametrize("whole", [True, False])
 def test_a_damaged_entry_that_says_its_host_leaves_is_believed_in_that(health: str, whole: bool) -> None:
-    view = View(ZONES, KINDS)
+    view = HostListView(ZONES, KINDS)
     take(view, True, row("s-1"), row("s-2"))
     told = take(view, whole, row("s-1", health, site="z", share="x"), row("s-2"), seq=2)
     assert told
-    assert view.bad
+    assert view.rejected_entries
     leaves = health == "terminating"
     assert held(view) == {"s-2": "up", **({"s-1": "draining"} if leaves else {})}
     assert take(view, False, row("s-9", health, share="x"), seq=3) is None, "one that nobody knows is not made up"
 
 
 def test_a_damaged_entry_of_a_host_with_a_long_name_is_held_too() -> None:
-    view, name = View(ZONES, KINDS), "rack-17.hall-b.olaine.example"
+    view, name = HostListView(ZONES, KINDS), "rack-17.hall-b.olaine.example"
     take(view, True, row(name))
     take(view, True, row(name, share="x"), seq=2)
     assert held(view) == {name: "up"}
-    assert view.bad
+    assert view.rejected_entries
 
 
 @pytest.mark.parametrize(
@@ -54,17 +54,17 @@
     ],
 )
 def test_an_entry_of_any_shape_is_named_and_costs_only_itself(entry: Any) -> None:
-    view = View(ZONES, KINDS)
+    view = HostListView(ZONES, KINDS)
     take(view, True, row("s-1"))
     told = take(view, True, entry, row("s-2"), seq=2)
     assert told
-    assert view.bad
+    assert view.rejected_entries
     assert "s-2" in held(view)
 
 
 def test_an_older_list_from_an_agent_that_lags_is_undone_by_its_next_answers() -> None:
     """Its version goes back with it, so that what it lacks is asked for again."""
-    view = View(ZONES, KINDS)
+    view = HostListView(ZONES, KINDS)
     take(view, True, row("s-1"), seq=40)
     take(view, False, row("s-1", "terminating"), seq=41)
     take(view, True, row("s-1"), seq=40)
@@ -74,7 +74,7 @@
 
 
 def test_the_same_host_twice_back_with_a_new_start_and_draining_at_first_sight() -> None:
-    view = View(ZONES, KINDS)
+    view = HostListView(ZONES, KINDS)
     told = take(view, True, row("s-1"), row("s-1", "terminating"), row("s-3", "terminating"))
     assert told
     assert [e.state for e in told.entries] == ["draining", "draining"]
@@ -88,7 +88,10 @@
 
 
 def test_lists_that_are_cut_at_any_byte_are_refused_or_whole() -> None:
-    view, body = View(ZONES, KINDS), msgspec.json.encode({"seq": 2, "whole": True, "hosts": [row("s-1"), row("s-2")]})
+    view, body = (
+        HostListView(ZONES, KINDS),
+        msgspec.json.encode({"seq": 2, "whole": True, "hosts": [row("s-1"), row("s-2")]}),
+    )
     for cut in range(len(body)):
-        with pytest.raises(BadAnswer):
+        with pytest.raises(InvalidAnswerError):
             view.decode(body[:cut])
--- a/tests/test_crossings_planted.py
+++ b/tests/test_crossings_planted.py
@@ -22,9 +22,9 @@
 
 from corallanding import connection
 from corallanding.collector import server
-from corallanding.discovery import core as discovery
-from corallanding.discovery.http_connection import Conversation
-from corallanding.discovery.long_poll import Agent
+from corallanding.discovery import host_list as discovery
+from corallanding.discovery.http_connection import HttpConnection
+from corallanding.discovery.long_poll import DiscoveryClient
 from corallanding.platform.service import Service
 from corallanding.relay.call_connection import CallLink
 from corallanding.relay.pending_calls import Call, Calls
@@ -91,13 +91,13 @@
 
 
 def whole_list_forgotten(p: Patch) -> None:
-    real = Agent.failed
+    real = DiscoveryClient.on_failure
 
-    def failed(self: Agent, why: str) -> None:
-        self.asking_whole = False
+    def failed(self: DiscoveryClient, why: str) -> None:
+        self.is_full_request = False
         real(self, why)
 
-    p.setattr(Agent, "failed", failed)
+    p.setattr(DiscoveryClient, "on_failure", failed)
 
 
 def old_lines_after_a_slice_came_back(p: Patch) -> None:
@@ -173,11 +173,11 @@
 
 
 def second_answers_taken(p: Patch) -> None:
-    p.setattr(Conversation, "on_message_begin", lambda self: None)
+    p.setattr(HttpConnection, "on_message_begin", lambda self: None)
 
 
 def lengths_wanted(p: Patch) -> None:
-    p.setattr(Conversation, "on_message_begin", lambda self: setattr(self, "until_close", False))
+    p.setattr(HttpConnection, "on_message_begin", lambda self: setattr(self, "ends_with_connection", False))
 
 
 def deep_json_raises(p: Patch) -> None:
@@ -185,7 +185,9 @@
 
 
 def drains_in_damaged_entries_passed_over(p: Patch) -> None:
-    p.setattr(discovery.View, "damaged", lambda self, raw: self.entries.get(discovery.number(raw["host"])))
+    p.setattr(
+        discovery.HostListView, "last_good_entry", lambda self, raw: self.entries.get(discovery.number(raw["host"]))
+    )
 
 
 def ends_told(p: Patch) -> None:
--- a/tests/test_mutation_platform.py
+++ b/tests/test_mutation_platform.py
@@ -13,7 +13,7 @@
 from test_platform_state import row
 
 from corallanding import interface as api
-from corallanding.discovery.core import BadAnswer, View
+from corallanding.discovery.host_list import HostListView, InvalidAnswerError
 from corallanding.host_names import number
 from corallanding.relay.pending_calls import Calls
 from corallanding.relay.subscription import BadNews, News, Standing
@@ -131,14 +131,14 @@
 ]
 
 
-def listed(answers: list[Any]) -> tuple[View, int]:
-    view, refused = View(ZONES, KINDS), 0
+def listed(answers: list[Any]) -> tuple[HostListView, int]:
+    view, refused = HostListView(ZONES, KINDS), 0
     for answer in answers:
         try:
-            event = view.take(view.decode(msgspec.json.encode(answer)))
-            refused += len(view.bad)
+            event = view.apply(view.decode(msgspec.json.encode(answer)))
+            refused += len(view.rejected_entries)
             assert all(isinstance(e.host, int) and e.zone in (0, 1) for e in event.entries) if event else True
-        except BadAnswer:
+        except InvalidAnswerError:
             refused += 1
     return view, refused
 
--- a/tests/test_platform_state.py
+++ b/tests/test_platform_state.py
@@ -11,7 +11,7 @@
 from platform_front import KINDS, ZONES
 
 from corallanding import interface as api
-from corallanding.discovery.core import GONE_MOST, Answer, BadAnswer, View
+from corallanding.discovery.host_list import MAX_DEPARTED_HOSTS, HostListView, InvalidAnswerError, ListAnswer
 from corallanding.host_names import name, number
 from corallanding.platform.config import BadConfig, flatten, parse, read
 from corallanding.simulator_adapter.settings import read_settings
@@ -22,11 +22,11 @@
     return {**f, "share": 1.0, "born_ms": 0, **other}
 
 
-def take(view: View, whole: bool, *rows: Any, seq: int = 1) -> api.HostListUpdate | None:
-    return view.take(Answer(seq, whole, list(rows)))
+def take(view: HostListView, whole: bool, *rows: Any, seq: int = 1) -> api.HostListUpdate | None:
+    return view.apply(ListAnswer(seq, whole, list(rows)))
 
 
-def held(view: View) -> dict[str, str]:
+def held(view: HostListView) -> dict[str, str]:
     return {name(h): e.state for h, e in view.entries.items()}
 
 
@@ -37,7 +37,7 @@
 
 
 def test_lists_and_changes() -> None:
-    view = View(ZONES, KINDS)
+    view = HostListView(ZONES, KINDS)
     first = take(view, True, row("s-1"), row("s-2", born_ms=1_700_000_000_000, site="b"))
     assert first == api.HostListUpdate(
         api.HostListKind.FULL,
@@ -54,7 +54,7 @@
     assert change.kind is api.HostListKind.CHANGES
     assert [e.state for e in change.entries] == ["draining", "removed"]
     assert held(view) == {"s-1": "draining"}
-    assert number("s-2") in view.dials  # a report on it may still be under way
+    assert number("s-2") in view.addresses  # a report on it may still be under way
     whole = take(view, True, row("s-3"))
     assert whole
     assert [name(e.host) for e in whole.entries] == ["s-3"]
@@ -73,26 +73,26 @@
     ],
 )
 def test_a_damaged_entry_is_held_at_its_last_good_state_and_named(bad: dict[str, Any]) -> None:
-    view = View(ZONES, KINDS)
+    view = HostListView(ZONES, KINDS)
     take(view, True, row("s-1"), row("s-2"))
     take(view, True, bad, row("s-2", "terminating"), 7, {"host": 5}, seq=2)
     assert held(view) == {"s-1": "up", "s-2": "draining"}
-    assert len(view.bad) == 3
-    assert "s-1" in view.bad[0]
+    assert len(view.rejected_entries) == 3
+    assert "s-1" in view.rejected_entries[0]
 
 
 def test_an_answer_that_is_none_is_refused() -> None:
     for body in (b"", b"{", b"[]", b'{"seq":"x","whole":true,"hosts":[]}', b"\xff"):
-        with pytest.raises(BadAnswer):
-            View(ZONES, KINDS).decode(body)
+        with pytest.raises(InvalidAnswerError):
+            HostListView(ZONES, KINDS).decode(body)
 
 
 def test_hosts_replaced_by_the_thousand_leave_nothing_behind() -> None:
-    view = View(ZONES, KINDS)
+    view = HostListView(ZONES, KINDS)
     for n in range(5_000):
         take(view, False, row(f"s-{n}"), row(f"s-{n - 30}", "terminated"), seq=n)
     assert len(view.entries) == 30
-    assert len(view.dials) <= 30 + GONE_MOST >= len(view.gone)
+    assert len(view.addresses) <= 30 + MAX_DEPARTED_HOSTS >= len(view.departed)
 
 
 SETTINGS: dict[str, Any] = {
@@ -154,7 +154,7 @@
     assert c.places.operations == {"lookup": 0, "claim": 1}
     assert c.sockets == 256
     assert c.dial_timeout == 300.0
-    assert c.known.seq == 41
+    assert c.known.version == 41
 
 
 @pytest.mark.parametrize(
