--- a/corallanding/discovery/host_list.py
+++ b/corallanding/discovery/host_list.py
@@ -63,8 +63,8 @@
     """The host list as last received.
 
     `zones` and `kinds` map names to numbers; `max_hosts` bounds the list. `addresses` has the address of every known
-    host, also of the last `MAX_DEPARTED_HOSTS` that left. `rejected_entries` says which entries of the last answer were left
-    out, and why.
+    host, also of the last `MAX_DEPARTED_HOSTS` that left. `rejected_entries` says which entries of the last answer were
+    left out, and why.
     """
 
     def __init__(self, zones: dict[str, int], kinds: dict[str, int], max_hosts: int = MAX_HOSTS) -> None:
