--- a/bench/one_fleet.py
+++ b/bench/one_fleet.py
@@ -30,9 +30,9 @@
 from corallanding.scheduling.core import Dispatch, Scheduler
 from corallanding.scheduling.limits import JobClass, SchedulingLimits
 from corallanding.scheduling.queue import JobQueue
-from corallanding.version_pinning.core import RELEASE_TASK, RUNS_TASK_GROUP, run_record_limits, version_pinning_on
+from corallanding.version_pinning.core import RELEASE_TASK, RUNS_TASK_GROUP, build_version_pinning, run_record_limits
 from corallanding.version_pinning.limits import PinningLimits
-from corallanding.version_pinning.messages import PINNED
+from corallanding.version_pinning.messages import RunStatus
 
 from .machine import machine
 from .measured import resident_mib
@@ -53,7 +53,7 @@
     w.at(2_500.0, release)
     w.disk_faults(c)
     w.run(16_000.0)
-    told = sum(row[3] == PINNED for row in w.told)
+    told = sum(row[3] == RunStatus.PINNED for row in w.told)
     return {"told": told, "asked": len(w.told), "split": len(w.split()), "revived": len(w.revived())}
 
 
@@ -142,7 +142,7 @@
             (RUNS_TASK_GROUP,),
             (RELEASE_TASK,),
         )  # type: ignore[arg-type]
-        pins = version_pinning_on(fleet, terms, SETS, 1, lambda s: 1.0)
+        pins = build_version_pinning(fleet, terms, SETS, 1, lambda s: 1.0)
 
         def carry(actions: list[Any]) -> None:
             for a in actions:
@@ -160,7 +160,7 @@
             carry(fleet.push(now))
             (told,) = pins.take_answers()
             times.append(time.perf_counter() - begun)
-            assert told.what == PINNED
+            assert told.what == RunStatus.PINNED
         size = (resident_mib() - before) * 2**20 / count
         if disk:
             disk.close()
--- a/corallanding/controller/pinning_service.py
+++ b/corallanding/controller/pinning_service.py
@@ -11,9 +11,9 @@
 from ..rate_limit import PeerRateLimiter
 from ..telemetry import log
 from ..version_pinning import messages
-from ..version_pinning.core import version_pinning_on
+from ..version_pinning.core import build_version_pinning
 from ..version_pinning.limits import PinningLimits
-from ..version_pinning.messages import PINNED, RegisterAnnouncement, RunCountQuery, RunCountReport
+from ..version_pinning.messages import RegisterAnnouncement, RunCountQuery, RunCountReport, RunStatus
 from ..version_pinning.routes import NoHostPolicy, Route, RoutePlanner
 from ..version_pinning.version_selection import PinningHost, ReleaseSet, serving_capacity
 from ..wire import frames
@@ -24,7 +24,7 @@
 
 PROTOCOL_PART = 1  # the bit in a proxy's hello that says that it knows pinned runs
 RUN_ANSWERS = ("not-now", "pinned", "over", "full")  # by the number that the core answers with
-NOT_NOW = 0
+
 UNKNOWN_PROXY = -1  # in place of the proxy whose query is not known any more
 
 
@@ -84,7 +84,7 @@
         self.hosts: dict[int, PinningHost] = {}
         sets = {release.number: dict(release.versions) for release in config.release.values()}
         limits = pinning_limits(pins, config.budgets.drift)
-        self.core = version_pinning_on(
+        self.core = build_version_pinning(
             records.fleet, limits, sets, pins.current, self._strength_of, self._on_release_change
         )
         carries = {release.number: release.carries for release in config.release.values()}
@@ -117,7 +117,7 @@
         """A proxy asks for the release set of a run, or says that the run has ended."""
         client = frame.client or str(forwarder)
         now = self.context.clock()
-        number = self.core.request_run(now, record_key_of(frame.run), client, frame.ended)
+        number = self.core.request_run(now, record_key_of(frame.run), client, has_ended=frame.ended)
         self.pending[number] = PendingRun(forwarder, frame.ask, frame.run)
         self.records.schedule_queries()
 
@@ -129,9 +129,9 @@
                 self._reply(pending, told.what, told.value)
 
     def _reply(self, pending: PendingRun, what: int, number: int) -> None:
-        versions = self.core.release_sets.get(number) if what == PINNED else None
-        if what == PINNED and versions is None:
-            what = NOT_NOW  # the set is not configured here; other controllers may know it
+        versions = self.core.release_sets.get(number) if what == RunStatus.PINNED else None
+        if what == RunStatus.PINNED and versions is None:
+            what = RunStatus.UNAVAILABLE  # the set is not configured here; other controllers may know it
         answer = RUN_ANSWERS[what]
         self.context.metrics.run_answers.labels(answer).inc()
         asking = self.core.queries
@@ -150,7 +150,7 @@
         """Take a message on releases, within the rate that one controller may send."""
         now = self.context.clock()
         if self.allowances.take(sender, now):
-            answers: list[Action] = [*self.core.on_message(now, sender, message)]
+            answers: list[Action] = [*self.core.on_message(sender, message)]
             self.records.carry_out(self.records.fleet.after(now, answers))
         else:
             self.rejected_messages += 1
--- a/corallanding/lab/stewards/runs.py
+++ b/corallanding/lab/stewards/runs.py
@@ -15,9 +15,15 @@
 from ...quorum_records.fleet import FleetRecords
 from ...quorum_records.queries import QueryLimits, QueryResult
 from ...quorum_records.replica import Replica, UnsavedChanges
-from ...version_pinning.core import RELEASE_TASK, RUNS_TASK_GROUP, VersionPinning, run_record_limits, version_pinning_on
+from ...version_pinning.core import (
+    RELEASE_TASK,
+    RUNS_TASK_GROUP,
+    VersionPinning,
+    build_version_pinning,
+    run_record_limits,
+)
 from ...version_pinning.limits import PinningLimits
-from ...version_pinning.messages import PINNED
+from ...version_pinning.messages import RunStatus
 from .tasks import TaskWorld
 from .world import Process
 
@@ -102,7 +108,7 @@
         fleet = FleetRecords(
             leases,
             self.voters,
-            run_record_limits(self.pin_terms, again=ASKS.again),
+            run_record_limits(self.pin_terms, retry_ms=ASKS.again),
             ASKS,
             born,
             disk.opened,
@@ -111,7 +117,7 @@
             (RUNS_TASK_GROUP,),
             (RELEASE_TASK,),
         )
-        pins = version_pinning_on(fleet, self.pin_terms, SETS, self.goal, lambda s: self.strong[s])
+        pins = build_version_pinning(fleet, self.pin_terms, SETS, self.goal, lambda s: self.strong[s])
         pins.records.peers.update(disk.peers)
         disk.load(pins.records.shelf, lambda real: born - (self.now - real))
         self.pins[n], self.fleets[n] = pins, fleet
@@ -169,7 +175,7 @@
         if kind.startswith("corallanding.quorum_records"):
             self.carry(n, p, self.fleets[n].heard(now, sender, word))
         elif kind.startswith("corallanding.version_pinning"):
-            self.carry(n, p, self.fleets[n].after(now, list(self.pins[n].on_message(now, sender, word))))
+            self.carry(n, p, self.fleets[n].after(now, list(self.pins[n].on_message(sender, word))))
         else:
             super().take(n, p, sender, word)
 
@@ -204,7 +210,7 @@
         """Runs that were told two sets."""
         sets: dict[int, set[int]] = {}
         for _, key, _, what, number in self.told:
-            if what == PINNED:
+            if what == RunStatus.PINNED:
                 sets.setdefault(key, set()).add(number)
         return [key for key, found in sets.items() if len(found) > 1]
 
@@ -213,5 +219,5 @@
         return [
             (key, number)
             for at, key, _, what, number in self.told
-            if what == PINNED and at > self.retired_at.get(number, float("inf"))
+            if what == RunStatus.PINNED and at > self.retired_at.get(number, float("inf"))
         ]
--- a/corallanding/lab/stewards/walk.py
+++ b/corallanding/lab/stewards/walk.py
@@ -14,9 +14,15 @@
 from ...quorum_records.core import Persist
 from ...quorum_records.fleet import FleetRecords
 from ...quorum_records.queries import QueryLimits
-from ...version_pinning.core import RELEASE_TASK, RUNS_TASK_GROUP, VersionPinning, run_record_limits, version_pinning_on
+from ...version_pinning.core import (
+    RELEASE_TASK,
+    RUNS_TASK_GROUP,
+    VersionPinning,
+    build_version_pinning,
+    run_record_limits,
+)
 from ...version_pinning.limits import PinningLimits
-from ...version_pinning.messages import PINNED
+from ...version_pinning.messages import RunStatus
 from .runs import SETS, Disk
 
 TERMS = PinningLimits(max_run_ms=1e9, announce_interval_ms=60.0)
@@ -73,7 +79,7 @@
         fleet = self.fleets[n] = FleetRecords(
             leases,  # type: ignore[arg-type]
             self.keepers,
-            run_record_limits(TERMS, again=ASKS.again),
+            run_record_limits(TERMS, retry_ms=ASKS.again),
             ASKS,
             self.now,
             disk.opened,
@@ -83,7 +89,7 @@
             (RELEASE_TASK,),
             1e9,
         )
-        pins = self.pins[n] = version_pinning_on(fleet, TERMS, SETS, self.goal, lambda s: 1.0)
+        pins = self.pins[n] = build_version_pinning(fleet, TERMS, SETS, self.goal, lambda s: 1.0)
         pins.records.peers.update(disk.peers)
         disk.load(pins.records.shelf, lambda real: real)
 
@@ -95,7 +101,7 @@
                 self.bag.append((n, a.to, a.word))
         for answer in self.pins[n].take_answers():
             key = self.asked.pop((n, answer.number), None)
-            if key is not None and answer.what == PINNED:
+            if key is not None and answer.what == RunStatus.PINNED:
                 self.answers += 1
                 self.told.setdefault(key, set()).add(answer.value)
                 if len(self.told[key]) > 1:
@@ -116,7 +122,7 @@
         if type(word).__module__.startswith("corallanding.quorum_records"):
             self.carry(to, self.fleets[to].heard(self.now, sender, word))
         else:
-            self.carry(to, self.fleets[to].after(self.now, list(self.pins[to].on_message(self.now, sender, word))))
+            self.carry(to, self.fleets[to].after(self.now, list(self.pins[to].on_message(sender, word))))
 
     def ask(self, n: int, key: int) -> None:
         number = self.pins[n].request_run(self.now, key)
@@ -176,7 +182,7 @@
             self.keys[at] = c.getrandbits(40) | 1
         if self.over and not c.randrange(15):
             n, key = c.choice(self.keepers), c.choice(self.over[-8:])
-            self.pins[n].request_run(self.now, key, ended=True)
+            self.pins[n].request_run(self.now, key, has_ended=True)
 
     def run(self, steps: int) -> list[str]:
         """What broke, in words."""
--- a/corallanding/version_pinning/__init__.py
+++ b/corallanding/version_pinning/__init__.py
@@ -1,2 +1,4 @@
-"""Runs keep the versions that they began with: releases, runs, which hosts serve a pinned invocation. Pure. See
-docs/pins.md."""
+"""Version pinning: a workflow run keeps the release set with which it began. See `docs/pins.md`.
+
+Pure state machines: callers bring the clock, the messages and the files.
+"""
--- a/corallanding/version_pinning/core.py
+++ b/corallanding/version_pinning/core.py
@@ -1,5 +1,8 @@
-"""Runs and releases of a fleet as one steward lives them. Sans-I/O: what must be on disk before a word goes out stands
-before it."""
+"""Version pinning at one controller: workflow runs and releases on quorum records.
+
+Without I/O: the actions that it returns stand in the order in which they must be carried out, writes to the file before
+the messages that rest on them.
+"""
 
 from __future__ import annotations
 
@@ -13,84 +16,114 @@
 from ..quorum_records.queries import Queries, QueryResult
 from .limits import PinningLimits
 from .messages import PinningMessage, RegisterAnnouncement, RunCountQuery, RunCountReport
-from .releases import ReleaseCoordinator
+from .releases import ReleaseCoordinator, ignore_change
 from .version_selection import ReleaseSet
 from .workflow_runs import ENDED_FLAG, WorkflowRuns
 
-RUNS_TASK_GROUP, RELEASE_TASK = "runs", "release"  # names of the task group and the task
+RUNS_TASK_GROUP = "runs"  # the task group whose shards hold the records of runs
+RELEASE_TASK = "release"  # the task whose holder writes the release register
+DEFAULT_MAX_RECORDS = 200_000
+DEFAULT_RETRY_MS = 150.0
+
 
+def run_record_limits(
+    limits: PinningLimits, max_records: int = DEFAULT_MAX_RECORDS, retry_ms: float = DEFAULT_RETRY_MS
+) -> RecordLimits:
+    """Limits of the quorum records of runs.
 
-def run_record_limits(terms: PinningLimits, most: int = 200_000, again: float = 150.0) -> RecordLimits:
-    """One that is over is told so for as long again as it may have lasted."""
-    return RecordLimits(2.0 * terms.max_run_ms, terms.max_run_ms * (1.0 + terms.max_clock_drift), most, again)
+    A run that is over stays on record, and is answered as over, for as long again as it may last.
+    """
+    keep_ms = 2.0 * limits.max_run_ms
+    live_ms = limits.max_run_ms * (1.0 + limits.max_clock_drift)
+    return RecordLimits(keep_ms, live_ms, max_records, retry_ms)
 
 
-def version_pinning_on(
+def build_version_pinning(
     fleet: FleetRecords,
-    terms: PinningLimits,
-    sets: Mapping[int, ReleaseSet],
-    wanted: int,
-    strength: Callable[[int], float],
-    said: Callable[[str], None] = lambda text: None,
+    limits: PinningLimits,
+    release_sets: Mapping[int, ReleaseSet],
+    wanted_set: int,
+    capacity_of_set: Callable[[int], float],
+    on_change: Callable[[str], None] = ignore_change,
 ) -> VersionPinning:
-    """Runs and releases on records that have groups for both; their values are tallied, and the register lasts."""
-    groups = fleet.of[RUNS_TASK_GROUP]
-    pins = VersionPinning(fleet.asking, groups, fleet.of[RELEASE_TASK][0], terms, sets, wanted, strength, said)
-    fleet.rules.update(dict.fromkeys(groups, pins.may_accept))
-    return pins
+    """Version pinning on quorum records that have groups for runs and for the register.
+
+    From then on replicas accept records of runs by the register that they have accepted.
+    """
+    run_groups = fleet.of[RUNS_TASK_GROUP]
+    register_group = fleet.of[RELEASE_TASK][0]
+    pinning = VersionPinning(
+        fleet.asking, run_groups, register_group, limits, release_sets, wanted_set, capacity_of_set, on_change
+    )
+    fleet.rules.update(dict.fromkeys(run_groups, pinning.may_accept))
+    return pinning
 
 
 class VersionPinning:
-    """groups: of records, for the parts of the runs; release: that of the register. sets: number to versions by
-    operation. wanted: the set that is to be current. strength: of each set, asked when a run begins."""
+    """Workflow runs and releases, as one controller takes part in them.
+
+    `run_groups` and `register_group` are groups of quorum records. `release_sets` are the configured sets by number,
+    `wanted_set` the one that is to be current. `capacity_of_set` returns what hosts can do now for a set.
+    """
 
     def __init__(
         self,
-        asking: Queries,
-        groups: tuple[int, ...],
-        release: int,
-        terms: PinningLimits,
-        sets: Mapping[int, ReleaseSet],
-        wanted: int,
-        strength: Callable[[int], float],
-        said: Callable[[str], None] = lambda text: None,
+        queries: Queries,
+        run_groups: tuple[int, ...],
+        register_group: int,
+        limits: PinningLimits,
+        release_sets: Mapping[int, ReleaseSet],
+        wanted_set: int,
+        capacity_of_set: Callable[[int], float],
+        on_change: Callable[[str], None] = ignore_change,
     ) -> None:
-        self.release_sets, self.wanted_set, self.capacity_of_set, self.limits = sets, wanted, strength, terms
-        self.queries, self.records = asking, asking.records
-        self.releases = ReleaseCoordinator(asking.me, asking.others, asking.life, self.records, release, terms, said)
-        self.workflow_runs = WorkflowRuns(asking, groups, terms, lambda: self.releases.register, strength)
-
-    def may_accept(self, value: int, first: bool) -> bool:
-        """What a keeper takes in of a run. One that is over needs no set."""
-        return bool(value & ENDED_FLAG) or self.releases.may_accept(value, first)
-
-    def request_run(self, now: float, key: int, client: str = "", ended: bool = False) -> int:
-        """Asked for a run; the answer comes by `answers`, later."""
-        return self.workflow_runs.request_run(now, key, client, ended)
+        self.queries = queries
+        self.records = queries.records
+        self.limits = limits
+        self.release_sets = release_sets
+        self.wanted_set = wanted_set
+        self.capacity_of_set = capacity_of_set
+        self.releases = ReleaseCoordinator(
+            queries.me, queries.others, queries.life, queries.records, register_group, limits, on_change
+        )
+        self.workflow_runs = WorkflowRuns(queries, run_groups, limits, lambda: self.releases.register, capacity_of_set)
+
+    def may_accept(self, value: int, is_new_run: bool) -> bool:
+        """Whether this replica accepts a record of a run; one that is over needs no release set."""
+        return bool(value & ENDED_FLAG) or self.releases.may_accept(value, is_new_run)
+
+    def request_run(self, now_ms: float, key: int, client: str = "", *, has_ended: bool = False) -> int:
+        """Ask for the release set of a run, or report its end; `take_answers` has the answer under the number returned.
+
+        `key` is the number of the run, not 0. New runs are limited by `client`.
+        """
+        return self.workflow_runs.request_run(now_ms, key, client, has_ended=has_ended)
 
     def take_answers(self) -> list[QueryResult]:
+        """Answers to `request_run` since the last call."""
         return self.queries.take(self.workflow_runs.groups[0])
 
-    def tick(self, now: float) -> list[Action]:
-        """Call before each tick of the records."""
-        strength = {s: self.capacity_of_set(s) for s in self.release_sets}
-        return list(self.releases.tick(now, self.wanted_set, self.release_sets, lambda: strength))
+    def tick(self, now_ms: float) -> list[Action]:
+        """Carry a release on; call it before each tick of the records."""
+        capacities = {number: self.capacity_of_set(number) for number in self.release_sets}
+        return list(self.releases.tick(now_ms, self.wanted_set, self.release_sets, capacities))
 
-    def on_message(self, now: float, sender: int, word: PinningMessage) -> list[OutgoingMessage]:
-        """A word of a known steward, within what it may say."""
-        match word:
+    def on_message(self, sender: int, message: PinningMessage) -> list[OutgoingMessage]:
+        """Take a message of another controller; returns the answers to send."""
+        match message:
             case RegisterAnnouncement():
-                self.releases.on_announcement(word)
+                self.releases.on_announcement(message)
             case RunCountQuery():
-                return [OutgoingMessage(sender, self.releases.on_run_count_query(word))]
+                return [OutgoingMessage(sender, self.releases.on_run_count_query(message))]
             case RunCountReport():
-                self.releases.on_run_count_report(sender, word)
+                self.releases.on_run_count_report(sender, message)
         return []
 
     def status(self) -> dict[str, Any]:
-        """What the door shows."""
-        register, shelf = self.releases.register, self.records.shelf
-        live = {str(s): n for s, n in sorted(shelf.tallies.items()) if not s & ENDED_FLAG}
+        """Releases and runs as the status page shows them."""
+        register = self.releases.register
+        tallies = self.records.shelf.tallies
+        live_runs = {str(number): runs for number, runs in sorted(tallies.items()) if not number & ENDED_FLAG}
         return {
             "current": register.current_set if register else None,
             "open": register.open_sets if register else [],
@@ -98,6 +131,6 @@
             "version": register.version if register else 0,
             "wanted": self.wanted_set,
             "in_the_way": self.releases.obstacle,
-            "live_runs_here": live,
-            "groups_held": sum(g in self.records.held for g in self.workflow_runs.groups),
+            "live_runs_here": live_runs,
+            "groups_held": sum(group in self.records.held for group in self.workflow_runs.groups),
         }
--- a/corallanding/version_pinning/limits.py
+++ b/corallanding/version_pinning/limits.py
@@ -1,4 +1,4 @@
-"""Bounds and times of runs. ms."""
+"""Limits of version pinning."""
 
 from __future__ import annotations
 
@@ -7,11 +7,15 @@
 
 @dataclass(frozen=True)
 class PinningLimits:
-    """run: the longest that a run may last; whoever comes later is told that it is over. settle: between two words that
-    say which register is in force. begins_per_s: new runs of one client that one holder takes."""
+    """Bounds of workflow runs; the same at all controllers.
+
+    After `max_run_ms` a run counts as over. `max_clock_drift` is the fraction by which clocks of two controllers may
+    differ in speed. The holder of the release task announces the register in force every `announce_interval_ms`. One
+    controller begins at most `begins_per_second` runs of one client; clients are counted by `client_buckets` hashes.
+    """
 
     max_run_ms: float = 1_800_000.0
     max_clock_drift: float = 0.02
     announce_interval_ms: float = 500.0
     begins_per_second: float = 50.0
-    client_buckets: int = 1_024  # buckets in which clients are counted
+    client_buckets: int = 1_024
--- a/corallanding/version_pinning/messages.py
+++ b/corallanding/version_pinning/messages.py
@@ -1,42 +1,79 @@
-"""Words between stewards on runs and releases: msgpack arrays, each within one datagram."""
+"""Messages between controllers on workflow runs and releases: msgpack arrays, each within one datagram."""
 
 from __future__ import annotations
 
+from enum import IntEnum
+from typing import NamedTuple
+
+import msgspec
+
 from ..lease.messages import ControllerMessage
 
-NOT_NOW, PINNED, OVER, FULL = range(4)  # what a run is told
-ENTER, ENDED = range(2)  # what is asked of a run: it goes on, or it is over
-MAX_COUNTED_SETS = 8
+MAX_COUNTED_SETS = 8  # release sets in one report of run counts
+
+INCARNATION_LIMIT = 1 << 63
+ROUND_LIMIT = 1 << 53
+REGISTER_LIMIT = 1 << 63
+SET_VALUE_LIMIT = 1 << 21  # a set with the flag of an ended run
+RUN_COUNT_LIMIT = 1 << 32
+
+
+class RunQueryKind(IntEnum):
+    """What is asked about a workflow run. The numbers are on the wire."""
+
+    CONTINUE = 0  # the run begins or goes on
+    END = 1  # the run is over
+
+
+class RunStatus(IntEnum):
+    """What a query on a workflow run is answered. The numbers are on the wire."""
+
+    UNAVAILABLE = 0  # no majority could answer in time
+    PINNED = 1
+    OVER = 2
+    REJECTED = 3  # too many records, or too many new runs of this client
+
+
+class RunCount(NamedTuple):
+    """How many live runs of one release set a replica has."""
+
+    release_set: int
+    runs: int
 
 
 class RegisterAnnouncement(ControllerMessage, frozen=True, array_like=True, tag=38):
-    """The register of releases that is in force, by whoever holds the release task."""
+    """The release register in force, from the holder of the release task."""
 
-    value: int = 0
+    packed_register: int = 0
 
 
 class RunCountQuery(ControllerMessage, frozen=True, array_like=True, tag=39):
-    """The holder of the release task to a keeper: how many live runs of each set do you have?"""
+    """The holder of the release task asks a replica how many live runs of each release set it has."""
 
 
 class RunCountReport(ControllerMessage, frozen=True, array_like=True, tag=40):
-    """The answer to the tally of that life and round; value: the register that this keeper has taken in."""
+    """The answer to the `RunCountQuery` of that incarnation and round, with the register that the replica accepted."""
 
-    value: int = 0
-    rows: list[tuple[int, int]] = []  # set, runs
+    packed_register: int = 0
+    run_counts: list[RunCount] = msgspec.field(default_factory=list)
 
 
 PinningMessage = RegisterAnnouncement | RunCountQuery | RunCountReport
 
 
-def is_valid(word: ControllerMessage) -> bool:
-    """Whether its fields can be meant."""
-    if not (0 <= word.life < 1 << 63 and 0 <= word.round < 1 << 53):
+def is_valid(message: ControllerMessage) -> bool:
+    """Whether the fields of a message lie within what a correct controller sends."""
+    if not (0 <= message.life < INCARNATION_LIMIT and 0 <= message.round < ROUND_LIMIT):
         return False
-    match word:
+    match message:
         case RegisterAnnouncement():
-            return 0 < word.value < 1 << 63
+            return 0 < message.packed_register < REGISTER_LIMIT
         case RunCountReport():
-            good = all(0 <= s < 1 << 21 and 0 <= n < 1 << 32 for s, n in word.rows)
-            return good and 0 <= word.value < 1 << 63 and len(word.rows) <= MAX_COUNTED_SETS
+            return _is_valid_report(message)
     return True
+
+
+def _is_valid_report(report: RunCountReport) -> bool:
+    if len(report.run_counts) > MAX_COUNTED_SETS or not 0 <= report.packed_register < REGISTER_LIMIT:
+        return False
+    return all(0 <= number < SET_VALUE_LIMIT and 0 <= runs < RUN_COUNT_LIMIT for number, runs in report.run_counts)
--- a/corallanding/version_pinning/releases.py
+++ b/corallanding/version_pinning/releases.py
@@ -1,4 +1,4 @@
-"""The register of releases: written by the holder of the release task, in force once a majority has it. Pure."""
+"""The release register of the fleet: written by the holder of the release task, in force once a majority has it."""
 
 from __future__ import annotations
 
@@ -8,121 +8,162 @@
 from ..lease.election import OutgoingMessage
 from ..quorum_records.core import QuorumRecords
 from .limits import PinningLimits
-from .messages import MAX_COUNTED_SETS, RegisterAnnouncement, RunCountQuery, RunCountReport
+from .messages import MAX_COUNTED_SETS, RegisterAnnouncement, RunCount, RunCountQuery, RunCountReport
 from .release_register import ReleaseRegister, unpack_register
 from .rollout import first_register, next_register
 
-REGISTER_KEY = 1  # of the register in its group
+REGISTER_KEY = 1  # of the record that holds the register, in its group
+
+
+def ignore_change(text: str) -> None:
+    """Take no notice of a change of releases."""
 
 
 @dataclass
 class RunCounts:
-    """A tally that is out: who has answered, and what."""
+    """A query for run counts that is out, and the replies to it.
+
+    `runs_by_replica` maps a replica to its live runs of each release set; `register_by_replica` to the packed register
+    that it had accepted when it counted.
+    """
 
     round: int = 0
     queried_at_ms: float = float("-inf")
-    by_voter: dict[int, dict[int, int]] = field(default_factory=dict)
+    runs_by_replica: dict[int, dict[int, int]] = field(default_factory=dict)
+    register_by_replica: dict[int, int] = field(default_factory=dict)
 
 
 class ReleaseCoordinator:
-    """said: what has changed, or stands in the way, in words."""
+    """Carries out releases where this controller holds the release task, and follows the register elsewhere.
+
+    `register` is the register in force as far as known here. `on_change` receives a text when it changes or when
+    something stands in the way of a release.
+    """
 
     def __init__(
         self,
-        me: int,
-        others: tuple[int, ...],
-        life: int,
+        member: int,
+        peers: tuple[int, ...],
+        incarnation: int,
         records: QuorumRecords,
         group: int,
-        terms: PinningLimits,
-        said: Callable[[str], None] = lambda text: None,
+        limits: PinningLimits,
+        on_change: Callable[[str], None] = ignore_change,
     ) -> None:
-        self.member, self.peers, self.incarnation, self.records, self.group = me, others, life, records, group
-        self.limits, self.on_change = terms, said
-        self.register: ReleaseRegister | None = None  # in force, as far as we heard
+        self.member = member
+        self.peers = peers
+        self.incarnation = incarnation
+        self.records = records
+        self.group = group
+        self.limits = limits
+        self.on_change = on_change
+        self.register: ReleaseRegister | None = None
         self.run_counts = RunCounts()
         self.announced_at_ms = float("-inf")
         self.retired_count = 0
-        self.obstacle = ""  # what stands in the way, as last said
+        self.obstacle = ""  # what stands in the way of the wanted release, as last passed to `on_change`
 
     def accepted_register(self) -> ReleaseRegister | None:
-        """What this keeper has taken in: it may not be in force yet, and binds what it takes in from there on."""
+        """The register that this replica has accepted, in force or not: it binds which runs the replica accepts."""
         record = self.records.shelf.groups.get(self.group, {}).get(REGISTER_KEY)
         return unpack_register(record.value) if record else None
 
-    def may_accept(self, value: int, begins: bool) -> bool:
-        """Whether a run of that set may be taken in here."""
+    def may_accept(self, release_set: int, is_new_run: bool) -> bool:
+        """Whether this replica may accept the record of a run with that release set."""
         register = self.accepted_register()
-        return register is not None and value in (register.open_sets if begins else register.live_sets)
+        return register is not None and release_set in (register.open_sets if is_new_run else register.live_sets)
 
     def tick(
-        self, now: float, wanted: int, known: Collection[int], strength: Callable[[], Mapping[int, float]]
+        self, now_ms: float, wanted_set: int, configured_sets: Collection[int], capacities: Mapping[int, float]
     ) -> list[OutgoingMessage]:
-        """What the holder of the task has to do; nothing for all others."""
-        writer = self.records.held.get(self.group)
-        if writer is None or not writer.open or writer.behind:
+        """Carry the release on if this controller holds the task; returns the messages to send."""
+        proposer = self.records.held.get(self.group)
+        if proposer is None or not proposer.open or proposer.behind:
             self.run_counts = RunCounts()
             return []
-        writer.decided.clear()
-        entry = writer.get(REGISTER_KEY)
-        if entry is None:
-            if wanted in known:
-                writer.write(now, REGISTER_KEY, first_register(wanted).pack(), now)
+        proposer.decided.clear()
+        record = proposer.get(REGISTER_KEY)
+        if record is None:
+            if wanted_set in configured_sets:
+                proposer.write(now_ms, REGISTER_KEY, first_register(wanted_set).pack(), now_ms)
             return []
-        if not writer.confirm(now, REGISTER_KEY):
+        if not proposer.confirm(now_ms, REGISTER_KEY):
             return []
-        register = unpack_register(entry.value)
+        register = unpack_register(record.value)
         if register is None:
             return []
-        out = self.announce(now, register)
-        closed = register.live_sets[register.open_count :]
-        over = [s for s in closed if self.is_unused(entry.value, s)]
-        if closed and now - self.run_counts.queried_at_ms > self.limits.announce_interval_ms:
-            out += self.query_run_counts(now, entry.value)
-        step, why = next_register(register, wanted, known, strength(), over)
-        if step:
-            self.retired_count += len(step.live_sets) < len(register.live_sets)
-            self.on_change(why)
+        messages = self._announce(now_ms, register)
+        unused_sets = [number for number in register.closed_sets if self.is_unused(record.value, number)]
+        if register.closed_sets and now_ms - self.run_counts.queried_at_ms > self.limits.announce_interval_ms:
+            messages += self._query_run_counts(now_ms)
+        decision = next_register(register, wanted_set, configured_sets, capacities, unused_sets)
+        if decision.register is None:
+            self._report_obstacle(decision.reason)
+        else:
+            self.retired_count += len(decision.register.live_sets) < len(register.live_sets)
+            self.on_change(decision.reason)
+            self.obstacle = ""
             self.run_counts = RunCounts()
-            writer.write(now, REGISTER_KEY, step.pack(), entry.born, first=False)
-        elif why != self.obstacle and why:
-            self.on_change(why)
-        self.obstacle = "" if step else why
-        return out
-
-    def announce(self, now: float, register: ReleaseRegister) -> list[OutgoingMessage]:
-        new = self.register is None or register.version > self.register.version
-        if not new and now - self.announced_at_ms < self.limits.announce_interval_ms:
+            proposer.write(now_ms, REGISTER_KEY, decision.register.pack(), record.born, first=False)
+        return messages
+
+    def _report_obstacle(self, obstacle: str) -> None:
+        """Report once what stands in the way of a release; "" if nothing does."""
+        if obstacle not in ("", self.obstacle):
+            self.on_change(obstacle)
+        self.obstacle = obstacle
+
+    def _announce(self, now_ms: float, register: ReleaseRegister) -> list[OutgoingMessage]:
+        """Tell the peers which register is in force, when it is new and once in each announce interval."""
+        is_new = self.register is None or register.version > self.register.version
+        if not is_new and now_ms - self.announced_at_ms < self.limits.announce_interval_ms:
             return []
-        self.register, self.announced_at_ms = register, now
-        return [OutgoingMessage(n, RegisterAnnouncement(self.incarnation, 0, register.pack())) for n in self.peers]
-
-    def on_announcement(self, word: RegisterAnnouncement) -> None:
-        register = unpack_register(word.value)
+        self.register = register
+        self.announced_at_ms = now_ms
+        announcement = RegisterAnnouncement(self.incarnation, 0, register.pack())
+        return [OutgoingMessage(peer, announcement) for peer in self.peers]
+
+    def on_announcement(self, message: RegisterAnnouncement) -> None:
+        """Take the register of the task's holder, if it is newer than the one known here."""
+        register = unpack_register(message.packed_register)
         if register and (self.register is None or register.version > self.register.version):
             self.register = register
 
-    # ---- whether a closed set is still needed --------------------------------------------------------------
-
-    def query_run_counts(self, now: float, value: int) -> list[OutgoingMessage]:
-        self.run_counts = RunCounts(next(self.records.rounds), now)
-        word = RunCountQuery(self.incarnation, self.run_counts.round)
+    def _query_run_counts(self, now_ms: float) -> list[OutgoingMessage]:
+        """Ask all replicas anew for their run counts; this controller's own count is taken at once."""
+        self.run_counts = RunCounts(next(self.records.rounds), now_ms)
+        query = RunCountQuery(self.incarnation, self.run_counts.round)
         if self.records.keeps:
-            self.on_run_count_report(self.member, self.on_run_count_query(word))
-        return [OutgoingMessage(n, word) for n in self.records.keepers if n != self.member]
+            self.on_run_count_report(self.member, self.on_run_count_query(query))
+        return [OutgoingMessage(replica, query) for replica in self.records.keepers if replica != self.member]
+
+    def on_run_count_query(self, query: RunCountQuery) -> RunCountReport:
+        """Count the live runs of this replica.
 
-    def on_run_count_query(self, word: RunCountQuery) -> RunCountReport:
+        The report is empty while the replica recovers, and when it has more sets than fit: a set that is missing from a
+        report would count as unused.
+        """
         record = self.records.shelf.groups.get(self.group, {}).get(REGISTER_KEY)
-        counts = sorted(self.records.shelf.tallies.items(), key=lambda row: (-row[1], row[0]))
-        # More sets than there may be alive: one that was to be retired would be missing, so nothing is said.
-        good = record is not None and self.records.catch.ready and len(counts) <= MAX_COUNTED_SETS
-        return RunCountReport(word.life, word.round, record.value if good and record else 0, counts if good else [])
-
-    def on_run_count_report(self, keeper: int, word: RunCountReport) -> None:
-        if word.life == self.incarnation and word.round == self.run_counts.round and keeper in self.records.keepers:
-            self.run_counts.by_voter[keeper] = {**dict(word.rows), 0: word.value}
-
-    def is_unused(self, value: int, set: int) -> bool:
-        """Whether a majority that takes in no more of it has no live run of it: then no run has it."""
-        told = [rows for rows in self.run_counts.by_voter.values() if rows[0] == value]
-        return len(told) > len(self.records.keepers) // 2 and not any(rows.get(set) for rows in told)
+        counts = sorted(self.records.shelf.tallies.items(), key=lambda count: (-count[1], count[0]))
+        if record is None or not self.records.catch.ready or len(counts) > MAX_COUNTED_SETS:
+            return RunCountReport(query.life, query.round)
+        return RunCountReport(query.life, query.round, record.value, [RunCount(*count) for count in counts])
+
+    def on_run_count_report(self, replica: int, report: RunCountReport) -> None:
+        """Take the report of a replica, if it answers the query that is out."""
+        is_answer = report.life == self.incarnation and report.round == self.run_counts.round
+        if is_answer and replica in self.records.keepers:
+            self.run_counts.runs_by_replica[replica] = dict(report.run_counts)
+            self.run_counts.register_by_replica[replica] = report.packed_register
+
+    def is_unused(self, packed_register: int, release_set: int) -> bool:
+        """Whether no run has that closed release set.
+
+        True if a majority of replicas, which have accepted the register that closed it and so accept no new run of it,
+        have no live run of it.
+        """
+        counts = self.run_counts
+        replicas = [replica for replica, packed in counts.register_by_replica.items() if packed == packed_register]
+        if len(replicas) <= len(self.records.keepers) // 2:
+            return False
+        return not any(counts.runs_by_replica[replica].get(release_set) for replica in replicas)
--- a/corallanding/version_pinning/version_selection.py
+++ b/corallanding/version_pinning/version_selection.py
@@ -1,4 +1,4 @@
-"""Which set a run begins with, and which hosts serve a pinned invocation. Pure."""
+"""Which release set a workflow run begins with, and which hosts serve a request of a pinned run."""
 
 from __future__ import annotations
 
@@ -8,22 +8,30 @@
 
 from ..assignment.rendezvous import rendezvous_score
 
+FULL_CAPACITY = 1.0  # the capacity share of a host that has warmed up
+SOLE_HOST_WEIGHT = 1.0
+
+ReleaseSet = Mapping[str, int]  # request class to version
+
 
 def choose_set(key: int, sets: Sequence[int], capacities: Sequence[float]) -> int:
-    """The set of a run: by chance of its key, in the shares of what hosts can do for each."""
-    total = sum(capacities)
-    at = (zlib.crc32(b"%d" % key) + 0.5) / 2.0**32 * total
-    for number, part in zip(sets, capacities, strict=True):
-        at -= part
-        if at < 0.0:
+    """The release set of the run `key`: drawn by a hash of the key, in proportion to the capacities of the sets."""
+    position = (zlib.crc32(b"%d" % key) + 0.5) / 2.0**32 * sum(capacities)
+    for number, capacity in zip(sets, capacities, strict=True):
+        position -= capacity
+        if position < 0.0:
             return number
     return sets[0]
 
 
 @dataclass(frozen=True)
 class PinningHost:
-    """A host as pins see it. able: the share of its full work that it can do now. sound: it may be given work. used:
-    some table of ours names it, so that it is not one that was found dead or slow."""
+    """A host and the versions that it serves.
+
+    `capacity_share` is the fraction of its full capacity that it has now, less than 1 while it warms up. Only an
+    eligible host is given requests. `is_in_tables` tells whether some table of this controller names it; if none does,
+    it may have been found dead or slow.
+    """
 
     host: int
     weight: float
@@ -32,51 +40,64 @@
     versions: Mapping[str, Collection[int]]
     is_in_tables: bool = True
 
-    def serves(self, operation: str, version: int) -> bool:
-        return version in self.versions.get(operation, ())
+    @property
+    def is_warm(self) -> bool:
+        """Whether the host has its full capacity."""
+        return self.capacity_share >= FULL_CAPACITY
 
+    def serves(self, request_class: str, version: int) -> bool:
+        """Whether the host serves that version of the request class."""
+        return version in self.versions.get(request_class, ())
 
-ReleaseSet = Mapping[str, int]  # of a set: operation to version
+    def serves_all(self, release_set: ReleaseSet) -> bool:
+        """Whether the host serves every version of the release set."""
+        return all(self.serves(request_class, version) for request_class, version in release_set.items())
 
 
-def serving_capacity(versions: ReleaseSet, servers: Iterable[PinningHost]) -> float:
-    """The work that hosts can do now which serve all of the set."""
-    return sum(
-        s.weight * s.capacity_share
-        for s in servers
-        if s.is_eligible and all(s.serves(o, v) for o, v in versions.items())
-    )
+def serving_capacity(release_set: ReleaseSet, hosts: Iterable[PinningHost]) -> float:
+    """The present capacity of the eligible hosts that serve all of the release set, in units of host weight."""
+    return sum(host.weight * host.capacity_share for host in hosts if host.is_eligible and host.serves_all(release_set))
 
 
 def select_hosts(
-    slice: int,
-    operation: str,
+    slice_number: int,
+    request_class: str,
     version: int,
-    lines: Mapping[int, float],
-    servers: Mapping[int, PinningHost],
-    may: Callable[[int], bool],
-    whole: float = 1.0,
+    weights: Mapping[int, float],
+    hosts: Mapping[int, PinningHost],
+    may_take_slice: Callable[[int], bool],
 ) -> dict[int, float] | None:
-    """Host to weight; None: the slice's own lines as they stand, since all serve it. may: whether a cold host may take
-    one more slice than its lines give it.
+    """The hosts, with weights, for requests of a slice that are pinned to a version.
 
-    The slice's own lines go first, as far as a warm host of theirs serves the version: what it knows it keeps. Else the
-    sound warm host with the highest mark by weight; a cold one only where no warm one serves it, and if it may. A host
-    that drains or is gone has no part in it, whatever is pinned to it: rules 1 to 3 go before pins.
+    `weights` is the table of the slice. None stands for that table as it is, since all its hosts serve the version; an
+    empty dict says that no host may. `may_take_slice` tells whether a warming host may take one slice beyond its table
+    entries; it is asked only where no other host serves the version.
+
+    Hosts of the table go first, if a warm one is among them. Else the eligible warm host with the highest weighted
+    rendezvous score joins them, and only without any warm host a warming one is taken. A host that is draining or gone
+    has no part, whatever is pinned to it.
     """
-    able = {h: w for h, w in lines.items() if (s := servers.get(h)) and s.is_eligible and s.serves(operation, version)}
-    if able and len(able) == len(lines):
+    in_table = {}
+    for number, weight in weights.items():
+        host = hosts.get(number)
+        if host and host.is_eligible and host.serves(request_class, version):
+            in_table[number] = weight
+    if in_table and len(in_table) == len(weights):
         return None
-    if any(servers[h].capacity_share >= whole for h in able):
-        return able
-    fit = [s for s in servers.values() if s.is_eligible and s.serves(operation, version)]
-    warm = [s for s in fit if s.capacity_share >= whole]
+    if any(hosts[number].is_warm for number in in_table):
+        return in_table
+    serving = [host for host in hosts.values() if host.is_eligible and host.serves(request_class, version)]
+    warm = [host for host in serving if host.is_warm]
     if warm:
-        best = max(warm, key=lambda s: (s.is_in_tables, rendezvous_score(slice, s.host) * s.weight, s.host))
-        return {**able, best.host: max([1.0, *able.values()])}
-    if able:
-        return able
-    for s in sorted(fit, key=lambda s: (-rendezvous_score(slice, s.host) * s.weight, s.host)):
-        if may(s.host):
-            return {s.host: 1.0}
+        best = max(warm, key=lambda host: (host.is_in_tables, _weighted_score(slice_number, host), host.host))
+        return {**in_table, best.host: max([SOLE_HOST_WEIGHT, *in_table.values()])}
+    if in_table:
+        return in_table
+    for host in sorted(serving, key=lambda host: (-_weighted_score(slice_number, host), host.host)):
+        if may_take_slice(host.host):
+            return {host.host: SOLE_HOST_WEIGHT}
     return {}
+
+
+def _weighted_score(slice_number: int, host: PinningHost) -> float:
+    return rendezvous_score(slice_number, host.host) * host.weight
--- a/corallanding/version_pinning/workflow_runs.py
+++ b/corallanding/version_pinning/workflow_runs.py
@@ -1,82 +1,101 @@
-"""Runs: which set each has, as the holder of the run's group answers. Pure."""
+"""Workflow runs: which release set each has, as the holder of the run's record group answers."""
 
 from __future__ import annotations
 
 import zlib
 from collections.abc import Callable
 
-from ..quorum_records.messages import FULL as NO_ROOM
+from ..quorum_records.messages import FULL as RECORDS_FULL
 from ..quorum_records.queries import Outcome, Queries
 from ..rate_limit import TokenBucket
 from .limits import PinningLimits
-from .messages import ENDED, ENTER, FULL, OVER, PINNED
+from .messages import RunQueryKind, RunStatus
 from .release_register import ReleaseRegister
 from .version_selection import choose_set
 
-ENDED_FLAG = 1 << 20  # added to a run's set once it is over
+ENDED_FLAG = 1 << 20  # added to the release set in the record of a run that is over
+NO_SET = 0  # in an answer that names no release set
 
 
 class WorkflowRuns:
-    """groups: of records, one for each part of the runs, the same at all stewards. register: the one in force, or None
-    while it is not known. strength: of each set."""
+    """Answers queries on runs, and begins runs that are not known.
+
+    `groups` are the record groups over which runs are spread, the same at all controllers. `current_register` returns
+    the register in force, or None while it is not known. `capacity_of_set` returns what hosts can do for a release set.
+    """
 
     def __init__(
         self,
-        asking: Queries,
+        queries: Queries,
         groups: tuple[int, ...],
-        terms: PinningLimits,
-        register: Callable[[], ReleaseRegister | None],
-        strength: Callable[[int], float],
+        limits: PinningLimits,
+        current_register: Callable[[], ReleaseRegister | None],
+        capacity_of_set: Callable[[int], float],
     ) -> None:
-        self.queries, self.groups, self.limits, self.register, self.capacity_of_set = (
-            asking,
-            groups,
-            terms,
-            register,
-            strength,
-        )
-        self.records = asking.records
+        self.queries = queries
+        self.groups = groups
+        self.limits = limits
+        self.current_register = current_register
+        self.capacity_of_set = capacity_of_set
+        self.records = queries.records
         self.client_rate_limits: dict[int, TokenBucket] = {}
-        self.begun_count = self.rejected_count = 0
-        asking.serve(groups, self.on_query, self.on_write_denied)
+        self.begun_count = 0
+        self.rejected_count = 0
+        queries.serve(groups, self.on_query, self.on_write_denied)
+
+    def request_run(self, now_ms: float, key: int, client: str = "", *, has_ended: bool = False) -> int:
+        """Ask for the release set of the run `key` (not 0), or report that it has ended.
 
-    def request_run(self, now: float, key: int, client: str = "", ended: bool = False) -> int:
-        """The number under which the answer will come. key: of the run, not 0. client: new runs are limited by it."""
+        Returns the number of the answer. New runs are limited by `client`.
+        """
+        kind = RunQueryKind.END if has_ended else RunQueryKind.CONTINUE
         bucket = zlib.crc32(client.encode()) % self.limits.client_buckets
-        return self.queries.ask(now, self.groups[key % len(self.groups)], key, ENDED if ended else ENTER, bucket)
+        return self.queries.ask(now_ms, self.groups[key % len(self.groups)], key, kind, bucket)
 
-    def on_query(self, now: float, group: int, key: int, kind: int, bucket: int) -> Outcome | None:
-        """What is known of the run, or its beginning."""
-        writer = self.records.held[group]
-        entry = writer.get(key)
-        if entry is None:
-            return (OVER, 0) if kind == ENDED else self.begin(now, group, key, bucket)
-        if entry.value & ENDED_FLAG or now - entry.born > self.limits.max_run_ms * (1.0 - self.limits.max_clock_drift):
-            return OVER, 0
-        if not writer.confirm(now, key):
+    def on_query(self, now_ms: float, group: int, key: int, kind: int, bucket: int) -> Outcome | None:
+        """Answer a query on a run as the holder of its group; None until a majority has what the answer says."""
+        proposer = self.records.held[group]
+        record = proposer.get(key)
+        if record is None:
+            if kind == RunQueryKind.END:
+                return RunStatus.OVER, NO_SET
+            return self._begin(now_ms, group, key, bucket)
+        if record.value & ENDED_FLAG or self._is_expired(now_ms, record.born):
+            return RunStatus.OVER, NO_SET
+        if not proposer.confirm(now_ms, key):
             return None
-        if kind == ENDED:
-            writer.write(now, key, entry.value | ENDED_FLAG, entry.born, first=False)
-            return OVER, 0
-        return PINNED, entry.value
+        if kind == RunQueryKind.END:
+            proposer.write(now_ms, key, record.value | ENDED_FLAG, record.born, first=False)
+            return RunStatus.OVER, NO_SET
+        return RunStatus.PINNED, record.value
 
-    def begin(self, now: float, group: int, key: int, bucket: int) -> Outcome | None:
-        register, rate = self.register(), self.limits.begins_per_second
+    def _is_expired(self, now_ms: float, begun_at_ms: float) -> bool:
+        return now_ms - begun_at_ms > self.limits.max_run_ms * (1.0 - self.limits.max_clock_drift)
+
+    def _begin(self, now_ms: float, group: int, key: int, bucket: int) -> Outcome | None:
+        """Begin to write the record of a new run; the answer follows once a majority has it."""
+        register = self.current_register()
         if register is None:
             return None
-        if not self.client_rate_limits.setdefault(
-            bucket % self.limits.client_buckets, TokenBucket(rate, rate, now)
-        ).take(now):
+        if not self._take_permit(now_ms, bucket):
             self.rejected_count += 1
-            return FULL, 0
-        value = choose_set(key, register.open_sets, [self.capacity_of_set(s) for s in register.open_sets])
-        if self.records.held[group].write(now, key, value, now):
+            return RunStatus.REJECTED, NO_SET
+        capacities = [self.capacity_of_set(number) for number in register.open_sets]
+        release_set = choose_set(key, register.open_sets, capacities)
+        if self.records.held[group].write(now_ms, key, release_set, now_ms):
             self.begun_count += 1
         return None
 
-    def on_write_denied(self, why: int) -> Outcome | None:
-        """A set that closed meanwhile: it begins anew in the one that is open now."""
-        if why != NO_ROOM:
+    def _take_permit(self, now_ms: float, bucket: int) -> bool:
+        """Whether the client in that bucket may begin one more run now."""
+        bucket %= self.limits.client_buckets
+        rate = self.limits.begins_per_second
+        limiter = self.client_rate_limits.setdefault(bucket, TokenBucket(rate, rate, now_ms))
+        return limiter.take(now_ms)
+
+    def on_write_denied(self, reason: int) -> Outcome | None:
+        """A majority did not accept the record: with None the query is handled anew, in the set that is open now."""
+        if reason != RECORDS_FULL:
             return None
         self.rejected_count += 1
-        return FULL, 0
+        return RunStatus.REJECTED, NO_SET
--- a/tests/stored_samples.py
+++ b/tests/stored_samples.py
@@ -125,9 +125,9 @@
     "record heartbeat answer": once.FileAnnouncementReply(life=1, round=2, blank=True, writes=3),
     "record question": once.Query(life=1, round=2, group=3, key=4, kind=5, more=6),
     "record answer": once.QueryReply(life=1, round=2, key=3, what=4, value=5),
-    "release register": pins.RegisterAnnouncement(life=1, round=2, value=3),
+    "release register": pins.RegisterAnnouncement(life=1, round=2, packed_register=3),
     "release tally": pins.RunCountQuery(life=1, round=2),
-    "release tallied": pins.RunCountReport(life=1, round=2, value=3, rows=[(4, 5)]),
+    "release tallied": pins.RunCountReport(life=1, round=2, packed_register=3, run_counts=[(4, 5)]),
     "waiting jobs": waiting.QueueSummary(life=1, round=2, groups=[(3, 4, 5)], priority_levels=[6, 7], job_count=8),
 }
 
--- a/tests/test_pins.py
+++ b/tests/test_pins.py
@@ -18,9 +18,10 @@
 from corallanding.quorum_records.proposer import ProposedRecord, Proposer
 from corallanding.quorum_records.replica import Replica
 from corallanding.version_pinning import rollout
-from corallanding.version_pinning.messages import PINNED
+from corallanding.version_pinning.messages import RunStatus
 from corallanding.version_pinning.release_register import ReleaseRegister
 from corallanding.version_pinning.releases import ReleaseCoordinator
+from corallanding.version_pinning.rollout import RolloutDecision
 
 SETS = {n: {"quote": n, "claim": (n + 1) // 2} for n in range(1, 5)}
 
@@ -48,7 +49,7 @@
     for seed in seeds:
         w = played(seed)
         assert not w.split() and not w.revived(), seed
-        pinned += sum(row[3] == PINNED for row in w.told)
+        pinned += sum(row[3] == RunStatus.PINNED for row in w.told)
         retired += len(w.retired_at)
     assert pinned > 1_000
     assert retired >= 4
@@ -130,21 +131,23 @@
 
 
 def a_retired_set_opens_again(patch: Any) -> None:
-    real = rollout.opened
+    real = rollout.open_set
 
-    def opened(now: ReleaseRegister, step: ReleaseRegister, wanted: int, known: Any, strong: Any) -> Any:
-        found, why = real(replace(now, highest_set=0), step, wanted, known, strong)
-        return (replace(found, highest_set=max(now.highest_set, wanted)) if found else None), why
+    def open_set(register: ReleaseRegister, wanted_set: int, configured_sets: Any, capacities: Any) -> RolloutDecision:
+        found, reason = real(replace(register, highest_set=0), wanted_set, configured_sets, capacities)
+        if found is None:
+            return RolloutDecision(None, reason)
+        return RolloutDecision(replace(found, highest_set=max(register.highest_set, wanted_set)), reason)
 
-    patch.setattr(rollout, "opened", opened)
+    patch.setattr(rollout, "open_set", open_set)
 
 
 def any_tally_counts(patch: Any) -> None:
-    def over(self: ReleaseCoordinator, value: int, set: int) -> bool:
-        told = list(self.run_counts.by_voter.values())
-        return len(told) > len(self.records.keepers) // 2 and not any(rows.get(set) for rows in told)
+    def is_unused(self: ReleaseCoordinator, packed_register: int, release_set: int) -> bool:
+        reports = self.run_counts.runs_by_replica.values()
+        return len(reports) > len(self.records.keepers) // 2 and not any(runs.get(release_set) for runs in reports)
 
-    patch.setattr(ReleaseCoordinator, "is_unused", over)
+    patch.setattr(ReleaseCoordinator, "is_unused", is_unused)
 
 
 MISTAKES: dict[str, tuple[Callable[[Any], None], str, int]] = {
--- a/tests/test_pins_scenes.py
+++ b/tests/test_pins_scenes.py
@@ -15,7 +15,7 @@
 from corallanding.quorum_records.messages import Accept, AcceptReply
 from corallanding.quorum_records.proposer import Proposer
 from corallanding.quorum_records.replica import Replica
-from corallanding.version_pinning.messages import FULL, NOT_NOW, OVER, PINNED, RunCountQuery
+from corallanding.version_pinning.messages import RunCountQuery, RunStatus
 from corallanding.version_pinning.releases import ReleaseCoordinator
 
 
@@ -132,7 +132,7 @@
 
 def settled(w: RunWorld) -> RunWorld:
     w.run(4_000.0)
-    assert any(row[3] == PINNED for row in w.told)
+    assert any(row[3] == RunStatus.PINNED for row in w.told)
     return w
 
 
@@ -148,8 +148,8 @@
     w.run(w.now + 3_000.0)
     rows = [row for row in w.told if row[1] == key]
     assert len(rows) == 5
-    assert len({row[4] for row in rows if row[3] == PINNED}) == 1, "whoever is told one is told the same"
-    assert {row[3] for row in rows if row[2] in (0, 1)} <= {NOT_NOW, PINNED}
+    assert len({row[4] for row in rows if row[3] == RunStatus.PINNED}) == 1, "whoever is told one is told the same"
+    assert {row[3] for row in rows if row[2] in (0, 1)} <= {RunStatus.UNAVAILABLE, RunStatus.PINNED}
     w.heal()
     w.run(w.now + 2_000.0)
     w.ask(key)
@@ -159,7 +159,7 @@
 
 def test_all_restarted_at_once_keep_their_runs_by_their_files() -> None:
     w = settled(RunWorld(5, 5, 5))
-    before = {row[1]: row[4] for row in w.told if row[3] == PINNED}
+    before = {row[1]: row[4] for row in w.told if row[3] == RunStatus.PINNED}
     w.goal = 2
     for n in range(5):
         w.kill(n)
@@ -171,7 +171,7 @@
     for key in list(before)[-10:]:
         w.ask(key)
     w.run(w.now + 1_000.0)
-    after = {row[1]: row[4] for row in w.told[-60:] if row[3] == PINNED and row[1] in before}
+    after = {row[1]: row[4] for row in w.told[-60:] if row[3] == RunStatus.PINNED and row[1] in before}
     assert after
     assert all(before[key] == number for key, number in after.items())
 
@@ -205,7 +205,7 @@
 
 def test_a_flood_of_one_client_is_refused_and_pushes_out_no_run() -> None:
     w = settled(RunWorld(9, 3, 3, groups=1))
-    running = [row[1] for row in w.told if row[3] == PINNED][-5:]
+    running = [row[1] for row in w.told if row[3] == RunStatus.PINNED][-5:]
     n, p = next((n, p) for n, p in w.processes.items() if w.pins[n].records.held.get(w.pins[n].workflow_runs.groups[0]))
     pins, flood = w.pins[n], []
     for k in range(400):
@@ -214,12 +214,12 @@
     w.carry(n, p, w.fleets[n].push(p.clock(w.now)))
     w.run(w.now + 300.0)
     ends = [row[3] for row in w.told if row[1] >= 10**9 and row[1] < 10**9 + 400]
-    assert ends.count(FULL) >= 300
-    assert 0 < ends.count(PINNED) <= 80
+    assert ends.count(RunStatus.REJECTED) >= 300
+    assert 0 < ends.count(RunStatus.PINNED) <= 80
     for key in running:
         w.ask(key)
     w.run(w.now + 300.0)
-    assert {row[3] for row in w.told[-5:]} <= {PINNED, OVER}
+    assert {row[3] for row in w.told[-5:]} <= {RunStatus.PINNED, RunStatus.OVER}
 
 
 def test_a_full_shelf_refuses_new_runs_by_name_and_keeps_those_it_has() -> None:
@@ -232,8 +232,8 @@
     w.run(w.now + 1_200.0)
     new = [row for row in w.told[count:] if 10**9 <= row[1] < 10**9 + 20]
     assert new
-    assert {row[3] for row in new} <= {FULL, NOT_NOW}
-    assert any(row[3] == FULL for row in new)
+    assert {row[3] for row in new} <= {RunStatus.REJECTED, RunStatus.UNAVAILABLE}
+    assert any(row[3] == RunStatus.REJECTED for row in new)
 
 
 def test_a_run_that_never_ends_is_over_by_age_and_keeps_no_set_alive() -> None:
@@ -247,8 +247,8 @@
         w.run(w.now + 500.0)
         w.ask(key)
     rows = [row for row in w.told if row[1] == key]
-    assert rows[0][3] == PINNED
-    assert rows[-1][3] == OVER
+    assert rows[0][3] == RunStatus.PINNED
+    assert rows[-1][3] == RunStatus.OVER
     assert not w.split()
     w.run(w.now + 2_000.0)
     assert 1 in w.retired_at
