--- a/bench/link.py
+++ b/bench/link.py
@@ -102,7 +102,7 @@
         await steward.start()
         made = await clients(steward.servers[0].sockets[0].getsockname()[1])
         await asyncio.sleep(0.5)
-        module: Any = steward.engine.module
+        module: Any = steward.engine.assigner
         before, begun = module.rounds, time.perf_counter()
         await asyncio.sleep(seconds)
         rate = (module.rounds - before) / (time.perf_counter() - begun)
--- a/bench/measured.py
+++ b/bench/measured.py
@@ -67,11 +67,11 @@
         begun = time.perf_counter()
         super().step()
         took = (time.perf_counter() - begun) * 1e6
-        if self.engine.last and self.engine.last[1]:
+        if self.engine.last_step and self.engine.last_step[1]:
             self.turns.record_value(max(1, int(took)))
 
     def frame(self, link: ProxyConnection, frame: frames.Frame) -> None:
-        if isinstance(frame, frames.Ack) and link.joined and link.link.acks:
+        if isinstance(frame, frames.Ack) and link.is_joined and link.link.acks:
             self.acks.record_value(max(1, int((self.clock() - link.link.acks[0][1]) * 1000.0)))
         super().frame(link, frame)
 
--- a/corallanding/cli/main.py
+++ b/corallanding/cli/main.py
@@ -86,7 +86,7 @@
     difference = record.compare(found, Assigner)
     if difference:
         raise fail(f"{file}: {difference}", 1)
-    torn = "; the last item is torn off" if found.torn else ""
+    torn = "; the last item is torn off" if found.is_truncated else ""
     actions = sum(len(a) for _, _, a in found.steps)
     print(f"{file}: {len(found.steps)} steps, {actions} actions, no difference{torn}")
 
--- a/corallanding/controller/acceptor.py
+++ b/corallanding/controller/acceptor.py
@@ -47,7 +47,7 @@
         self.allowance, self.counted = self.most, self.loop.time()
         self.tasks: set[asyncio.Task[Any]] = set()
         self.timer: asyncio.TimerHandle | None = None
-        self.taken = 0
+        self.accepted_count = 0
         self.closed = self.held = False
         self.loop.add_reader(self.socket, self.take)
 
@@ -71,7 +71,7 @@
                     return
                 raise
             self.allowance -= 1.0
-            self.taken += 1
+            self.accepted_count += 1
             task = self.loop.create_task(self.serve(conn))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
@@ -89,9 +89,16 @@
         self.loop.remove_reader(self.socket)
         self.timer = self.loop.call_later(seconds, self.again)
 
-    def hold(self, on: bool) -> None:
-        """Take none for now; they wait in the kernel."""
-        self.held = on
+    def suspend(self) -> None:
+        """Accept nothing for now: connections wait in the kernel."""
+        self.held = True
+        if self.timer:
+            self.timer.cancel()
+        self.loop.remove_reader(self.socket)
+
+    def resume(self) -> None:
+        """Accept connections again."""
+        self.held = False
         if self.timer:
             self.timer.cancel()
         self.loop.remove_reader(self.socket)
--- a/corallanding/controller/config_reload.py
+++ b/corallanding/controller/config_reload.py
@@ -64,7 +64,7 @@
     configure(s.config.log.format, s.config.log.level)
     s.limits = link_limits(s.config)
     f = s.config.forwarders
-    s.joins.rate, s.listener.rate = f.reads_per_s, f.accepts_per_s
+    s.joins.rate_per_second, s.listener.rate = f.reads_per_s, f.accepts_per_s
     for link in s.links:
         link.link.limits = s.limits
         link.link.reader.most = s.limits.frame_most
--- a/corallanding/controller/crash_loop.py
+++ b/corallanding/controller/crash_loop.py
@@ -26,9 +26,9 @@
 
 @dataclass(frozen=True)
 class StartAdvice:
-    count: int  # starts before this one, each of which ended without a calm time
-    wait: float  # ms
-    trust: bool  # whether the snapshot may be used
+    recent_failures: int  # starts before this one, each of which ended without a calm time
+    wait_ms: float  # ms
+    may_use_snapshot: bool  # whether the snapshot may be used
 
 
 def advise_start(before: Sequence[float], now: float) -> StartAdvice:
@@ -54,6 +54,6 @@
         except (OSError, msgspec.DecodeError):
             return []
 
-    def keep(self, times: Sequence[float]) -> None:
+    def write(self, times: Sequence[float]) -> None:
         with contextlib.suppress(OSError):
             place(self.path, msgspec.json.encode(list(times)))
--- a/corallanding/controller/daemon.py
+++ b/corallanding/controller/daemon.py
@@ -54,7 +54,7 @@
         charge = range(s.first, s.count if s.last is None else s.last + 1)
         has_slice_leases = c.registry is not None and c.registry.charge
         if handed:
-            state, self.clock.zero, self.log_number = None, handed.state.zero, handed.state.log
+            state, self.clock.zero, self.log_number = None, handed.controller.clock_zero_s, handed.controller.log_number
             self.stepped_at = self.clock()
         else:
             state = self.last_state(life.start_number)
@@ -69,7 +69,7 @@
             OverloadLimits(c.steward.late_ms, c.steward.busy_share, c.steward.put_off_most_ms),
         )
         self.engine.recall_until = now + c.forwarders.silence_ms * 2 if not has_slice_leases else now - 1.0
-        self.engine.gather.keys_most = c.reports.keys_most
+        self.engine.usage.max_keys = c.reports.keys_most
         saved = self.view.restore(
             now, wall, life.host_list_version, life.host_entries, life.addresses, life.started_at_ms
         )
@@ -78,7 +78,7 @@
         if handed:
             self.take_over(handed, now, ranked)
         elif not revived:
-            self.engine.begin(now, saved)
+            self.engine.start(now, saved)
         given = InheritedSockets(fds)
         if self.record:
             # The seed of a life is its own: a restart must not draw the same chances again.
@@ -103,7 +103,7 @@
         needed = c.forwarders.most + c.forwarders.strangers_most + SPARE_DESCRIPTORS
         if (have := raise_descriptor_limit(needed)) < needed:
             log.warning("few descriptors: not all forwarders can be joined", have=have, needed=needed)
-        self.listener = self.make_listener(host, port, given.listening(host, port))
+        self.listener = self.make_listener(host, port, given.take_listener(host, port))
         self.servers.append(self.listener)
         if c.door:
             routes = {
@@ -116,18 +116,18 @@
                 routes, c.door.connections_most, c.door.header_most_bytes, c.door.request_within_ms
             )
             host, port = loopback(c.door.listen)
-            if sock := given.listening(host, port):
+            if sock := given.take_listener(host, port):
                 self.servers.append(await loop.create_server(self.admin_server, sock=sock))
             else:
                 self.servers.append(await loop.create_server(self.admin_server, host, port))
         if c.steward.peer_listen:
-            where = given.listening(*loopback(c.steward.peer_listen), socket.SOCK_DGRAM)
+            where = given.take_listener(*loopback(c.steward.peer_listen), socket.SOCK_DGRAM)
             me, dropped = c.steward.number, self.metrics.dropped_peer_datagrams.inc
             self.peers = PeerTransport(me, c.steward.peer_listen, c.steward.peers, self.peer_said, dropped, where)
         self.open_shared()
         if c.load_reports:
             self.feed = self.make_feed(c.load_reports)
-            self.feed.start(handed.feed if handed else None, given.pair())
+            self.feed.start(handed.load_reports if handed else None, given.take_intake())
         self.roster.start()
         if revived and self.settings.polls_host_list:
             self.roster.follow(True)
@@ -137,13 +137,13 @@
         if c.steward.control:
             await self.open_control(c.steward.control)
         if handed:
-            for link, sock in zip(handed.links, given.rest(len(handed.links)), strict=True):
+            for link, sock in zip(handed.connections, given.take_connections(len(handed.connections)), strict=True):
                 if sock:
                     await loop.connect_accepted_socket(lambda link=link: ProxyConnection(self, link), sock)  # type: ignore[misc]
             self.greet_all()  # should this process die too, its forwarders must know whose messages they hold
-            for f in [f for f in self.engine.joined if f not in self.forwarders]:
+            for f in [f for f in self.engine.proxy_zones if f not in self.forwarders]:
                 self.channel.leave(f)
-                self.engine.leave(now, f)
+                self.engine.on_proxy_left(now, f)
             for f in self.forwarders:
                 self.channel.block(f, False)  # nothing of ours waits in their sockets
                 if self.cluster:
@@ -160,7 +160,7 @@
             "ready",
             life=life.start_number,
             listen=[s.sockets[0].getsockname()[:2] for s in self.servers],
-            slices=len(self.engine.charge),
+            slices=len(self.engine.owned_slices),
             tables=len(life.tables),
             hosts=len(life.host_entries),
         )
@@ -170,7 +170,7 @@
         c = self.config
         if not (c.budget or c.task or c.task_group):
             return
-        say = lambda to, data: self.peers.say(to, data) if self.peers else None  # noqa: E731
+        say = lambda to, data: self.peers.send(to, data) if self.peers else None  # noqa: E731
         self.peer_dispatcher = PeerDispatcher(say, self.metrics.dropped_peer_datagrams.inc)
         keeper = self.office_keeper(c.registry) if c.registry and c.budgets.office == "registry" else None
         self.cluster = Cluster(
@@ -183,8 +183,8 @@
             FleetView(self),
             keeper,
         )
-        if self.cluster.quota and isinstance(self.engine.module, Assigner):
-            self.engine.module.publication.acquire_quota = self.cluster.quota.may_begin
+        if self.cluster.quota and isinstance(self.engine.assigner, Assigner):
+            self.engine.assigner.publication.acquire_quota = self.cluster.quota.may_begin
         self.cluster.start()
 
     async def retire(self) -> None:
@@ -206,7 +206,7 @@
         if self.control:
             self.control.close()
         for link in list(self.links):
-            link.end("stopping")
+            link.close("stopping")
         if self.config.door:
             self.admin_server.close()
         self.roster.stop()
--- a/corallanding/controller/decision_loop.py
+++ b/corallanding/controller/decision_loop.py
@@ -37,7 +37,7 @@
         self.spent = 0.0
         self.metrics.step_delay_seconds.observe(max(0.0, begun - self.timer_at) / 1000.0)
         self.timer, self.timer_at, self.stepped_at = None, float("inf"), begun
-        self.engine.store_waits = begun < self.store_again
+        self.engine.is_store_backing_off = begun < self.store_again
         try:
             writes = self.engine.decide(begun)
         except Exception:
@@ -45,27 +45,29 @@
             log.exception("the module failed")
             self.stop(3)
             return
-        assert self.engine.last is not None
-        now, events, actions = self.engine.last
+        assert self.engine.last_step is not None
+        now, events, actions = self.engine.last_step
         if self.steps_log and (events or actions):
-            self.steps_log.step(now, events, actions)
-            if self.steps_log.full:
+            self.steps_log.write_step(now, events, actions)
+            if self.steps_log.is_stopped:
                 # A log with a gap must not be taken up: without its snapshot it is nothing.
-                log.error("the log of steps ends here; the next snapshot begins another", why=self.steps_log.why)
+                log.error(
+                    "the log of steps ends here; the next snapshot begins another", why=self.steps_log.stop_reason
+                )
                 Path(str(self.config.store.snapshot_path)).unlink(missing_ok=True)
                 self.steps_log.close()
                 self.steps_log = None
         if self.recorder and (events or actions):
-            self.recorder.step(now, events, actions)
-            if self.recorder.full:
-                log.error("the recording ends here", why=self.recorder.why)
+            self.recorder.write_step(now, events, actions)
+            if self.recorder.is_stopped:
+                log.error("the recording ends here", why=self.recorder.stop_reason)
                 self.recorder.close()
                 self.recorder = None
         if self.feed:
             for e in events:
                 if isinstance(e, api.HostUsageReport):
                     self.feed.worth.seen(e.host, e.attempts, e.failed, e.latency_ms)
-        if not self.engine.overload.strained:  # detail that can wait
+        if not self.engine.overload.is_overloaded:  # detail that can wait
             for kind, count in Counter(NAMES[type(e)] for e in events).items():
                 self.metrics.events.labels(kind).inc(count)
             for kind, count in Counter(NAMES[type(a)] for a in actions).items():
@@ -85,11 +87,11 @@
         for output in self.engine.publish(stored):
             self.carry_out(begun, output)
         ended = self.clock()
-        self.engine.overload.stepped(ended, self.spent + ended - resumed)
+        self.engine.overload.on_step(ended, self.spent + ended - resumed)
         self.metrics.step_seconds.observe((ended - begun) / 1000.0)
-        self.metrics.unsaved_tables.set(len(self.engine.unsaved))
-        self.metrics.dropped_usage_rows.set(self.engine.gather.dropped)
-        self.metrics.discarded_orders.set(self.engine.discarded)
+        self.metrics.unsaved_tables.set(len(self.engine.unsaved_tables))
+        self.metrics.dropped_usage_rows.set(self.engine.usage.dropped_rows)
+        self.metrics.discarded_orders.set(self.engine.discarded_actions)
         self.pump()
         self.wake()
         if not self.working_ahead:
@@ -99,7 +101,7 @@
     def ahead(self) -> None:
         """Between steps, a millisecond or two at a time."""
         going = self.stopped is not None and not self.stopped.done()
-        self.working_ahead = going and self.engine.ahead(AHEAD)
+        self.working_ahead = going and self.engine.precompute_scores(AHEAD)
         if self.working_ahead:
             asyncio.get_running_loop().call_later(0.001, self.ahead)
 
@@ -115,7 +117,7 @@
             for forwarder in over.forwarders:
                 if link := self.forwarders.get(forwarder):
                     self.rate_limited_log.warn("link cut off", forwarder=forwarder, why="the channel is full")
-                    link.end("overrun", "the channel is full: read the store")
+                    link.close("overrun", "the channel is full: read the store")
 
     def carry_out(self, now: float, output: core.Output) -> None:
         match output:
@@ -136,6 +138,6 @@
                 self.roster.fetch()
             case core.SendToPeer():
                 if self.peers:
-                    self.peers.say(output.peer, output.payload)
+                    self.peers.send(output.peer, output.payload)
             case core.LogNote():
                 log.info("note", text=output.text)
--- a/corallanding/controller/event_inbox.py
+++ b/corallanding/controller/event_inbox.py
@@ -19,54 +19,54 @@
     """Times in milliseconds on the owner's clock. Both fronts drive the module through this."""
 
     def __init__(self, module: Decider) -> None:
-        self.module = module
+        self.assigner = module
         self.now = 0.0
-        self.inbox: list[tuple[float, int, api.Event]] = []
+        self.pending_events: list[tuple[float, int, api.Event]] = []
         self.timers: list[tuple[float, int, int]] = []
-        self.counter = 0
-        self.steps = 0
-        self.last: tuple[float, list[api.Event], list[api.Action]] | None = None  # for the recorder
+        self.last_sequence = 0
+        self.step_count = 0
+        self.last_step: tuple[float, list[api.Event], list[api.Action]] | None = None  # for the recorder
 
-    def event(self, at: float, e: api.Event) -> None:
+    def add_event(self, at: float, e: api.Event) -> None:
         """Something happened at `at`. Steps deliver events in the order of their times."""
-        self.counter += 1
-        self.inbox.append((at, self.counter, e))
+        self.last_sequence += 1
+        self.pending_events.append((at, self.last_sequence, e))
 
-    def remind(self, at: float, handle: int) -> None:
-        self.counter += 1
-        heapq.heappush(self.timers, (at, self.counter, handle))
+    def start_timer(self, at: float, handle: int) -> None:
+        self.last_sequence += 1
+        heapq.heappush(self.timers, (at, self.last_sequence, handle))
 
-    def put_off(self, now: float, handle: int) -> float | None:
+    def timer_delay(self, now: float, handle: int) -> float | None:
         """How long a timer that is due is to wait still, if it is: the owner's word."""
         return None
 
-    def fall_due(self, now: float) -> None:
+    def fire_due_timers(self, now: float) -> None:
         """Timers that are due go among what happened."""
         later = []
         while self.timers and self.timers[0][0] <= now:
             at, count, handle = heapq.heappop(self.timers)
-            if wait := self.put_off(now, handle):
+            if wait := self.timer_delay(now, handle):
                 later.append((now + wait, count, handle))
             else:
-                self.inbox.append((at, count, api.TimerFired(handle)))
+                self.pending_events.append((at, count, api.TimerFired(handle)))
         for timer in later:
             heapq.heappush(self.timers, timer)
 
-    def collect(self) -> list[api.Event]:
+    def take_events(self) -> list[api.Event]:
         """All that came, in order; the inbox is empty then."""
-        self.inbox.sort(key=lambda item: item[:2])
-        events = [e for _, _, e in self.inbox]
-        self.inbox = []
+        self.pending_events.sort(key=lambda item: item[:2])
+        events = [e for _, _, e in self.pending_events]
+        self.pending_events = []
         return events
 
-    def deliver(self, now: float, events: list[api.Event]) -> list[api.Action]:
+    def run_step(self, now: float, events: list[api.Event]) -> list[api.Action]:
         """Run the module; its first step comes even if nothing has happened."""
-        actions = self.module.step(now, events) if events or not self.steps else []
-        self.steps += 1
-        self.last = (now, events, actions)
+        actions = self.assigner.step(now, events) if events or not self.step_count else []
+        self.step_count += 1
+        self.last_step = (now, events, actions)
         return actions
 
-    def ahead(self, marks: int) -> bool:
+    def precompute_scores(self, marks: int) -> bool:
         """Marks what the module will ask for, between steps; false once nothing is left. Changes no decision."""
-        rendezvous = getattr(self.module, "rendezvous", None)
-        return rendezvous is not None and rendezvous.precompute(self.module.slices, marks)  # type: ignore[attr-defined]
+        rendezvous = getattr(self.assigner, "rendezvous", None)
+        return rendezvous is not None and rendezvous.precompute(self.assigner.slices, marks)  # type: ignore[attr-defined]
--- a/corallanding/controller/fleet_view.py
+++ b/corallanding/controller/fleet_view.py
@@ -48,9 +48,9 @@
     def hosts(self) -> dict[int, PinningHost]:
         """Every listed host, by number."""
         controller, rules = self.controller, self.controller.config.rules
-        state, view = controller.engine.state, controller.view
+        state, view = controller.engine.published, controller.view
         now = controller.clock()
-        excluded = state.cordons | controller.engine.going
+        excluded = state.cordoned_hosts | controller.engine.leaving_hosts
         in_tables = {host for lines in state.tables.values() for host in lines}
         found = {}
         for host, entry in view.entries.items():
@@ -64,12 +64,12 @@
     def change_stamp(self) -> ChangeStamp:
         """Compared with an earlier one, it tells whether a plan made from this view still holds."""
         engine = self.controller.engine
-        return ChangeStamp(engine.seq, self.controller.view.version, len(engine.charge))
+        return ChangeStamp(engine.seq, self.controller.view.version, len(engine.owned_slices))
 
     def tables(self) -> Mapping[int, Mapping[int, float]]:
         """Slice to the weights of its hosts, for the slices that this controller decides on."""
         engine = self.controller.engine
-        return {number: lines for number, lines in engine.state.tables.items() if number in engine.charge}
+        return {number: lines for number, lines in engine.published.tables.items() if number in engine.owned_slices}
 
     def addresses(self, hosts: set[int]) -> dict[int, str]:
         """Host to "ip:port", for those of `hosts` whose address is known."""
@@ -81,7 +81,7 @@
         found = []
         for number, connection in self.controller.forwarders.items():
             hello = connection.link.hello
-            if connection.joined and not connection.over and hello and hello.parts & part:
+            if connection.is_joined and not connection.is_closed and hello and hello.parts & part:
                 found.append(number)
         return found
 
@@ -93,7 +93,7 @@
     def reply(self, forwarder: int, frame: frames.Frame) -> None:
         """Send an answer to one proxy at once. Lost if the proxy is gone: it asks again."""
         connection = self.controller.forwarders.get(forwarder)
-        if connection and connection.joined:
+        if connection and connection.is_joined:
             connection.send(frames.encode(frame))
 
     def publish(self, frame: frames.Frame, lines: int, to: list[int]) -> None:
--- a/corallanding/controller/handover.py
+++ b/corallanding/controller/handover.py
@@ -28,23 +28,23 @@
 
     def can_take(self, h: HandoverState) -> None:
         """Whether this process can go on from there. Raises `Unfit`."""
-        check_state(h.state, self.config.steward.number, self.settings, boot_id(), h.state.life + 1)
+        check_state(h.controller, self.config.steward.number, self.settings, boot_id(), h.controller.start_number + 1)
         try:
-            self.loaded = load_module(self.settings, h.state.module)
+            self.loaded = load_module(self.settings, h.controller.assigner)
         except (ValueError, TypeError) as fault:
             raise StateMismatchError(str(fault)) from None
 
     def take_over(self, h: HandoverState, now: float, ranked: Sequence[marks.Row]) -> None:
         v = self.view
-        v.version, v.entries = h.version, {e.host: e for e in map(HostEntryState.entry, h.entries)}
-        v.addresses, v.starts, v.known = dict(h.addresses), dict(h.starts), set(h.known)
-        v.origins = {(host, started): since for host, started, since in h.state.origins}
+        v.version, v.entries = h.host_list_version, {e.host: e for e in map(HostEntryState.entry, h.host_entries)}
+        v.addresses, v.starts, v.known = dict(h.host_addresses), dict(h.host_starts), set(h.known_hosts)
+        v.origins = {(host, started): since for host, started, since in h.controller.host_origins}
         self.engine.addresses = v.addresses
         restore_handover(self.engine, h, self.channel, self.joins, now, self.loaded)
         if self.loaded:
             marks.put(self.loaded.rendezvous, ranked)
         self.loaded = None
-        self.listed, self.factors = True, dict(h.factors)
+        self.listed, self.factors = True, dict(h.load_factors)
         self.metrics.lowered_weights.set(len(self.factors))
 
     async def pause(self) -> None:
@@ -54,25 +54,25 @@
             if handle:
                 handle.cancel()
         self.timer, self.timer_at = None, float("inf")
-        self.listener.hold(True)
+        self.listener.suspend()
         if self.feed:
             self.feed.hold()
         if self.peers:
-            self.peers.hold(True)
+            self.peers.suspend()
         for output in self.engine.publish(False):
             self.carry_out(self.clock(), output)
         for link in self.links:
             if link.transport:
                 link.transport.pause_reading()
         end = self.clock() + FLUSH
-        while (full := [x for x in self.links if x.unsent]) and self.clock() < end:
+        while (full := [x for x in self.links if x.unsent_bytes]) and self.clock() < end:
             await asyncio.sleep(0.001)
         for link in full:
-            link.end("not-reading", "")
+            link.close("not-reading", "")
 
     async def ranked(self) -> list[marks.Row]:
         """The module's lists of marks, a few slices at a time: this process is at work."""
-        module = self.engine.module
+        module = self.engine.assigner
         if not isinstance(module, Assigner):
             return []
         found, slices = list[marks.Row](), list(module.rendezvous.rankings)
@@ -124,14 +124,14 @@
         if self.feed:
             self.feed.resume(anew)
         if self.peers:
-            self.peers.hold(False)
+            self.peers.resume()
         if anew:
-            for link in [x for x in self.links if x.joined and not x.over]:
-                link.joined = False
+            for link in [x for x in self.links if x.is_joined and not x.is_closed]:
+                link.is_joined = False
                 self.join(link)
-        self.listener.hold(False)
+        self.listener.resume()
         for link in list(self.links):
-            if link.transport and not link.over:
+            if link.transport and not link.is_closed:
                 link.transport.resume_reading()
         self.admit()
         self.pump()
--- a/corallanding/controller/handover_driver.py
+++ b/corallanding/controller/handover_driver.py
@@ -31,7 +31,7 @@
     def __init__(self, path: str) -> None:
         self.path, self.fd = path, -1
 
-    def take(self) -> bool:
+    def acquire(self) -> bool:
         self.fd = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(self.fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -40,7 +40,7 @@
             return False
         return True
 
-    def drop(self) -> None:
+    def release(self) -> None:
         os.close(self.fd)
 
 
@@ -66,7 +66,7 @@
         while True:
             for a in todo:
                 stop_at_test_point(f"{self.name} before {a.value}")
-                more = await self.do(a)
+                more = await self.perform(a)
                 if more is not None:
                     todo = more
                     break
@@ -74,24 +74,24 @@
                 if self.core.phase in (Phase.IDLE, Phase.OVER, Phase.OWNER):
                     return
                 if hearing is None:
-                    hearing = loop.run_in_executor(None, self.words.hear)
+                    hearing = loop.run_in_executor(None, self.words.receive_message)
                 done, _ = await asyncio.wait({hearing}, timeout=max(0.0, self.core.deadline - now()) / 1000.0)
                 if not done:
-                    todo = self.core.tick(now())
+                    todo = self.core.on_tick(now())
                     continue
                 try:
-                    todo = await self.heard(*hearing.result())
+                    todo = await self.on_message(*hearing.result())
                 except PipeClosedError:
-                    todo = await self.lost()
+                    todo = await self.on_peer_lost()
                 hearing = None
 
-    async def heard(self, word: str, detail: bytes) -> list[HandoverCommand]:
+    async def on_message(self, word: str, detail: bytes) -> list[HandoverCommand]:
         """Raises `Gone`."""
-        return self.core.heard(now(), word, detail.decode("utf-8", "replace"))
+        return self.core.on_message(now(), word, detail.decode("utf-8", "replace"))
 
-    async def lost(self) -> list[HandoverCommand]:
-        return self.core.lost(now())
+    async def on_peer_lost(self) -> list[HandoverCommand]:
+        return self.core.on_peer_lost(now())
 
     @abstractmethod
-    async def do(self, a: HandoverCommand) -> list[HandoverCommand] | None:
+    async def perform(self, a: HandoverCommand) -> list[HandoverCommand] | None:
         """Another list of things to do in place of the rest, if this one did not go."""
--- a/corallanding/controller/handover_receiver.py
+++ b/corallanding/controller/handover_receiver.py
@@ -48,16 +48,16 @@
         if self.user != os.getuid():
             log.error("handover refused: the other side is of another user", user=self.user)
             return False
-        await self.drive(self.core.begin(now()))
+        await self.drive(self.core.start(now()))
         if self.core.phase is not Phase.OWNER:
             return False
         stop_at_test_point("new after all")
         self.words.close()
         return True
 
-    async def heard(self, word: str, detail: bytes) -> list[HandoverCommand]:
+    async def on_message(self, word: str, detail: bytes) -> list[HandoverCommand]:
         if word == "marks":
-            self.core.deadline = now() + self.core.within
+            self.core.deadline = now() + self.core.timeout_ms
             try:
                 self.marks = msgspec.msgpack.decode(detail, type=list[marks.Row])
             except msgspec.DecodeError as fault:
@@ -65,22 +65,22 @@
             return []
         if word == "state":
             loop, self.body = asyncio.get_running_loop(), detail
-            count_word, count = await loop.run_in_executor(None, self.words.hear)
+            count_word, count = await loop.run_in_executor(None, self.words.receive_message)
             if count_word != "sockets":
                 raise PipeClosedError(f"{count_word!r} in place of sockets")
-            self.fds = await loop.run_in_executor(None, self.words.receive, int(count))
-        return self.core.heard(now(), word)
+            self.fds = await loop.run_in_executor(None, self.words.receive_descriptors, int(count))
+        return self.core.on_message(now(), word)
 
-    async def lost(self) -> list[HandoverCommand]:
+    async def on_peer_lost(self) -> list[HandoverCommand]:
         # Its end of the pipe closes before its lock on the store does.
         await self.gone(self.old)
-        return self.core.lost(now())
+        return self.core.on_peer_lost(now())
 
-    async def do(self, a: HandoverCommand) -> list[HandoverCommand] | None:
+    async def perform(self, a: HandoverCommand) -> list[HandoverCommand] | None:
         try:
             match a:
                 case HandoverCommand.SEND_READY:
-                    self.words.say("ready", str(PROTOCOL).encode())
+                    self.words.send_message("ready", str(PROTOCOL).encode())
                 case HandoverCommand.LOAD:
                     try:
                         self.handed = snapshots.unpack(self.body, HandoverState)
@@ -89,27 +89,27 @@
                         # Versions or settings that share no state: sockets are taken, forwarders dial anew.
                         log.warning("state not used; forwarders will join anew", why=str(fault))
                         self.handed = None
-                    return self.core.loaded(now(), True)
+                    return self.core.on_state_loaded(now(), True)
                 case HandoverCommand.SEND_CHECKED:
-                    self.words.say("checked")
+                    self.words.send_message("checked")
                 case HandoverCommand.OPEN_STORE | HandoverCommand.COLD_START:
                     # Steward and store in one: nothing of it speaks before it returns.
                     await self.start(self.handed, self.fds, self.marks)
                 case HandoverCommand.SEND_TAKEN:
-                    self.words.say("taken")
+                    self.words.send_message("taken")
                 case HandoverCommand.SEND_FAILED:
-                    self.words.say("failed", self.why.encode())
+                    self.words.send_message("failed", self.why.encode())
                 case HandoverCommand.END_OTHER:
-                    if not self.arbiter.take():
-                        return self.core.beaten()
+                    if not self.arbiter.acquire():
+                        return self.core.on_lock_lost()
                     await self.end(self.old)
-                    self.arbiter.drop()
+                    self.arbiter.release()
         except (StoreError, StateMismatchError, OSError) as fault:
             self.why = str(fault)
             log.error("cannot take over", why=self.why)
-            return self.core.opened(now(), False)
+            return self.core.on_store_opened(now(), False)
         except PipeClosedError:
-            return self.core.lost(now()) if a is not HandoverCommand.SEND_TAKEN else None
+            return self.core.on_peer_lost(now()) if a is not HandoverCommand.SEND_TAKEN else None
         return None
 
     async def end(self, process: int) -> None:
@@ -129,7 +129,7 @@
         loop, gone = asyncio.get_running_loop(), asyncio.Event()
         loop.add_reader(handle, gone.set)
         try:
-            await asyncio.wait_for(gone.wait(), self.core.within / 1000.0)
+            await asyncio.wait_for(gone.wait(), self.core.timeout_ms / 1000.0)
         except TimeoutError:
             log.error("the process before this one has closed its pipe and does not end", process=process)
         finally:
--- a/corallanding/controller/handover_sender.py
+++ b/corallanding/controller/handover_sender.py
@@ -57,13 +57,13 @@
 
     async def run(self) -> str:
         try:
-            await self.drive(self.core.begin(now()))
-            return self.core.why
+            await self.drive(self.core.start(now()))
+            return self.core.failure
         finally:
             if self.pipe:
                 self.pipe.close()
 
-    async def do(self, a: HandoverCommand) -> list[HandoverCommand] | None:
+    async def perform(self, a: HandoverCommand) -> list[HandoverCommand] | None:
         try:
             match a:
                 case HandoverCommand.SPAWN:
@@ -81,15 +81,15 @@
                 case HandoverCommand.CLOSE_STORE:
                     self.s.let_go()
                 case HandoverCommand.SEND_COMMIT:
-                    self.words.say("commit")
+                    self.words.send_message("commit")
                 case HandoverCommand.END_OTHER:
-                    if not self.arbiter.take():
-                        return self.core.beaten()
+                    if not self.arbiter.acquire():
+                        return self.core.on_lock_lost()
                     if self.process:
                         if self.process.returncode is None:
                             self.process.kill()
                         await self.process.wait()
-                    self.arbiter.drop()
+                    self.arbiter.release()
                 case HandoverCommand.RESUME:
                     self.s.take_back()
                 case HandoverCommand.EXIT:
@@ -97,7 +97,7 @@
                     if self.s.stopped and not self.s.stopped.done():
                         self.s.stopped.set_result(0)
         except (PipeClosedError, OSError) as fault:
-            return self.core.back(f"{a.value}: {fault}")
+            return self.core.abort(f"{a.value}: {fault}")
         except StoreLockedError as fault:
             log.error("the store is not to be had again", why=str(fault))
             self.s.stop(4)
@@ -106,34 +106,34 @@
     async def send_marks(self) -> None:
         """Ahead of the state, while this process still speaks: in a large fleet they are the most of it."""
         body = msgspec.msgpack.encode(await self.s.ranked())
-        await asyncio.get_running_loop().run_in_executor(None, self.words.say, "marks", body)
+        await asyncio.get_running_loop().run_in_executor(None, self.words.send_message, "marks", body)
 
     async def send_state(self) -> None:
         s = self.s
         state = s.state(s.log_number)
         if state is None:
             raise OSError("this module's state cannot be handed over")
-        links = [x for x in s.links if x.link.hello and not x.over and x.transport]
+        links = [x for x in s.links if x.link.hello and not x.is_closed and x.transport]
         v = s.view
         roster = (v.version, list(v.entries.values()), dict(v.addresses), dict(v.starts), sorted(v.known))
-        rows = [capture_connection(x.link, x.joined, x.paused, x.beat_at) for x in links]
+        rows = [capture_connection(x.link, x.is_joined, x.is_write_paused, x.heartbeat_sent_at) for x in links]
         fds = [server.sockets[0].fileno() for server in s.servers]
         feed = None
         if s.feed:
             feed, pair = s.feed.handed()
             fds += [pair.fileno()] if pair else []
         if s.peers:
-            fds.append(s.peers.sock.fileno())
-        kept = (str(s.recorder.path), s.recorder.written) if s.recorder else None
+            fds.append(s.peers.socket.fileno())
+        kept = (str(s.recorder.path), s.recorder.written_bytes) if s.recorder else None
         body = snapshots.pack(
             capture_handover(s.engine, state, s.channel, rows, s.joins, roster, s.factors, feed, kept)
         )
         fds += [x.transport.get_extra_info("socket").fileno() for x in links if x.transport]
 
         def work() -> None:
-            self.words.say("state", body)
-            self.words.say("sockets", str(len(fds)).encode())
-            self.words.give(fds)
+            self.words.send_message("state", body)
+            self.words.send_message("sockets", str(len(fds)).encode())
+            self.words.send_descriptors(fds)
 
         await asyncio.get_running_loop().run_in_executor(None, work)
 
--- a/corallanding/controller/handover_state.py
+++ b/corallanding/controller/handover_state.py
@@ -30,8 +30,8 @@
 
     began: float
     hello: Hello | None
-    joined: bool
-    paused: bool
+    is_joined: bool
+    is_write_paused: bool
     heard: float
     marks: list[tuple[int, float]]
     recalled: bool
@@ -39,7 +39,7 @@
     flow: float
     counted: float
     held: bytes  # the frame that has come in part
-    beat_at: float
+    heartbeat_sent_at: float
 
 
 class MessageState(msgspec.Struct, array_like=True):
@@ -68,30 +68,32 @@
 
 
 class HandoverState(msgspec.Struct):
-    state: ControllerState = msgspec.field(name="state")
+    controller: ControllerState = msgspec.field(name="state")
     seq: int = msgspec.field(name="seq")
-    counter: int = msgspec.field(name="counter")
+    last_sequence: int = msgspec.field(name="counter")
     tables: list[tuple[int, list[tuple[int, float]]]] = msgspec.field(name="tables")
-    unsaved: list[tuple[int, list[tuple[int, float]]]] = msgspec.field(name="unsaved")
+    unsaved_tables: list[tuple[int, list[tuple[int, float]]]] = msgspec.field(name="unsaved")
     unsaved_resets: list[int] = msgspec.field(name="unsaved_resets")
-    inbox: list[tuple[float, int, Any]] = msgspec.field(name="inbox")
-    joined: list[tuple[int, int]] = msgspec.field(name="joined")
-    going: list[int] = msgspec.field(name="going")
-    gather_at: float = msgspec.field(name="gather_at")
-    tallies: list[tuple[str, int, int, float, int, int, float]] = msgspec.field(name="tallies")
-    sums: tuple[float, float] = msgspec.field(name="sums")  # what the intake may still take, and since when
+    pending_events: list[tuple[float, int, Any]] = msgspec.field(name="inbox")
+    proxy_zones: list[tuple[int, int]] = msgspec.field(name="joined")
+    leaving_hosts: list[int] = msgspec.field(name="going")
+    usage_due_at: float = msgspec.field(name="gather_at")
+    usage_tallies: list[tuple[str, int, int, float, int, int, float]] = msgspec.field(name="tallies")
+    usage_pace: tuple[float, float] = msgspec.field(name="sums")  # what the intake may still take, and since when
     channel: ChannelState = msgspec.field(name="channel")
-    links: list[ConnectionState] = msgspec.field(name="links")
-    habits: list[tuple[int, float, float]] = msgspec.field(name="habits")
-    waiting: list[tuple[int, float, int]] = msgspec.field(name="waiting")  # forwarder, not before, order of coming
-    pace: tuple[float, float] = msgspec.field(name="pace")  # of joins: what may still go, and since when
-    version: int = msgspec.field(name="version")
-    entries: list[HostEntryState] = msgspec.field(name="entries")
-    addresses: dict[int, str] = msgspec.field(name="addresses")
-    starts: dict[int, float] = msgspec.field(name="starts")
-    known: list[int] = msgspec.field(name="known")
-    factors: dict[int, float] = msgspec.field(name="factors")  # of load reports, as the module was told them
-    feed: FeedState | None = msgspec.field(name="feed")
+    connections: list[ConnectionState] = msgspec.field(name="links")
+    join_histories: list[tuple[int, float, float]] = msgspec.field(name="habits")
+    waiting_joins: list[tuple[int, float, int]] = msgspec.field(
+        name="waiting"
+    )  # forwarder, not before, order of coming
+    join_pace: tuple[float, float] = msgspec.field(name="pace")  # of joins: what may still go, and since when
+    host_list_version: int = msgspec.field(name="version")
+    host_entries: list[HostEntryState] = msgspec.field(name="entries")
+    host_addresses: dict[int, str] = msgspec.field(name="addresses")
+    host_starts: dict[int, float] = msgspec.field(name="starts")
+    known_hosts: list[int] = msgspec.field(name="known")
+    load_factors: dict[int, float] = msgspec.field(name="factors")  # of load reports, as the module was told them
+    load_reports: FeedState | None = msgspec.field(name="feed")
     recording: tuple[str, int] | None = msgspec.field(name="recording")  # its file, and the bytes in it
 
 
@@ -163,26 +165,26 @@
     feed: FeedState | None,
     recording: tuple[str, int] | None = None,
 ) -> HandoverState:
-    g = e.gather
+    g = e.usage
     version, entries, addresses, starts, known = roster
     return HandoverState(
         state,
         e.seq,
-        e.counter,
-        [(t, list(row.items())) for t, row in e.state.tables.items()],
-        [(t, list(row.items())) for t, row in e.unsaved.items()],
+        e.last_sequence,
+        [(t, list(row.items())) for t, row in e.published.tables.items()],
+        [(t, list(row.items())) for t, row in e.unsaved_tables.items()],
         sorted(e.unsaved_resets),
-        [(at, n, pack(x)) for at, n, x in e.inbox],
-        list(e.joined.items()),
-        sorted(e.going),
-        e.gather_at,
-        [(*key, t.since, t.total, t.errored, t.weighed) for key, t in g.tallies.items()],
-        (g.allowance, g.counted),
+        [(at, n, pack(x)) for at, n, x in e.pending_events],
+        list(e.proxy_zones.items()),
+        sorted(e.leaving_hosts),
+        e.usage_due_at,
+        [(*key, t.since, t.total, t.failed, t.latency_sum_ms) for key, t in g.tallies.items()],
+        (g.available_reports, g.replenished_at),
         capture_channel(channel),
         links,
-        [(f, h.last, h.wait) for f, h in joins.habits.items()],
-        [(f, at, n) for at, n, f in sorted(joins.queue) if joins.waiting.get(f) == at],
-        (joins.allowance, joins.counted),
+        [(f, h.last_admitted_at, h.interval_ms) for f, h in joins.histories.items()],
+        [(f, at, n) for at, n, f in sorted(joins.queue) if joins.admissible_at.get(f) == at],
+        (joins.tokens, joins.replenished_at),
         version,
         [HostEntryState.of(entry) for entry in entries],
         addresses,
@@ -198,25 +200,25 @@
     e: Engine, h: HandoverState, channel: Channel, joins: JoinAdmission, now: float, module: Assigner | None = None
 ) -> None:
     """Puts a new process's engine, channel and joins where the old one's were. Raises `Unfit`, nothing touched."""
-    stored = e.state.tables
-    e.state.tables = {t: dict(row) for t, row in h.tables}  # what is not kept yet, too
+    stored = e.published.tables
+    e.published.tables = {t: dict(row) for t, row in h.tables}  # what is not kept yet, too
     try:
-        restore(e, h.state, [], now, False, module)
+        restore(e, h.controller, [], now, False, module)
     except StateMismatchError:
-        e.state.tables = stored
+        e.published.tables = stored
         raise
-    e.seq, e.counter = h.seq, h.counter + len(e.inbox) + len(e.timers)
-    e.state.points = {f: dict(rows) for f, rows in h.state.points}
-    e.unsaved, e.unsaved_resets = {t: dict(row) for t, row in h.unsaved}, set(h.unsaved_resets)
-    e.inbox = [(at, n, unpack(x)) for at, n, x in h.inbox] + e.inbox
-    e.joined, e.going, e.gather_at = dict(h.joined), set(h.going), h.gather_at
+    e.seq, e.last_sequence = h.seq, h.last_sequence + len(e.pending_events) + len(e.timers)
+    e.published.assignments = {f: dict(rows) for f, rows in h.controller.assignments}
+    e.unsaved_tables, e.unsaved_resets = {t: dict(row) for t, row in h.unsaved_tables}, set(h.unsaved_resets)
+    e.pending_events = [(at, n, unpack(x)) for at, n, x in h.pending_events] + e.pending_events
+    e.proxy_zones, e.leaving_hosts, e.usage_due_at = dict(h.proxy_zones), set(h.leaving_hosts), h.usage_due_at
     e.recall_until = now - 1.0  # established links hold what this process has
-    for what, a, b, since, total, errored, weighed in h.tallies:
-        e.gather.tallies[what, a, b] = UsageTally(since, total, errored, weighed)
-    e.gather.allowance, e.gather.counted = h.sums
+    for what, a, b, since, total, errored, weighed in h.usage_tallies:
+        e.usage.tallies[what, a, b] = UsageTally(since, total, errored, weighed)
+    e.usage.available_reports, e.usage.replenished_at = h.usage_pace
     restore_channel(channel, h.channel)
-    joins.habits = {f: JoinHistory(last, wait) for f, last, wait in h.habits}
-    joins.waiting = {f: at for f, at, _ in h.waiting}
-    joins.queue = sorted((at, n, f) for f, at, n in h.waiting)
-    joins.allowance, joins.counted = h.pace
-    joins.counter = max((n for _, _, n in h.waiting), default=0)
+    joins.histories = {f: JoinHistory(last, wait) for f, last, wait in h.join_histories}
+    joins.admissible_at = {f: at for f, at, _ in h.waiting_joins}
+    joins.queue = sorted((at, n, f) for f, at, n in h.waiting_joins)
+    joins.tokens, joins.replenished_at = h.join_pace
+    joins.last_sequence = max((n for _, _, n in h.waiting_joins), default=0)
--- a/corallanding/controller/host_sources.py
+++ b/corallanding/controller/host_sources.py
@@ -45,7 +45,7 @@
         if g:
             from ..registry.source import make  # gRPC is imported only where it is asked for
 
-            chance = random.Random(f"{seed}:{self.engine.life.start_number}").random
+            chance = random.Random(f"{seed}:{self.engine.start_number}").random
             return make(g, self, self.clock, chance, self.dial_registry)
         assert r.address is not None
         return LineRoster(
@@ -67,7 +67,7 @@
     def make_keeper(self, g: RegistryBlock, slices: range) -> Keeper:
         """Charge and tables of slices in the registry, shared with other stewards."""
         seed, me = self.config.steward.seed, self.config.steward.number
-        chance = random.Random(f"{seed}:{me}:{self.engine.life.start_number}")
+        chance = random.Random(f"{seed}:{me}:{self.engine.start_number}")
         return self.keeper_of(g, g.base, slices, self, chance)
 
     def office_keeper(self, g: RegistryBlock) -> Keeper:
@@ -90,11 +90,11 @@
 
     def given(self, slice: int, lines: dict[int, float]) -> None:
         """The registry gave a slice into our charge, with its table as kept there."""
-        self.engine.charged(self.clock(), slice, True, lines)
+        self.engine.on_slice_gained(self.clock(), slice, lines)
         self.wake()
 
     def taken(self, slice: int) -> None:
-        self.engine.charged(self.clock(), slice, False)
+        self.engine.on_slice_lost(self.clock(), slice)
         self.wake()
 
     def said(self, text: str) -> None:
@@ -134,7 +134,7 @@
         self.metrics.lowered_weights.set(len(self.factors))
         if event:
             log.info("load factors", factors={str(h): round(f, 3) for h, f in self.factors.items()})
-            self.engine.event(self.clock(), event)
+            self.engine.add_event(self.clock(), event)
             self.wake()
 
     def roster_rows(self, full: bool, version: int, rows: list[Any]) -> None:
@@ -148,7 +148,7 @@
         self.metrics.hosts_listed.set(len(self.view.entries))
         moved = [h for h, a in self.view.addresses.items() if before.get(h, a) != a]
         if moved:
-            self.engine.readdress(moved)
+            self.engine.on_addresses_changed(moved)
         self.listed = True
         if self.cluster and self.cluster.quota:
             self.cluster.quota.on_hosts_listed(now, self.view.entries.values())
@@ -156,7 +156,7 @@
             self.feed.listed(self.view.entries, self.view.starts, self.settings.warm_up_ms)
             self.factors = self.feed.worth.factors()
             event = weigh(event, self.factors)
-        self.engine.event(now, event)
+        self.engine.add_event(now, event)
         self.roster_dirty = True
         self.wake()
 
@@ -164,7 +164,7 @@
         self.metrics.host_source_failures.inc()
         self.rate_limited_log.warn("roster failed", why=why)
         if self.settings.polls_host_list:
-            self.engine.event(self.clock(), api.HostListUpdate(api.HostListKind.FAILED, self.view.version))
+            self.engine.add_event(self.clock(), api.HostListUpdate(api.HostListKind.FAILED, self.view.version))
             self.wake()
 
     def keep_roster(self) -> None:
@@ -180,7 +180,7 @@
 
     def probed(self, e: api.HealthCheckResult) -> None:
         self.metrics.health_checks.labels(e.outcome.value).inc()
-        self.engine.event(self.clock(), e)
+        self.engine.add_event(self.clock(), e)
         self.wake()
 
     def peer_said(self, sender: int, payload: bytes) -> None:
@@ -188,5 +188,5 @@
             if self.peer_dispatcher:
                 self.peer_dispatcher.on_datagram(sender, payload[1:])
             return
-        self.engine.event(self.clock(), api.PeerMessage(sender, payload))
+        self.engine.add_event(self.clock(), api.PeerMessage(sender, payload))
         self.wake()
--- a/corallanding/controller/inherited_sockets.py
+++ b/corallanding/controller/inherited_sockets.py
@@ -20,7 +20,7 @@
             pair = sock.family == socket.AF_UNIX
             (self.pairs if pair else self.ears if ear else self.links).append(sock)
 
-    def listening(self, host: str, port: int, kind: int = socket.SOCK_STREAM) -> socket.socket | None:
+    def take_listener(self, host: str, port: int, kind: int = socket.SOCK_STREAM) -> socket.socket | None:
         """The one that listens there, if it came."""
         for sock in self.ears:
             at = sock.getsockname()
@@ -29,10 +29,10 @@
                 return sock
         return None
 
-    def pair(self) -> socket.socket | None:
+    def take_intake(self) -> socket.socket | None:
         return self.pairs.pop() if self.pairs else None
 
-    def rest(self, count: int) -> list[socket.socket | None]:
+    def take_connections(self, count: int) -> list[socket.socket | None]:
         """The links, if as many came as were told of; none otherwise (their forwarders dial anew)."""
         if len(self.links) != count:
             return [None] * count
--- a/corallanding/controller/join_admission.py
+++ b/corallanding/controller/join_admission.py
@@ -15,8 +15,8 @@
 class JoinHistory:
     """How often one forwarder came of late."""
 
-    last: float
-    wait: float = 0.0  # ms that it had to wait before
+    last_admitted_at: float
+    interval_ms: float = 0.0  # ms that it had to wait before
 
 
 @dataclass
@@ -24,56 +24,61 @@
     """rate: a second, a quarter of a second's worth at once. again, again_most: ms between two of one forwarder,
     doubling while it comes back sooner than four times its last wait. Bounded by the numbers forwarders may have."""
 
-    rate: float
-    again: float
-    again_most: float
+    rate_per_second: float
+    min_interval_ms: float
+    max_interval_ms: float
     now: float
-    allowance: float = field(init=False)
-    counted: float = field(init=False)
-    habits: dict[int, JoinHistory] = field(default_factory=dict)
-    waiting: dict[int, float] = field(default_factory=dict)  # forwarder: not before
+    tokens: float = field(init=False)
+    replenished_at: float = field(init=False)
+    histories: dict[int, JoinHistory] = field(default_factory=dict)
+    admissible_at: dict[int, float] = field(default_factory=dict)  # forwarder: not before
     queue: list[tuple[float, int, int]] = field(default_factory=list)  # (not before, order of coming, forwarder)
-    counter: int = 0
+    last_sequence: int = 0
 
     def __post_init__(self) -> None:
-        self.allowance, self.counted = max(1.0, self.rate / 4), self.now
+        self.tokens, self.replenished_at = max(1.0, self.rate_per_second / 4), self.now
 
-    def ask(self, now: float, forwarder: int) -> float:
+    def request(self, now: float, forwarder: int) -> float:
         """A forwarder wants its tables; when it may have them at the soonest. Asked again, it keeps its place."""
-        if forwarder in self.waiting:
-            return self.waiting[forwarder]
-        habit, at = self.habits.get(forwarder), now
+        if forwarder in self.admissible_at:
+            return self.admissible_at[forwarder]
+        habit, at = self.histories.get(forwarder), now
         if habit is None:
-            self.habits[forwarder] = JoinHistory(now)
+            self.histories[forwarder] = JoinHistory(now)
         else:
-            soon = now - habit.last < max(self.again, habit.wait * 4.0)
-            habit.wait = min(self.again_most, max(self.again, habit.wait * 2.0)) if soon else 0.0
-            at = max(now, habit.last + habit.wait)
-        self.waiting[forwarder] = at
-        self.counter += 1
-        heapq.heappush(self.queue, (at, self.counter, forwarder))
+            soon = now - habit.last_admitted_at < max(self.min_interval_ms, habit.interval_ms * 4.0)
+            habit.interval_ms = (
+                min(self.max_interval_ms, max(self.min_interval_ms, habit.interval_ms * 2.0)) if soon else 0.0
+            )
+            at = max(now, habit.last_admitted_at + habit.interval_ms)
+        self.admissible_at[forwarder] = at
+        self.last_sequence += 1
+        heapq.heappush(self.queue, (at, self.last_sequence, forwarder))
         return at
 
-    def forget(self, forwarder: int) -> None:
+    def cancel(self, forwarder: int) -> None:
         """Its link is gone; what is known of its habits stays."""
-        self.waiting.pop(forwarder, None)
+        self.admissible_at.pop(forwarder, None)
 
-    def due(self, now: float) -> list[int]:
+    def admit_due(self, now: float) -> list[int]:
         """Who goes now, in order."""
-        self.allowance = min(max(1.0, self.rate / 4), self.allowance + (now - self.counted) * self.rate / 1000.0)
-        self.counted = now
+        self.tokens = min(
+            max(1.0, self.rate_per_second / 4),
+            self.tokens + (now - self.replenished_at) * self.rate_per_second / 1000.0,
+        )
+        self.replenished_at = now
         out = []
-        while self.queue and self.queue[0][0] <= now and self.allowance >= 1.0:
+        while self.queue and self.queue[0][0] <= now and self.tokens >= 1.0:
             at, _, forwarder = heapq.heappop(self.queue)
-            if self.waiting.get(forwarder) != at:
+            if self.admissible_at.get(forwarder) != at:
                 continue
-            del self.waiting[forwarder]
-            self.habits[forwarder].last = now
-            self.allowance -= 1.0
+            del self.admissible_at[forwarder]
+            self.histories[forwarder].last_admitted_at = now
+            self.tokens -= 1.0
             out.append(forwarder)
         return out
 
     def next_at(self, now: float) -> float | None:
         if not self.queue:
             return None
-        return max(self.queue[0][0], now + max(0.0, 1.0 - self.allowance) * 1000.0 / self.rate)
+        return max(self.queue[0][0], now + max(0.0, 1.0 - self.tokens) * 1000.0 / self.rate_per_second)
--- a/corallanding/controller/main.py
+++ b/corallanding/controller/main.py
@@ -38,11 +38,13 @@
         if take_over is None:
             wall, before = time.time() * 1000.0, starts.read()
             advice = advise_start(before, wall)
-            starts.keep([*before[-advice.count :], wall] if advice.count else [wall])
-            controller.trust_snapshot = advice.trust
-            if advice.wait:
-                log.error("crash loop: waiting before the next try", deaths=advice.count, wait_ms=advice.wait)
-                await asyncio.sleep(advice.wait / 1000.0)
+            starts.write([*before[-advice.recent_failures :], wall] if advice.recent_failures else [wall])
+            controller.trust_snapshot = advice.may_use_snapshot
+            if advice.wait_ms:
+                log.error(
+                    "crash loop: waiting before the next try", deaths=advice.recent_failures, wait_ms=advice.wait_ms
+                )
+                await asyncio.sleep(advice.wait_ms / 1000.0)
             await controller.start()
         else:
             pipe = HandoverPipe(socket.socket(fileno=take_over))
@@ -55,7 +57,7 @@
     except OSError as fault:
         log.error("cannot start", why=str(fault))
         return 5
-    calm = loop.call_later(STABLE_AFTER_MS / 1000.0, starts.keep, [])
+    calm = loop.call_later(STABLE_AFTER_MS / 1000.0, starts.write, [])
     retiring = list[asyncio.Task[None]]()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, lambda: retiring.append(loop.create_task(controller.retire())))
@@ -65,7 +67,7 @@
     code = await controller.stopped
     calm.cancel()
     if code == 0:
-        starts.keep([])
+        starts.write([])
     await asyncio.sleep(0.05)  # last words of the links
     if controller.handed_over:
         # The sockets are another process's now: nothing here may say goodbye on them.
--- a/corallanding/controller/peer_transport.py
+++ b/corallanding/controller/peer_transport.py
@@ -31,8 +31,8 @@
         dropped: Callable[[], None],
         given: socket.socket | None = None,
     ) -> None:
-        self.me, self.heard, self.dropped = me, heard, dropped
-        self.at = {number: loopback(address) for number, address in peers.items()}
+        self.controller_number, self.on_message, self.on_drop = me, heard, dropped
+        self.addresses = {number: loopback(address) for number, address in peers.items()}
         host, port = loopback(listen)
         if given is None:
             given = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_DGRAM)
@@ -42,20 +42,21 @@
                 given.close()
                 raise
         given.setblocking(False)
-        self.sock = given
-        self.hold(False)
+        self.socket = given
+        self.resume()
 
-    def hold(self, on: bool) -> None:
-        loop = asyncio.get_running_loop()
-        if on:
-            loop.remove_reader(self.sock)
-        else:
-            loop.add_reader(self.sock, self.read)
+    def suspend(self) -> None:
+        """Stop reading: what comes stays in the kernel's buffer."""
+        asyncio.get_running_loop().remove_reader(self.socket)
+
+    def resume(self) -> None:
+        """Read again."""
+        asyncio.get_running_loop().add_reader(self.socket, self.read)
 
     def read(self) -> None:
         for _ in range(AT_ONCE):
             try:
-                data, origin = self.sock.recvfrom(2048)
+                data, origin = self.socket.recvfrom(2048)
             except BlockingIOError:
                 return
             except OSError:
@@ -63,24 +64,24 @@
             try:
                 sender, payload = msgspec.msgpack.decode(data, type=tuple[int, bytes])
             except msgspec.DecodeError:
-                self.dropped()
+                self.on_drop()
                 continue
             # Its number alone would let any process of this machine speak as a steward.
-            if origin[:2] != self.at.get(str(sender)) or len(payload) > PAYLOAD:
-                self.dropped()
+            if origin[:2] != self.addresses.get(str(sender)) or len(payload) > PAYLOAD:
+                self.on_drop()
                 continue
-            self.heard(sender, payload)
+            self.on_message(sender, payload)
 
-    def say(self, peer: int | None, payload: bytes) -> None:
+    def send(self, peer: int | None, payload: bytes) -> None:
         """To one, or to all. What the socket does not take is lost, as datagrams may be."""
-        data = msgspec.msgpack.encode([self.me, payload])
-        for number in self.at if peer is None else [str(peer)]:
-            if to := self.at.get(number):
+        data = msgspec.msgpack.encode([self.controller_number, payload])
+        for number in self.addresses if peer is None else [str(peer)]:
+            if to := self.addresses.get(number):
                 try:
-                    self.sock.sendto(data, to)
+                    self.socket.sendto(data, to)
                 except OSError:
-                    self.dropped()
+                    self.on_drop()
 
     def close(self) -> None:
-        self.hold(True)
-        self.sock.close()
+        self.suspend()
+        self.socket.close()
--- a/corallanding/controller/persistence.py
+++ b/corallanding/controller/persistence.py
@@ -38,7 +38,7 @@
         except (snapshots.SnapshotFault, StateMismatchError, OSError) as fault:
             log.warning("snapshot not used; the tables alone are", why=str(fault))
             return None
-        self.clock.zero, self.log_number = state.zero, state.log
+        self.clock.zero, self.log_number = state.clock_zero_s, state.log_number
         self.stepped_at = self.clock()
         return state
 
@@ -50,13 +50,13 @@
             while (path := Path(self.log_path(self.log_number))).exists():
                 steps += recorder.read(path).steps
                 self.log_number += 1
-            self.view.origins = {(h, started): since for h, started, since in state.origins}
+            self.view.origins = {(h, started): since for h, started, since in state.host_origins}
             count, anew = restore(self.engine, state, steps, now)
         except (StateMismatchError, RecordingError, OSError) as fault:
             log.warning("snapshot not used; the tables alone are", why=str(fault))
             self.view.origins = origins
             return False
-        log.info("revived", life=state.life, steps=count, anew=len(anew), age_ms=round(now - state.now))
+        log.info("revived", life=state.start_number, steps=count, anew=len(anew), age_ms=round(now - state.captured_at))
         return True
 
     def log_path(self, number: int) -> str:
@@ -74,7 +74,7 @@
             return
         loop, c = asyncio.get_running_loop(), self.config.store
         loop.call_later(c.snapshot_every_ms / 1000.0, self.keep_state)
-        if self.paused or self.engine.overload.strained or (self.state_task and not self.state_task.done()):
+        if self.paused or self.engine.overload.is_overloaded or (self.state_task and not self.state_task.done()):
             return  # the log goes on meanwhile
         begun = self.clock()
         number = self.log_number + 1
@@ -82,7 +82,7 @@
         if state is None or c.snapshot_path is None:
             return
         try:
-            fresh = Recorder(self.log_path(number), self.settings, state.module.seed, c.log_most_mb * 1e6, True)
+            fresh = Recorder(self.log_path(number), self.settings, state.assigner.seed, c.log_most_mb * 1e6, True)
         except OSError as fault:
             self.rate_limited_log.warn("snapshot not kept", why=str(fault))
             return
@@ -128,7 +128,7 @@
                 "store does not write; tables go out unsaved",
                 why=str(fault),
                 faults=self.store_faults,
-                unsaved=len(self.engine.unsaved),
+                unsaved=len(self.engine.unsaved_tables),
             )
             return False
         if self.store_faults:
@@ -142,7 +142,9 @@
         assert self.keeper
         assert self.config.registry
         engine, stored = self.engine, False
-        tables = {t: dict(engine.state.tables.get(t, {})) for t in engine.unsaved if t in engine.charge}
+        tables = {
+            t: dict(engine.published.tables.get(t, {})) for t in engine.unsaved_tables if t in engine.owned_slices
+        }
         try:
             async with asyncio.timeout(self.config.registry.write_within_ms / 1000.0):
                 await self.keeper.write(tables)
@@ -151,11 +153,11 @@
             self.shared_fault("no answer in time")
         except Exception as fault:
             if isinstance(fault, Fenced):
-                engine.fenced(self.clock())
+                engine.on_writes_fenced(self.clock())
                 log.warning("fenced", why=str(fault))
             self.shared_fault(str(fault))
         if not stored and not self.keeper.charge.may_speak(self.clock()):
-            engine.fenced(self.clock())
+            engine.on_writes_fenced(self.clock())
         if stored:
             self.store_mended()
         self.writing = None
@@ -182,7 +184,7 @@
     def retry_store(self) -> None:
         if self.store_shut and not self.paused and not self.open_again():
             return
-        self.engine.store_waits = False
+        self.engine.is_store_backing_off = False
         if self.stopped and not self.stopped.done():
             self.wake()
 
@@ -199,9 +201,9 @@
             self.store_failed(self.clock(), str(fault), self.store_faults)
             return False
         self.reopened(life)
-        tables = self.engine.state.tables
+        tables = self.engine.published.tables
         self.engine.unsaved_resets |= set(life.tables) | set(tables)
-        self.engine.unsaved = {t: dict(rows) for t, rows in tables.items()}
+        self.engine.unsaved_tables = {t: dict(rows) for t, rows in tables.items()}
         log.info("the store is open again", life=life.start_number, faults=self.store_faults)
         self.store_mended()
         self.greet_all()
@@ -210,6 +212,6 @@
     def reopened(self, life: StoreContents) -> bool:
         """True if another process had the store since it was let go."""
         self.store_shut = False
-        spoke = life.start_number != self.engine.life.start_number + 1
-        self.engine.life.start_number = life.start_number
+        spoke = life.start_number != self.engine.start_number + 1
+        self.engine.start_number = life.start_number
         return spoke
--- a/corallanding/controller/proxy_connections.py
+++ b/corallanding/controller/proxy_connections.py
@@ -31,7 +31,7 @@
             if link is None:
                 continue
             if message.mark >= 0 and not link.link.marked(message.at, message.mark):
-                link.end("no-acks", "too many marks are not acked")
+                link.close("no-acks", "too many marks are not acked")
                 continue
             link.send(message.frame)
         m = self.metrics
@@ -54,52 +54,52 @@
         match frame:
             case frames.Hello():
                 self.hello(link, frame)
-            case frames.Ack() if link.joined:
+            case frames.Ack() if link.is_joined:
                 # The link has checked it and knows since when the mark was out.
                 number, at = link.link.acks.popleft()
-                self.engine.event(now, api.VersionAcked(link.forwarder, number, now - at))
+                self.engine.add_event(now, api.VersionAcked(link.proxy, number, now - at))
                 self.metrics.ack_seconds.observe((now - at) / 1000.0)
-            case frames.Sums() if link.joined:
-                self.engine.sums(now, link.forwarder, frame)
+            case frames.Sums() if link.is_joined:
+                self.engine.on_usage_report(now, link.proxy, frame)
             case frames.Read():
-                link.joined = False
-                self.joins.ask(now, link.forwarder)
+                link.is_joined = False
+                self.joins.request(now, link.proxy)
                 self.admit()
             case frames.Held():
-                if changed := self.engine.held(now, frame):
-                    log.warning("tables recalled", forwarder=link.forwarder, seq=frame.seq, slices=len(changed))
+                if changed := self.engine.on_recalled_tables(now, frame):
+                    log.warning("tables recalled", forwarder=link.proxy, seq=frame.seq, slices=len(changed))
                 self.join(link)
             case frames.Bye():
-                link.end("bye")
-            case _ if link.joined and self.cluster:
-                self.cluster.on_proxy_frame(link.forwarder, frame)
+                link.close("bye")
+            case _ if link.is_joined and self.cluster:
+                self.cluster.on_proxy_frame(link.proxy, frame)
         self.wake()
 
     def takes(self, link: ProxyConnection, takes: bool) -> None:
         """A forwarder's socket takes no more for now, or takes more again."""
-        if link.joined and self.forwarders.get(link.forwarder) is link:
-            self.channel.block(link.forwarder, not takes)
+        if link.is_joined and self.forwarders.get(link.proxy) is link:
+            self.channel.block(link.proxy, not takes)
             if takes:
                 self.pump()
 
     def hello(self, link: ProxyConnection, hello: frames.Hello) -> None:
         if hello.zone >= len(self.config.zones):
-            link.end("malformed", f"zone {hello.zone}: there are {len(self.config.zones)}")
+            link.close("malformed", f"zone {hello.zone}: there are {len(self.config.zones)}")
             return
         if hello.forwarder >= self.config.forwarders.most:
-            link.end("full", f"forwarder {hello.forwarder}: numbers end at {self.config.forwarders.most - 1}")
+            link.close("full", f"forwarder {hello.forwarder}: numbers end at {self.config.forwarders.most - 1}")
             return
         former = self.forwarders.get(hello.forwarder)
         if former and former.link.hello and former.link.hello.session != hello.session:
             # Two processes under one number: the one at work stays; silence takes it away soon enough.
             self.rate_limited_log.warn("forwarder number in use", forwarder=hello.forwarder)
-            link.end("number-in-use", "another process holds this number")
+            link.close("number-in-use", "another process holds this number")
             return
         if former:
-            former.end("superseded", "the same forwarder joined again")
+            former.close("superseded", "the same forwarder joined again")
         self.forwarders[hello.forwarder] = link
         self.strangers.pop(link, None)
-        self.joins.ask(self.clock(), hello.forwarder)
+        self.joins.request(self.clock(), hello.forwarder)
         self.admit()
 
     def admit(self) -> None:
@@ -107,8 +107,8 @@
         if self.paused:
             return
         now = self.clock()
-        for forwarder in self.joins.due(now):
-            if (link := self.forwarders.get(forwarder)) and link.link.hello and not link.joined:
+        for forwarder in self.joins.admit_due(now):
+            if (link := self.forwarders.get(forwarder)) and link.link.hello and not link.is_joined:
                 self.welcome(link, link.link.hello)
         if self.admitting:
             self.admitting.cancel()
@@ -122,7 +122,7 @@
         welcome = frames.Welcome(
             frames.VERSION,
             c.steward.number,
-            self.engine.life.start_number,
+            self.engine.start_number,
             c.forwarders.beat_ms,
             c.forwarders.silence_ms,
             c.reports.every_ms,
@@ -132,12 +132,12 @@
 
     def greet_all(self) -> None:
         """The store's life has changed under links that stand."""
-        for link in [x for x in self.links if x.joined and not x.over]:
+        for link in [x for x in self.links if x.is_joined and not x.is_closed]:
             self.greet(link)
 
     def welcome(self, link: ProxyConnection, hello: frames.Hello) -> None:
         self.greet(link)
-        if self.engine.wants_recall(self.clock(), hello):
+        if self.engine.needs_recall(self.clock(), hello):
             link.link.recalled = True
             link.send(frames.encode(frames.Recall()))
             wait = self.config.forwarders.beat_ms / 1000.0
@@ -148,32 +148,32 @@
     def join(self, link: ProxyConnection) -> None:
         """The forwarder gets its tables, and counts as joined from here on."""
         hello = link.link.hello
-        if link.over or link.joined or hello is None or self.forwarders.get(link.forwarder) is not link:
+        if link.is_closed or link.is_joined or hello is None or self.forwarders.get(link.proxy) is not link:
             return
         now = self.clock()
-        link.joined = True
+        link.is_joined = True
         link.link.marks.clear()
-        self.channel.join(link.forwarder)
-        self.channel.block(link.forwarder, link.paused)
-        link.send(self.engine.join(now, hello))
+        self.channel.join(link.proxy)
+        self.channel.block(link.proxy, link.is_write_paused)
+        link.send(self.engine.on_proxy_joined(now, hello))
         self.metrics.table_reads.inc()
-        self.metrics.proxies.set(len(self.engine.joined))
-        log.info("forwarder joined", forwarder=link.forwarder, zone=hello.zone, fresh=hello.fresh)
+        self.metrics.proxies.set(len(self.engine.proxy_zones))
+        log.info("forwarder joined", forwarder=link.proxy, zone=hello.zone, fresh=hello.fresh)
         if self.cluster:
-            self.cluster.on_proxy_joined(link.forwarder)
+            self.cluster.on_proxy_joined(link.proxy)
         self.wake()
 
     def gone(self, link: ProxyConnection) -> None:
         """A link is over: its forwarder has left, unless a later link of its has taken the place."""
         self.links.pop(link, None)
         self.strangers.pop(link, None)
-        f = link.forwarder
+        f = link.proxy
         if self.forwarders.get(f) is link:
             del self.forwarders[f]
-            self.joins.forget(f)
+            self.joins.cancel(f)
             self.channel.leave(f)
-            self.engine.leave(self.clock(), f)
-            self.metrics.proxies.set(len(self.engine.joined))
+            self.engine.on_proxy_left(self.clock(), f)
+            self.metrics.proxies.set(len(self.engine.proxy_zones))
             log.info("forwarder left", forwarder=f)
             if self.cluster:
                 self.cluster.on_proxy_left(f)
@@ -185,25 +185,25 @@
             return
         now, beat = self.clock(), self.config.forwarders.beat_ms
         late = max(0.0, now - self.watched_at - beat / 4.0)
-        self.engine.overload.lagged(late)
+        self.engine.overload.on_lateness(late)
         self.metrics.loop_lag_seconds.observe(late / 1000.0)
-        self.metrics.deferred_turns.set(self.engine.overload.put_off)
+        self.metrics.deferred_turns.set(self.engine.overload.delayed_timers)
         self.watched_at = now
-        if self.engine.overload.strained != self.strained:
+        if self.engine.overload.is_overloaded != self.strained:
             self.strained = not self.strained
             o = self.engine.overload
             log.warning(
                 "late: ordinary moves wait" if self.strained else "in time again",
-                lag_ms=round(o.lag, 1),
-                busy=round(o.busy, 2),
+                lag_ms=round(o.lateness_ms, 1),
+                busy=round(o.busy_share, 2),
             )
         data = frames.encode(frames.Beat(now))
         for link in () if self.paused else list(self.links):
             if why := link.link.overdue(now):
-                self.rate_limited_log.warn("link closed", forwarder=link.forwarder, why=why)
-                link.end(why.replace(" ", "-"), why)
-            elif link.joined and now - link.beat_at >= beat:
-                link.beat_at = now
+                self.rate_limited_log.warn("link closed", forwarder=link.proxy, why=why)
+                link.close(why.replace(" ", "-"), why)
+            elif link.is_joined and now - link.heartbeat_sent_at >= beat:
+                link.heartbeat_sent_at = now
                 link.send(data)
         if self.roster_dirty and not self.paused:
             self.keep_roster()
--- a/corallanding/controller/proxy_protocol.py
+++ b/corallanding/controller/proxy_protocol.py
@@ -46,15 +46,15 @@
         """handed: the connection was another process's."""
         self.steward, self.handed = steward, handed
         self.link = Link(steward.limits, steward.clock())
-        self.joined = self.over = self.paused = False
-        self.beat_at = steward.clock()
+        self.is_joined = self.is_closed = self.is_write_paused = False
+        self.heartbeat_sent_at = steward.clock()
         if handed:
             restore_connection(self.link, handed)
-            self.joined, self.beat_at = handed.joined, handed.beat_at
+            self.is_joined, self.heartbeat_sent_at = handed.is_joined, handed.heartbeat_sent_at
         self.transport: asyncio.Transport | None = None
 
     @property
-    def forwarder(self) -> int:
+    def proxy(self) -> int:
         return self.link.hello.forwarder if self.link.hello else -1
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -62,60 +62,60 @@
         self.transport = transport
         s, f = self.steward, self.steward.config.forwarders
         if len(s.links) >= f.most + f.strangers_most:
-            self.end("full", "too many links")
+            self.close("full", "too many links")
             return
         s.links[self] = None
         if self.handed:
-            s.forwarders[self.forwarder] = self
+            s.forwarders[self.proxy] = self
             return
         s.strangers[self] = None
         if len(s.strangers) > f.strangers_most:
             # Who means it says hello at once: those that keep silent must not take the places of those that come.
-            next(iter(s.strangers)).end("no-hello", "others wait for the place")
+            next(iter(s.strangers)).close("no-hello", "others wait for the place")
 
     def data_received(self, data: bytes) -> None:
-        if self.over:
+        if self.is_closed:
             return
         try:
             found = self.link.receive(self.steward.clock(), data)
         except LinkFault as fault:
-            self.steward.rate_limited_log.warn("link fault", forwarder=self.forwarder, code=fault.code, why=str(fault))
-            self.end(fault.code, str(fault))
+            self.steward.rate_limited_log.warn("link fault", forwarder=self.proxy, code=fault.code, why=str(fault))
+            self.close(fault.code, str(fault))
             return
         for frame in found:
-            if not self.over:
+            if not self.is_closed:
                 self.steward.frame(self, frame)
 
     @property
-    def unsent(self) -> int:
-        return self.transport.get_write_buffer_size() if self.transport and not self.over else 0
+    def unsent_bytes(self) -> int:
+        return self.transport.get_write_buffer_size() if self.transport and not self.is_closed else 0
 
     def send(self, data: bytes) -> bool:
         """False if the forwarder reads too slowly: it is cut off, and reads the store when it is back."""
-        if self.over or self.transport is None:
+        if self.is_closed or self.transport is None:
             return False
         self.transport.write(data)
         if self.transport.get_write_buffer_size() > self.steward.limits.buffer_most:
-            self.steward.rate_limited_log.warn("link cut off", forwarder=self.forwarder, why="it does not read")
-            self.end("not-reading", "")
+            self.steward.rate_limited_log.warn("link cut off", forwarder=self.proxy, why="it does not read")
+            self.close("not-reading", "")
             return False
         return True
 
     def pause_writing(self) -> None:
         """The socket's buffer is full: later orders wait in the channel, where a drain can still overtake them."""
-        self.paused = True
+        self.is_write_paused = True
         self.steward.takes(self, False)
 
     def resume_writing(self) -> None:
-        self.paused = False
-        if not self.over:
+        self.is_write_paused = False
+        if not self.is_closed:
             self.steward.takes(self, True)
 
-    def end(self, code: str, text: str = "") -> None:
+    def close(self, code: str, text: str = "") -> None:
         """Close this one link, saying why if the other side still reads."""
-        if self.over:
+        if self.is_closed:
             return
-        self.over = True
+        self.is_closed = True
         self.steward.metrics.links_closed.labels(code).inc()
         if self.transport:
             if code in ("not-reading", "silent"):
@@ -128,7 +128,7 @@
         self.steward.gone(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if not self.over:
-            self.over = True
+        if not self.is_closed:
+            self.is_closed = True
             self.steward.metrics.links_closed.labels("broken" if exc else "closed").inc()
             self.steward.gone(self)
--- a/corallanding/controller/recorder.py
+++ b/corallanding/controller/recorder.py
@@ -47,7 +47,7 @@
         """after: bytes that the process before this one wrote, which goes on where that ended."""
         self.path = Path(path).resolve()
         self.file: BinaryIO = open(path, "r+b" if after else "wb", buffering=0)
-        self.most, self.written, self.full, self.why = most, after, False, ""
+        self.max_bytes, self.written_bytes, self.is_stopped, self.stop_reason = most, after, False, ""
         if after:
             self.file.seek(after)
             self.file.truncate()
@@ -58,20 +58,20 @@
     def item(self, value: Any) -> None:
         body = _encoder.encode(value)
         data = len(body).to_bytes(4, "big") + body
-        if self.written + len(data) > self.most:
-            self.full, self.why = True, f"{self.most / 1e6:g} MB are written"
-        if self.full:
+        if self.written_bytes + len(data) > self.max_bytes:
+            self.is_stopped, self.stop_reason = True, f"{self.max_bytes / 1e6:g} MB are written"
+        if self.is_stopped:
             return
         try:
             took = self.file.write(data)
         except OSError as fault:
-            self.full, self.why = True, str(fault)
+            self.is_stopped, self.stop_reason = True, str(fault)
             return
-        self.written += took
+        self.written_bytes += took
         if took < len(data):
-            self.full, self.why = True, "the disk took a part of an item"  # which readers see as torn off
+            self.is_stopped, self.stop_reason = True, "the disk took a part of an item"  # which readers see as torn off
 
-    def step(self, now: float, events: Sequence[api.Event], actions: Sequence[api.Action]) -> None:
+    def write_step(self, now: float, events: Sequence[api.Event], actions: Sequence[api.Action]) -> None:
         self.item([now, [pack(e) for e in events], [pack(a) for a in actions]])
 
     def close(self) -> None:
@@ -83,8 +83,8 @@
     settings: api.Settings
     seed: int
     steps: list[tuple[float, list[Any], list[Any]]]
-    torn: bool  # the last item was cut off
-    middle: bool = False  # it begins in the middle of a life, after a snapshot
+    is_truncated: bool  # the last item was cut off
+    starts_after_snapshot: bool = False  # it begins in the middle of a life, after a snapshot
 
 
 def items(data: bytes) -> Iterator[bytes]:
@@ -111,7 +111,7 @@
         found = Recording(settings, int(head["seed"]), [], False, bool(head.get("middle")))
         for part in parts:
             if not part:
-                found.torn = True
+                found.is_truncated = True
                 break
             now, events, actions = _decoder.decode(part)
             found.steps.append((float(now), [unpack(e) for e in events], [unpack(a) for a in actions]))
@@ -129,7 +129,7 @@
 
 def compare(found: Recording, decider: Any) -> str:
     """Runs the recording through `decider(settings, seed)`; the first difference as text, or ''."""
-    if found.middle:
+    if found.starts_after_snapshot:
         return "begins in the middle of a life, after a snapshot: it cannot be run through by itself"
     module = decider(found.settings, found.seed)
     for number, (now, events, want) in enumerate(found.steps, 1):
--- a/corallanding/controller/recovery.py
+++ b/corallanding/controller/recovery.py
@@ -27,19 +27,19 @@
 
 
 class ControllerState(msgspec.Struct):
-    number: int = msgspec.field(name="number")  # of the steward
-    settings: bytes = msgspec.field(name="settings")  # digest of what the module goes by
-    boot: str = msgspec.field(name="boot")  # of the machine: its monotonic clock goes on while this is the same
-    zero: float = msgspec.field(name="zero")  # where on it the steward's clock begins, s
-    now: float = msgspec.field(name="now")
-    life: int = msgspec.field(name="life")
-    log: int = msgspec.field(name="log")  # number of the log whose steps come after this
-    module: ModuleState = msgspec.field(name="module")
-    levels: list[tuple[int, int, float, int]] = msgspec.field(name="levels")
-    cordons: list[int] = msgspec.field(name="cordons")
-    points: list[tuple[int, list[tuple[int, int]]]] = msgspec.field(name="points")
+    controller_number: int = msgspec.field(name="number")  # of the steward
+    settings_digest: bytes = msgspec.field(name="settings")  # digest of what the module goes by
+    boot_id: str = msgspec.field(name="boot")  # of the machine: its monotonic clock goes on while this is the same
+    clock_zero_s: float = msgspec.field(name="zero")  # where on it the steward's clock begins, s
+    captured_at: float = msgspec.field(name="now")
+    start_number: int = msgspec.field(name="life")
+    log_number: int = msgspec.field(name="log")  # number of the log whose steps come after this
+    assigner: ModuleState = msgspec.field(name="module")
+    admissions: list[tuple[int, int, float, int]] = msgspec.field(name="levels")
+    cordoned_hosts: list[int] = msgspec.field(name="cordons")
+    assignments: list[tuple[int, list[tuple[int, int]]]] = msgspec.field(name="points")
     timers: list[tuple[float, int]] = msgspec.field(name="timers")
-    origins: list[tuple[int, float, float]] = msgspec.field(
+    host_origins: list[tuple[int, float, float]] = msgspec.field(
         name="origins"
     )  # host, its start as listed, the same on the steward's clock
 
@@ -60,21 +60,21 @@
     engine: Engine, number: int, boot: str, zero: float, origins: dict[tuple[int, float], float], log: int
 ) -> ControllerState | None:
     """Between two steps. None if the module is not one that can be kept."""
-    if not isinstance(engine.module, Assigner):
+    if not isinstance(engine.assigner, Assigner):
         return None
-    s = engine.state
+    s = engine.published
     return ControllerState(
         number,
-        settings_digest(engine.set),
+        settings_digest(engine.settings),
         boot,
         zero,
         engine.now,
-        engine.life.start_number,
+        engine.start_number,
         log,
-        dump(engine.module),
-        [(t, bits, a, r) for (t, bits), (a, r) in s.levels.items()],
-        sorted(s.cordons),
-        [(f, list(rows.items())) for f, rows in s.points.items()],
+        dump(engine.assigner),
+        [(t, bits, a, r) for (t, bits), (a, r) in s.admissions.items()],
+        sorted(s.cordoned_hosts),
+        [(f, list(rows.items())) for f, rows in s.assignments.items()],
         [(at, h) for at, _, h in sorted(engine.timers)],
         [(h, started, since) for (h, started), since in origins.items()],
     )
@@ -82,14 +82,14 @@
 
 def check_state(state: ControllerState, number: int, settings: api.Settings, boot: str, life: int) -> None:
     """Raises `Unfit`."""
-    if state.number != number:
-        raise StateMismatchError(f"it is of steward {state.number}, this is {number}")
-    if state.settings != settings_digest(settings):
+    if state.controller_number != number:
+        raise StateMismatchError(f"it is of steward {state.controller_number}, this is {number}")
+    if state.settings_digest != settings_digest(settings):
         raise StateMismatchError("the settings that decisions go by are others now")
-    if state.boot != boot or not boot:
+    if state.boot_id != boot or not boot:
         raise StateMismatchError("the machine has been started anew: its clock tells nothing of then")
-    if state.life != life - 1:
-        raise StateMismatchError(f"it is of life {state.life}, the last one was {life - 1}")
+    if state.start_number != life - 1:
+        raise StateMismatchError(f"it is of life {state.start_number}, the last one was {life - 1}")
 
 
 def restore(
@@ -107,12 +107,12 @@
     Raises `Unfit`; the engine is untouched then.
     """
     try:
-        module = module or load(engine.set, state.module)
+        module = module or load(engine.settings, state.assigner)
     except ValueError as fault:
         raise StateMismatchError(str(fault)) from None
     timers: list[tuple[float, int]]
-    levels = {(t, bits): (a, r) for t, bits, a, r in state.levels}
-    cordons, timers, count = set(state.cordons), list(state.timers), 0
+    levels = {(t, bits): (a, r) for t, bits, a, r in state.admissions}
+    cordons, timers, count = set(state.cordoned_hosts), list(state.timers), 0
     for at, events, actions in steps:
         for e in events:
             if isinstance(e, api.TimerFired) and (due := [t for t in timers if t[1] == e.timer]):
@@ -129,24 +129,24 @@
                 (cordons.add if a.is_cordoned else cordons.discard)(a.host)
     if module.publication.now_ms > now:
         raise StateMismatchError("its clock is ahead of this one")
-    engine.module, engine.steps, engine.now = module, 1, module.publication.now_ms
-    engine.can_wait = getattr(module, "deferrable_timer", None)
-    engine.state.levels, engine.state.cordons = levels, cordons
+    engine.assigner, engine.step_count, engine.now = module, 1, module.publication.now_ms
+    engine.deferrable_timer = getattr(module, "deferrable_timer", None)
+    engine.published.admissions, engine.published.cordoned_hosts = levels, cordons
     engine.timers = [(when, n, handle) for n, (when, handle) in enumerate(sorted(timers), 1)]  # sorted: a heap
-    engine.counter += len(timers)
+    engine.last_sequence += len(timers)
     for h in module.hosts.values():
         if h.is_being_checked:  # that probe died with the last life, and says nothing
-            engine.event(now, api.HealthCheckResult(h.id, api.HealthCheckOutcome.FULL))
+            engine.add_event(now, api.HealthCheckResult(h.id, api.HealthCheckOutcome.FULL))
     for proxy in module.pending_versions.unacked_by_proxy if gone else ():
-        engine.event(now, api.ProxyLeft(proxy))
+        engine.add_event(now, api.ProxyLeft(proxy))
     # The store has the last word on tables: what differs, and what is new or gone, is told as ever.
     anew = []
-    for id in [s for s in module.slices if s not in engine.charge]:
-        engine.event(now, api.SliceOwnershipChange(id, False))
-    for id in sorted(engine.charge):
-        kept = engine.state.tables.get(id, {})
+    for id in [s for s in module.slices if s not in engine.owned_slices]:
+        engine.add_event(now, api.SliceOwnershipChange(id, False))
+    for id in sorted(engine.owned_slices):
+        kept = engine.published.tables.get(id, {})
         here = module.slices.get(id)
         if here is None or {h.id for h in here.weights} != set(kept):
-            engine.given(now, id)
+            engine.add_slice_events(now, id)
             anew.append(id)
     return count, anew
--- a/corallanding/controller/status_views.py
+++ b/corallanding/controller/status_views.py
@@ -33,12 +33,12 @@
         return HttpResponse(200, json.dumps(page).encode() + b"\n")
 
     def tables_page(self) -> HttpResponse:
-        state = self.engine.state
+        state = self.engine.published
         page = {
-            "life": self.engine.life.start_number,
+            "life": self.engine.start_number,
             "seq": self.engine.seq,
-            "cordons": sorted(state.cordons),
-            "levels": [[t, bits, a, r] for (t, bits), (a, r) in state.levels.items()],
+            "cordons": sorted(state.cordoned_hosts),
+            "levels": [[t, bits, a, r] for (t, bits), (a, r) in state.admissions.items()],
             "tables": {str(t): {str(h): w for h, w in sorted(row.items())} for t, row in state.tables.items()},
         }
         return HttpResponse(200, json.dumps(page).encode() + b"\n")
--- a/corallanding/lab/fleet/emulate.py
+++ b/corallanding/lab/fleet/emulate.py
@@ -225,8 +225,8 @@
         found: dict[int, set[int]] = {}
         for me, steward in self.stewards.items():
             if self.machines[me].alive:
-                tables = steward.engine.state.tables
-                found |= {t: set(tables.get(t, {})) for t in steward.engine.charge}
+                tables = steward.engine.published.tables
+                found |= {t: set(tables.get(t, {})) for t in steward.engine.owned_slices}
         return found
 
     async def end_stewards(self) -> None:
--- a/corallanding/lab/fleet/recorded.py
+++ b/corallanding/lab/fleet/recorded.py
@@ -123,7 +123,7 @@
         proxies,
         sum(e.unanswered for _, e in sums) / max(came, 1.0),
         sum(w.count for w in more),
-        rec.torn,
+        rec.is_truncated,
         [round(float(1.0 - u / c), 4) if c else 1.0 for c, u in told.T],
     )
 
--- a/corallanding/platform/service.py
+++ b/corallanding/platform/service.py
@@ -81,7 +81,7 @@
         strangers = max(16, min(256, sockets - 2 * RESERVED))
         self.door = Door(self.config.listen, self.intake, strangers, self.tell, self.said)
         if saved := self.lists.saved(self.config.known):
-            self.turns.event(self.clock(), saved)
+            self.turns.add_event(self.clock(), saved)
         self.step()
         self.news_link.start()
         self.agent.start()
@@ -161,7 +161,7 @@
                 log.info("sums: %s", e)
             if self.trace and isinstance(e, api.SliceOwnershipChange | api.ProxyLeft | api.ProxyJoined):
                 log.info("news: %s", e)
-            self.turns.event(now, e)
+            self.turns.add_event(now, e)
         self.wake()
 
     def probed(self, e: api.HealthCheckResult) -> None:
@@ -185,7 +185,7 @@
             return
         now = self.clock()
         at = max(now, self.stepped_at + max(self.config.settings.decision_interval_ms, self.took))
-        if not self.turns.inbox:
+        if not self.turns.pending_events:
             if not self.turns.timers:
                 return
             at = max(at, self.turns.timers[0][0])
@@ -197,10 +197,10 @@
 
     def step(self) -> None:
         self.due_at, begun = float("inf"), self.clock()
-        self.turns.fall_due(begun)
-        events = self.turns.collect()
+        self.turns.fire_due_timers(begun)
+        events = self.turns.take_events()
         try:
-            actions = self.turns.deliver(begun, events)
+            actions = self.turns.run_step(begun, events)
         except Exception:
             # A defect to mend. The events of this step are lost, what was known before stands; its timers come again,
             # or no turn would ever come. Could go on for good with a state that is not sound: the log tells.
@@ -220,7 +220,7 @@
     def warm(self) -> None:
         """Marks ahead of need, a few at a time, so that the listener keeps answering."""
         self.warming = None
-        if self.turns.ahead(AHEAD):
+        if self.turns.precompute_scores(AHEAD):
             self.warming = self.loop.call_later(0.01, self.warm)
 
     def carry_out(self, now: float, actions: list[api.Action]) -> None:
@@ -232,7 +232,7 @@
                     if isinstance(a, api.PublishVersion):
                         self.gaps.ordered(a.version, now)
                 case api.StartTimer():
-                    self.turns.remind(now + a.delay_ms, a.timer)
+                    self.turns.start_timer(now + a.delay_ms, a.timer)
                 case api.CheckHealth():
                     self.prober.check(a.host, self.view.addresses.get(a.host, ""))
                 case api.WatchHostList():
--- a/corallanding/platform/trace.py
+++ b/corallanding/platform/trace.py
@@ -77,5 +77,5 @@
         f"calls={s.calls.count} waiting={len(s.calls.waiting)} step={s.took:.1f}/{s.took_most:.1f} "
         f"cpu={usage.ru_utime + usage.ru_stime:.2f} rss={usage.ru_maxrss // 1024}"
     )
-    if isinstance(s.turns.module, Assigner):
-        yield from module(s.turns.module)
+    if isinstance(s.turns.assigner, Assigner):
+        yield from module(s.turns.assigner)
--- a/corallanding/upgrade/core.py
+++ b/corallanding/upgrade/core.py
@@ -57,21 +57,21 @@
 class Predecessor:
     """The process that speaks now. within: ms for each phase. ended: why it came to an end without handing over."""
 
-    within: float
+    timeout_ms: float
     phase: Phase = Phase.IDLE
     deadline: float = 0.0
-    why: str = ""
+    failure: str = ""
 
-    def begin(self, now: float) -> list[HandoverCommand]:
-        self.phase, self.deadline, self.why = Phase.SPAWNED, now + self.within, ""
+    def start(self, now: float) -> list[HandoverCommand]:
+        self.phase, self.deadline, self.failure = Phase.SPAWNED, now + self.timeout_ms, ""
         return [HandoverCommand.SPAWN]
 
-    def heard(self, now: float, what: str, detail: str = "") -> list[HandoverCommand]:
-        self.deadline = now + self.within
+    def on_message(self, now: float, what: str, detail: str = "") -> list[HandoverCommand]:
+        self.deadline = now + self.timeout_ms
         match self.phase, what:
             case Phase.SPAWNED, "ready":
                 if detail != str(PROTOCOL):
-                    return self.back(f"the new process speaks handover protocol {detail}, this one {PROTOCOL}")
+                    return self.abort(f"the new process speaks handover protocol {detail}, this one {PROTOCOL}")
                 self.phase = Phase.OFFERED
                 return [HandoverCommand.PAUSE, HandoverCommand.SEND_STATE]
             case Phase.OFFERED, "checked":
@@ -81,25 +81,25 @@
                 self.phase = Phase.OVER
                 return [HandoverCommand.EXIT]
             case _, "failed":
-                return self.back(detail)
-        return self.back(f"{what!r} came while {self.phase.value}")
+                return self.abort(detail)
+        return self.abort(f"{what!r} came while {self.phase.value}")
 
-    def lost(self, now: float) -> list[HandoverCommand]:
+    def on_peer_lost(self, now: float) -> list[HandoverCommand]:
         """The new process is gone, or its end of the pipe."""
-        return self.back("the new process ended")
+        return self.abort("the new process ended")
 
-    def tick(self, now: float) -> list[HandoverCommand]:
+    def on_tick(self, now: float) -> list[HandoverCommand]:
         if self.phase in (Phase.IDLE, Phase.OVER) or now < self.deadline:
             return []
-        return self.back(f"nothing came from the new process within {self.within:g} ms ({self.phase.value})")
+        return self.abort(f"nothing came from the new process within {self.timeout_ms:g} ms ({self.phase.value})")
 
-    def back(self, why: str) -> list[HandoverCommand]:
+    def abort(self, why: str) -> list[HandoverCommand]:
         if self.phase in (Phase.IDLE, Phase.OVER):
             return []
-        self.phase, self.why = Phase.IDLE, why
+        self.phase, self.failure = Phase.IDLE, why
         return [HandoverCommand.END_OTHER, HandoverCommand.RESUME]
 
-    def beaten(self) -> list[HandoverCommand]:
+    def on_lock_lost(self) -> list[HandoverCommand]:
         """The arbiter is the other's: it takes over, and this process is as good as dead."""
         self.phase = Phase.OVER
         return [HandoverCommand.EXIT]
@@ -109,16 +109,16 @@
 class Successor:
     """The process that is to speak."""
 
-    within: float
+    timeout_ms: float
     phase: Phase = Phase.STARTING
     deadline: float = 0.0
 
-    def begin(self, now: float) -> list[HandoverCommand]:
-        self.phase, self.deadline = Phase.WAITING, now + self.within
+    def start(self, now: float) -> list[HandoverCommand]:
+        self.phase, self.deadline = Phase.WAITING, now + self.timeout_ms
         return [HandoverCommand.SEND_READY]
 
-    def heard(self, now: float, what: str, detail: str = "") -> list[HandoverCommand]:
-        self.deadline = now + self.within
+    def on_message(self, now: float, what: str, detail: str = "") -> list[HandoverCommand]:
+        self.deadline = now + self.timeout_ms
         match self.phase, what:
             case Phase.WAITING, "state":
                 return [HandoverCommand.LOAD]
@@ -128,21 +128,21 @@
         self.phase = Phase.OVER
         return [HandoverCommand.EXIT]
 
-    def loaded(self, now: float, ok: bool) -> list[HandoverCommand]:
+    def on_state_loaded(self, now: float, ok: bool) -> list[HandoverCommand]:
         if not ok:
             self.phase = Phase.OVER
             return [HandoverCommand.SEND_FAILED, HandoverCommand.EXIT]
-        self.phase, self.deadline = Phase.CHECKED, now + self.within
+        self.phase, self.deadline = Phase.CHECKED, now + self.timeout_ms
         return [HandoverCommand.SEND_CHECKED]
 
-    def opened(self, now: float, ok: bool) -> list[HandoverCommand]:
+    def on_store_opened(self, now: float, ok: bool) -> list[HandoverCommand]:
         """The store was opened, or not: then the old one takes it again."""
         if ok:
             return []
         self.phase = Phase.OVER
         return [HandoverCommand.SEND_FAILED, HandoverCommand.EXIT]
 
-    def lost(self, now: float) -> list[HandoverCommand]:
+    def on_peer_lost(self, now: float) -> list[HandoverCommand]:
         """The old process is gone: nothing but this one is left."""
         match self.phase:
             case Phase.CHECKED:
@@ -153,12 +153,12 @@
                 return [HandoverCommand.COLD_START]
         return []
 
-    def tick(self, now: float) -> list[HandoverCommand]:
+    def on_tick(self, now: float) -> list[HandoverCommand]:
         if self.phase not in (Phase.WAITING, Phase.CHECKED) or now < self.deadline:
             return []
         # It stands still, and may wake up.
-        return [HandoverCommand.END_OTHER, *self.lost(now)]
+        return [HandoverCommand.END_OTHER, *self.on_peer_lost(now)]
 
-    def beaten(self) -> list[HandoverCommand]:
+    def on_lock_lost(self) -> list[HandoverCommand]:
         self.phase = Phase.OVER
         return [HandoverCommand.EXIT]
--- a/corallanding/upgrade/pipe.py
+++ b/corallanding/upgrade/pipe.py
@@ -31,7 +31,7 @@
         sock.setblocking(True)
         self.sock = sock
 
-    def say(self, word: str, detail: bytes = b"") -> None:
+    def send_message(self, word: str, detail: bytes = b"") -> None:
         """Raises `Gone`."""
         body = msgspec.msgpack.encode((word, detail))
         try:
@@ -39,7 +39,7 @@
         except OSError as fault:
             raise PipeClosedError(str(fault)) from None
 
-    def hear(self) -> tuple[str, bytes]:
+    def receive_message(self) -> tuple[str, bytes]:
         """Raises `Gone`."""
         length = int.from_bytes(self.take(4), "big")
         if length > MOST:
@@ -62,7 +62,7 @@
             data += got
         return bytes(data)
 
-    def give(self, fds: list[int]) -> None:
+    def send_descriptors(self, fds: list[int]) -> None:
         """Descriptors, in order. Raises `Gone`."""
         for at in range(0, len(fds), AT_ONCE):
             try:
@@ -70,7 +70,7 @@
             except OSError as fault:
                 raise PipeClosedError(str(fault)) from None
 
-    def receive(self, count: int) -> list[int]:
+    def receive_descriptors(self, count: int) -> list[int]:
         """As many as were given; all are closed if they do not come whole. Raises `Gone`."""
         found: list[int] = []
         try:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -122,13 +122,13 @@
 
     @property
     def module(self) -> Scripted:
-        module = self.steward.engine.module
+        module = self.steward.engine.assigner
         assert isinstance(module, Scripted)
         return module
 
     def do(self, *actions: api.Action) -> None:
         self.module.todo += actions
-        self.steward.engine.event(self.steward.clock(), api.TimerFired(99))
+        self.steward.engine.add_event(self.steward.clock(), api.TimerFired(99))
         self.steward.wake()
 
     async def peer(self) -> Peer:
--- a/tests/stored_samples.py
+++ b/tests/stored_samples.py
@@ -222,13 +222,13 @@
 
     def begin(self) -> None:
         entries = tuple(api.HostEntry(host) for host in range(HOSTS))
-        self.engine.begin(self.now, api.HostListUpdate(api.HostListKind.FULL, 1, entries))
+        self.engine.start(self.now, api.HostListUpdate(api.HostListKind.FULL, 1, entries))
         for forwarder in range(FORWARDERS):
             self.join(forwarder)
 
     def join(self, forwarder: int) -> None:
         self.channel.join(forwarder)
-        frame = self.engine.join(self.now, frames.Hello(1, forwarder, f"{forwarder}"))
+        frame = self.engine.on_proxy_joined(self.now, frames.Hello(1, forwarder, f"{forwarder}"))
         self.said.append(f"{forwarder} tables {frame.hex()}")
 
     def turn(self, number: int) -> None:
@@ -236,22 +236,22 @@
         self.now += chance.choice((60.0, 125.0, 300.0))
         for forwarder in range(FORWARDERS):
             if chance.random() < 0.05:
-                self.joins.ask(self.now, forwarder)
+                self.joins.request(self.now, forwarder)
             if chance.random() < 0.1:
                 self.channel.block(forwarder, chance.random() < 0.5)
-        for forwarder in self.joins.due(self.now):
+        for forwarder in self.joins.admit_due(self.now):
             self.join(forwarder)
         if chance.random() < 0.15:
             entry = api.HostEntry(chance.randrange(HOSTS), 0, 0, 0, chance.choice(("draining", "up")))
-            engine.event(self.now, api.HostListUpdate(api.HostListKind.CHANGES, number, (entry,)))
+            engine.add_event(self.now, api.HostListUpdate(api.HostListKind.CHANGES, number, (entry,)))
         if chance.random() < 0.5:
             met = [(host, 9, 9 if host == 3 else chance.choice((0, 0, 9)), 900.0) for host in range(HOSTS)]
             came = [(slice, 0, chance.randrange(20), 0) for slice in range(SLICES)]
-            engine.sums(self.now, chance.randrange(FORWARDERS), frames.Sums(1000.0, met, came))
+            engine.on_usage_report(self.now, chance.randrange(FORWARDERS), frames.Sums(1000.0, met, came))
         if chance.random() < 0.4:
-            engine.event(self.now, api.VersionAcked(chance.randrange(FORWARDERS), number // 8, 5.0))
+            engine.add_event(self.now, api.VersionAcked(chance.randrange(FORWARDERS), number // 8, 5.0))
         engine.decide(self.now)
-        self.steps.append(engine.last)
+        self.steps.append(engine.last_step)
         for output in engine.publish(chance.random() < 0.9):
             if isinstance(output, SendFrame):
                 self.channel.submit(
@@ -268,12 +268,12 @@
 
     def add_helper(self) -> None:
         """Slice 0 gets a second host, as under high demand, which these turns do not bring about."""
-        module = self.engine.module
+        module = self.engine.assigner
         assert isinstance(module, Assigner)
         one, host = module.slices[0], module.hosts[2]
         assert host not in one.weights
         one.replicas.append(host)
-        one.weights[host] = self.engine.state.tables[0][2] = 1.0
+        one.weights[host] = self.engine.published.tables[0][2] = 1.0
 
     def state(self) -> ControllerState:
         found = capture_state(self.engine, 1, "boot", 5.0, {(3, 1.0): 7.0, (4, 2.0): 8.0}, 2)
@@ -295,14 +295,14 @@
 def handed(rig: Rig) -> HandoverState:
     """The rig's own state, and one of each thing that it has not come to."""
     engine = rig.engine
-    engine.unsaved, engine.unsaved_resets = {2: {1: 1.0, 3: 0.0}}, {2}
-    engine.state.points = {1: {2: 3}}
-    engine.going = {5}
+    engine.unsaved_tables, engine.unsaved_resets = {2: {1: 1.0, 3: 0.0}}, {2}
+    engine.published.assignments = {1: {2: 3}}
+    engine.leaving_hosts = {5}
     for _, event in EVENTS:
-        engine.event(rig.now, event)
-    engine.gather.add(rig.now, 1, 0, frames.Sums(900.0, [(1, 9, 1, 8.0)], [(2, 0, 7, 2)], [(0, 6, 3)]), ADDRESSES, {2})
-    rig.joins.ask(rig.now, 1)
-    rig.joins.ask(rig.now, 2)
+        engine.add_event(rig.now, event)
+    engine.usage.add(rig.now, 1, 0, frames.Sums(900.0, [(1, 9, 1, 8.0)], [(2, 0, 7, 2)], [(0, 6, 3)]), ADDRESSES, {2})
+    rig.joins.request(rig.now, 1)
+    rig.joins.request(rig.now, 2)
     roster = (12, list(ENTRIES), dict(ADDRESSES), dict(STARTED), [0, 1, 5])
     return capture_handover(
         engine, rig.state(), rig.channel, links(), rig.joins, roster, {1: 0.5, 2: 0.84}, FEED, ("/var/s.rec", 4096)
--- a/tests/test_budgets_config.py
+++ b/tests/test_budgets_config.py
@@ -90,7 +90,7 @@
             before = s.metrics.dropped_peer_datagrams._value.get()
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
                 for said in (b"", b"\x92\x01\xc4\x01\xc1", msgspec.msgpack.encode([0, b"\xc1\x95"])):
-                    stranger.sendto(said, s.peers.sock.getsockname())
+                    stranger.sendto(said, s.peers.socket.getsockname())
                 await until(lambda: s.metrics.dropped_peer_datagrams._value.get() == before + 3)
             _, page = await r.get("GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")
             assert b'corallanding_budget_in_use{budget="probes"}' in page
--- a/tests/test_crossings_life.py
+++ b/tests/test_crossings_life.py
@@ -22,7 +22,7 @@
         async with life(tmp_path, FOR_EVER) as it, Stand() as other:
             await it.serve()
             said = await it.calling()
-            dials, steps = Dials(), it.service.turns.steps
+            dials, steps = Dials(), it.service.turns.step_count
             it.service.stop()
             it.service.stop()
             await it.news.gone()
@@ -35,7 +35,7 @@
             assert not it.running.done(), "the call in flight may end"
             it.call.say(taken(said["id"], len(said["params"]["ops"])))
             await it.running
-            assert it.service.turns.steps == steps
+            assert it.service.turns.step_count == steps
             assert not dials.count
 
     play(scene)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -24,10 +24,10 @@
 
 
 def test_a_thousand_joins_go_at_the_pace_and_in_the_order_of_coming() -> None:
-    joins = JoinAdmission(rate=100.0, again=500.0, again_most=4000.0, now=0.0)
+    joins = JoinAdmission(rate_per_second=100.0, min_interval_ms=500.0, max_interval_ms=4000.0, now=0.0)
     for f in range(1000):
-        joins.ask(0.0, f)
-    log = [(now, f) for now in range(0, 12_000, 10) for f in joins.due(float(now))]
+        joins.request(0.0, f)
+    log = [(now, f) for now in range(0, 12_000, 10) for f in joins.admit_due(float(now))]
     assert [f for _, f in log] == list(range(1000))
     assert len([1 for now, _ in log if now == 0]) == 25
     assert 9_700 <= log[-1][0] <= 9_800
@@ -35,45 +35,45 @@
 
 
 def test_one_that_comes_in_a_loop_waits_longer_and_does_not_hold_up_the_others() -> None:
-    joins = JoinAdmission(rate=10.0, again=500.0, again_most=4000.0, now=0.0)
+    joins = JoinAdmission(rate_per_second=10.0, min_interval_ms=500.0, max_interval_ms=4000.0, now=0.0)
     went: dict[int, list[int]] = {1: [], 2: []}
     for now in range(0, 60_000, 10):
-        joins.ask(float(now), 1)  # joins again at once, for ever
+        joins.request(float(now), 1)  # joins again at once, for ever
         if now == 30_000:
-            joins.ask(float(now), 2)
-        for f in joins.due(float(now)):
+            joins.request(float(now), 2)
+        for f in joins.admit_due(float(now)):
             went[f].append(now)
     gaps = [b - a for a, b in zip(went[1], went[1][1:], strict=False)]
     assert gaps[:5] == [500, 1000, 2000, 4000, 4000]
     assert max(gaps) <= 4010
     assert went[2] == [30_000]
-    joins.ask(90_000.0, 1)
-    assert joins.due(90_000.0) == [1], "after a calm time it is as any other"
+    joins.request(90_000.0, 1)
+    assert joins.admit_due(90_000.0) == [1], "after a calm time it is as any other"
 
 
 def test_a_forwarder_whose_link_broke_while_it_waited_is_passed_over() -> None:
-    joins = JoinAdmission(rate=1.0, again=500.0, again_most=4000.0, now=0.0)
+    joins = JoinAdmission(rate_per_second=1.0, min_interval_ms=500.0, max_interval_ms=4000.0, now=0.0)
     for f in (1, 2, 3):
-        joins.ask(0.0, f)
-    joins.forget(2)
-    assert [f for now in range(0, 5000, 100) for f in joins.due(float(now))] == [1, 3]
+        joins.request(0.0, f)
+    joins.cancel(2)
+    assert [f for now in range(0, 5000, 100) for f in joins.admit_due(float(now))] == [1, 3]
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.sampled_from(["ask", "forget", "run"]), st.integers(0, 3), st.floats(1, 3000))))
 def test_nobody_waits_for_ever_and_nobody_goes_unasked(moves: list[tuple[str, int, float]]) -> None:
-    joins = JoinAdmission(rate=20.0, again=300.0, again_most=2000.0, now=0.0)
+    joins = JoinAdmission(rate_per_second=20.0, min_interval_ms=300.0, max_interval_ms=2000.0, now=0.0)
     now, wants = 0.0, set[int]()
     for what, f, ms in moves:
         if what == "ask":
-            assert joins.ask(now, f) <= now + 2000.0
+            assert joins.request(now, f) <= now + 2000.0
             wants.add(f)
         elif what == "forget":
-            joins.forget(f)
+            joins.cancel(f)
             wants.discard(f)
         else:
             now += ms
-            gone = joins.due(now)
+            gone = joins.admit_due(now)
             assert set(gone) <= wants
             assert len(set(gone)) == len(gone)
             wants -= set(gone)
@@ -82,45 +82,45 @@
         assert at is not None
         assert at <= now + 2000.0
         now = max(now + 1.0, at)
-        wants -= set(joins.due(now))
+        wants -= set(joins.admit_due(now))
 
 
 # ---- overload ------------------------------------------------------------------------------------------------
 
 
 def test_a_turn_waits_while_the_steward_is_late_and_no_longer_than_the_settings_say() -> None:
-    o = OverloadDetector(OverloadLimits(late=100.0, share=0.5, put_off_most=1000.0))
-    assert not o.waits(0.0, 0)
-    o.lagged(400.0)
+    o = OverloadDetector(OverloadLimits(max_lateness_ms=100.0, max_busy_share=0.5, max_delay_ms=1000.0))
+    assert not o.should_delay(0.0, 0)
+    o.on_lateness(400.0)
     waits = []
     for now in range(0, 1100, 100):
-        o.lagged(400.0)
-        waits.append(o.waits(float(now), 0))
+        o.on_lateness(400.0)
+        waits.append(o.should_delay(float(now), 0))
     assert waits == [True] * 10 + [False]
-    assert o.put_off == 1
+    assert o.delayed_timers == 1
     lags = []
-    while o.strained:
-        o.lagged(0.0)
-        lags.append(o.lag)
+    while o.is_overloaded:
+        o.on_lateness(0.0)
+        lags.append(o.lateness_ms)
     assert lags == [200.0, 100.0, 50.0, 25.0]
-    assert not o.waits(1300.0, 0)
+    assert not o.should_delay(1300.0, 0)
 
 
 def test_steps_that_fill_the_time_strain_it_and_a_single_long_one_does_not() -> None:
-    o = OverloadDetector(OverloadLimits(late=1e9, share=0.5))
+    o = OverloadDetector(OverloadLimits(max_lateness_ms=1e9, max_busy_share=0.5))
     now = 0.0
     for _ in range(20):
         now += 100.0
-        o.stepped(now, 80.0 if now == 700.0 else 5.0)
-        assert not o.strained
+        o.on_step(now, 80.0 if now == 700.0 else 5.0)
+        assert not o.is_overloaded
     for _ in range(20):
         now += 100.0
-        o.stepped(now, 90.0)
-    assert o.strained
+        o.on_step(now, 90.0)
+    assert o.is_overloaded
     for _ in range(20):
         now += 100.0
-        o.stepped(now, 5.0)
-    assert not o.strained
+        o.on_step(now, 5.0)
+    assert not o.is_overloaded
 
 
 class Slow(Scripted):
@@ -148,7 +148,7 @@
         config = CONFIG.replace("steward {\n", "steward {\n  late_ms = 50\n  put_off_most_ms = 1000\n")
         async with Running(tmp_path, decider=Slow, config=config) as r, asyncio.timeout(20):
             peer = await r.joined(1)
-            await until(lambda: r.steward.engine.overload.strained)
+            await until(lambda: r.steward.engine.overload.is_overloaded)
             module = r.module
             assert isinstance(module, Slow)
             before, begun = len(module.turns), time.monotonic()
@@ -160,7 +160,7 @@
                 peer.say(frames.Ack(k + 1))
             took = time.monotonic() - begun
             assert len(module.turns) - before <= took / 0.1 + 2, "turns went on at their pace"
-            assert r.steward.engine.overload.put_off > 0
+            assert r.steward.engine.overload.delayed_timers > 0
 
     asyncio.run(scene())
 
@@ -246,10 +246,10 @@
                 await asyncio.get_running_loop().sock_connect(sock, ("127.0.0.1", r.port))
                 bad = Peer(*await asyncio.open_connection(sock=sock, limit=16))
                 bad.hello(2)
-                await until(lambda: 2 in r.steward.engine.joined)
+                await until(lambda: 2 in r.steward.engine.proxy_zones)
                 bad.reader._transport.pause_reading()  # type: ignore[attr-defined]
                 n = 0
-                while 2 in r.steward.engine.joined:
+                while 2 in r.steward.engine.proxy_zones:
                     n += 1
                     r.do(
                         *(api.SetWeight(s, 1000 + h, 1.0) for s in range(4) for h in range(2500)), api.PublishVersion(n)
@@ -332,6 +332,6 @@
             for t in tasks:
                 t.cancel()
             assert 1 in r.steward.forwarders
-            assert r.steward.listener.taken < 29 * 0.5 * 200 + 200
+            assert r.steward.listener.accepted_count < 29 * 0.5 * 200 + 200
 
     asyncio.run(scene())
--- a/tests/test_revive.py
+++ b/tests/test_revive.py
@@ -53,20 +53,20 @@
         self.now = 1e9
 
     def begin(self) -> None:
-        self.engine.begin(self.now, api.HostListUpdate(api.HostListKind.FULL, 1, HOSTS))
-        self.engine.event(self.now, api.ProxyJoined(1, 0, 10.0, True))
+        self.engine.start(self.now, api.HostListUpdate(api.HostListKind.FULL, 1, HOSTS))
+        self.engine.add_event(self.now, api.ProxyJoined(1, 0, 10.0, True))
 
     def run(self, steps: int) -> None:
         for k in range(steps):
             self.now += 250.0
             if k % 4 == 0:
                 for h in range(5):  # host 3 fails all, the others are late
-                    self.engine.event(self.now, api.HostUsageReport(0, h, 40, 40 if h == 3 else 4, 1500.0, 1000.0))
+                    self.engine.add_event(self.now, api.HostUsageReport(0, h, 40, 40 if h == 3 else 4, 1500.0, 1000.0))
                 for s in range(12):
-                    self.engine.event(self.now, api.SliceUsageReport(s, 0, 20 + s, 2, 1000.0))
+                    self.engine.add_event(self.now, api.SliceUsageReport(s, 0, 20 + s, 2, 1000.0))
             self.engine.decide(self.now)
-            assert self.engine.last
-            self.log.append(self.engine.last)
+            assert self.engine.last_step
+            self.log.append(self.engine.last_step)
             self.engine.publish(True)
 
     def state(self) -> ControllerState:
@@ -76,7 +76,7 @@
 
 
 def lines(e: Engine) -> dict[int, dict[int, float]]:
-    return {t: dict(row) for t, row in e.state.tables.items()}
+    return {t: dict(row) for t, row in e.published.tables.items()}
 
 
 @pytest.mark.parametrize("cut", [0, 1, 7, 30])
@@ -90,12 +90,12 @@
     two = Rig(2, lines(one.engine))
     two.now = one.now
     assert restore(two.engine, state, one.log[tail:], one.now) == (cut, [])
-    assert isinstance(one.engine.module, Assigner)
-    assert isinstance(two.engine.module, Assigner)
-    assert two.engine.module.admission_level == one.engine.module.admission_level < 1.0
-    assert two.engine.state.levels == one.engine.state.levels
+    assert isinstance(one.engine.assigner, Assigner)
+    assert isinstance(two.engine.assigner, Assigner)
+    assert two.engine.assigner.admission_level == one.engine.assigner.admission_level < 1.0
+    assert two.engine.published.admissions == one.engine.published.admissions
     assert [t[::2] for t in sorted(two.engine.timers)] == [t[::2] for t in sorted(one.engine.timers)]
-    two.engine.inbox = []  # but for the forwarders that are gone, which only the second is told of
+    two.engine.pending_events = []  # but for the forwarders that are gone, which only the second is told of
     one.run(40)
     two.run(40)
     assert [x[2] for x in two.log] == [x[2] for x in one.log[tail + cut :]]
@@ -111,7 +111,7 @@
     assert restore(two.engine, one.state(), [], one.now)[1] == [4]
     two.now = one.now
     two.run(8)
-    module = two.engine.module
+    module = two.engine.assigner
     assert isinstance(module, Assigner)
     assert {t: set(row) for t, row in lines(two.engine).items()} == {
         s.id: {h.id for h in s.weights} for s in module.slices.values()
@@ -128,21 +128,21 @@
     at, events, actions = steps[5]
     steps[5] = (at, events, [*actions, api.LogNote("a thought of another version")])
     two = Rig(2, lines(one.engine))
-    module = two.engine.module
+    module = two.engine.assigner
     with pytest.raises(StateMismatchError, match="step 6 of its log"):
         restore(two.engine, state, steps, one.now)
-    assert two.engine.module is module
-    assert not two.engine.inbox
+    assert two.engine.assigner is module
+    assert not two.engine.pending_events
     assert not two.engine.timers
 
 
 @pytest.mark.parametrize(
     ("change", "why"),
     [
-        ({"number": 4}, "steward 4"),
-        ({"settings": b"x"}, "settings"),
-        ({"boot": "other"}, "started anew"),
-        ({"life": 7}, "life 7, the last one was 1"),
+        ({"controller_number": 4}, "steward 4"),
+        ({"settings_digest": b"x"}, "settings"),
+        ({"boot_id": "other"}, "started anew"),
+        ({"start_number": 7}, "life 7, the last one was 1"),
     ],
 )
 def test_what_belongs_elsewhere_is_refused_by_name(change: dict[str, Any], why: str) -> None:
@@ -164,10 +164,10 @@
     state, tail = one.state(), len(one.log)
     log = recorder.Recorder(tmp_path / "log", SETTINGS, 1, 1e9, True)
     one.run(3)
-    sizes = [log.written]
+    sizes = [log.written_bytes]
     for now, events, actions in one.log[tail:]:
-        log.step(now, events, actions)
-        sizes.append(log.written)
+        log.write_step(now, events, actions)
+        sizes.append(log.written_bytes)
     log.close()
     whole = (tmp_path / "log").read_bytes()
     for cut in range(sizes[0], len(whole) + 1):
@@ -185,9 +185,9 @@
     now, before, seen = 1e12, list[float](), []
     for _ in range(9):
         advice = advise_start(before, now)
-        seen.append((advice.count, advice.wait, advice.trust))
+        seen.append((advice.recent_failures, advice.wait_ms, advice.may_use_snapshot))
         before.append(now)
-        now += advice.wait + 500.0
+        now += advice.wait_ms + 500.0
     assert seen == [
         (0, 0.0, True),
         (1, 0.0, True),
@@ -206,11 +206,11 @@
 def test_the_file_of_starts_may_be_damaged_or_not_be_writable(tmp_path: Path) -> None:
     starts = StartHistory(str(tmp_path / "x.starts"))
     assert starts.read() == []
-    starts.keep([1.0, 2.0])
+    starts.write([1.0, 2.0])
     assert starts.read() == [1.0, 2.0]
     (tmp_path / "x.starts").write_text("{nonsense")
     assert starts.read() == []
-    StartHistory(str(tmp_path / "no" / "x.starts")).keep([1.0])
+    StartHistory(str(tmp_path / "no" / "x.starts")).write([1.0])
 
 
 def test_a_crash_loop_is_backed_off_and_seen(tmp_path: Path) -> None:
@@ -363,7 +363,7 @@
 def test_a_recording_ends_where_its_disk_does(tmp_path: Path) -> None:
     """A part of an item, then room again: what follows a torn item could not be read, and is not written."""
     r = recorder.Recorder(tmp_path / "r", SETTINGS, 1, 1e9)
-    r.step(1.0, [], [])
+    r.write_step(1.0, [], [])
     real = r.file
 
     class Short:
@@ -371,18 +371,18 @@
             return real.write(data[:7])
 
     r.file = Short()  # type: ignore[assignment]
-    r.step(2.0, [], [])
+    r.write_step(2.0, [], [])
     r.file = real
-    r.step(3.0, [], [])
-    assert r.full
-    assert "a part" in r.why
+    r.write_step(3.0, [], [])
+    assert r.is_stopped
+    assert "a part" in r.stop_reason
     r.close()
     found = recorder.read(tmp_path / "r")
     assert [now for now, _, _ in found.steps] == [1.0]
-    assert found.torn
+    assert found.is_truncated
     with open("/dev/full", "wb", buffering=0) as full:
         r = recorder.Recorder(tmp_path / "r", SETTINGS, 1, 1e9)
         r.file = full
-        r.step(1.0, [], [])
-        assert r.full
-        assert "No space left" in r.why
+        r.write_step(1.0, [], [])
+        assert r.is_stopped
+        assert "No space left" in r.stop_reason
--- a/tests/test_settings_any.py
+++ b/tests/test_settings_any.py
@@ -97,17 +97,17 @@
         nonlocal now
         now += max(1.0, s.decision_interval_ms)
         for e in events:
-            turns.event(now, e)
-        turns.fall_due(now)
-        for a in turns.deliver(now, turns.collect()):
+            turns.add_event(now, e)
+        turns.fire_due_timers(now)
+        for a in turns.run_step(now, turns.take_events()):
             match a:
                 case api.StartTimer():
                     assert math.isfinite(a.delay_ms)
-                    turns.remind(now + max(a.delay_ms, 1.0), a.timer)
+                    turns.start_timer(now + max(a.delay_ms, 1.0), a.timer)
                 case api.SetWeight() | api.SetAdmission() | api.Cordon() | api.ResetTable() | api.PublishVersion():
                     calls.order([a])
                 case api.CheckHealth():
-                    turns.event(now, api.HealthCheckResult(a.host, api.HealthCheckOutcome.TIMEOUT, 100.0))
+                    turns.add_event(now, api.HealthCheckResult(a.host, api.HealthCheckOutcome.TIMEOUT, 100.0))
         for _ in range(3):
             if (call := calls.next(now)) is None:
                 break
@@ -117,7 +117,7 @@
             answer = {"id": call.id, "result": {"taken": len(call.orders)}}
             for o in calls.answered(now, msgspec.json.encode(answer)) or []:
                 if isinstance(o, api.PublishVersion) and o.version % 2:
-                    turns.event(now, api.VersionAcked(0, o.version, 5.0))
+                    turns.add_event(now, api.VersionAcked(0, o.version, 5.0))
 
     proxies = range(min(s.proxy_count, 3))
     slices = range(min(s.slice_count, 4))
--- a/tests/test_steward.py
+++ b/tests/test_steward.py
@@ -188,7 +188,7 @@
             assert status == 503
             assert b"locked" in body
             # The steward dies before the store is well again: only the forwarder knows the newest table.
-            r.steward.engine.unsaved.clear()
+            r.steward.engine.unsaved_tables.clear()
             r.steward.roster_dirty = False
             keep.cancel()
         lock.execute("rollback")
@@ -220,7 +220,7 @@
             await until(lambda: r.steward.store_faults == 0)
             rows = lock.execute("select host from line order by host").fetchall()
             assert rows == [(10,), (11,), (12,)]
-            assert r.steward.engine.unsaved == {}
+            assert r.steward.engine.unsaved_tables == {}
 
     play(scene())
 
@@ -327,9 +327,9 @@
             for f, peer in enumerate(peers):
                 peer.hello(f)
             await asyncio.sleep(0.1)
-            early = len(r.steward.engine.joined)
+            early = len(r.steward.engine.proxy_zones)
             keep = asyncio.create_task(beating(*peers))
-            await until(lambda: len(r.steward.engine.joined) == 40)
+            await until(lambda: len(r.steward.engine.proxy_zones) == 40)
             keep.cancel()
             assert 10 <= early < 30
 
@@ -375,8 +375,8 @@
             stewards.append(Running(tmp_path / str(me), config=text))
         async with stewards[0] as a, stewards[1] as b:
             assert a.steward.peers
-            a.steward.peers.sock.sendto(b"\xc1 rubbish", ("127.0.0.1", ports[1]))
-            a.steward.peers.sock.sendto(msgspec.msgpack.encode([7, b"x"]), ("127.0.0.1", ports[1]))
+            a.steward.peers.socket.sendto(b"\xc1 rubbish", ("127.0.0.1", ports[1]))
+            a.steward.peers.socket.sendto(msgspec.msgpack.encode([7, b"x"]), ("127.0.0.1", ports[1]))
             a.do(api.SendToPeer(None, b"hi"), api.SendToPeer(1, b"there"), api.SendToPeer(5, b"nobody"))
             await until(lambda: sum(isinstance(e, api.PeerMessage) for e in b.module.told) == 2)
             got = [e for e in b.module.told if isinstance(e, api.PeerMessage)]
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -83,7 +83,7 @@
 def recorded(path: Path, settings: api.Settings, seed: int, steps: list[Any], middle: bool = False) -> bytes:
     recorder = record.Recorder(path, settings, seed, 1e9, middle)
     for step in steps:
-        recorder.step(*step)
+        recorder.write_step(*step)
     recorder.close()
     return path.read_bytes()
 
@@ -120,7 +120,12 @@
 
 def test_a_recording_with_every_event_and_action_is_read(tmp_path: Path) -> None:
     found = record.read(FIXTURES / "recording.bin")
-    assert (found.settings, found.seed, found.torn, found.middle) == (samples.EVERY_SETTING, 77, False, False)
+    assert (found.settings, found.seed, found.is_truncated, found.starts_after_snapshot) == (
+        samples.EVERY_SETTING,
+        77,
+        False,
+        False,
+    )
     events, actions = [e for _, e in samples.EVENTS], [a for _, a in samples.ACTIONS]
     assert found.steps == [(1.5, events, actions), (2.5, [], [])]
     assert {type(e) for e in events} == set(api.Event.__args__)
@@ -223,7 +228,7 @@
         row[5][1:-1] = [DISTINCT + n for n in range(1, len(SLICE) - 1)]
     raw["values"] = {name: DISTINCT + n for n, name in enumerate(VALUES)}
     state = file.read(FIXTURES / "snapshot.bin", ControllerState)
-    found = load(samples.SETTINGS, msgspec.convert(raw, type(state.module)))
+    found = load(samples.SETTINGS, msgspec.convert(raw, type(state.assigner)))
     for row, host in zip(raw["hosts"], found.hosts.values(), strict=True):
         assert row[1] == [of(host) for of in HOST.values()]
     for row, slice in zip(raw["slices"], found.slices.values(), strict=True):
@@ -238,7 +243,7 @@
     data = (FIXTURES / "snapshot.bin").read_bytes()
     state = file.unpack(data, ControllerState)
     assert file.pack(state) == data
-    again = msgspec.msgpack.encode(dump(load(samples.SETTINGS, state.module)))
+    again = msgspec.msgpack.encode(dump(load(samples.SETTINGS, state.assigner)))
     assert again == msgspec.msgpack.encode(plain(data)["module"])
 
 
@@ -249,7 +254,7 @@
     rig = samples.Rig(2, {int(table): {int(h): w for h, w in row.items()} for table, row in tables.items()})
     log = record.read(FIXTURES / "snapshot.log")
     rig.now = log.steps[-1][0]
-    assert log.middle
+    assert log.starts_after_snapshot
     assert restore(rig.engine, state, log.steps, rig.now) == (10, [])
     rig.turns(82, 122)
     assert (
@@ -264,8 +269,8 @@
     rig.begin()
     rig.turns(0, 72)
     rig.add_helper()
-    rig.engine.state.cordons, rig.engine.state.points = {3}, {1: {2: 3}}
-    rig.engine.remind(rig.now + 700.0, 1)
+    rig.engine.published.cordoned_hosts, rig.engine.published.assignments = {3}, {1: {2: 3}}
+    rig.engine.start_timer(rig.now + 700.0, 1)
     assert file.pack(rig.state()) == (FIXTURES / "snapshot.bin").read_bytes()
 
 
@@ -311,7 +316,7 @@
     theirs.sendall((FIXTURES / "handover.bin").read_bytes())
     theirs.shutdown(socket.SHUT_WR)
     pipe = HandoverPipe(ours)
-    words = dict(pipe.hear() for _ in range(4))
+    words = dict(pipe.receive_message() for _ in range(4))
     pipe.close()
     theirs.close()
     return words
@@ -322,14 +327,14 @@
     assert list(words) == ["marks", "state", "sockets", "commit"]
     assert words["sockets"] == b"3"
     handed = file.unpack(words["state"], HandoverState)
-    check_state(handed.state, 1, samples.SETTINGS, "boot", 2)
+    check_state(handed.controller, 1, samples.SETTINGS, "boot", 2)
     rig = samples.Rig(2, {0: {5: 1.0}})
-    rig.now = handed.state.now
-    loaded = load(samples.SETTINGS, handed.state.module)
+    rig.now = handed.controller.captured_at
+    loaded = load(samples.SETTINGS, handed.controller.assigner)
     restore_handover(rig.engine, handed, rig.channel, rig.joins, rig.now, loaded)
     rows = msgspec.msgpack.decode(words["marks"], type=list[marks.Row])
     assert marks.put(loaded.rendezvous, rows) == samples.SLICES
-    assert [event for _, _, event in rig.engine.inbox][: len(samples.EVENTS)] == [e for _, e in samples.EVENTS]
+    assert [event for _, _, event in rig.engine.pending_events][: len(samples.EVENTS)] == [e for _, e in samples.EVENTS]
     assert capture_channel(rig.channel) == handed.channel
     rig.turns(72, 110)
     assert "\n".join(rig.said) + "\n" == (FIXTURES / "handover.next").read_text()
@@ -341,14 +346,14 @@
     rig.turns(0, 72)
     rig.add_helper()
     handed = samples.handed(rig)
-    assert isinstance(rig.engine.module, Assigner)
-    rows = marks.out(rig.engine.module.rendezvous, range(samples.SLICES))
+    assert isinstance(rig.engine.assigner, Assigner)
+    rows = marks.out(rig.engine.assigner.rendezvous, range(samples.SLICES))
     ours, theirs = socket.socketpair()
     pipe, said = HandoverPipe(ours), io.BytesIO()
-    pipe.say("marks", msgspec.msgpack.encode(rows))
-    pipe.say("state", file.pack(handed))
-    pipe.say("sockets", b"3")
-    pipe.say("commit")
+    pipe.send_message("marks", msgspec.msgpack.encode(rows))
+    pipe.send_message("state", file.pack(handed))
+    pipe.send_message("sockets", b"3")
+    pipe.send_message("commit")
     pipe.close()
     while data := theirs.recv(1 << 16):
         said.write(data)
@@ -394,13 +399,13 @@
 
 def test_load_reports_and_links_go_over_whole() -> None:
     handed = file.unpack(handover_words()["state"], HandoverState)
-    assert handed.feed == samples.FEED
-    assert [row.entry() for row in handed.entries] == list(samples.ENTRIES)
-    assert handed.links == samples.links()
+    assert handed.load_reports == samples.FEED
+    assert [row.entry() for row in handed.host_entries] == list(samples.ENTRIES)
+    assert handed.connections == samples.links()
     busy, idle = Link(LinkLimits(), 0.0), Link(LinkLimits(), 0.0)
-    restore_connection(busy, handed.links[0])
-    restore_connection(idle, handed.links[1])
-    assert capture_connection(busy, True, False, samples.START + 6.0) == handed.links[0]
+    restore_connection(busy, handed.connections[0])
+    restore_connection(idle, handed.connections[1])
+    assert capture_connection(busy, True, False, samples.START + 6.0) == handed.connections[0]
     assert busy.receive(samples.START + 9.0, frames.encode(frames.Beat(3.5))[6:]) == [frames.Beat(3.5)]
     assert [number for number, _ in busy.marks] == [40, 41]
     assert not idle.marks
@@ -412,11 +417,11 @@
 
 def test_each_place_in_the_arrays_of_a_handover_stands_for_what_it_stood_for() -> None:
     handed = file.unpack(handover_words()["state"], HandoverState)
-    assert handed.links[0] == ConnectionState(
+    assert handed.connections[0] == ConnectionState(
         began=1e9,
         hello=frames.Hello(1, 1, "one", 0, 9.5, True, 4, 5, 3),
-        joined=True,
-        paused=False,
+        is_joined=True,
+        is_write_paused=False,
         heard=1e9 + 2.0,
         marks=[(40, 1e9 + 3.0), (41, 1e9 + 4.0)],
         recalled=False,
@@ -424,7 +429,7 @@
         flow=7999963.0,
         counted=1e9 + 2.0,
         held=frames.encode(frames.Beat(3.5))[:6],
-        beat_at=1e9 + 6.0,
+        heartbeat_sent_at=1e9 + 6.0,
     )
     raw = plain(handover_words()["state"])["channel"]
     frame, lines, mark, at, orders = raw["messages"][0]
@@ -441,14 +446,18 @@
     """An old process knows a new one's words, and the other way round."""
     assert PROTOCOL == 1
     old, new = Predecessor(1000.0), Successor(1000.0)
-    old.begin(0.0)
-    new.begin(0.0)
-    assert old.heard(1.0, "ready", "1") == [HandoverCommand.PAUSE, HandoverCommand.SEND_STATE]
-    assert new.heard(1.0, "state") == [HandoverCommand.LOAD]
-    assert new.loaded(1.0, True) == [HandoverCommand.SEND_CHECKED]
-    assert old.heard(2.0, "checked") == [HandoverCommand.CLOSE_STORE, HandoverCommand.SEND_COMMIT]
-    assert new.heard(2.0, "commit") == [HandoverCommand.OPEN_STORE, HandoverCommand.RUN, HandoverCommand.SEND_TAKEN]
-    assert old.heard(3.0, "taken") == [HandoverCommand.EXIT]
+    old.start(0.0)
+    new.start(0.0)
+    assert old.on_message(1.0, "ready", "1") == [HandoverCommand.PAUSE, HandoverCommand.SEND_STATE]
+    assert new.on_message(1.0, "state") == [HandoverCommand.LOAD]
+    assert new.on_state_loaded(1.0, True) == [HandoverCommand.SEND_CHECKED]
+    assert old.on_message(2.0, "checked") == [HandoverCommand.CLOSE_STORE, HandoverCommand.SEND_COMMIT]
+    assert new.on_message(2.0, "commit") == [
+        HandoverCommand.OPEN_STORE,
+        HandoverCommand.RUN,
+        HandoverCommand.SEND_TAKEN,
+    ]
+    assert old.on_message(3.0, "taken") == [HandoverCommand.EXIT]
 
 
 def test_an_old_process_can_start_a_new_one(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -469,9 +478,9 @@
 
 def test_both_processes_of_a_handover_ask_for_the_same_arbiter(tmp_path: Path) -> None:
     first, second = TerminationLock(f"{tmp_path}/s.db.handover"), TerminationLock(f"{tmp_path}/s.db.handover")
-    assert first.take()
-    assert not second.take()
-    first.drop()
+    assert first.acquire()
+    assert not second.acquire()
+    first.release()
 
 
 # ---- further files, and messages between processes -----------------------------------------------------------------
@@ -479,7 +488,7 @@
 
 def test_starts_that_ended_soon_are_read_and_written_as_before(tmp_path: Path) -> None:
     assert StartHistory(str(FIXTURES / "starts.json")).read() == [1000.5, 2000.0]
-    StartHistory(str(tmp_path / "starts")).keep([1000.5, 2000.0])
+    StartHistory(str(tmp_path / "starts")).write([1000.5, 2000.0])
     assert (tmp_path / "starts").read_bytes() == (FIXTURES / "starts.json").read_bytes()
 
 
@@ -560,8 +569,8 @@
         store_again=0.0,
         engine=SimpleNamespace(
             decide=lambda now: SimpleNamespace(lines=(), resets=()),
-            last=(0.0, events, actions),
-            overload=SimpleNamespace(strained=False),
+            last_step=(0.0, events, actions),
+            overload=SimpleNamespace(is_overloaded=False),
         ),
         steps_log=None,
         recorder=None,
--- a/tests/test_upgrade_core.py
+++ b/tests/test_upgrade_core.py
@@ -83,7 +83,7 @@
         s = self.side[me]
         if what == "begin":
             self.begun = True
-            self.todo[0] = s.begin(self.now)
+            self.todo[0] = s.start(self.now)
         elif what == "clock":
             self.now += 1.0
         elif what == "die":
@@ -99,11 +99,11 @@
             self.asleep[me] = False
         elif what == "hear":
             said, detail = self.wire[me].pop(0)
-            self.todo[me] += s.heard(self.now, said, detail)
+            self.todo[me] += s.on_message(self.now, said, detail)
         elif what == "lost":
-            self.todo[me] += s.lost(self.now)
+            self.todo[me] += s.on_peer_lost(self.now)
         elif what == "tick":
-            self.todo[me] += s.tick(self.now)
+            self.todo[me] += s.on_tick(self.now)
         elif what == "do":
             self.do(me, self.todo[me].pop(0))
         assert sum(self.speaks) <= 1, "two voices"
@@ -120,14 +120,14 @@
         match a:
             case HandoverCommand.SPAWN:
                 self.alive[1], self.side[1] = True, self.kinds[1](WITHIN)
-                self.todo[1] = self.side[1].begin(self.now)
+                self.todo[1] = self.side[1].start(self.now)
             case HandoverCommand.PAUSE:
                 self.speaks[me] = False
             case HandoverCommand.CLOSE_STORE:
                 self.store = -1
             case HandoverCommand.END_OTHER:
                 if self.arbiter and self.has_arbiter not in (None, me):
-                    self.todo[me] = s.beaten()
+                    self.todo[me] = s.on_lock_lost()
                     return
                 self.has_arbiter = me
                 self.wire[me] = []
@@ -140,10 +140,10 @@
                 assert self.store in (-1, me), "the store is the other's"
                 self.store, self.speaks[me] = me, True
             case HandoverCommand.LOAD:
-                self.todo[me] += s.loaded(self.now, True)
+                self.todo[me] += s.on_state_loaded(self.now, True)
             case HandoverCommand.OPEN_STORE | HandoverCommand.COLD_START:
                 if self.store not in (-1, me):
-                    self.todo[me] = s.opened(self.now, False)
+                    self.todo[me] = s.on_store_opened(self.now, False)
                     return
                 self.store = me
                 if a is HandoverCommand.COLD_START:
@@ -200,14 +200,14 @@
 class Hasty(Predecessor):
     """Resumes without making sure that the other is dead."""
 
-    def back(self, why: str) -> list[HandoverCommand]:
-        return [a for a in super().back(why) if a is not HandoverCommand.END_OTHER]
+    def abort(self, why: str) -> list[HandoverCommand]:
+        return [a for a in super().abort(why) if a is not HandoverCommand.END_OTHER]
 
 
 class Timid(Successor):
     """Ends when the old one is gone."""
 
-    def lost(self, now: float) -> list[HandoverCommand]:
+    def on_peer_lost(self, now: float) -> list[HandoverCommand]:
         self.phase = Phase.OVER
         return [HandoverCommand.EXIT]
 
@@ -228,6 +228,6 @@
 
 def test_a_wrong_protocol_is_refused_by_number() -> None:
     old = Predecessor(WITHIN)
-    old.begin(0.0)
-    assert old.heard(0.0, "ready", "7") == [HandoverCommand.END_OTHER, HandoverCommand.RESUME]
-    assert "protocol 7" in old.why
+    old.start(0.0)
+    assert old.on_message(0.0, "ready", "7") == [HandoverCommand.END_OTHER, HandoverCommand.RESUME]
+    assert "protocol 7" in old.failure
--- a/tests/test_upgrade_state.py
+++ b/tests/test_upgrade_state.py
@@ -53,28 +53,29 @@
 
     def join(self, now: float, f: int) -> None:
         self.channel.join(f)
-        self.log.append((f, "tables", self.engine.join(now, frames.Hello(1, f, f"{f}"))))
+        self.log.append((f, "tables", self.engine.on_proxy_joined(now, frames.Hello(1, f, f"{f}"))))
 
     def turn(self, now: float, r: random.Random) -> None:
         e = self.engine
         for f in range(4):
             if r.random() < 0.05:
-                self.joins.ask(now, f)
+                self.joins.request(now, f)
             if r.random() < 0.1:
                 self.channel.block(f, r.random() < 0.5)
-        for f in self.joins.due(now):
+        for f in self.joins.admit_due(now):
             self.join(now, f)
         if r.random() < 0.15:
             h, state = r.randrange(6), r.choice(("draining", "up"))
-            e.event(now, api.HostListUpdate(api.HostListKind.CHANGES, int(now), (api.HostEntry(h, state=state),)))
+            e.add_event(now, api.HostListUpdate(api.HostListKind.CHANGES, int(now), (api.HostEntry(h, state=state),)))
         if r.random() < 0.5:
             f = r.randrange(4)
             hosts = [(h, 9, r.choice((0, 0, 9)), 300.0) for h in range(6)]
-            e.sums(now, f, frames.Sums(1000.0, hosts, [(s, 0, r.randrange(20), 0) for s in range(12)]))
+            e.on_usage_report(now, f, frames.Sums(1000.0, hosts, [(s, 0, r.randrange(20), 0) for s in range(12)]))
         if r.random() < 0.4:
-            assert isinstance(e.module, Assigner)
-            e.event(
-                now, api.VersionAcked(r.randrange(4), r.randrange(3) + e.module.pending_versions.last_version - 2, 5.0)
+            assert isinstance(e.assigner, Assigner)
+            e.add_event(
+                now,
+                api.VersionAcked(r.randrange(4), r.randrange(3) + e.assigner.pending_versions.last_version - 2, 5.0),
             )
         e.decide(now)
         for out in e.publish(r.random() < 0.9):
@@ -98,7 +99,7 @@
 @pytest.mark.parametrize("at", [5, 17, 40, 41, 42, 43, 44, 45, 80, 119])
 def test_a_steward_handed_over_at_any_step_says_what_the_old_one_would_have(at: int) -> None:
     one, now, r = Steward(1), 1e9, random.Random(at)
-    one.engine.begin(now, api.HostListUpdate(api.HostListKind.FULL, 1, tuple(api.HostEntry(h) for h in range(6))))
+    one.engine.start(now, api.HostListUpdate(api.HostListKind.FULL, 1, tuple(api.HostEntry(h) for h in range(6))))
     for f in range(4):
         one.join(now, f)
     waits = held = False
@@ -108,30 +109,32 @@
             # What the store has may lag behind: the state has the tables, and what is still to be kept.
             two = Steward(2, {0: {5: 1.0}})
             restore_handover(two.engine, one.handed(), two.channel, two.joins, now)
-            two.engine.inbox = [x for x in two.engine.inbox if not isinstance(x[2], api.HealthCheckResult)]
+            two.engine.pending_events = [
+                x for x in two.engine.pending_events if not isinstance(x[2], api.HealthCheckResult)
+            ]
             one.log = []
-            waits, held = one.channel.waiting > 0, any(one.engine.module.pending_versions.unacked_by_proxy.values())  # type: ignore[attr-defined]
+            waits, held = one.channel.waiting > 0, any(one.engine.assigner.pending_versions.unacked_by_proxy.values())  # type: ignore[attr-defined]
         if step >= at:
             two.turn(now, random.Random(f"{at}:{step}"))
         one.turn(now, random.Random(f"{at}:{step}"))
     assert one.log == two.log
     assert len(one.log) > 20
     assert one.channel.waiting == two.channel.waiting
-    assert one.engine.state == two.engine.state
+    assert one.engine.published == two.engine.published
     assert waits or held or at < 20, "nothing was on its way: no test"
 
 
 def test_state_that_does_not_fit_leaves_the_new_engine_as_it_was() -> None:
     one = Steward(1)
-    one.engine.begin(1e9, api.HostListUpdate(api.HostListKind.FULL, 1, (api.HostEntry(1),)))
+    one.engine.start(1e9, api.HostListUpdate(api.HostListKind.FULL, 1, (api.HostEntry(1),)))
     one.turn(1e9 + 100.0, random.Random(1))
     h = one.handed()
-    h.state.module.slice_fields.append("mood")
+    h.controller.assigner.slice_fields.append("mood")
     two = Steward(2, {0: {5: 1.0}})
     with pytest.raises(StateMismatchError, match="mood"):
         restore_handover(two.engine, h, two.channel, two.joins, 1e9 + 200.0)
-    assert two.engine.state.tables == {0: {5: 1.0}}
-    assert not two.engine.inbox
+    assert two.engine.published.tables == {0: {5: 1.0}}
+    assert not two.engine.pending_events
 
 
 def test_a_link_goes_over_with_half_a_frame_and_marks_that_are_out() -> None:
