--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -23,7 +23,7 @@
 from corallanding.assignment import Assigner
 from corallanding.lab.processes import free_port
 from corallanding.snapshot import file
-from corallanding.snapshot.module import ModuleState, dump, load
+from corallanding.snapshot.assigner_state import AssignerState, dump, load
 from corallanding.wire import frames
 
 from .machine import machine
@@ -126,7 +126,7 @@
             data = file.pack(dump(f.module))
             took["dump"].append((time.perf_counter() - begun) * 1000.0)
             begun = time.perf_counter()
-            load(settings(*size), file.unpack(data, ModuleState))
+            load(settings(*size), file.unpack(data, AssignerState))
             took["load"].append((time.perf_counter() - begun) * 1000.0)
         rows.append(
             {
--- a/corallanding/assignment/assigner.py
+++ b/corallanding/assignment/assigner.py
@@ -1,166 +1,189 @@
-"""One step: what happened goes to the part that keeps it; a turn of decisions follows if due."""
+"""One step of the assigner: events go to the part that keeps them; a decision follows if one is due."""
+
+from __future__ import annotations
 
 import math
 from collections.abc import Callable, Sequence
+from typing import Any
 
 from .. import interface as api
+from .admission import AdmissionControl
+from .demand import SliceDemand
+from .evacuation import Evacuation
 from .host_health import HostHealth
+from .host_list import HostList
 from .load_estimate import LoadEstimator
+from .load_shedding import LoadShedding
 from .migration import Migration
-from .placement import MAX_UTILIZATION, Placement
-from .publication import ORDINARY_MESSAGE_SHARE, Publication
+from .placement import Placement
+from .publication import DECISION_TIMER, HOST_LIST_TIMER, ORDINARY_MESSAGE_SHARE, Publication
 from .rendezvous import RendezvousTable
 from .state import FleetEstimate, Host, Slice
 
-OVERLOADED_FLEET_RATIO = 0.6  # median strain of the fleet above which less is let in, where the site admits by share
-MIN_ADMISSION = 0.1  # the least share that is let in
-MAX_DEPARTED_HOSTS = (
-    64  # servers that left may be remembered, and as many as there are: then those that nothing names go
-)
+MAX_DEPARTED_HOSTS = 64
+"""Hosts that left may be remembered, beside as many as are listed; then those that nothing names are forgotten."""
 
 
 class Assigner:
-    """settings, seed: of this steward. The parts are shown to those who keep or trace them."""
+    """Decides which host takes each slice of this controller, and when: a pure function of settings, seed and events.
+
+    It reads no clock and does no I/O: the same events at the same times give the same actions. The parts are public for
+    snapshots and traces, which must not change them.
+    """
 
-    deferrable_timer = 0  # the timer of ordinary turns: a steward that is late may let it fall due later
+    deferrable_timer = DECISION_TIMER
+    """The timer of ordinary decisions, which a controller that is late may let fire later."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        self.settings, self.seed, self.slices, self.rendezvous = (
-            settings,
-            seed,
-            dict[int, Slice](),
-            RendezvousTable[Host](),
-        )
-        self.fleet, self.publication = (
-            FleetEstimate(settings.report_interval_ms, settings.report_interval_ms),
-            Publication(settings),
-        )
-        self.host_health = HostHealth(settings, seed, self.publication, self.fleet)
-        self.hosts, self.pending_versions = self.host_health.hosts, self.publication.pending_versions
-        self.load_estimator = LoadEstimator(self.host_health, self.slices, self.rendezvous, self.fleet)
+        self.settings = settings
+        self.seed = seed
+        self.slices: dict[int, Slice] = {}
+        self.rendezvous: RendezvousTable[Host] = RendezvousTable()
+        self.fleet = FleetEstimate(settings.report_interval_ms, settings.report_interval_ms)
+        self.publication = Publication(settings)
+        self.pending_versions = self.publication.pending_versions
+        self.admission = AdmissionControl(settings, self.publication, self.fleet)
+        self.host_list = HostList(settings, seed, self.publication)
+        self.hosts = self.host_list.hosts
+        self.host_health = HostHealth(self.host_list, self.fleet)
+        self.demand = SliceDemand(self.slices)
+        self.load_estimator = LoadEstimator(self.host_health, self.demand, self.rendezvous, self.fleet)
         self.placement = Placement(self.host_health, self.rendezvous, self.fleet)
+        self.evacuation = Evacuation(self.host_health, self.slices, self.placement, self.fleet)
+        self.load_shedding = LoadShedding(self.host_health, self.slices, self.placement, self.fleet)
         self.migration = Migration(self.host_health, self.slices, self.placement, self.fleet)
-        self.admission_level, self.admission_changed_at_ms, self.is_admission_due, self.started_at_ms = (
-            1.0,
-            0.0,
-            True,
-            math.inf,
-        )
-        self.turn_interval_ms = max(settings.report_interval_ms / 2, settings.decision_interval_ms)
-        if settings.max_messages:
-            self.turn_interval_ms = max(
-                self.turn_interval_ms, settings.message_window_ms / (settings.max_messages * ORDINARY_MESSAGE_SHARE)
-            )
-        known, pending = self.host_health, self.pending_versions
-        self.handlers: dict[type, Callable[..., None]] = {
-            api.HostUsageReport: known.on_host_usage_report,
-            api.SliceUsageReport: self.load_estimator.on_slice_usage_report,
-            api.HealthCheckResult: known.on_health_check_result,
-            api.HostListUpdate: known.on_host_list_update,
+        self.started_at_ms = math.inf
+        self.decision_interval_ms = decision_interval_ms(settings)
+        self.handlers: dict[type, Callable[[Any], None]] = {
+            api.HostUsageReport: self.host_health.on_host_usage_report,
+            api.SliceUsageReport: self.demand.on_slice_usage_report,
+            api.HealthCheckResult: self.host_health.on_health_check_result,
+            api.HostListUpdate: self.host_list.on_host_list_update,
             api.SliceOwnershipChange: self.on_slice_ownership_change,
             api.StoredWeight: self.on_stored_weight,
-            api.VersionAcked: pending.on_version_acked,
-            api.ProxyLeft: pending.on_proxy_left,
-            api.ProxyJoined: pending.on_proxy_joined,
+            api.TimerFired: self.on_timer_fired,
+            api.VersionAcked: self.pending_versions.on_version_acked,
+            api.ProxyLeft: self.pending_versions.on_proxy_left,
+            api.ProxyJoined: self.pending_versions.on_proxy_joined,
         }
+        self.is_ordinary_decision_due = False  # within a step
+
+    def step(self, now_ms: float, events: Sequence[api.Event]) -> list[api.Action]:
+        """Take in what happened since the last step; returns what is to be done.
 
-    def step(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
-        """now: ms, never less than before. What happened since the last step in, what is to be done out."""
-        self.publication.now_ms, self.publication.actions, turn = now, [], self.started_at_ms == math.inf
-        if turn:
-            self.started_at_ms = now
-            self.publication.actions.append(api.StartTimer(self.turn_interval_ms, 0))
-            if self.settings.polls_host_list:
-                self.publication.actions.append(api.WatchHostList(True))
-        for e in events:
-            if hears := self.handlers.get(type(e)):
-                hears(e)
-            elif e == api.TimerFired(0):
-                turn = True
-                self.publication.actions.append(api.StartTimer(self.turn_interval_ms, 0))
-            elif e == api.TimerFired(1):
-                self.publication.actions.append(api.WatchHostList(True))
-        if turn or self.publication.is_decision_due:
-            self.decide(turn)
+        `now_ms` never decreases. Proxies are told the table actions of one step as one message.
+        """
+        self.publication.begin_step(now_ms)
+        self.is_ordinary_decision_due = False
+        if self.started_at_ms == math.inf:
+            self._start(now_ms)
+        for event in events:
+            handler = self.handlers.get(type(event))
+            if handler:
+                handler(event)
+        if self.is_ordinary_decision_due or self.publication.is_decision_due:
+            self._decide()
         return self.publication.actions
 
-    def on_slice_ownership_change(self, e: api.SliceOwnershipChange) -> None:
-        self.slices.pop(e.slice, None)
+    def _start(self, now_ms: float) -> None:
+        self.started_at_ms = now_ms
+        self._schedule_ordinary_decision()
+        if self.settings.polls_host_list:
+            self.publication.actions.append(api.WatchHostList(True))
+
+    def _schedule_ordinary_decision(self) -> None:
+        self.is_ordinary_decision_due = True
+        self.publication.actions.append(api.StartTimer(self.decision_interval_ms, DECISION_TIMER))
+
+    # Events that concern no other part.
+
+    def on_timer_fired(self, event: api.TimerFired) -> None:
+        """Decide, or poll the host list; other timers are not the assigner's."""
+        if event.timer == DECISION_TIMER:
+            self._schedule_ordinary_decision()
+        elif event.timer == HOST_LIST_TIMER:
+            self.publication.actions.append(api.WatchHostList(True))
+
+    def on_slice_ownership_change(self, event: api.SliceOwnershipChange) -> None:
+        """Begin to decide on a slice, also anew, or cease to."""
+        self.slices.pop(event.slice, None)
         self.load_estimator.ownership_changed_at_ms = self.publication.now_ms
-        if e.is_owned:
-            self.slices[e.slice] = Slice(e.slice)
-            self.publication.is_decision_due = self.is_admission_due = True
+        if event.is_owned:
+            self.slices[event.slice] = Slice(event.slice)
+            self.publication.is_decision_due = True
+            self.admission.is_due = True
+
+    def on_stored_weight(self, event: api.StoredWeight) -> None:
+        """Take in a table entry that the store holds."""
+        if event.slice in self.slices:
+            self.slices[event.slice].weights[self.host_list.get_or_create(event.host)] = event.weight
 
-    def on_stored_weight(self, e: api.StoredWeight) -> None:
-        if e.slice in self.slices:
-            self.slices[e.slice].weights[self.host_health.get_or_create(e.host)] = e.weight
+    # Decisions.
 
-    def decide(self, turn: bool) -> None:
-        self.publication.lines_published = 0
-        if not self.publication.may_publish(True):
+    def _decide(self) -> None:
+        """Make the decisions that are due, if a message may go out: evacuations always, others in turns."""
+        publication = self.publication
+        publication.lines_published = 0
+        if not publication.may_publish(is_urgent=True):
             return
-        for s in self.slices.values():
-            if s.owner is None and s.weights:  # given anew
-                s.owner = max(s.weights, key=lambda h: (s.weights[h], self.placement.score(s, h)))
-                s.replicas = [h for h in s.weights if h is not s.owner]  # or an old owner: dropped if not needed
+        self._adopt_stored_owners()
         self.load_estimator.update()
-        self.publication.is_decision_due = False
-        self.migration.evacuate_unavailable_hosts()
-        if turn:
+        publication.is_decision_due = False
+        self.evacuation.evacuate_unavailable_hosts()
+        if self.is_ordinary_decision_due:
             self.forget_departed_hosts()
-        if turn and self.publication.may_publish(False):
-            self.migration.release_previous_owners()
-            self.migration.share_hot_slices()
-            self.migration.shed_overloaded_hosts()
-            self.migration.move_to_better_hosts()
-            self.adjust_admission()
-        if self.is_admission_due and self.slices and self.pending_versions.unacked_by_proxy:
-            self.is_admission_due = False
-            # Again only on proof that the first try never ran: safe for every operation, and feeds no jam.
-            self.publication.actions.append(
-                api.SetAdmission(api.ALL_TABLES, 0, self.admission_level, api.RetryMode.PROVEN_UNRUN)
-            )
-            self.publication.lines_published += 1
-        if self.publication.lines_published:
-            cost = self.settings.message_overhead_lines + self.publication.lines_published + 2
-            self.publication.actions.append(self.pending_versions.publish(self.publication.now_ms, cost))
+            if publication.may_publish(is_urgent=False):
+                self._decide_ordinary()
+        if self.slices:
+            self.admission.publish()
+        publication.close_message()
+
+    def _decide_ordinary(self) -> None:
+        self.migration.release_previous_owners()
+        self.load_shedding.share_hot_slices()
+        self.load_shedding.shed_overloaded_hosts()
+        self.migration.move_to_better_hosts()
+        self.admission.adjust()
+
+    def _adopt_stored_owners(self) -> None:
+        """Of a slice that was just given, the host of the highest stored weight owns it; the others are replicas.
+
+        A replica that was a previous owner is dropped by and by, as any that is not needed.
+        """
+        for s in self.slices.values():
+            if s.owner is None and s.weights:
+                owner = max(s.weights, key=lambda h: (s.weights[h], self.placement.score(s, h)))
+                s.owner = owner
+                s.replicas = [h for h in s.weights if h is not owner]
 
     def forget_departed_hosts(self) -> None:
-        """Servers that left for good go from memory: new ids may come for as long as this runs."""
-        listed = sum(h.is_listed for h in self.hosts.values())
-        if not self.host_health.has_fresh_list or len(self.hosts) <= 2 * listed + MAX_DEPARTED_HOSTS:
+        """Remove hosts that left for good from memory: new ids may come for as long as this controller runs."""
+        listed_count = sum(h.is_listed for h in self.hosts.values())
+        if not self.host_list.has_fresh_list or len(self.hosts) <= 2 * listed_count + MAX_DEPARTED_HOSTS:
             return
-        named = {
-            h for s in self.slices.values() for h in (*s.weights, *s.replicas, s.owner, s.previous_owner, s.candidate)
-        }
-        busy = {
-            h
-            for h in self.hosts.values()
-            if h.is_being_checked or h.is_cordoned or self.host_health.is_alive_but_unlisted(h)
-        }
-        gone = [h for h in self.hosts.values() if not h.is_listed and h not in named and h not in busy]
-        self.rendezvous.forget(gone)
-        for h in gone:
+        named = self._hosts_named_by_slices()
+        departed = [h for h in self.hosts.values() if h not in named and self._has_departed(h)]
+        self.rendezvous.forget(departed)
+        for h in departed:
             del self.hosts[h.id]
         for s in self.slices.values():
-            s.hosts_considered = 0  # lists may be made anew, a turn's marks at a time
-
-    def adjust_admission(self) -> None:
-        """Let in less while the whole fleet is strained: what waits too long is worth nothing."""
-        wait, now, f = (
-            self.settings.report_interval_ms + 2 * self.settings.propagation_ms,
-            self.publication.now_ms,
-            self.fleet,
-        )
-        if self.settings.admission != "fraction" or now - self.admission_changed_at_ms < wait:
-            return
-        level = self.admission_level
-        if f.median_latency_ratio > OVERLOADED_FLEET_RATIO or (
-            f.answerable_share < 0.8 and f.median_latency_ratio > OVERLOADED_FLEET_RATIO / 2
-        ):
-            level = max(MIN_ADMISSION, min(level * 0.95, f.answerable_share))
-        elif f.median_latency_ratio < OVERLOADED_FLEET_RATIO * 0.75:
-            level = min(1.0, level * 1.1, max(level, f.answerable_share * MAX_UTILIZATION))
-        if level != self.admission_level:
-            self.admission_level, self.admission_changed_at_ms, self.is_admission_due = level, now, True
-            self.publication.actions.append(api.LogNote(f"level {level:.2f}"))
+            s.hosts_considered = 0  # rankings may be made anew, a turn's scores at a time
+
+    def _hosts_named_by_slices(self) -> set[Host | None]:
+        return {
+            h for s in self.slices.values() for h in (*s.weights, *s.replicas, s.owner, s.previous_owner, s.candidate)
+        }
+
+    def _has_departed(self, h: Host) -> bool:
+        """Whether a host is not listed, and nothing is awaited of it."""
+        is_awaited = h.is_being_checked or h.is_cordoned or self.host_health.is_alive_but_unlisted(h)
+        return not h.is_listed and not is_awaited
+
+
+def decision_interval_ms(settings: api.Settings) -> float:
+    """Time between ordinary decisions: half a report interval, or longer where the site limits messages."""
+    interval_ms = max(settings.report_interval_ms / 2, settings.decision_interval_ms)
+    if settings.max_messages:
+        message_interval_ms = settings.message_window_ms / (settings.max_messages * ORDINARY_MESSAGE_SHARE)
+        interval_ms = max(interval_ms, message_interval_ms)
+    return interval_ms
--- /dev/null
+++ b/corallanding/assignment/demand.py
@@ -0,0 +1,42 @@
+"""The demand of slices: requests per second, smoothed from usage reports."""
+
+from __future__ import annotations
+
+from .. import interface as api
+from .state import Slice
+
+RETRY_SHARE_OF_UNANSWERED = 0.5
+"""Part of the unanswered requests of a slice that are taken for retries by clients."""
+
+BURST_FACTOR = 2.0
+BURST_MIN_REQUESTS = 10
+"""A report of more requests, at more than this factor times the smoothed rate, counts at once."""
+
+RATE_HALF_LIFE_MS = 2_000.0
+"""Half-life of a slice's smoothed request rate."""
+
+
+class SliceDemand:
+    """Writes the request rates of slices. `recent_requests` counts the requests for all slices, decaying."""
+
+    def __init__(self, slices: dict[int, Slice]) -> None:
+        self.slices = slices
+        self.recent_requests = 0.0
+
+    def on_slice_usage_report(self, event: api.SliceUsageReport) -> None:
+        """Smooth the request rate of a slice and class.
+
+        A rate that has more than doubled counts at once: a warming owner would be overloaded while the smoothed rate
+        climbs. Of few requests it is chance.
+        """
+        self.recent_requests += event.requests
+        s = self.slices.get(event.slice)
+        if s is None or event.span_ms <= 0:
+            return
+        retries = min(event.unanswered, event.requests) * RETRY_SHARE_OF_UNANSWERED
+        rate = (event.requests - retries) * 1000.0 / event.span_ms
+        smoothed = s.rate_by_class.get(event.request_class, rate)
+        is_burst = rate > BURST_FACTOR * smoothed and event.requests > BURST_MIN_REQUESTS
+        weight_of_past = 0.0 if is_burst else 0.5 ** (event.span_ms / RATE_HALF_LIFE_MS)
+        s.rate_by_class[event.request_class] = rate + (smoothed - rate) * weight_of_past
+        s.requests_per_second = sum(s.rate_by_class.values())
--- a/corallanding/assignment/host_health.py
+++ b/corallanding/assignment/host_health.py
@@ -1,160 +1,195 @@
-"""What is known of servers: from lists, from sums of what proxies met at them, from probes."""
+"""What is known of the health and speed of hosts: from usage reports and health checks."""
+
+from __future__ import annotations
 
 import math
-import zlib
 
 from .. import interface as api
-from .publication import Publication
+from .host_list import HostList
+from .limits import CALM_RATIO, FAILURE_MEMORY_MS, SUSPECT_FAILURES
+from .publication import QuotaKind
 from .state import FleetEstimate, Host, upper_median
 
-FAILURE_MEMORY_MS = 6_000.0  # ms without word of failing after which a server may own again (design)
-OVERLOAD_RATIO = 0.5  # strain above which a server is crowded
-SUSPECT_FAILURES = 4  # tries in a row without an answer that make a server suspect
-SATURATED_RATIO = 1.5  # strain above which a server answers next to nothing
-SLOW_HEALTH_CHECK_FACTOR = (
-    8.0  # times the fleet's median probe: a jammed server whose probe takes longer is slow by itself
-)
-HANG_REPORT_WINDOWS = 2.0  # windows of sums without any answer after which a suspect is failing
+SATURATED_RATIO = 1.5
+"""Latency ratio above which a host answers next to nothing."""
+
+SLOW_HEALTH_CHECK_FACTOR = 8.0
+"""A saturated host whose health check takes so many times the fleet's median one is slow by itself."""
+
+HANG_REPORT_WINDOWS = 2.0
+"""Report windows without an answer after which a suspect host is failing."""
+
+FAILURE_OBJECTIVES = 2.0
+"""Latency objectives that a failed attempt counts in the latency ratio."""
+
+LATENCY_PRIOR_ATTEMPTS = 6.0
+"""Answers in one report at which it counts half for the smoothed latency: a few answers say little."""
 
+FASTER_GAIN = 0.3
+"""Gain of the base latency downwards: only the host's own speed makes it answer faster."""
 
-def latency_ratio(h: Host, objective: float) -> float:
-    """Mean answer over the latency objective; a try without an answer counts as two objectives."""
-    tries = h.successes + h.failures
-    return (h.successes * h.latency_ms / objective + h.failures * 2.0) / tries if tries >= 1.0 else 0.0
+CALM_SLOWER_GAIN = 0.05
+SLOWER_GAIN = 0.02
+"""Gains of the base latency upwards: of a calm host, and of another one in a calm fleet."""
+
+DEFAULT_LATENCY_OBJECTIVE_MS = 1_000.0
+"""Where no request class is configured."""
+
+
+def latency_ratio(h: Host, latency_objective_ms: float) -> float:
+    """Mean latency of a host's recent attempts over the objective; 0.0 if less than one attempt is remembered."""
+    attempts = h.successes + h.failures
+    if attempts < 1.0:
+        return 0.0
+    return (h.successes * h.latency_ms / latency_objective_ms + h.failures * FAILURE_OBJECTIVES) / attempts
 
 
 class HostHealth:
-    """Reads the figures of the last survey. Writes its servers; asks for probes and turns by `orders`."""
-
-    def __init__(self, settings: api.Settings, seed: int, orders: Publication, figures: FleetEstimate) -> None:
-        self.settings, self.seed, self.publication, self.fleet = settings, seed, orders, figures
-        self.hosts: dict[int, Host] = {}
-        self.has_fresh_list = False  # a list newer than the saved one has come
-        self.random_draws, self.recent_successes = 0, 0.0  # chances drawn; answers, fading
-        self.min_latency_objective_ms = min((o.latency_objective_ms for o in settings.request_classes), default=1000.0)
-
-    def get_or_create(self, id: int) -> Host:
-        if id not in self.hosts:
-            self.hosts[id] = Host(id, api.HostEntry(id), is_listed=False)
-        return self.hosts[id]
-
-    def on_host_list_update(self, e: api.HostListUpdate) -> None:
-        now, o = self.publication.now_ms, self.publication
-        if e.kind is api.HostListKind.FAILED:
-            # Ask again soon, spread by chance: the ask rule counts silence as knowledge.
-            o.actions.append(api.LogNote("list call failed"))
-            self.random_draws += 1
-            chance = zlib.crc32(f"{self.seed}:{self.random_draws}".encode()) / 2**32
-            o.actions.append(api.StartTimer(self.settings.poll_interval_ms * (0.05 + 0.1 * chance), 1))
-            return
-        if e.kind is not api.HostListKind.CHANGES:
-            here = {entry.host for entry in e.entries}
-            for h in [h for h in self.hosts.values() if h.is_listed and h.id not in here]:
-                h.is_listed, o.is_decision_due = False, True
-        for entry in e.entries:
-            h = self.get_or_create(entry.host)
-            if entry.state == "removed":  # what was last listed of it stands: it may be draining
-                o.is_decision_due, h.is_listed = o.is_decision_due or h.is_listed, False
-                continue
-            if not self.has_fresh_list and e.kind is not api.HostListKind.CHANGES:
-                h.alive_at_ms = now
-            if entry.online_since > h.process_started_at_ms:
-                # A new process: what was heard of the old one says nothing of it.
-                if h.process_started_at_ms > -math.inf or entry.online_since > now - self.settings.warm_up_ms:
-                    h.start_learned_at_ms = now
-                    h.failed_at_ms, h.successes, h.failures, h.consecutive_failures, h.alive_at_ms = (
-                        -math.inf,
-                        0.0,
-                        0.0,
-                        0,
-                        -math.inf,
-                    )
-                h.process_started_at_ms = entry.online_since
-            o.is_decision_due = o.is_decision_due or entry.state != "up"
-            h.entry, h.is_listed = entry, True
-        self.has_fresh_list = self.has_fresh_list or e.kind is not api.HostListKind.SAVED
-
-    def on_host_usage_report(self, e: api.HostUsageReport) -> None:
-        h, now = self.get_or_create(e.host), self.publication.now_ms
-        if now - h.start_learned_at_ms < self.settings.report_interval_ms + self.settings.propagation_ms:
-            return  # sums from before a restart
-        good = e.attempts - e.failed
-        h.successes, h.failures = h.successes + good, h.failures + e.failed
-        if good > 0 and e.latency_ms > 0:
-            # Speed shows only while answers don't wait: a crowd says nothing of it (nor after a restart), a
-            # few answers little, a cold server only ill. A strained one is slow if the fleet is calm.
-            prior = (
-                self.fleet.typical_latency_ms_by_kind.get(h.entry.kind) or self.fleet.typical_latency_ms or e.latency_ms
-            )
-            h.latency_ms = h.latency_ms or prior
-            h.latency_ms += (e.latency_ms - h.latency_ms) * good / (good + 6.0)
-            calm = latency_ratio(h, self.min_latency_objective_ms) < OVERLOAD_RATIO / 2
-            h.base_latency_ms = h.base_latency_ms or prior
-            if h.latency_ms < h.base_latency_ms:
-                h.base_latency_ms += (h.latency_ms - h.base_latency_ms) * (0.0 if self.is_warming_up(h) else 0.3)
-            elif calm or self.fleet.median_latency_ratio < OVERLOAD_RATIO / 2:
-                h.base_latency_ms += (h.latency_ms - h.base_latency_ms) * (0.05 if calm else 0.02)
-        self.recent_successes += good
-        h.consecutive_failures = 0 if good else h.consecutive_failures + e.failed
-        if good:
-            h.succeeded_at_ms = h.alive_at_ms = now
-        # A run of failures is a crash (a probe fails), a hang (no good answer for windows) or a crowd, which
-        # answers some: emptied it would crowd the next. What an emptied one still fails says nothing.
+    """Health and speed of each host, as usage reports and health checks tell it.
+
+    It writes that part of `Host`, reads the last fleet estimate, and asks for health checks and decisions through
+    `Publication`.
+    """
+
+    def __init__(self, host_list: HostList, fleet: FleetEstimate) -> None:
+        self.settings = host_list.settings
+        self.host_list = host_list
+        self.hosts = host_list.hosts
+        self.publication = host_list.publication
+        self.fleet = fleet
+        self.recent_successes = 0.0  # answered attempts at all hosts, decaying
+        objectives = (request_class.latency_objective_ms for request_class in self.settings.request_classes)
+        self.min_latency_objective_ms = min(objectives, default=DEFAULT_LATENCY_OBJECTIVE_MS)
+
+    # Usage reports.
+
+    def on_host_usage_report(self, event: api.HostUsageReport) -> None:
+        """Count the attempts at a host; a run of failures makes it suspect."""
+        h = self.host_list.get_or_create(event.host)
+        now_ms = self.publication.now_ms
+        if now_ms - h.start_learned_at_ms < self.settings.report_interval_ms + self.settings.propagation_ms:
+            return  # the report may be of the host's former process
+        answered = event.attempts - event.failed
+        h.successes += answered
+        h.failures += event.failed
+        if answered > 0 and event.latency_ms > 0:
+            self._update_latency(h, event.latency_ms, answered)
+        self.recent_successes += answered
+        if answered:
+            h.consecutive_failures = 0
+            h.succeeded_at_ms = now_ms
+            h.alive_at_ms = now_ms
+        else:
+            h.consecutive_failures += event.failed
+        # What a host without slices still fails was sent before it lost them, and says nothing.
         if h.consecutive_failures >= SUSPECT_FAILURES and h.load:
-            hung = now - h.succeeded_at_ms > HANG_REPORT_WINDOWS * self.fleet.report_window_ms
-            (self.mark_failing if hung else self.request_health_check)(h)
+            self._examine_suspect(h)
+
+    def _update_latency(self, h: Host, latency_ms: float, answered: int) -> None:
+        """Smooth the mean latency, and learn the base latency from it.
+
+        Answers that wait in an overloaded host say nothing of its speed, answers of a warming host only that it is
+        slow; a host with a high latency ratio is slow by itself if the fleet is calm.
+        """
+        fleet = self.fleet
+        prior_ms = fleet.typical_latency_ms_by_kind.get(h.entry.kind) or fleet.typical_latency_ms or latency_ms
+        h.latency_ms = h.latency_ms or prior_ms
+        h.latency_ms += (latency_ms - h.latency_ms) * answered / (answered + LATENCY_PRIOR_ATTEMPTS)
+        is_calm = latency_ratio(h, self.min_latency_objective_ms) < CALM_RATIO
+        h.base_latency_ms = h.base_latency_ms or prior_ms
+        if h.latency_ms < h.base_latency_ms:
+            gain = 0.0 if self.is_warming_up(h) else FASTER_GAIN
+        elif is_calm:
+            gain = CALM_SLOWER_GAIN
+        elif fleet.median_latency_ratio < CALM_RATIO:
+            gain = SLOWER_GAIN
+        else:
+            return
+        h.base_latency_ms += (h.latency_ms - h.base_latency_ms) * gain
+
+    def _examine_suspect(self, h: Host) -> None:
+        """Tell a hang (no answer for some windows) from a crash (a health check fails) and from overload.
+
+        An overloaded host answers some attempts: taking all of its slices would overload the next host.
+        """
+        silent_ms = self.publication.now_ms - h.succeeded_at_ms
+        if silent_ms > HANG_REPORT_WINDOWS * self.fleet.report_window_ms:
+            self.mark_failing(h)
+        else:
+            self.request_health_check(h)
+
+    # Health checks.
 
     def request_health_check(self, h: Host) -> None:
+        """Ask for a health check where the site allows it, unless one is in flight."""
         if self.settings.may_check_health and not h.is_being_checked:
             h.is_being_checked = True
             self.publication.actions.append(api.CheckHealth(h.id))
 
-    def on_health_check_result(self, e: api.HealthCheckResult) -> None:
-        h = self.get_or_create(e.host)
+    def on_health_check_result(self, event: api.HealthCheckResult) -> None:
+        """Take a passed health check as a sign of life, and a failed one of a suspect as its end."""
+        h = self.host_list.get_or_create(event.host)
         h.is_being_checked = False
-        if e.outcome is api.HealthCheckOutcome.OK:
-            # A server that is slow by itself answers too much to hang and too little to be of use. In a crowd
-            # that all share, probes take long everywhere, and nobody could bear what it has.
-            h.health_check_latency_ms = e.latency_ms
-            slow = e.latency_ms > SLOW_HEALTH_CHECK_FACTOR * upper_median(
-                [x.health_check_latency_ms for x in self.hosts.values() if x.is_listed and x.health_check_latency_ms]
-            )
-            ill = (
-                latency_ratio(h, self.min_latency_objective_ms) > SATURATED_RATIO
-                if h.load
-                else h.failed_at_ms > -math.inf
-            )
-            if slow and ill and self.fleet.median_latency_ratio < OVERLOAD_RATIO / 2 and not self.is_warming_up(h):
+        is_suspect = h.consecutive_failures >= SUSPECT_FAILURES
+        if event.outcome is api.HealthCheckOutcome.OK:
+            h.health_check_latency_ms = event.latency_ms
+            if self._is_slow_by_itself(h):
                 self.mark_failing(h)
-                return
-        if e.outcome is api.HealthCheckOutcome.OK or (
-            e.outcome is api.HealthCheckOutcome.TIMEOUT and h.consecutive_failures < SUSPECT_FAILURES and h.is_listed
-        ):
-            # A time-out may be but a long or lossy way.
-            h.alive_at_ms, h.consecutive_failures = self.publication.now_ms, h.consecutive_failures if h.load else 0
-        elif e.outcome is not api.HealthCheckOutcome.FULL and (
-            h.consecutive_failures >= SUSPECT_FAILURES or not h.is_listed
-        ):
+            else:
+                self._mark_alive(h)
+        elif event.outcome is api.HealthCheckOutcome.TIMEOUT and not is_suspect and h.is_listed:
+            self._mark_alive(h)  # a long or lossy network path also makes it time out
+        elif event.outcome is not api.HealthCheckOutcome.FULL and (is_suspect or not h.is_listed):
             self.mark_failing(h)
 
+    def _is_slow_by_itself(self, h: Host) -> bool:
+        """Whether a host that passed a health check answers too little to be of use, while the fleet is well.
+
+        In an overload that all hosts share health checks take long everywhere, and no host could take its slices.
+        """
+        listed = [other for other in self.hosts.values() if other.is_listed]
+        median_ms = upper_median([other.health_check_latency_ms for other in listed if other.health_check_latency_ms])
+        if h.health_check_latency_ms <= SLOW_HEALTH_CHECK_FACTOR * median_ms:
+            return False
+        if h.load:
+            is_ill = latency_ratio(h, self.min_latency_objective_ms) > SATURATED_RATIO
+        else:
+            is_ill = h.failed_at_ms > -math.inf
+        return is_ill and self.fleet.median_latency_ratio < CALM_RATIO and not self.is_warming_up(h)
+
+    def _mark_alive(self, h: Host) -> None:
+        h.alive_at_ms = self.publication.now_ms
+        if not h.load:
+            h.consecutive_failures = 0
+
     def mark_failing(self, h: Host) -> None:
+        """Make a host ineligible for `FAILURE_MEMORY_MS` from now on, if the quota allows another one."""
         if self.publication.now_ms - h.failed_at_ms > FAILURE_MEMORY_MS:
-            if not self.publication.acquire_quota("emptied", 0, True):
+            if not self.publication.may_begin(QuotaKind.EVACUATIONS, 0, True):
                 return
-            self.publication.actions.append(api.LogNote(f"failing {h.id} good={h.successes:.1f} bad={h.failures:.1f}"))
+            note = f"failing {h.id} good={h.successes:.1f} bad={h.failures:.1f}"
+            self.publication.actions.append(api.LogNote(note))
             self.publication.is_decision_due = True
         h.failed_at_ms = self.publication.now_ms
 
+    # Questions.
+
     def is_leaving(self, h: Host) -> bool:
-        """Told to be gone or draining: nothing may go there."""
-        return h.entry.state != "up" or (not h.is_listed and self.has_fresh_list and not self.is_alive_but_unlisted(h))
+        """Whether a host is draining or gone by the host list, so that nothing may go there."""
+        if h.entry.state != api.HostState.UP:
+            return True
+        return not h.is_listed and self.host_list.has_fresh_list and not self.is_alive_but_unlisted(h)
 
     def is_alive_but_unlisted(self, h: Host) -> bool:
-        """Gone from the list, but showing life, where only a drain binds: the list is wrong, not the server.
-        Covers lists that blink, empty or go back in time; a dying server keeps work for a probe longer."""
-        late = max(FAILURE_MEMORY_MS, HANG_REPORT_WINDOWS * self.fleet.report_window_ms)
-        alive = h.alive_at_ms > h.failed_at_ms and self.publication.now_ms - h.alive_at_ms < late
-        return self.settings.only_drains_bind and not h.is_listed and alive
+        """Whether a missing entry is the list's fault: the host shows life, at a site where only a drain binds.
+
+        It covers lists that blink, come empty or go back in time; a dying host keeps its slices for one health check
+        longer.
+        """
+        max_silence_ms = max(FAILURE_MEMORY_MS, HANG_REPORT_WINDOWS * self.fleet.report_window_ms)
+        is_alive = h.alive_at_ms > h.failed_at_ms and self.publication.now_ms - h.alive_at_ms < max_silence_ms
+        return self.settings.only_drains_bind and not h.is_listed and is_alive
 
     def is_warming_up(self, h: Host) -> bool:
+        """Whether a host's process is younger than the site's warm-up time."""
         return self.publication.now_ms - h.process_started_at_ms < self.settings.warm_up_ms
--- /dev/null
+++ b/corallanding/assignment/host_list.py
@@ -0,0 +1,92 @@
+"""The hosts that there are, by the lists that the site gives."""
+
+from __future__ import annotations
+
+import math
+import zlib
+from collections.abc import Iterable
+
+from .. import interface as api
+from .publication import HOST_LIST_TIMER, Publication
+from .state import Host
+
+MIN_POLL_DELAY = 0.05
+POLL_DELAY_SPREAD = 0.1
+"""Bounds of the delay after a failed poll of the host list, as shares of the poll interval, drawn between by chance."""
+
+
+class HostList:
+    """All hosts that were ever named and not forgotten, whether they are listed or not.
+
+    Invariant: `has_fresh_list` is false until a host list newer than the saved one has come; until then a host that is
+    missing from the list may merely be newer than that list.
+    """
+
+    def __init__(self, settings: api.Settings, seed: int, publication: Publication) -> None:
+        self.settings = settings
+        self.seed = seed
+        self.publication = publication
+        self.hosts: dict[int, Host] = {}
+        self.has_fresh_list = False
+        self.random_draws = 0  # drawn from `seed` so far
+
+    def get_or_create(self, host_id: int) -> Host:
+        """The host of that id; one that is not known is taken in as not listed."""
+        if host_id not in self.hosts:
+            self.hosts[host_id] = Host(host_id, api.HostEntry(host_id), is_listed=False)
+        return self.hosts[host_id]
+
+    def on_host_list_update(self, event: api.HostListUpdate) -> None:
+        """Take in the host list or changes of it; a failed poll is repeated soon."""
+        if event.kind is api.HostListKind.FAILED:
+            self._retry_poll()
+            return
+        if event.kind is not api.HostListKind.CHANGES:
+            self._unlist_missing(event.entries)
+        for entry in event.entries:
+            self._apply_entry(entry, event.kind)
+        self.has_fresh_list = self.has_fresh_list or event.kind is not api.HostListKind.SAVED
+
+    def _retry_poll(self) -> None:
+        """Poll again after a random part of the interval, so that controllers do not all poll at once."""
+        self.publication.actions.append(api.LogNote("list call failed"))
+        self.random_draws += 1
+        draw = zlib.crc32(f"{self.seed}:{self.random_draws}".encode()) / 2**32
+        delay_ms = self.settings.poll_interval_ms * (MIN_POLL_DELAY + POLL_DELAY_SPREAD * draw)
+        self.publication.actions.append(api.StartTimer(delay_ms, HOST_LIST_TIMER))
+
+    def _unlist_missing(self, entries: Iterable[api.HostEntry]) -> None:
+        listed_ids = {entry.host for entry in entries}
+        for h in self.hosts.values():
+            if h.is_listed and h.id not in listed_ids:
+                h.is_listed = False
+                self.publication.is_decision_due = True
+
+    def _apply_entry(self, entry: api.HostEntry, kind: api.HostListKind) -> None:
+        h = self.get_or_create(entry.host)
+        if entry.state == api.HostState.REMOVED:
+            # The entry that was last listed stands: the host may be draining.
+            if h.is_listed:
+                self.publication.is_decision_due = True
+            h.is_listed = False
+            return
+        if not self.has_fresh_list and kind is not api.HostListKind.CHANGES:
+            h.alive_at_ms = self.publication.now_ms
+        if entry.online_since > h.process_started_at_ms:
+            self._on_process_start(h, entry.online_since)
+        if entry.state != api.HostState.UP:
+            self.publication.is_decision_due = True
+        h.entry = entry
+        h.is_listed = True
+
+    def _on_process_start(self, h: Host, started_at_ms: float) -> None:
+        """A new process of a host: what was heard of the old one says nothing of it."""
+        now_ms = self.publication.now_ms
+        if h.process_started_at_ms > -math.inf or started_at_ms > now_ms - self.settings.warm_up_ms:
+            h.start_learned_at_ms = now_ms
+            h.failed_at_ms = -math.inf
+            h.successes = 0.0
+            h.failures = 0.0
+            h.consecutive_failures = 0
+            h.alive_at_ms = -math.inf
+        h.process_started_at_ms = started_at_ms
--- a/corallanding/assignment/load_estimate.py
+++ b/corallanding/assignment/load_estimate.py
@@ -1,185 +1,241 @@
-"""Fair load for each server, from the slices' demand and the servers' speeds: what a turn begins with."""
+"""The fair load of each host, from the slices' demand and the hosts' capacity: made anew before each decision."""
+
+from __future__ import annotations
 
 import math
 import zlib
 
 from .. import interface as api
-from .host_health import FAILURE_MEMORY_MS, OVERLOAD_RATIO, HostHealth, latency_ratio
-from .placement import MAX_UTILIZATION
+from .demand import SliceDemand
+from .host_health import HostHealth, latency_ratio
+from .limits import FAILURE_MEMORY_MS, MAX_UTILIZATION, OUTLIER_FACTOR, OVERLOAD_RATIO
 from .rendezvous import RendezvousTable
-from .state import FleetEstimate, Host, Slice, upper_median
+from .state import FleetEstimate, Host, SpareLoad, upper_median
+
+RAMP_SHARE_OF_WARM_UP = 0.75
+"""Part of the warm-up time in which a new host's share grows to the full one (12 to 13.5 s)."""
+
+FEEDBACK_REPORT_WINDOWS = 1.5
+"""Report windows after which usage reports tell of the effect of a move."""
+
+COLD_CACHE_FACTOR = 0.25
+"""Times the overload factor: the part of its share that a warming host takes where hosts cache keys."""
 
-RAMP_SHARE_OF_WARM_UP = (
-    0.75  # of the stated cold time: how long a new server takes to get its full share (12 to 13.5 s)
-)
-FEEDBACK_REPORT_WINDOWS = 1.5  # windows of sums before a server that shed is judged again
-COLD_CACHE_FACTOR = 0.25  # times the fall multiple: part of its share that a cold server takes where keys are cached
-RETRY_SHARE_OF_UNANSWERED = 0.5  # part of the unanswered invocations of a slice that are taken for clients' repeats
-OUTLIER_FACTOR = 2.0  # strain over so many times the fleet's median is a server's own: trouble that all share is not
-PEAK_HALF_LIFE_REPORTS = 4.0  # report periods over which the fleet's answers are counted
+PEAK_HALF_LIFE_REPORTS = 4.0
+"""Half-life of the count of answers by which the fleet's peak is found, in report intervals."""
+
+REPORTS_PER_WINDOW = 4
+"""Where several controllers share the work, what is remembered of a host halves in this part of a report window."""
+
+MAX_ROOM_FACTOR = 1.2
+"""Above the highest factor by which placement multiplies a weighted score (see `placement.ROOM_OFFSET`)."""
 
 
 class LoadEstimator:
-    """Reads what is known of servers. Writes the figures, and what a turn asks of servers again and again."""
+    """Makes the figures by which all decisions of one turn go.
+
+    It writes `FleetEstimate` and the estimates of each `Host`. Invariant: `peak_load_per_capacity` is the most that the
+    whole site was seen to answer, and infinite until reports of all slices have come.
+    """
 
     def __init__(
-        self, known: HostHealth, slices: dict[int, Slice], ranks: RendezvousTable[Host], figures: FleetEstimate
+        self,
+        host_health: HostHealth,
+        demand: SliceDemand,
+        rendezvous: RendezvousTable[Host],
+        fleet: FleetEstimate,
     ) -> None:
-        self.settings, self.host_health, self.slices, self.rendezvous, self.fleet = (
-            known.settings,
-            known,
-            slices,
-            ranks,
-            figures,
-        )
-        self.recent_requests = self.decayed_at_ms = self.ownership_changed_at_ms = (
-            0.0  # the last: when the slices in charge changed
-        )
-        self.peak_load_per_capacity = math.inf  # the most that the fleet was seen to answer, by capacity
-
-    def on_slice_usage_report(self, e: api.SliceUsageReport) -> None:
-        self.recent_requests += e.requests
-        if (s := self.slices.get(e.slice)) and e.span_ms > 0:
-            # Half of what went unanswered is repeats. What doubles counts at once, or a cold owner falls over
-            # while the smoothed figure climbs; among few it is chance.
-            rate = (e.requests - min(e.unanswered, e.requests) * RETRY_SHARE_OF_UNANSWERED) * 1000.0 / e.span_ms
-            old = s.rate_by_class.get(e.request_class, rate)
-            keep = 0.0 if rate > 2.0 * old and e.requests > 10 else 0.5 ** (e.span_ms / 2000.0)
-            s.rate_by_class[e.request_class] = rate + (old - rate) * keep
-            s.requests_per_second = sum(s.rate_by_class.values())
-
-    def capacity(self, h: Host) -> float:
-        age = min(
-            1.0,
-            (self.host_health.publication.now_ms - h.process_started_at_ms)
-            / (RAMP_SHARE_OF_WARM_UP * self.settings.warm_up_ms or 1.0),
-        )
-        warm = (
-            self.settings.warm_up_initial_share + (1.0 - self.settings.warm_up_initial_share) * age
-        )  # what part of its share it may take
-        chill = (
-            COLD_CACHE_FACTOR * self.settings.overload_factor
-            if self.settings.caches_keys and self.host_health.is_warming_up(h)
-            else 1.0
-        )
-        kind = (
-            self.fleet.typical_latency_ms_by_kind.get(h.entry.kind) or self.fleet.typical_latency_ms or 1.0
-        )  # speed: half way to that
-        return h.entry.weight * warm * chill / math.sqrt(kind * (h.base_latency_ms or kind))
+        self.settings = host_health.settings
+        self.host_health = host_health
+        self.demand = demand
+        self.slices = demand.slices
+        self.rendezvous = rendezvous
+        self.fleet = fleet
+        self.decayed_at_ms = 0.0  # when counts last decayed
+        self.ownership_changed_at_ms = 0.0  # when the slices of this controller last changed
+        self.peak_load_per_capacity = math.inf
+
+    def capacity_of(self, h: Host) -> float:
+        """Listed weight by speed, reduced while the host warms up. Only its proportion to other hosts counts.
+
+        Speed counts half way (geometric mean) between the host's own and its kind's: few attempts and caches make hosts
+        of one kind look more different than they are.
+        """
+        settings = self.settings
+        age_ms = self.host_health.publication.now_ms - h.process_started_at_ms
+        ramp = min(1.0, age_ms / (RAMP_SHARE_OF_WARM_UP * settings.warm_up_ms or 1.0))
+        warm_share = settings.warm_up_initial_share + (1.0 - settings.warm_up_initial_share) * ramp
+        has_cold_cache = settings.caches_keys and self.host_health.is_warming_up(h)
+        cache_share = COLD_CACHE_FACTOR * settings.overload_factor if has_cold_cache else 1.0
+        fleet = self.fleet
+        kind_ms = fleet.typical_latency_ms_by_kind.get(h.entry.kind) or fleet.typical_latency_ms or 1.0
+        return h.entry.weight * warm_share * cache_share / math.sqrt(kind_ms * (h.base_latency_ms or kind_ms))
 
     def update(self) -> None:
-        """The survey at the head of a turn."""
-        floors, hosts = dict[int, list[float]](), self.host_health.hosts.values()
-        for h in hosts:
-            if h.base_latency_ms and h.is_listed:
-                floors.setdefault(h.entry.kind, []).append(h.base_latency_ms)
-        self.fleet.typical_latency_ms = upper_median([f for kind in floors.values() for f in kind])
-        self.fleet.typical_latency_ms_by_kind = {kind: upper_median(of) for kind, of in floors.items()}
-        total = self.update_loads()
-        here = [
-            h for h in hosts if (h.is_listed or self.host_health.is_alive_but_unlisted(h)) and h.entry.state == "up"
+        """Make all estimates anew, as of now."""
+        hosts = self.host_health.hosts.values()
+        self._update_typical_latencies()
+        self._decay_counts()
+        total_load = self._update_loads()
+        present = [
+            h
+            for h in hosts
+            if (h.is_listed or self.host_health.is_alive_but_unlisted(h)) and h.entry.state == api.HostState.UP
         ]
-        self.update_fair_loads(self.choose_eligible_hosts(here), total)
-        self.rendezvous.add(here)
-
-    def update_loads(self) -> float:
-        """Each server's load and strain; the sum of loads. An unknown slice counts as the mean."""
-        known, now = (
-            [s.requests_per_second for s in self.slices.values() if s.rate_by_class],
-            self.host_health.publication.now_ms,
-        )
-        usual, total = sum(known) / len(known) if known else 1.0, 0.0
-        # Counts fade with time, whichever zones they came from; an emptied server's strain too.
-        # Of several stewards each hears of a server a few times in a window: so long it counts.
-        span = max(
-            self.settings.report_interval_ms,
-            self.fleet.report_window_ms / 4 if self.settings.controller_count > 1 else 0.0,
-        )
-        recent = 0.5 ** ((now - self.decayed_at_ms) / span)
-        keep = 0.5 ** ((now - self.decayed_at_ms) / (PEAK_HALF_LIFE_REPORTS * self.settings.report_interval_ms))
-        self.host_health.recent_successes, self.recent_requests, self.decayed_at_ms = (
-            self.host_health.recent_successes * keep,
-            self.recent_requests * keep,
-            now,
-        )
+        serving = self._choose_eligible_hosts(present)
+        self._update_fair_loads(serving, total_load)
+        self._update_healthy_hosts(total_load)
+        self._prepare_placement()
+        self.rendezvous.add(present)
+
+    def _update_typical_latencies(self) -> None:
+        latencies_by_kind: dict[int, list[float]] = {}
+        for h in self.host_health.hosts.values():
+            if h.base_latency_ms and h.is_listed:
+                latencies_by_kind.setdefault(h.entry.kind, []).append(h.base_latency_ms)
+        all_latencies = [latency for latencies in latencies_by_kind.values() for latency in latencies]
+        self.fleet.typical_latency_ms = upper_median(all_latencies)
+        self.fleet.typical_latency_ms_by_kind = {
+            kind: upper_median(latencies) for kind, latencies in latencies_by_kind.items()
+        }
+
+    def _decay_counts(self) -> None:
+        """Let counts decay by the time since the last estimate.
+
+        Where several controllers share the work, each hears of a host only a few times in a report window; counts last
+        longer there.
+        """
+        settings = self.settings
+        health = self.host_health
+        elapsed_ms = health.publication.now_ms - self.decayed_at_ms
+        shared_half_life_ms = self.fleet.report_window_ms / REPORTS_PER_WINDOW if settings.controller_count > 1 else 0.0
+        attempts_left = 0.5 ** (elapsed_ms / max(settings.report_interval_ms, shared_half_life_ms))
+        requests_left = 0.5 ** (elapsed_ms / (PEAK_HALF_LIFE_REPORTS * settings.report_interval_ms))
+        health.recent_successes *= requests_left
+        self.demand.recent_requests *= requests_left
+        self.decayed_at_ms = health.publication.now_ms
+        for h in health.hosts.values():
+            h.successes *= attempts_left
+            h.failures *= attempts_left
+
+    def _update_loads(self) -> float:
+        """Each host's load, capacity and latency ratio; returns the sum of the slices' loads.
+
+        A slice of which no report has come counts as the mean of the others.
+        """
+        known_rates = [s.requests_per_second for s in self.slices.values() if s.rate_by_class]
+        mean_rate = sum(known_rates) / len(known_rates) if known_rates else 1.0
+        total_load = 0.0
         for h in self.host_health.hosts.values():
-            h.load, h.successes, h.failures = 0.0, h.successes * recent, h.failures * recent
-            h.is_eligible, h.is_healthy, h.is_warming_up, h.capacity = (
-                False,
-                False,
-                self.host_health.is_warming_up(h),
-                self.capacity(h),
-            )
-            h.latency_ratio = latency_ratio(h, self.host_health.min_latency_objective_ms)
-            if now - h.taking_since_ms > (
-                self.fleet.feedback_delay_ms if h.is_warming_up else self.fleet.report_window_ms
-            ):
-                h.slices_taken, h.taking_since_ms = 0, now
+            self._reset_estimates(h)
         for s in self.slices.values():
-            s.requests_per_second = s.requests_per_second if s.rate_by_class else usual
-            total += s.requests_per_second
-            for h in ([s.owner] if s.owner else []) + s.replicas:
-                h.load += s.load_per_host
-        return total
-
-    def choose_eligible_hosts(self, here: list[Host]) -> list[Host]:
-        """Who may own: `Figures.pool`. Answers with those too who were heard failing."""
-        now, f = self.host_health.publication.now_ms, self.fleet
-        # A newcomer, or one that failed, shows life before it counts: a list may name what does not exist.
-        for h in here:
-            if h.alive_at_ms <= h.failed_at_ms or (not h.is_listed and now - h.alive_at_ms > f.report_window_ms):
+            if not s.rate_by_class:
+                s.requests_per_second = mean_rate
+            total_load += s.requests_per_second
+            load = s.load_per_host
+            if s.owner:
+                s.owner.load += load
+            for h in s.replicas:
+                h.load += load
+        return total_load
+
+    def _reset_estimates(self, h: Host) -> None:
+        """What is estimated of one host by itself; its load is summed up afterwards."""
+        now_ms = self.host_health.publication.now_ms
+        h.load = 0.0
+        h.is_eligible = False
+        h.is_healthy = False
+        h.is_warming_up = self.host_health.is_warming_up(h)
+        h.capacity = self.capacity_of(h)
+        h.latency_ratio = latency_ratio(h, self.host_health.min_latency_objective_ms)
+        window_ms = self.fleet.feedback_delay_ms if h.is_warming_up else self.fleet.report_window_ms
+        if now_ms - h.taking_since_ms > window_ms:
+            h.slices_taken = 0
+            h.taking_since_ms = now_ms
+
+    def _choose_eligible_hosts(self, present: list[Host]) -> list[Host]:
+        """Set which hosts may own slices. Returns the hosts that serve, among them those that were found failing."""
+        now_ms = self.host_health.publication.now_ms
+        fleet = self.fleet
+        # A new host, or one that failed, shows life before it counts: a list may name what does not exist.
+        for h in present:
+            is_silent = not h.is_listed and now_ms - h.alive_at_ms > fleet.report_window_ms
+            if h.alive_at_ms <= h.failed_at_ms or is_silent:
                 self.host_health.request_health_check(h)
-        listed = [
-            h for h in here if h.load or h.alive_at_ms > h.failed_at_ms or not self.settings.may_check_health
-        ] or here
-        # How often a sum comes anew: the period, or longer where the lines of one don't fit the intake.
-        lines = len(listed) * self.settings.zone_count + len(self.slices) * len(self.settings.request_classes)
-        f.report_window_ms = max(self.settings.report_interval_ms, lines * 1000.0 / self.settings.reports_per_second)
-        f.feedback_delay_ms = FEEDBACK_REPORT_WINDOWS * f.report_window_ms + 2 * self.settings.propagation_ms
-        f.eligible_hosts = [h for h in listed if now - h.failed_at_ms > FAILURE_MEMORY_MS]
-        if len(f.eligible_hosts) * 2 < len(here):  # most failing at once: the path or the work, not the servers
-            f.eligible_hosts = listed
-        f.median_latency_ratio = upper_median([h.latency_ratio for h in listed])
-        f.overload_ratio = max(OVERLOAD_RATIO, OUTLIER_FACTOR * f.median_latency_ratio)
-        return listed
-
-    def update_fair_loads(self, listed: list[Host], total: float) -> None:
-        """What part of the load is each server's, and who has room."""
-        f, space = self.fleet, sum(h.capacity for h in listed)
-        # A cold server's part is of the most that the fleet was seen to answer: what is asked pushes it over.
-        unit = math.log(2.0) * 1000.0 / (PEAK_HALF_LIFE_REPORTS * self.settings.report_interval_ms)
-        # The peak is of all the work: what a steward is given or loses of it changes its part at once.
-        part = len(self.slices) / (self.settings.slice_count or 1)
-        told = self.host_health.publication.now_ms - self.ownership_changed_at_ms > max(
-            2 * PEAK_HALF_LIFE_REPORTS * self.settings.report_interval_ms, f.report_window_ms
-        )
-        if space and part and told:  # else too little is known
-            self.peak_load_per_capacity = max(
-                self.peak_load_per_capacity if self.peak_load_per_capacity < math.inf else 0.0,
-                self.host_health.recent_successes * unit / space / part,
-            )
-        peak = self.peak_load_per_capacity * part if part else math.inf
-        f.answerable_share = peak * space / max(self.recent_requests * unit, 0.001)
-        f.load_per_capacity = total / space if space else 0.0
-        f.site_load_per_capacity = f.load_per_capacity / (part or 1.0)
+        may_check = self.settings.may_check_health
+        serving = [h for h in present if h.load or h.alive_at_ms > h.failed_at_ms or not may_check] or present
+        self._update_report_window(len(serving))
+        fleet.eligible_hosts = [h for h in serving if now_ms - h.failed_at_ms > FAILURE_MEMORY_MS]
+        if len(fleet.eligible_hosts) * 2 < len(present):
+            fleet.eligible_hosts = serving  # most fail at once: the path or the work is at fault, not the hosts
+        fleet.median_latency_ratio = upper_median([h.latency_ratio for h in serving])
+        fleet.overload_ratio = max(OVERLOAD_RATIO, OUTLIER_FACTOR * fleet.median_latency_ratio)
+        return serving
+
+    def _update_report_window(self, host_count: int) -> None:
+        """A report comes once an interval, or more seldom where the site cannot take in so many."""
+        settings = self.settings
+        reports = host_count * settings.zone_count + len(self.slices) * len(settings.request_classes)
+        window_ms = max(settings.report_interval_ms, reports * 1000.0 / settings.reports_per_second)
+        self.fleet.report_window_ms = window_ms
+        self.fleet.feedback_delay_ms = FEEDBACK_REPORT_WINDOWS * window_ms + 2 * settings.propagation_ms
+
+    def _update_fair_loads(self, serving: list[Host], total_load: float) -> None:
+        """Split the load by capacity. A warming host gets no more than the peak: what is asked would overload it."""
+        fleet = self.fleet
+        capacity = sum(h.capacity for h in serving)
+        owned_share = len(self.slices) / (self.settings.slice_count or 1)
+        counts_per_second = math.log(2.0) * 1000.0 / (PEAK_HALF_LIFE_REPORTS * self.settings.report_interval_ms)
+        self._update_peak(capacity, owned_share, counts_per_second)
+        # The peak is of the whole site: slices that this controller gains or loses change its part at once.
+        peak = self.peak_load_per_capacity * owned_share if owned_share else math.inf
+        fleet.answerable_share = peak * capacity / max(self.demand.recent_requests * counts_per_second, 0.001)
+        fleet.load_per_capacity = total_load / capacity if capacity else 0.0
+        fleet.site_load_per_capacity = fleet.load_per_capacity / (owned_share or 1.0)
+        warming_load_per_capacity = min(fleet.load_per_capacity, peak)
         for h in self.host_health.hosts.values():
-            h.fair_load = h.capacity * (min(f.load_per_capacity, peak) if h.is_warming_up else f.load_per_capacity)
-        usual = total / (len(self.slices) or 1)
-        for h in f.eligible_hosts:
-            h.is_eligible, h.is_healthy = (
-                True,
-                h.latency_ratio <= (OVERLOAD_RATIO if h.is_warming_up else f.overload_ratio),
-            )
-            if h.is_warming_up and self.settings.controller_count > 1 and usual:
-                # At each of many stewards its part is less than a slice, and all would leave it idle. They
-                # round to whole slices, another first at each server, so that all together round but once.
-                place = (zlib.crc32(b"%d" % h.id) + self.settings.controller_index) % self.settings.controller_count
-                whole = math.floor(h.fair_load / usual + (place + 0.5) / self.settings.controller_count)
-                h.fair_load, h.is_healthy = whole * usual or h.fair_load, h.is_healthy and whole > 0
-        room = [
-            (MAX_UTILIZATION * h.fair_load - h.load if h.fair_load else math.inf, h)
-            for h in f.eligible_hosts
+            h.fair_load = h.capacity * (warming_load_per_capacity if h.is_warming_up else fleet.load_per_capacity)
+
+    def _update_peak(self, capacity: float, owned_share: float, counts_per_second: float) -> None:
+        """Raise the peak to what is answered now, once reports of all slices of this controller have come."""
+        since_change_ms = self.host_health.publication.now_ms - self.ownership_changed_at_ms
+        settle_ms = 2 * PEAK_HALF_LIFE_REPORTS * self.settings.report_interval_ms
+        if not capacity or not owned_share or since_change_ms <= max(settle_ms, self.fleet.report_window_ms):
+            return
+        answered = self.host_health.recent_successes * counts_per_second / capacity / owned_share
+        known_peak = self.peak_load_per_capacity if self.peak_load_per_capacity < math.inf else 0.0
+        self.peak_load_per_capacity = max(known_peak, answered)
+
+    def _update_healthy_hosts(self, total_load: float) -> None:
+        """Set which eligible hosts may be given more slices."""
+        mean_slice_load = total_load / (len(self.slices) or 1)
+        is_shared = self.settings.controller_count > 1
+        for h in self.fleet.eligible_hosts:
+            h.is_eligible = True
+            h.is_healthy = h.latency_ratio <= (OVERLOAD_RATIO if h.is_warming_up else self.fleet.overload_ratio)
+            if h.is_warming_up and is_shared and mean_slice_load:
+                self._round_to_whole_slices(h, mean_slice_load)
+
+    def _round_to_whole_slices(self, h: Host, mean_slice_load: float) -> None:
+        """Round the fair load of a warming host to whole slices.
+
+        At each of many controllers it is less than one slice, and all would leave the host idle. Each rounds with
+        another offset, so that the sum over all controllers is rounded once.
+        """
+        count = self.settings.controller_count
+        position = (zlib.crc32(b"%d" % h.id) + self.settings.controller_index) % count
+        slices = math.floor(h.fair_load / mean_slice_load + (position + 0.5) / count)
+        h.fair_load = slices * mean_slice_load or h.fair_load
+        h.is_healthy = h.is_healthy and slices > 0
+
+    def _prepare_placement(self) -> None:
+        """Figures that placement reads: what each healthy host may still be given, and the bound of weighted scores."""
+        fleet = self.fleet
+        spare_loads = [
+            SpareLoad(MAX_UTILIZATION * h.fair_load - h.load if h.fair_load else math.inf, h)
+            for h in fleet.eligible_hosts
             if h.is_healthy
         ]
-        f.spare_loads, f.hosts_with_changed_load = sorted(room, key=lambda row: row[0]), {}
-        f.max_score_factor = 1.2 * max((h.entry.weight for h in f.eligible_hosts), default=0.0)  # over ROOM * 1.05
+        fleet.spare_loads = sorted(spare_loads, key=lambda spare: spare.requests_per_second)
+        fleet.hosts_with_changed_load = {}
+        fleet.max_score_factor = MAX_ROOM_FACTOR * max((h.entry.weight for h in fleet.eligible_hosts), default=0.0)
--- a/corallanding/assignment/rendezvous.py
+++ b/corallanding/assignment/rendezvous.py
@@ -1,8 +1,8 @@
-"""Marks of rendezvous hashing, and for each slice the servers with the highest ones. Decides nothing.
+"""Rendezvous hashing: scores of hosts for slices, and for each slice the hosts with the highest scores.
 
-A mark is -1/ln(u), u uniform in (0, 1) by BLAKE2b of slice and server: weight times mark orders servers for a slice as
-weighted rendezvous hashing does. To mark every server for every slice at every question is what made a turn cost slices
-times servers; a list of the few highest answers nearly all of them, and marks only what is new.
+A score is -1/ln(u), with u uniform in (0, 1) by BLAKE2b of slice and host. Weight times score orders hosts for a slice
+as weighted rendezvous hashing does. Scoring every host for every slice at every decision would cost slices times hosts;
+a short ranking for each slice answers nearly all questions, and only hosts that are new to it are scored.
 """
 
 from __future__ import annotations
@@ -13,128 +13,182 @@
 from bisect import bisect
 from collections.abc import Collection, Iterable
 from itertools import accumulate
-from typing import Generic, Protocol, TypeVar
+from typing import Generic, NamedTuple, Protocol, TypeVar
 
-MAX_RANKED = 48  # servers kept a slice: a full fleet looks at a few dozen until no other can score higher
+MAX_RANKED = 48
+"""Hosts kept for each slice: where the whole fleet is full, a few dozen are looked at until no other can win."""
 
+MAX_SINGLE_INSERTIONS = 8
+"""Up to so many new scores are inserted into a ranking one by one; more are sorted with those that are there."""
+
+DIGEST_BYTES = 8
+DIGEST_RANGE = 2.0 ** (8 * DIGEST_BYTES)
+
+
+class Identified(Protocol):
+    """Anything that has an id to be hashed."""
 
-class RankedHost(Protocol):
     @property
-    def id(self) -> int: ...
+    def id(self) -> int:
+        """The number that is hashed."""
 
 
-S = TypeVar("S", bound=RankedHost)
+H = TypeVar("H", bound=Identified)
 
 
-def rendezvous_score(slice: int, server: int) -> float:
-    return score_of_digest(hashlib.blake2b(b"%d:%d" % (slice, server), digest_size=8).digest())
+def rendezvous_score(slice_id: int, host_id: int) -> float:
+    """The score of a host for a slice, above 0. It depends on the two ids alone."""
+    return score_of_digest(hashlib.blake2b(b"%d:%d" % (slice_id, host_id), digest_size=DIGEST_BYTES).digest())
 
 
 def score_of_digest(digest: bytes) -> float:
-    """Grows with the digest: of many, only the highest need be worked out."""
-    return -1.0 / math.log((int.from_bytes(digest, "big") + 0.5) / 2.0**64)
+    """The score by its hash. It grows with the digest, so that the highest scores can be picked by digest."""
+    return -1.0 / math.log((int.from_bytes(digest, "big") + 0.5) / DIGEST_RANGE)
+
+
+def digests(slice_id: int, encoded_host_ids: Iterable[bytes]) -> list[bytes]:
+    """What `rendezvous_score` hashes, for many hosts: a copy of a begun hash takes half the time of a new one."""
+    prefix = hashlib.blake2b(b"%d:" % slice_id, digest_size=DIGEST_BYTES)
+    found = []
+    for encoded in encoded_host_ids:
+        hasher = prefix.copy()
+        hasher.update(encoded)
+        found.append(hasher.digest())
+    return found
+
+
+class Ranking(NamedTuple, Generic[H]):
+    """The highest scores for a slice, the highest first, and whose they are.
 
+    Two lists rather than one of pairs: hundreds of thousands of pairs would be walked by every full garbage collection.
+    """
 
-def digests(slice: int, names: Iterable[bytes]) -> list[bytes]:
-    """What `mark` hashes, for many servers: copying a begun hash takes half the time of beginning one."""
-    begun, out = hashlib.blake2b(b"%d:" % slice, digest_size=8), []
-    for name in names:
-        h = begun.copy()
-        h.update(name)
-        out.append(h.digest())
-    return out
+    scores: list[float]
+    hosts: list[H]
 
 
-class RendezvousTable(Generic[S]):
-    """Servers are added once and stay until forgotten. `of` gives what a slice's list holds, marking servers added
-    meanwhile."""
+class TableSize(NamedTuple):
+    """How many hosts and slices there are."""
 
-    def __init__(self, kept: int = MAX_RANKED) -> None:
-        self.max_ranked = kept
-        self.hosts: list[S] = []
-        self.encoded_ids: list[bytes] = []
+    hosts: int
+    slices: int
+
+
+class RendezvousTable(Generic[H]):
+    """For each slice the ranking of the hosts that were added and not forgotten.
+
+    Invariant: the ranking of a slice holds the `max_ranked` highest scores among the first `hosts_seen[slice]` of
+    `hosts`, or all of them if they are fewer. `ranking` extends it to all hosts before it returns it.
+    """
+
+    def __init__(self, max_ranked: int = MAX_RANKED) -> None:
+        self.max_ranked = max_ranked
+        self.hosts: list[H] = []
+        self.encoded_ids: list[bytes] = []  # of `hosts`, as they are hashed
         self.host_ids: set[int] = set()
-        # Two lists a slice, not one of pairs: hundreds of thousands of pairs would be walked by every full collection
-        # of garbage, in the middle of some turn.
-        self.rankings: dict[int, tuple[list[float], list[S]]] = {}
-        self.precomputed_for = (0, 0)  # servers and slices when `warm` last found nothing left
-        self.hosts_seen: dict[int, int] = {}  # how many of the servers a slice's list has seen
-
-    def add(self, servers: Iterable[S]) -> None:
-        for server in servers:
-            if server.id not in self.host_ids:
-                self.host_ids.add(server.id)
-                self.hosts.append(server)
-                self.encoded_ids.append(b"%d" % server.id)
-
-    def forget(self, gone: Iterable[S]) -> None:
-        """Servers that are not asked for any more. A list that is not the highest marks of those left is made anew when
-        it is next asked for."""
-        left = {server.id for server in gone} & self.host_ids
-        if not left:
+        self.rankings: dict[int, Ranking[H]] = {}
+        self.hosts_seen: dict[int, int] = {}
+        self.precomputed_for = TableSize(0, 0)  # the size when `precompute` last found nothing left to do
+
+    def add(self, hosts: Iterable[H]) -> None:
+        """Add the hosts that are not there yet. Rankings take them in when they are next asked for."""
+        for host in hosts:
+            if host.id not in self.host_ids:
+                self.host_ids.add(host.id)
+                self.hosts.append(host)
+                self.encoded_ids.append(b"%d" % host.id)
+
+    def forget(self, departed: Iterable[H]) -> None:
+        """Remove hosts that nothing will ask for any more."""
+        departed_ids = {host.id for host in departed} & self.host_ids
+        if not departed_ids:
             return
-        self.host_ids -= left
-        before = [0, *accumulate(server.id not in left for server in self.hosts)]  # that stay, among the first n
-        both = [(s, n) for s, n in zip(self.hosts, self.encoded_ids, strict=True) if s.id not in left]
-        self.hosts, self.encoded_ids = [s for s, _ in both], [n for _, n in both]
-        for slice, row in self.rankings.items():
-            seen = before[self.hosts_seen[slice]]
-            pairs = [(value, s) for value, s in zip(*row, strict=True) if s.id not in left]
-            if len(pairs) < min(self.max_ranked, seen):
-                pairs, seen = [], 0
-            row[0][:], row[1][:] = [value for value, _ in pairs], [s for _, s in pairs]
-            self.hosts_seen[slice] = seen
-        self.precomputed_for = (0, 0)
-
-    def ranking(self, slice: int) -> tuple[list[float], list[S]]:
-        """The highest marks, the highest first, at most `kept`, and whose they are."""
-        row = self.rankings.get(slice)
-        if row is None:
-            row = self.rankings[slice] = ([], [])
-            self.hosts_seen[slice] = 0
-        if (done := self.hosts_seen[slice]) < len(self.hosts):
-            self.extend(slice, row, done)
-        return row
-
-    def extend(self, slice: int, row: tuple[list[float], list[S]], done: int) -> None:
-        """Mark the servers that are new to this slice."""
-        found = digests(slice, self.encoded_ids[done:])
-        low = b""
-        if len(found) > 4 * self.max_ranked:
-            # Those above a guess that leaves twice as many as are kept; all of them, should it leave too few.
-            low = (2**64 - 2**65 * self.max_ranked // len(found)).to_bytes(8, "big")
-            if sum(d > low for d in found) < self.max_ranked:
-                low = b""
-        new = [(score_of_digest(d), n) for n, d in enumerate(found, done) if d > low]
-        if not row[0] or len(new) > 8:
-            pairs = [*zip(*row, strict=True), *((value, self.hosts[n]) for value, n in new)]
-            pairs.sort(key=lambda p: -p[0])
-            row[0][:] = [value for value, _ in pairs[: self.max_ranked]]
-            row[1][:] = [server for _, server in pairs[: self.max_ranked]]
+        # How many stay among the first n hosts, for each n.
+        remaining = [0, *accumulate(host.id not in departed_ids for host in self.hosts)]
+        self.host_ids -= departed_ids
+        self.hosts = [host for host in self.hosts if host.id not in departed_ids]
+        self.encoded_ids = [b"%d" % host.id for host in self.hosts]
+        for slice_id, ranking in self.rankings.items():
+            self._remove(slice_id, ranking, departed_ids, remaining[self.hosts_seen[slice_id]])
+        self.precomputed_for = TableSize(0, 0)
+
+    def _remove(self, slice_id: int, ranking: Ranking[H], departed_ids: set[int], seen: int) -> None:
+        """Take hosts out of a ranking; one that may lack a host of higher score then is made anew when asked for."""
+        rows = zip(ranking.scores, ranking.hosts, strict=True)
+        staying = [(score, host) for score, host in rows if host.id not in departed_ids]
+        if len(staying) < min(self.max_ranked, seen):
+            staying = []
+            seen = 0
+        ranking.scores[:] = [score for score, _ in staying]
+        ranking.hosts[:] = [host for _, host in staying]
+        self.hosts_seen[slice_id] = seen
+
+    def ranking(self, slice_id: int) -> Ranking[H]:
+        """The ranking of a slice over all hosts; at most `max_ranked` of them."""
+        ranking = self.rankings.get(slice_id)
+        if ranking is None:
+            ranking = self.rankings[slice_id] = Ranking([], [])
+            self.hosts_seen[slice_id] = 0
+        if (seen := self.hosts_seen[slice_id]) < len(self.hosts):
+            self._extend(slice_id, ranking, seen)
+        return ranking
+
+    def _extend(self, slice_id: int, ranking: Ranking[H], seen: int) -> None:
+        """Score the hosts from position `seen` on for a slice, and rank them."""
+        new_scores = self._high_scores(slice_id, seen)
+        if not ranking.scores or len(new_scores) > MAX_SINGLE_INSERTIONS:
+            self._merge(ranking, new_scores)
         else:
-            for value, n in new:
-                if len(row[0]) < self.max_ranked or value > row[0][-1]:
-                    at = bisect(row[0], -value, key=operator.neg)
-                    row[0].insert(at, value)
-                    row[1].insert(at, self.hosts[n])
-            del row[0][self.max_ranked :], row[1][self.max_ranked :]
-        self.hosts_seen[slice] = len(self.hosts)
+            self._insert(ranking, new_scores)
+        self.hosts_seen[slice_id] = len(self.hosts)
+
+    def _high_scores(self, slice_id: int, seen: int) -> list[tuple[float, int]]:
+        """Scores and positions of hosts from `seen` on: of many hosts only those that may enter a full ranking."""
+        found = digests(slice_id, self.encoded_ids[seen:])
+        threshold = b""
+        if len(found) > 4 * self.max_ranked:
+            # Expected to leave twice as many as are kept; all are taken should it leave too few.
+            threshold = (2**64 - 2**65 * self.max_ranked // len(found)).to_bytes(DIGEST_BYTES, "big")
+            if sum(digest > threshold for digest in found) < self.max_ranked:
+                threshold = b""
+        return [(score_of_digest(digest), n) for n, digest in enumerate(found, seen) if digest > threshold]
+
+    def _merge(self, ranking: Ranking[H], new_scores: list[tuple[float, int]]) -> None:
+        """Sort new scores and those that are there into one ranking."""
+        rows = [*zip(*ranking, strict=True), *((score, self.hosts[n]) for score, n in new_scores)]
+        rows.sort(key=lambda row: -row[0])
+        ranking.scores[:] = [score for score, _ in rows[: self.max_ranked]]
+        ranking.hosts[:] = [host for _, host in rows[: self.max_ranked]]
+
+    def _insert(self, ranking: Ranking[H], new_scores: list[tuple[float, int]]) -> None:
+        """Insert a few new scores into a ranking at their places."""
+        for score, n in new_scores:
+            if len(ranking.scores) < self.max_ranked or score > ranking.scores[-1]:
+                at = bisect(ranking.scores, -score, key=operator.neg)
+                ranking.scores.insert(at, score)
+                ranking.hosts.insert(at, self.hosts[n])
+        del ranking.scores[self.max_ranked :]
+        del ranking.hosts[self.max_ranked :]
 
     @property
     def is_complete(self) -> bool:
-        """Whether lists hold every server there is."""
+        """Whether each ranking holds every host there is."""
         return len(self.hosts) <= self.max_ranked
 
-    def precompute(self, slices: Collection[int], marks: int) -> bool:
-        """Mark ahead of need, up to about `marks` of them, oldest slices first. False once nothing is left to do."""
-        total = len(self.hosts)
-        if self.precomputed_for == (total, len(slices)):
-            return False  # asked after every step: nothing has come since (a slice in another's place waits for `of`)
-        for slice in slices:
-            if (lacks := total - self.hosts_seen.get(slice, 0)) > 0:
-                if marks <= 0:
+    def precompute(self, slice_ids: Collection[int], max_scores: int) -> bool:
+        """Extend rankings ahead of need, by about `max_scores` scores; false once nothing is left to do.
+
+        It changes no answer of `ranking`, only when the work is done.
+        """
+        size = TableSize(len(self.hosts), len(slice_ids))
+        if self.precomputed_for == size:
+            return False  # asked after every step; a slice that took another's place waits for `ranking`
+        for slice_id in slice_ids:
+            missing = size.hosts - self.hosts_seen.get(slice_id, 0)
+            if missing > 0:
+                if max_scores <= 0:
                     return True
-                self.ranking(slice)
-                marks -= lacks
-        self.precomputed_for = (total, len(slices))
+                self.ranking(slice_id)
+                max_scores -= missing
+        self.precomputed_for = size
         return False
--- a/corallanding/controller/crash_loop.py
+++ b/corallanding/controller/crash_loop.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from ..snapshot.file import place
+from ..snapshot.file import replace_file
 
 SOON = 60_000.0  # ms: deaths within this time of one another belong together
 FREE = 3  # starts that wait for nothing
@@ -56,4 +56,4 @@
 
     def write(self, times: Sequence[float]) -> None:
         with contextlib.suppress(OSError):
-            place(self.path, msgspec.json.encode(list(times)))
+            replace_file(self.path, msgspec.json.encode(list(times)))
--- a/corallanding/controller/daemon.py
+++ b/corallanding/controller/daemon.py
@@ -13,7 +13,7 @@
 from ..admin.http_server import AdminServer
 from ..assignment import Assigner
 from ..endpoints.endpoint_list import loopback
-from ..snapshot import marks
+from ..snapshot.rankings import StoredRanking
 from ..telemetry import log
 from . import engine as core
 from .acceptor import raise_descriptor_limit
@@ -44,7 +44,7 @@
     """One steward. `start` raises `StoreFault` or `OSError` if it cannot run; `stopped` ends when it is over."""
 
     async def start(
-        self, handed: HandoverState | None = None, fds: Sequence[int] = (), ranked: Sequence[marks.Row] = ()
+        self, handed: HandoverState | None = None, fds: Sequence[int] = (), ranked: Sequence[StoredRanking] = ()
     ) -> None:
         """handed, fds, ranked: what the process before this one hands over (`upgrade`)."""
         loop = asyncio.get_running_loop()
@@ -184,7 +184,7 @@
             keeper,
         )
         if self.cluster.quota and isinstance(self.engine.assigner, Assigner):
-            self.engine.assigner.publication.acquire_quota = self.cluster.quota.may_begin
+            self.engine.assigner.publication.may_begin = self.cluster.quota.may_begin
         self.cluster.start()
 
     async def retire(self) -> None:
--- a/corallanding/controller/handover.py
+++ b/corallanding/controller/handover.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 
 from ..assignment import Assigner
-from ..snapshot import marks
-from ..snapshot.module import HostEntryState
-from ..snapshot.module import load as load_module
+from ..snapshot.assigner_state import StoredHostEntry
+from ..snapshot.assigner_state import load as load_assigner
+from ..snapshot.rankings import StoredRanking, dump_rankings, load_rankings
 from ..store import StoreError, StoreLockedError
 from ..telemetry import log
 from ..upgrade.pipe import peer_credentials
@@ -30,19 +30,19 @@
         """Whether this process can go on from there. Raises `Unfit`."""
         check_state(h.controller, self.config.steward.number, self.settings, boot_id(), h.controller.start_number + 1)
         try:
-            self.loaded = load_module(self.settings, h.controller.assigner)
+            self.loaded = load_assigner(self.settings, h.controller.assigner)
         except (ValueError, TypeError) as fault:
             raise StateMismatchError(str(fault)) from None
 
-    def take_over(self, h: HandoverState, now: float, ranked: Sequence[marks.Row]) -> None:
+    def take_over(self, h: HandoverState, now: float, ranked: Sequence[StoredRanking]) -> None:
         v = self.view
-        v.version, v.entries = h.host_list_version, {e.host: e for e in map(HostEntryState.entry, h.host_entries)}
+        v.version, v.entries = h.host_list_version, {e.host: e for e in map(StoredHostEntry.entry, h.host_entries)}
         v.addresses, v.starts, v.known = dict(h.host_addresses), dict(h.host_starts), set(h.known_hosts)
         v.origins = {(host, started): since for host, started, since in h.controller.host_origins}
         self.engine.addresses = v.addresses
         restore_handover(self.engine, h, self.channel, self.joins, now, self.loaded)
         if self.loaded:
-            marks.put(self.loaded.rendezvous, ranked)
+            load_rankings(self.loaded.rendezvous, ranked)
         self.loaded = None
         self.listed, self.factors = True, dict(h.load_factors)
         self.metrics.lowered_weights.set(len(self.factors))
@@ -70,14 +70,14 @@
         for link in full:
             link.close("not-reading", "")
 
-    async def ranked(self) -> list[marks.Row]:
+    async def ranked(self) -> list[StoredRanking]:
         """The module's lists of marks, a few slices at a time: this process is at work."""
         module = self.engine.assigner
         if not isinstance(module, Assigner):
             return []
-        found, slices = list[marks.Row](), list(module.rendezvous.rankings)
+        found, slices = list[StoredRanking](), list(module.rendezvous.rankings)
         for k in range(0, len(slices), RANKED):
-            found += marks.out(module.rendezvous, slices[k : k + RANKED])
+            found += dump_rankings(module.rendezvous, slices[k : k + RANKED])
             await asyncio.sleep(0.001)
         return found
 
--- a/corallanding/controller/handover_receiver.py
+++ b/corallanding/controller/handover_receiver.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ..snapshot import file as snapshots
-from ..snapshot import marks
+from ..snapshot.rankings import StoredRanking
 from ..store import StoreError
 from ..telemetry import log
 from ..upgrade.core import PROTOCOL, HandoverCommand, Phase, Successor
@@ -32,13 +32,13 @@
         within: float,
         store: str,
         check: Callable[[HandoverState], None],
-        start: Callable[[HandoverState | None, list[int], list[marks.Row]], Awaitable[None]],
+        start: Callable[[HandoverState | None, list[int], list[StoredRanking]], Awaitable[None]],
     ) -> None:
         self.pipe, self.core = pipe, Successor(within)
         self.arbiter, self.check, self.start = TerminationLock(f"{store}.handover"), check, start
         self.old, self.user = peer_credentials(pipe.sock)
         self.body = b""
-        self.marks: list[marks.Row] = []
+        self.marks: list[StoredRanking] = []
         self.handed: HandoverState | None = None
         self.fds: list[int] = []
         self.why = ""
@@ -59,7 +59,7 @@
         if word == "marks":
             self.core.deadline = now() + self.core.timeout_ms
             try:
-                self.marks = msgspec.msgpack.decode(detail, type=list[marks.Row])
+                self.marks = msgspec.msgpack.decode(detail, type=list[StoredRanking])
             except msgspec.DecodeError as fault:
                 log.warning("marks not used; they are worked out anew", why=str(fault))
             return []
@@ -85,7 +85,7 @@
                     try:
                         self.handed = snapshots.unpack(self.body, HandoverState)
                         self.check(self.handed)
-                    except (snapshots.SnapshotFault, StateMismatchError) as fault:
+                    except (snapshots.SnapshotError, StateMismatchError) as fault:
                         # Versions or settings that share no state: sockets are taken, forwarders dial anew.
                         log.warning("state not used; forwarders will join anew", why=str(fault))
                         self.handed = None
--- a/corallanding/controller/handover_sender.py
+++ b/corallanding/controller/handover_sender.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ..snapshot import file as snapshots
-from ..snapshot import marks
+from ..snapshot.rankings import StoredRanking
 from ..store import StoreLockedError
 from ..telemetry import log
 from ..upgrade.core import HandoverCommand, Predecessor
@@ -27,7 +27,7 @@
     async def pause(self) -> None: ...
 
     @abstractmethod
-    async def ranked(self) -> list[marks.Row]: ...
+    async def ranked(self) -> list[StoredRanking]: ...
 
     @abstractmethod
     def let_go(self) -> None: ...
--- a/corallanding/controller/handover_state.py
+++ b/corallanding/controller/handover_state.py
@@ -15,7 +15,7 @@
 from ..assignment import Assigner
 from ..channel.core import Channel, Message, Port
 from ..load_reports.state import FeedState
-from ..snapshot.module import HostEntryState
+from ..snapshot.assigner_state import StoredHostEntry
 from ..wire.frames import Hello, Orders
 from ..wire.link import Link
 from .engine import Engine
@@ -88,7 +88,7 @@
     )  # forwarder, not before, order of coming
     join_pace: tuple[float, float] = msgspec.field(name="pace")  # of joins: what may still go, and since when
     host_list_version: int = msgspec.field(name="version")
-    host_entries: list[HostEntryState] = msgspec.field(name="entries")
+    host_entries: list[StoredHostEntry] = msgspec.field(name="entries")
     host_addresses: dict[int, str] = msgspec.field(name="addresses")
     host_starts: dict[int, float] = msgspec.field(name="starts")
     known_hosts: list[int] = msgspec.field(name="known")
@@ -186,7 +186,7 @@
         [(f, at, n) for at, n, f in sorted(joins.queue) if joins.admissible_at.get(f) == at],
         (joins.tokens, joins.replenished_at),
         version,
-        [HostEntryState.of(entry) for entry in entries],
+        [StoredHostEntry.of(entry) for entry in entries],
         addresses,
         starts,
         known,
--- a/corallanding/controller/persistence.py
+++ b/corallanding/controller/persistence.py
@@ -33,9 +33,9 @@
         try:
             state = snapshots.read(path, ControllerState)
             check_state(state, self.config.steward.number, self.settings, boot_id(), life)
-        except snapshots.Missing:
+        except snapshots.SnapshotMissingError:
             return None
-        except (snapshots.SnapshotFault, StateMismatchError, OSError) as fault:
+        except (snapshots.SnapshotError, StateMismatchError, OSError) as fault:
             log.warning("snapshot not used; the tables alone are", why=str(fault))
             return None
         self.clock.zero, self.log_number = state.clock_zero_s, state.log_number
@@ -101,7 +101,7 @@
 
     async def write_state(self, path: str, data: bytes, number: int) -> None:
         def work() -> None:
-            snapshots.place(path, data)
+            snapshots.replace_file(path, data)
             self.drop_logs(number)
 
         try:
--- a/corallanding/controller/recovery.py
+++ b/corallanding/controller/recovery.py
@@ -15,7 +15,7 @@
 
 from .. import interface as api
 from ..assignment import Assigner
-from ..snapshot.module import ModuleState, dump, load
+from ..snapshot.assigner_state import AssignerState, dump, load
 from ..snapshot.stored_values import to_stored
 from .engine import Engine
 
@@ -34,7 +34,7 @@
     captured_at: float = msgspec.field(name="now")
     start_number: int = msgspec.field(name="life")
     log_number: int = msgspec.field(name="log")  # number of the log whose steps come after this
-    assigner: ModuleState = msgspec.field(name="module")
+    assigner: AssignerState = msgspec.field(name="module")
     admissions: list[tuple[int, int, float, int]] = msgspec.field(name="levels")
     cordoned_hosts: list[int] = msgspec.field(name="cordons")
     assignments: list[tuple[int, list[tuple[int, int]]]] = msgspec.field(name="points")
--- a/corallanding/platform/trace.py
+++ b/corallanding/platform/trace.py
@@ -56,7 +56,7 @@
     crowd = sorted((h for h in a.hosts.values() if h.is_listed), key=lambda h: -h.latency_ratio)
     pooled = sum(h.is_eligible for h in a.hosts.values())
     said = " ".join(f"{name(h.id)}:{h.latency_ratio:.2f}/{h.load:.1f}/{h.fair_load:.1f}" for h in crowd[:4])
-    yield f"pooled={pooled} median={a.fleet.median_latency_ratio:.2f} level={a.admission_level:.2f} worst {said}"
+    yield f"pooled={pooled} median={a.fleet.median_latency_ratio:.2f} level={a.admission.level:.2f} worst {said}"
     if crowd:
         rows = sorted((s for s in a.slices.values() if s.owner is crowd[0]), key=lambda s: -s.load_per_host)
         yield f"{name(crowd[0].id)} owns " + " ".join(
--- a/corallanding/snapshot/__init__.py
+++ b/corallanding/snapshot/__init__.py
@@ -1,1 +1,1 @@
-"""A steward's state as bytes: the module's (`module`), the file that holds it (`file`)."""
+"""The state of a controller as bytes: of its assigner (`assigner_state`, `rankings`), and the file that holds it."""
--- /dev/null
+++ b/corallanding/snapshot/assigner_state.py
@@ -0,0 +1,193 @@
+"""The state of an assigner out and in, as values that a file can hold.
+
+An assigner that is loaded acts from there exactly as the one that ran on. The order of hosts, slices, table entries and
+rates is part of the state, since sums and ties go by it. Rankings are not kept, only how far they had come.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Iterable
+from operator import attrgetter
+from typing import Any
+
+import msgspec
+
+from .. import interface as api
+from ..assignment import Assigner
+from ..assignment.pending_versions import UnackedVersion
+from ..assignment.state import Host, Slice
+from ..errors import StorageError
+from .stored_fields import HOST_ATTRIBUTES, SLICE_ATTRIBUTES, VALUE_PATHS
+
+HOST_FIELDS = list(HOST_ATTRIBUTES)
+SLICE_FIELDS = list(SLICE_ATTRIBUTES)
+RATES_INDEX = SLICE_FIELDS.index("rates")
+_host_values = attrgetter(*HOST_ATTRIBUTES.values())
+_slice_values = attrgetter(*SLICE_ATTRIBUTES.values())
+_assigner_values = attrgetter(*VALUE_PATHS.values())
+
+
+class AssignerStateError(StorageError, ValueError):
+    """A stored state does not fit this version's assigner. `names` are the fields, values or hosts that do not."""
+
+    def __init__(self, text: str, names: Iterable[str | int]) -> None:
+        super().__init__(text)
+        self.names = list(names)
+
+
+class StoredHostEntry(msgspec.Struct):
+    """An entry of the host list, under its stored names."""
+
+    host: int = msgspec.field(name="host")
+    zone: int = msgspec.field(name="zone", default=0)
+    kind: int = msgspec.field(name="kind", default=0)
+    cell: int = msgspec.field(name="cell", default=0)
+    state: str = msgspec.field(name="state", default="up")
+    weight: float = msgspec.field(name="weight", default=1.0)
+    online_since: float = msgspec.field(name="online_since", default=0.0)
+
+    @classmethod
+    def of(cls, e: api.HostEntry) -> StoredHostEntry:
+        """An entry as it is stored."""
+        return cls(e.host, e.zone, e.kind, e.cell, e.state, e.weight, e.online_since)
+
+    def entry(self) -> api.HostEntry:
+        """The entry that was stored. Raises ValueError for an unknown state."""
+        state = api.HostState(self.state)
+        return api.HostEntry(self.host, self.zone, self.kind, self.cell, state, self.weight, self.online_since)
+
+
+class StoredHost(msgspec.Struct, array_like=True):
+    """A host; its order of fields is what is stored."""
+
+    entry: StoredHostEntry
+    fields: list[Any]  # in the order of `HOST_ATTRIBUTES`
+
+
+class StoredSlice(msgspec.Struct, array_like=True):
+    """A slice, with hosts by their ids; its order of fields is what is stored."""
+
+    weights: list[tuple[int, float]]
+    owner: int | None
+    replicas: list[int]
+    candidate: int | None
+    previous_owner: int | None
+    fields: list[Any]  # in the order of `SLICE_ATTRIBUTES`
+
+
+class AssignerState(msgspec.Struct):
+    """All that an assigner needs to go on, under its stored names."""
+
+    seed: int = msgspec.field(name="seed")
+    values: dict[str, Any] = msgspec.field(name="values")  # by the names of `VALUE_PATHS`
+    proxies: list[tuple[int, list[tuple[int, float]]]] = msgspec.field(name="proxies")  # unacknowledged versions
+    sent: list[float] = msgspec.field(name="sent")
+    typical: list[tuple[int, float]] = msgspec.field(name="typical")
+    host_fields: list[str] = msgspec.field(name="host_fields")
+    slice_fields: list[str] = msgspec.field(name="slice_fields")
+    hosts: list[StoredHost] = msgspec.field(name="hosts")
+    slices: list[StoredSlice] = msgspec.field(name="slices")
+    ranked: list[int] = msgspec.field(name="ranked")  # hosts in the order in which rankings take them in
+
+
+def dump(assigner: Assigner) -> AssignerState:
+    """The state of an assigner between two steps."""
+    pending = assigner.pending_versions
+    return AssignerState(
+        seed=assigner.seed,
+        values=dict(zip(VALUE_PATHS, _assigner_values(assigner), strict=True)),
+        proxies=[(proxy, list(unacked)) for proxy, unacked in pending.unacked_by_proxy.items()],
+        sent=list(pending.sent_at_ms),
+        typical=list(assigner.fleet.typical_latency_ms_by_kind.items()),
+        host_fields=HOST_FIELDS,
+        slice_fields=SLICE_FIELDS,
+        hosts=[StoredHost(StoredHostEntry.of(h.entry), list(_host_values(h))) for h in assigner.hosts.values()],
+        slices=[dump_slice(s) for s in assigner.slices.values()],
+        ranked=[h.id for h in assigner.rendezvous.hosts],
+    )
+
+
+def dump_slice(s: Slice) -> StoredSlice:
+    """A slice as it is stored; its rates as pairs, since their order is part of the state."""
+    fields = list(_slice_values(s))
+    fields[RATES_INDEX] = list(fields[RATES_INDEX].items())
+    return StoredSlice(
+        [(h.id, weight) for h, weight in s.weights.items()],
+        s.owner.id if s.owner else None,
+        [h.id for h in s.replicas],
+        s.candidate.id if s.candidate else None,
+        s.previous_owner.id if s.previous_owner else None,
+        fields,
+    )
+
+
+def load(settings: api.Settings, state: AssignerState) -> Assigner:
+    """An assigner that goes on from `state`. Raises `AssignerStateError`, or ValueError for another misfit."""
+    check_fields(state)
+    assigner = Assigner(settings, state.seed)
+    for stored_host in state.hosts:
+        host = load_host(stored_host)
+        assigner.hosts[host.entry.host] = host
+    for stored_slice in state.slices:
+        s = load_slice(stored_slice, assigner.hosts)
+        assigner.slices[s.id] = s
+    assigner.rendezvous.add(named_host(assigner.hosts, host_id) for host_id in state.ranked)
+    pending = assigner.pending_versions
+    pending.unacked_by_proxy = {
+        proxy: deque(UnackedVersion(version, cost) for version, cost in unacked) for proxy, unacked in state.proxies
+    }
+    pending.sent_at_ms = deque(state.sent)
+    assigner.fleet.typical_latency_ms_by_kind = dict(state.typical)
+    load_values(assigner, state.values)
+    return assigner
+
+
+def check_fields(state: AssignerState) -> None:
+    """Raise `AssignerStateError` if hosts or slices were stored with other fields than this version's."""
+    if state.host_fields != HOST_FIELDS or state.slice_fields != SLICE_FIELDS:
+        other = sorted(set(state.host_fields) ^ set(HOST_FIELDS) | set(state.slice_fields) ^ set(SLICE_FIELDS))
+        raise AssignerStateError(f"fields of hosts or slices differ: {other}", other)
+
+
+def load_host(stored: StoredHost) -> Host:
+    """A host from what is stored of it."""
+    entry = stored.entry.entry()
+    host = Host(entry.host, entry)
+    for attribute, value in zip(HOST_ATTRIBUTES.values(), stored.fields, strict=True):
+        setattr(host, attribute, value)
+    return host
+
+
+def load_slice(stored: StoredSlice, hosts: dict[int, Host]) -> Slice:
+    """A slice from what is stored of it. Raises `AssignerStateError` if it names a host that is not stored."""
+    s = Slice(-1)
+    for (name, attribute), value in zip(SLICE_ATTRIBUTES.items(), stored.fields, strict=True):
+        setattr(s, attribute, dict(value) if name == "rates" else value)
+    s.weights = {named_host(hosts, host_id): weight for host_id, weight in stored.weights}
+    s.owner = optional_host(hosts, stored.owner)
+    s.candidate = optional_host(hosts, stored.candidate)
+    s.previous_owner = optional_host(hosts, stored.previous_owner)
+    s.replicas = [named_host(hosts, host_id) for host_id in stored.replicas]
+    return s
+
+
+def named_host(hosts: dict[int, Host], host_id: int) -> Host:
+    """The host of that id. Raises `AssignerStateError`."""
+    if host_id not in hosts:
+        raise AssignerStateError(f"host {host_id} is named and not there", [host_id])
+    return hosts[host_id]
+
+
+def optional_host(hosts: dict[int, Host], host_id: int | None) -> Host | None:
+    """The host of that id, or none. Raises `AssignerStateError`."""
+    return None if host_id is None else named_host(hosts, host_id)
+
+
+def load_values(assigner: Assigner, values: dict[str, Any]) -> None:
+    """Set what stands under the names of `VALUE_PATHS`. Raises `AssignerStateError` for a name that is not there."""
+    for name, value in values.items():
+        if name not in VALUE_PATHS:
+            raise AssignerStateError(f"no part of this module has a figure {name}", [name])
+        part, _, attribute = VALUE_PATHS[name].rpartition(".")
+        setattr(attrgetter(part)(assigner) if part else assigner, attribute, value)
--- a/corallanding/snapshot/file.py
+++ b/corallanding/snapshot/file.py
@@ -1,7 +1,7 @@
-"""A snapshot in a file: written whole or not at all, refused by name if it is not what it should be.
+"""A snapshot in a file: written as a whole or not at all, and refused with a typed error if it is damaged.
 
-Eight bytes of name, the version, the length and the BLAKE2b digest of the body, then the body in MessagePack. Older
-versions are brought up step by step by `UPGRADES`; a newer one is refused, since what it means is not known.
+The file holds eight bytes of name, the version, the length and the BLAKE2b digest of the body, then the body in
+MessagePack. Older versions are brought up step by step by `UPGRADES`; a newer one is refused.
 """
 
 from __future__ import annotations
@@ -15,95 +15,118 @@
 
 import msgspec
 
-NAME, VERSION = b"CORALSNP", 1
-HEAD = struct.Struct(">8sHQ16s")
-# From a version to the next: takes and gives the body as plain values.
-UPGRADES: dict[int, Callable[[Any], Any]] = {}
+from ..errors import StorageError
+
+FILE_MARK = b"CORALSNP"
+VERSION = 1
+HEADER = struct.Struct(">8sHQ16s")
+"""Name, version, length and digest of the body."""
+
+DIGEST_BYTES = 16
+MAX_DECODE_ERROR_CHARS = 200
+
+Upgrade = Callable[[Any], Any]
+"""Takes the body of one version as plain values and gives that of the next."""
+
+UPGRADES: dict[int, Upgrade] = {}
+"""By the version that each takes."""
 
 T = TypeVar("T")
 
 
-class SnapshotFault(Exception):
-    """The snapshot cannot be used; the text says why. The store alone is used then."""
+class SnapshotError(StorageError):
+    """The snapshot cannot be used; the text says why. The controller recovers from the store alone then."""
 
 
-class Missing(SnapshotFault):
-    """There is none."""
+class SnapshotMissingError(SnapshotError):
+    """There is no snapshot."""
 
 
-class Damaged(SnapshotFault):
-    """Cut off, changed, or no snapshot at all."""
+class SnapshotDamagedError(SnapshotError):
+    """The file is cut off or changed, or is no snapshot at all."""
 
 
-class Newer(SnapshotFault):
-    """Of a version that this program does not know."""
+class SnapshotVersionError(SnapshotError):
+    """The snapshot is of a version that this program does not know."""
 
 
 def pack(body: Any, version: int = VERSION) -> bytes:
+    """A snapshot of `body`, with its header."""
     data = msgspec.msgpack.encode(body)
-    return HEAD.pack(NAME, version, len(data), hashlib.blake2b(data, digest_size=16).digest()) + data
-
-
-def unpack(
-    data: bytes, kind: type[T], version: int = VERSION, upgrades: Mapping[int, Callable[[Any], Any]] | None = None
-) -> T:
-    """Raises `Damaged` or `Newer`."""
-    upgrades = UPGRADES if upgrades is None else upgrades
-    if len(data) < HEAD.size:
-        raise Damaged(f"{len(data)} bytes; the head alone has {HEAD.size}")
-    name, found, length, digest = HEAD.unpack_from(data)
-    if name != NAME:
-        raise Damaged("no snapshot by its first bytes")
+    return HEADER.pack(FILE_MARK, version, len(data), digest_of(data)) + data
+
+
+def unpack(data: bytes, kind: type[T], version: int = VERSION, upgrades: Mapping[int, Upgrade] | None = None) -> T:
+    """The body of a snapshot as a `kind`, brought up to `version`.
+
+    Raises `SnapshotDamagedError` or `SnapshotVersionError`.
+    """
+    if len(data) < HEADER.size:
+        raise SnapshotDamagedError(f"{len(data)} bytes; the head alone has {HEADER.size}")
+    mark, found, length, digest = HEADER.unpack_from(data)
+    if mark != FILE_MARK:
+        raise SnapshotDamagedError("no snapshot by its first bytes")
     if found > version:
-        raise Newer(f"version {found}; this program knows versions up to {version}")
-    body = data[HEAD.size :]
+        raise SnapshotVersionError(f"version {found}; this program knows versions up to {version}")
+    body = data[HEADER.size :]
     if len(body) != length:
-        raise Damaged(f"{len(body)} bytes where {length} are announced")
-    if hashlib.blake2b(body, digest_size=16).digest() != digest:
-        raise Damaged("its digest does not fit")
+        raise SnapshotDamagedError(f"{len(body)} bytes where {length} are announced")
+    if digest_of(body) != digest:
+        raise SnapshotDamagedError("its digest does not fit")
     try:
         if found == version:
             return msgspec.msgpack.decode(body, type=kind)
-        raw = msgspec.msgpack.decode(body)
-        for at in range(found, version):
-            if at not in upgrades:
-                raise Damaged(f"version {found}: no way from version {at} to {at + 1}")
-            raw = upgrades[at](raw)
+        raw = upgrade(msgspec.msgpack.decode(body), found, version, UPGRADES if upgrades is None else upgrades)
         return msgspec.convert(raw, kind)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-        raise Damaged(f"its body does not fit: {str(fault)[:200]}") from None
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        text = str(error)[:MAX_DECODE_ERROR_CHARS]
+        raise SnapshotDamagedError(f"its body does not fit: {text}") from None
+
+
+def digest_of(body: bytes) -> bytes:
+    """The digest that the header holds of a body."""
+    return hashlib.blake2b(body, digest_size=DIGEST_BYTES).digest()
+
+
+def upgrade(raw: Any, found: int, version: int, upgrades: Mapping[int, Upgrade]) -> Any:
+    """A body of version `found`, as plain values, brought up to `version`. Raises `SnapshotDamagedError`."""
+    for at in range(found, version):
+        if at not in upgrades:
+            raise SnapshotDamagedError(f"version {found}: no way from version {at} to {at + 1}")
+        raw = upgrades[at](raw)
+    return raw
 
 
 def write(path: str | Path, body: Any) -> int:
-    """Its size in bytes. Raises OSError; an older file stands then."""
+    """Write a snapshot of `body`; returns its size in bytes. Raises OSError; an older file stays then."""
     data = pack(body)
-    place(path, data)
+    replace_file(path, data)
     return len(data)
 
 
-def place(path: str | Path, data: bytes) -> None:
-    """Beside, to disk, then in place."""
+def replace_file(path: str | Path, data: bytes) -> None:
+    """Write `data` to a file beside `path`, flush it to disk, and move it there. Raises OSError."""
     path = Path(path)
-    beside = path.with_name(path.name + ".new")
+    temporary = path.with_name(path.name + ".new")
     try:
-        with open(beside, "wb") as file:
+        with open(temporary, "wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(beside, path)
+        os.replace(temporary, path)
     except OSError:
-        if beside.is_file():
-            beside.unlink()
+        if temporary.is_file():
+            temporary.unlink()
         raise
 
 
 def read(path: str | Path, kind: type[T]) -> T:
-    """Raises `Missing`, `Damaged` or `Newer`; OSError if it is there and cannot be read."""
+    """The body of a snapshot file as a `kind`. Raises a `SnapshotError`; OSError if it is there and cannot be read."""
     try:
         data = Path(path).read_bytes()
     except FileNotFoundError:
-        raise Missing(f"{path}: there is none") from None
+        raise SnapshotMissingError(f"{path}: there is none") from None
     try:
         return unpack(data, kind)
-    except SnapshotFault as fault:
-        raise type(fault)(f"{path}: {fault}") from None
+    except SnapshotError as error:
+        raise type(error)(f"{path}: {error}") from None
--- a/corallanding/snapshot/stored_values.py
+++ b/corallanding/snapshot/stored_values.py
@@ -1,4 +1,4 @@
-"""Events, actions and settings as maps under their stored names, and back. Decides nothing.
+"""Events, actions and settings as maps under their stored names, and back.
 
 `interface.stored_names` has the names. What comes back is validated by the types of the class.
 """
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 from operator import attrgetter
-from typing import Any, TypeVar
+from typing import Any, NamedTuple, TypeVar
 
 import msgspec
 
@@ -30,13 +30,18 @@
     return lambda item: (only(item),)
 
 
-Reader = tuple[tuple[str, ...], Callable[[Any], tuple[Any, ...]], dict[str, type]]
+class Reader(NamedTuple):
+    """How objects of one class are stored: names, what reads their values, and which hold sequences of what class."""
+
+    names: tuple[str, ...]
+    values_of: Callable[[Any], tuple[Any, ...]]
+    items: dict[str, type]
 
 
 def readers() -> dict[type, Reader]:
-    """For each class: stored names, what reads their values, and which of them hold a sequence of another class."""
+    """A reader for each class that is stored."""
     return {
-        kind: (tuple(fields), _values_of(tuple(fields.values())), stored_names.ITEMS.get(kind, {}))
+        kind: Reader(tuple(fields), _values_of(tuple(fields.values())), stored_names.ITEMS.get(kind, {}))
         for kind, fields in stored_names.FIELDS.items()
     }
 
@@ -54,7 +59,10 @@
 
 
 def from_stored(raw: Any, kind: type[T]) -> T:
-    """Raises `msgspec.ValidationError` naming what does not fit `kind`. Unknown names are passed over."""
+    """An object of `kind` from its stored form; unknown names are passed over.
+
+    Raises `msgspec.ValidationError` naming what does not fit.
+    """
     return msgspec.convert(_attributes(raw, kind), kind)
 
 
@@ -62,7 +70,8 @@
     """A stored map under the names of attributes. What is no map, or no list, is left to validation."""
     if not isinstance(raw, dict):
         return raw
-    fields, items = stored_names.FIELDS[kind], stored_names.ITEMS.get(kind, {})
+    fields = stored_names.FIELDS[kind]
+    items = stored_names.ITEMS.get(kind, {})
     found = {fields[name]: value for name, value in raw.items() if name in fields}
     for name, inner in items.items():
         if isinstance(raw.get(name), list):
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -195,7 +195,7 @@
     rig = calm()
     slow, usual = rig.assigner.hosts[14], rig.assigner.hosts[13]
     slow.base_latency_ms = 4 * usual.base_latency_ms
-    ratio = rig.assigner.load_estimator.capacity(slow) / rig.assigner.load_estimator.capacity(usual)
+    ratio = rig.assigner.load_estimator.capacity_of(slow) / rig.assigner.load_estimator.capacity_of(usual)
     rig.say(f"14 was seen four times as slow as its kind: its part is {ratio:.2f} of the others'")
     rig.check("half_way")
 
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -14,8 +14,8 @@
 
 from corallanding import interface as api
 from corallanding.assignment import Assigner
-from corallanding.assignment.host_health import OVERLOAD_RATIO, latency_ratio
-from corallanding.assignment.placement import MAX_SLICES_PER_WINDOW, MAX_UTILIZATION
+from corallanding.assignment.host_health import latency_ratio
+from corallanding.assignment.limits import MAX_SLICES_PER_WINDOW, MAX_UTILIZATION, OVERLOAD_RATIO
 from corallanding.assignment.rendezvous import RendezvousTable, rendezvous_score
 from corallanding.assignment.state import Host, Slice
 from corallanding.controller.recorder import compare, read
@@ -113,9 +113,9 @@
             s.replicas = r.sample([*a.hosts.values()], r.choice((0, 0, 2)))
             more, must = r.choice((0.0, s.load_per_host, 3 * s.load_per_host)), r.random() < 0.5
             want = plain(a, s, more, must)
-            assert a.placement.best_host(s, more, must) is want
+            assert a.placement.best_host(s, more, is_required=must) is want
             least = r.choice((0.1, 10.0, 1e4))
-            got = a.placement.best_host(s, more, False, least)
+            got = a.placement.best_host(s, more, min_score=least)
             want = plain(a, s, more, False)
             able = [h for h in (got, want) if h and a.placement.score(s, h) > least]
             assert got is want or not able
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -13,8 +13,10 @@
 from corallanding.assignment import Assigner
 from corallanding.assignment.rendezvous import RendezvousTable
 from corallanding.assignment.state import Host
-from corallanding.snapshot import file, marks
-from corallanding.snapshot.module import VALUES, ModuleState, dump, load
+from corallanding.snapshot import file
+from corallanding.snapshot.assigner_state import AssignerState, AssignerStateError, dump, load
+from corallanding.snapshot.rankings import StoredRanking, dump_rankings, load_rankings
+from corallanding.snapshot.stored_fields import VALUE_PATHS
 
 WANT: dict[str, list[int]] = json.loads(golden.KEPT.read_text())
 
@@ -29,7 +31,7 @@
         self.steps += 1
         if self.every and self.steps % self.every == 0:
             data = file.pack(dump(self.module))
-            self.module = load(self.set, file.unpack(data, ModuleState))
+            self.module = load(self.set, file.unpack(data, AssignerState))
 
 
 @pytest.mark.parametrize(("seed", "every"), [(0, 1), (1, 7), (2, 13), (5, 50), (7, 97), (11, 31), (15, 400), (12, 1)])
@@ -45,31 +47,37 @@
     a = Assigner(golden.api.Settings(request_classes=(golden.QUOTE,)), 1)
     a.step(0.0, [])
     state = dump(a)
-    parts = {"publication", "host_health", "fleet", "pending_versions", "load_estimator", "placement", "migration"}
+    parts = {
+        *("publication", "pending_versions", "host_list", "host_health", "demand", "fleet", "load_estimator"),
+        *("admission", "placement", "evacuation", "load_shedding", "migration"),
+    }
     # All else follows from settings and seed, is shared between the parts, or is what the head of a turn works out.
     derived = {
-        *("settings", "seed", "hosts", "slices", "rendezvous", "actions", "acquire_quota", "handlers"),
-        *("turn_interval_ms", "min_latency_objective_ms"),
+        *("settings", "seed", "hosts", "slices", "rendezvous", "actions", "may_begin", "handlers"),
+        *("decision_interval_ms", "min_latency_objective_ms", "is_ordinary_decision_due"),
         *("eligible_hosts", "spare_loads", "hosts_with_changed_load"),
     }
-    assert set(state.values) == set(VALUES)
+    assert set(state.values) == set(VALUE_PATHS)
     separately_stored = {
         "pending_versions.unacked_by_proxy",
         "pending_versions.sent_at_ms",
         "fleet.typical_latency_ms_by_kind",
     }
-    kept = set(VALUES.values()) | separately_stored
+    kept = set(VALUE_PATHS.values()) | separately_stored
     owners = {
+        "admission.": a.admission,
         "publication.": a.publication,
         "pending_versions.": a.pending_versions,
+        "host_list.": a.host_list,
         "host_health.": a.host_health,
+        "demand.": a.demand,
         "load_estimator.": a.load_estimator,
         "fleet.": a.fleet,
     }
     every = [(at, name) for at, part in {"": a, **owners}.items() for name in vars(part) if name not in derived]
     held = [at + name for at, name in every if name not in parts]
     assert sorted(held) == sorted(kept), "each is kept, once, under a name of its own"
-    assert len(set(VALUES.values())) == len(VALUES)
+    assert len(set(VALUE_PATHS.values())) == len(VALUE_PATHS)
     assert msgspec.msgpack.encode(state.values), "plain values only"
 
 
@@ -78,7 +86,7 @@
     a.step(0.0, [golden.api.HostListUpdate(golden.api.HostListKind.FULL, 1, (golden.api.HostEntry(1),))])
     state = dump(a)
     state.host_fields = [*state.host_fields, "mood"]
-    with pytest.raises(ValueError, match="mood"):
+    with pytest.raises(AssignerStateError, match="mood"):
         load(a.settings, state)
 
 
@@ -89,18 +97,18 @@
 
 def test_a_file_is_there_whole_or_not_at_all(tmp_path: Path) -> None:
     path = tmp_path / "s.snap"
-    with pytest.raises(file.Missing, match="there is none"):
+    with pytest.raises(file.SnapshotMissingError, match="there is none"):
         file.read(path, Body)
     assert file.write(path, Body(5, "x")) == path.stat().st_size
     assert file.read(path, Body) == Body(5, "x")
     whole = path.read_bytes()
     for cut in range(len(whole)):
         path.write_bytes(whole[:cut])
-        with pytest.raises(file.Damaged, match="s.snap"):
+        with pytest.raises(file.SnapshotDamagedError, match="s.snap"):
             file.read(path, Body)
     for at in range(len(whole)):
         path.write_bytes(whole[:at] + bytes([whole[at] ^ 0x41]) + whole[at + 1 :])
-        with pytest.raises((file.Damaged, file.Newer)):
+        with pytest.raises((file.SnapshotDamagedError, file.SnapshotVersionError)):
             file.read(path, Body)
     path.write_bytes(whole)
     (tmp_path / "s.snap.new").mkdir()  # it cannot be written beside: the older one stands
@@ -113,9 +121,9 @@
     old = file.pack({"a": 1}, version=1)
     ups = {1: lambda raw: {**raw, "b": "two"}, 2: lambda raw: {**raw, "a": raw["a"] + 10}}
     assert file.unpack(old, Body, 3, ups) == Body(11, "two")
-    with pytest.raises(file.Damaged, match="no way from version 2 to 3"):
+    with pytest.raises(file.SnapshotDamagedError, match="no way from version 2 to 3"):
         file.unpack(old, Body, 3, {1: ups[1]})
-    with pytest.raises(file.Newer, match="version 4; this program knows versions up to 3"):
+    with pytest.raises(file.SnapshotVersionError, match="version 4; this program knows versions up to 3"):
         file.unpack(file.pack({}, version=4), Body, 3, ups)
 
 
@@ -126,11 +134,14 @@
     old.add(servers[:200])
     for s in range(20):
         old.ranking(s)
-    rows = marks.out(old, range(25))
+    rows = dump_rankings(old, range(25))
     assert len(rows) == 20
     new.add(servers[:250])
-    bad = [marks.Row(21, 999, b"", b""), marks.Row(22, 9, b"12345678", b""), marks.Row(3, 1, b"", b"")]
-    assert marks.put(new, msgspec.msgpack.decode(msgspec.msgpack.encode([*rows, *bad]), type=list[marks.Row])) == 20
+    bad = [StoredRanking(21, 999, b"", b""), StoredRanking(22, 9, b"12345678", b""), StoredRanking(3, 1, b"", b"")]
+    assert (
+        load_rankings(new, msgspec.msgpack.decode(msgspec.msgpack.encode([*rows, *bad]), type=list[StoredRanking]))
+        == 20
+    )
     new.add(servers)
     fresh.add(servers)
     for s in range(25):
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -56,8 +56,9 @@
 from corallanding.quorum_records.replica import Replica, UnsavedChanges
 from corallanding.registry import slice_ownership
 from corallanding.registry.table_store import REQUESTS
-from corallanding.snapshot import file, marks, module, stored_values
-from corallanding.snapshot.module import dump, load
+from corallanding.snapshot import file, stored_fields, stored_values
+from corallanding.snapshot.assigner_state import dump, load
+from corallanding.snapshot.rankings import StoredRanking, dump_rankings, load_rankings
 from corallanding.store import SqliteStore, StoreContents
 from corallanding.telemetry.metrics import Metrics
 from corallanding.upgrade.core import PROTOCOL, HandoverCommand, Predecessor, Successor
@@ -188,19 +189,19 @@
     "rates": lambda s: [list(row) for row in s.rate_by_class.items()],
 }
 VALUES: dict[str, Callable[[Assigner], Any]] = {
-    "level": lambda a: a.admission_level,
-    "level_at": lambda a: a.admission_changed_at_ms,
-    "levels_due": lambda a: a.is_admission_due,
+    "level": lambda a: a.admission.level,
+    "level_at": lambda a: a.admission.changed_at_ms,
+    "levels_due": lambda a: a.admission.is_due,
     "born": lambda a: a.started_at_ms,
     "now": lambda a: a.publication.now_ms,
     "urgent": lambda a: a.publication.is_decision_due,
     "room": lambda a: a.publication.line_budget,
     "orders": lambda a: a.publication.lines_published,
     "mark": lambda a: a.pending_versions.last_version,
-    "fresh": lambda a: a.host_health.has_fresh_list,
-    "draws": lambda a: a.host_health.random_draws,
+    "fresh": lambda a: a.host_list.has_fresh_list,
+    "draws": lambda a: a.host_list.random_draws,
     "done": lambda a: a.host_health.recent_successes,
-    "asked": lambda a: a.load_estimator.recent_requests,
+    "asked": lambda a: a.demand.recent_requests,
     "faded_at": lambda a: a.load_estimator.decayed_at_ms,
     "shared_at": lambda a: a.load_estimator.ownership_changed_at_ms,
     "peak": lambda a: a.load_estimator.peak_load_per_capacity,
@@ -332,8 +333,8 @@
     rig.now = handed.controller.captured_at
     loaded = load(samples.SETTINGS, handed.controller.assigner)
     restore_handover(rig.engine, handed, rig.channel, rig.joins, rig.now, loaded)
-    rows = msgspec.msgpack.decode(words["marks"], type=list[marks.Row])
-    assert marks.put(loaded.rendezvous, rows) == samples.SLICES
+    rows = msgspec.msgpack.decode(words["marks"], type=list[StoredRanking])
+    assert load_rankings(loaded.rendezvous, rows) == samples.SLICES
     assert [event for _, _, event in rig.engine.pending_events][: len(samples.EVENTS)] == [e for _, e in samples.EVENTS]
     assert capture_channel(rig.channel) == handed.channel
     rig.turns(72, 110)
@@ -347,7 +348,7 @@
     rig.add_helper()
     handed = samples.handed(rig)
     assert isinstance(rig.engine.assigner, Assigner)
-    rows = marks.out(rig.engine.assigner.rendezvous, range(samples.SLICES))
+    rows = dump_rankings(rig.engine.assigner.rendezvous, range(samples.SLICES))
     ours, theirs = socket.socketpair()
     pipe, said = HandoverPipe(ours), io.BytesIO()
     pipe.send_message("marks", msgspec.msgpack.encode(rows))
@@ -617,7 +618,10 @@
 def test_every_figure_of_hosts_and_slices_has_a_stored_name() -> None:
     """But for what is a host, or follows from the hosts: these are kept by their ids, or worked out."""
     apart = {"entry", "scores"}, {"weights", "owner", "replicas", "candidate", "previous_owner"}
-    for kind, names, left in ((Host, module.HOST, apart[0]), (Slice, module.SLICE, apart[1])):
+    for kind, names, left in (
+        (Host, stored_fields.HOST_ATTRIBUTES, apart[0]),
+        (Slice, stored_fields.SLICE_ATTRIBUTES, apart[1]),
+    ):
         assert set(names.values()) == {field.name for field in fields(kind)} - left
 
 
