--- a/corallanding/config/__init__.py
+++ b/corallanding/config/__init__.py
@@ -1,7 +1,8 @@
 """Configuration of a controller: HCL read by python-hcl2 (`hcl`) and checked by pydantic models (`models`)."""
 
 from .assigner_settings import assigner_settings
-from .hcl import ConfigError, load
+from .errors import ConfigError
+from .hcl import load
 from .models import ControllerConfig, load_controller
 
 __all__ = ["ConfigError", "ControllerConfig", "assigner_settings", "load", "load_controller"]
--- /dev/null
+++ b/corallanding/config/block_shapes.py
@@ -0,0 +1,127 @@
+"""Blocks as the HCL library gives them, brought into the shape of the pydantic models.
+
+The library gives lists of objects keyed by label. A block without a label becomes one object; with a label it becomes
+a row of a map, or, where the model wants a list, an item whose `kind` is the label.
+"""
+
+from __future__ import annotations
+
+import types
+import typing
+from collections.abc import Mapping
+from dataclasses import dataclass
+from enum import Enum, auto
+from typing import Any, get_args, get_origin
+
+from pydantic import BaseModel
+
+from .errors import ConfigError
+from .source_lines import UNKNOWN_LINE, KeyPath
+
+BLOCK_MARK = "__is_block__"  # the library's mark of an object that was a block
+
+
+class BlockForm(Enum):
+    """How a field of a model takes the blocks of its name."""
+
+    ONE = auto()
+    MAP = auto()
+    LIST = auto()
+
+
+@dataclass(frozen=True)
+class BlockField:
+    """A field that takes blocks, and the model of each."""
+
+    form: BlockForm
+    model: type[BaseModel]
+
+
+def block_field(annotation: Any) -> BlockField | None:
+    """How a field with this annotation takes blocks; None if it takes plain values."""
+    origin = get_origin(annotation)
+    if origin in (typing.Union, types.UnionType):
+        found = (block_field(part) for part in get_args(annotation))
+        return next((field for field in found if field), None)
+    if origin in (dict, list) and get_args(annotation):
+        model = get_args(annotation)[-1]
+        form = BlockForm.MAP if origin is dict else BlockForm.LIST
+        return BlockField(form, model) if _is_model(model) else None
+    return BlockField(BlockForm.ONE, annotation) if _is_model(annotation) else None
+
+
+def _is_model(annotation: Any) -> bool:
+    return isinstance(annotation, type) and issubclass(annotation, BaseModel)
+
+
+def keys_at(model: type[BaseModel], location: tuple[Any, ...]) -> list[str]:
+    """The keys that may stand where `location` ends, for a hint at an unknown key."""
+    here = model
+    steps = list(location[:-1])
+    while steps:
+        step = steps.pop(0)
+        if step not in here.model_fields:
+            return []
+        field = block_field(here.model_fields[step].annotation)
+        if field is None:
+            return []
+        here = field.model
+        if field.form is not BlockForm.ONE and steps:
+            steps.pop(0)  # the label or the number of the block
+    return list(here.model_fields)
+
+
+class BlockShaper:
+    """Shapes the blocks of one file. source: the name of the file, for errors; lines: of its keys."""
+
+    def __init__(self, source: str, lines: Mapping[KeyPath, int]) -> None:
+        self.source = source
+        self.lines = lines
+
+    def shape(self, raw: dict[str, Any], model: type[BaseModel], path: KeyPath = ()) -> dict[str, Any]:
+        """The object `raw` in the shape of `model`. Raises `ConfigError` on blocks that cannot be meant."""
+        shaped: dict[str, Any] = {}
+        for key, value in raw.items():
+            if key == BLOCK_MARK:
+                continue
+            field = block_field(model.model_fields[key].annotation) if key in model.model_fields else None
+            if field is None or not _are_blocks(value):
+                shaped[key] = value
+            elif field.form is BlockForm.ONE:
+                shaped[key] = self._shape_single(value, field, (*path, key))
+            else:
+                shaped[key] = self._shape_labelled(value, field, (*path, key))
+        return shaped
+
+    def _shape_single(self, blocks: list[Any], field: BlockField, path: KeyPath) -> dict[str, Any]:
+        if len(blocks) > 1:
+            raise self._error((*path, 1), "this block may stand once")
+        return self.shape(blocks[0], field.model, path)
+
+    def _shape_labelled(self, blocks: list[Any], field: BlockField, path: KeyPath) -> Any:
+        is_map = field.form is BlockForm.MAP
+        by_label: dict[str, Any] = {}
+        rows: list[Any] = []
+        for number, block in enumerate(blocks):
+            if BLOCK_MARK in block:
+                raise self._error((*path, number), f'a label is expected, as in {path[-1]} "NAME" {{')
+            label, body = next(iter(block.items()))
+            if is_map and label in by_label:
+                raise self._error((*path, number), f"{label!r} stands twice")
+            by_label[label] = self.shape(body, field.model, (*path, label if is_map else number))
+            rows.append({"kind": label, **by_label[label]})
+        return by_label if is_map else rows
+
+    def _error(self, path: KeyPath, text: str) -> ConfigError:
+        """An error on the block whose path ends in its number."""
+        line = self.lines.get(path, UNKNOWN_LINE)
+        return ConfigError(f"{self.source}:{line}: {path[-2]}: {text}")
+
+
+def _are_blocks(value: Any) -> bool:
+    return isinstance(value, list) and any(isinstance(item, dict) and _is_marked(item) for item in value)
+
+
+def _is_marked(block: dict[str, Any]) -> bool:
+    """Whether an object was a block: it, or what stands under its labels, has the library's mark."""
+    return BLOCK_MARK in block or any(isinstance(value, dict) and _is_marked(value) for value in block.values())
--- a/corallanding/config/blocks.py
+++ b/corallanding/config/blocks.py
@@ -8,18 +8,23 @@
 
 from ..endpoints.endpoint_list import loopback
 
+MAX_MS = 86_400_000  # a day
+
 
 def on_loopback(address: str) -> str:
+    """The address as it stands. Raises ValueError if it is no loopback address with a port."""
     loopback(address)
     return address
 
 
 Address = Annotated[str, AfterValidator(on_loopback)]
-Ms = Annotated[float, Field(gt=0, le=86_400_000)]
-MsOrNone = Annotated[float, Field(ge=0, le=86_400_000)]
+PositiveMs = Annotated[float, Field(gt=0, le=MAX_MS)]
+NonNegativeMs = Annotated[float, Field(ge=0, le=MAX_MS)]
 Count = Annotated[int, Field(ge=1, le=1_000_000)]
 Ratio = Annotated[float, Field(ge=0, le=1)]
 
 
 class Block(BaseModel):
+    """One block of a configuration file: unknown keys are errors, and nothing changes once it is read."""
+
     model_config = ConfigDict(extra="forbid", frozen=True, strict=False)
--- a/corallanding/config/models.py
+++ b/corallanding/config/models.py
@@ -1,4 +1,4 @@
-"""The steward's configuration: every setting that the module reads has a key here, a unit and a check."""
+"""The configuration of a controller: every setting has a key here, a unit and a check."""
 
 from __future__ import annotations
 
@@ -11,7 +11,6 @@
 from .hcl import load
 from .quota import BudgetBlock, BudgetsBlock
 from .scheduling import JOBS, WaitingBlock
-from .scheduling import fault as scheduling_error
 from .site import (
     AdminBlock,
     ChannelBlock,
@@ -27,19 +26,22 @@
     StoreBlock,
 )
 from .sources import HealthCheckBlock, HostListBlock, LoadReportsBlock, RegistryBlock
-from .tasks import WHOLE, TaskBlock, TaskGroupBlock, TasksBlock
-from .version_pinning import PinsBlock, RecordsBlock, ReleaseBlock
-from .version_pinning import fault as pinning_error
+from .tasks import MAX_TASKS, TaskBlock, TaskGroupBlock, TasksBlock
+from .version_pinning import PinsBlock, RecordsBlock, ReleaseBlock, check_pinning
+
+ONLY_ZONE = "all"  # where no zones are configured
 
 
 class ControllerConfig(Block):
+    """A controller's configuration file. The fields are the keys that stand in it."""
+
     steward: ControllerBlock
     store: StoreBlock
     roster: HostListBlock = HostListBlock()
     registry: RegistryBlock | None = None
     slices: SlicesBlock
     operation: Annotated[dict[str, OperationBlock], Field(min_length=1, max_length=30)]
-    zones: Annotated[list[str], Field(min_length=1, max_length=65535)] = ["all"]
+    zones: Annotated[list[str], Field(min_length=1, max_length=65535)] = Field(default_factory=lambda: [ONLY_ZONE])
     rules: RulesBlock = RulesBlock()
     channel: ChannelBlock = ChannelBlock()
     reports: ReportsBlock = ReportsBlock()
@@ -50,58 +52,67 @@
     record: RecordBlock = RecordBlock()
     prices: PricesBlock = PricesBlock()
     load_reports: LoadReportsBlock | None = None
-    budget: dict[str, BudgetBlock] = {}
+    budget: dict[str, BudgetBlock] = Field(default_factory=dict)
     budgets: BudgetsBlock = BudgetsBlock()
-    task: dict[str, TaskBlock] = {}
-    task_group: dict[str, TaskGroupBlock] = {}
+    task: dict[str, TaskBlock] = Field(default_factory=dict)
+    task_group: dict[str, TaskGroupBlock] = Field(default_factory=dict)
     tasks: TasksBlock = TasksBlock()
-    release: dict[str, ReleaseBlock] = {}
+    release: dict[str, ReleaseBlock] = Field(default_factory=dict)
     pins: PinsBlock | None = None
     waiting: WaitingBlock = WaitingBlock()
     records: RecordsBlock | None = None
 
     @model_validator(mode="after")
-    def shared(self) -> ControllerConfig:
-        me, peers = self.steward.number, {int(n) for n in self.steward.peers if n.isdigit()}
-        for name, one in self.budget.items():
-            if fault := one.fault(name, self.stewards_most):
-                raise ValueError(fault)
+    def check_shared_work(self) -> ControllerConfig:
+        """Check what all controllers do together. Raises ValueError that names the key."""
+        for name, budget in self.budget.items():
+            budget.check(name, self.max_controllers)
+        self._check_tasks()
+        self._check_records()
+        waiting = [name for name, operation in self.operation.items() if operation.waits]
+        self.waiting.check(waiting, self.budget, self.task_group, has_records=bool(self.records))
+        if self.budget or self.task or self.task_group:
+            self._check_peers("budget" if self.budget else "task")
+        return self
+
+    def _check_tasks(self) -> None:
         for name, task in [*self.task.items(), *self.task_group.items()]:
-            if fault := self.tasks.fault(name, task, self.budgets.drift):
-                raise ValueError(fault)
+            self.tasks.check(name, task, self.budgets.drift)
         if twice := sorted(self.task.keys() & self.task_group.keys()):
             raise ValueError(f"task_group.{twice[0]}: there is a task of that name")
-        if sum(g.count for g in self.task_group.values()) + len(self.task) > WHOLE:
-            raise ValueError(f"task_group: more than {WHOLE} tasks in all")
-        groups, lease = self.task_group, self.tasks.lease_ms
-        if fault := pinning_error(self.pins, self.release, self.operation, self.task, groups, lease, self.records):
-            raise ValueError(fault)
+        if sum(group.count for group in self.task_group.values()) + len(self.task) > MAX_TASKS:
+            raise ValueError(f"task_group: more than {MAX_TASKS} tasks in all")
+
+    def _check_records(self) -> None:
+        """Check pinned runs, and that something rests on the records."""
+        groups, lease_ms = self.task_group, self.tasks.lease_ms
+        check_pinning(self.pins, self.release, self.operation, self.task, groups, lease_ms, self.records)
         if self.records and not self.pins and JOBS not in groups:
             raise ValueError(f'records: nothing rests on it: neither pins nor task_group "{JOBS}"')
-        waits, w = [n for n, o in self.operation.items() if o.waits], self.waiting
-        if fault := scheduling_error(waits, self.budget, groups, bool(self.records), w.stale_ms, w.tell_ms):
-            raise ValueError(fault)
-        what = "budget" if self.budget else "task" if self.task or self.task_group else ""
-        if not what:
-            return self
-        if self.stewards_most > 1 and not (self.steward.peers and self.steward.peer_listen):
-            raise ValueError(f"{what}: with more than one steward it needs steward.peer_listen and steward.peers")
+
+    def _check_peers(self, block: str) -> None:
+        """Check how this controller and the others know each other. block: the one that needs it."""
+        number = self.steward.number
+        peers = {int(peer) for peer in self.steward.peers if peer.isdigit()}
+        if self.max_controllers > 1 and not (self.steward.peers and self.steward.peer_listen):
+            raise ValueError(f"{block}: with more than one steward it needs steward.peer_listen and steward.peers")
         if self.budgets.office == "registry" and (self.registry is None or self.registry.kind != "etcd"):
             raise ValueError("budgets.office: by the registry it needs a registry block of kind etcd")
-        if len(peers) < len(self.steward.peers) or me in peers:
+        if len(peers) < len(self.steward.peers) or number in peers:
             raise ValueError("steward.peers: keys must be numbers of other stewards")
-        if max([me, *peers]) >= self.stewards_most:
-            raise ValueError(f"budgets.stewards_most is {self.stewards_most}: all numbers must be below")
-        if strange := sorted(set(self.budgets.voters) - {me, *peers}):
-            raise ValueError(f"budgets.voters: {strange} are neither this steward nor peers")
-        return self
+        if max([number, *peers]) >= self.max_controllers:
+            raise ValueError(f"budgets.stewards_most is {self.max_controllers}: all numbers must be below")
+        if unknown := sorted(set(self.budgets.voters) - {number, *peers}):
+            raise ValueError(f"budgets.voters: {unknown} are neither this steward nor peers")
 
     @property
-    def stewards_most(self) -> int:
+    def max_controllers(self) -> int:
+        """How many controllers there may ever be."""
         return self.budgets.stewards_most or self.steward.stewards
 
     @model_validator(mode="after")
-    def whole(self) -> ControllerConfig:
+    def check_site(self) -> ControllerConfig:
+        """Check blocks of one site against each other. Raises ValueError that names the key."""
         if self.steward.zone is not None and self.steward.zone not in self.zones:
             raise ValueError(f"steward.zone {self.steward.zone!r} is not one of zones")
         if self.steward.number >= self.steward.stewards:
@@ -112,14 +123,14 @@
             raise ValueError("roster.address or a registry block must stand, and not both")
         if self.registry and self.roster.mode != "pushed":
             raise ValueError("roster.mode is pushed where a registry is followed")
-        # One message with every slice's two lines must fit for each forwarder, or a start cannot be published.
-        least = self.channel.head_lines * 2 + 4
-        if self.channel.queue_most_lines < least * self.forwarders.count:
-            need = least * self.forwarders.count
-            raise ValueError(f"channel.queue_most_lines holds no message for each forwarder ({need:g} needed)")
+        # One message with two table entries of every slice must fit for each proxy, or a start cannot be published.
+        min_lines = (self.channel.head_lines * 2 + 4) * self.forwarders.count
+        if self.channel.queue_most_lines < min_lines:
+            need = f"({min_lines:g} needed)"
+            raise ValueError(f"channel.queue_most_lines holds no message for each forwarder {need}")
         return self
 
 
 def load_controller(path: str | Path) -> ControllerConfig:
-    """A steward's configuration file. Raises `ConfigError`."""
+    """Read a controller's configuration file. Raises `ConfigError`."""
     return load(path, ControllerConfig)
--- a/corallanding/config/sources.py
+++ b/corallanding/config/sources.py
@@ -1,4 +1,4 @@
-"""Blocks of where hosts and what is known of them come from: roster, registry, probes, load reports."""
+"""Blocks of where hosts and what is known of them come from: host list, registry, health checks, load reports."""
 
 from __future__ import annotations
 
@@ -6,19 +6,21 @@
 
 from pydantic import Field, model_validator
 
-from .blocks import Address, Block, Count, Ms, Ratio
+from .blocks import Address, Block, Count, PositiveMs, Ratio
 
 
 class HostListBlock(Block):
+    """The source of the host list: one address that pushes it or is polled."""
+
     address: Address | None = None
     mode: Literal["pushed", "on_request"] = "pushed"
-    ask_within_ms: Ms = 10000.0
+    ask_within_ms: PositiveMs = 10000.0
     weights: Literal["off", "nominal", "rough", "live"] = "off"
     hosts_most: Count = 10_000
     line_most_bytes: Annotated[int, Field(ge=1024, le=1 << 28)] = 4 << 20
-    wait_ms: Ms = 100.0
-    wait_most_ms: Ms = 2000.0
-    timeout_ms: Ms = 2000.0
+    wait_ms: PositiveMs = 100.0
+    wait_most_ms: PositiveMs = 2000.0
+    timeout_ms: PositiveMs = 2000.0
 
 
 class RegistryBlock(Block):
@@ -26,27 +28,30 @@
 
     kind: Literal["etcd", "consul"] = "etcd"
     address: Address
-    others: Annotated[list[Address], Field(max_length=16)] = []  # further members of the same registry
+    others: Annotated[list[Address], Field(max_length=16)] = Field(
+        default_factory=list
+    )  # further members of the same registry
     prefix: Annotated[str, Field(min_length=1, max_length=200)] = "/corallanding/hosts/"
-    timeout_ms: Ms = 2000.0
-    wait_ms: Ms = 100.0
-    wait_most_ms: Ms = 10000.0
+    timeout_ms: PositiveMs = 2000.0
+    wait_ms: PositiveMs = 100.0
+    wait_most_ms: PositiveMs = 10000.0
     reads_per_min: Annotated[float, Field(gt=0, le=6000)] = 6.0
     page: Annotated[int, Field(ge=1, le=100000)] = 1000
-    block_ms: Ms = 10000.0
+    block_ms: PositiveMs = 10000.0
     token_file: str | None = None
     ca_file: str | None = None
     certificate_file: str | None = None
     key_file: str | None = None
     server_name: str | None = None
-    charge: bool = False  # slices and tables are shared with other stewards there
+    charge: bool = False  # slices are leased there among several controllers
     base: Annotated[str, Field(min_length=1, max_length=200)] = "/corallanding/stewards/"
     lease_ms: Annotated[float, Field(ge=1000, le=600_000)] = 5000.0
-    write_within_ms: Ms = 500.0
-    retire_within_ms: Ms = 5000.0
+    write_within_ms: PositiveMs = 500.0
+    retire_within_ms: PositiveMs = 5000.0
 
     @model_validator(mode="after")
-    def paired(self) -> RegistryBlock:
+    def check_kind(self) -> RegistryBlock:
+        """Keys that go together stand together, and fit the kind of the registry. Raises ValueError."""
         if (self.certificate_file is None) != (self.key_file is None):
             raise ValueError("certificate_file and key_file stand together")
         if self.certificate_file and not self.ca_file:
@@ -63,9 +68,11 @@
 
 
 class HealthCheckBlock(Block):
+    """Health checks: whether the controller sends them, and how."""
+
     allowed: bool = True
     path: Annotated[str, Field(pattern=r"^/[!-~]*$", max_length=200)] = "/health"
-    timeout_ms: Ms = 250.0
+    timeout_ms: PositiveMs = 250.0
     most_in_flight: Annotated[int, Field(ge=1, le=10000)] = 16
     most_waiting: Annotated[int, Field(ge=1, le=100000)] = 1000
 
@@ -75,9 +82,9 @@
 
     listen: Address
     key_file: str | None = None
-    half_life_ms: Ms = 5000.0
-    expiry_ms: Ms = 20000.0
-    window_ms: Ms = 5000.0
+    half_life_ms: PositiveMs = 5000.0
+    expiry_ms: PositiveMs = 20000.0
+    window_ms: PositiveMs = 5000.0
     step: Annotated[float, Field(ge=0.05, le=1)] = 0.25
     floor: Annotated[float, Field(ge=0.1, le=1)] = 0.5
     busy_from: Annotated[float, Field(gt=0, le=1)] = 0.4
@@ -85,7 +92,7 @@
     gain: Annotated[float, Field(gt=0, le=1)] = 0.5
     reporting_least: Ratio = 0.5
     changes_most: Annotated[float, Field(gt=0, le=1)] = 0.1
-    stuck_after_ms: Ms = 60000.0
+    stuck_after_ms: PositiveMs = 60000.0
     processes_most: Annotated[int, Field(ge=1, le=65536)] = 64
     sender_rate: Annotated[float, Field(gt=0, le=1000)] = 4.0
     sender_burst: Annotated[float, Field(ge=1, le=1000)] = 4.0
@@ -95,7 +102,8 @@
     buffer_bytes: Annotated[int, Field(ge=4096, le=1 << 28)] = 4 << 20
 
     @model_validator(mode="after")
-    def ordered(self) -> LoadReportsBlock:
+    def check_expiry(self) -> LoadReportsBlock:
+        """A report outlasts two half lives. Raises ValueError."""
         if self.expiry_ms < 2 * self.half_life_ms:
             raise ValueError("expiry_ms is under two half lives")
         return self
--- a/corallanding/config/version_pinning.py
+++ b/corallanding/config/version_pinning.py
@@ -1,81 +1,95 @@
-"""Blocks of releases and of runs that keep their versions: `release "NAME"`, `pins`. See docs/pins.md."""
+"""Blocks of releases and of runs that keep their versions: `release "NAME"`, `pins`, `records`. See docs/pins.md."""
 
 from __future__ import annotations
 
-from collections.abc import Collection
+from collections.abc import Collection, Mapping
 from typing import Annotated
 
 from pydantic import Field
 
 from ..version_pinning.release_register import SET_NUMBER_LIMIT
-from .blocks import Block, Ms
+from .blocks import Block, PositiveMs
 
 Number = Annotated[int, Field(ge=1, lt=SET_NUMBER_LIMIT)]
-RELEASE, RUNS = "release", "runs"  # the task and the group of tasks that pins rest on
+RELEASE = "release"  # the task whose holder writes the release register
+RUNS = "runs"  # the group of tasks among which runs are spread
+MIN_RUN_LEASES = 4.0  # leases of tasks that a run may last at least
 
 
 class ReleaseBlock(Block):
-    """A set of versions, by number for ever. carries: sets whose runs may go over to this one, where an operation says
-    `no_host = "carry_over"`."""
+    """A release set: a version of each operation, under a number that is never used again.
+
+    carries: sets whose runs may go over to this one, where an operation says `no_host = "carry_over"`.
+    """
 
     number: Number
     versions: Annotated[dict[str, Annotated[int, Field(ge=1, le=1 << 20)]], Field(min_length=1, max_length=30)]
-    carries: Annotated[list[Number], Field(max_length=8)] = []
+    carries: Annotated[list[Number], Field(max_length=8)] = Field(default_factory=list)
+
+    def check_versions(self, name: str, operations: Collection[str]) -> None:
+        """Check that the set has a version of each operation. Raises ValueError that names the key."""
+        if unknown := sorted(set(self.versions) - set(operations)):
+            raise ValueError(f"release.{name}.versions: no operation {unknown[0]!r}")
+        if missing := sorted(set(operations) - set(self.versions)):
+            raise ValueError(f"release.{name}.versions says nothing of operation {missing[0]!r}")
 
 
 class RecordsBlock(Block):
-    """Records that are written once, copied to a majority of the fleet's voters. path: this steward's file. Times in
-    ms."""
+    """Quorum records: written once, stored by a majority of the voters. path: this controller's file; times in ms."""
 
     path: str
     most: Annotated[int, Field(ge=16, le=10_000_000)] = 200_000
-    answer_within_ms: Ms = 1_500.0
-    again_ms: Ms = 150.0
+    answer_within_ms: PositiveMs = 1_500.0
+    again_ms: PositiveMs = 150.0
     questions_most: Annotated[int, Field(ge=16, le=1_000_000)] = 10_000  # that wait for an answer
-    words_per_s: Annotated[float, Field(ge=1, le=1e6)] = 2_000.0  # taken from one peer
+    words_per_s: Annotated[float, Field(ge=1, le=1e6)] = 2_000.0  # messages that are taken from one peer
     witness: str | None = None  # a file that each answer is written to, for the lab's audit
 
 
 class PinsBlock(Block):
-    """current: the set that is to be current; may be changed by a reload. Times in ms."""
+    """Runs that keep their release set. current: the set that is to be current, which a reload may change."""
 
     current: Number
-    run_most_ms: Ms = 1_800_000.0
-    settle_ms: Ms = 500.0
-    publish_ms: Ms = 200.0
-    begins_per_s: Annotated[float, Field(gt=0, le=1e6)] = 50.0  # new runs of one client, at one holder
+    run_most_ms: PositiveMs = 1_800_000.0
+    settle_ms: PositiveMs = 500.0
+    publish_ms: PositiveMs = 200.0
+    begins_per_s: Annotated[float, Field(gt=0, le=1e6)] = 50.0  # new runs of one client, at one controller
 
 
-def fault(
+def check_pinning(
     pins: PinsBlock | None,
-    releases: dict[str, ReleaseBlock],
+    releases: Mapping[str, ReleaseBlock],
     operations: Collection[str],
     tasks: Collection[str],
     groups: Collection[str],
-    lease: float,
+    lease_ms: float,
     records: RecordsBlock | None,
-) -> str | None:
-    """What is wrong with them, as a sentence that names the key."""
+) -> None:
+    """Check what pinned runs need. lease_ms: of tasks. Raises ValueError with a sentence that names the key."""
     if pins is None:
-        return "release: it needs a pins block" if releases else None
+        if releases:
+            raise ValueError("release: it needs a pins block")
+        return
     if RELEASE not in tasks or RUNS not in groups:
-        return f'pins: it needs task "{RELEASE}" and task_group "{RUNS}"'
+        raise ValueError(f'pins: it needs task "{RELEASE}" and task_group "{RUNS}"')
     if records is None:
-        return "pins: it needs a records block"
-    by: dict[int, str] = {}
-    for name, one in releases.items():
-        if one.number in by:
-            return f"release.{name}.number is that of release.{by[one.number]}"
-        by[one.number] = name
-        if strange := sorted(set(one.versions) - set(operations)):
-            return f"release.{name}.versions: no operation {strange[0]!r}"
-        if missing := sorted(set(operations) - set(one.versions)):
-            return f"release.{name}.versions says nothing of operation {missing[0]!r}"
-    for name, one in releases.items():
-        if strangers := sorted(set(one.carries) - set(by)):
-            return f"release.{name}.carries: no release has number {strangers[0]}"
-    if pins.current not in by:
-        return f"pins.current: no release has number {pins.current}"
-    if pins.run_most_ms < 4.0 * lease:
-        return f"pins.run_most_ms must be at least four times tasks.lease_ms ({lease:g})"
-    return None
+        raise ValueError("pins: it needs a records block")
+    numbers = _check_releases(releases, operations)
+    if pins.current not in numbers:
+        raise ValueError(f"pins.current: no release has number {pins.current}")
+    if pins.run_most_ms < MIN_RUN_LEASES * lease_ms:
+        raise ValueError(f"pins.run_most_ms must be at least four times tasks.lease_ms ({lease_ms:g})")
+
+
+def _check_releases(releases: Mapping[str, ReleaseBlock], operations: Collection[str]) -> set[int]:
+    """Check all release sets, and return their numbers."""
+    name_of: dict[int, str] = {}
+    for name, release in releases.items():
+        if release.number in name_of:
+            raise ValueError(f"release.{name}.number is that of release.{name_of[release.number]}")
+        name_of[release.number] = name
+        release.check_versions(name, operations)
+    for name, release in releases.items():
+        if unknown := sorted(set(release.carries) - set(name_of)):
+            raise ValueError(f"release.{name}.carries: no release has number {unknown[0]}")
+    return set(name_of)
--- a/corallanding/controller/quota_service.py
+++ b/corallanding/controller/quota_service.py
@@ -24,7 +24,7 @@
     budgets = {}
     for name, block in config.budget.items():
         span_ms = RATE_SPAN_MS if block.unit == "per_s" else block.span_ms or config.rules.cold_ms
-        budgets[name] = quota.Budget(name, block.whole, block.floor, config.stewards_most, span_ms, block.per)
+        budgets[name] = quota.Budget(name, block.whole, block.floor, config.max_controllers, span_ms, block.per)
     return budgets
 
 
--- a/corallanding/lab/scenario.py
+++ b/corallanding/lab/scenario.py
@@ -7,15 +7,14 @@
 
 from pydantic import Field, model_validator
 
-from ..config.blocks import Block, Count, Ms, MsOrNone, Ratio
+from ..config.blocks import Block, Count, NonNegativeMs, PositiveMs, Ratio
 from ..config.hcl import load
 from ..config.quota import BudgetBlock, BudgetsBlock
 from ..config.scheduling import WaitingBlock
 from ..config.site import ChannelBlock, ForwardersBlock, OperationBlock, ReportsBlock, RulesBlock
 from ..config.sources import HealthCheckBlock, LoadReportsBlock
 from ..config.tasks import TaskBlock, TaskGroupBlock, TasksBlock
-from ..config.version_pinning import PinsBlock, RecordsBlock, ReleaseBlock
-from ..config.version_pinning import fault as pinning_error
+from ..config.version_pinning import PinsBlock, RecordsBlock, ReleaseBlock, check_pinning
 
 PEER_FAULTS = (
     "peer_cut",
@@ -80,13 +79,13 @@
     slices: Annotated[int, Field(ge=1, le=65_534)]
     slice_cv: Annotated[float, Field(ge=0, le=5)] = 0.5
     stream_cv: Annotated[float, Field(ge=0, le=5)] = 0.8
-    transit_ms: MsOrNone = 0.0
-    sums_late_ms: MsOrNone = 0.0
+    transit_ms: NonNegativeMs = 0.0
+    sums_late_ms: NonNegativeMs = 0.0
 
 
 class OperationTraffic(OperationBlock):
     share: Annotated[float, Field(gt=0, le=1)]
-    work_ms: Ms
+    work_ms: PositiveMs
     cv: Annotated[float, Field(ge=0, le=5)] = 0.5
 
 
@@ -94,13 +93,13 @@
     per_s: Annotated[float, Field(gt=0, le=1e5)]
     retries: Annotated[int, Field(ge=0, le=10)] = 2
     try_share: Annotated[float, Field(gt=0, le=1)] = 0.8
-    backoff_ms: Ms = 100.0
+    backoff_ms: PositiveMs = 100.0
 
 
 class RosterTraffic(Block):
     mode: Literal["pushed", "on_request"] = "pushed"
-    notice_ms: MsOrNone = 500.0
-    add_ms: MsOrNone = 200.0
+    notice_ms: NonNegativeMs = 500.0
+    add_ms: NonNegativeMs = 200.0
 
 
 class LoadReportsTraffic(LoadReportsBlock):
@@ -108,7 +107,7 @@
 
     listen: str = "127.0.0.1:0"
     processes: Annotated[int, Field(ge=1, le=4096)] = 1
-    every_ms: Ms = 500.0
+    every_ms: PositiveMs = 500.0
     echo: bool = True
     signed: bool = False
     form: Literal["protobuf", "json", "stream"] = "protobuf"
@@ -122,7 +121,7 @@
 
     per_s: Annotated[float, Field(gt=0, le=1e4)]
     steps: Annotated[list[str], Field(min_length=1, max_length=20)]
-    gap_ms: MsOrNone = 300.0
+    gap_ms: NonNegativeMs = 300.0
     twice: Ratio = 0.2
 
 
@@ -132,7 +131,7 @@
 
     per_s: Annotated[float, Field(gt=0, le=1e4)]
     again: Ratio = 0.1
-    again_ms: MsOrNone = 2000.0
+    again_ms: NonNegativeMs = 2000.0
     runs: Ratio = 0.0
     drain_s: Annotated[float, Field(ge=0, le=600)] = 10.0
 
@@ -194,11 +193,9 @@
         if self.numbers < self.stewards:
             raise ValueError("budgets.stewards_most is less than stewards")
         for name, one in self.budget.items():
-            if fault := one.fault(name, self.numbers):
-                raise ValueError(fault)
+            one.check(name, self.numbers)
         groups, lease = self.task_group, self.tasks.lease_ms
-        if fault := pinning_error(self.pins, self.release, self.operation, self.task, groups, lease, self.records):
-            raise ValueError(fault)
+        check_pinning(self.pins, self.release, self.operation, self.task, groups, lease, self.records)
         if self.jobs and not any(o.waits for o in self.operation.values()):
             raise ValueError("jobs: no operation waits")
         if self.runs and (strange := sorted(set(self.runs.steps) - set(self.operation))):
--- a/corallanding/lab/scenario_day.py
+++ b/corallanding/lab/scenario_day.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from ..config.hcl import ConfigError
+from ..config import ConfigError
 from ..config.site import ChannelBlock, ForwardersBlock, ReportsBlock, RulesBlock
 from ..config.sources import HealthCheckBlock
 from .scenario import KINDS, Fault, Fleet, HostKind, OperationTraffic, RosterTraffic, Scenario, TrafficBlock
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -555,7 +555,7 @@
                 await asyncio.sleep(0.05)
             assert page["tasks"]["dealer"] == 0
             assert page["stewards"] == {"0": "alive"}
-            assert [w["what"] for w in s.words("task") if w["task"] == "upgrade"].count("taken up") == 2
+            assert [w["change"] for w in s.words("task") if w["task"] == "upgrade"].count("taken up") == 2
             await s.drains(2)
 
     play(scene())
