--- a/tests/test_revive.py
+++ b/tests/test_revive.py
@@ -92,7 +92,7 @@
     assert restore(two.engine, state, one.log[tail:], one.now) == (cut, [])
     assert isinstance(one.engine.assigner, Assigner)
     assert isinstance(two.engine.assigner, Assigner)
-    assert two.engine.assigner.admission_level == one.engine.assigner.admission_level < 1.0
+    assert two.engine.assigner.admission.level == one.engine.assigner.admission.level < 1.0
     assert two.engine.published.admissions == one.engine.published.admissions
     assert [t[::2] for t in sorted(two.engine.timers)] == [t[::2] for t in sorted(one.engine.timers)]
     two.engine.pending_events = []  # but for the forwarders that are gone, which only the second is told of
