--- a/corallanding/platform/logs.py
+++ b/corallanding/platform/logs.py
@@ -13,7 +13,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-LINE_MOST = 4_000  # bytes: what a pipe takes whole or not at all
+MAX_LINE_BYTES = 4_000  # bytes: what a pipe takes whole or not at all
 KINDS_MOST = 64
 
 log = logging.getLogger("corallanding.platform")
@@ -31,7 +31,7 @@
             if any(flag & select.POLLOUT for _, flag in self.poll.poll(0)):
                 lost = f" (lost before: {self.lost})" if self.lost else ""
                 text = (self.format(record).replace("\n", " | ") + lost).encode("utf-8", "replace")
-                os.write(self.fd, text[:LINE_MOST] + b"\n")
+                os.write(self.fd, text[:MAX_LINE_BYTES] + b"\n")
                 self.lost = 0
             else:
                 self.lost += 1
--- a/corallanding/platform/service.py
+++ b/corallanding/platform/service.py
@@ -14,12 +14,12 @@
 from ..controller.event_inbox import EventInbox
 from ..health_check.checker import HealthChecker
 from ..host_names import name
-from ..relay.call_connection import CallLink
-from ..relay.channel import Channel
+from ..relay.call_connection import CallConnection
+from ..relay.channel import ChannelEstimate
 from ..relay.orders import Order
-from ..relay.pending_calls import Calls
-from ..relay.subscription import News
-from ..relay.subscription_connection import NewsLink
+from ..relay.pending_calls import PendingCalls
+from ..relay.subscription import RelayView
+from ..relay.subscription_connection import Subscription
 from . import trace
 from .clock import Clock
 from .config import BadConfig, Config, address, read
@@ -44,16 +44,18 @@
         self.turns = EventInbox(Assigner(s, config.seed))
         self.lists = Lists(config, self.seldom, self.tell, traced)
         self.view, self.agent = self.lists.view, self.lists.agent
-        self.news = News(s, config.places.zones)
-        channel = Channel(
+        self.news = RelayView(s, config.places.zones)
+        channel = ChannelEstimate(
             s.max_queued_lines, s.channel_lines_per_second, s.message_overhead_lines, lambda: len(self.news.proxies)
         )
-        self.calls = Calls(list(config.places.operations), s.max_messages, s.message_window_ms, channel)
+        self.calls = PendingCalls(list(config.places.operations), s.max_messages, s.message_window_ms, channel)
         self.intake = Intake(s, config.places, self.view.addresses, self.news.tables)
-        self.call_link = CallLink(config.store, self.calls, self.clock, self.stood)
-        self.news_link = NewsLink(config.store, self.news, self.clock, self.tell, self.calls.under_way, self.said)
+        self.call_link = CallConnection(config.store, self.calls, self.clock, self.stood)
+        self.news_link = Subscription(
+            config.store, self.news, self.clock, self.tell, self.calls.unconfirmed_table_orders, self.said
+        )
         self.gaps = Gaps(s, self.news, self.clock, self.tell)
-        self.news_link.gap = self.gaps.bridged
+        self.news_link.on_gap_bridged = self.gaps.bridged
         self.prober = HealthChecker(
             self.probed,
             self.clock,
@@ -120,8 +122,8 @@
             log.error("the old configuration stays: %s", fault)
             return
         log.info("configuration read again: discovery %s, store %s", new.discovery, new.store)
-        self.news_link.move(new.store)
-        self.call_link.move(new.store)
+        self.news_link.set_address(new.store)
+        self.call_link.set_address(new.store)
         self.agent.set_address(new.discovery)
 
     def stop(self) -> None:
@@ -142,7 +144,7 @@
 
     async def run(self) -> None:
         self.start()
-        await self.call_link.idle.wait()  # within the time that an answer may take
+        await self.call_link.finished.wait()  # within the time that an answer may take
         self.call_link.close()
 
     # ---- what happens ------------------------------------------------------------------------------------
@@ -154,9 +156,9 @@
         now = self.clock()
         for e in events:
             if isinstance(e, api.SliceOwnershipChange) and not e.is_owned:
-                self.calls.forget(e.slice)
-            if isinstance(e, api.VersionAcked) and self.calls.doubted:
-                self.stood(self.calls.applied(e.version))
+                self.calls.forget_slice(e.slice)
+            if isinstance(e, api.VersionAcked) and self.calls.unconfirmed:
+                self.stood(self.calls.on_version_applied(e.version))
             if self.trace and isinstance(e, api.HostUsageReport | api.SliceUsageReport):
                 log.info("sums: %s", e)
             if self.trace and isinstance(e, api.SliceOwnershipChange | api.ProxyLeft | api.ProxyJoined):
@@ -172,10 +174,10 @@
     def stood(self, orders: list[Order]) -> None:
         for o in orders:
             if isinstance(o, api.SetWeight | api.ResetTable):
-                self.news.stands(o)
-        for text in self.calls.said:
+                self.news.on_order_confirmed(o)
+        for text in self.calls.warnings:
             self.said(text)
-        self.calls.said.clear()
+        self.calls.warnings.clear()
 
     # ---- turns -------------------------------------------------------------------------------------------
 
@@ -211,7 +213,7 @@
         self.stepped_at = self.clock()
         self.took = self.stepped_at - begun
         self.took_most = max(self.took_most, self.took)
-        if self.door and not self.door.ready and self.news_link.settled_once:
+        if self.door and not self.door.ready and self.news_link.has_been_ready:
             self.ready()
         self.wake()
         if self.warming is None:
@@ -247,8 +249,8 @@
         if orders:
             if self.trace:
                 log.info("orders: %s", trace.orders(orders))
-            self.calls.order(orders)
-            self.call_link.kick()
+            self.calls.add(orders)
+            self.call_link.send_next()
 
     def tracing(self) -> None:
         self.loop.call_later(1.0, self.tracing)
--- a/corallanding/platform/trace.py
+++ b/corallanding/platform/trace.py
@@ -15,9 +15,9 @@
 from ..discovery.long_poll import DiscoveryClient
 from ..host_names import name
 from ..relay.orders import Order
-from ..relay.pending_calls import Calls
-from ..relay.subscription import News
-from ..relay.subscription_connection import NewsLink
+from ..relay.pending_calls import PendingCalls
+from ..relay.subscription import RelayView
+from ..relay.subscription_connection import Subscription
 from .clock import Clock
 
 
@@ -26,9 +26,9 @@
 
     view: HostListView
     agent: DiscoveryClient
-    news: News
-    news_link: NewsLink
-    calls: Calls
+    news: RelayView
+    news_link: Subscription
+    calls: PendingCalls
     intake: Intake
     door: Door | None
     turns: EventInbox
@@ -69,12 +69,13 @@
     news, door = s.news_link.current, s.door
     yield (
         f"list={s.view.version} hosts={len(s.view.entries)} proxies={len(s.news.proxies)} slices={len(s.news.tables)} "
-        f"news={s.clock() - news.at if news else -1.0:.0f} breaks={s.news_link.breaks} polls={s.agent.poll_count} "
+        f"news={s.clock() - news.last_received_ms if news else -1.0:.0f} breaks={s.news_link.break_count} "
+        f"polls={s.agent.poll_count} "
         f"reports={s.intake.taken} spoilt={dict(s.intake.spoilt)} ended={dict(door.ended) if door else {}}"
     )
     usage = resource.getrusage(resource.RUSAGE_SELF)
     yield (
-        f"calls={s.calls.count} waiting={len(s.calls.waiting)} step={s.took:.1f}/{s.took_most:.1f} "
+        f"calls={s.calls.counts} waiting={len(s.calls.waiting)} step={s.took:.1f}/{s.took_most:.1f} "
         f"cpu={usage.ru_utime + usage.ru_stime:.2f} rss={usage.ru_maxrss // 1024}"
     )
     if isinstance(s.turns.assigner, Assigner):
--- a/corallanding/platform/unconfirmed_acks.py
+++ b/corallanding/platform/unconfirmed_acks.py
@@ -6,14 +6,18 @@
 from collections.abc import Callable
 
 from .. import interface as api
-from ..relay.subscription import News
+from ..relay.subscription import RelayView
 
 
 class Gaps:
     """Acks of what has left the channel by the time the news goes on were lost in the gap. tell: takes events."""
 
     def __init__(
-        self, settings: api.Settings, news: News, clock: Callable[[], float], tell: Callable[[list[api.Event]], None]
+        self,
+        settings: api.Settings,
+        news: RelayView,
+        clock: Callable[[], float],
+        tell: Callable[[list[api.Event]], None],
     ) -> None:
         self.set, self.news, self.clock, self.tell = settings, news, clock, tell
         self.marked, self.marked_at = -1, 0.0  # the last mark ordered, and when
@@ -33,4 +37,4 @@
 
     def lost(self, mark: int) -> None:
         if mark >= 0:
-            self.tell(self.news.lost(mark))
+            self.tell(self.news.assume_acked(mark))
--- a/corallanding/relay/call_connection.py
+++ b/corallanding/relay/call_connection.py
@@ -1,4 +1,4 @@
-"""The connection for calls. What is said and meant: `calls`."""
+"""The connection for calls. What calls hold, and what answers mean: `pending_calls`."""
 
 from __future__ import annotations
 
@@ -6,129 +6,151 @@
 from collections.abc import Callable
 
 from ..connection import Address, Connector, ReadTimeout
-from .line_protocol import Lines
+from .line_protocol import LineConnection
 from .orders import Order
-from .pending_calls import Calls
+from .pending_calls import PendingCalls
 
 
-class CallLink:
-    """Carries `calls` out, one after the other. Times in ms.
+class CallConnection:
+    """Carries out `calls`, one after the other. Times in ms.
 
-    answer_within: after which an answer never comes. idle_most: a connection that stood idle longer is not trusted with
-    a call, as the relay may be closing it just then. stood: takes the orders that the relay confirmed.
+    `on_confirmed` takes the orders that the relay confirmed. After `answer_timeout_ms` an answer never comes. A
+    connection that was idle for over `max_idle_ms` is not used for a call, since the relay may be closing it just then.
     """
 
     def __init__(
         self,
-        where: Address,
-        calls: Calls,
+        address: Address,
+        calls: PendingCalls,
         clock: Callable[[], float],
-        stood: Callable[[list[Order]], None],
-        answer_within: float = 100.0,
-        dial_within: float = 300.0,
-        idle_most: float = 2_000.0,
+        on_confirmed: Callable[[list[Order]], None],
+        answer_timeout_ms: float = 100.0,
+        connect_timeout_ms: float = 300.0,
+        max_idle_ms: float = 2_000.0,
     ) -> None:
-        self.where, self.calls, self.clock, self.stood = where, calls, clock, stood
-        self.answer_within, self.idle_most = answer_within, idle_most
+        self.address = address
+        self.calls = calls
+        self.clock = clock
+        self.on_confirmed = on_confirmed
+        self.answer_timeout_ms = answer_timeout_ms
+        self.max_idle_ms = max_idle_ms
         self.loop = asyncio.get_running_loop()
-        self.dialer = Connector(lambda at: Lines(at, self.heard, self.lost), self.adopted, self.unreached, dial_within)
-        self.conn: Lines | None = None
-        self.used = 0.0
-        self.waits: asyncio.TimerHandle | None = None  # for the time of the next call
-        self.limit: ReadTimeout | None = None  # of the call in flight
-        self.last = False  # no call begins any more
-        self.idle = asyncio.Event()  # none is in flight, and none will be
-
-    def kick(self) -> None:
-        """Something waits, or may go now."""
-        if self.calls.flying or self.dialer.is_connecting or self.last:
+        self.connector = Connector(
+            lambda address: LineConnection(address, self.on_lines, self.on_connection_lost),
+            self.on_connected,
+            self.on_connect_failed,
+            connect_timeout_ms,
+        )
+        self.connection: LineConnection | None = None
+        self.last_used_ms = 0.0
+        self.send_timer: asyncio.TimerHandle | None = None  # until the next call may be sent
+        self.answer_timeout: ReadTimeout | None = None  # of the call in flight
+        self.is_finishing = False  # no call begins any more
+        self.finished = asyncio.Event()  # none is in flight, and none will be
+
+    def send_next(self) -> None:
+        """Send the next call, now or when it may be sent."""
+        if self.calls.in_flight or self.connector.is_connecting or self.is_finishing:
             return
-        self.stop_waiting()
-        now = self.clock()
-        at = self.calls.next_at(now)
-        if at is None:
+        self.cancel_send_timer()
+        now_ms = self.clock()
+        send_at_ms = self.calls.next_send_ms(now_ms)
+        if send_at_ms is None:
             return
-        if at > now:
-            self.waits = self.loop.call_later((at - now) / 1000.0, self.kick)
-        elif self.conn is None or self.conn.address != self.where or now - self.used > self.idle_most:
-            self.dialer.connect(self.where)
+        if send_at_ms > now_ms:
+            self.send_timer = self.loop.call_later((send_at_ms - now_ms) / 1000.0, self.send_next)
+            return
+        connection = self.connection
+        is_idle = now_ms - self.last_used_ms > self.max_idle_ms
+        if connection is None or connection.address != self.address or is_idle:
+            self.connector.connect(self.address)
         else:
-            self.send(self.conn, now)
-
-    def stop_waiting(self) -> None:
-        if self.waits:
-            self.waits.cancel()
-            self.waits = None
-
-    def adopted(self, conn: Lines) -> None:
-        self.give_up()
-        self.conn, self.used = conn, self.clock()
-        self.kick()
-
-    def unreached(self, why: str) -> None:
-        self.calls.unsent(self.clock())
-        self.kick()
-
-    def send(self, conn: Lines, now: float) -> None:
-        if call := self.calls.next(now):
-            conn.transport.write(call.line)
-            self.used = now
-            self.limit = ReadTimeout(self.loop, self.answer_within, self.unknown)
-
-    def unknown(self) -> None:
-        self.give_up()
-        self.calls.unknown(self.clock())
-        self.ended()
-
-    def give_up(self) -> None:
-        if self.conn:
-            self.conn.discard()
-            self.conn = None
-
-    def heard(self, conn: Lines, lines: list[bytes]) -> None:
+            self.send(connection, now_ms)
+
+    def cancel_send_timer(self) -> None:
+        """Stop waiting for the time of the next call."""
+        if self.send_timer:
+            self.send_timer.cancel()
+            self.send_timer = None
+
+    def send(self, connection: LineConnection, now_ms: float) -> None:
+        """Send the call that is due on this connection."""
+        if call := self.calls.next_call(now_ms):
+            connection.transport.write(call.line)
+            self.last_used_ms = now_ms
+            self.answer_timeout = ReadTimeout(self.loop, self.answer_timeout_ms, self.on_outcome_unknown)
+
+    def on_connected(self, connection: LineConnection) -> None:
+        """Use a new connection in place of the old one."""
+        self.discard_connection()
+        self.connection = connection
+        self.last_used_ms = self.clock()
+        self.send_next()
+
+    def on_connect_failed(self, _: str) -> None:
+        """Try again after a while."""
+        self.calls.on_not_sent(self.clock())
+        self.send_next()
+
+    def on_lines(self, connection: LineConnection, lines: list[bytes]) -> None:
+        """Take answers."""
         for line in lines:
-            if not conn.is_open or not self.calls.flying:
+            if not connection.is_open or not self.calls.in_flight:
                 return
-            orders = self.calls.answered(self.clock(), line)
-            if orders is None:
-                self.unknown()
+            confirmed = self.calls.on_answer(self.clock(), line)
+            if confirmed is None:
+                self.on_outcome_unknown()
                 return
-            self.used = self.clock()
-            self.stood(orders)
-        if not self.calls.flying:
-            self.ended()
-
-    def ended(self) -> None:
-        """The call in flight has ended, one way or the other."""
-        if self.limit:
-            self.limit.cancel()
-            self.limit = None
-        if self.last:
-            self.idle.set()
-        self.kick()
-
-    def lost(self, conn: Lines) -> None:
-        self.conn = None
-        if self.calls.flying:
-            self.unknown()
-
-    def move(self, where: Address) -> None:
-        """The relay is elsewhere from now on. An outstanding call ends first, one way or the other."""
-        if where != self.where:
-            self.where = where
-            self.dialer.cancel()
-            self.kick()
+            self.last_used_ms = self.clock()
+            self.on_confirmed(confirmed)
+        if not self.calls.in_flight:
+            self.on_call_ended()
+
+    def on_connection_lost(self, _: LineConnection) -> None:
+        """Send a call that was in flight again."""
+        self.connection = None
+        if self.calls.in_flight:
+            self.on_outcome_unknown()
+
+    def on_outcome_unknown(self) -> None:
+        """Give up the connection, since an answer may still come on it, and send the call again."""
+        self.discard_connection()
+        self.calls.on_outcome_unknown(self.clock())
+        self.on_call_ended()
+
+    def on_call_ended(self) -> None:
+        """Go on after a call, whatever became of it."""
+        if self.answer_timeout:
+            self.answer_timeout.cancel()
+            self.answer_timeout = None
+        if self.is_finishing:
+            self.finished.set()
+        self.send_next()
+
+    def discard_connection(self) -> None:
+        """Close the connection, if there is one."""
+        if self.connection:
+            self.connection.discard()
+            self.connection = None
+
+    def set_address(self, address: Address) -> None:
+        """Use another address from now on; a call in flight ends first."""
+        if address != self.address:
+            self.address = address
+            self.connector.cancel()
+            self.send_next()
 
     def finish(self) -> None:
-        """The call in flight may end, none begins after it: `idle` says when."""
-        self.last = True
-        self.stop_waiting()
-        self.dialer.cancel()
-        if not self.calls.flying:
-            self.idle.set()
+        """Let a call in flight end and begin no other; `finished` is set then."""
+        self.is_finishing = True
+        self.cancel_send_timer()
+        self.connector.cancel()
+        if not self.calls.in_flight:
+            self.finished.set()
 
     def close(self) -> None:
+        """End at once."""
         self.finish()
-        if self.limit:
-            self.limit.cancel()
-        self.give_up()
+        if self.answer_timeout:
+            self.answer_timeout.cancel()
+        self.discard_connection()
--- a/corallanding/relay/line_protocol.py
+++ b/corallanding/relay/line_protocol.py
@@ -1,4 +1,4 @@
-"""A connection to the relay: lines come and go."""
+"""A connection to the relay that carries lines."""
 
 from __future__ import annotations
 
@@ -7,23 +7,26 @@
 
 from ..connection import Address, OutboundConnection
 
-LINE_MOST = 1 << 20
+MAX_LINE_BYTES = 1 << 20
 
 
-class Lines(OutboundConnection):
-    """A connection that brings lines: `heard(self, lines)` for each read."""
+class LineConnection(OutboundConnection):
+    """Splits what comes into lines; `on_lines(connection, lines)` is called for each read."""
 
-    def __init__(self, where: Address, heard: Callable[[Any, list[bytes]], None], lost: Callable[[Any], None]) -> None:
-        super().__init__(where, lost)
-        self.heard = heard
-        self.rest = b""
-        self.at = 0.0  # when bytes last came, as the owner notes it
+    def __init__(
+        self, address: Address, on_lines: Callable[[Any, list[bytes]], None], on_lost: Callable[[Any], None]
+    ) -> None:
+        super().__init__(address, on_lost)
+        self.on_lines = on_lines
+        self.incomplete_line = b""
+        self.last_received_ms = 0.0  # set by the owner
 
     def data_received(self, data: bytes) -> None:
+        """Report the lines that are complete; one that is too long ends the connection."""
         if not self.is_open:
             return
-        *lines, self.rest = (self.rest + data).split(b"\n")
-        if len(self.rest) > LINE_MOST:
-            self.fail(f"a line of over {LINE_MOST} bytes")
+        *lines, self.incomplete_line = (self.incomplete_line + data).split(b"\n")
+        if len(self.incomplete_line) > MAX_LINE_BYTES:
+            self.fail(f"a line of over {MAX_LINE_BYTES} bytes")
             return
-        self.heard(self, [line for line in lines if line.strip()])
+        self.on_lines(self, [line for line in lines if line.strip()])
--- a/corallanding/relay/orders.py
+++ b/corallanding/relay/orders.py
@@ -1,67 +1,113 @@
-"""Orders as the relay reads them: which are of one kind and place, in what turn they stand in a call, their words."""
+"""Orders as the relay takes them: which of them replace one another, their position in a call, their encoding. Pure."""
 
 from __future__ import annotations
 
-from typing import Any
+from enum import IntEnum, StrEnum
+from typing import Any, NamedTuple
 
 import msgspec
 
 from .. import interface as api
 from ..host_names import name
 
-Key = tuple[str, int, int]
 Order = api.SetWeight | api.ResetTable | api.Cordon | api.SetAdmission | api.PublishVersion
+"""Actions that the relay carries out."""
 
-# In a call that had to be cut, what comes first is there first: nobody loses a host before the new one stands.
-EMPTY, SHUT, ADD, TAKE, LET, LEVEL, MARK = range(7)
+SliceOrder = api.SetWeight | api.ResetTable | api.SetAdmission
+"""Orders that concern one slice."""
 
+TableOrder = api.SetWeight | api.ResetTable
+"""Orders that change a table."""
 
-def key(o: Order) -> Key:
-    match o:
+
+class OrderKind(StrEnum):
+    """What an order sets."""
+
+    TABLE_ENTRY = "entry"
+    TABLE_RESET = "reset"
+    CORDON = "cordon"
+    ADMISSION = "admission"
+    VERSION = "version"
+
+
+class OrderKey(NamedTuple):
+    """What an order sets, and where: of two orders with the same key only the later one counts.
+
+    `target` is a slice or a host; `detail` the host of a table entry or the request classes of an admission.
+    """
+
+    kind: OrderKind
+    target: int = 0
+    detail: int = 0
+
+
+class CallPosition(IntEnum):
+    """The order of kinds within a call. If a call has to be cut, no proxy loses a host before it has the new one."""
+
+    RESET_TABLE = 0
+    CORDON = 1
+    ADD_ENTRY = 2
+    REMOVE_ENTRY = 3
+    UNCORDON = 4
+    ADMISSION = 5
+    VERSION = 6
+
+
+def key(order: Order) -> OrderKey:
+    """Return what the order sets."""
+    match order:
         case api.SetWeight():
-            return ("line", o.slice, o.host)
+            return OrderKey(OrderKind.TABLE_ENTRY, order.slice, order.host)
         case api.ResetTable():
-            return ("empty", o.slice, 0)
+            return OrderKey(OrderKind.TABLE_RESET, order.slice)
         case api.Cordon():
-            return ("cordon", o.host, 0)
+            return OrderKey(OrderKind.CORDON, order.host)
         case api.SetAdmission():
-            return ("level", o.slice, o.request_classes)
+            return OrderKey(OrderKind.ADMISSION, order.slice, order.request_classes)
         case api.PublishVersion():
-            return ("mark", 0, 0)
+            return OrderKey(OrderKind.VERSION)
 
 
-def rank(o: Order) -> int:
-    match o:
+def call_position(order: Order) -> CallPosition:
+    """Return where in a call the order stands."""
+    match order:
         case api.ResetTable():
-            return EMPTY
+            return CallPosition.RESET_TABLE
         case api.Cordon():
-            return SHUT if o.is_cordoned else LET
+            return CallPosition.CORDON if order.is_cordoned else CallPosition.UNCORDON
         case api.SetWeight():
-            return ADD if o.weight > 0 else TAKE
+            return CallPosition.ADD_ENTRY if order.weight > 0 else CallPosition.REMOVE_ENTRY
         case api.SetAdmission():
-            return LEVEL
+            return CallPosition.ADMISSION
         case api.PublishVersion():
-            return MARK
+            return CallPosition.VERSION
+
 
+def encode(order: Order, request_classes: list[str]) -> bytes:
+    """Return the order as JSON; `request_classes` are their names, by number."""
+    return msgspec.json.encode(_operation(order, request_classes))
 
-def encode(o: Order, operations: list[str]) -> bytes:
-    said: dict[str, Any]
-    match o:
+
+def _operation(order: Order, request_classes: list[str]) -> dict[str, Any]:
+    match order:
         case api.SetWeight():
-            said = {"op": "SET", "table": o.slice, "endpoint": name(o.host), "w": o.weight}
+            return {"op": "SET", "table": order.slice, "endpoint": name(order.host), "w": order.weight}
         case api.ResetTable():
-            said = {"op": "DEL", "table": o.slice}
+            return {"op": "DEL", "table": order.slice}
         case api.Cordon():
-            said = {"op": "OUT" if o.is_cordoned else "IN", "endpoint": name(o.host)}
+            return {"op": "OUT" if order.is_cordoned else "IN", "endpoint": name(order.host)}
         case api.SetAdmission():
-            chosen = [x for k, x in enumerate(operations) if o.request_classes >> k & 1]
-            said = {
-                "op": "LIMIT",
-                "table": "*" if o.slice == api.ALL_TABLES else o.slice,
-                "for": chosen or "*",
-                "gate": o.amount,
-                "again": int(o.retry),
-            }
+            return _admission(order, request_classes)
         case api.PublishVersion():
-            said = {"op": "SYNC", "stamp": o.version, "set": int(o.to_all_proxies)}
-    return msgspec.json.encode(said)
+            return {"op": "SYNC", "stamp": order.version, "set": int(order.to_all_proxies)}
+
+
+def _admission(order: api.SetAdmission, request_classes: list[str]) -> dict[str, Any]:
+    named = [class_name for bit, class_name in enumerate(request_classes) if order.request_classes >> bit & 1]
+    return {
+        "op": "LIMIT",
+        "table": "*" if order.slice == api.ALL_TABLES else order.slice,
+        "for": named or "*",
+        "gate": order.amount,
+        "again": int(order.retry),
+    }
--- a/corallanding/relay/subscription.py
+++ b/corallanding/relay/subscription.py
@@ -1,236 +1,202 @@
-"""What the relay tells: proxies joined and left, marks applied, slices in charge and their lines. Pure.
+"""What the relay's watch says is in force: joined proxies, owned slices and their tables. Pure.
 
-A connection with news says first what stands, without an end mark; the owner says when it holds that for whole
-(`settled`). What stood before and is not said again is gone; what is said again unchanged is no event.
+A new connection first says everything that is in force, without a mark at its end; the owner of the connection decides
+when that is complete (`replace_state`). What was known before and is not said again is gone; what is said again
+unchanged is no event.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import Any
-
-import msgspec
 
 from .. import interface as api
-from ..host_names import number
-from ..json_errors import JSON_DECODE_ERRORS
-
-TableOrder = api.SetWeight | api.ResetTable
-
-
-class Notice(msgspec.Struct):
-    method: str = ""
-    params: dict[str, Any] = {}
-    result: Any = None
-    id: Any = None
-    error: Any = None
-
+from .notifications import Notification, NotificationReader
+from .orders import TableOrder
 
-class BadNews(Exception):
-    """A line of news that cannot be used; the text names it."""
-
-
-decoder = msgspec.json.Decoder(Notice)
+Table = dict[int, float]
+"""Weights by host."""
 
 
 @dataclass
-class Standing:
-    """What a connection said so far of what stands. since: orders confirmed while it did, which what it said of their
-    slices may or may not hold already."""
+class InitialState:
+    """What a new connection has said so far.
+
+    `confirmed_orders` were confirmed in the meantime: what the connection said of their slices may hold them or not.
+    """
 
     proxies: dict[int, api.ProxyJoined] = field(default_factory=dict)
-    tables: dict[int, dict[int, float]] = field(default_factory=dict)
+    tables: dict[int, Table] = field(default_factory=dict)
     acks: list[api.VersionAcked] = field(default_factory=list)
-    since: list[TableOrder] = field(default_factory=list)
+    confirmed_orders: list[TableOrder] = field(default_factory=list)
 
 
-def carried(rows: dict[int, float], orders: Iterable[TableOrder]) -> dict[int, float]:
-    """A table's lines after these orders of it. Each sets a state: it is the same whether some had been carried out."""
-    rows = dict(rows)
-    for o in orders:
-        if isinstance(o, api.ResetTable):
-            rows.clear()
-        elif o.weight > 0:
-            rows[o.host] = o.weight
+def apply_orders(table: Table, orders: Iterable[TableOrder]) -> Table:
+    """Return the table after orders on it. Each sets a state, so it does not matter if some had been applied."""
+    changed = dict(table)
+    for order in orders:
+        if isinstance(order, api.ResetTable):
+            changed.clear()
+        elif order.weight > 0:
+            changed[order.host] = order.weight
         else:
-            rows.pop(o.host, None)
-    return rows
+            changed.pop(order.host, None)
+    return changed
 
 
-def count(params: dict[str, Any], key: str, most: int) -> int:
-    value = params.get(key)
-    if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < most:
-        raise BadNews(f"{key}={value!r}")
-    return value
+def group_by_slice(orders: Iterable[TableOrder]) -> dict[int, list[TableOrder]]:
+    """Return the orders of each slice, in their order."""
+    groups: dict[int, list[TableOrder]] = {}
+    for order in orders:
+        groups.setdefault(order.slice, []).append(order)
+    return groups
 
 
-def figure(params: dict[str, Any], key: str) -> float:
-    value = params.get(key, 0.0)
-    if not isinstance(value, int | float) or isinstance(value, bool) or not 0.0 <= value < 1e12:
-        raise BadNews(f"{key}={value!r}")
-    return float(value)
+class RelayView:
+    """What is known to be in force. It outlives connections.
 
-
-class News:
-    """zones: names to places. The view outlives connections: `tables` are the lines as the store has them, kept true by
-    the owner with what the relay confirms (`stands`)."""
+    `tables` are the entries as the relay stores them; the owner keeps them true with the orders that the relay confirms
+    (`on_order_confirmed`). `zones` maps names to numbers.
+    """
 
     def __init__(self, settings: api.Settings, zones: dict[str, int]) -> None:
-        self.set, self.zones = settings, zones
+        self.reader = NotificationReader(settings, zones)
         self.proxies: dict[int, api.ProxyJoined] = {}
-        self.tables: dict[int, dict[int, float]] = {}
-        self.giving: dict[int, dict[int, float]] = {}  # slices given just now, whose lines still come
-        self.opened: Standing | None = None  # of the connection that says what stands just now
-
-    # ---- a line ------------------------------------------------------------------------------------------
-
-    def read(self, line: bytes) -> Notice:
-        """Raises BadNews."""
-        try:
-            return decoder.decode(line)
-        except JSON_DECODE_ERRORS as fault:
-            raise BadNews(f"{line[:80]!r}: {fault}") from None
-
-    def begun(self, s: Standing, n: Notice) -> None:
-        """A line of what stands on a new connection."""
-        p = n.params
-        match n.method:
+        self.tables: dict[int, Table] = {}
+        self.arriving_slices: dict[int, Table] = {}  # given just now, while their entries still come
+        self.initial_state: InitialState | None = None  # of the connection that is new
+
+    # ---- a new connection ----------------------------------------------------------------------------------
+
+    def begin_initial_state(self) -> InitialState:
+        """A connection begins to say what is in force."""
+        self.initial_state = InitialState()
+        return self.initial_state
+
+    def add_initial(self, state: InitialState, notification: Notification) -> None:
+        """Take a line of what is in force. Raises InvalidNotificationError."""
+        params = notification.params
+        match notification.method:
             case "attach":
-                joined = self.joined(p)
-                s.proxies[joined.proxy] = joined
+                joined = self.reader.proxy_joined(params)
+                state.proxies[joined.proxy] = joined
             case "detach":
-                s.proxies.pop(self.proxy(p), None)
+                state.proxies.pop(self.reader.proxy(params), None)
             case "done":
-                s.acks.append(self.acked(p))
+                state.acks.append(self.reader.version_acked(params))
             case "owner":
-                slice = self.slice(p)
-                if p.get("set"):
-                    s.tables[slice] = {}
+                slice_id = self.reader.slice(params)
+                if params.get("set"):
+                    state.tables[slice_id] = {}
                 else:
-                    s.tables.pop(slice, None)
+                    state.tables.pop(slice_id, None)
             case "entry":
-                slice, host, weight = self.entry(p)
-                if slice in s.tables and weight > 0:
-                    s.tables[slice][host] = weight
-
-    def news(self, n: Notice) -> list[api.Event]:
-        """A line once what stands is known. A slice that is given waits for its lines: see `given`."""
-        p = n.params
-        match n.method:
+                entry = self.reader.table_entry(params)
+                if entry.slice in state.tables and entry.weight > 0:
+                    state.tables[entry.slice][entry.host] = entry.weight
+
+    def replace_state(self, state: InitialState, unconfirmed_orders: Iterable[TableOrder] = ()) -> list[api.Event]:
+        """What is in force is complete: return the difference to what was known.
+
+        `unconfirmed_orders` are out, in the order in which they apply. What was said of a slice is as old as the
+        connection, so orders that were confirmed or sent since are applied on top: otherwise a table from before such
+        an order would be remembered, whose new entry the assigner would never take back. This is wrong for a slice that
+        went to another controller and came back while the watch was interrupted, with orders out.
+        """
+        if state is self.initial_state:
+            self.initial_state = None
+        lost_slices = [slice_id for slice_id in self.tables if slice_id not in state.tables]
+        events: list[api.Event] = [api.ProxyLeft(proxy) for proxy in self.proxies if proxy not in state.proxies]
+        events += [joined for proxy, joined in state.proxies.items() if proxy not in self.proxies]
+        events += [api.SliceOwnershipChange(slice_id, False) for slice_id in lost_slices]
+        self.proxies = state.proxies
+        self.arriving_slices = self._changed_tables(state, unconfirmed_orders)
+        for slice_id in lost_slices:
+            del self.tables[slice_id]  # in place: reports are checked against this very table
+        acks = [ack for ack in state.acks if ack.proxy in self.proxies]
+        return [*events, *self.complete_slices(), *acks]
+
+    def _changed_tables(self, state: InitialState, unconfirmed_orders: Iterable[TableOrder]) -> dict[int, Table]:
+        """Return the tables that are new, or differ from what was known."""
+        confirmed = group_by_slice(state.confirmed_orders)
+        unconfirmed = group_by_slice(unconfirmed_orders)
+        changed: dict[int, Table] = {}
+        for slice_id, said in state.tables.items():
+            orders = unconfirmed.get(slice_id, ())
+            table = apply_orders(apply_orders(said, confirmed.get(slice_id, ())), orders)
+            known = self.tables.get(slice_id)
+            if known is None or apply_orders(known, orders) != table:
+                changed[slice_id] = table
+        return changed
+
+    # ---- an established connection -------------------------------------------------------------------------
+
+    def apply(self, notification: Notification) -> list[api.Event]:
+        """Take a line after the initial state. Raises InvalidNotificationError.
+
+        A slice that is given waits for its entries: see `complete_slices`.
+        """
+        params = notification.params
+        match notification.method:
             case "attach":
-                joined = self.joined(p)
+                joined = self.reader.proxy_joined(params)
                 self.proxies[joined.proxy] = joined
                 return [joined]
             case "detach":
-                proxy = self.proxy(p)
+                proxy = self.reader.proxy(params)
                 return [api.ProxyLeft(proxy)] if self.proxies.pop(proxy, None) else []
             case "done":
-                ack = self.acked(p)
+                ack = self.reader.version_acked(params)
                 return [ack] if ack.proxy in self.proxies else []
             case "owner":
-                slice = self.slice(p)
-                if p.get("set"):
-                    self.giving[slice] = {}
-                    return []
-                self.giving.pop(slice, None)
-                return [api.SliceOwnershipChange(slice, False)] if self.tables.pop(slice, None) is not None else []
+                return self._on_ownership(self.reader.slice(params), bool(params.get("set")))
             case "entry":
-                slice, host, weight = self.entry(p)
-                rows = self.giving.get(slice)
-                if rows is None:
-                    return self.later(slice, host, weight)
-                if weight > 0:
-                    rows[host] = weight
+                entry = self.reader.table_entry(params)
+                return self._on_table_entry(entry.slice, entry.host, entry.weight)
         return []
 
-    def later(self, slice: int, host: int, weight: float) -> list[api.Event]:
-        """A line of a slice that was given some time ago: an echo of an order, or its lines came late."""
-        rows = self.tables.get(slice)
-        if rows is None or weight <= 0 or host in rows:
+    def _on_ownership(self, slice_id: int, is_owned: bool) -> list[api.Event]:
+        if is_owned:
+            self.arriving_slices[slice_id] = {}
             return []
-        rows[host] = weight
-        return [api.StoredWeight(slice, host, weight)]
-
-    def given(self) -> list[api.Event]:
-        """Slices given whose lines are whole by now, as the owner judges: the slice and its lines, in one step."""
-        out: list[api.Event] = []
-        for slice, rows in self.giving.items():
-            self.tables[slice] = rows
-            out.append(api.SliceOwnershipChange(slice, True))
-            out += [api.StoredWeight(slice, host, weight) for host, weight in rows.items()]
-        self.giving = {}
-        return out
-
-    def opening(self) -> Standing:
-        """A connection begins to say what stands."""
-        self.opened = Standing()
-        return self.opened
-
-    def settled(self, s: Standing, under_way: Iterable[TableOrder] = ()) -> list[api.Event]:
-        """What stands is whole: the difference to what was known. under_way: orders not yet confirmed, in turn.
-
-        What was said of a slice is as old as the connection: orders confirmed or sent since are laid over it. Guards
-        against a table remembered from before such an order, whose new line the module would never take back. Wrong
-        for a slice that went to another steward and came back while the news was silent, with orders out.
-        """
-        if s is self.opened:
-            self.opened = None
-        out: list[api.Event] = [api.ProxyLeft(p) for p in self.proxies if p not in s.proxies]
-        out += [j for p, j in s.proxies.items() if p not in self.proxies]
-        self.proxies = s.proxies
-        out += [api.SliceOwnershipChange(slice, False) for slice in self.tables if slice not in s.tables]
-        self.giving = {}
-        since: dict[int, list[TableOrder]] = {}
-        waiting: dict[int, list[TableOrder]] = {}
-        for orders, of in ((s.since, since), (under_way, waiting)):
-            for o in orders:
-                of.setdefault(o.slice, []).append(o)
-        for slice, rows in s.tables.items():
-            coming = waiting.get(slice, ())
-            rows = carried(carried(rows, since.get(slice, ())), coming)
-            known = self.tables.get(slice)
-            if known is None or carried(known, coming) != rows:
-                self.giving[slice] = rows
-        for slice in [slice for slice in self.tables if slice not in s.tables]:
-            del self.tables[slice]  # in place: reports are checked against this very table
-        return [*out, *self.given(), *(a for a in s.acks if a.proxy in self.proxies)]
-
-    def lost(self, mark: int) -> list[api.Event]:
-        """Acks up to `mark` that fell into a gap of the news never come: they count as given.
-
-        Guards against a module that waits for them for good, with its queue full by its own count: it may then not even
-        send the mark whose acks would clear it. Could free a queue that is not empty yet if asked too early.
+        self.arriving_slices.pop(slice_id, None)
+        was_owned = self.tables.pop(slice_id, None) is not None
+        return [api.SliceOwnershipChange(slice_id, False)] if was_owned else []
+
+    def _on_table_entry(self, slice_id: int, host: int, weight: float) -> list[api.Event]:
+        arriving = self.arriving_slices.get(slice_id)
+        if arriving is not None:
+            if weight > 0:
+                arriving[host] = weight
+            return []
+        # Of a slice that was given some time ago: an echo of an order, or an entry that came late.
+        table = self.tables.get(slice_id)
+        if table is None or weight <= 0 or host in table:
+            return []
+        table[host] = weight
+        return [api.StoredWeight(slice_id, host, weight)]
+
+    def complete_slices(self) -> list[api.Event]:
+        """The entries of slices that were given are complete: return each slice with its entries, for one step."""
+        events: list[api.Event] = []
+        for slice_id, table in self.arriving_slices.items():
+            self.tables[slice_id] = table
+            events.append(api.SliceOwnershipChange(slice_id, True))
+            events += [api.StoredWeight(slice_id, host, weight) for host, weight in table.items()]
+        self.arriving_slices = {}
+        return events
+
+    def assume_acked(self, version: int) -> list[api.Event]:
+        """Return acks up to `version` in place of those that were lost while the watch was interrupted.
+
+        The assigner would wait for them for good, with its queue full by its own count, and might not even send the
+        version whose acks would clear it. If this is asked too early, it frees a queue that is not empty yet.
         """
-        return [api.VersionAcked(proxy, mark) for proxy in self.proxies]
-
-    def stands(self, o: TableOrder) -> None:
-        """The relay confirmed this order."""
-        if o.slice in self.tables:
-            self.tables[o.slice] = carried(self.tables[o.slice], [o])
-            if self.opened:
-                self.opened.since.append(o)
-
-    # ---- fields ------------------------------------------------------------------------------------------
-
-    def proxy(self, p: dict[str, Any]) -> int:
-        return count(p, "node", self.set.proxy_count)
-
-    def slice(self, p: dict[str, Any]) -> int:
-        return count(p, "shard", max(1, self.set.slice_count))
-
-    def joined(self, p: dict[str, Any]) -> api.ProxyJoined:
-        zone = self.zones.get(str(p.get("locality")))
-        if zone is None:
-            raise BadNews(f"locality={p.get('locality')!r}")
-        return api.ProxyJoined(self.proxy(p), zone, figure(p, "w"), bool(p.get("cold")))
-
-    def acked(self, p: dict[str, Any]) -> api.VersionAcked:
-        return api.VersionAcked(self.proxy(p), count(p, "nonce", 65_536), figure(p, "latency"))
-
-    def entry(self, p: dict[str, Any]) -> tuple[int, int, float]:
-        try:
-            host = number(str(p.get("endpoint")))
-        except ValueError:
-            raise BadNews(f"endpoint={p.get('endpoint')!r}") from None
-        return self.slice(p), host, figure(p, "w")
+        return [api.VersionAcked(proxy, version) for proxy in self.proxies]
+
+    def on_order_confirmed(self, order: TableOrder) -> None:
+        """The relay confirmed an order."""
+        if order.slice in self.tables:
+            self.tables[order.slice] = apply_orders(self.tables[order.slice], [order])
+            if self.initial_state:
+                self.initial_state.confirmed_orders.append(order)
--- a/corallanding/relay/subscription_connection.py
+++ b/corallanding/relay/subscription_connection.py
@@ -1,199 +1,242 @@
-"""The connection with news. What is said and meant: `news`."""
+"""The connections of the relay's watch. What notifications mean: `subscription`."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from .. import interface as api
 from ..connection import Address, Connector, ReadTimeout
-from .line_protocol import Lines
-from .subscription import BadNews, News, Standing, TableOrder
+from .notifications import InvalidNotificationError, Notification, parse_notification
+from .orders import TableOrder
+from .subscription import InitialState, RelayView
+from .watch_connection import WatchConnection
 
-WATCH = b'{"jsonrpc":"2.0","id":1,"method":"relay.watch"}\n'
+WATCH_REQUEST = b'{"jsonrpc":"2.0","id":1,"method":"relay.watch"}\n'
+MIN_BACKOFF_MS = 20.0
+MAX_BACKOFF_MS = 500.0
+SILENCE_CHECKS = 4.0  # within one silence timeout
+MAX_ENTRIES_WAIT = 5.0  # times the quiet period, that a slice waits for its entries at most
 
 
-class Session(Lines):
-    """A connection with news. `standing` until what stands is known for whole."""
+@dataclass(frozen=True)
+class WatchTimings:
+    """Times of a watch, in ms.
 
-    def __init__(
-        self, where: Address, heard: Callable[[Session, list[bytes]], None], lost: Callable[[Session], None]
-    ) -> None:
-        super().__init__(where, heard, lost)
-        self.standing: Standing | None = None
-        self.begun = False  # the relay has said that it will tell
-        self.quiet: asyncio.TimerHandle | None = None
+    A connection that says nothing for `silence_timeout_ms` is given up. Without a line for `initial_quiet_ms`, what is
+    in force counts as complete (a ping says so at once). A slice that is given waits `entries_quiet_ms` after the last
+    entry of any slice, up to `MAX_ENTRIES_WAIT` times that.
+    """
 
-    def discard(self) -> None:
-        if self.quiet:
-            self.quiet.cancel()
-        super().discard()
+    silence_timeout_ms: float = 2_500.0
+    initial_quiet_ms: float = 150.0
+    entries_quiet_ms: float = 30.0
+    connect_timeout_ms: float = 300.0
 
 
-class NewsLink:
-    """Keeps a connection with news. Times in ms.
-
-    tell: takes events. under_way: orders on tables not yet confirmed. silence: after which a connection that says
-    nothing is given up. whole_after: without a word, what stands is taken for whole (a sign of life says so at once).
-    lines_after: how long a slice given waits for its lines since the last word of any; five times that at most.
-    """
+class Subscription:
+    """Keeps a watch open. `on_events` takes events, `unconfirmed_orders` gives table orders that are out."""
 
     def __init__(
         self,
-        where: Address,
-        news: News,
+        address: Address,
+        view: RelayView,
         clock: Callable[[], float],
-        tell: Callable[[list[api.Event]], None],
-        under_way: Callable[[], list[TableOrder]],
-        said: Callable[[str], None],
-        silence: float = 2_500.0,
-        whole_after: float = 150.0,
-        lines_after: float = 30.0,
-        dial_within: float = 300.0,
+        on_events: Callable[[list[api.Event]], None],
+        unconfirmed_orders: Callable[[], list[TableOrder]],
+        on_warning: Callable[[str], None],
+        timings: WatchTimings | None = None,
     ) -> None:
-        self.where, self.news, self.clock, self.tell = where, news, clock, tell
-        self.under_way, self.said = under_way, said
-        self.silence, self.whole_after, self.lines_after = silence, whole_after, lines_after
+        self.address = address
+        self.view = view
+        self.clock = clock
+        self.on_events = on_events
+        self.unconfirmed_orders = unconfirmed_orders
+        self.on_warning = on_warning
+        self.timings = timings or WatchTimings()
+        self.on_gap_bridged: Callable[[], None] = lambda: None  # called when the watch goes on after an interruption
         self.loop = asyncio.get_running_loop()
-        self.dialer = Connector(
-            lambda at: Session(at, self.heard, self.over), self.adopted, self.unreached, dial_within
+        self.connector = Connector(
+            lambda address: WatchConnection(address, self.on_lines, self.on_connection_ended),
+            self.on_connected,
+            self.on_connect_failed,
+            self.timings.connect_timeout_ms,
         )
-        self.current: Session | None = None  # whose news counts
-        self.coming: Session | None = None  # that will take its place
-        self.timer: ReadTimeout | None = None
-        self.again: asyncio.TimerHandle | None = None  # for the next dial
-        self.lines: asyncio.TimerHandle | None = None
-        self.lines_since = 0.0
-        self.wait, self.closed, self.settled_once = 0.0, False, False
-        self.breaks = self.bridged = 0
-        self.gap: Callable[[], None] = lambda: None  # told when news goes on after a gap
+        self.current: WatchConnection | None = None  # whose notifications count
+        self.candidate: WatchConnection | None = None  # that will take its place
+        self.silence_timer: ReadTimeout | None = None
+        self.reconnect_timer: asyncio.TimerHandle | None = None
+        self.backoff_ms = 0.0
+        self.entries_timer: asyncio.TimerHandle | None = None
+        self.entries_since_ms = 0.0
+        self.is_closed = False
+        self.has_been_ready = False
+        self.break_count = 0
+        self.bridged_breaks = 0  # the count when the watch last went on
 
     def start(self) -> None:
-        self.watch()
-
-    def watch(self) -> None:
-        """Look after the connections, four times within a silence."""
-        now = self.clock()
-        for session in (self.current, self.coming):
-            if session and now - session.at > self.silence:
-                if session is self.current:
-                    self.said("news has fallen silent")
-                session.discard()
-                self.over(session)
-        self.dial()
-        self.timer = ReadTimeout(self.loop, self.silence / 4.0, self.watch)
-
-    def dial(self) -> None:
-        """A new connection, if one is wanted and none is on its way."""
-        wanted = self.current is None or self.current.address != self.where
-        if wanted and not (self.coming or self.dialer.is_connecting or self.again or self.closed):
-            self.again = self.loop.call_later(self.wait / 1000.0, self.dial_now)
-            self.wait = min(500.0, max(20.0, self.wait * 2.0))
-
-    def dial_now(self) -> None:
-        self.again = None
-        self.dialer.connect(self.where)
-
-    def unreached(self, why: str) -> None:
-        self.dial()
-
-    def adopted(self, session: Session) -> None:
-        session.at, session.standing = self.clock(), self.news.opening()
-        self.coming = session
-        session.transport.write(WATCH)
-
-    def heard(self, session: Session, lines: list[bytes]) -> None:
-        session.at = self.clock()
+        """Open the watch."""
+        self.check_silence()
+
+    def check_silence(self) -> None:
+        """Give up connections that fell silent; runs some times within a silence timeout."""
+        now_ms = self.clock()
+        for connection in (self.current, self.candidate):
+            if connection and now_ms - connection.last_received_ms > self.timings.silence_timeout_ms:
+                if connection is self.current:
+                    self.on_warning("news has fallen silent")
+                connection.discard()
+                self.on_connection_ended(connection)
+        self.reconnect()
+        self.silence_timer = ReadTimeout(
+            self.loop, self.timings.silence_timeout_ms / SILENCE_CHECKS, self.check_silence
+        )
+
+    # ---- connections -----------------------------------------------------------------------------------------
+
+    def reconnect(self) -> None:
+        """Connect after the backoff, if a connection is wanted and none is on its way."""
+        is_wanted = self.current is None or self.current.address != self.address
+        is_on_its_way = self.candidate or self.connector.is_connecting or self.reconnect_timer
+        if is_wanted and not is_on_its_way and not self.is_closed:
+            self.reconnect_timer = self.loop.call_later(self.backoff_ms / 1000.0, self.connect_now)
+            self.backoff_ms = min(MAX_BACKOFF_MS, max(MIN_BACKOFF_MS, self.backoff_ms * 2.0))
+
+    def connect_now(self) -> None:
+        """Connect at the end of the backoff."""
+        self.reconnect_timer = None
+        self.connector.connect(self.address)
+
+    def on_connect_failed(self, _: str) -> None:
+        """Try again."""
+        self.reconnect()
+
+    def on_connected(self, connection: WatchConnection) -> None:
+        """Request the watch on a new connection."""
+        connection.last_received_ms = self.clock()
+        connection.initial_state = self.view.begin_initial_state()
+        self.candidate = connection
+        connection.transport.write(WATCH_REQUEST)
+
+    def on_connection_ended(self, connection: WatchConnection) -> None:
+        """Reconnect after a connection ended, by itself or because it was given up."""
+        connection.cancel_quiet_timer()
+        if connection is self.current:
+            self.current = None
+            self.break_count += 1
+        elif connection is self.candidate:
+            self.candidate = None
+        self.reconnect()
+
+    def set_address(self, address: Address) -> None:
+        """Move to another address: the old connection counts until the new one knows what is in force."""
+        if address != self.address:
+            self.address = address
+            self.backoff_ms = 0.0
+            self.cancel_candidate()
+            self.reconnect()
+
+    def cancel_candidate(self) -> None:
+        """Give up the connection that is on its way, if any."""
+        self.connector.cancel()
+        if self.reconnect_timer:
+            self.reconnect_timer.cancel()
+            self.reconnect_timer = None
+        if self.candidate:
+            self.candidate.discard()
+            self.candidate = None
+
+    def close(self) -> None:
+        """End the watch."""
+        self.is_closed = True
+        self.cancel_candidate()
+        if self.current:
+            self.current.discard()
+            self.current = None
+        for timer in (self.silence_timer, self.entries_timer):
+            if timer:
+                timer.cancel()
+
+    # ---- notifications ---------------------------------------------------------------------------------------
+
+    def on_lines(self, connection: WatchConnection, lines: list[bytes]) -> None:
+        """Take lines of a connection; one that cannot be used is reported and passed over."""
+        connection.last_received_ms = self.clock()
         events: list[api.Event] = []
         for line in lines:
             try:
-                notice = self.news.read(line)
-                if session.standing is None:
-                    events += self.news.news(notice)
-                    if notice.method in ("owner", "entry"):
-                        self.lines_come()
-                elif notice.error is not None:
-                    session.discard()  # not yet, or not here: asked again after a wait
-                    self.over(session)
+                notification = parse_notification(line)
+                if connection.initial_state is None:
+                    events += self._on_notification(notification)
+                elif notification.error is not None:
+                    connection.discard()  # not yet, or not here: requested again after the backoff
+                    self.on_connection_ended(connection)
                     return
-                elif notice.method == "ping" and session.begun:
-                    self.settle(session)
-                elif notice.method:
-                    self.news.begun(session.standing, notice)
-                elif notice.result is True:
-                    session.begun = True
-            except BadNews as fault:
-                self.said(f"news that cannot be used: {fault}")
-        if session.standing is not None and session.begun:
-            if session.quiet:
-                session.quiet.cancel()
-            session.quiet = self.loop.call_later(self.whole_after / 1000.0, self.settle, session)
+                else:
+                    self._on_initial_notification(connection, connection.initial_state, notification)
+            except InvalidNotificationError as error:
+                self.on_warning(f"news that cannot be used: {error}")
+        self._restart_quiet_timer(connection)
         if events:
-            self.tell(events)
+            self.on_events(events)
+
+    def _on_notification(self, notification: Notification) -> list[api.Event]:
+        events = self.view.apply(notification)
+        if notification.method in ("owner", "entry"):
+            self.on_entries()
+        return events
 
-    def settle(self, session: Session) -> None:
-        if session.standing is None or session is not self.coming:
+    def _on_initial_notification(
+        self, connection: WatchConnection, state: InitialState, notification: Notification
+    ) -> None:
+        if notification.method == "ping" and connection.is_accepted:
+            self.complete_initial_state(connection)
+        elif notification.method:
+            self.view.add_initial(state, notification)
+        elif notification.result is True:
+            connection.is_accepted = True
+
+    def _restart_quiet_timer(self, connection: WatchConnection) -> None:
+        if connection.initial_state is not None and connection.is_accepted:
+            connection.cancel_quiet_timer()
+            connection.quiet_timer = self.loop.call_later(
+                self.timings.initial_quiet_ms / 1000.0, self.complete_initial_state, connection
+            )
+
+    def complete_initial_state(self, connection: WatchConnection) -> None:
+        """Let a new connection, which now knows what is in force, take the place of the old one."""
+        state = connection.initial_state
+        if state is None or connection is not self.candidate:
             return
-        if session.quiet:
-            session.quiet.cancel()
-        standing, session.standing = session.standing, None
+        connection.cancel_quiet_timer()
+        connection.initial_state = None
         if self.current:
             self.current.discard()
-        self.current, self.coming, self.wait, self.settled_once = session, None, 0.0, True
-        self.tell(self.news.settled(standing, self.under_way()))
-        if self.breaks > self.bridged:
-            self.bridged = self.breaks
-            self.gap()
-        self.dial()
-
-    def lines_come(self) -> None:
-        now = self.clock()
-        if self.lines:
-            self.lines.cancel()
+        self.current = connection
+        self.candidate = None
+        self.backoff_ms = 0.0
+        self.has_been_ready = True
+        self.on_events(self.view.replace_state(state, self.unconfirmed_orders()))
+        if self.break_count > self.bridged_breaks:
+            self.bridged_breaks = self.break_count
+            self.on_gap_bridged()
+        self.reconnect()
+
+    def on_entries(self) -> None:
+        """Wait for a quiet period before slices that were given are delivered, but not without end."""
+        now_ms = self.clock()
+        if self.entries_timer:
+            self.entries_timer.cancel()
         else:
-            self.lines_since = now
-        # Not for ever: a relay that goes on telling lines would keep a slice from ever being told.
-        after = min(now + self.lines_after, self.lines_since + 5.0 * self.lines_after)
-        self.lines = self.loop.call_later(max(0.0, after - now) / 1000.0, self.given)
-
-    def given(self) -> None:
-        self.lines = None
-        if events := self.news.given():
-            self.tell(events)
-
-    def over(self, session: Session) -> None:
-        """A connection ended, by itself or because it was given up."""
-        if session.quiet:
-            session.quiet.cancel()
-        if session is self.current:
-            self.current = None
-            self.breaks += 1
-        elif session is self.coming:
-            self.coming = None
-        self.dial()
-
-    def move(self, where: Address) -> None:
-        """The relay is elsewhere: the old connection goes on until the new one knows what stands."""
-        if where != self.where:
-            self.where, self.wait = where, 0.0
-            self.stop_coming()
-            self.dial()
-
-    def stop_coming(self) -> None:
-        self.dialer.cancel()
-        if self.again:
-            self.again.cancel()
-            self.again = None
-        if self.coming:
-            self.coming.discard()
-            self.coming = None
-
-    def close(self) -> None:
-        self.closed = True
-        self.stop_coming()
-        if self.current:
-            self.current.discard()
-            self.current = None
-        for timer in (self.timer, self.lines):
-            if timer:
-                timer.cancel()
+            self.entries_since_ms = now_ms
+        latest_ms = self.entries_since_ms + MAX_ENTRIES_WAIT * self.timings.entries_quiet_ms
+        deliver_at_ms = min(now_ms + self.timings.entries_quiet_ms, latest_ms)
+        delay_ms = max(0.0, deliver_at_ms - now_ms)
+        self.entries_timer = self.loop.call_later(delay_ms / 1000.0, self.deliver_slices)
+
+    def deliver_slices(self) -> None:
+        """Deliver slices that were given, with their entries."""
+        self.entries_timer = None
+        if events := self.view.complete_slices():
+            self.on_events(events)
--- a/tests/crossings_life.py
+++ b/tests/crossings_life.py
@@ -63,7 +63,7 @@
                 side.say(taken(said["id"], len(said["params"]["ops"])))
         self.poll = await self.agent.next()
         await self.poll.question()
-        await until(lambda: self.service.news_link.settled_once and not self.service.calls.flying)
+        await until(lambda: self.service.news_link.has_been_ready and not self.service.calls.in_flight)
 
     async def calling(self) -> dict[str, Any]:
         """A drain is listed: the call that tells it, which stays open."""
@@ -81,7 +81,7 @@
 async def life(tmp_path: Path, answer_within: float = 100.0) -> AsyncIterator[Life]:
     async with Stand() as relay, Stand() as agent:
         one = Life(tmp_path / "config.json", relay, agent)
-        one.service.call_link.answer_within = answer_within
+        one.service.call_link.answer_timeout_ms = answer_within
         await one.begin()
         try:
             yield one
--- a/tests/crossings_relay.py
+++ b/tests/crossings_relay.py
@@ -8,23 +8,24 @@
 from platform_front import HOSTS, SETTINGS, ZONES
 
 from corallanding import interface as api
-from corallanding.relay.call_connection import CallLink
-from corallanding.relay.pending_calls import Calls
-from corallanding.relay.subscription import News
-from corallanding.relay.subscription_connection import NewsLink
+from corallanding.relay.call_connection import CallConnection
+from corallanding.relay.pending_calls import PendingCalls
+from corallanding.relay.subscription import RelayView
+from corallanding.relay.subscription_connection import Subscription, WatchTimings
 
 A, B, C = HOSTS[:3]
+NEVER = {"silence_timeout_ms": FOR_EVER, "initial_quiet_ms": FOR_EVER, "connect_timeout_ms": FOR_EVER}
 
 
 class Caller:
     def __init__(self, where: Address, **more: Any) -> None:
-        self.calls, self.stood = Calls(["lookup"]), list[Any]()
-        more = {"answer_within": FOR_EVER, "dial_within": FOR_EVER, **more}
-        self.link = CallLink(where, self.calls, clock, self.stood.extend, **more)
+        self.calls, self.stood = PendingCalls(["lookup"]), list[Any]()
+        more = {"answer_timeout_ms": FOR_EVER, "connect_timeout_ms": FOR_EVER, **more}
+        self.link = CallConnection(where, self.calls, clock, self.stood.extend, **more)
 
     def order(self, slice: int) -> None:
-        self.calls.order([api.SetWeight(slice, A, 1.0)])
-        self.link.kick()
+        self.calls.add([api.SetWeight(slice, A, 1.0)])
+        self.link.send_next()
 
 
 async def called(side: Side, *slices: int) -> int:
@@ -44,10 +45,10 @@
 
 class Watcher:
     def __init__(self, where: Address, **more: Any) -> None:
-        self.news, self.events, self.said, self.gaps = News(SETTINGS, ZONES), list[Any](), list[str](), 0
-        more = {"silence": FOR_EVER, "whole_after": FOR_EVER, "lines_after": 1.0, "dial_within": FOR_EVER, **more}
-        self.link = NewsLink(where, self.news, clock, self.events.extend, lambda: [], self.said.append, **more)
-        self.link.gap = self.gap
+        self.news, self.events, self.said, self.gaps = RelayView(SETTINGS, ZONES), list[Any](), list[str](), 0
+        timings = WatchTimings(**{**NEVER, "entries_quiet_ms": 1.0, **more})
+        self.link = Subscription(where, self.news, clock, self.events.extend, lambda: [], self.said.append, timings)
+        self.link.on_gap_bridged = self.gap
 
     def gap(self) -> None:
         self.gaps += 1
@@ -69,7 +70,7 @@
     side = await watched(stand)
     side.say(RESULT)
     side.tell(*rows, PING)
-    await until(lambda: w.link.current and w.link.coming is None)
+    await until(lambda: w.link.current and w.link.candidate is None)
     return side
 
 
--- a/tests/platform_front.py
+++ b/tests/platform_front.py
@@ -5,7 +5,8 @@
 from corallanding import interface as api
 from corallanding.collector.core import Intake, Peer, Places
 from corallanding.host_names import number
-from corallanding.relay.subscription import News, Standing
+from corallanding.relay.notifications import parse_notification
+from corallanding.relay.subscription import InitialState, RelayView
 from corallanding.resp import encode
 
 ZONES = {"a": 0, "b": 1}
@@ -38,12 +39,14 @@
     return ["range_stats", *(str(x) for pair in f.items() if pair[1] is not None for x in pair)]
 
 
-def told(news: News, s: Standing, *rows: tuple[str, dict[str, object]]) -> None:
+def told(news: RelayView, s: InitialState, *rows: tuple[str, dict[str, object]]) -> None:
     """Lines of what stands on a new connection."""
     import msgspec
 
     for method, params in rows:
-        news.begun(s, news.read(msgspec.json.encode({"jsonrpc": "2.0", "method": method, "params": params})))
+        news.add_initial(
+            s, parse_notification(msgspec.json.encode({"jsonrpc": "2.0", "method": method, "params": params}))
+        )
 
 
 def attach(node: int) -> tuple[str, dict[str, object]]:
--- a/tests/test_collector.py
+++ b/tests/test_collector.py
@@ -7,21 +7,21 @@
 
 from corallanding import interface as api
 from corallanding.collector.core import REJECT, Peer
-from corallanding.relay.subscription import News, Standing
+from corallanding.relay.subscription import InitialState, RelayView
 from corallanding.resp import encode
 
 
 def test_reports_on_slices_count_whichever_way_a_slice_came() -> None:
     """The table that reports are checked against is the view's own, also once a connection said what stands."""
-    news = News(SETTINGS, ZONES)
+    news = RelayView(SETTINGS, ZONES)
     peer = collector(intake(news.tables))
-    s = Standing()
+    s = InitialState()
     told(news, s, owner(3))
-    news.settled(s)
+    news.replace_state(s)
     assert peer.feed(encode(slice_report())).events == [api.SliceUsageReport(3, 1, 9, 2, 500.0)]
-    again = Standing()
+    again = InitialState()
     told(news, again, owner(4))
-    news.settled(again)
+    news.replace_state(again)
     assert peer.feed(encode(slice_report())).events == []
     assert peer.feed(encode(slice_report(shard=4))).events == [api.SliceUsageReport(4, 1, 9, 2, 500.0)]
 
--- a/tests/test_crossings_call_answers.py
+++ b/tests/test_crossings_call_answers.py
@@ -7,7 +7,7 @@
 from crossings import FOR_EVER, Stand, busy, play, turns, until
 from crossings_relay import Caller, called, taken
 
-from corallanding.relay.line_protocol import LINE_MOST
+from corallanding.relay.line_protocol import MAX_LINE_BYTES
 
 
 def test_two_answers_cost_the_next_call_nothing() -> None:
@@ -28,7 +28,7 @@
             c.order(3)
             side.say(taken(await called(side, 3)))
             await until(lambda: len(c.stood) == 3)
-            assert c.calls.count["unknown"] == 0
+            assert c.calls.counts["unknown"] == 0
             c.link.close()
 
     play(scene)
@@ -44,15 +44,15 @@
                 side.say(bytes([byte]))
                 await turns(2)
             await until(lambda: c.stood)
-            c.link.answer_within = 30.0
+            c.link.answer_timeout_ms = 30.0
             c.order(2)
             side.say(msgspec.json.encode(taken(await called(side, 2)))[:-3])
             again = await stand.next()
             await side.gone()
-            c.link.answer_within = FOR_EVER
+            c.link.answer_timeout_ms = FOR_EVER
             again.say(taken(await called(again, 2)))
             await until(lambda: len(c.stood) == 2)
-            assert c.calls.count["unknown"] == 1
+            assert c.calls.counts["unknown"] == 1
             c.link.close()
 
     play(scene)
@@ -61,13 +61,13 @@
 def test_an_answer_that_is_there_when_the_limit_passes_counts() -> None:
     async def scene() -> None:
         async with Stand() as stand:
-            c = Caller(stand.where, answer_within=60.0)
+            c = Caller(stand.where, answer_timeout_ms=60.0)
             c.order(1)
             side = await stand.next()
             answer = msgspec.json.encode(taken(await called(side, 1))) + b"\n"
             busy(lambda: side.now(answer), 0.1)
             await until(lambda: c.stood)
-            assert c.calls.count["unknown"] == 0
+            assert c.calls.counts["unknown"] == 0
             c.link.close()
 
     play(scene)
@@ -85,7 +85,7 @@
             if how != "reset under the call":
                 side.close()
             if how == "closed after the answer":
-                await until(lambda: c.link.conn is None)
+                await until(lambda: c.link.connection is None)
             c.order(2)
             if how == "reset under the call":
                 await called(side, 2)
@@ -93,7 +93,7 @@
             again = await stand.next()
             again.say(taken(await called(again, 2)))
             await until(lambda: len(c.stood) == 2)
-            assert c.calls.count["unknown"] == (0 if how == "closed after the answer" else 1)
+            assert c.calls.counts["unknown"] == (0 if how == "closed after the answer" else 1)
             c.link.close()
 
     play(scene)
@@ -124,7 +124,7 @@
             again = await stand.next()
             again.say(taken(await called(again, 1)))
             await until(lambda: c.stood)
-            assert c.calls.count["unknown"] == 1
+            assert c.calls.counts["unknown"] == 1
             c.link.close()
 
     play(scene)
@@ -137,7 +137,7 @@
             c.order(1)
             side = await stand.next()
             await called(side, 1)
-            for _ in range(LINE_MOST // 65_536 + 1):
+            for _ in range(MAX_LINE_BYTES // 65_536 + 1):
                 side.say(b"7" * 65_536)
             again = await stand.next()
             again.say(taken(await called(again, 1)))
--- a/tests/test_crossings_calls.py
+++ b/tests/test_crossings_calls.py
@@ -11,7 +11,7 @@
 from crossings_relay import A, B, C, Caller, called, taken
 
 from corallanding import interface as api
-from corallanding.relay.pending_calls import Calls
+from corallanding.relay.pending_calls import PendingCalls
 
 
 @pytest.mark.parametrize("end", [Side.close, Side.reset])
@@ -46,7 +46,7 @@
             c.link.close()
             dials.let(stand.where)
             await turns()
-            assert c.link.conn is None
+            assert c.link.connection is None
             for side in stand.sides:
                 await side.gone()
 
@@ -61,7 +61,7 @@
             dials.early(old.where)
             c.order(1)
             await until(lambda: dials.count.get(old.where))
-            c.link.move(new.where)
+            c.link.set_address(new.where)
             side = await new.next()
             side.say(taken(await called(side, 1)))
             await until(lambda: c.stood)
@@ -77,7 +77,7 @@
             c.order(1)
             side = await old.next()
             id = await called(side, 1)
-            c.link.move(new.where)
+            c.link.set_address(new.where)
             c.order(2)
             await turns()
             assert new.came.empty()
@@ -101,9 +101,9 @@
             c.order(2)
             c.link.finish()
             c.order(3)
-            assert not c.link.idle.is_set()
+            assert not c.link.finished.is_set()
             side.say(taken(id))
-            await c.link.idle.wait()
+            await c.link.finished.wait()
             assert c.stood == [api.SetWeight(1, A, 1.0)]
             c.link.close()
             assert await side.reader.read() == b"", "not a byte after it"
@@ -114,11 +114,11 @@
 def test_the_end_waits_for_a_call_no_longer_than_its_answer_may_take() -> None:
     async def scene() -> None:
         async with Stand() as stand:
-            c = Caller(stand.where, answer_within=30.0)
+            c = Caller(stand.where, answer_timeout_ms=30.0)
             c.order(1)
             await called(await stand.next(), 1)
             c.link.finish()
-            await c.link.idle.wait()
+            await c.link.finished.wait()
             c.link.close()
 
     play(scene)
@@ -131,34 +131,34 @@
     def __init__(self, fate: str, carried: bool) -> None:
         self.fate, self.carried = fate, carried
         self.stored, self.ours, self.believed = {A}, True, {A}
-        self.calls = Calls(["lookup"])
+        self.calls = PendingCalls(["lookup"])
         self.order()
 
     def order(self) -> None:
         """To B alone, by what the module believes."""
         if self.ours:
-            self.calls.order([api.SetWeight(1, B, 1.0), *(api.SetWeight(1, h, 0.0) for h in self.believed - {B})])
+            self.calls.add([api.SetWeight(1, B, 1.0), *(api.SetWeight(1, h, 0.0) for h in self.believed - {B})])
             self.believed = {B}
 
     def send(self, carried: bool) -> None:
-        call = self.calls.next(0.0)
+        call = self.calls.next_call(0.0)
         for o in call.orders if call and carried and self.ours else []:
             assert isinstance(o, api.SetWeight)
             (self.stored.add if o.weight else self.stored.discard)(o.host)
 
     def end(self, fate: str) -> None:
-        if not (call := self.calls.flying):
+        if not (call := self.calls.in_flight):
             return
         said = {"error": {"message": "Throttling"}} if fate == "throttled" else {"result": {"taken": len(call.orders)}}
         if fate == "unknown":
-            self.calls.unknown(0.0)
+            self.calls.on_outcome_unknown(0.0)
         else:
-            self.calls.answered(0.0, msgspec.json.encode({"id": call.id, **said}))
-        self.calls.not_before = 0.0
+            self.calls.on_answer(0.0, msgspec.json.encode({"id": call.id, **said}))
+        self.calls.not_before_ms = 0.0
 
     def take_away(self) -> None:
         self.ours, self.stored = False, {C}
-        self.calls.forget(1)
+        self.calls.forget_slice(1)
 
     def give(self) -> None:
         self.ours, self.believed = True, set(self.stored)
--- a/tests/test_crossings_news.py
+++ b/tests/test_crossings_news.py
@@ -4,15 +4,16 @@
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import replace
 from typing import Any
 
 import pytest
 from crossings import FOR_EVER, Dials, Side, Stand, busy, play, turns, until
 from crossings_relay import PING, RESULT, Watcher, joined, standing, watched
-from platform_front import HOSTS, SETTINGS, ZONES, attach, entry, owner
+from platform_front import HOSTS, attach, entry, owner
 
 from corallanding import interface as api
-from corallanding.relay.subscription import BadNews, News
+from corallanding.relay.notifications import InvalidNotificationError, parse_notification
 
 
 @pytest.mark.parametrize("end", [Side.close, Side.reset])
@@ -46,7 +47,7 @@
             w.link.close()
             dials.let(stand.where)
             await turns()
-            assert w.link.coming is None
+            assert w.link.candidate is None
             for side in stand.sides:
                 await side.gone()
 
@@ -61,7 +62,7 @@
             dials.early(old.where)
             w.link.start()
             await until(lambda: dials.count.get(old.where))
-            w.link.move(new.where)
+            w.link.set_address(new.where)
             await standing(w, new, attach(3))
             dials.let(old.where)
             await turns()
@@ -81,7 +82,9 @@
             side = await watched(stand)
             side.say(RESULT)
             side.tell(attach(3), owner(2))
-            await until(lambda: w.link.coming and w.link.coming.standing and w.link.coming.standing.tables)
+            await until(
+                lambda: w.link.candidate and w.link.candidate.initial_state and w.link.candidate.initial_state.tables
+            )
             side.reset()
             await standing(w, stand, attach(4))
             assert w.told() == [joined(4)]
@@ -100,11 +103,11 @@
             for how, what in first:
                 getattr(side, how)(what)
             await turns()
-            assert not w.link.settled_once
+            assert not w.link.has_been_ready
             assert not w.events
             side.say(RESULT)
             side.tell(attach(3), PING)
-            await until(lambda: w.link.settled_once)
+            await until(lambda: w.link.has_been_ready)
             assert w.told() == [joined(3)]
             w.link.close()
 
@@ -132,16 +135,16 @@
 def test_a_slice_and_its_lines_in_different_reads_are_told_in_one_step_or_line_by_line() -> None:
     async def scene() -> None:
         async with Stand() as stand:
-            w = Watcher(stand.where, lines_after=FOR_EVER)
+            w = Watcher(stand.where, entries_quiet_ms=FOR_EVER)
             w.link.start()
             side = await standing(w, stand, attach(3))
             w.told()
             side.tell(owner(2))
-            await until(lambda: w.news.giving)
+            await until(lambda: w.news.arriving_slices)
             side.tell(entry(2, 1))
-            await until(lambda: w.news.giving[2])
+            await until(lambda: w.news.arriving_slices[2])
             assert not w.events
-            w.link.given()
+            w.link.deliver_slices()
             assert w.told() == [api.SliceOwnershipChange(2, True), api.StoredWeight(2, HOSTS[1], 1.0)]
             side.tell(entry(2, 0))
             await until(lambda: w.events)
@@ -153,7 +156,7 @@
 
 def test_a_slice_is_told_though_lines_of_others_never_cease() -> None:
     async def scene() -> None:
-        w, now, due = Watcher(("127.0.0.1", 1), lines_after=30.0), 0.0, list[float]()
+        w, now, due = Watcher(("127.0.0.1", 1), entries_quiet_ms=30.0), 0.0, list[float]()
 
         class Timers:
             def call_later(self, s: float, call: Callable[[], None]) -> asyncio.TimerHandle:
@@ -162,7 +165,7 @@
 
         w.link.clock, w.link.loop = lambda: now, Timers()  # type: ignore[assignment]
         for _ in range(20):
-            w.link.lines_come()
+            w.link.on_entries()
             now += 20.0
         assert due[:3] == [30.0, 50.0, 70.0] and due[-1] == now - 20.0, "the last ones are due at once"
         w.link.close()
@@ -177,7 +180,7 @@
             w.link.start()
             first = await standing(w, old, attach(3), owner(2), entry(2, 1))
             w.told()
-            w.link.move(new.where)
+            w.link.set_address(new.where)
             second = await watched(new)
             second.say(RESULT)
             second.tell(attach(3), attach(5), owner(2), entry(2, 1))
@@ -205,12 +208,12 @@
 def test_a_relay_that_accepts_and_says_nothing_is_given_up_and_dialled_again() -> None:
     async def scene() -> None:
         async with Stand() as stand:
-            w = Watcher(stand.where, silence=40.0)
+            w = Watcher(stand.where, silence_timeout_ms=40.0)
             w.link.start()
             mute = await watched(stand)
             side = await watched(stand)
             await mute.gone()
-            w.link.silence = FOR_EVER
+            w.link.timings = replace(w.link.timings, silence_timeout_ms=FOR_EVER)
             side.say(RESULT)
             side.tell(attach(3), PING)
             await until(lambda: w.events)
@@ -222,13 +225,13 @@
 def test_a_relay_whose_word_waits_in_the_kernel_as_its_silence_ends_is_not_given_up() -> None:
     async def scene() -> None:
         async with Stand() as stand:
-            w = Watcher(stand.where, silence=80.0)
+            w = Watcher(stand.where, silence_timeout_ms=80.0)
             w.link.start()
             side = await standing(w, stand, attach(3))
             assert w.link.current
-            first = w.link.current.at
+            first = w.link.current.last_received_ms
             busy(lambda: side.now(b'{"method":"ping"}\n'), 0.2)
-            await until(lambda: w.link.current is None or w.link.current.at > first)
+            await until(lambda: w.link.current is None or w.link.current.last_received_ms > first)
             assert w.link.current
             assert not w.said
             w.link.close()
@@ -248,8 +251,8 @@
     ],
 )
 def test_a_line_of_news_that_cannot_be_read_is_named_and_costs_no_connection(line: bytes) -> None:
-    with pytest.raises(BadNews):
-        News(SETTINGS, ZONES).read(line)
+    with pytest.raises(InvalidNotificationError):
+        parse_notification(line)
 
     async def scene() -> None:
         async with Stand() as stand:
--- a/tests/test_crossings_planted.py
+++ b/tests/test_crossings_planted.py
@@ -26,9 +26,10 @@
 from corallanding.discovery.http_connection import HttpConnection
 from corallanding.discovery.long_poll import DiscoveryClient
 from corallanding.platform.service import Service
-from corallanding.relay.call_connection import CallLink
-from corallanding.relay.pending_calls import Call, Calls
-from corallanding.relay.subscription_connection import NewsLink
+from corallanding.relay.call import Call
+from corallanding.relay.call_connection import CallConnection
+from corallanding.relay.pending_calls import PendingCalls
+from corallanding.relay.subscription_connection import Subscription
 from tests.connection.test_connector import (
     test_connection_when_another_attempt_begins_after_adoption_then_it_stays_open as connection_after_adoption,
 )
@@ -101,61 +102,61 @@
 
 
 def old_lines_after_a_slice_came_back(p: Patch) -> None:
-    p.setattr(Call, "valid", lambda self, orders: orders)
+    p.setattr(Call, "valid_orders", lambda self, orders: orders)
 
 
 def echoes_counted(p: Patch) -> None:
-    real = Calls.answered
+    real = PendingCalls.on_answer
 
-    def answered(self: Calls, now: float, line: bytes) -> Any:
+    def answered(self: PendingCalls, now: float, line: bytes) -> Any:
         said = msgspec.json.decode(line)
-        return None if self.flying and said["id"] != self.flying.id else real(self, now, line)
+        return None if self.in_flight and said["id"] != self.in_flight.id else real(self, now, line)
 
-    p.setattr(Calls, "answered", answered)
+    p.setattr(PendingCalls, "on_answer", answered)
 
 
 def move_forgotten(p: Patch) -> None:
     """By the answer to the call in flight, which makes the old connection good again."""
-    real = CallLink.kick
+    real = CallConnection.send_next
 
-    def kick(self: CallLink) -> None:
-        if self.conn:
-            self.conn.address = self.where
+    def kick(self: CallConnection) -> None:
+        if self.connection:
+            self.connection.address = self.address
         real(self)
 
-    p.setattr(CallLink, "kick", kick)
+    p.setattr(CallConnection, "send_next", kick)
 
 
 def calls_after_the_last(p: Patch) -> None:
-    def finish(self: CallLink) -> None:
-        if not self.calls.flying:
-            self.idle.set()
+    def finish(self: CallConnection) -> None:
+        if not self.calls.in_flight:
+            self.finished.set()
 
-    p.setattr(CallLink, "finish", finish)
+    p.setattr(CallConnection, "finish", finish)
 
 
 def lines_for_ever(p: Patch) -> None:
-    real = NewsLink.lines_come
+    real = Subscription.on_entries
 
-    def lines_come(self: NewsLink) -> None:
+    def lines_come(self: Subscription) -> None:
         real(self)
-        assert self.lines
-        self.lines.cancel()
-        self.lines = self.loop.call_later(self.lines_after / 1000.0, self.given)
+        assert self.entries_timer
+        self.entries_timer.cancel()
+        self.entries_timer = self.loop.call_later(self.timings.entries_quiet_ms / 1000.0, self.deliver_slices)
 
-    p.setattr(NewsLink, "lines_come", lines_come)
+    p.setattr(Subscription, "on_entries", lines_come)
 
 
 def half_said_kept(p: Patch) -> None:
     """What stands is taken for whole when its connection breaks."""
-    real = NewsLink.over
+    real = Subscription.on_connection_ended
 
-    def over(self: NewsLink, session: Any) -> None:
-        if session is self.coming:
-            self.settle(session)
+    def over(self: Subscription, session: Any) -> None:
+        if session is self.candidate:
+            self.complete_initial_state(session)
         real(self, session)
 
-    p.setattr(NewsLink, "over", over)
+    p.setattr(Subscription, "on_connection_ended", over)
 
 
 def ready_at_any_time(p: Patch) -> None:
--- a/tests/test_mutation_platform.py
+++ b/tests/test_mutation_platform.py
@@ -15,8 +15,9 @@
 from corallanding import interface as api
 from corallanding.discovery.host_list import HostListView, InvalidAnswerError
 from corallanding.host_names import number
-from corallanding.relay.pending_calls import Calls
-from corallanding.relay.subscription import BadNews, News, Standing
+from corallanding.relay.notifications import InvalidNotificationError, parse_notification
+from corallanding.relay.pending_calls import PendingCalls
+from corallanding.relay.subscription import InitialState, RelayView
 
 GONE = object()
 NUMBERS: list[Any] = [True, 0, -1, 1 << 40, 1 << 70, 1.5, 1e300]
@@ -57,23 +58,23 @@
 ]
 
 
-def exchange(lines: list[Any]) -> tuple[News, int]:
+def exchange(lines: list[Any]) -> tuple[RelayView, int]:
     """What stands, then what comes: the view at the end, and how many lines were refused."""
-    news, standing, refused = News(SETTINGS, ZONES), Standing(), 0
+    news, standing, refused = RelayView(SETTINGS, ZONES), InitialState(), 0
     events: list[api.Event] = []
     for at, line in enumerate(lines):
         if at == len(STANDS):
-            events += news.settled(standing)
+            events += news.replace_state(standing)
         try:
-            notice = news.read(msgspec.json.encode(line))
+            notice = parse_notification(msgspec.json.encode(line))
             if at < len(STANDS):
-                news.begun(standing, notice)
+                news.add_initial(standing, notice)
             else:
-                events += news.news(notice)
-        except BadNews as fault:
+                events += news.apply(notice)
+        except InvalidNotificationError as fault:
             assert "\n" not in str(fault)
             refused += 1
-    events += news.given()
+    events += news.complete_slices()
     assert all(0 <= p < SETTINGS.proxy_count for p in news.proxies)
     assert all(0 <= s < SETTINGS.slice_count and all(w > 0 for w in rows.values()) for s, rows in news.tables.items())
     assert all(isinstance(e, TOLD) for e in events)
@@ -169,19 +170,19 @@
 def test_an_answer_with_one_value_changed_loses_no_order_unnamed(said: dict[str, Any]) -> None:
     orders = [api.SetWeight(1, HOSTS[0], 1.0), api.SetWeight(2, HOSTS[1], 2.0), api.PublishVersion(5)]
     for _, mutant in mutants(said):
-        calls = Calls(["lookup"])
-        calls.order(orders)
-        first = calls.next(0.0)
+        calls = PendingCalls(["lookup"])
+        calls.add(orders)
+        first = calls.next_call(0.0)
         assert first
-        stood = calls.answered(0.0, msgspec.json.encode(mutant))
-        if calls.flying:  # unknown, or passed over until its time is up
+        stood = calls.on_answer(0.0, msgspec.json.encode(mutant))
+        if calls.in_flight:  # unknown, or passed over until its time is up
             assert not stood
-            calls.unknown(0.0)
+            calls.on_outcome_unknown(0.0)
         arrived = [*(stood or [])]
-        calls.not_before = 0.0
-        while call := calls.next(0.0):
+        calls.not_before_ms = 0.0
+        while call := calls.next_call(0.0):
             arrived += (
-                calls.answered(0.0, msgspec.json.encode({"id": call.id, "result": {"taken": len(call.orders)}})) or []
+                calls.on_answer(0.0, msgspec.json.encode({"id": call.id, "result": {"taken": len(call.orders)}})) or []
             )
-        assert len(arrived) + len(calls.said) >= len(orders) or len(calls.said) == 1, mutant
-        assert [o for o in orders if o not in arrived] == [] or calls.said, mutant
+        assert len(arrived) + len(calls.warnings) >= len(orders) or len(calls.warnings) == 1, mutant
+        assert [o for o in orders if o not in arrived] == [] or calls.warnings, mutant
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -11,13 +11,15 @@
 from platform_front import HOSTS
 
 from corallanding import interface as api
-from corallanding.relay.pending_calls import CALL_MOST, Call, Calls, Channel
+from corallanding.relay.call import MAX_CALL_BYTES, Call
+from corallanding.relay.channel import ChannelEstimate
+from corallanding.relay.pending_calls import PendingCalls
 
 A, B, C = HOSTS[:3]
 
 
-def calls(**over: Any) -> Calls:
-    return Calls(["lookup", "claim"], **over)
+def calls(**over: Any) -> PendingCalls:
+    return PendingCalls(["lookup", "claim"], **over)
 
 
 def ops(call: Call | None) -> list[dict[str, Any]]:
@@ -29,14 +31,14 @@
     return list(said["params"]["ops"])
 
 
-def answer(c: Calls, at: float = 0.0, **said: Any) -> list[Any] | None:
-    assert c.flying
-    return c.answered(at, msgspec.json.encode({"jsonrpc": "2.0", "id": c.flying.id, **said}))
+def answer(c: PendingCalls, at: float = 0.0, **said: Any) -> list[Any] | None:
+    assert c.in_flight
+    return c.on_answer(at, msgspec.json.encode({"jsonrpc": "2.0", "id": c.in_flight.id, **said}))
 
 
 def test_every_order_in_the_relays_words() -> None:
     c = calls()
-    c.order(
+    c.add(
         [
             api.PublishVersion(905, True),
             api.SetAdmission(4, 1, 0.9, api.RetryMode.PROVEN_UNRUN),
@@ -48,7 +50,7 @@
             api.ResetTable(7),
         ]
     )
-    assert ops(c.next(0.0)) == [
+    assert ops(c.next_call(0.0)) == [
         {"op": "DEL", "table": 7},
         {"op": "OUT", "endpoint": "s-1"},
         {"op": "SET", "table": 4, "endpoint": "s-0", "w": 1.5},
@@ -62,13 +64,13 @@
 
 def test_one_call_is_outstanding_and_the_newest_of_what_waits_wins() -> None:
     c = calls()
-    c.order([api.SetWeight(1, A, 1.0), api.PublishVersion(1)])
-    assert len(ops(c.next(0.0))) == 2
-    c.order([api.SetWeight(1, B, 1.0), api.SetWeight(1, A, 0.0), api.PublishVersion(2)])
-    c.order([api.SetWeight(1, B, 0.0), api.SetWeight(1, C, 1.0), api.PublishVersion(3)])
-    assert c.next(0.0) is None
+    c.add([api.SetWeight(1, A, 1.0), api.PublishVersion(1)])
+    assert len(ops(c.next_call(0.0))) == 2
+    c.add([api.SetWeight(1, B, 1.0), api.SetWeight(1, A, 0.0), api.PublishVersion(2)])
+    c.add([api.SetWeight(1, B, 0.0), api.SetWeight(1, C, 1.0), api.PublishVersion(3)])
+    assert c.next_call(0.0) is None
     assert answer(c, result={"taken": 2}) == [api.SetWeight(1, A, 1.0), api.PublishVersion(1)]
-    assert [(o.get("endpoint"), o.get("w"), o.get("stamp")) for o in ops(c.next(0.0))] == [
+    assert [(o.get("endpoint"), o.get("w"), o.get("stamp")) for o in ops(c.next_call(0.0))] == [
         ("s-2", 1.0, None),
         ("s-0", 0.0, None),
         ("s-1", 0.0, None),
@@ -92,13 +94,13 @@
 )
 def test_an_answer_that_tells_nothing_leaves_the_call_unknown_and_it_goes_again(line: bytes) -> None:
     c = calls()
-    c.order([api.SetWeight(1, A, 1.0), api.SetWeight(1, B, 0.0), api.PublishVersion(1)])
-    c.next(0.0)
-    c.order([api.SetWeight(1, B, 1.0), api.PublishVersion(2)])
-    assert c.answered(0.0, line) is None
-    assert c.flying
-    c.unknown(0.0)
-    assert [(o.get("endpoint"), o.get("w"), o.get("stamp")) for o in ops(c.next(0.0))] == [
+    c.add([api.SetWeight(1, A, 1.0), api.SetWeight(1, B, 0.0), api.PublishVersion(1)])
+    c.next_call(0.0)
+    c.add([api.SetWeight(1, B, 1.0), api.PublishVersion(2)])
+    assert c.on_answer(0.0, line) is None
+    assert c.in_flight
+    c.on_outcome_unknown(0.0)
+    assert [(o.get("endpoint"), o.get("w"), o.get("stamp")) for o in ops(c.next_call(0.0))] == [
         ("s-0", 1.0, None),
         ("s-1", 1.0, None),
         (None, None, 2),
@@ -107,48 +109,48 @@
 
 def test_tries_that_fail_again_and_again_are_spaced() -> None:
     c, now, gaps = calls(), 0.0, []
-    c.order([api.SetWeight(1, A, 1.0)])
+    c.add([api.SetWeight(1, A, 1.0)])
     for _ in range(9):
-        at = c.next_at(now)
+        at = c.next_send_ms(now)
         assert at is not None
         gaps.append(at - now)
         now = at
-        assert c.next(now)
-        c.unknown(now)
+        assert c.next_call(now)
+        c.on_outcome_unknown(now)
     assert gaps == [0.0, 0.0, 40.0, 160.0, 500.0, 500.0, 500.0, 500.0, 500.0]
 
 
 def test_an_order_the_relay_cannot_use_is_left_out_and_the_rest_goes_on() -> None:
     c = calls()
-    c.order([api.SetWeight(1, A, 1.0), api.SetWeight(2, B, 1.0), api.SetWeight(3, C, 1.0), api.PublishVersion(1)])
-    c.next(0.0)
+    c.add([api.SetWeight(1, A, 1.0), api.SetWeight(2, B, 1.0), api.SetWeight(3, C, 1.0), api.PublishVersion(1)])
+    c.next_call(0.0)
     assert answer(c, result={"taken": 1}) == [api.SetWeight(1, A, 1.0)]
-    assert [o.get("table") for o in ops(c.next(0.0))] == [3, None]
-    assert "s-1" in c.said[0]
+    assert [o.get("table") for o in ops(c.next_call(0.0))] == [3, None]
+    assert "s-1" in c.warnings[0]
 
 
 def test_turned_away_before_the_beginning_nothing_is_lost_and_nothing_spins() -> None:
-    c = calls(messages_most=1)
-    c.order([api.SetWeight(1, A, 1.0)])
-    c.next(0.0)
+    c = calls(max_messages=1)
+    c.add([api.SetWeight(1, A, 1.0)])
+    c.next_call(0.0)
     assert answer(c, error={"code": -1, "message": "Throttling"}) == []
-    assert c.next(0.0) is None
-    at = c.next_at(0.0)
+    assert c.next_call(0.0) is None
+    at = c.next_send_ms(0.0)
     assert at is not None
     assert 0.0 < at < 100.0
-    assert len(ops(c.next(at))) == 1
+    assert len(ops(c.next_call(at))) == 1
 
 
 def test_no_call_beyond_the_cap_on_messages_sent_again_or_not() -> None:
-    c = calls(messages_most=2, span=10_000.0)
-    c.order([api.SetWeight(1, A, 1.0)])
+    c = calls(max_messages=2, message_window_ms=10_000.0)
+    c.add([api.SetWeight(1, A, 1.0)])
     for now in (0.0, 100.0):
-        assert c.next(now)
-        c.unknown(now)
+        assert c.next_call(now)
+        c.on_outcome_unknown(now)
     # The first became a message at 50 ms at the latest, and the span's last instant may count.
-    assert c.next_at(300.0) == 10_051.0
-    assert c.next(10_050.9) is None
-    assert c.next(10_051.0)
+    assert c.next_send_ms(300.0) == 10_051.0
+    assert c.next_call(10_050.9) is None
+    assert c.next_call(10_051.0)
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 50.0), st.floats(0.0, 1.0), st.booleans()), max_size=40))
@@ -157,32 +159,32 @@
 ) -> None:
     """A call that becomes a message late is nearer to those after it than its sending was; and one whose connection
     breaks may become one after that still."""
-    c, now, messages, span = calls(messages_most=3, span=1_000.0), 0.0, list[float](), 1_000.0
+    c, now, messages, span = calls(max_messages=3, message_window_ms=1_000.0), 0.0, list[float](), 1_000.0
     for n, (takes, part, broken) in enumerate(story):
-        c.order([api.SetWeight(n, A, 1.0)])
-        at = c.next_at(now)
+        c.add([api.SetWeight(n, A, 1.0)])
+        at = c.next_send_ms(now)
         assert at is not None
         now = max(now, at)
-        call = c.next(now)
+        call = c.next_call(now)
         assert call
         messages.append(now + takes)
         now += takes * part if broken else takes
         if broken:
-            c.unknown(now)
+            c.on_outcome_unknown(now)
         else:
-            c.answered(now, msgspec.json.encode({"id": call.id, "result": {"taken": len(call.orders)}}))
+            c.on_answer(now, msgspec.json.encode({"id": call.id, "result": {"taken": len(call.orders)}}))
         assert len([m for m in messages if m > messages[-1] - span]) <= 3
 
 
 def test_a_call_over_the_limit_is_cut_at_an_order_and_the_mark_goes_last() -> None:
     c = calls()
     lines = [api.SetWeight(t, A, 1.0) for t in range(1_500)] + [api.SetWeight(t, B, 0.0) for t in range(1_500)]
-    c.order([*lines, api.Cordon(C, True), api.PublishVersion(5)])
+    c.add([*lines, api.Cordon(C, True), api.PublishVersion(5)])
     seen: list[dict[str, Any]] = []
     parts = 0
-    while call := c.next(0.0):
+    while call := c.next_call(0.0):
         said = ops(call)
-        assert sum(len(msgspec.json.encode(o)) + 1 for o in said) <= CALL_MOST
+        assert sum(len(msgspec.json.encode(o)) + 1 for o in said) <= MAX_CALL_BYTES
         seen += said
         parts += 1
         answer(c, result={"taken": len(said)})
@@ -195,26 +197,26 @@
 
 def test_what_waits_for_a_slice_that_is_taken_away_is_void() -> None:
     c = calls()
-    c.order([api.SetWeight(1, A, 1.0), api.SetWeight(2, A, 1.0), api.PublishVersion(1)])
-    c.forget(1)
-    assert [o.get("table") for o in ops(c.next(0.0))] == [2, None]
-    assert [o.slice for o in c.under_way()] == [2]
+    c.add([api.SetWeight(1, A, 1.0), api.SetWeight(2, A, 1.0), api.PublishVersion(1)])
+    c.forget_slice(1)
+    assert [o.get("table") for o in ops(c.next_call(0.0))] == [2, None]
+    assert [o.slice for o in c.unconfirmed_table_orders()] == [2]
 
 
 def test_an_emptied_table_takes_what_waited_for_it_along() -> None:
     c = calls()
-    c.order([api.SetWeight(1, A, 1.0)])
-    c.next(0.0)
-    c.order([api.SetWeight(1, B, 1.0), api.ResetTable(1), api.SetWeight(1, C, 1.0)])
-    c.unknown(0.0)
-    assert [(o["op"], o.get("endpoint")) for o in ops(c.next(0.0))] == [("DEL", None), ("SET", "s-2")]
+    c.add([api.SetWeight(1, A, 1.0)])
+    c.next_call(0.0)
+    c.add([api.SetWeight(1, B, 1.0), api.ResetTable(1), api.SetWeight(1, C, 1.0)])
+    c.on_outcome_unknown(0.0)
+    assert [(o["op"], o.get("endpoint")) for o in ops(c.next_call(0.0))] == [("DEL", None), ("SET", "s-2")]
 
 
 PROXIES, MOST, RATE = 100, 30_000.0, 20.0  # lines a millisecond
 
 
-def channel() -> Channel:
-    return Channel(MOST, RATE * 1000.0, 8.0, lambda: PROXIES)
+def channel() -> ChannelEstimate:
+    return ChannelEstimate(MOST, RATE * 1000.0, 8.0, lambda: PROXIES)
 
 
 @given(st.lists(st.tuples(st.integers(1, 250), st.sampled_from(["answered", "lost", "twice"]), st.integers(1, 2_000))))
@@ -225,17 +227,17 @@
     for lines, what, wait in story:
         # The module orders what by its own count, which knows no copies, fits nine tenths of the queue.
         mark += 1
-        c.order([*(api.SetWeight(n, A, float(mark)) for n in range(lines)), api.PublishVersion(mark)])
-        while (at := c.next_at(now)) is not None:
+        c.add([*(api.SetWeight(n, A, float(mark)) for n in range(lines)), api.PublishVersion(mark)])
+        while (at := c.next_send_ms(now)) is not None:
             held, now = max(0.0, held - (max(at, now) - now) * RATE), max(at, now)
-            call = c.next(now)
+            call = c.next_call(now)
             assert call
             held += (len(call.orders) + 8) * PROXIES
             assert held <= MOST + 1e-6
             if what == "answered":
                 assert answer(c, result={"taken": len(call.orders)}) is not None
             else:
-                c.unknown(now)
+                c.on_outcome_unknown(now)
                 what = "answered" if what == "lost" else "lost"
         held, now = max(0.0, held - wait * RATE), now + wait
 
@@ -248,17 +250,17 @@
     c = calls(channel=channel())
     now, held, counted = 0.0, 0.0, 0.0
     for n, (lines, takes, part, broken) in enumerate(story):
-        c.order([*(api.SetWeight(k, A, float(n + 1)) for k in range(lines)), api.PublishVersion(n + 1)])
-        while (at := c.next_at(now)) is not None:
+        c.add([*(api.SetWeight(k, A, float(n + 1)) for k in range(lines)), api.PublishVersion(n + 1)])
+        while (at := c.next_send_ms(now)) is not None:
             now = max(at, now) + 1e-6  # or it is a rounding away
-            call = c.next(now)
+            call = c.next_call(now)
             assert call
             came = max(now + takes, counted)
             held, counted = max(0.0, held - (came - counted) * RATE) + (len(call.orders) + 8) * PROXIES, came
             assert held <= MOST + 1e-6
             now += takes * part if broken else takes
             if broken:
-                c.unknown(now)
+                c.on_outcome_unknown(now)
                 broken = False
             else:
                 assert answer(c, now, result={"taken": len(call.orders)}) is not None
@@ -267,12 +269,12 @@
 def test_a_mark_applied_proves_that_a_doubted_call_was_carried_out() -> None:
     c = calls(channel=channel())
     orders = [*(api.SetWeight(n, A, 1.0) for n in range(200)), api.PublishVersion(5)]
-    c.order(orders)
-    c.next(0.0)
-    c.unknown(10.0)
-    c.order([api.SetWeight(3, A, 0.0)])
-    assert c.next(10.0) is None, "a second copy does not fit beside the first"
-    assert c.applied(4) == []
-    assert c.applied(5) == orders
-    assert c.applied(5) == []
+    c.add(orders)
+    c.next_call(0.0)
+    c.on_outcome_unknown(10.0)
+    c.add([api.SetWeight(3, A, 0.0)])
+    assert c.next_call(10.0) is None, "a second copy does not fit beside the first"
+    assert c.on_version_applied(4) == []
+    assert c.on_version_applied(5) == orders
+    assert c.on_version_applied(5) == []
     assert list(c.waiting.values()) == [api.SetWeight(3, A, 0.0)], "only what came since is left to send"
--- a/tests/test_relay_news.py
+++ b/tests/test_relay_news.py
@@ -14,32 +14,34 @@
 
 from corallanding import interface as api
 from corallanding.assignment import Assigner
-from corallanding.relay.subscription import BadNews, News, Standing, TableOrder, carried
+from corallanding.relay.notifications import InvalidNotificationError, parse_notification
+from corallanding.relay.orders import TableOrder
+from corallanding.relay.subscription import InitialState, RelayView, apply_orders
 
 Row = tuple[str, dict[str, Any]]
 
 
-def say(news: News, *rows: Row) -> list[api.Event]:
+def say(news: RelayView, *rows: Row) -> list[api.Event]:
     out: list[api.Event] = []
     for method, params in rows:
-        out += news.news(news.read(msgspec.json.encode({"method": method, "params": params})))
+        out += news.apply(parse_notification(msgspec.json.encode({"method": method, "params": params})))
     return out
 
 
-def stand(news: News, *rows: Row, under_way: Sequence[TableOrder] = ()) -> list[api.Event]:
-    s = Standing()
+def stand(news: RelayView, *rows: Row, under_way: Sequence[TableOrder] = ()) -> list[api.Event]:
+    s = InitialState()
     told(news, s, *rows)
-    return news.settled(s, under_way)
+    return news.replace_state(s, under_way)
 
 
-def begun() -> News:
-    news = News(SETTINGS, ZONES)
+def begun() -> RelayView:
+    news = RelayView(SETTINGS, ZONES)
     stand(news, attach(1), attach(2), owner(3), entry(3, 0), owner(4), entry(4, 1))
     return news
 
 
 def test_the_first_connection_gives_all_that_stands_lines_with_their_slice() -> None:
-    news = News(SETTINGS, ZONES)
+    news = RelayView(SETTINGS, ZONES)
     assert stand(news, attach(1), owner(3), owner(4), entry(4, 1), entry(3, 0, 0.5)) == [
         api.ProxyJoined(1, 0, 2.5, True),
         api.SliceOwnershipChange(3, True),
@@ -73,7 +75,7 @@
     ]
     news = begun()
     for o in move:
-        news.stands(o)
+        news.on_order_confirmed(o)
     assert stand(news, *rows) == []
 
 
@@ -93,39 +95,39 @@
     """The relay tells the lines as they were at one moment after the opening: incident of the moves forgotten."""
     opened, told_at, confirmed = sorted(min(x, len(orders)) for x in at)
     news, store = begun(), {3: {HOSTS[0]: 1.0}, 4: {HOSTS[1]: 1.0}}
-    s, said = Standing(), list[Row]()
+    s, said = InitialState(), list[Row]()
     for n, o in enumerate([*orders, None]):
         if n == opened:
-            s = news.opening()
+            s = news.begin_initial_state()
         if n == told_at:
             said = [row for t in store for row in (owner(t), *(entry(t, HOSTS.index(h)) for h in store[t]))]
         if o:
-            store[o.slice] = carried(store[o.slice], [o])
+            store[o.slice] = apply_orders(store[o.slice], [o])
             if n < confirmed:
-                news.stands(o)
+                news.on_order_confirmed(o)
     told(news, s, attach(1), attach(2), *said)
-    assert news.settled(s, orders[confirmed:]) == []
+    assert news.replace_state(s, orders[confirmed:]) == []
     for o in orders[confirmed:]:
-        news.stands(o)
+        news.on_order_confirmed(o)
     assert news.tables == store
 
 
 def test_a_slice_given_waits_for_its_lines() -> None:
     news = begun()
     assert say(news, owner(5), entry(5, 0), entry(5, 1)) == []
-    assert news.given() == [
+    assert news.complete_slices() == [
         api.SliceOwnershipChange(5, True),
         api.StoredWeight(5, HOSTS[0], 1.0),
         api.StoredWeight(5, HOSTS[1], 1.0),
     ]
-    assert news.given() == []
+    assert news.complete_slices() == []
     assert say(news, owner(5, False), owner(5, False)) == [api.SliceOwnershipChange(5, False)]
 
 
 def test_a_slice_taken_back_before_its_lines_came_was_never_given() -> None:
     news = begun()
     assert say(news, owner(5), entry(5, 0), owner(5, False)) == []
-    assert news.given() == []
+    assert news.complete_slices() == []
 
 
 def test_marks_count_of_joined_proxies_only() -> None:
@@ -146,7 +148,7 @@
     ],
 )
 def test_news_that_cannot_be_used_is_named(method: str, params: dict[str, Any]) -> None:
-    with pytest.raises(BadNews):
+    with pytest.raises(InvalidNotificationError):
         say(begun(), (method, params))
 
 
@@ -154,11 +156,11 @@
     """A full queue by the module's own count, and nothing that would clear it: incident of a silent relay."""
     proxies, hosts = range(20), [api.HostEntry(h) for h in HOSTS]
     settings = replace(SETTINGS, max_queued_lines=20 * 30.0)
-    news, module = News(settings, ZONES), Assigner(settings, 1)
+    news, module = RelayView(settings, ZONES), Assigner(settings, 1)
     events = stand(news, *(attach(p) for p in proxies), *(owner(s) for s in range(8)))
     module.step(1e9, [api.HostListUpdate(api.HostListKind.FULL, 1, tuple(hosts)), *events])
     gone = [replace(h, state="draining") for h in hosts[:2]]
     drain = api.HostListUpdate(api.HostListKind.CHANGES, 2, tuple(gone))
     assert not [a for a in module.step(1e9 + 2_000, [drain]) if isinstance(a, api.SetWeight | api.Cordon)]
-    said = module.step(1e9 + 2_001, [*news.lost(module.pending_versions.last_version), api.TimerFired(0)])
+    said = module.step(1e9 + 2_001, [*news.assume_acked(module.pending_versions.last_version), api.TimerFired(0)])
     assert [a for a in said if isinstance(a, api.SetWeight | api.Cordon)]
--- a/tests/test_settings_any.py
+++ b/tests/test_settings_any.py
@@ -16,8 +16,9 @@
 from corallanding.controller.event_inbox import EventInbox
 from corallanding.host_names import number
 from corallanding.platform.config import BadConfig, Config, parse
-from corallanding.relay.pending_calls import Calls, Channel
-from corallanding.relay.subscription import News
+from corallanding.relay.channel import ChannelEstimate
+from corallanding.relay.pending_calls import PendingCalls
+from corallanding.relay.subscription import RelayView
 
 NAMES = st.text(st.characters(exclude_categories=("Cs",)), min_size=1, max_size=12)
 AMOUNT = st.sampled_from([0, 1, 0.5, 700, 250_000, 1_200_000, 60_000_000, 1e12, -1, "12", "x", None, True, [], {}])
@@ -80,12 +81,12 @@
 def play(c: Config) -> None:
     """Hosts come, drain, fail and go; proxies join and leave; slices are given; acks come or do not."""
     s = c.settings
-    news = News(s, c.places.zones)
+    news = RelayView(s, c.places.zones)
     intake = Intake(s, c.places, set(), news.tables)
-    channel = Channel(
+    channel = ChannelEstimate(
         s.max_queued_lines, s.channel_lines_per_second, s.message_overhead_lines, lambda: len(news.proxies)
     )
-    calls = Calls(list(c.places.operations), s.max_messages, s.message_window_ms, channel)
+    calls = PendingCalls(list(c.places.operations), s.max_messages, s.message_window_ms, channel)
     assert c.dial_timeout > 0.0
     assert math.isfinite(intake.slowest)
     assert intake.span_most > 0
@@ -105,17 +106,17 @@
                     assert math.isfinite(a.delay_ms)
                     turns.start_timer(now + max(a.delay_ms, 1.0), a.timer)
                 case api.SetWeight() | api.SetAdmission() | api.Cordon() | api.ResetTable() | api.PublishVersion():
-                    calls.order([a])
+                    calls.add([a])
                 case api.CheckHealth():
                     turns.add_event(now, api.HealthCheckResult(a.host, api.HealthCheckOutcome.TIMEOUT, 100.0))
         for _ in range(3):
-            if (call := calls.next(now)) is None:
+            if (call := calls.next_call(now)) is None:
                 break
             sent.append(now)
             recent = [at for at in sent if at > now - s.message_window_ms]
             assert not s.max_messages or len(recent) <= s.max_messages
             answer = {"id": call.id, "result": {"taken": len(call.orders)}}
-            for o in calls.answered(now, msgspec.json.encode(answer)) or []:
+            for o in calls.on_answer(now, msgspec.json.encode(answer)) or []:
                 if isinstance(o, api.PublishVersion) and o.version % 2:
                     turns.add_event(now, api.VersionAcked(0, o.version, 5.0))
 
