--- a/bench/one_fleet.py
+++ b/bench/one_fleet.py
@@ -27,7 +27,8 @@
 from corallanding.quorum_records.core import Persist
 from corallanding.quorum_records.fleet import FleetRecords
 from corallanding.quorum_records.queries import QueryLimits
-from corallanding.scheduling.core import Dispatch, Scheduler
+from corallanding.scheduling.actions import Dispatch
+from corallanding.scheduling.core import Scheduler
 from corallanding.scheduling.limits import JobClass, SchedulingLimits
 from corallanding.scheduling.queue import JobQueue
 from corallanding.version_pinning.core import RELEASE_TASK, RUNS_TASK_GROUP, build_version_pinning, run_record_limits
--- a/corallanding/controller/pinned_jobs.py
+++ b/corallanding/controller/pinned_jobs.py
@@ -43,6 +43,8 @@
                 state = VersionState(pinning.is_served(release_set, name), holds_up_retirement)
                 if self.states.get((kind, release_set)) != state:
                     self.states[kind, release_set] = state
-                    self.core.on_set_change(kind, release_set, *state)
+                    self.core.on_set_change(
+                        kind, release_set, is_served=state.is_served, is_boosted=state.holds_up_retirement
+                    )
         if len(self.states) > MAX_KNOWN_STATES:
             self.states.clear()
--- a/corallanding/controller/scheduling_service.py
+++ b/corallanding/controller/scheduling_service.py
@@ -9,10 +9,11 @@
 from ..errors import ConfigurationError
 from ..quorum_records.queries import QueryResult
 from ..scheduling import messages
-from ..scheduling.core import ClaimKey, Dispatch, Scheduler
-from ..scheduling.idempotency import FOUND, GRANTED, NOT_NOW, TWIN, IdempotencyRecords
-from ..scheduling.messages import QueueSummary
+from ..scheduling.actions import ClaimKey, ClaimOutcome, Dispatch
+from ..scheduling.core import Scheduler
+from ..scheduling.idempotency import IdempotencyRecords, KeyStatus, claim_outcome
 from ..scheduling.queue import Job
+from ..scheduling.status import scheduler_status
 from ..telemetry import log
 from ..wire import frames
 from .cluster_service import ClusterService, ServiceContext, Tick
@@ -36,7 +37,7 @@
     records, pinning: where they are configured. Raises OSError if the journal cannot be written.
     """
 
-    message_types: ClassVar[tuple[type, ...]] = (QueueSummary,)
+    message_types: ClassVar[tuple[type, ...]] = (messages.QueueSummary,)
 
     def __init__(
         self,
@@ -104,7 +105,7 @@
         """A proxy hands in a job, or takes one back."""
         now = self.context.clock()
         if isinstance(frame, frames.Unwait):
-            job = self.core.remove(forwarder, frame.ticket, frame.ended)
+            job = self.core.remove(forwarder, frame.ticket, is_abandoned=frame.ended)
             if job and job.has_claim and frame.ended:
                 self._give_back(now, job)
             return
@@ -126,13 +127,13 @@
         waited_ms = min(frame.waited + now - received_at, self.sessions.age_ms(now, forwarder))
         key = record_key_of(f"job {frame.fingerprint}") if frame.fingerprint and self.queries else 0
         is_new = (forwarder, frame.ticket) not in self.core.tickets
-        job, reason, max_wait_ms = self.core.admit(
+        job, rejection, max_wait_ms = self.core.admit(
             now, self.alive, forwarder, frame.ticket, kind, waited_ms, key, frame.set
         )
-        self._reply(forwarder, frame.ticket, reason or JobAnswer.WAITING, max_wait_ms)
-        if job is None:
-            self._count(kind, reason)
-        elif is_new:
+        self._reply(forwarder, frame.ticket, rejection or JobAnswer.WAITING, max_wait_ms)
+        if rejection is not None:
+            self._count(kind, rejection)
+        elif job is not None and is_new:
             self._count(kind, JobEnd.TAKEN)
             self._on_new_job(now, job)
 
@@ -165,26 +166,27 @@
             elif isinstance(query, AgeQuery):
                 self._on_age(now, query.job, told)
             elif isinstance(query, ClaimQuery):
-                self._on_claim_answer(now, query, told.what)
+                self._on_claim_answer(now, query, claim_outcome(told.what))
 
     def _on_age(self, now: float, job: Job, told: QueryResult) -> None:
-        if told.what in (FOUND, TWIN):
+        if told.what in (KeyStatus.UNCLAIMED, KeyStatus.DUPLICATE):
             self.core.set_waiting_since(job, now - told.value)
-        elif told.what == NOT_NOW and (job.proxy, job.ticket) in self.core.tickets:
+        elif told.what == KeyStatus.UNAVAILABLE and (job.proxy, job.ticket) in self.core.tickets:
             self._idempotency().query_age(now, job)  # no majority could answer
-        if told.what == TWIN and self.core.start_claim(now, job):
+        if told.what == KeyStatus.DUPLICATE and self.core.start_claim(job):
             self._claim(now, job)
 
-    def _on_claim_answer(self, now: float, query: ClaimQuery, what: int) -> None:
+    def _on_claim_answer(self, now: float, query: ClaimQuery, outcome: ClaimOutcome) -> None:
         job = query.job
-        if self.core.on_claim_result(now, job, what == GRANTED, what == TWIN):
+        if self.core.on_claim_result(now, job, outcome):
             self._give_back(now, job)
-        elif what == TWIN:
+        elif outcome is ClaimOutcome.DUPLICATE:
             self._count(job.job_class, JobEnd.DUPLICATE)
             self.fleet_view.reply(job.proxy, frames.Go(job.ticket, JobOrder.DROP_DUPLICATE))
         elif (job.proxy, job.ticket) in self.core.tickets:
             # Queued again, or set aside: it could not go while the query was pending.
-            self.journal.on_returned(job, query.asked_at, 0.0 if what == GRANTED else self.core.limits.blocked_ms)
+            blocked_ms = 0.0 if outcome is ClaimOutcome.GRANTED else self.core.limits.blocked_ms
+            self.journal.on_returned(job, query.asked_at, blocked_ms)
 
     def _claim(self, now: float, job: Job) -> None:
         self._idempotency().claim(now, job, self._owner(job))
@@ -225,7 +227,7 @@
         self.journal.on_released(job, action.effective_priority, action.observed_peers)
         self.fleet_view.reply(job.proxy, frames.Go(job.ticket, JobOrder.SEND))
 
-    def on_message(self, sender: int, message: QueueSummary) -> None:
+    def on_message(self, sender: int, message: messages.QueueSummary) -> None:
         """Take what waits at another controller."""
         self.core.on_summary(self.context.clock(), sender, message)
 
@@ -241,7 +243,7 @@
 
     def status(self) -> dict[str, Any]:
         """The part `waiting` of the status page."""
-        return self.core.status(self.context.clock(), self.alive)
+        return scheduler_status(self.core, self.context.clock(), self.alive)
 
     def close(self) -> None:
         """Close the journal."""
--- a/corallanding/controller/sessions.py
+++ b/corallanding/controller/sessions.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from ..quorum_records.queries import QueryResult
-from ..scheduling.idempotency import NOT_NOW, IdempotencyRecords
+from ..scheduling.idempotency import IdempotencyRecords, KeyStatus
 from ..wire import frames
 from .record_service import RecordService, record_key_of
 
@@ -90,7 +90,7 @@
         session = self.by_proxy.get(forwarder)
         if session is None or session.name != name:
             return ReleasedJobs(forwarder, [])
-        if told.what == NOT_NOW:
+        if told.what == KeyStatus.UNAVAILABLE:
             self._query_age(now, forwarder, name)  # no majority could answer: the jobs wait on
             return ReleasedJobs(forwarder, [])
         session.started_at = min(session.started_at, now - told.value)
--- a/corallanding/lab/stewards/waits.py
+++ b/corallanding/lab/stewards/waits.py
@@ -9,7 +9,8 @@
 from typing import Any
 
 from ...quota import Budget, QuotaLimits
-from ...scheduling.core import Dispatch, Scheduler
+from ...scheduling.actions import Dispatch
+from ...scheduling.core import Scheduler
 from ...scheduling.limits import JobClass, SchedulingLimits
 from ...scheduling.messages import QueueSummary
 from ..order import Held, Went, judge
--- a/corallanding/scheduling/core.py
+++ b/corallanding/scheduling/core.py
@@ -1,250 +1,250 @@
-"""Waiting work as one steward lives it: takes jobs in, lets them go in the order that one scheduler of all would give.
-Sans-I/O.
+"""The scheduler of one controller: admits jobs, and dispatches them in the order that one scheduler of all would give.
 
-A job goes when it stands as high as anything that waits elsewhere, as far as we heard, and a right of the fleet's
-budget is ours. Who stands lower asks for no rights: so they are where the highest standing waits.
+Without I/O. A job is dispatched when no job that waits elsewhere has a higher effective priority, by the last
+summaries, and a permit of the fleet's quota is free. A controller whose jobs rank lower asks for no permits, so that
+they are where the highest priority waits.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable, Iterable, Sequence
-from dataclasses import dataclass
-from typing import Any
 
 from ..lease.election import OutgoingMessage
 from ..rate_limit import PeerRateLimiter
+from .actions import (
+    AdmissionResult,
+    BlockedJob,
+    ClaimKey,
+    ClaimOutcome,
+    Dispatch,
+    RejectionReason,
+    SchedulingAction,
+    TickResult,
+)
 from .limits import JobClass, SchedulingLimits
-from .messages import MAX_LEVELS, MAX_ROWS, QueueSummary
+from .messages import MAX_ROWS, QueueRow, QueueSummary, sample_levels
 from .peer_queues import PeerQueues
-from .queue import BLOCKED, CLAIMING, READY, Job, JobQueue
+from .queue import Job, JobQueue, JobState
 
-
-@dataclass(frozen=True)
-class Dispatch:
-    """The job may be sent. standing: as it was; counted: whose jobs were looked at."""
-
-    job: Job
-    effective_priority: float
-    observed_peers: tuple[int, ...] = ()
-
-
-@dataclass(frozen=True)
-class ClaimKey:
-    """Its fingerprint is to be claimed: `claimed` says what came of it."""
-
-    job: Job
-
-
-SchedulingAction = Dispatch | ClaimKey
+DEFAULT_MESSAGES_PER_SECOND = 200.0  # that one other controller may send
 
 
 class Scheduler:
-    """kinds: operations that may wait, in an order that all stewards share. right: takes one right to release, if there
-    is one. aim: says how many a second would be used here."""
+    """Jobs that wait at this controller, and what it knows of those elsewhere.
+
+    `job_classes` stand in an order that all controllers share. `take_permit` takes one permit to dispatch, if there is
+    one. `set_demand` states how many permits a second would be used here.
+    """
 
     def __init__(
         self,
-        others: tuple[int, ...],
-        life: int,
-        kinds: Sequence[JobClass],
-        terms: SchedulingLimits,
-        born: float,
-        right: Callable[[], bool],
-        aim: Callable[[int], None],
-        words_per_s: float = 200.0,
+        peers: tuple[int, ...],
+        incarnation: int,
+        job_classes: Sequence[JobClass],
+        limits: SchedulingLimits,
+        started_at_ms: float,
+        take_permit: Callable[[], bool],
+        set_demand: Callable[[int], None],
+        messages_per_second: float = DEFAULT_MESSAGES_PER_SECOND,
     ) -> None:
-        self.peers, self.incarnation, self.job_classes, self.limits = others, life, kinds, terms
-        self.take_permit, self.set_demand = right, aim
-        self.queue = JobQueue(kinds, terms.retirement_boost)
-        self.peer_queues = PeerQueues(kinds, terms.retirement_boost, terms.peer_timeout_ms)
-        self.rate_limits = PeerRateLimiter(others, words_per_s, born)
-        self.tickets: dict[tuple[int, int], Job] = {}  # (forwarder, its ticket)
+        self.peers = peers
+        self.incarnation = incarnation
+        self.job_classes = job_classes
+        self.limits = limits
+        self.take_permit = take_permit
+        self.set_demand = set_demand
+        self.queue = JobQueue(job_classes, limits.retirement_boost)
+        self.peer_queues = PeerQueues(job_classes, limits.retirement_boost, limits.peer_timeout_ms)
+        self.rate_limits = PeerRateLimiter(peers, messages_per_second, started_at_ms)
+        self.tickets: dict[tuple[int, int], Job] = {}  # by proxy and its ticket
         self.claims_in_flight = 0
-        self.blocked: deque[tuple[float, int]] = deque()  # until when, job: nobody could say whose its fingerprint is
+        self.blocked: deque[BlockedJob] = deque()
         self.round = 0
         self.announced_at_ms = float("-inf")
-        self.starved_since_ms: float | None = None  # since when we could have let go and had no right
-        self.is_starved = False  # as last told: the others do not wait for what we have
-        self.order_slack = terms.order_slack_ms / min((k.aging_interval_ms for k in kinds), default=1.0)
-        self.dispatched_count = self.rejected_count = self.longest_wait_ms = 0.0
-
-    # ---- jobs ----------------------------------------------------------------------------------------------
-
-    def expected_wait_ms(self, now: float, alive: Iterable[int]) -> float:
-        """ms until a job that comes now has surely gone, if nothing fails and no more than the rate comes behind: all
-        that wait anywhere go before it."""
-        return (
-            (len(self.queue.jobs) + self.peer_queues.total_jobs(now, alive) + 1)
-            / self.limits.dispatches_per_second
-            * 1000.0
-        )
+        self.starved_since_ms: float | None = None  # since when a job could have gone and there was no permit
+        self.is_starved = False  # as last announced: the others do not wait for the jobs here
+        self.order_slack = limits.order_slack(job_classes)
+        self.dispatched_count = 0
+        self.rejected_count = 0
+        self.longest_wait_ms = 0.0
+
+    def expected_wait_ms(self, now_ms: float, alive_peers: Iterable[int]) -> float:
+        """How long a new job waits at most, if all jobs that wait anywhere go before it and none fails."""
+        jobs = len(self.queue.jobs) + self.peer_queues.total_jobs(now_ms, alive_peers) + 1
+        return jobs / self.limits.dispatches_per_second * 1000.0
 
     def admit(
         self,
-        now: float,
-        alive: Iterable[int],
-        forwarder: int,
+        now_ms: float,
+        alive_peers: Iterable[int],
+        proxy: int,
         ticket: int,
-        kind: int,
-        waited: float,
-        key: int = 0,
-        set: int = 0,
-    ) -> tuple[Job | None, str, float]:
-        """The job, or why not; and the longest that it will wait from now on. A ticket that is held already is the same
-        job, and keeps its age."""
-        k = self.job_classes[kind]
-        if job := self.tickets.get((forwarder, ticket)):
-            return job, "", max(0.0, k.max_wait_ms - (now - job.waiting_since_ms))
-        if self.queue.counts_by_class[kind] >= k.max_jobs:
+        class_number: int,
+        waited_ms: float,
+        idempotency_key: int = 0,
+        release_set: int = 0,
+    ) -> AdmissionResult:
+        """Queue a job, or reject it.
+
+        A queued ticket is the same job and keeps its age. A job that waited elsewhere is not rejected as too long.
+        """
+        job_class = self.job_classes[class_number]
+        queued = self.tickets.get((proxy, ticket))
+        if queued is not None:
+            remaining_ms = job_class.max_wait_ms - (now_ms - queued.waiting_since_ms)
+            return AdmissionResult(queued, None, max(0.0, remaining_ms))
+        if self.queue.counts_by_class[class_number] >= job_class.max_jobs:
             self.rejected_count += 1
-            return None, "full", 0.0
-        expected = self.expected_wait_ms(now, alive)
-        if waited <= 0.0 and expected > k.max_wait_ms:
+            return AdmissionResult(None, RejectionReason.FULL, 0.0)
+        expected_wait_ms = self.expected_wait_ms(now_ms, alive_peers)
+        if waited_ms <= 0.0 and expected_wait_ms > job_class.max_wait_ms:
             self.rejected_count += 1
-            return None, "too-long", expected
-        job = self.queue.add(Job(0, kind, forwarder, ticket, now - max(0.0, waited), key, set))
-        self.tickets[forwarder, ticket] = job
-        return job, "", max(k.max_wait_ms - waited, 0.0)
-
-    def remove(self, forwarder: int, ticket: int, ended: bool = False) -> Job | None:
-        """It is done, or no longer ours. ended: its client gave up."""
-        job = self.tickets.pop((forwarder, ticket), None)
-        if job:
-            job.is_abandoned = ended
-            self.claims_in_flight -= job.state == CLAIMING
+            return AdmissionResult(None, RejectionReason.TOO_LONG, expected_wait_ms)
+        waiting_since_ms = now_ms - max(0.0, waited_ms)
+        job = self.queue.add(Job(0, class_number, proxy, ticket, waiting_since_ms, idempotency_key, release_set))
+        self.tickets[proxy, ticket] = job
+        return AdmissionResult(job, None, max(job_class.max_wait_ms - waited_ms, 0.0))
+
+    def remove(self, proxy: int, ticket: int, *, is_abandoned: bool = False) -> Job | None:
+        """Take a job out of the queue; `is_abandoned` if its client gave it up."""
+        job = self.tickets.pop((proxy, ticket), None)
+        if job is not None:
+            job.is_abandoned = is_abandoned
+            self.claims_in_flight -= job.state is JobState.CLAIMING
             self.queue.remove(job)
         return job
 
-    def on_proxy_left(self, forwarder: int) -> None:
-        """The forwarder is gone from us: it hands its jobs to another, with their ages."""
-        for at in [at for at in self.tickets if at[0] == forwarder]:
-            self.remove(*at)
+    def on_proxy_left(self, proxy: int) -> None:
+        """Remove the jobs of a proxy: it hands them to another controller, with their ages."""
+        for ticket in [ticket for owner, ticket in self.tickets if owner == proxy]:
+            self.remove(proxy, ticket)
 
-    def set_waiting_since(self, job: Job, since: float) -> None:
-        """It was brought before, elsewhere: it has waited since then."""
-        if since < job.waiting_since_ms and self.tickets.get((job.proxy, job.ticket)) is job:
+    def set_waiting_since(self, job: Job, waiting_since_ms: float) -> None:
+        """Let a job be as old as that, if it was younger: its client brought it before, elsewhere."""
+        if waiting_since_ms < job.waiting_since_ms and self._is_queued(job):
             state = job.state
             self.queue.make_unready(job, state)
-            job.waiting_since_ms = since
-            if state == READY:
+            job.waiting_since_ms = waiting_since_ms
+            if state is JobState.READY:
                 self.queue.make_ready(job)
 
-    def on_set_change(self, kind: int, set: int, ready: bool, rises: bool) -> None:
-        """Of jobs whose run is pinned to that set: whether a host serves them, whether they keep it from retiring."""
-        for number in list(self.queue.jobs_by_set.get(set, ())):
-            if (job := self.queue.jobs[number]).job_class == kind:
-                self.queue.on_set_change(job, ready, rises)
-
-    # ---- the core ------------------------------------------------------------------------------------------
-
-    def tick(self, now: float, alive: Iterable[int]) -> tuple[list[SchedulingAction], list[OutgoingMessage]]:
-        """Call every 50 ms or so. alive: the other stewards reckoned with."""
-        alive = [n for n in alive if n in self.peers]
-        actions, words = self.dispatch_ready(now, alive), list[OutgoingMessage]()
-        if now - self.announced_at_ms >= self.limits.announce_interval_ms:
-            top = self.queue.highest_priorities(now, max(1, int(self.limits.dispatches_per_second)))
-            if top and top[0] >= self.peer_queues.watermark(now, alive) - self.order_slack:
-                self.set_demand(
-                    self.peer_queues.own_share(now, alive, top, max(1, int(self.limits.dispatches_per_second)))
-                )
-            words = self.announce(now, top)
-        return actions, words
-
-    def dispatch_ready(self, now: float, alive: list[int]) -> list[SchedulingAction]:
-        """Fingerprints are claimed first: a right that waits for an answer would be lost to those that need none."""
-        out: list[SchedulingAction] = []
-        while self.blocked and self.blocked[0][0] <= now:
-            _, number = self.blocked.popleft()
-            if (job := self.queue.jobs.get(number)) and job.state == BLOCKED:
-                self.queue.make_ready(job)
-        water, counted = self.peer_queues.watermark(now, alive), tuple(self.peer_queues.observed_peers(now, alive))
-        while len(out) < self.limits.max_dispatches_per_tick:
-            best = self.queue.highest(now)
-            if best is None or best[0] < water - self.order_slack:
+    def on_set_change(self, class_number: int, release_set: int, *, is_served: bool, is_boosted: bool) -> None:
+        """Tell jobs of a class and release set whether a host serves them and whether they hold up its retirement."""
+        for number in list(self.queue.jobs_by_set.get(release_set, ())):
+            job = self.queue.jobs[number]
+            if job.job_class == class_number:
+                self.queue.on_set_change(job, is_served=is_served, is_boosted=is_boosted)
+
+    def tick(self, now_ms: float, alive_peers: Iterable[int]) -> TickResult:
+        """Dispatch what may go, and announce the queue when it is due; call it every 50 ms or so.
+
+        `alive_peers` are the controllers that the membership counts as alive.
+        """
+        alive_peers = [peer for peer in alive_peers if peer in self.peers]
+        actions = self.dispatch_ready(now_ms, alive_peers)
+        if now_ms - self.announced_at_ms < self.limits.announce_interval_ms:
+            return TickResult(actions, [])
+        jobs_per_second = max(1, int(self.limits.dispatches_per_second))
+        priorities = self.queue.highest_priorities(now_ms, jobs_per_second)
+        if priorities and priorities[0] >= self.peer_queues.watermark(now_ms, alive_peers) - self.order_slack:
+            self.set_demand(self.peer_queues.own_share(now_ms, alive_peers, priorities, jobs_per_second))
+        return TickResult(actions, self._announce(now_ms, priorities))
+
+    def dispatch_ready(self, now_ms: float, alive_peers: list[int]) -> list[SchedulingAction]:
+        """Dispatch jobs in order while they are above the watermark and permits are free.
+
+        Idempotency keys are claimed before a permit is taken: one that waits for an answer would be lost to jobs that
+        need none.
+        """
+        self._unblock(now_ms)
+        actions: list[SchedulingAction] = []
+        min_priority = self.peer_queues.watermark(now_ms, alive_peers) - self.order_slack
+        observed_peers = tuple(self.peer_queues.observed_peers(now_ms, alive_peers))
+        while len(actions) < self.limits.max_dispatches_per_tick:
+            highest = self.queue.highest(now_ms)
+            if highest is None or highest.effective_priority < min_priority:
                 self.starved_since_ms = None
                 break
-            standing, job = best
+            priority, job = highest
             if job.idempotency_key and not job.has_claim:
                 if self.claims_in_flight >= self.limits.max_claims_in_flight:
                     break
-                out += [ask] if (ask := self.start_claim(now, job)) else []
+                claim = self.start_claim(job)
+                if claim is not None:
+                    actions.append(claim)
                 continue
             if not self.take_permit():
-                self.starved_since_ms = now if self.starved_since_ms is None else self.starved_since_ms
+                if self.starved_since_ms is None:
+                    self.starved_since_ms = now_ms
                 break
             self.starved_since_ms = None
-            out.append(self.dispatch(now, job, standing, counted))
-        return out
+            actions.append(self.dispatch(now_ms, job, priority, observed_peers))
+        return actions
+
+    def _unblock(self, now_ms: float) -> None:
+        """Let jobs take part in the order again whose key could not be claimed a while ago."""
+        while self.blocked and self.blocked[0].until_ms <= now_ms:
+            job = self.queue.jobs.get(self.blocked.popleft().number)
+            if job is not None and job.state is JobState.BLOCKED:
+                self.queue.make_ready(job)
 
-    def dispatch(self, now: float, job: Job, standing: float, counted: tuple[int, ...]) -> Dispatch:
+    def dispatch(self, now_ms: float, job: Job, effective_priority: float, observed_peers: tuple[int, ...]) -> Dispatch:
+        """Take the job out of the queue to be sent."""
         self.remove(job.proxy, job.ticket)
         self.dispatched_count += 1
-        self.longest_wait_ms = max(self.longest_wait_ms, now - job.waiting_since_ms)
-        return Dispatch(job, standing, counted)
+        self.longest_wait_ms = max(self.longest_wait_ms, now_ms - job.waiting_since_ms)
+        return Dispatch(job, effective_priority, observed_peers)
 
-    def start_claim(self, now: float, job: Job) -> ClaimKey | None:
-        """Whether its fingerprint is its own is to be asked. Also out of its turn: it is somebody's already."""
-        if self.tickets.get((job.proxy, job.ticket)) is not job or job.state == CLAIMING:
+    def start_claim(self, job: Job) -> ClaimKey | None:
+        """Begin to claim the idempotency key of a job; None if the job is gone or its claim is out already."""
+        if not self._is_queued(job) or job.state is JobState.CLAIMING:
             return None
-        self.queue.make_unready(job, CLAIMING)
+        self.queue.make_unready(job, JobState.CLAIMING)
         self.claims_in_flight += 1
         return ClaimKey(job)
 
-    def on_claim_result(self, now: float, job: Job, granted: bool, twin: bool) -> bool:
-        """What came of a claim. Neither: nobody could say; it stands aside for a while, so that others can go. True if
-        the fingerprint is to be given back: only where its client gave up. One whose link was lost is handed to another
-        steward, who is granted the same claim, and may have let it go."""
-        if self.tickets.get((job.proxy, job.ticket)) is not job or job.state != CLAIMING:
-            return granted and job.is_abandoned
-        if twin:
+    def on_claim_result(self, now_ms: float, job: Job, outcome: ClaimOutcome) -> bool:
+        """Take the answer to a claim; True if the claim must be given back.
+
+        It must only where the client gave the job up. A job whose proxy was lost is handed to another controller, which
+        is granted the same claim and may have dispatched the job. A job with an unknown outcome stands aside for a
+        while, so that others can go.
+        """
+        if not self._is_queued(job) or job.state is not JobState.CLAIMING:
+            return outcome is ClaimOutcome.GRANTED and job.is_abandoned
+        if outcome is ClaimOutcome.DUPLICATE:
             self.remove(job.proxy, job.ticket)
             return False
         self.claims_in_flight -= 1
-        job.has_claim = granted
-        if granted:
+        job.has_claim = outcome is ClaimOutcome.GRANTED
+        if job.has_claim:
             self.queue.make_ready(job)
         else:
-            job.state = BLOCKED
-            self.blocked.append((now + self.limits.blocked_ms, job.number))
+            job.state = JobState.BLOCKED
+            self.blocked.append(BlockedJob(now_ms + self.limits.blocked_ms, job.number))
         return False
 
-    def announce(self, now: float, top: list[float]) -> list[OutgoingMessage]:
-        """What waits here and could go. One without rights for long holds nobody up with what it has."""
-        self.announced_at_ms = now
+    def _is_queued(self, job: Job) -> bool:
+        return self.tickets.get((job.proxy, job.ticket)) is job
+
+    def _announce(self, now_ms: float, priorities: list[float]) -> list[OutgoingMessage]:
+        """Tell the peers what waits here and could go; a controller long without permits announces no jobs."""
+        self.announced_at_ms = now_ms
         self.round += 1
-        dry = self.is_starved = (
-            self.starved_since_ms is not None and now - self.starved_since_ms > self.limits.blocked_ms
-        )
-        rows = [] if dry else self.queue.summarize(now, MAX_ROWS)
-        levels = [] if dry else [int(top[k] * 1000.0) for k in (2**n - 1 for n in range(MAX_LEVELS)) if k < len(top)]
-        word = QueueSummary(self.incarnation, self.round, rows, levels, len(self.queue.jobs))
-        return [OutgoingMessage(n, word) for n in self.peers]
-
-    def on_summary(self, now: float, sender: int, word: QueueSummary) -> None:
-        if self.rate_limits.take(sender, now):
-            self.peer_queues.on_summary(now, sender, word)
+        starved_since_ms = self.starved_since_ms
+        self.is_starved = starved_since_ms is not None and now_ms - starved_since_ms > self.limits.blocked_ms
+        groups: list[QueueRow] = []
+        levels: list[int] = []
+        if not self.is_starved:
+            groups = self.queue.summarize(now_ms, MAX_ROWS)
+            levels = sample_levels(priorities)
+        summary = QueueSummary(self.incarnation, self.round, groups, levels, len(self.queue.jobs))
+        return [OutgoingMessage(peer, summary) for peer in self.peers]
+
+    def on_summary(self, now_ms: float, sender: int, summary: QueueSummary) -> None:
+        """Take the summary of another controller, within the rate that it may send."""
+        if self.rate_limits.take(sender, now_ms):
+            self.peer_queues.on_summary(now_ms, sender, summary)
         else:
             self.peer_queues.rejected_count += 1
-
-    def status(self, now: float, alive: Iterable[int]) -> dict[str, Any]:
-        """What the door shows."""
-        alive = [n for n in alive if n in self.peers]
-        best, water = self.queue.highest(now), self.peer_queues.watermark(now, alive)
-        oldest: dict[str, float] = {}
-        for _, job in self.queue.oldest_by_group(now):
-            name = self.job_classes[job.job_class].name
-            oldest[name] = max(oldest.get(name, 0.0), round(now - job.waiting_since_ms, 1))
-        return {
-            "waiting": {k.name: n for k, n in zip(self.job_classes, self.queue.counts_by_class, strict=True)},
-            "oldest_ms": oldest,
-            "highest_here": round(best[0], 3) if best else None,
-            "waterline_elsewhere": round(water, 3) if water > float("-inf") else None,
-            "counted": self.peer_queues.observed_peers(now, alive),
-            "waiting_elsewhere": self.peer_queues.total_jobs(now, alive),
-            "claiming": self.claims_in_flight,
-            "ready": sum(self.queue.ready_counts.values()),
-            "gone": int(self.dispatched_count),
-            "refused": int(self.rejected_count),
-            "longest_ms": round(self.longest_wait_ms, 1),
-        }
--- a/corallanding/scheduling/idempotency.py
+++ b/corallanding/scheduling/idempotency.py
@@ -1,65 +1,120 @@
-"""A fingerprint goes once: records of jobs that clients may bring again elsewhere, and of sessions. Pure.
+"""Idempotency records: of jobs that clients may bring again at another controller, and of proxies' sessions.
 
-A record begins as waiting, and its age is the job's, wherever the job comes again; it ends as its owner's, who may let
-it go. Two owners can never both be told so.
+The record of a key begins without an owner and keeps the time since when its job has waited, wherever the job comes
+again. It ends as the record of one owner, who may dispatch the job: two owners are never both granted it.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from enum import IntEnum
 
-from ..quorum_records.messages import FULL as NO_ROOM
+from ..quorum_records.messages import FULL as RECORDS_FULL
+from ..quorum_records.proposer import ProposedRecord, Proposer
 from ..quorum_records.queries import Outcome, Queries
+from .actions import ClaimOutcome
 from .queue import Job
 
-SEEK, CLAIM, BACK = range(3)  # what is asked: how old it is, whether it may go, that it has not gone and will not
-NOT_NOW, FOUND, GRANTED, TWIN, FULL = range(5)  # what is told
-WAITING = 1  # the value of a record that nobody owns
+NO_OWNER = 1  # the value of a record that nobody has claimed
+NO_VALUE = 0  # in an answer that has none
+
+
+class KeyQuery(IntEnum):
+    """What is asked about a key. The numbers are on the wire."""
+
+    AGE = 0  # since when its job has waited
+    CLAIM = 1  # whether the job may go
+    RELEASE = 2  # the claim was granted, and the job has not gone and will not
+
+
+class KeyStatus(IntEnum):
+    """What a query on a key is answered. The numbers are on the wire."""
+
+    UNAVAILABLE = 0  # no majority could answer in time
+    UNCLAIMED = 1
+    GRANTED = 2
+    DUPLICATE = 3  # another owner has claimed the key
+    FULL = 4  # there is no room for the record
 
 
 class IdempotencyRecords:
-    """groups: of records, the same at all stewards."""
-
-    def __init__(self, asking: Queries, groups: tuple[int, ...]) -> None:
-        self.queries, self.groups, self.records = asking, groups, asking.records
-        self.clock: Callable[[], float] = lambda: 0.0
-        asking.serve(groups, self.on_query, self.on_write_denied)
-
-    def query_age(self, now: float, key: int, waited: float) -> int:
-        return self.queries.ask(now, self.groups[key % len(self.groups)], key, SEEK, int(max(0.0, waited)))
-
-    def query_claim(self, now: float, job: Job, owner: int) -> int:
-        """owner: a number of that ticket's own, above 1, the same if it comes again through another steward."""
-        return self.queries.ask(
-            now, self.groups[job.idempotency_key % len(self.groups)], job.idempotency_key, CLAIM, owner
-        )
-
-    def query_release(self, now: float, job: Job, owner: int) -> int:
-        """Granted, and surely never sent: its client may bring it again."""
-        return self.queries.ask(
-            now, self.groups[job.idempotency_key % len(self.groups)], job.idempotency_key, BACK, owner
-        )
-
-    def on_query(self, now: float, group: int, key: int, kind: int, more: int) -> Outcome | None:
-        writer = self.records.held[group]
-        entry = writer.get(key)
-        if entry is None:
-            if kind == BACK:
-                return FOUND, 0
-            writer.write(now, key, *((WAITING, now - more) if kind == SEEK else (more, now)))
-            return None
-        if not writer.confirm(now, key):
+    """Sends queries on keys, and answers them for the record groups that this controller holds.
+
+    `groups` are the record groups over which keys are spread, the same at all controllers.
+    """
+
+    def __init__(self, queries: Queries, groups: tuple[int, ...]) -> None:
+        self.queries = queries
+        self.groups = groups
+        self.records = queries.records
+        queries.serve(groups, self.on_query, self.on_write_denied)
+
+    def query_age(self, now_ms: float, key: int, waited_ms: float) -> int:
+        """Ask since when the job of the key has waited, which is `waited_ms` if it is new; returns the answer's number.
+
+        The answer has `UNCLAIMED` or `DUPLICATE` and the age in ms.
+        """
+        return self._ask(now_ms, key, KeyQuery.AGE, int(max(0.0, waited_ms)))
+
+    def query_claim(self, now_ms: float, job: Job, owner: int) -> int:
+        """Ask whether the job may go; returns the answer's number.
+
+        `owner` is a number above `NO_OWNER` of that ticket alone, the same at all controllers.
+        """
+        return self._ask(now_ms, job.idempotency_key, KeyQuery.CLAIM, owner)
+
+    def query_release(self, now_ms: float, job: Job, owner: int) -> int:
+        """Give back a claim whose job was never sent, so that its client may bring it again."""
+        return self._ask(now_ms, job.idempotency_key, KeyQuery.RELEASE, owner)
+
+    def _ask(self, now_ms: float, key: int, kind: KeyQuery, argument: int) -> int:
+        return self.queries.ask(now_ms, self.groups[key % len(self.groups)], key, kind, argument)
+
+    def on_query(self, now_ms: float, group: int, key: int, kind: int, argument: int) -> Outcome | None:
+        """Answer a query as the holder of the key's group; None until a majority has what the answer says.
+
+        `argument` is the age in ms for `KeyQuery.AGE`, else the owner.
+        """
+        proposer = self.records.held[group]
+        record = proposer.get(key)
+        if record is None:
+            return self._begin(now_ms, proposer, key, kind, argument)
+        if not proposer.confirm(now_ms, key):
             return None
-        if kind == BACK:
-            if entry.value == more:
-                writer.write(now, key, WAITING, entry.born, first=False)
-            return FOUND, 0
-        if kind == SEEK:
-            return (FOUND if entry.value == WAITING else TWIN), int(now - entry.born)
-        if entry.value == WAITING:
-            writer.write(now, key, more, entry.born, first=False)
+        if kind == KeyQuery.RELEASE:
+            if record.value == argument:
+                proposer.write(now_ms, key, NO_OWNER, record.born, first=False)
+            return KeyStatus.UNCLAIMED, NO_VALUE
+        if kind == KeyQuery.AGE:
+            status = KeyStatus.UNCLAIMED if record.value == NO_OWNER else KeyStatus.DUPLICATE
+            return status, int(now_ms - record.born)
+        return self._claim(now_ms, proposer, key, record, argument)
+
+    def _begin(self, now_ms: float, proposer: Proposer, key: int, kind: int, argument: int) -> Outcome | None:
+        """Begin to write the record of a new key; there is nothing to release yet."""
+        if kind == KeyQuery.RELEASE:
+            return KeyStatus.UNCLAIMED, NO_VALUE
+        if kind == KeyQuery.AGE:
+            proposer.write(now_ms, key, NO_OWNER, now_ms - argument)
+        else:
+            proposer.write(now_ms, key, argument, now_ms)
+        return None
+
+    def _claim(self, now_ms: float, proposer: Proposer, key: int, record: ProposedRecord, owner: int) -> Outcome | None:
+        if record.value == NO_OWNER:
+            proposer.write(now_ms, key, owner, record.born, first=False)
             return None
-        return (GRANTED if entry.value == more else TWIN), 0
+        status = KeyStatus.GRANTED if record.value == owner else KeyStatus.DUPLICATE
+        return status, NO_VALUE
+
+    def on_write_denied(self, reason: int) -> Outcome | None:
+        """A majority did not accept the record: with None the query is handled anew."""
+        return (KeyStatus.FULL, NO_VALUE) if reason == RECORDS_FULL else None
+
 
-    def on_write_denied(self, why: int) -> Outcome | None:
-        return (FULL, 0) if why == NO_ROOM else None
+def claim_outcome(status: int) -> ClaimOutcome:
+    """What the answer to a claim says; an answer that is none counts as unknown."""
+    if status == KeyStatus.GRANTED:
+        return ClaimOutcome.GRANTED
+    if status == KeyStatus.DUPLICATE:
+        return ClaimOutcome.DUPLICATE
+    return ClaimOutcome.UNKNOWN
--- a/corallanding/scheduling/limits.py
+++ b/corallanding/scheduling/limits.py
@@ -1,16 +1,20 @@
-"""How operations wait, and what stewards tell each other of it. ms."""
+"""How jobs of each class age, and limits of scheduling."""
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import dataclass
 
-OVERDUE_PRIORITY = 1e6  # added to the standing of a job that has waited for as long as it may
+OVERDUE_PRIORITY = 1e6  # added to the priority of a job that has waited for `max_wait_ms`
 
 
 @dataclass(frozen=True)
 class JobClass:
-    """An operation that may wait. priority: its standing at the beginning. patience: ms of waiting that are worth one
-    priority. most: the longest that a job may wait. jobs: that one steward holds."""
+    """A request class whose requests may wait.
+
+    A job begins with `priority` and gains one for every `aging_interval_ms` of waiting. It shall not wait for longer
+    than `max_wait_ms`. One controller holds at most `max_jobs` jobs of the class.
+    """
 
     name: str
     priority: float = 0.0
@@ -18,19 +22,23 @@
     max_wait_ms: float = 600_000.0
     max_jobs: int = 100_000
 
-    def effective_priority(self, waited: float, rise: float = 0.0) -> float:
-        """A job that is over its time goes before all that are not, the oldest first."""
-        own = self.priority + rise + max(0.0, waited) / self.aging_interval_ms
-        return own + (OVERDUE_PRIORITY if waited >= self.max_wait_ms else 0.0)
+    def effective_priority(self, waited_ms: float, boost: float = 0.0) -> float:
+        """The priority after `waited_ms`; overdue jobs go before all others, the oldest first."""
+        aged = self.priority + boost + max(0.0, waited_ms) / self.aging_interval_ms
+        return aged + (OVERDUE_PRIORITY if waited_ms >= self.max_wait_ms else 0.0)
 
 
 @dataclass(frozen=True)
 class SchedulingLimits:
-    """tell: between two words to the others. stale: without a word for so long, another steward is not waited for.
-    slack: ms of waiting by which a job may go before one that stands higher elsewhere. hold: for how long a steward
-    without rights to release holds up the others with what it has. rise: priorities that a job gains while its run
-    keeps a set from being retired. rate: releases a second of the whole fleet. batch: releases in one turn. claims:
-    fingerprints that may be asked for at once."""
+    """Limits of scheduling; the same at all controllers.
+
+    A controller sends a summary of its queue every `announce_interval_ms`; one without a summary for `peer_timeout_ms`
+    is not waited for. A job may go before another one elsewhere whose priority is higher by up to `order_slack_ms` of
+    waiting. For `blocked_ms` a controller without permits still holds up the others, and a job whose idempotency key
+    could not be claimed stands aside. Jobs whose run keeps a release set from retirement gain `retirement_boost`
+    priorities. The fleet dispatches `dispatches_per_second`; one controller at most `max_dispatches_per_tick`, with
+    `max_claims_in_flight` claims that are not answered.
+    """
 
     announce_interval_ms: float = 100.0
     peer_timeout_ms: float = 1_000.0
@@ -40,3 +48,8 @@
     dispatches_per_second: float = 10.0
     max_dispatches_per_tick: int = 64
     max_claims_in_flight: int = 256
+
+    def order_slack(self, job_classes: Iterable[JobClass]) -> float:
+        """`order_slack_ms` in priorities, by the class that ages fastest."""
+        min_aging_interval_ms = min((job_class.aging_interval_ms for job_class in job_classes), default=1.0)
+        return self.order_slack_ms / min_aging_interval_ms
--- a/corallanding/scheduling/messages.py
+++ b/corallanding/scheduling/messages.py
@@ -1,27 +1,78 @@
-"""The word between stewards on what waits: a msgpack array within one datagram."""
+"""The message between controllers on queued jobs: a msgpack array within one datagram."""
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+from typing import NamedTuple
+
+import msgspec
+
 from ..lease.messages import ControllerMessage
 
-MAX_ROWS = 10
-MAX_LEVELS = 12
-QueueRow = tuple[int, int, int]  # class, ms that its oldest job has waited, jobs
+MAX_ROWS = 10  # groups of jobs in one summary
+MAX_LEVELS = 12  # priorities in one summary: those of the first 2**11 jobs
+LEVELS_PER_PRIORITY = 1_000.0  # priorities are sent in thousandths
+LEVEL_RANKS = tuple(2**exponent - 1 for exponent in range(MAX_LEVELS))  # of the jobs whose priorities are sent
+
+INCARNATION_LIMIT = 1 << 63
+ROUND_LIMIT = 1 << 53
+GROUP_LIMIT = 1 << 12
+COUNT_LIMIT = 1 << 40
+WAITED_LIMIT_MS = 1 << 40
+LEVEL_LIMIT = 1 << 50
+
+
+class QueueRow(NamedTuple):
+    """The ready jobs of one group, see `group_of`. `oldest_waited_ms` is how long the oldest of them has waited."""
+
+    group: int
+    oldest_waited_ms: int
+    job_count: int
 
 
 class QueueSummary(ControllerMessage, frozen=True, array_like=True, tag=41):
-    """Classes of jobs that could go at once, the highest standing first. levels: standings of the first, second, fourth
-    ... of these jobs, in thousandths. total: all jobs, those among them that cannot go now."""
+    """What waits at a controller.
+
+    `groups` are those with ready jobs, the highest effective priority first. `priority_levels` are the priorities, in
+    thousandths, of the first, second, fourth, eighth ... ready job. `job_count` counts all jobs, ready or not.
+    """
 
-    groups: list[QueueRow] = []
-    priority_levels: list[int] = []
+    groups: list[QueueRow] = msgspec.field(default_factory=list)
+    priority_levels: list[int] = msgspec.field(default_factory=list)
     job_count: int = 0
 
 
-def is_valid(word: QueueSummary) -> bool:
-    """Whether its fields can be meant."""
-    if not (0 <= word.life < 1 << 63 and 0 <= word.round < 1 << 53 and 0 <= word.job_count < 1 << 40):
+def group_of(job_class: int, is_boosted: bool) -> int:
+    """The group of jobs that age alike: those of one class, apart by whether they have the retirement boost."""
+    return job_class * 2 + is_boosted
+
+
+def class_of_group(group: int) -> int:
+    """The job class of a group."""
+    return group // 2
+
+
+def is_boosted_group(group: int) -> bool:
+    """Whether jobs of the group have the retirement boost."""
+    return bool(group & 1)
+
+
+def sample_levels(priorities: Sequence[float]) -> list[int]:
+    """The `QueueSummary.priority_levels` of jobs whose priorities are given in descending order."""
+    return [int(priorities[rank] * LEVELS_PER_PRIORITY) for rank in LEVEL_RANKS if rank < len(priorities)]
+
+
+def is_valid(message: QueueSummary) -> bool:
+    """Whether the fields of a message lie within what a correct controller sends."""
+    if not (0 <= message.life < INCARNATION_LIMIT and 0 <= message.round < ROUND_LIMIT):
+        return False
+    if not 0 <= message.job_count < COUNT_LIMIT:
+        return False
+    if len(message.groups) > MAX_ROWS or len(message.priority_levels) > MAX_LEVELS:
+        return False
+    if not all(-LEVEL_LIMIT < level < LEVEL_LIMIT for level in message.priority_levels):
         return False
-    rows = all(0 <= c < 1 << 12 and 0 <= waited < 1 << 40 and 0 < n < 1 << 40 for c, waited, n in word.groups)
-    levels = all(-(1 << 50) < level < 1 << 50 for level in word.priority_levels)
-    return rows and levels and len(word.groups) <= MAX_ROWS and len(word.priority_levels) <= MAX_LEVELS
+    return all(
+        0 <= group < GROUP_LIMIT and 0 <= waited_ms < WAITED_LIMIT_MS and 0 < count < COUNT_LIMIT
+        for group, waited_ms, count in message.groups
+    )
--- a/corallanding/scheduling/peer_queues.py
+++ b/corallanding/scheduling/peer_queues.py
@@ -1,4 +1,4 @@
-"""What the other stewards have waiting, by their last words: who must be let go first. Pure."""
+"""The queues of the other controllers, as their last summaries tell."""
 
 from __future__ import annotations
 
@@ -7,12 +7,14 @@
 from dataclasses import dataclass, field
 
 from .limits import JobClass
-from .messages import QueueRow, QueueSummary
+from .messages import LEVELS_PER_PRIORITY, QueueRow, QueueSummary, class_of_group, is_boosted_group
+
+NOTHING_WAITS = float("-inf")  # the watermark where no other controller has a ready job
 
 
 @dataclass
 class PeerQueue:
-    """at: when it was last heard, by our clock."""
+    """The last summary of one controller; `received_at_ms` is on this controller's clock."""
 
     received_at_ms: float
     incarnation: int
@@ -23,63 +25,89 @@
 
 
 class PeerQueues:
-    """stale: ms. What one was heard to have waiting is reckoned to have grown older with our clock: late by the word's
-    way and the drift, never early by more than the drift."""
+    """The queues of all other controllers.
+
+    What was in a summary is taken to have aged on this controller's clock since then: it is behind by the time that the
+    message took, and ahead by no more than the drift of the clocks. A controller without a summary for
+    `peer_timeout_ms` is left out.
+    """
 
-    def __init__(self, kinds: Sequence[JobClass], rise: float, stale: float) -> None:
-        self.job_classes, self.retirement_boost, self.peer_timeout_ms = kinds, rise, stale
+    def __init__(self, job_classes: Sequence[JobClass], retirement_boost: float, peer_timeout_ms: float) -> None:
+        self.job_classes = job_classes
+        self.retirement_boost = retirement_boost
+        self.peer_timeout_ms = peer_timeout_ms
         self.by_peer: dict[int, PeerQueue] = {}
         self.rejected_count = 0
 
-    def on_summary(self, now: float, sender: int, word: QueueSummary) -> None:
-        if any(group >= 2 * len(self.job_classes) for group, _, _ in word.groups):
-            self.rejected_count += 1  # it has other operations than we
+    def on_summary(self, now_ms: float, sender: int, summary: QueueSummary) -> None:
+        """Take a summary; one that is older than the last is passed over, one with other job classes is rejected."""
+        if any(class_of_group(group) >= len(self.job_classes) for group, _, _ in summary.groups):
+            self.rejected_count += 1
             return
-        old = self.by_peer.get(sender)
-        if old is None or old.incarnation != word.life or word.round > old.round:
+        last = self.by_peer.get(sender)
+        if last is None or last.incarnation != summary.life or summary.round > last.round:
             self.by_peer[sender] = PeerQueue(
-                now, word.life, word.round, list(word.groups), list(word.priority_levels), word.job_count
+                now_ms,
+                summary.life,
+                summary.round,
+                list(summary.groups),
+                list(summary.priority_levels),
+                summary.job_count,
             )
 
-    def observed_peers(self, now: float, alive: Iterable[int]) -> list[int]:
-        """Those that are waited for: alive, and heard of late."""
-        return [n for n in alive if n in self.by_peer and now - self.by_peer[n].received_at_ms <= self.peer_timeout_ms]
+    def observed_peers(self, now_ms: float, alive_peers: Iterable[int]) -> list[int]:
+        """The controllers that are waited for: alive, and with a recent summary."""
+        return [peer for peer in alive_peers if self._is_recent(now_ms, peer)]
 
-    def watermark(self, now: float, alive: Iterable[int]) -> float:
-        """The highest standing that waits at another; below all if none does."""
+    def _is_recent(self, now_ms: float, peer: int) -> bool:
+        queue = self.by_peer.get(peer)
+        return queue is not None and now_ms - queue.received_at_ms <= self.peer_timeout_ms
+
+    def watermark(self, now_ms: float, alive_peers: Iterable[int]) -> float:
+        """The highest effective priority that waits at another controller; `NOTHING_WAITS` if none does."""
+        queues = [self.by_peer[peer] for peer in self.observed_peers(now_ms, alive_peers)]
         return max(
-            (
-                self.effective_priority(now, o, row)
-                for n in self.observed_peers(now, alive)
-                if (o := self.by_peer[n])
-                for row in o.groups
-            ),
-            default=float("-inf"),
+            (self.effective_priority(now_ms, queue, row) for queue in queues for row in queue.groups),
+            default=NOTHING_WAITS,
         )
 
-    def effective_priority(self, now: float, other: PeerQueue, row: QueueRow) -> float:
-        group, waited, _ = row
-        rise = self.retirement_boost if group & 1 else 0.0
-        return self.job_classes[group // 2].effective_priority(waited + now - other.received_at_ms, rise)
+    def effective_priority(self, now_ms: float, queue: PeerQueue, row: QueueRow) -> float:
+        """The priority of the oldest job of a group, as it has aged until now."""
+        group, waited_ms, _ = row
+        boost = self.retirement_boost if is_boosted_group(group) else 0.0
+        job_class = self.job_classes[class_of_group(group)]
+        return job_class.effective_priority(waited_ms + now_ms - queue.received_at_ms, boost)
+
+    def own_share(self, now_ms: float, alive_peers: Iterable[int], own_priorities: Sequence[float], count: int) -> int:
+        """How many of the next `count` jobs of the fleet wait here.
 
-    def own_share(self, now: float, alive: Iterable[int], own: Sequence[float], rate: int) -> int:
-        """Of the next `rate` jobs of all, how many are ours. own: our highest standings, descending."""
-        elsewhere = [self.by_peer[n].priority_levels for n in self.observed_peers(now, alive)]
+        `own_priorities` are the highest ones of this controller, descending.
+        """
+        levels_of_peers = [self.by_peer[peer].priority_levels for peer in self.observed_peers(now_ms, alive_peers)]
 
-        def until(k: int) -> float:
-            """So many of all stand as high as our k-th, it among them: more with each k."""
-            return k + sum(estimate_jobs_above(levels, own[k - 1] * 1000.0) for levels in elsewhere)
+        def rank_in_fleet(own_rank: int) -> float:
+            """About how many jobs of the fleet go up to this controller's `own_rank`-th, itself included."""
+            level = own_priorities[own_rank - 1] * LEVELS_PER_PRIORITY
+            return own_rank + sum(estimate_jobs_above(levels, level) for levels in levels_of_peers)
 
-        return max(min(1, len(own)), bisect_right(range(1, min(len(own), rate) + 1), float(rate), key=until))
+        own_ranks = range(1, min(len(own_priorities), count) + 1)
+        return max(min(1, len(own_priorities)), bisect_right(own_ranks, float(count), key=rank_in_fleet))
 
-    def total_jobs(self, now: float, alive: Iterable[int]) -> int:
-        return sum(self.by_peer[n].job_count for n in self.observed_peers(now, alive))
+    def total_jobs(self, now_ms: float, alive_peers: Iterable[int]) -> int:
+        """How many jobs the observed controllers have."""
+        return sum(self.by_peer[peer].job_count for peer in self.observed_peers(now_ms, alive_peers))
 
 
 def estimate_jobs_above(levels: Sequence[int], level: float) -> float:
-    """About how many jobs stand above `level`, by the standings of the first, second, fourth, eighth ..."""
-    count = sum(x > level for x in levels)
-    if count in (0, len(levels)):
-        return float(1 << count >> 1)
-    high, low = levels[count - 1], levels[count]
-    return (1 << count >> 1) * (1.0 + (high - level) / max(high - low, 1))
+    """About how many jobs have a priority above `level`.
+
+    `levels` are the priorities of the first, second, fourth, eighth ... job; between two of them jobs are taken to be
+    spread evenly.
+    """
+    levels_above = sum(other > level for other in levels)
+    jobs_up_to_last = 1 << levels_above >> 1
+    if levels_above in (0, len(levels)):
+        return float(jobs_up_to_last)
+    high = levels[levels_above - 1]
+    low = levels[levels_above]
+    return jobs_up_to_last * (1.0 + (high - level) / max(high - low, 1))
--- a/tests/test_mutation.py
+++ b/tests/test_mutation.py
@@ -10,6 +10,7 @@
 import random
 from collections import Counter
 from collections.abc import Callable, Iterator
+from enum import IntEnum
 from typing import Any
 
 import msgspec
@@ -48,7 +49,8 @@
     """The word with one field at a time set to 0, -1, its bound, beyond it, or nothing."""
     for name in word.__struct_fields__:
         value = getattr(word, name)
-        others = (not value,) if isinstance(value, bool) else ODD[type(value)]
+        kind = int if isinstance(value, IntEnum) else type(value)
+        others = (not value,) if isinstance(value, bool) else ODD[kind]
         for other in others:
             if other != value:
                 yield msgspec.structs.replace(word, **{name: other})
@@ -210,8 +212,18 @@
     "waiting": set[Any](),
 }
 NEW = {
-    "runs": ("Accept", "AcceptReply", "Prepare", "PrepareReply", "Query", "QueryReply", "Settled", "Tally", "Tallied"),
-    "waiting": ("Line",),
+    "runs": (
+        "Accept",
+        "AcceptReply",
+        "Prepare",
+        "PrepareReply",
+        "Query",
+        "QueryReply",
+        "RegisterAnnouncement",
+        "RunCountQuery",
+        "RunCountReport",
+    ),
+    "waiting": ("QueueSummary",),
 }
 
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -13,7 +13,8 @@
 from corallanding.lab.stewards.waits import QUOTA, TERMS, WaitWorld, bound_of
 from corallanding.lab.stewards.world import troubled
 from corallanding.lab.uses import most
-from corallanding.scheduling.core import Dispatch, Scheduler
+from corallanding.scheduling.actions import Dispatch
+from corallanding.scheduling.core import Scheduler
 from corallanding.scheduling.limits import JobClass, SchedulingLimits
 from corallanding.scheduling.peer_queues import PeerQueues
 from corallanding.scheduling.queue import JobQueue
--- a/tests/test_waiting_core.py
+++ b/tests/test_waiting_core.py
@@ -11,8 +11,9 @@
 from corallanding.quorum_records.core import QuorumRecords
 from corallanding.quorum_records.limits import RecordLimits
 from corallanding.quorum_records.queries import Queries, QueryLimits
-from corallanding.scheduling.core import ClaimKey, Dispatch, Scheduler
-from corallanding.scheduling.idempotency import CLAIM, FOUND, GRANTED, SEEK, TWIN, IdempotencyRecords
+from corallanding.scheduling.actions import ClaimKey, ClaimOutcome, Dispatch, RejectionReason
+from corallanding.scheduling.core import Scheduler
+from corallanding.scheduling.idempotency import IdempotencyRecords, KeyQuery, KeyStatus
 from corallanding.scheduling.limits import OVERDUE_PRIORITY, JobClass, SchedulingLimits
 from corallanding.scheduling.messages import MAX_LEVELS, MAX_ROWS, QueueSummary, is_valid
 from corallanding.scheduling.peer_queues import PeerQueues, estimate_jobs_above
@@ -45,16 +46,18 @@
 
 def test_a_fingerprint_keeps_its_age_and_goes_to_one_owner() -> None:
     claims = alone()
-    assert asked(claims, 10.0, claims.query_age(10.0, 77, 400.0)) == (FOUND, 400)
-    assert asked(claims, 1_010.0, claims.query_age(1_010.0, 77, 0.0)) == (FOUND, 1_400), "brought again elsewhere"
+    assert asked(claims, 10.0, claims.query_age(10.0, 77, 400.0)) == (KeyStatus.UNCLAIMED, 400)
+    assert asked(claims, 1_010.0, claims.query_age(1_010.0, 77, 0.0)) == (KeyStatus.UNCLAIMED, 1_400), (
+        "brought again elsewhere"
+    )
     job = Job(1, 0, 3, 8, 0.0, idempotency_key=77)
-    assert asked(claims, 1_020.0, claims.query_claim(1_020.0, job, 500))[0] == GRANTED
-    assert asked(claims, 1_030.0, claims.query_claim(1_030.0, job, 501))[0] == TWIN
-    assert asked(claims, 1_040.0, claims.query_claim(1_040.0, job, 500))[0] == GRANTED, (
+    assert asked(claims, 1_020.0, claims.query_claim(1_020.0, job, 500))[0] == KeyStatus.GRANTED
+    assert asked(claims, 1_030.0, claims.query_claim(1_030.0, job, 501))[0] == KeyStatus.DUPLICATE
+    assert asked(claims, 1_040.0, claims.query_claim(1_040.0, job, 500))[0] == KeyStatus.GRANTED, (
         "its word was lost: it may go again"
     )
-    assert asked(claims, 1_050.0, claims.query_age(1_050.0, 77, 0.0))[0] == TWIN
-    assert (SEEK, CLAIM) == (0, 1)
+    assert asked(claims, 1_050.0, claims.query_age(1_050.0, 77, 0.0))[0] == KeyStatus.DUPLICATE
+    assert (KeyQuery.AGE, KeyQuery.CLAIM) == (0, 1)
 
 
 def test_two_claims_at_one_time_are_granted_once() -> None:
@@ -69,7 +72,7 @@
         claims.records.tick(500.0)
         claims.queries.decided(500.0)
     ends = {t.number: t.what for t in claims.queries.take(5)}
-    assert sorted(ends.values()) == [GRANTED, TWIN]
+    assert sorted(ends.values()) == [KeyStatus.GRANTED, KeyStatus.DUPLICATE]
     assert set(ends) == {first, second}
 
 
@@ -81,15 +84,16 @@
 def test_a_full_table_refuses_the_new_by_name_and_throws_out_none() -> None:
     w = held()
     for k in range(3):
-        assert w.admit(0.0, [], 1, k, 0, 0.0)[1] == ""
-    assert w.admit(0.0, [], 1, 9, 0, 0.0)[1] == "full"
+        assert w.admit(0.0, [], 1, k, 0, 0.0).rejection is None
+    assert w.admit(0.0, [], 1, 9, 0, 0.0).rejection == RejectionReason.FULL
     assert len(w.queue.jobs) == 3
-    assert w.admit(0.0, [], 1, 2, 0, 0.0)[1] == "", "one that it has is the same job"
+    assert w.admit(0.0, [], 1, 2, 0, 0.0).rejection is None, "one that it has is the same job"
     w = held(dispatches_per_second=0.05)
-    assert w.admit(0.0, [], 1, 1, 1, 0.0)[1] == ""
-    job, why, longest = w.admit(0.0, [], 1, 2, 1, 0.0)
-    assert job is None and why == "too-long" and longest == 40_000.0, "it is told so when it is taken in"
-    assert w.admit(0.0, [], 1, 3, 1, 9_000.0)[1] == "", "one that is handed on is never sent away for that"
+    assert w.admit(0.0, [], 1, 1, 1, 0.0).rejection is None
+    rejected = w.admit(0.0, [], 1, 2, 1, 0.0)
+    assert rejected == (None, RejectionReason.TOO_LONG, 40_000.0), "it is told so when it is taken in"
+    assert [reason.value for reason in RejectionReason] == ["full", "too-long"]
+    assert w.admit(0.0, [], 1, 3, 1, 9_000.0).rejection is None, "one that is handed on is never sent away for that"
 
 
 def test_of_several_patiences_the_order_is_that_of_the_instant() -> None:
@@ -103,39 +107,39 @@
 
 def test_jobs_without_a_host_stand_aside_and_those_that_keep_a_set_alive_rise() -> None:
     w = held(retirement_boost=5.0)
-    w.admit(0.0, [], 1, 1, 1, 0.0, set=3)
+    w.admit(0.0, [], 1, 1, 1, 0.0, release_set=3)
     w.admit(0.0, [], 1, 2, 1, 500.0)
-    w.on_set_change(1, 3, False, False)
+    w.on_set_change(1, 3, is_served=False, is_boosted=False)
     assert [s.ticket for _, s in w.queue.oldest_by_group(100.0)] == [2]
     assert w.queue.summarize(100.0, 9) == [(2, 600, 1)]
-    w.on_set_change(1, 3, True, True)
+    w.on_set_change(1, 3, is_served=True, is_boosted=True)
     standing, job = w.queue.highest(100.0)  # type: ignore[misc]
     assert job.ticket == 1
     assert standing == 5.1
-    w.on_set_change(1, 3, True, False)
+    w.on_set_change(1, 3, is_served=True, is_boosted=False)
     assert w.queue.highest(100.0)[1].ticket == 2  # type: ignore[index]
 
 
 def test_a_fingerprinted_job_is_asked_for_before_it_goes_and_stands_aside_if_nobody_can_say() -> None:
     w = held(blocked_ms=400.0)
-    w.admit(0.0, [], 1, 1, 0, 0.0, key=7)
+    w.admit(0.0, [], 1, 1, 0, 0.0, idempotency_key=7)
     w.admit(0.0, [], 1, 2, 1, 0.0)
     (ask, other), _ = w.tick(50.0, [])
     assert isinstance(ask, ClaimKey) and ask.job.ticket == 1 and isinstance(other, Dispatch), (
         "one that needs no answer goes on"
     )
-    w.on_claim_result(150.0, ask.job, False, False)
+    w.on_claim_result(150.0, ask.job, ClaimOutcome.UNKNOWN)
     assert w.tick(200.0, [])[0] == []
     assert w.tick(500.0, [])[0] == []
     (again,), _ = w.tick(600.0, [])
     assert isinstance(again, ClaimKey)
-    w.on_claim_result(650.0, again.job, True, False)
+    w.on_claim_result(650.0, again.job, ClaimOutcome.GRANTED)
     (go,), _ = w.tick(700.0, [])
     assert isinstance(go, Dispatch)
     assert not w.tickets
     assert not w.queue.jobs
     assert w.claims_in_flight == 0
-    w.on_claim_result(760.0, again.job, True, False)
+    w.on_claim_result(760.0, again.job, ClaimOutcome.GRANTED)
     assert w.tick(800.0, [])[0] == [], "said twice"
 
 
@@ -143,18 +147,20 @@
     spent = []
     w = Scheduler((2,), 1, (JobClass("k"),), SchedulingLimits(), 0.0, lambda: spent.append(1) is None, lambda n: None)
     for ticket in range(5):
-        w.admit(0.0, [], 1, ticket, 0, 0.0, key=10 + ticket)
+        w.admit(0.0, [], 1, ticket, 0, 0.0, idempotency_key=10 + ticket)
     assert len(w.tick(50.0, [])[0]) == 5
     assert not spent
 
 
 def test_a_claim_that_came_to_nothing_is_given_back() -> None:
     claims, job = alone(), Job(1, 0, 3, 8, 0.0, idempotency_key=77)
-    assert asked(claims, 10.0, claims.query_claim(10.0, job, 500))[0] == GRANTED
-    assert asked(claims, 20.0, claims.query_release(20.0, job, 501))[0] == FOUND, "another's is not given back"
-    assert asked(claims, 30.0, claims.query_claim(30.0, job, 600))[0] == TWIN
-    assert asked(claims, 40.0, claims.query_release(40.0, job, 500))[0] == FOUND
-    assert asked(claims, 50.0, claims.query_claim(50.0, job, 600))[0] == GRANTED
+    assert asked(claims, 10.0, claims.query_claim(10.0, job, 500))[0] == KeyStatus.GRANTED
+    assert asked(claims, 20.0, claims.query_release(20.0, job, 501))[0] == KeyStatus.UNCLAIMED, (
+        "another's is not given back"
+    )
+    assert asked(claims, 30.0, claims.query_claim(30.0, job, 600))[0] == KeyStatus.DUPLICATE
+    assert asked(claims, 40.0, claims.query_release(40.0, job, 500))[0] == KeyStatus.UNCLAIMED
+    assert asked(claims, 50.0, claims.query_claim(50.0, job, 600))[0] == KeyStatus.GRANTED
 
 
 def test_a_million_jobs_stay_in_order_and_a_word_stays_within_a_datagram() -> None:
@@ -206,11 +212,11 @@
     its fingerprint then would let a second ticket go as well."""
     for ended in (True, False):
         w = held()
-        w.admit(0.0, [], 1, 1, 0, 0.0, key=7)
+        w.admit(0.0, [], 1, 1, 0, 0.0, idempotency_key=7)
         (ask,), _ = w.tick(50.0, [])
         if ended:
-            w.remove(1, 1, ended=True)
+            w.remove(1, 1, is_abandoned=True)
         else:
             w.on_proxy_left(1)
         assert isinstance(ask, ClaimKey)
-        assert w.on_claim_result(100.0, ask.job, True, False) is ended
+        assert w.on_claim_result(100.0, ask.job, ClaimOutcome.GRANTED) is ended
