--- a/corallanding/admin/__init__.py
+++ b/corallanding/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP door: health, metrics and tables, read only (`door`)."""
+"""The admin server: health, metrics and tables over HTTP, read only (`http_server`)."""
--- a/corallanding/admin/http_server.py
+++ b/corallanding/admin/http_server.py
@@ -1,5 +1,8 @@
-"""The HTTP door, by aiohttp's server. GET and HEAD only; what aiohttp leaves open is bounded here: connections, the
-bytes of a request's head, and the time that a request or a connection without one may take."""
+"""The admin server, on aiohttp's server: GET and HEAD only.
+
+What aiohttp leaves open is bounded here: connections, the bytes of a request's head, and the time that a request, or a
+connection without one, may take.
+"""
 
 from __future__ import annotations
 
@@ -15,6 +18,8 @@
 
 @dataclass(frozen=True)
 class HttpResponse:
+    """What a path answers. status: of HTTP."""
+
     status: int
     body: bytes
     content_type: str = "application/json"
@@ -24,93 +29,117 @@
 
 
 def error_response(status: int, text: str) -> HttpResponse:
-    return HttpResponse(status, f"{text}\n".encode(), "text/plain")
+    """An error as one line of plain text."""
+    return HttpResponse(int(status), f"{text}\n".encode(), "text/plain")
 
 
 class AdminServer(web.Server):
-    """routes: path to a function that answers. Limits may be changed by a reload; within: ms. Made inside the loop."""
+    """Answers each path by its route; made inside the event loop.
 
-    def __init__(self, routes: dict[str, Route], connections: int, header_most: int, within: float) -> None:
+    routes: path to the function that answers. max_connections: at one time. max_header_bytes: of a request.
+    request_timeout_ms: also of a connection on which none comes. The limits may change while it runs.
+    """
+
+    def __init__(
+        self, routes: dict[str, Route], max_connections: int, max_header_bytes: int, request_timeout_ms: float
+    ) -> None:
         super().__init__(self.answer)
         self.routes = routes
-        self.max_connections, self.max_header_bytes, self.request_timeout_ms = connections, header_most, within
+        self.max_connections = max_connections
+        self.max_header_bytes = max_header_bytes
+        self.request_timeout_ms = request_timeout_ms
         self.open_connections: set[AdminConnection] = set()
 
     def __call__(self) -> AdminConnection:
+        """Make the protocol of a new connection, as asyncio asks for it."""
         return AdminConnection(self)
 
     async def answer(self, request: web.BaseRequest) -> web.Response:
+        """Answer one request."""
         cast(AdminConnection, request.protocol).await_request()
         if request.method not in ("GET", "HEAD"):
-            found = error_response(405, "only GET and HEAD")
+            found = error_response(HTTPStatus.METHOD_NOT_ALLOWED, "only GET and HEAD")
         elif request.path not in self.routes:
-            found = error_response(404, f"no such path; there are {', '.join(sorted(self.routes))}")
+            paths = ", ".join(sorted(self.routes))
+            found = error_response(HTTPStatus.NOT_FOUND, f"no such path; there are {paths}")
         else:
             found = self.routes[request.path]()
         return web.Response(status=found.status, body=found.body, headers={"Content-Type": found.content_type})
 
     def close(self) -> None:
-        for visit in list(self.open_connections):
-            visit.disconnect()
+        """Close all connections at once."""
+        for connection in list(self.open_connections):
+            connection.disconnect()
 
 
 class AdminConnection(RequestHandler):
-    """One connection. seen: bytes since the last whole request, its body included: none is asked for."""
+    """One connection, within the limits of its server."""
 
-    def __init__(self, admin_server: AdminServer) -> None:
-        super().__init__(admin_server, loop=asyncio.get_running_loop(), access_log=None, lingering_time=0.0)  # type: ignore[arg-type]
-        self.admin_server, self.unparsed_bytes, self.is_closing = admin_server, 0, False
+    def __init__(self, server: AdminServer) -> None:
+        super().__init__(server, loop=asyncio.get_running_loop(), access_log=None, lingering_time=0.0)  # type: ignore[arg-type]
+        self.server = server
+        self.received_bytes = 0  # since the last complete request, its body included: none is asked for
+        self.is_closing = False
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take a connection, or reject it if there are too many."""
         self.tcp_transport = cast(asyncio.Transport, transport)
-        if len(self.admin_server.open_connections) >= self.admin_server.max_connections:
-            self.reject(error_response(503, "too many connections"))
+        if len(self.server.open_connections) >= self.server.max_connections:
+            self.reject(error_response(HTTPStatus.SERVICE_UNAVAILABLE, "too many connections"))
             return
-        self.admin_server.open_connections.add(self)
+        self.server.open_connections.add(self)
         super().connection_made(transport)
         self.await_request()
 
     def await_request(self) -> None:
-        self.unparsed_bytes = 0
+        """A request is complete: the next one has its own limits."""
+        self.received_bytes = 0
         if self.timer:
             self.timer.cancel()
-        self.timer = asyncio.get_running_loop().call_later(
-            self.admin_server.request_timeout_ms / 1000.0, self.on_timeout
-        )
+        timeout_s = self.server.request_timeout_ms / 1000.0
+        self.timer = asyncio.get_running_loop().call_later(timeout_s, self.on_timeout)
 
     def on_timeout(self) -> None:
-        # Idle between requests: no one asked anything. Half a request: slow on purpose, or broken.
-        if self.unparsed_bytes:
-            self.reject(error_response(408, "the request took too long"))
+        """Answer half a request with an error; close a connection on which none was begun."""
+        if self.received_bytes:
+            self.reject(error_response(HTTPStatus.REQUEST_TIMEOUT, "the request took too long"))
         else:
             self.disconnect()
 
     def data_received(self, data: bytes) -> None:
+        """Hand data to aiohttp, up to the limit of a request."""
         if self.is_closing:
             return
-        self.unparsed_bytes += len(data)
-        if self.unparsed_bytes > self.admin_server.max_header_bytes:
-            self.reject(error_response(431, f"more than {self.admin_server.max_header_bytes} bytes"))
+        self.received_bytes += len(data)
+        limit = self.server.max_header_bytes
+        if self.received_bytes > limit:
+            self.reject(error_response(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, f"more than {limit} bytes"))
         else:
             super().data_received(data)
 
-    def reject(self, answer: HttpResponse) -> None:
-        """Outside of any request that aiohttp knows of, so that the words are ours."""
-        head = (
-            f"HTTP/1.1 {answer.status} {HTTPStatus(answer.status).phrase}\r\nContent-Type: {answer.content_type}\r\n"
-            f"Content-Length: {len(answer.body)}\r\nConnection: close\r\n\r\n"
+    def reject(self, response: HttpResponse) -> None:
+        """Write a response outside of any request that aiohttp knows of, and close the connection."""
+        phrase = HTTPStatus(response.status).phrase
+        lines = (
+            f"HTTP/1.1 {response.status} {phrase}",
+            f"Content-Type: {response.content_type}",
+            f"Content-Length: {len(response.body)}",
+            "Connection: close",
         )
-        self.tcp_transport.write(head.encode() + answer.body)
+        head = "".join(f"{line}\r\n" for line in lines) + "\r\n"
+        self.tcp_transport.write(head.encode() + response.body)
         self.disconnect()
 
     def disconnect(self) -> None:
+        """Close the connection; data that still comes is ignored."""
         self.is_closing = True
         self.tcp_transport.close()
 
     def connection_lost(self, exc: BaseException | None) -> None:
+        """Forget the connection."""
         if self.timer:
             self.timer.cancel()
-        if self in self.admin_server.open_connections:
-            self.admin_server.open_connections.discard(self)
+        if self in self.server.open_connections:
+            self.server.open_connections.discard(self)
             super().connection_lost(exc)
--- a/corallanding/cli/__init__.py
+++ b/corallanding/cli/__init__.py
@@ -6,8 +6,10 @@
 
 import typer
 
+BAD_INPUT = 2  # exit code
 
-def fail(text: object, code: int = 2) -> typer.Exit:
-    """Says why on standard error; to be raised."""
+
+def fail(text: object, code: int = BAD_INPUT) -> typer.Exit:
+    """Print the text on standard error. Returns the exception that ends the command with this exit code."""
     print(text, file=sys.stderr)
     return typer.Exit(code)
--- a/corallanding/config/assigner_settings.py
+++ b/corallanding/config/assigner_settings.py
@@ -6,9 +6,9 @@
 from .models import ControllerConfig
 
 
-def assigner_settings(config: ControllerConfig) -> api.Settings:
-    """The assigner's settings as the configuration states them."""
-    request_classes = tuple(
+def request_classes(config: ControllerConfig) -> tuple[api.RequestClass, ...]:
+    """The request classes, in the order of the configuration."""
+    return tuple(
         api.RequestClass(
             name,
             api.Idempotency(operation.repeat),
@@ -23,8 +23,12 @@
         )
         for name, operation in config.operation.items()
     )
+
+
+def assigner_settings(config: ControllerConfig) -> api.Settings:
+    """The assigner's settings as the configuration states them."""
     return api.Settings(
-        request_classes=request_classes,
+        request_classes=request_classes(config),
         zone=config.zones.index(config.steward.zone) if config.steward.zone else 0,
         zone_count=len(config.zones),
         controller_count=config.steward.stewards,
--- a/corallanding/config/block_shapes.py
+++ b/corallanding/config/block_shapes.py
@@ -18,7 +18,7 @@
 from .errors import ConfigError
 from .source_lines import UNKNOWN_LINE, KeyPath
 
-BLOCK_MARK = "__is_block__"  # the library's mark of an object that was a block
+BLOCK_KEY = "__is_block__"  # the library's mark of an object that was a block
 
 
 class BlockForm(Enum):
@@ -82,7 +82,7 @@
         """The object `raw` in the shape of `model`. Raises `ConfigError` on blocks that cannot be meant."""
         shaped: dict[str, Any] = {}
         for key, value in raw.items():
-            if key == BLOCK_MARK:
+            if key == BLOCK_KEY:
                 continue
             field = block_field(model.model_fields[key].annotation) if key in model.model_fields else None
             if field is None or not _are_blocks(value):
@@ -103,7 +103,7 @@
         by_label: dict[str, Any] = {}
         rows: list[Any] = []
         for number, block in enumerate(blocks):
-            if BLOCK_MARK in block:
+            if BLOCK_KEY in block:
                 raise self._error((*path, number), f'a label is expected, as in {path[-1]} "NAME" {{')
             label, body = next(iter(block.items()))
             if is_map and label in by_label:
@@ -119,9 +119,9 @@
 
 
 def _are_blocks(value: Any) -> bool:
-    return isinstance(value, list) and any(isinstance(item, dict) and _is_marked(item) for item in value)
+    return isinstance(value, list) and any(isinstance(item, dict) and _is_block(item) for item in value)
 
 
-def _is_marked(block: dict[str, Any]) -> bool:
+def _is_block(block: dict[str, Any]) -> bool:
     """Whether an object was a block: it, or what stands under its labels, has the library's mark."""
-    return BLOCK_MARK in block or any(isinstance(value, dict) and _is_marked(value) for value in block.values())
+    return BLOCK_KEY in block or any(isinstance(value, dict) and _is_block(value) for value in block.values())
--- a/corallanding/telemetry/__init__.py
+++ b/corallanding/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""Logs (structlog) and metrics (prometheus-client) of a steward."""
+"""Logs (structlog) and metrics (prometheus-client) of a controller."""
 
 from .logs import RateLimitedLogger, configure, log
 from .metrics import Metrics
--- a/corallanding/telemetry/logs.py
+++ b/corallanding/telemetry/logs.py
@@ -5,75 +5,91 @@
 import logging
 import sys
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
 import structlog
 
+WINDOW_MS = 1_000.0  # in which the rate-limited logger counts
+DEFAULT_MAX_PER_WINDOW = 20
+
 log: Any = structlog.get_logger("corallanding")
 
 
-class Stderr:
-    """Standard error, whichever it is now, that never raises: what logs must not die of its log's disk.
+class StandardError:
+    """Standard error, whichever it is now, that never raises: the service outlives a full disk or a closed pipe there.
 
-    Guards against a full disk or a closed pipe under the log; hides lines then, and says how many once one is taken.
+    Lines that it cannot write are counted, and the count is written once a line can be.
     """
 
     def __init__(self) -> None:
-        self.lost = 0
+        self.lost_lines = 0
 
     def write(self, text: str) -> None:
+        """Write and flush the text, or count it as lost."""
         try:
-            if self.lost:
-                sys.stderr.write(f'{{"event": "log lines lost", "level": "error", "lost": {self.lost}}}\n')
+            if self.lost_lines:
+                sys.stderr.write(f'{{"event": "log lines lost", "level": "error", "lost": {self.lost_lines}}}\n')
             sys.stderr.write(text)
             sys.stderr.flush()
-            self.lost = 0
+            self.lost_lines = 0
         except (OSError, ValueError):
-            self.lost += 1
+            self.lost_lines += 1
 
     def flush(self) -> None:
-        """Each write has done it."""
+        """Do nothing: each write has flushed."""
+
+
+standard_error = StandardError()
 
 
 def configure(form: str = "json", level: str = "info") -> None:
-    """form: "json" or "console"; level: "debug" to "error". May be called again at a reload."""
-    last: Any = structlog.processors.JSONRenderer(sort_keys=True)
+    """Set the form ("json" or "console") and the level ("debug" to "error"). May be called again at a reload."""
+    renderer: Any = structlog.processors.JSONRenderer(sort_keys=True)
     if form == "console":
-        last = structlog.dev.ConsoleRenderer(colors=False)
+        renderer = structlog.dev.ConsoleRenderer(colors=False)
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
-            last,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper())),
-        logger_factory=lambda *_: structlog.WriteLogger(stderr),  # type: ignore[arg-type]
+        logger_factory=lambda *_: structlog.WriteLogger(standard_error),  # type: ignore[arg-type]
         cache_logger_on_first_use=False,
     )
 
 
-stderr = Stderr()
+@dataclass
+class Window:
+    """The lines of one event since `started_at` (ms), those left out among them."""
+
+    started_at: float
+    line_count: int = 0
 
 
 class RateLimitedLogger:
-    """At most `most` lines of one kind in a second; says how many it left out.
+    """Writes at most `max_per_second` lines of one event in a second, and then how many it left out.
 
-    Guards against a peer that fills the disk by breaking the protocol in a loop; hides which of many peers
-    did it, beyond the first few (the metrics count all).
+    So a peer that breaks the protocol in a loop cannot fill the disk. Which of many peers did it is not seen beyond the
+    first lines; the metrics count all. clock: ms.
     """
 
-    def __init__(self, clock: Callable[[], float], most: int = 20) -> None:
-        self.clock, self.max_per_second = clock, most
-        self.windows: dict[str, tuple[float, int]] = {}
+    def __init__(self, clock: Callable[[], float], max_per_second: int = DEFAULT_MAX_PER_WINDOW) -> None:
+        self.clock = clock
+        self.max_per_second = max_per_second
+        self.windows: dict[str, Window] = {}  # by event
 
-    def warn(self, kind: str, **fields: Any) -> None:
+    def warn(self, event: str, **fields: Any) -> None:
+        """Write a warning, unless there were too many of this event within the second."""
         now = self.clock()
-        since, count = self.windows.get(kind, (now, 0))
-        if now - since >= 1000.0:
-            if count > self.max_per_second:
-                log.warning(kind, left_out=count - self.max_per_second)
-            since, count = now, 0
-        self.windows[kind] = (since, count + 1)
-        if count < self.max_per_second:
-            log.warning(kind, **fields)
+        window = self.windows.setdefault(event, Window(now))
+        if now - window.started_at >= WINDOW_MS:
+            if window.line_count > self.max_per_second:
+                log.warning(event, left_out=window.line_count - self.max_per_second)
+            window.started_at = now
+            window.line_count = 0
+        window.line_count += 1
+        if window.line_count <= self.max_per_second:
+            log.warning(event, **fields)
