--- a/corallanding/lab/faults.py
+++ b/corallanding/lab/faults.py
@@ -13,6 +13,9 @@
 from .stage import Stage
 from .trace import clock, wall
 
+UNTIL_TIMEOUT_MS = 60_000.0  # the longest extension of a fault by its `until`
+FLOOD_EXTENSION_S = 1.0
+
 
 def hots(s: Scenario, slices: list[int]) -> list[Hot]:
     """Faults that are drawn into the arrivals. slices: numbers in an order drawn by the run's seed."""
@@ -33,6 +36,7 @@
     def __init__(self, lab: Stage) -> None:
         self.lab, self.witness = lab, lab.trace.witness("faults")
         self.draws: dict[int, int] = {}
+        self.pending_kills = sum(f.kind == "steward_kill" for f in lab.scenario.fault)
 
     def forwarders(self, f: Fault) -> list[int]:
         return self.numbers(f, len(self.lab.forwarders))
@@ -46,6 +50,7 @@
         self.witness.saw("fault", f.kind, "on", f.for_s)
         acts: Callable[[Fault], Awaitable[None]] = getattr(self, f.kind)
         await acts(f)
+        self.pending_kills -= f.kind == "steward_kill"
         self.witness.saw("fault", f.kind, "off", f.for_s)
 
     # ---- ways ------------------------------------------------------------------------------------------
@@ -182,6 +187,13 @@
 
     # ---- load reports -----------------------------------------------------------------------------------
 
+    def extended(self, f: Fault, deadline: float) -> bool:
+        """Whether a fault goes on past its own length, until the deadline at the latest: a kill of the steward is still
+        to come or to be recovered from, or its present life has not counted every end of reports in `until`."""
+        if not f.until or clock() >= deadline:
+            return False
+        return self.pending_kills > 0 or not self.lab.reports_counted(f.until)
+
     async def reporting(self, f: Fault, **how: object) -> None:
         """Hosts report in another way for a while."""
         struck = [h.number for h in self.some(f)]
@@ -190,6 +202,9 @@
         for n in struck:
             self.lab.reports.ways[n] = Way(**how)  # type: ignore[arg-type]
         await self.wait(f)
+        deadline = clock() + UNTIL_TIMEOUT_MS
+        while self.extended(f, deadline):
+            await asyncio.sleep(0.1)
         for n in struck:
             self.lab.reports.ways.pop(n, None)
 
@@ -213,8 +228,13 @@
 
     async def report_flood(self, f: Fault) -> None:
         """`size` times the usual volume of reports, from a process of its own, by the struck hosts and by strangers."""
-        if self.lab.reports:
-            await self.lab.reports.flood([h.number for h in self.some(f)], f.size, f.for_s)
+        if self.lab.reports is None:
+            return
+        struck = [h.number for h in self.some(f)]
+        await self.lab.reports.flood(struck, f.size, f.for_s)
+        deadline = clock() + UNTIL_TIMEOUT_MS
+        while self.extended(f, deadline):
+            await self.lab.reports.flood(struck, f.size, FLOOD_EXTENSION_S)
 
     # ---- in the arrivals -------------------------------------------------------------------------------
 
--- a/corallanding/lab/fleet/emulate.py
+++ b/corallanding/lab/fleet/emulate.py
@@ -108,10 +108,11 @@
             return super().arrivals(rates, slices, operations)
         return arrivals(self.recorded, self.seed, operations)
 
-    def begin_faults(self) -> None:
-        super().begin_faults()
+    def begin_faults(self) -> list[asyncio.Task[Any]]:
+        awaited = super().begin_faults()
         if self.recorded:
             self.spawn(self.again(self.recorded))
+        return awaited
 
     async def again(self, day: Day) -> None:
         """What was seen of the hosts, at its times."""
@@ -216,6 +217,7 @@
             if self.machines[0].alive:
                 steward = self.stewards[0]
                 point = {"t": (trace.clock() - self.begun) / 1000.0, "waiting": float(steward.channel.waiting)}
+                point["life"] = self.polled_life()
                 if feed := steward.feed:
                     point |= {**feed.counts, **feed.worth.counts.by_name()}
                     point["load_factors_below_one"] = float(len(steward.factors))
--- a/corallanding/lab/runner.py
+++ b/corallanding/lab/runner.py
@@ -34,6 +34,8 @@
 from .wait_clients import WaitClients
 from .ways import Ways
 
+POLL_FIELDS_NOT_OF_REPORTS = ("t", "life", "waiting", "ack_ms")
+
 
 class Lab(Stage):
     def __init__(self, scenario: Scenario, out: Path, seed: int, laxer: bool = False) -> None:
@@ -117,7 +119,15 @@
         await hold(self.out / "store.db", seconds)
 
     async def poll(self) -> None:
-        await poll(self.doors[0], self.begun, self.polls)
+        await poll(self.doors[0], self.begun, self.polls, self.polled_life)
+
+    def polled_life(self) -> int:
+        """The life of the steward that is polled."""
+        return self.life.get(0, 0)
+
+    def reports_counted(self, ends: list[str]) -> bool:
+        newest = self.polls[-1] if self.polls else {}
+        return newest.get("life") == self.polled_life() and all(newest.get(end, 0.0) > 0.0 for end in ends)
 
     async def laid(self) -> dict[int, set[int]]:
         """Tables as the stewards have them. Raises OSError if one does not answer."""
@@ -201,13 +211,13 @@
             self.spawn(self.poll())
             if self.reporter:
                 self.spawn(self.reporter.run())
-            self.begin_faults()
+            awaited = self.begin_faults()
             both = [self.clients.run(self.begun)]
             if self.run_clients:
                 both.append(self.run_clients.run(self.begun, s.seconds))
             if self.wait_clients and s.jobs:
                 both.append(self.wait_clients.run(self.begun, s.seconds, s.jobs.drain_s))
-            await asyncio.gather(*both)
+            await asyncio.gather(*both, *awaited)
             self.lost = await compare_tables(self.forwarders, self.laid)
         finally:
             for f in self.forwarders:
@@ -231,20 +241,23 @@
     def make_reporter(self, conf: LoadReportsTraffic, key: bytes) -> Reporter:
         return Reporter(self, conf, self.reports_port, key)
 
-    def begin_faults(self) -> None:
+    def begin_faults(self) -> list[asyncio.Task[Any]]:
+        """Those that the run waits for."""
         faults = Faults(self)
-        for fault in self.scenario.fault:
-            self.spawn(faults.play(fault, self.begun))
+        played = [(fault, self.spawn(faults.play(fault, self.begun))) for fault in self.scenario.fault]
+        return [task for fault, task in played if fault.until]
 
-    def spawn(self, work: Any) -> None:
-        self.tasks.add(asyncio.get_running_loop().create_task(work))
+    def spawn(self, work: Any) -> asyncio.Task[Any]:
+        task = asyncio.get_running_loop().create_task(work)
+        self.tasks.add(task)
+        return task
 
     def judged(self) -> dict[str, Any]:
         s, records = self.scenario, self.trace.records
         result = verdict(s, records, self.begun, self.seed, self.named)
         result["publisher"], result["lives"], result["lines_lost"] = s.publisher, self.lives, self.lost
         if s.load_reports and self.polls:
-            result["load_reports"] = {k: v for k, v in self.polls[-1].items() if k not in ("t", "waiting", "ack_ms")}
+            result["load_reports"] = {k: v for k, v in self.polls[-1].items() if k not in POLL_FIELDS_NOT_OF_REPORTS}
         self.keep(result)
         return result
 
--- a/corallanding/lab/scenario.py
+++ b/corallanding/lab/scenario.py
@@ -15,6 +15,7 @@
 from ..config.sources import HealthCheckBlock, LoadReportsBlock
 from ..config.tasks import TaskBlock, TaskGroupBlock, TasksBlock
 from ..config.version_pinning import PinsBlock, RecordsBlock, ReleaseBlock, check_pinning
+from ..load_reports import load_estimator, load_shedding
 
 PEER_FAULTS = (
     "peer_cut",
@@ -63,6 +64,8 @@
     "report_loss",
     *PEER_FAULTS,
 )
+REPORT_FAULTS = tuple(kind for kind in KINDS if kind.startswith("report_"))
+REPORT_ENDS = {"forged", *load_shedding.Counts().by_name(), *load_estimator.Counts().by_name()}
 
 
 class HostKind(Block):
@@ -138,7 +141,10 @@
 
 class Fault(Block):
     """kind is the label. Times in seconds from the first arrival; part: share of what it strikes; size, extra and
-    how as the vocabulary in `docs/scenarios.md` says; on: numbers instead of a part; steps: stop and start."""
+    how as the vocabulary in `docs/scenarios.md` says; on: numbers instead of a part; steps: stop and start.
+
+    until: only for faults of load reports. Ends of reports, as the steward's metrics page names them: the fault
+    outlasts `for_s`, and the run its `seconds`, until the steward's last life has counted some of each."""
 
     kind: str
     at_s: Annotated[float, Field(ge=0, le=3600)]
@@ -148,11 +154,16 @@
     extra: Annotated[float, Field(ge=0, le=1e6)] = 1.0
     how: str = ""
     on: list[int] = []
+    until: list[str] = []
 
     @model_validator(mode="after")
     def known(self) -> Fault:
         if self.kind not in KINDS:
             raise ValueError(f"fault {self.kind!r} is not one of {', '.join(KINDS)}")
+        if self.until and self.kind not in REPORT_FAULTS:
+            raise ValueError(f"until is for {', '.join(REPORT_FAULTS)}, not for {self.kind}")
+        if unknown := sorted(set(self.until) - REPORT_ENDS):
+            raise ValueError(f"until: {', '.join(unknown)} is not one of {', '.join(sorted(REPORT_ENDS))}")
         return self
 
 
--- a/corallanding/lab/stage.py
+++ b/corallanding/lab/stage.py
@@ -77,4 +77,8 @@
     async def hold_store(self, seconds: float) -> None: ...
 
     @abstractmethod
-    def spawn(self, work: Any) -> None: ...
+    def reports_counted(self, ends: list[str]) -> bool:
+        """Whether the steward's present life has counted some load reports of each end."""
+
+    @abstractmethod
+    def spawn(self, work: Any) -> asyncio.Task[Any]: ...
--- a/tests/reports.hcl
+++ b/tests/reports.hcl
@@ -1,4 +1,6 @@
 # Load reports in trouble, small: see examples/load-reports.hcl for the day and tests/test_lab.py for what must hold.
+# A host reports in one way at a time, as the fault that began last has it: so no other fault names host 3, the hour-old
+# sender, or host 4, the liar. Nor does the flood speak for host 3: whatever the steward has of it is an hour old.
 name = "reports"
 seconds = 11
 zones = ["a", "b"]
@@ -65,6 +67,7 @@
   on = [3]
   size = 3600
   extra = 9.0
+  until = ["counted", "doubtful"]
 }
 
 fault "report_lying" {
@@ -77,7 +80,7 @@
 fault "report_skew" {
   at_s = 1
   for_s = 8
-  part = 1
+  on = [0, 1, 2, 5, 6, 7]
   size = 300
 }
 
@@ -90,8 +93,9 @@
 fault "report_flood" {
   at_s = 2
   for_s = 5
-  part = 1
+  on = [0, 1, 2, 4, 5, 6, 7, 8, 9]
   size = 20
+  until = ["forged", "unknown"]
 }
 
 fault "steward_kill" {
@@ -102,12 +106,12 @@
 fault "report_silent" {
   at_s = 6
   for_s = 3
-  part = 0.34
+  on = [0, 5, 8]
 }
 
 fault "report_loss" {
   at_s = 8
   for_s = 3
-  part = 1
+  on = [0, 1, 2, 5, 6, 7, 8, 9]
   size = 0.3
 }
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -242,6 +242,17 @@
     assert emulate(day, 1).records == e.records
 
 
+@pytest.mark.parametrize("down_s", [0.3, 4.0, 9.0])
+def test_faults_of_load_reports_last_until_a_steward_that_is_back_late_has_counted_them(down_s: float) -> None:
+    """The steward is back in mid-flood, after the flood's own time, and after the run's: its last life counts all."""
+    day = load_scenario(HERE / "reports.hcl")
+    faults = [f.model_copy(update={"for_s": down_s}) if f.kind == "steward_kill" else f for f in day.fault]
+    e = emulate(day.model_copy(update={"fault": faults}), 1)
+    counts = e.result["load_reports"]
+    assert e.result["lives"] == 2
+    assert all(counts[end] > 0 for end in ("counted", "forged", "unknown", "doubtful")), counts
+
+
 def test_what_is_not_emulated_is_refused_by_name() -> None:
     with pytest.raises(NotEmulated, match="upgrade"):
         emulate(HARD.model_copy(update={"fault": [Fault(kind="upgrade", at_s=1)]}), 1)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -15,7 +15,8 @@
 from corallanding.config import ConfigError
 from corallanding.lab.audit import RULES, Limits, judge
 from corallanding.lab.commands import lab
-from corallanding.lab.scenario import KINDS, PEER_FAULTS, load_scenario
+from corallanding.lab.runner import Lab
+from corallanding.lab.scenario import KINDS, PEER_FAULTS, Fault, load_scenario
 from corallanding.lab.scenario_day import from_day
 from corallanding.lab.scenario_text import scenario_hcl
 from corallanding.lab.trace import read
@@ -203,6 +204,26 @@
     assert "'nobody' is not one of corallanding" in told.output
 
 
+def test_a_fault_lasts_until_ends_of_load_reports_only_if_it_is_one_of_theirs() -> None:
+    assert Fault(kind="report_flood", at_s=1, until=["forged", "unknown"]).until == ["forged", "unknown"]
+    with pytest.raises(ValueError, match=r"until is for report_flood.*, not for slow"):
+        Fault(kind="slow", at_s=1, until=["forged"])
+    with pytest.raises(ValueError, match="until: frogged is not one of"):
+        Fault(kind="report_flood", at_s=1, until=["frogged"])
+
+
+def test_what_a_former_life_of_the_steward_counted_is_not_counted_by_the_present_one(tmp_path: Path) -> None:
+    played = Lab(load_scenario(HERE / "reports.hcl"), tmp_path, 1)
+    played.life[0] = 1
+    assert not played.reports_counted(["forged"]), "nothing has been polled"
+    played.polls.append({"life": 1, "forged": 3.0, "unknown": 0.0})
+    assert played.reports_counted(["forged"]) and not played.reports_counted(["forged", "unknown"])
+    played.life[0] = 2
+    assert not played.reports_counted(["forged"])
+    played.polls.append({"life": 2, "forged": 1.0})
+    assert played.reports_counted(["forged"]) and not played.reports_counted(["doubtful"])
+
+
 def day() -> dict[str, Any]:
     """A day as the bench prints it, written here: the fields that the conversion reads."""
     return {
