--- a/corallanding/controller/components.py
+++ b/corallanding/controller/components.py
@@ -25,9 +25,9 @@
 from ..telemetry import Metrics, RateLimitedLogger
 from ..wire import frames
 from ..wire.link import Limits
-from . import engine as core
 from .acceptor import Listener
 from .cluster import Cluster
+from .engine import Engine
 from .event_inbox import Decider
 from .join_admission import JoinAdmission
 from .peer_dispatch import PeerDispatcher
@@ -35,6 +35,7 @@
 from .proxy_protocol import ProxyConnection
 from .recorder import Recorder
 from .recovery import ControllerState
+from .step_outputs import Output, StoreWrites
 
 if TYPE_CHECKING:
     from ..admin.http_server import AdminServer
@@ -71,7 +72,7 @@
     """One steward's parts. monotonic, wall: s."""
 
     feed_kind: type[Feed] = Feed
-    engine: core.Engine
+    engine: Engine
     listener: Listener
     roster: Source
     admin_server: AdminServer
@@ -151,7 +152,7 @@
     def wake(self) -> None: ...
 
     @abstractmethod
-    def carry_out(self, now: float, output: core.Output) -> None: ...
+    def carry_out(self, now: float, output: Output) -> None: ...
 
     @abstractmethod
     def finish(self, begun: float, stored: bool) -> None: ...
@@ -163,7 +164,7 @@
     def state(self, log: int) -> ControllerState | None: ...
 
     @abstractmethod
-    def keep(self, now: float, writes: core.StoreWrites) -> bool: ...
+    def keep(self, now: float, writes: StoreWrites) -> bool: ...
 
     @abstractmethod
     async def keep_shared(self, begun: float) -> None: ...
--- a/corallanding/controller/crash_loop.py
+++ b/corallanding/controller/crash_loop.py
@@ -1,9 +1,7 @@
-"""Starts that came soon after one another: a steward that dies again and again waits before the next try. Pure but for
-`Starts`, which keeps their times in a file beside the store.
+"""Detects that the controller died soon after its last starts, and how long the next one has to wait.
 
-Guards against a loop of deaths that reads all tables to a thousand forwarders at each turn, and against a snapshot that
-is the cause of them. Could harm a steward that is restarted by hand several times within moments: it says how long it
-waits.
+Guards against a loop of crashes that sends all tables to a thousand proxies each time, and against a snapshot that
+causes them. May harm a controller that is restarted by hand several times within moments: it logs how long it waits.
 """
 
 from __future__ import annotations
@@ -17,43 +15,53 @@
 
 from ..snapshot.file import replace_file
 
-SOON = 60_000.0  # ms: deaths within this time of one another belong together
-FREE = 3  # starts that wait for nothing
-FIRST, MOST = 1_000.0, 30_000.0  # ms
-DOUBT = 3  # deaths after which the snapshot is not used
-STABLE_AFTER_MS = 10_000.0  # ms of life after which all is forgotten
+RELATED_WITHIN_MS = 60_000.0  # starts that lie closer together belong to one series
+FREE_STARTS = 3  # starts of a series that do not wait
+INITIAL_BACKOFF_MS = 1_000.0
+MAX_BACKOFF_MS = 30_000.0
+MAX_SNAPSHOT_FAILURES = 3  # after so many failed starts the snapshot is not used
+STABLE_AFTER_MS = 10_000.0  # a process that runs for so long ends the series
+MAX_STORED_STARTS = 20
 
 
 @dataclass(frozen=True)
 class StartAdvice:
-    recent_failures: int  # starts before this one, each of which ended without a calm time
-    wait_ms: float  # ms
-    may_use_snapshot: bool  # whether the snapshot may be used
+    """How to start: how many starts failed just before, the backoff, and whether the snapshot may be used."""
 
+    recent_failures: int
+    wait_ms: float
+    may_use_snapshot: bool
 
-def advise_start(before: Sequence[float], now: float) -> StartAdvice:
-    """before: wall-clock times of starts that were not followed by a calm time, ms."""
-    recent, last = 0, now
-    for at in sorted((t for t in before if t <= now), reverse=True):
-        if last - at > SOON:
+
+def advise_start(earlier_starts: Sequence[float], now: float) -> StartAdvice:
+    """Advice for a start at `now`; `earlier_starts` are those since the last stable run, wall-clock ms."""
+    failures = 0
+    last = now
+    for at in sorted((at for at in earlier_starts if at <= now), reverse=True):
+        if last - at > RELATED_WITHIN_MS:
             break
-        recent, last = recent + 1, at
-    wait = 0.0 if recent < FREE else min(MOST, FIRST * 2.0 ** (recent - FREE))
-    return StartAdvice(recent, wait, recent < DOUBT)
+        failures += 1
+        last = at
+    wait_ms = 0.0
+    if failures >= FREE_STARTS:
+        wait_ms = min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2.0 ** (failures - FREE_STARTS))
+    return StartAdvice(failures, wait_ms, failures < MAX_SNAPSHOT_FAILURES)
 
 
 class StartHistory:
-    """The file; a steward that cannot write it starts all the same."""
+    """The file with the times of starts. A controller that cannot write it starts all the same."""
 
     def __init__(self, path: str) -> None:
         self.path = Path(path)
 
     def read(self) -> list[float]:
+        """The last starts, wall-clock ms; empty if the file is missing or damaged."""
         try:
-            return msgspec.json.decode(self.path.read_bytes(), type=list[float])[-20:]
+            return msgspec.json.decode(self.path.read_bytes(), type=list[float])[-MAX_STORED_STARTS:]
         except (OSError, msgspec.DecodeError):
             return []
 
-    def write(self, times: Sequence[float]) -> None:
+    def write(self, starts: Sequence[float]) -> None:
+        """Replace the file, if that can be done."""
         with contextlib.suppress(OSError):
-            replace_file(self.path, msgspec.json.encode(list(times)))
+            replace_file(self.path, msgspec.json.encode(list(starts)))
--- a/corallanding/controller/daemon.py
+++ b/corallanding/controller/daemon.py
@@ -15,12 +15,12 @@
 from ..endpoints.endpoint_list import loopback
 from ..snapshot.rankings import StoredRanking
 from ..telemetry import log
-from . import engine as core
 from .acceptor import raise_descriptor_limit
 from .cluster import Cluster
 from .components import ORIGIN, Clock
 from .config_reload import reload
 from .decision_loop import Turning
+from .engine import Engine
 from .fleet_view import FleetView
 from .handover import Passing
 from .handover_state import HandoverState
@@ -59,7 +59,7 @@
         else:
             state = self.last_state(life.start_number)
         now, wall = self.clock(), self.wall() * 1000.0
-        self.engine = core.Engine(
+        self.engine = Engine(
             self.settings,
             self.seed(life.start_number),
             life,
@@ -73,7 +73,7 @@
         saved = self.view.restore(
             now, wall, life.host_list_version, life.host_entries, life.addresses, life.started_at_ms
         )
-        self.engine.addresses = self.view.addresses
+        self.engine.publisher.addresses = self.view.addresses
         revived = handed is not None or (state is not None and self.take_up(state, now))
         if handed:
             self.take_over(handed, now, ranked)
--- a/corallanding/controller/decision_loop.py
+++ b/corallanding/controller/decision_loop.py
@@ -10,8 +10,8 @@
 from ..channel import Overrun
 from ..interface.stored_names import NAMES
 from ..telemetry import log
-from . import engine as core
 from .components import Parts
+from .step_outputs import NO_VERSION, CheckHost, Output, SendFrame
 
 AHEAD = 2_000  # marks of the module worked out at a time between steps: a millisecond or two
 
@@ -72,7 +72,7 @@
                 self.metrics.events.labels(kind).inc(count)
             for kind, count in Counter(NAMES[type(a)] for a in actions).items():
                 self.metrics.actions.labels(kind).inc(count)
-        if self.keeper and begun >= self.store_again and (writes.lines or writes.resets):
+        if self.keeper and begun >= self.store_again and (writes.entries or writes.resets):
             # The next step waits for this one's write: what is sent is kept first, there too.
             self.spent = self.clock() - begun
             self.writing = asyncio.get_running_loop().create_task(self.keep_shared(begun))
@@ -107,23 +107,23 @@
 
     def submit(self, data: bytes, lines: int, to: tuple[int, ...]) -> None:
         """A frame that is no order of the module's."""
-        self.queue(self.clock(), core.SendFrame(data, lines, -1, to))
+        self.queue(self.clock(), SendFrame(data, lines, NO_VERSION, to))
         self.pump()
 
-    def queue(self, now: float, o: core.SendFrame) -> None:
+    def queue(self, now: float, o: SendFrame) -> None:
         try:
-            self.channel.submit(now, o.frame, o.lines, o.mark, o.to, o.orders, o.urgent)
+            self.channel.submit(now, o.frame, o.cost_lines, o.version, o.proxies, o.orders, o.is_urgent)
         except Overrun as over:
             for forwarder in over.forwarders:
                 if link := self.forwarders.get(forwarder):
                     self.rate_limited_log.warn("link cut off", forwarder=forwarder, why="the channel is full")
                     link.close("overrun", "the channel is full: read the store")
 
-    def carry_out(self, now: float, output: core.Output) -> None:
+    def carry_out(self, now: float, output: Output) -> None:
         match output:
-            case core.SendFrame():
+            case SendFrame():
                 self.queue(now, output)
-            case core.CheckHost():
+            case CheckHost():
                 budgets = self.cluster.quota if self.cluster else None
                 if budgets and not budgets.may_begin("probes", output.host, True):
                     # Others ask it already: for the module one that says neither good nor bad.
@@ -132,12 +132,12 @@
                     self.prober.check(output.host, output.address)
                 else:
                     self.probed(api.HealthCheckResult(output.host, api.HealthCheckOutcome.UNREACHABLE))
-            case core.WatchHostList():
-                self.roster.follow(output.on)
-            case core.FetchHostList():
+            case api.WatchHostList():
+                self.roster.follow(output.is_watching)
+            case api.FetchHostList():
                 self.roster.fetch()
-            case core.SendToPeer():
+            case api.SendToPeer():
                 if self.peers:
                     self.peers.send(output.peer, output.payload)
-            case core.LogNote():
+            case api.LogNote():
                 log.info("note", text=output.text)
--- a/corallanding/controller/fleet_view.py
+++ b/corallanding/controller/fleet_view.py
@@ -50,7 +50,7 @@
         controller, rules = self.controller, self.controller.config.rules
         state, view = controller.engine.published, controller.view
         now = controller.clock()
-        excluded = state.cordoned_hosts | controller.engine.leaving_hosts
+        excluded = state.cordoned_hosts | controller.engine.publisher.leaving_hosts
         in_tables = {host for lines in state.tables.values() for host in lines}
         found = {}
         for host, entry in view.entries.items():
@@ -64,7 +64,7 @@
     def change_stamp(self) -> ChangeStamp:
         """Compared with an earlier one, it tells whether a plan made from this view still holds."""
         engine = self.controller.engine
-        return ChangeStamp(engine.seq, self.controller.view.version, len(engine.owned_slices))
+        return ChangeStamp(engine.publisher.message_number, self.controller.view.version, len(engine.owned_slices))
 
     def tables(self) -> Mapping[int, Mapping[int, float]]:
         """Slice to the weights of its hosts, for the slices that this controller decides on."""
@@ -73,7 +73,7 @@
 
     def addresses(self, hosts: set[int]) -> dict[int, str]:
         """Host to "ip:port", for those of `hosts` whose address is known."""
-        known = self.controller.engine.addresses
+        known = self.controller.engine.publisher.addresses
         return {host: known[host] for host in sorted(hosts) if host in known}
 
     def proxies_speaking(self, part: int) -> list[int]:
--- a/corallanding/controller/handover.py
+++ b/corallanding/controller/handover.py
@@ -39,7 +39,7 @@
         v.version, v.entries = h.host_list_version, {e.host: e for e in map(StoredHostEntry.entry, h.host_entries)}
         v.addresses, v.starts, v.known = dict(h.host_addresses), dict(h.host_starts), set(h.known_hosts)
         v.origins = {(host, started): since for host, started, since in h.controller.host_origins}
-        self.engine.addresses = v.addresses
+        self.engine.publisher.addresses = v.addresses
         restore_handover(self.engine, h, self.channel, self.joins, now, self.loaded)
         if self.loaded:
             load_rankings(self.loaded.rendezvous, ranked)
--- a/corallanding/controller/handover_state.py
+++ b/corallanding/controller/handover_state.py
@@ -22,7 +22,7 @@
 from .join_admission import JoinAdmission, JoinHistory
 from .recorder import pack, unpack
 from .recovery import ControllerState, StateMismatchError, restore
-from .report_aggregation import UsageTally
+from .report_aggregation import UsageKey, UsageKind, UsageTally
 
 
 class ConnectionState(msgspec.Struct, array_like=True):
@@ -169,14 +169,14 @@
     version, entries, addresses, starts, known = roster
     return HandoverState(
         state,
-        e.seq,
+        e.publisher.message_number,
         e.last_sequence,
         [(t, list(row.items())) for t, row in e.published.tables.items()],
         [(t, list(row.items())) for t, row in e.unsaved_tables.items()],
         sorted(e.unsaved_resets),
         [(at, n, pack(x)) for at, n, x in e.pending_events],
         list(e.proxy_zones.items()),
-        sorted(e.leaving_hosts),
+        sorted(e.publisher.leaving_hosts),
         e.usage_due_at,
         [(*key, t.since, t.total, t.failed, t.latency_sum_ms) for key, t in g.tallies.items()],
         (g.available_reports, g.replenished_at),
@@ -207,14 +207,15 @@
     except StateMismatchError:
         e.published.tables = stored
         raise
-    e.seq, e.last_sequence = h.seq, h.last_sequence + len(e.pending_events) + len(e.timers)
+    e.publisher.message_number, e.last_sequence = h.seq, h.last_sequence + len(e.pending_events) + len(e.timers)
     e.published.assignments = {f: dict(rows) for f, rows in h.controller.assignments}
     e.unsaved_tables, e.unsaved_resets = {t: dict(row) for t, row in h.unsaved_tables}, set(h.unsaved_resets)
     e.pending_events = [(at, n, unpack(x)) for at, n, x in h.pending_events] + e.pending_events
-    e.proxy_zones, e.leaving_hosts, e.usage_due_at = dict(h.proxy_zones), set(h.leaving_hosts), h.usage_due_at
+    e.proxy_zones, e.publisher.leaving_hosts, e.usage_due_at = dict(h.proxy_zones), set(h.leaving_hosts), h.usage_due_at
     e.recall_until = now - 1.0  # established links hold what this process has
-    for what, a, b, since, total, errored, weighed in h.usage_tallies:
-        e.usage.tallies[what, a, b] = UsageTally(since, total, errored, weighed)
+    for kind, first, second, since, total, failed, latency_sum_ms in h.usage_tallies:
+        key = UsageKey(UsageKind(kind), first, second)
+        e.usage.tallies[key] = UsageTally(since, total, failed, latency_sum_ms)
     e.usage.available_reports, e.usage.replenished_at = h.usage_pace
     restore_channel(channel, h.channel)
     joins.histories = {f: JoinHistory(last, wait) for f, last, wait in h.join_histories}
--- a/corallanding/controller/overload.py
+++ b/corallanding/controller/overload.py
@@ -1,19 +1,22 @@
-"""Whether the steward itself is late, and what waits meanwhile. Pure.
+"""Detects that the controller itself is late, and tells which work is delayed meanwhile. Pure.
 
-What hosts that must go need is done in every step. Looking for better owners is done in the module's own turns, and
-those can wait: while steps come late, or fill more of the time than `share`, turns are put off, up to `put_off_most`.
-Guards against turns that eat the time in which drains should go out. Could harm a fleet whose load shifts while the
-steward is late: owners that are crowded, but answer, stay so for a while longer.
+What hosts that must leave tables need is done in every step. The search for better owners runs on a timer of the
+assigner, and that can wait: while steps come late, or fill more of the time than allowed, it is delayed up to a bound.
+Guards against a search that takes the time in which messages on draining hosts should go out. May harm a fleet whose
+load shifts while the controller is late: owners that are crowded, but answer, stay so for a while longer.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
+BUSY_HALF_LIFE_MS = 500.0
+MIN_SPAN_MS = 0.001
+
 
 @dataclass(frozen=True)
 class OverloadLimits:
-    """late: ms that a step may be late. share: of the time that steps may fill. put_off_most: ms."""
+    """How late a step may be, what share of the time steps may fill, and how long a timer is delayed at most."""
 
     max_lateness_ms: float = 100.0
     max_busy_share: float = 0.5
@@ -22,43 +25,48 @@
 
 @dataclass
 class OverloadDetector:
+    """Smooths lateness and load; overload ends once both are below half of their limits."""
+
     limits: OverloadLimits
-    lateness_ms: float = 0.0  # smoothed lateness, ms
+    lateness_ms: float = 0.0  # smoothed
     busy_share: float = 0.0  # smoothed part of the time that steps fill
     is_overloaded: bool = False
-    delayed_timers: int = 0  # turns that were made to wait so far
-    last_step_ended_at: float = -1.0
-    delayed_since: dict[int, float] = field(default_factory=dict)  # timers put off: since when
+    delayed_timers: int = 0  # so far
+    last_step_ended_at: float = -1.0  # below 0: no step yet
+    delayed_since: dict[int, float] = field(default_factory=dict)  # timers that are delayed now
 
-    def on_lateness(self, late: float) -> None:
-        """The loop, or a step, came so late. Rises at once, falls by half with each sound word."""
-        self.lateness_ms = max(late, self.lateness_ms / 2.0)
-        self.judge()
+    def on_lateness(self, late_ms: float) -> None:
+        """The event loop, or a step, was late. Rises at once, falls by half with each report in time."""
+        self.lateness_ms = max(late_ms, self.lateness_ms / 2.0)
+        self._update()
 
-    def on_step(self, now: float, took: float) -> None:
-        """A step ended at `now` after `took` ms."""
+    def on_step(self, now: float, took_ms: float) -> None:
+        """A step ended at `now`."""
         if self.last_step_ended_at >= 0.0:
-            span = max(now - self.last_step_ended_at, took, 0.001)
-            keep = 0.5 ** (span / 500.0)
-            self.busy_share = self.busy_share * keep + (took / span) * (1.0 - keep)
+            span_ms = max(now - self.last_step_ended_at, took_ms, MIN_SPAN_MS)
+            kept = 0.5 ** (span_ms / BUSY_HALF_LIFE_MS)
+            self.busy_share = self.busy_share * kept + (took_ms / span_ms) * (1.0 - kept)
         self.last_step_ended_at = now
-        self.judge()
+        self._update()
 
-    def judge(self) -> None:
-        high = self.lateness_ms > self.limits.max_lateness_ms or self.busy_share > self.limits.max_busy_share
-        low = self.lateness_ms < self.limits.max_lateness_ms / 2 and self.busy_share < self.limits.max_busy_share / 2
-        if high != self.is_overloaded and (high or low):
-            self.is_overloaded = high
+    def _update(self) -> None:
+        limits = self.limits
+        is_high = self.lateness_ms > limits.max_lateness_ms or self.busy_share > limits.max_busy_share
+        is_low = self.lateness_ms < limits.max_lateness_ms / 2 and self.busy_share < limits.max_busy_share / 2
+        if is_high:
+            self.is_overloaded = True
+        elif is_low:
+            self.is_overloaded = False
 
-    def should_delay(self, now: float, handle: int) -> bool:
-        """Whether the timer `handle`, due now, is to wait. Asked at every step while it is due."""
+    def should_delay(self, now: float, timer: int) -> bool:
+        """Whether a timer that is due has to wait. Asked at every step while it is due."""
         if not self.is_overloaded:
-            self.delayed_since.pop(handle, None)
+            self.delayed_since.pop(timer, None)
             return False
-        if handle not in self.delayed_since:
-            self.delayed_since[handle] = now
+        if timer not in self.delayed_since:
+            self.delayed_since[timer] = now
             self.delayed_timers += 1
-        if now - self.delayed_since[handle] >= self.limits.max_delay_ms:
-            del self.delayed_since[handle]
+        if now - self.delayed_since[timer] >= self.limits.max_delay_ms:
+            del self.delayed_since[timer]
             return False
         return True
--- a/corallanding/controller/persistence.py
+++ b/corallanding/controller/persistence.py
@@ -9,11 +9,11 @@
 from ..snapshot import file as snapshots
 from ..store import StoreContents, StoreError, StoreLockedError
 from ..telemetry import log
-from . import engine as core
 from . import recorder
 from .components import Parts
 from .recorder import Recorder, RecordingError
 from .recovery import ControllerState, StateMismatchError, Step, boot_id, capture_state, check_state, restore
+from .step_outputs import StoreWrites
 
 
 class Keeping(Parts):
@@ -109,14 +109,14 @@
         except OSError as fault:
             self.rate_limited_log.warn("snapshot not kept", why=str(fault))
 
-    def keep(self, now: float, writes: core.StoreWrites) -> bool:
+    def keep(self, now: float, writes: StoreWrites) -> bool:
         """Write to the store; false while it does not take it."""
-        if not writes.lines and not writes.resets:
+        if not writes.entries and not writes.resets:
             return not self.store_faults
         if now < self.store_again or self.store_shut:
             return False
         try:
-            self.store.write(writes.seq, writes.lines, writes.resets)
+            self.store.write(writes.message_number, writes.entries, writes.resets)
         except StoreLockedError as fault:
             # Another steward has the slices: what this one says from now on would be a second voice.
             log.error("store taken by another steward", why=str(fault))
@@ -153,11 +153,11 @@
             self.shared_fault("no answer in time")
         except Exception as fault:
             if isinstance(fault, Fenced):
-                engine.on_writes_fenced(self.clock())
+                engine.on_writes_fenced()
                 log.warning("fenced", why=str(fault))
             self.shared_fault(str(fault))
         if not stored and not self.keeper.charge.may_speak(self.clock()):
-            engine.on_writes_fenced(self.clock())
+            engine.on_writes_fenced()
         if stored:
             self.store_mended()
         self.writing = None
--- a/corallanding/controller/report_aggregation.py
+++ b/corallanding/controller/report_aggregation.py
@@ -1,91 +1,134 @@
-"""Sums from forwarders, added up and handed to the module a period at a time: oldest first, so many a second.
+"""Adds up usage reports of proxies and hands the totals to the assigner, oldest first, at a bounded rate. Pure.
 
-Pure. Bounded by hosts x zones and slices x operations: what does not fit the intake adds up where it is.
+Memory is bounded by hosts x zones and slices x request classes. What does not fit the rate goes on adding up.
 """
 
 from __future__ import annotations
 
 from collections.abc import Container
 from dataclasses import dataclass
+from enum import StrEnum
+from typing import NamedTuple
 
 from .. import interface as api
 from ..wire.frames import Sums
 
+MAX_KEYS = 100_000
+MIN_PERIOD_SHARE = 0.9  # of the report interval that a total must cover before it is handed on
+
+
+class UsageKind(StrEnum):
+    """What a total is about. The values are stored in handovers, and order totals that began at one time."""
+
+    HOST = "host"
+    SLICE = "slice"
+    PROXY = "own"
+
+
+class UsageKey(NamedTuple):
+    """Names one total: (zone, host), (slice, request class) or (proxy, request class), by its kind."""
+
+    kind: UsageKind
+    first: int
+    second: int
+
 
 @dataclass
 class UsageTally:
-    since: float  # when the period began that this tally covers
+    """A total of requests since `since`; `latency_sum_ms` is over those that succeeded."""
+
+    since: float
     total: int = 0
     failed: int = 0
-    latency_sum_ms: float = 0.0  # latency times good answers
+    latency_sum_ms: float = 0.0
 
+    def add(self, total: int, failed: int) -> None:
+        """Add requests, and how many of them failed."""
+        self.total += total
+        self.failed += failed
 
-Key = tuple[str, int, int]  # "host", zone, host / "slice", slice, operation / "own", forwarder, operation
+    def mean_latency_ms(self) -> float:
+        """The mean latency of requests that succeeded; 0 if none did."""
+        succeeded = self.total - self.failed
+        return self.latency_sum_ms / succeeded if succeeded else 0.0
 
 
 class UsageAggregator:
-    def __init__(self, settings: api.Settings, keys_most: int = 100_000) -> None:
-        self.settings, self.max_keys = settings, keys_most
-        self.tallies: dict[Key, UsageTally] = {}  # in the order of their first word: the oldest first
-        self.available_reports, self.replenished_at = 0.0, 0.0
-        self.dropped_rows = 0  # rows beyond the bound, or of hosts, slices or operations that do not exist
+    """Totals of usage until they are handed on."""
+
+    def __init__(self, settings: api.Settings, max_keys: int = MAX_KEYS) -> None:
+        self.settings = settings
+        self.max_keys = max_keys
+        self.tallies: dict[UsageKey, UsageTally] = {}  # in the order of their first report
+        self.available_reports = 0.0  # how many may be handed on now
+        self.replenished_at = 0.0
+        self.dropped_rows = 0  # beyond `max_keys`, or of hosts, slices or request classes that do not exist
 
     def add(
-        self, now: float, forwarder: int, zone: int, sums: Sums, hosts: Container[int], slices: Container[int]
+        self, now: float, proxy: int, zone: int, report: Sums, hosts: Container[int], slices: Container[int]
     ) -> None:
-        """Take one forwarder's sums. Rows on unknown hosts, slices or operations are counted and dropped."""
-        operations = len(self.settings.request_classes)
-        for host, tries, errored, latency in sums.hosts:
-            if host not in hosts or errored > tries or zone >= self.settings.zone_count:
-                self.dropped_rows += 1
-            elif tally := self.tally(now, ("host", zone, host), sums.span):
-                good = tries - errored
-                tally.total, tally.failed = tally.total + tries, tally.failed + errored
-                tally.latency_sum_ms += latency * good
-        for slice, operation, came, unanswered in sums.slices:
-            if slice not in slices or operation >= operations or unanswered > came:
+        """Add one proxy's report. Rows on unknown hosts, slices or request classes are counted and dropped."""
+        self._add_hosts(now, zone, report, hosts)
+        request_classes = len(self.settings.request_classes)
+        for slice_number, request_class, requests, unanswered in report.slices:
+            if slice_number not in slices or request_class >= request_classes or unanswered > requests:
                 self.dropped_rows += 1
-            elif tally := self.tally(now, ("slice", slice, operation), sums.span):
-                tally.total, tally.failed = tally.total + came, tally.failed + unanswered
-        for operation, came, unanswered in sums.own:
-            if operation >= operations or unanswered > came:
+            elif tally := self._tally(now, UsageKey(UsageKind.SLICE, slice_number, request_class), report.span):
+                tally.add(requests, unanswered)
+        for request_class, requests, unanswered in report.own:
+            if request_class >= request_classes or unanswered > requests:
                 self.dropped_rows += 1
-            elif tally := self.tally(now, ("own", forwarder, operation), sums.span):
-                tally.total, tally.failed = tally.total + came, tally.failed + unanswered
+            elif tally := self._tally(now, UsageKey(UsageKind.PROXY, proxy, request_class), report.span):
+                tally.add(requests, unanswered)
 
-    def tally(self, now: float, key: Key, span: float) -> UsageTally | None:
-        if key not in self.tallies:
-            if len(self.tallies) >= self.max_keys:
+    def _add_hosts(self, now: float, zone: int, report: Sums, hosts: Container[int]) -> None:
+        zone_count = self.settings.zone_count
+        for host, attempts, failed, latency_ms in report.hosts:
+            if host not in hosts or failed > attempts or zone >= zone_count:
                 self.dropped_rows += 1
-                return None
-            self.tallies[key] = UsageTally(now - min(span, self.settings.report_interval_ms))
-        return self.tallies[key]
+            elif tally := self._tally(now, UsageKey(UsageKind.HOST, zone, host), report.span):
+                tally.add(attempts, failed)
+                tally.latency_sum_ms += latency_ms * (attempts - failed)
+
+    def _tally(self, now: float, key: UsageKey, span_ms: float) -> UsageTally | None:
+        """The total of a key, begun if need be; None, and counted, if there are too many."""
+        tally = self.tallies.get(key)
+        if tally is not None:
+            return tally
+        if len(self.tallies) >= self.max_keys:
+            self.dropped_rows += 1
+            return None
+        tally = UsageTally(now - min(span_ms, self.settings.report_interval_ms))
+        self.tallies[key] = tally
+        return tally
 
     def take_due(self, now: float) -> list[api.Event]:
-        """What the intake allows by now, oldest first; what remains goes on adding up."""
+        """The totals that may be handed on by now, oldest first; the others go on adding up."""
+        self._replenish(now)
+        min_period_ms = self.settings.report_interval_ms * MIN_PERIOD_SHARE
+        ready = [key for key, tally in self.tallies.items() if now - tally.since >= min_period_ms]
+        ready.sort(key=lambda key: (self.tallies[key].since, key))
+        reports = [self._report(now, key) for key in ready[: int(self.available_reports)]]
+        self.available_reports -= len(reports)
+        return reports
+
+    def _replenish(self, now: float) -> None:
+        """Allow for the reports that may be handed on since the last time."""
         rate = self.settings.reports_per_second
-        gained = (
-            (now - self.replenished_at) * rate / 1000.0
-            if self.replenished_at
-            else rate * self.settings.report_interval_ms / 1000.0
-        )
-        self.available_reports = min(
-            self.available_reports + gained, rate * max(1.0, self.settings.report_interval_ms / 1000.0)
-        )
+        interval_s = self.settings.report_interval_ms / 1000.0
+        gained = (now - self.replenished_at) * rate / 1000.0 if self.replenished_at else rate * interval_s
+        self.available_reports = min(self.available_reports + gained, rate * max(1.0, interval_s))
         self.replenished_at = now
-        out: list[api.Event] = []
-        ready = [k for k, t in self.tallies.items() if now - t.since >= self.settings.report_interval_ms * 0.9]
-        ready.sort(key=lambda k: (self.tallies[k].since, k))
-        for key in ready[: int(self.available_reports)]:
-            tally, (what, a, b) = self.tallies.pop(key), key
-            span = max(now - tally.since, 1.0)
-            if what == "host":
-                good = tally.total - tally.failed
-                mean = tally.latency_sum_ms / good if good else 0.0
-                out.append(api.HostUsageReport(a, b, tally.total, tally.failed, mean, span))
-            elif what == "slice":
-                out.append(api.SliceUsageReport(a, b, tally.total, tally.failed, span))
-            else:
-                out.append(api.ProxyUsageReport(a, b, tally.total, tally.failed, span))
-        self.available_reports -= len(out)
-        return out
+
+    def _report(self, now: float, key: UsageKey) -> api.Event:
+        """Take out one total as the report that it makes."""
+        tally = self.tallies.pop(key)
+        span_ms = max(now - tally.since, 1.0)
+        match key.kind:
+            case UsageKind.HOST:
+                latency_ms = tally.mean_latency_ms()
+                return api.HostUsageReport(key.first, key.second, tally.total, tally.failed, latency_ms, span_ms)
+            case UsageKind.SLICE:
+                return api.SliceUsageReport(key.first, key.second, tally.total, tally.failed, span_ms)
+            case UsageKind.PROXY:
+                return api.ProxyUsageReport(key.first, key.second, tally.total, tally.failed, span_ms)
--- a/corallanding/controller/status_views.py
+++ b/corallanding/controller/status_views.py
@@ -36,7 +36,7 @@
         state = self.engine.published
         page = {
             "life": self.engine.start_number,
-            "seq": self.engine.seq,
+            "seq": self.engine.publisher.message_number,
             "cordons": sorted(state.cordoned_hosts),
             "levels": [[t, bits, a, r] for (t, bits), (a, r) in state.admissions.items()],
             "tables": {str(t): {str(h): w for h, w in sorted(row.items())} for t, row in state.tables.items()},
--- /dev/null
+++ b/corallanding/controller/step_outputs.py
@@ -0,0 +1,49 @@
+"""What one step of the engine hands out: table entries to store, then frames to send and other work to do."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from .. import interface as api
+from ..wire import frames
+
+NO_VERSION = -1  # in place of a version: the frame needs no acknowledgement
+
+
+@dataclass(frozen=True)
+class StoreWrites:
+    """What must be stored before anything of the step is sent: tables to empty, then entries to set.
+
+    An entry is (table, host, weight); weight 0 removes it. `message_number` is that of the message which carries them.
+    """
+
+    message_number: int
+    entries: tuple[tuple[int, int, float], ...] = ()
+    resets: tuple[int, ...] = ()
+
+
+@dataclass(frozen=True)
+class SendFrame:
+    """Send one encoded frame to some proxies, paced by the channel.
+
+    `cost_lines` is what the channel counts for it beside the overhead of a message. `orders` is the frame before it
+    was encoded, if later frames may be merged with it. An urgent frame may overtake others that wait.
+    """
+
+    frame: bytes
+    cost_lines: int
+    version: int
+    proxies: tuple[int, ...]
+    orders: frames.Orders | None = None
+    is_urgent: bool = False
+
+
+@dataclass(frozen=True)
+class CheckHost:
+    """Send a health check to a host; `address` is "ip:port", or empty if no address is known."""
+
+    host: int
+    address: str
+
+
+Output = SendFrame | CheckHost | api.WatchHostList | api.FetchHostList | api.SendToPeer | api.LogNote
--- a/tests/stored_samples.py
+++ b/tests/stored_samples.py
@@ -13,10 +13,11 @@
 from corallanding.assignment import Assigner
 from corallanding.channel import Channel
 from corallanding.channel import Limits as ChannelLimits
-from corallanding.controller.engine import Engine, SendFrame
+from corallanding.controller.engine import Engine
 from corallanding.controller.handover_state import ConnectionState, HandoverState, capture_connection, capture_handover
 from corallanding.controller.join_admission import JoinAdmission
 from corallanding.controller.recovery import ControllerState, capture_state
+from corallanding.controller.step_outputs import SendFrame
 from corallanding.lease import messages as lease
 from corallanding.load_reports.load_estimator import Counts, HostLoad, Process
 from corallanding.load_reports.state import FeedState
@@ -255,7 +256,13 @@
         for output in engine.publish(chance.random() < 0.9):
             if isinstance(output, SendFrame):
                 self.channel.submit(
-                    self.now, output.frame, output.lines, output.mark, output.to, output.orders, output.urgent
+                    self.now,
+                    output.frame,
+                    output.cost_lines,
+                    output.version,
+                    output.proxies,
+                    output.orders,
+                    output.is_urgent,
                 )
             else:
                 self.said.append(f"output {[*vars(output).values()]}")
@@ -297,7 +304,7 @@
     engine = rig.engine
     engine.unsaved_tables, engine.unsaved_resets = {2: {1: 1.0, 3: 0.0}}, {2}
     engine.published.assignments = {1: {2: 3}}
-    engine.leaving_hosts = {5}
+    engine.publisher.leaving_hosts = {5}
     for _, event in EVENTS:
         engine.add_event(rig.now, event)
     engine.usage.add(rig.now, 1, 0, frames.Sums(900.0, [(1, 9, 1, 8.0)], [(2, 0, 7, 2)], [(0, 6, 3)]), ADDRESSES, {2})
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -5,8 +5,9 @@
 from sockets import Scripted
 
 from corallanding import interface as api
-from corallanding.controller import engine as core
+from corallanding.controller.engine import Engine
 from corallanding.controller.report_aggregation import UsageAggregator
+from corallanding.controller.step_outputs import Output, SendFrame, StoreWrites
 from corallanding.store import StoreContents
 from corallanding.wire import frames
 
@@ -14,9 +15,9 @@
 SETTINGS = api.Settings(OPS, slice_count=4, proxy_count=2, report_interval_ms=1000.0, reports_per_second=2.0)
 
 
-def make(settings: api.Settings = SETTINGS, life: StoreContents | None = None) -> tuple[core.Engine, Scripted]:
+def make(settings: api.Settings = SETTINGS, life: StoreContents | None = None) -> tuple[Engine, Scripted]:
     addresses = {h: f"127.0.0.1:{h}" for h in (10, 11, 12)}
-    engine = core.Engine(settings, 1, life or StoreContents(2), range(settings.slice_count), addresses, Scripted)
+    engine = Engine(settings, 1, life or StoreContents(2), range(settings.slice_count), addresses, Scripted)
     assert isinstance(engine.assigner, Scripted)
     return engine, engine.assigner
 
@@ -25,7 +26,7 @@
     return frames.Reader(frames.to_forwarder, 1 << 20).feed(data)
 
 
-def step(engine: core.Engine, now: float, stored: bool = True) -> tuple[core.StoreWrites, list[core.Output]]:
+def step(engine: Engine, now: float, stored: bool = True) -> tuple[StoreWrites, list[Output]]:
     engine.add_event(now, api.TimerFired(99))
     writes = engine.decide(now)
     return writes, engine.publish(stored)
@@ -58,11 +59,11 @@
         engine.on_proxy_joined(0.0, hello(f))
     module.todo = [api.SetWeight(0, 10, 1.0), api.SetWeight(1, 11, 1.0), api.PublishVersion(7)]
     writes = engine.decide(10.0)
-    assert writes == core.StoreWrites(1, ((0, 10, 1.0), (1, 11, 1.0)))
+    assert writes == StoreWrites(1, ((0, 10, 1.0), (1, 11, 1.0)))
     [send] = engine.publish(True)
-    assert isinstance(send, core.SendFrame)
-    assert send.to == (1, 2)
-    assert (send.lines, send.mark) == (3, 7)
+    assert isinstance(send, SendFrame)
+    assert send.proxies == (1, 2)
+    assert (send.cost_lines, send.version) == (3, 7)
     [order] = read(send.frame)
     assert isinstance(order, frames.Orders)
     assert order.mark == 7
@@ -79,7 +80,7 @@
     module.todo = [api.SetWeight(3, 10, 1.0), api.SetAdmission(3, 0, 0.5, api.RetryMode.NEVER), api.ResetTable(3)]
     writes, _out = step(engine, 10.0)
     assert engine.discarded_actions == 3
-    assert not writes.lines
+    assert not writes.entries
     assert not writes.resets
     engine.on_slice_gained(20.0, 3, {12: 1.0})
     module.told.clear()
@@ -96,7 +97,7 @@
     assert engine.unsaved_tables == {0: {10: 1.0}}
     module.todo = [api.SetWeight(0, 11, 1.0), api.SetWeight(0, 10, 0.0), api.ResetTable(2)]
     writes, _ = step(engine, 20.0, stored=False)
-    assert set(writes.lines) == {(0, 10, 0.0), (0, 11, 1.0)}
+    assert set(writes.entries) == {(0, 10, 0.0), (0, 11, 1.0)}
     assert writes.resets == (2,)
     assert engine.next_at(30.0) == 30.0, "it asks for a step to try the store again"
     engine.is_store_backing_off = True
@@ -117,7 +118,7 @@
     assert engine.on_recalled_tables(1.0, held) == [0], "1 is as kept, host 77 is unknown, 9 is not in its charge"
     writes, _ = step(engine, 2.0)
     assert writes.resets == (0,)
-    assert writes.lines == ((0, 11, 1.0),)
+    assert writes.entries == ((0, 11, 1.0),)
     assert module.told[:2] == [api.SliceOwnershipChange(0, True), api.StoredWeight(0, 11, 1.0)]
     assert engine.on_recalled_tables(3.0, frames.Held(4, 8, [(0, [(12, 1.0)])])) == [], "older than what was recalled"
     assert not engine.needs_recall(2000.0, hello(1, life=4, seq=99)), "long after the start"
@@ -134,7 +135,7 @@
         api.AssignTable(2, 6, 1),
     ]
     _, out = step(engine, 10.0)
-    got = {s.to: read(s.frame)[0] for s in out if isinstance(s, core.SendFrame)}
+    got = {s.proxies: read(s.frame)[0] for s in out if isinstance(s, SendFrame)}
     assert set(got) == {(1,), (2,)}
     order = got[1,]
     assert isinstance(order, frames.Orders)
@@ -142,7 +143,7 @@
     assert order.points == [(5, 0)]
     module.todo = [api.SetWeight(6, 11, 0.0), api.PublishVersion(1, to_all_proxies=True)]
     _, out = step(engine, 20.0)
-    assert {s.to for s in out if isinstance(s, core.SendFrame)} == {(2,), (1, 3)}
+    assert {s.proxies for s in out if isinstance(s, SendFrame)} == {(2,), (1, 3)}
     [tables] = read(engine.on_proxy_joined(30.0, hello(1)))
     assert isinstance(tables, frames.Tables) and tables.tables == [], "a binding ends with the stream"
 
@@ -164,7 +165,7 @@
 
 
 def test_sums_are_bounded() -> None:
-    gather = UsageAggregator(SETTINGS, keys_most=2)
+    gather = UsageAggregator(SETTINGS, max_keys=2)
     gather.add(0.0, 1, 0, frames.Sums(500.0, slices=[(s, 0, 1, 0) for s in range(4)]), set(), set(range(4)))
     assert len(gather.tallies) == 2
     assert gather.dropped_rows == 2
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -569,7 +569,7 @@
         metrics=metrics,
         store_again=0.0,
         engine=SimpleNamespace(
-            decide=lambda now: SimpleNamespace(lines=(), resets=()),
+            decide=lambda now: SimpleNamespace(entries=(), resets=()),
             last_step=(0.0, events, actions),
             overload=SimpleNamespace(is_overloaded=False),
         ),
--- a/tests/test_upgrade_state.py
+++ b/tests/test_upgrade_state.py
@@ -10,7 +10,7 @@
 from corallanding import interface as api
 from corallanding.assignment import Assigner
 from corallanding.channel import Channel, Limits
-from corallanding.controller.engine import Engine, SendFrame
+from corallanding.controller.engine import Engine
 from corallanding.controller.handover_state import (
     HandoverState,
     capture_connection,
@@ -20,6 +20,7 @@
 )
 from corallanding.controller.join_admission import JoinAdmission
 from corallanding.controller.recovery import StateMismatchError, capture_state
+from corallanding.controller.step_outputs import SendFrame
 from corallanding.snapshot import file
 from corallanding.store.api import StoreContents
 from corallanding.wire import frames
@@ -80,7 +81,7 @@
         e.decide(now)
         for out in e.publish(r.random() < 0.9):
             if isinstance(out, SendFrame):
-                self.channel.submit(now, out.frame, out.lines, out.mark, out.to, out.orders, out.urgent)
+                self.channel.submit(now, out.frame, out.cost_lines, out.version, out.proxies, out.orders, out.is_urgent)
             else:
                 self.log.append(out)
         for f, m in self.channel.due(now):
