--- /dev/null
+++ b/tests/version_pinning/test_fencing.py
@@ -0,0 +1,54 @@
+"""Two holders of one record group: the earlier one is refused."""
+
+from __future__ import annotations
+
+import itertools
+from typing import Any
+
+import pytest
+
+from corallanding.quorum_records.limits import RecordLimits
+from corallanding.quorum_records.messages import Accept
+from corallanding.quorum_records.proposer import Proposer
+from corallanding.quorum_records.replica import Replica
+from tests.version_pinning.support import accept_without_fencing, forget_promises
+
+
+def test_former_holder_when_a_later_one_has_read_then_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The first of two holders has written to one keeper; the second reads from the two others, and writes; then the
+    words of the first arrive there."""
+
+    def scene() -> list[bool]:
+        shelves = {k: Replica(RecordLimits()) for k in range(3)}
+        rounds = itertools.count(1)
+        first, second = (Proposer(life, 7, (0, 1, 2), RecordLimits(), life, rounds.__next__) for life in (1, 2))
+
+        def deliver(words: list[Any], to: set[int]) -> list[Any]:
+            late = []
+            for s in words:
+                writer = first if s.word.life == 1 else second
+                if s.to not in to:
+                    late.append(s)
+                elif isinstance(s.word, Accept):
+                    writer.copied(0.0, s.to, shelves[s.to].copy(0.0, s.word))
+                else:
+                    assert not writer.page(0.0, s.to, shelves[s.to].fetch(0.0, s.word))
+            return late
+
+        deliver(first.tick(0.0), {0, 1, 2})
+        first.write(0.0, 99, 1, 0.0)
+        late = deliver(first.tick(0.0), {0})
+        deliver(second.tick(0.0), {1, 2})
+        assert second.open
+        assert second.get(99) is None
+        second.write(0.0, 99, 2, 0.0)
+        copies = second.tick(0.0)
+        deliver(late, {1, 2})
+        deliver(copies, {1, 2})
+        return [world.rows[99].decided for world in (first, second)]
+
+    assert scene() == [False, True]
+    for plant in (accept_without_fencing, forget_promises):
+        with monkeypatch.context() as patch:
+            plant(patch)
+            assert scene() == [True, True], "both told: the mistake shows"
