--- /dev/null
+++ b/tests/scheduling/test_idempotency.py
@@ -0,0 +1,75 @@
+"""Idempotency records of jobs."""
+
+from __future__ import annotations
+
+from corallanding.quorum_records.core import QuorumRecords
+from corallanding.quorum_records.limits import RecordLimits
+from corallanding.quorum_records.queries import Queries, QueryLimits
+from corallanding.scheduling.idempotency import IdempotencyRecords, KeyQuery, KeyStatus
+from corallanding.scheduling.queue import Job
+
+
+def make_records() -> IdempotencyRecords:
+    """Records of a controller that is alone and holds their group."""
+    quorum_records = QuorumRecords(1, (), (1,), 9, RecordLimits(), 0.0, [5], 1, True)
+    records = IdempotencyRecords(Queries(1, (), 9, quorum_records, QueryLimits()), (5,))
+    quorum_records.tick(0.0)
+    quorum_records.hold(5, 1)
+    for now in range(4):
+        quorum_records.tick(float(now))
+    assert quorum_records.held[5].open
+    return records
+
+
+def answer_to(records: IdempotencyRecords, now: float, number: int) -> tuple[int, int]:
+    asking = records.queries
+    asking.push(now)
+    for _ in range(6):
+        records.records.tick(now)
+        asking.decided(now)
+    (told,) = asking.take(5)
+    assert told.number == number
+    return told.what, told.value
+
+
+def test_key_when_claimed_then_keeps_its_age_and_goes_to_one_owner() -> None:
+    records = make_records()
+    assert answer_to(records, 10.0, records.query_age(10.0, 77, 400.0)) == (KeyStatus.UNCLAIMED, 400)
+    assert answer_to(records, 1_010.0, records.query_age(1_010.0, 77, 0.0)) == (KeyStatus.UNCLAIMED, 1_400), (
+        "brought again elsewhere"
+    )
+    job = Job(1, 0, 3, 8, 0.0, idempotency_key=77)
+    assert answer_to(records, 1_020.0, records.query_claim(1_020.0, job, 500))[0] == KeyStatus.GRANTED
+    assert answer_to(records, 1_030.0, records.query_claim(1_030.0, job, 501))[0] == KeyStatus.DUPLICATE
+    assert answer_to(records, 1_040.0, records.query_claim(1_040.0, job, 500))[0] == KeyStatus.GRANTED, (
+        "its word was lost: it may go again"
+    )
+    assert answer_to(records, 1_050.0, records.query_age(1_050.0, 77, 0.0))[0] == KeyStatus.DUPLICATE
+    assert (KeyQuery.AGE, KeyQuery.CLAIM) == (0, 1)
+
+
+def test_key_when_claimed_twice_at_once_then_is_granted_once() -> None:
+    records, job = make_records(), Job(1, 0, 3, 8, 0.0, idempotency_key=77)
+    first, second = records.query_claim(10.0, job, 500), records.query_claim(10.0, job, 600)
+    records.queries.push(10.0)
+    for _ in range(8):
+        records.records.tick(10.0)
+        records.queries.decided(10.0)
+    records.queries.tick(500.0)
+    for _ in range(8):
+        records.records.tick(500.0)
+        records.queries.decided(500.0)
+    ends = {t.number: t.what for t in records.queries.take(5)}
+    assert sorted(ends.values()) == [KeyStatus.GRANTED, KeyStatus.DUPLICATE]
+    assert set(ends) == {first, second}
+
+
+def test_claim_when_released_by_its_owner_then_can_be_granted_anew() -> None:
+    records, job = make_records(), Job(1, 0, 3, 8, 0.0, idempotency_key=77)
+    assert answer_to(records, 10.0, records.query_claim(10.0, job, 500))[0] == KeyStatus.GRANTED
+    assert answer_to(records, 20.0, records.query_release(20.0, job, 501))[0] == KeyStatus.UNCLAIMED, (
+        "another's is not given back"
+    )
+    assert answer_to(records, 30.0, records.query_claim(30.0, job, 600))[0] == KeyStatus.DUPLICATE
+    assert answer_to(records, 40.0, records.query_release(40.0, job, 500))[0] == KeyStatus.UNCLAIMED
+    assert answer_to(records, 50.0, records.query_claim(50.0, job, 600))[0] == KeyStatus.GRANTED
