--- a/corallanding/collector/__init__.py
+++ b/corallanding/collector/__init__.py
@@ -1,1 +1,4 @@
-"""The platform's listening address: collectors' reports come in, strangers go. `core` is pure, `door` holds sockets."""
+"""The platform's listening address: reports from collectors, and heartbeats.
+
+`reports` and `session` are pure; `server` holds the sockets.
+"""
--- a/corallanding/collector/server.py
+++ b/corallanding/collector/server.py
@@ -1,4 +1,4 @@
-"""The listening address on sockets: thin protocol objects over `core`, on the project's paced listener."""
+"""The listening address on sockets: thin protocol objects over `session`, on the paced acceptor."""
 
 from __future__ import annotations
 
@@ -7,129 +7,159 @@
 from collections.abc import Callable
 from typing import cast
 
-from .. import interface as api
-from ..connection import ReadTimeout
+from ..connection import Address, ReadTimeout
 from ..controller.acceptor import Listener
-from .core import REJECT, SIGN_OF_LIFE, Intake, Peer
+from .reports import ReportIntake, UsageReport
+from .session import HEARTBEAT_ANSWER, REJECT, CollectorSession
 
-UNREAD_MOST = 4_096  # bytes of answers that a peer may leave unread
-JOIN_WITHIN = 1_000.0  # ms
+MAX_UNREAD_BYTES = 4_096  # of answers that a peer may leave unread
+JOIN_TIMEOUT_MS = 1_000.0
+MAX_OWED_HEARTBEATS = 16
+LISTEN_BACKLOG = 1024
+ACCEPTED_PER_SECOND = 2_000.0
 
 
-class Link(asyncio.Protocol):
-    def __init__(self, door: Door) -> None:
-        self.door = door
-        self.peer = Peer(door.intake)
-        self.owed = 0
-        self.timer: ReadTimeout | None = None
+class CollectorConnection(asyncio.Protocol):
+    """One connection: a collector's, or one that has not identified itself."""
+
+    def __init__(self, server: CollectorServer) -> None:
+        self.server = server
+        self.session = CollectorSession(server.intake)
+        self.owed_heartbeats = 0
+        self.join_timeout: ReadTimeout | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Wait for the first message."""
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(high=UNREAD_MOST)
-        self.timer = self.limit()
-        self.door.came(self)
+        self.transport.set_write_buffer_limits(high=MAX_UNREAD_BYTES)
+        self.join_timeout = self.start_join_timeout()
+        self.server.on_connected(self)
 
-    def limit(self) -> ReadTimeout:
-        return ReadTimeout(asyncio.get_running_loop(), JOIN_WITHIN, self.late)
+    def start_join_timeout(self) -> ReadTimeout:
+        """Return a time limit for identifying itself."""
+        return ReadTimeout(asyncio.get_running_loop(), JOIN_TIMEOUT_MS, self.on_join_timeout)
 
     def data_received(self, data: bytes) -> None:
-        heard = self.peer.feed(data)
-        if self.peer.zone is not None and self.timer:
-            self.timer.cancel()
-            self.timer = None
-            self.door.joined(self, self.peer.zone)
-        if heard.events:
-            self.door.heard(heard.events)
-        if heard.asked:
-            self.owed = min(self.owed + heard.asked, 16)
-            self.door.answer(self)
-        if heard.over:
-            self.end(heard.over, heard.answer)
-
-    def late(self) -> None:
-        """Not joined in time. One who asked for a sign of life and was not answered yet stays until it is."""
-        self.timer = None
-        if not self.owed:
-            self.end("not joined in time", REJECT)
-
-    def alive(self) -> None:
-        if self.owed and not self.transport.is_closing():
-            self.transport.write(SIGN_OF_LIFE * self.owed)
-            self.owed = 0
-            if self.timer is None and self.peer.zone is None:  # it had its second: no longer
-                self.timer = self.limit()
+        """Pass on reports, answer heartbeats, and end a connection that may not stay."""
+        result = self.session.feed(data)
+        if self.session.zone is not None and self.join_timeout:
+            self.join_timeout.cancel()
+            self.join_timeout = None
+            self.server.on_identified(self, self.session.zone)
+        if result.reports:
+            self.server.on_reports(result.reports)
+        if result.heartbeats:
+            self.owed_heartbeats = min(self.owed_heartbeats + result.heartbeats, MAX_OWED_HEARTBEATS)
+            self.server.on_heartbeat(self)
+        if result.close_reason:
+            self.close(result.close_reason, result.answer)
+
+    def on_join_timeout(self) -> None:
+        """End a connection that has not identified itself; one that waits for a heartbeat stays until it gets one."""
+        self.join_timeout = None
+        if not self.owed_heartbeats:
+            self.close("not joined in time", REJECT)
+
+    def answer_heartbeats(self) -> None:
+        """Send the heartbeats that are owed."""
+        if self.owed_heartbeats and not self.transport.is_closing():
+            self.transport.write(HEARTBEAT_ANSWER * self.owed_heartbeats)
+            self.owed_heartbeats = 0
+            if self.join_timeout is None and self.session.zone is None:  # its time limit had passed
+                self.join_timeout = self.start_join_timeout()
 
     def pause_writing(self) -> None:
-        self.end("leaves answers unread")
-
-    def end(self, why: str, answer: bytes = b"") -> None:
-        if not self.transport.is_closing():
-            self.door.ended[why] += 1
-            if answer:
-                self.transport.write(answer)
-            # Those that send without end never read what would let an orderly close finish.
-            self.transport.abort() if not answer else self.transport.close()
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        if self.timer:
-            self.timer.cancel()
-        self.door.left(self)
-
-
-class Door:
-    """strangers_most: connections that have not joined, the oldest go first. heard: takes what reports say.
-
-    A zone's collector that comes back is taken while its old connection still seems to stand: that one goes then, past
-    `zone_most` of them. Guards against half-open connections that would hold a descriptor for good.
+        """End a connection whose peer does not read."""
+        self.close("leaves answers unread")
+
+    def close(self, reason: str, answer: bytes = b"") -> None:
+        """End the connection after an answer."""
+        if self.transport.is_closing():
+            return
+        self.server.close_reasons[reason] += 1
+        if answer:
+            self.transport.write(answer)
+            self.transport.close()
+        else:
+            # A peer that sends without end never reads what would let an orderly close finish.
+            self.transport.abort()
+
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - the signature is asyncio's
+        """Forget the connection."""
+        if self.join_timeout:
+            self.join_timeout.cancel()
+        self.server.on_lost(self)
+
+
+class CollectorServer:
+    """Accepts connections at the listening address.
+
+    `on_reports` takes what reports say, `on_warning` lines for the log. At most `max_unidentified` connections may be
+    unidentified; beyond it the oldest ends. A zone's collector that comes back is accepted while its old connection
+    still seems to stand; past `max_per_zone` the oldest of a zone ends, since half-open connections would hold a
+    descriptor for good. `close_reasons` counts ended connections.
     """
 
     def __init__(
         self,
-        where: tuple[str, int],
-        intake: Intake,
-        strangers_most: int,
-        heard: Callable[[list[api.HostUsageReport | api.SliceUsageReport]], None],
-        said: Callable[[str], None],
-        zone_most: int = 4,
+        address: Address,
+        intake: ReportIntake,
+        max_unidentified: int,
+        on_reports: Callable[[list[UsageReport]], None],
+        on_warning: Callable[[str], None],
+        max_per_zone: int = 4,
     ) -> None:
-        self.intake, self.heard, self.strangers_most, self.zone_most = intake, heard, strangers_most, zone_most
-        self.strangers: dict[Link, None] = {}
-        self.collectors: dict[int, list[Link]] = {}
-        self.ended: Counter[str] = Counter()
-        self.ready = False  # signs of life are given
-        # Hundreds that say nothing must be taken to be told to go: none is left waiting in the kernel's queue.
-        self.listener = Listener(*where, 1024, 2_000.0, lambda: Link(self), said)
-
-    def came(self, link: Link) -> None:
-        self.strangers[link] = None
-        while len(self.strangers) > self.strangers_most:
-            # One that asked for a sign of life before there is one may be who waits for this steward: it goes last.
-            oldest = next((link for link in self.strangers if not link.owed), next(iter(self.strangers)))
-            del self.strangers[oldest]
-            oldest.end("more strangers than there is room for", REJECT)
-
-    def joined(self, link: Link, zone: int) -> None:
-        self.strangers.pop(link, None)
-        links = self.collectors.setdefault(zone, [])
-        links.append(link)
-        while len(links) > self.zone_most:
-            links.pop(0).end("a newer collector of its zone")
-
-    def left(self, link: Link) -> None:
-        self.strangers.pop(link, None)
-        for links in self.collectors.values():
-            if link in links:
-                links.remove(link)
-
-    def answer(self, link: Link) -> None:
-        if self.ready:
-            link.alive()
-
-    def open(self) -> None:
-        """The steward is fit to be used: answer those that have asked meanwhile."""
-        self.ready = True
-        for link in [*self.strangers, *(x for links in self.collectors.values() for x in links)]:
-            link.alive()
+        self.intake = intake
+        self.max_unidentified = max_unidentified
+        self.max_per_zone = max_per_zone
+        self.on_reports = on_reports
+        self.unidentified: dict[CollectorConnection, None] = {}  # the oldest first
+        self.collectors: dict[int, list[CollectorConnection]] = {}  # by zone, the oldest first
+        self.close_reasons: Counter[str] = Counter()
+        self.is_ready = False  # heartbeats are answered
+        # Hundreds of silent connections have to be accepted to be rejected: none is left waiting in the kernel's queue.
+        self.listener = Listener(
+            *address, LISTEN_BACKLOG, ACCEPTED_PER_SECOND, lambda: CollectorConnection(self), on_warning
+        )
+
+    def on_connected(self, connection: CollectorConnection) -> None:
+        """Take a new connection; the oldest unidentified ones end if there are too many."""
+        self.unidentified[connection] = None
+        while len(self.unidentified) > self.max_unidentified:
+            # One that asked for a heartbeat before the controller is ready may be its supervisor: it ends last.
+            oldest = next(
+                (found for found in self.unidentified if not found.owed_heartbeats), next(iter(self.unidentified))
+            )
+            del self.unidentified[oldest]
+            oldest.close("too many unidentified connections", REJECT)
+
+    def on_identified(self, connection: CollectorConnection, zone: int) -> None:
+        """A connection turned out to be the collector of a zone."""
+        self.unidentified.pop(connection, None)
+        connections = self.collectors.setdefault(zone, [])
+        connections.append(connection)
+        while len(connections) > self.max_per_zone:
+            connections.pop(0).close("a newer collector of its zone")
+
+    def on_lost(self, connection: CollectorConnection) -> None:
+        """A connection has ended."""
+        self.unidentified.pop(connection, None)
+        for connections in self.collectors.values():
+            if connection in connections:
+                connections.remove(connection)
+
+    def on_heartbeat(self, connection: CollectorConnection) -> None:
+        """A connection asked for a heartbeat."""
+        if self.is_ready:
+            connection.answer_heartbeats()
+
+    def set_ready(self) -> None:
+        """The controller is ready: answer those that have asked meanwhile."""
+        self.is_ready = True
+        collectors = [found for connections in self.collectors.values() for found in connections]
+        for connection in [*self.unidentified, *collectors]:
+            connection.answer_heartbeats()
 
     def close(self) -> None:
+        """Stop accepting connections."""
         self.listener.close()
--- a/corallanding/platform/config.py
+++ b/corallanding/platform/config.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from .. import interface as api
-from ..collector.core import Places
+from ..collector.reports import NameTables
 from ..connection import Address
 from ..discovery.host_list import ListAnswer
 from ..json_errors import JSON_DECODE_ERRORS
@@ -36,7 +36,7 @@
     memory_mb: float
     known: ListAnswer
     settings: api.Settings
-    places: Places
+    places: NameTables
     kinds: dict[str, int]
     dial_timeout: float  # ms that proxies wait for a connection
 
@@ -153,7 +153,7 @@
         max(0.0, limits.memory_mb),
         top.known or ListAnswer(0, True, []),
         settings,
-        Places(places(top.settings.get("zones"), "settings.zones"), places(names, "settings.classes")),
+        NameTables(places(top.settings.get("zones"), "settings.zones"), places(names, "settings.classes")),
         places(top.settings.get("kinds"), "settings.kinds"),
         dial_timeout,
     )
--- a/corallanding/platform/service.py
+++ b/corallanding/platform/service.py
@@ -9,8 +9,8 @@
 
 from .. import interface as api
 from ..assignment import Assigner
-from ..collector.core import Intake
-from ..collector.server import Door
+from ..collector.reports import ReportIntake
+from ..collector.server import CollectorServer
 from ..controller.event_inbox import EventInbox
 from ..health_check.checker import HealthChecker
 from ..host_names import name
@@ -48,8 +48,8 @@
         channel = ChannelEstimate(
             s.max_queued_lines, s.channel_lines_per_second, s.message_overhead_lines, lambda: len(self.news.proxies)
         )
-        self.calls = PendingCalls(list(config.places.operations), s.max_messages, s.message_window_ms, channel)
-        self.intake = Intake(s, config.places, self.view.addresses, self.news.tables)
+        self.calls = PendingCalls(list(config.places.request_classes), s.max_messages, s.message_window_ms, channel)
+        self.intake = ReportIntake(s, config.places, self.view.addresses, self.news.tables)
         self.call_link = CallConnection(config.store, self.calls, self.clock, self.stood)
         self.news_link = Subscription(
             config.store, self.news, self.clock, self.tell, self.calls.unconfirmed_table_orders, self.said
@@ -65,7 +65,7 @@
             parse_address=address,
             load_in_body=True,
         )
-        self.door: Door | None = None
+        self.door: CollectorServer | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.due_at, self.stepped_at, self.took, self.took_most = float("inf"), 0.0, 0.0, 0.0
         self.begun = self.clock()
@@ -74,14 +74,14 @@
         self.spoilt, self.turned_away = Tally("spoilt reports"), Tally("ended")
         self.trace = traced
         if traced:
-            self.intake.trace = log.info
+            self.intake.on_rejected = log.info
 
     # ---- the life ----------------------------------------------------------------------------------------
 
     def start(self) -> None:
         sockets = self.config.sockets or resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         strangers = max(16, min(256, sockets - 2 * RESERVED))
-        self.door = Door(self.config.listen, self.intake, strangers, self.tell, self.said)
+        self.door = CollectorServer(self.config.listen, self.intake, strangers, self.tell, self.said)
         if saved := self.lists.saved(self.config.known):
             self.turns.add_event(self.clock(), saved)
         self.step()
@@ -96,12 +96,12 @@
         """What was turned down at the listening address since the last such line, by reason."""
         self.loop.call_later(COUNTS_EVERY, self.counts)
         if self.door:
-            self.spoilt.say(self.intake.spoilt)
-            self.turned_away.say(self.door.ended)
+            self.spoilt.say(self.intake.rejected)
+            self.turned_away.say(self.door.close_reasons)
 
     def ready(self) -> None:
-        if self.door and not self.door.ready and not self.ending:
-            self.door.open()
+        if self.door and not self.door.is_ready and not self.ending:
+            self.door.set_ready()
             gc.collect()
             gc.freeze()
             log.info(
@@ -213,7 +213,7 @@
         self.stepped_at = self.clock()
         self.took = self.stepped_at - begun
         self.took_most = max(self.took_most, self.took)
-        if self.door and not self.door.ready and self.news_link.has_been_ready:
+        if self.door and not self.door.is_ready and self.news_link.has_been_ready:
             self.ready()
         self.wake()
         if self.warming is None:
--- a/corallanding/platform/trace.py
+++ b/corallanding/platform/trace.py
@@ -8,8 +8,8 @@
 
 from .. import interface as api
 from ..assignment import Assigner
-from ..collector.core import Intake
-from ..collector.server import Door
+from ..collector.reports import ReportIntake
+from ..collector.server import CollectorServer
 from ..controller.event_inbox import EventInbox
 from ..discovery.host_list import HostListView
 from ..discovery.long_poll import DiscoveryClient
@@ -29,8 +29,8 @@
     news: RelayView
     news_link: Subscription
     calls: PendingCalls
-    intake: Intake
-    door: Door | None
+    intake: ReportIntake
+    door: CollectorServer | None
     turns: EventInbox
     clock: Clock
     took: float
@@ -71,7 +71,7 @@
         f"list={s.view.version} hosts={len(s.view.entries)} proxies={len(s.news.proxies)} slices={len(s.news.tables)} "
         f"news={s.clock() - news.last_received_ms if news else -1.0:.0f} breaks={s.news_link.break_count} "
         f"polls={s.agent.poll_count} "
-        f"reports={s.intake.taken} spoilt={dict(s.intake.spoilt)} ended={dict(door.ended) if door else {}}"
+        f"reports={s.intake.accepted} spoilt={dict(s.intake.rejected)} ended={dict(door.close_reasons) if door else {}}"
     )
     usage = resource.getrusage(resource.RUSAGE_SELF)
     yield (
--- a/tests/platform_front.py
+++ b/tests/platform_front.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from corallanding import interface as api
-from corallanding.collector.core import Intake, Peer, Places
+from corallanding.collector.reports import NameTables, ReportIntake
+from corallanding.collector.session import CollectorSession
 from corallanding.host_names import number
 from corallanding.relay.notifications import parse_notification
 from corallanding.relay.subscription import InitialState, RelayView
@@ -19,13 +20,13 @@
 HOSTS = [number(f"s-{n}") for n in range(6)]
 
 
-def intake(slices: set[int] | dict[int, dict[int, float]]) -> Intake:
-    return Intake(SETTINGS, Places(ZONES, {"lookup": 0, "claim": 1}), set(HOSTS), slices)
+def intake(slices: set[int] | dict[int, dict[int, float]]) -> ReportIntake:
+    return ReportIntake(SETTINGS, NameTables(ZONES, {"lookup": 0, "claim": 1}), set(HOSTS), slices)
 
 
-def collector(of: Intake, zone: str = "a") -> Peer:
-    peer = Peer(of)
-    assert not peer.feed(encode(["telemetry", "locality", zone])).over
+def collector(of: ReportIntake, zone: str = "a") -> CollectorSession:
+    peer = CollectorSession(of)
+    assert not peer.feed(encode(["telemetry", "locality", zone])).close_reason
     return peer
 
 
--- a/tests/test_collector.py
+++ b/tests/test_collector.py
@@ -6,7 +6,7 @@
 from platform_front import HOSTS, SETTINGS, ZONES, collector, host_report, intake, owner, slice_report, told
 
 from corallanding import interface as api
-from corallanding.collector.core import REJECT, Peer
+from corallanding.collector.session import REJECT, CollectorSession
 from corallanding.relay.subscription import InitialState, RelayView
 from corallanding.resp import encode
 
@@ -18,19 +18,19 @@
     s = InitialState()
     told(news, s, owner(3))
     news.replace_state(s)
-    assert peer.feed(encode(slice_report())).events == [api.SliceUsageReport(3, 1, 9, 2, 500.0)]
+    assert peer.feed(encode(slice_report())).reports == [api.SliceUsageReport(3, 1, 9, 2, 500.0)]
     again = InitialState()
     told(news, again, owner(4))
     news.replace_state(again)
-    assert peer.feed(encode(slice_report())).events == []
-    assert peer.feed(encode(slice_report(shard=4))).events == [api.SliceUsageReport(4, 1, 9, 2, 500.0)]
+    assert peer.feed(encode(slice_report())).reports == []
+    assert peer.feed(encode(slice_report(shard=4))).reports == [api.SliceUsageReport(4, 1, 9, 2, 500.0)]
 
 
 def test_a_slice_with_more_unanswered_than_came_is_no_fault() -> None:
     """What came two seconds ago runs out of time now: total 0, errors 1."""
     peer = collector(intake({3}))
-    assert peer.feed(encode(slice_report(total=0, errors=1))).events == [api.SliceUsageReport(3, 1, 0, 1, 500.0)]
-    assert not peer.intake.spoilt
+    assert peer.feed(encode(slice_report(total=0, errors=1))).reports == [api.SliceUsageReport(3, 1, 0, 1, 500.0)]
+    assert not peer.intake.rejected
 
 
 @pytest.mark.parametrize(
@@ -61,14 +61,14 @@
 def test_a_spoilt_report_costs_itself_alone(report: list[str], reason: str) -> None:
     peer = collector(intake({3}))
     heard = peer.feed(encode(host_report()) + encode(report) + encode(slice_report()))
-    assert [type(e) for e in heard.events] == [api.HostUsageReport, api.SliceUsageReport]
-    assert not heard.over
-    assert dict(peer.intake.spoilt) == {reason: 1}
+    assert [type(e) for e in heard.reports] == [api.HostUsageReport, api.SliceUsageReport]
+    assert not heard.close_reason
+    assert dict(peer.intake.rejected) == {reason: 1}
 
 
 def test_a_report_that_is_sound_reaches_the_module_whole() -> None:
     heard = collector(intake({3})).feed(encode(host_report(metrics="inflight:7,util:0.61")))
-    assert heard.events == [api.HostUsageReport(0, HOSTS[1], 9, 2, 41.5, 500.0, {"inflight": 7.0, "util": 0.61})]
+    assert heard.reports == [api.HostUsageReport(0, HOSTS[1], 9, 2, 41.5, 500.0, {"inflight": 7.0, "util": 0.61})]
 
 
 @pytest.mark.parametrize(
@@ -85,19 +85,19 @@
     ],
 )
 def test_strangers_are_told_and_go(said: bytes) -> None:
-    heard = Peer(intake({3})).feed(said)
-    assert heard.over
+    heard = CollectorSession(intake({3})).feed(said)
+    assert heard.close_reason
     assert heard.answer == REJECT
-    assert not heard.events
+    assert not heard.reports
 
 
 def test_a_collector_is_never_written_to_and_ends_at_what_cannot_be_read() -> None:
     heard = collector(intake({3})).feed(encode(slice_report()) + b"garbage")
-    assert heard.over
+    assert heard.close_reason
     assert heard.answer == b""
-    assert len(heard.events) == 1
+    assert len(heard.reports) == 1
 
 
 def test_a_sign_of_life_is_owed_on_any_connection() -> None:
-    assert Peer(intake(set())).feed(encode(["hb"]) * 2).asked == 2
-    assert collector(intake(set())).feed(encode(["hb"])).asked == 1
+    assert CollectorSession(intake(set())).feed(encode(["hb"]) * 2).heartbeats == 2
+    assert collector(intake(set())).feed(encode(["hb"])).heartbeats == 1
--- a/tests/test_crossings_door.py
+++ b/tests/test_crossings_door.py
@@ -12,8 +12,8 @@
 from platform_front import host_report, intake, slice_report
 
 from corallanding.collector import server as at
-from corallanding.collector.core import REJECT, SIGN_OF_LIFE
-from corallanding.collector.server import Door
+from corallanding.collector.server import CollectorServer
+from corallanding.collector.session import HEARTBEAT_ANSWER, REJECT
 from corallanding.resp import encode
 
 JOIN = encode(["telemetry", "locality", "a"])
@@ -26,7 +26,7 @@
 
     def __init__(self, strangers: int = 16) -> None:
         self.events: list[Any] = []
-        self.door = Door(("127.0.0.1", 0), intake({3}), strangers, self.events.extend, lambda text: None)
+        self.door = CollectorServer(("127.0.0.1", 0), intake({3}), strangers, self.events.extend, lambda text: None)
 
     async def come(self, *said: bytes) -> Side:
         side = Side(*await asyncio.open_connection(*self.door.listener.socket.getsockname()))
@@ -50,7 +50,7 @@
 
 @pytest.fixture
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(at, "JOIN_WITHIN", at.JOIN_WITHIN / 20.0)
+    monkeypatch.setattr(at, "JOIN_TIMEOUT_MS", at.JOIN_TIMEOUT_MS / 20.0)
 
 
 def test_a_collector_whose_joining_waits_in_the_kernel_as_its_time_ends_is_taken(quick: None) -> None:
@@ -59,10 +59,10 @@
     async def scene() -> None:
         async with opened() as o:
             side = await o.come()
-            await until(lambda: o.door.strangers)
+            await until(lambda: o.door.unidentified)
             busy(lambda: side.now(JOIN, encode(host_report())), 0.1)
             await until(lambda: o.events)
-            assert not o.door.ended
+            assert not o.door.close_reasons
             assert 0 in o.door.collectors
             side.close()
 
@@ -72,12 +72,12 @@
 def test_a_stranger_that_says_nothing_half_or_asks_again_and_again_is_told_to_go(quick: None) -> None:
     async def scene() -> None:
         async with opened() as o:
-            o.door.open()
+            o.door.set_ready()
             for said in (b"", HB[:5], JOIN[:9]):
                 assert await told(await o.come(said)) == REJECT
             side = await o.come(HB)
             for _ in range(3):
-                assert await side.reader.readexactly(len(SIGN_OF_LIFE)) == SIGN_OF_LIFE
+                assert await side.reader.readexactly(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
                 side.say(HB)
             assert (await told(side)).endswith(REJECT)
 
@@ -89,9 +89,9 @@
         async with opened() as o:
             side, mute = await o.come(HB), await o.come()
             assert await told(mute) == REJECT
-            assert len(o.door.strangers) == 1
-            o.door.open()
-            assert await told(side) == SIGN_OF_LIFE + REJECT
+            assert len(o.door.unidentified) == 1
+            o.door.set_ready()
+            assert await told(side) == HEARTBEAT_ANSWER + REJECT
 
     play(scene)
 
@@ -117,11 +117,11 @@
     async def scene() -> None:
         async with opened(strangers=8) as o:
             waits = await o.come(HB)
-            await until(lambda: any(link.owed for link in o.door.strangers))
+            await until(lambda: any(link.owed_heartbeats for link in o.door.unidentified))
             flood = [await o.come(b"") for _ in range(100)]
-            await until(lambda: sum(o.door.ended.values()) == 93)
-            o.door.open()
-            assert await waits.reader.readexactly(len(SIGN_OF_LIFE)) == SIGN_OF_LIFE
+            await until(lambda: sum(o.door.close_reasons.values()) == 93)
+            o.door.set_ready()
+            assert await waits.reader.readexactly(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
             assert len(flood) == 100
 
     play(scene)
@@ -138,8 +138,8 @@
             await until(lambda: len(o.events) == 2)
             await o.come(raw + encode(slice_report()) * 200)
             await until(lambda: len(o.events) == 2 + 2 + 200)
-            assert not o.door.ended
-            assert not o.door.intake.spoilt
+            assert not o.door.close_reasons
+            assert not o.door.intake.rejected
 
     play(scene)
 
@@ -153,7 +153,7 @@
                     side.say(b"x" * 4_096)
                     await asyncio.sleep(0)
             await side.gone()
-            assert o.door.ended
+            assert o.door.close_reasons
 
     play(scene)
 
@@ -161,11 +161,11 @@
 def test_a_stranger_that_closes_its_half_and_waits_is_closed() -> None:
     async def scene() -> None:
         async with opened() as o:
-            o.door.open()
+            o.door.set_ready()
             side = await o.come(HB)
             side.writer.write_eof()
-            assert await told(side) == SIGN_OF_LIFE
-            await until(lambda: not o.door.strangers)
+            assert await told(side) == HEARTBEAT_ANSWER
+            await until(lambda: not o.door.unidentified)
 
     play(scene)
 
@@ -183,7 +183,7 @@
             await until(lambda: len(o.events) == 2)
             piled = [await o.come(JOIN) for _ in range(6)]  # half-open ones: the oldest go, unspoken to
             await second.gone()
-            await until(lambda: o.door.ended["a newer collector of its zone"] == 3)
+            await until(lambda: o.door.close_reasons["a newer collector of its zone"] == 3)
             assert len(o.door.collectors[0]) == 4
             assert len(piled) == 6
 
@@ -196,8 +196,8 @@
             side = await o.come(JOIN, encode(slice_report(shard=4)), encode(host_report(endpoint="s-77")))
             side.say(encode(slice_report()))
             await until(lambda: o.events)
-            assert dict(o.door.intake.spoilt) == {"shard not in charge": 1, "endpoint unknown": 1}
-            assert not o.door.ended
+            assert dict(o.door.intake.rejected) == {"shard not in charge": 1, "endpoint unknown": 1}
+            assert not o.door.close_reasons
 
     play(scene)
 
--- a/tests/test_crossings_life.py
+++ b/tests/test_crossings_life.py
@@ -46,7 +46,7 @@
         async with life(tmp_path) as it:
             side = Side(*await asyncio.open_connection(*it.listens()))
             side.say(encode(["hb"]))
-            await until(lambda: it.service.door and it.service.door.strangers)
+            await until(lambda: it.service.door and it.service.door.unidentified)
             it.service.stop()
             it.service.ready()  # its timer, in the same turn of the loop
             side.writer.write_eof()
--- a/tests/test_crossings_planted.py
+++ b/tests/test_crossings_planted.py
@@ -88,7 +88,7 @@
 
 def short_joining(p: Patch) -> None:
     limits_before_reads(p)
-    p.setattr(server, "JOIN_WITHIN", server.JOIN_WITHIN / 20.0)
+    p.setattr(server, "JOIN_TIMEOUT_MS", server.JOIN_TIMEOUT_MS / 20.0)
 
 
 def whole_list_forgotten(p: Patch) -> None:
@@ -160,7 +160,7 @@
 
 
 def ready_at_any_time(p: Patch) -> None:
-    p.setattr(Service, "ready", lambda self: self.door and self.door.open())
+    p.setattr(Service, "ready", lambda self: self.door and self.door.set_ready())
 
 
 def turns_after_the_end(p: Patch) -> None:
--- a/tests/test_crossings_start.py
+++ b/tests/test_crossings_start.py
@@ -16,7 +16,7 @@
 from platform_standins import Process, free
 from test_platform_state import TOP
 
-from corallanding.collector.core import REJECT, SIGN_OF_LIFE
+from corallanding.collector.session import HEARTBEAT_ANSWER, REJECT
 from corallanding.platform import service as node
 from corallanding.resp import encode
 
@@ -30,13 +30,13 @@
             for _ in range(2 * resets):
                 (await it.relay.next()).reset()
             answered = 0
-            while not it.service.door or not it.service.door.ready:
+            while not it.service.door or not it.service.door.is_ready:
                 side = await it.relay.next()
                 said = await side.line()
                 if said["method"] == "relay.watch":
                     side.say(RESULT)
                     side.tell(attach(0), owner(2), PING)
-                    await until(lambda: it.service.door and it.service.door.ready)
+                    await until(lambda: it.service.door and it.service.door.is_ready)
                 else:
                     answered += 1
                     side.say(taken(said["id"], len(said["params"]["ops"])))
@@ -53,7 +53,7 @@
         async with life(tmp_path) as it:
             side = Side(*await asyncio.open_connection(*it.listens()))
             side.say(encode(["hb"]))
-            assert await side.reader.readexactly(len(SIGN_OF_LIFE)) == SIGN_OF_LIFE
+            assert await side.reader.readexactly(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
             side.say(encode(["attach"]))
             assert await side.reader.read() == REJECT
 
--- a/tests/test_platform_state.py
+++ b/tests/test_platform_state.py
@@ -151,7 +151,7 @@
     c = parse(msgspec.json.encode(TOP))
     assert (c.listen, c.store, c.seed) == (("127.0.0.4", 8081), ("127.2.0.2", 6400), 0x8C1F30D27A5BE964)
     assert c.places.zones == {"a": 0, "north b": 1}
-    assert c.places.operations == {"lookup": 0, "claim": 1}
+    assert c.places.request_classes == {"lookup": 0, "claim": 1}
     assert c.sockets == 256
     assert c.dial_timeout == 300.0
     assert c.known.version == 41
--- a/tests/test_settings_any.py
+++ b/tests/test_settings_any.py
@@ -12,7 +12,7 @@
 
 from corallanding import interface as api
 from corallanding.assignment import Assigner
-from corallanding.collector.core import Intake
+from corallanding.collector.reports import ReportIntake
 from corallanding.controller.event_inbox import EventInbox
 from corallanding.host_names import number
 from corallanding.platform.config import BadConfig, Config, parse
@@ -82,14 +82,14 @@
     """Hosts come, drain, fail and go; proxies join and leave; slices are given; acks come or do not."""
     s = c.settings
     news = RelayView(s, c.places.zones)
-    intake = Intake(s, c.places, set(), news.tables)
+    intake = ReportIntake(s, c.places, set(), news.tables)
     channel = ChannelEstimate(
         s.max_queued_lines, s.channel_lines_per_second, s.message_overhead_lines, lambda: len(news.proxies)
     )
-    calls = PendingCalls(list(c.places.operations), s.max_messages, s.message_window_ms, channel)
+    calls = PendingCalls(list(c.places.request_classes), s.max_messages, s.message_window_ms, channel)
     assert c.dial_timeout > 0.0
-    assert math.isfinite(intake.slowest)
-    assert intake.span_most > 0
+    assert math.isfinite(intake.max_latency_ms)
+    assert intake.max_span_ms > 0
     turns, now, sent = EventInbox(Assigner(s, c.seed)), 1e9, list[float]()
     hosts = [number(f"h{n}") for n in range(4)]
     entries = [api.HostEntry(h, n % max(1, s.zone_count), 0, n) for n, h in enumerate(hosts)]
@@ -156,6 +156,6 @@
     assert c
     assert len(c.settings.request_classes) == len(operations)
     assert c.settings.zone_count == len(zones)
-    assert list(c.places.operations) == operations
+    assert list(c.places.request_classes) == operations
     assert list(c.places.zones) == zones
     play(c)
