--- a/corallanding/controller/cluster.py
+++ b/corallanding/controller/cluster.py
@@ -130,21 +130,21 @@
         """Whether a host that warms up may take one more slice: by the quota for it, where there is one."""
         return self.quota is None or self.quota.may_begin(COLD_SLICES, host, True)
 
-    def on_proxy_frame(self, forwarder: int, frame: Any) -> None:
+    def on_proxy_frame(self, proxy: int, frame: Any) -> None:
         """Hand a frame of a joined proxy to the service that takes it; others are ignored."""
         if handler := self.frame_handlers.get(type(frame)):
-            handler(forwarder, frame)
+            handler(proxy, frame)
 
-    def on_proxy_joined(self, forwarder: int) -> None:
+    def on_proxy_joined(self, proxy: int) -> None:
         """A proxy has received its tables."""
         for service in (self.pinning, self.scheduling):
             if service:
-                service.on_proxy_joined(forwarder)
+                service.on_proxy_joined(proxy)
 
-    def on_proxy_left(self, forwarder: int) -> None:
+    def on_proxy_left(self, proxy: int) -> None:
         """The connection to a proxy ended."""
         if self.scheduling:
-            self.scheduling.on_proxy_left(forwarder)
+            self.scheduling.on_proxy_left(proxy)
 
     def release_files(self) -> None:
         """Close the files that the successor process opens."""
--- a/corallanding/controller/fleet_view.py
+++ b/corallanding/controller/fleet_view.py
@@ -85,14 +85,14 @@
                 found.append(number)
         return found
 
-    def session_name(self, forwarder: int) -> str | None:
+    def session_name(self, proxy: int) -> str | None:
         """The name of the proxy's process; None if it is not connected or said no hello."""
-        connection = self.controller.forwarders.get(forwarder)
+        connection = self.controller.forwarders.get(proxy)
         return connection.link.hello.session if connection and connection.link.hello else None
 
-    def reply(self, forwarder: int, frame: frames.Frame) -> None:
+    def reply(self, proxy: int, frame: frames.Frame) -> None:
         """Send an answer to one proxy at once. Lost if the proxy is gone: it asks again."""
-        connection = self.controller.forwarders.get(forwarder)
+        connection = self.controller.forwarders.get(proxy)
         if connection and connection.is_joined:
             connection.send(frames.encode(frame))
 
--- a/corallanding/controller/idempotency_queries.py
+++ b/corallanding/controller/idempotency_queries.py
@@ -21,10 +21,10 @@
 
 @dataclass(frozen=True)
 class ClaimQuery:
-    """Whether the job may go. asked_at: by the clock of the journal, ms."""
+    """Whether the job may go. sent_at: by the clock of the journal, ms."""
 
     job: Job
-    asked_at: float
+    sent_at: float
 
 
 @dataclass(frozen=True)
@@ -39,7 +39,7 @@
     """An answer. query: None where the number is not one of this object's."""
 
     query: Query | None
-    told: QueryResult
+    result: QueryResult
 
 
 class IdempotencyQueries:
@@ -70,5 +70,5 @@
 
     def take_answers(self) -> list[QueryAnswer]:
         """The answers that have come since the last call, in their order."""
-        answers = self.claims.queries.take(self.claims.groups[0])
-        return [QueryAnswer(self.pending.pop(told.number, None), told) for told in answers]
+        results = self.claims.queries.take(self.claims.groups[0])
+        return [QueryAnswer(self.pending.pop(result.number, None), result) for result in results]
--- a/corallanding/controller/job_terms.py
+++ b/corallanding/controller/job_terms.py
@@ -28,7 +28,7 @@
     """What became of a job: the label of a metric; the core adds the reasons of a rejection."""
 
     TAKEN = "taken"
-    GONE = "gone"
+    RELEASED = "gone"
     DUPLICATE = "twin"
 
 
--- a/corallanding/controller/pinned_jobs.py
+++ b/corallanding/controller/pinned_jobs.py
@@ -28,10 +28,10 @@
     def __init__(self, core: Scheduler, names: Sequence[str]) -> None:
         self.core = core
         self.names = names
-        self.states: dict[tuple[int, int], VersionState] = {}  # by number of the class and release set; as last told
+        self.states: dict[tuple[int, int], VersionState] = {}  # by number of the class and release set; as last sent
 
     def forget(self, job: Job) -> None:
-        """A job was queued: the queue is told of its class and release set with the next update, changed or not."""
+        """A job was queued: the queue learns of its class and release set with the next update, changed or not."""
         self.states.pop((job.job_class, job.release_set), None)
 
     def update(self, pinning: PinningService) -> None:
--- a/corallanding/controller/pinning_service.py
+++ b/corallanding/controller/pinning_service.py
@@ -31,7 +31,7 @@
 class PendingRun(NamedTuple):
     """A query of a proxy on a run. query: the proxy's own number for it."""
 
-    forwarder: int
+    proxy: int
     query: int
     run: str
 
@@ -113,20 +113,20 @@
 
     # ---- queries of proxies --------------------------------------------------------------------------------
 
-    def on_proxy_frame(self, forwarder: int, frame: frames.Enter) -> None:
+    def on_proxy_frame(self, proxy: int, frame: frames.Enter) -> None:
         """A proxy asks for the release set of a run, or says that the run has ended."""
-        client = frame.client or str(forwarder)
+        client = frame.client or str(proxy)
         now = self.context.clock()
         number = self.core.request_run(now, record_key_of(frame.run), client, has_ended=frame.ended)
-        self.pending[number] = PendingRun(forwarder, frame.ask, frame.run)
+        self.pending[number] = PendingRun(proxy, frame.ask, frame.run)
         self.records.schedule_queries()
 
     def on_answers(self) -> None:
         """Pass answers of the core on to the proxies that asked."""
-        for told in self.core.take_answers():
-            pending = self.pending.pop(told.number, PendingRun(UNKNOWN_PROXY, 0, ""))
-            if pending.forwarder >= 0:
-                self._reply(pending, told.what, told.value)
+        for result in self.core.take_answers():
+            pending = self.pending.pop(result.number, PendingRun(UNKNOWN_PROXY, 0, ""))
+            if pending.proxy >= 0:
+                self._reply(pending, result.what, result.value)
 
     def _reply(self, pending: PendingRun, what: int, number: int) -> None:
         versions = self.core.release_sets.get(number) if what == RunStatus.PINNED else None
@@ -139,7 +139,7 @@
         self.records.journal.write(event, now, asking.me, asking.life, pending.run, answer, number)
         rows = self._version_rows(versions) if versions else []
         frame = frames.Pinned(pending.query, answer, number, rows, self.register_version)
-        self.fleet_view.reply(pending.forwarder, frame)
+        self.fleet_view.reply(pending.proxy, frame)
 
     def _version_rows(self, versions: ReleaseSet) -> list[tuple[int, int]]:
         return [(index, versions[name]) for index, name in enumerate(self.request_classes)]
@@ -209,11 +209,11 @@
         register = self.core.releases.register
         return register.version if register else 0
 
-    def on_proxy_joined(self, forwarder: int) -> None:
+    def on_proxy_joined(self, proxy: int) -> None:
         """Send the routes of runs to a proxy that has just received its tables."""
-        if forwarder in self.fleet_view.proxies_speaking(PROTOCOL_PART):
+        if proxy in self.fleet_view.proxies_speaking(PROTOCOL_PART):
             for number, rows in self.rows.items():
-                self.fleet_view.reply(forwarder, self._routes_frame(number, rows, self.alive_sets))
+                self.fleet_view.reply(proxy, self._routes_frame(number, rows, self.alive_sets))
 
     def is_served(self, number: int, request_class: str) -> bool:
         """Whether some eligible host serves that release set's version of the request class."""
--- a/corallanding/controller/record_store.py
+++ b/corallanding/controller/record_store.py
@@ -81,20 +81,20 @@
     def _read_clocks(self) -> ClockReadings:
         return ClockReadings(self.clock(), time.monotonic() * 1000.0, time.time() * 1000.0)
 
-    def load(self, shelf: Replica) -> dict[int, tuple[int, int, int]]:
+    def load(self, replica: Replica) -> dict[int, tuple[int, int, int]]:
         """Put all that is stored into the replica.
 
         Returns, by controller, what was heard of the others' files: opening number, incarnation, count of writes.
         """
         db = self._open_database()
         now = self._read_clocks()
-        for group, key, value, fence, number, born, wall in db.execute("select * from record"):
-            age_ms = max(0.0, now.since_boot - born if self.is_same_boot else now.wall - wall)
-            shelf.put(group, key, value, (fence, number), now.own - age_ms)
-        for group, fence in db.execute("select * from seen"):
-            shelf.raise_seen(group, fence)
-        shelf.take_unkept()
-        shelf.writes = max(shelf.writes - 1, self.writes)
+        for group, key, value, token, number, started_at, wall in db.execute("select * from record"):
+            age_ms = max(0.0, now.since_boot - started_at if self.is_same_boot else now.wall - wall)
+            replica.put(group, key, value, (token, number), now.own - age_ms)
+        for group, token in db.execute("select * from seen"):
+            replica.raise_seen(group, token)
+        replica.take_unkept()
+        replica.writes = max(replica.writes - 1, self.writes)
         if not self.is_same_boot:
             self._move_to_this_boot(db, now)
         return {number: (opened, life, writes) for number, opened, life, writes in db.execute("select * from peer")}
@@ -132,9 +132,9 @@
             self._write_metadata(db, {"whole": "0"})
         db.executemany("delete from record where grp = ? and key = ?", what.gone)
         rows = []
-        for group, key, value, fence, number, born in what.rows:
-            age_ms = now.own - born
-            rows.append((group, key, value, fence, number, now.since_boot - age_ms, now.wall - age_ms))
+        for group, key, value, token, number, started_at in what.rows:
+            age_ms = now.own - started_at
+            rows.append((group, key, value, token, number, now.since_boot - age_ms, now.wall - age_ms))
         db.executemany("insert or replace into record values (?, ?, ?, ?, ?, ?, ?)", rows)
         db.executemany("insert or replace into seen values (?, ?)", what.seen.items())
 
--- a/corallanding/controller/scheduling_service.py
+++ b/corallanding/controller/scheduling_service.py
@@ -91,46 +91,46 @@
         """State how many releases a second would be used here."""
         self.quota.core.aim(self.context.clock(), RELEASES, count)
 
-    def on_proxy_joined(self, forwarder: int) -> None:
+    def on_proxy_joined(self, proxy: int) -> None:
         """A proxy connected: the age of its process bounds the age of its jobs."""
-        name = self.fleet_view.session_name(forwarder)
-        if name is not None and forwarder in self.fleet_view.proxies_speaking(PROTOCOL_PART):
-            self.sessions.on_proxy_joined(self.context.clock(), forwarder, name)
+        name = self.fleet_view.session_name(proxy)
+        if name is not None and proxy in self.fleet_view.proxies_speaking(PROTOCOL_PART):
+            self.sessions.on_proxy_joined(self.context.clock(), proxy, name)
 
-    def on_proxy_left(self, forwarder: int) -> None:
+    def on_proxy_left(self, proxy: int) -> None:
         """A proxy is gone: it hands its jobs to another controller, with their ages."""
-        self.core.on_proxy_left(forwarder)
+        self.core.on_proxy_left(proxy)
 
-    def on_proxy_frame(self, forwarder: int, frame: frames.Wait | frames.Unwait) -> None:
+    def on_proxy_frame(self, proxy: int, frame: frames.Wait | frames.Unwait) -> None:
         """A proxy hands in a job, or takes one back."""
         now = self.context.clock()
         if isinstance(frame, frames.Unwait):
-            job = self.core.remove(forwarder, frame.ticket, is_abandoned=frame.ended)
+            job = self.core.remove(proxy, frame.ticket, is_abandoned=frame.ended)
             if job and job.has_claim and frame.ended:
                 self._give_back(now, job)
             return
-        match self.sessions.admit(now, forwarder, frame):
+        match self.sessions.admit(now, proxy, frame):
             case Admission.NOW:
-                self._take_in(forwarder, frame, received_at=now)
+                self._take_in(proxy, frame, received_at=now)
             case Admission.REJECTED:
-                self._reply(forwarder, frame.ticket, JobAnswer.NOT_NOW, 0.0)
+                self._reply(proxy, frame.ticket, JobAnswer.NOT_NOW, 0.0)
             case Admission.DELAYED:
                 pass
 
-    def _take_in(self, forwarder: int, frame: frames.Wait, *, received_at: float) -> None:
+    def _take_in(self, proxy: int, frame: frames.Wait, *, received_at: float) -> None:
         """Queue a job. received_at: when it was handed in, ms; it may have been delayed here since."""
         now = self.context.clock()
         kind = self.kind_of_class.get(frame.operation)
         if kind is None:
-            self._reply(forwarder, frame.ticket, JobAnswer.DOES_NOT_WAIT, 0.0)
+            self._reply(proxy, frame.ticket, JobAnswer.DOES_NOT_WAIT, 0.0)
             return
-        waited_ms = min(frame.waited + now - received_at, self.sessions.age_ms(now, forwarder))
+        waited_ms = min(frame.waited + now - received_at, self.sessions.age_ms(now, proxy))
         key = record_key_of(f"job {frame.fingerprint}") if frame.fingerprint and self.queries else 0
-        is_new = (forwarder, frame.ticket) not in self.core.tickets
+        is_new = (proxy, frame.ticket) not in self.core.tickets
         job, rejection, max_wait_ms = self.core.admit(
-            now, self.alive, forwarder, frame.ticket, kind, waited_ms, key, frame.set
+            now, self.alive, proxy, frame.ticket, kind, waited_ms, key, frame.set
         )
-        self._reply(forwarder, frame.ticket, rejection or JobAnswer.WAITING, max_wait_ms)
+        self._reply(proxy, frame.ticket, rejection or JobAnswer.WAITING, max_wait_ms)
         if rejection is not None:
             self._count(kind, rejection)
         elif job is not None and is_new:
@@ -143,8 +143,8 @@
         if job.idempotency_key:
             self._idempotency().query_age(now, job)
 
-    def _reply(self, forwarder: int, ticket: int, what: str, max_wait_ms: float) -> None:
-        self.fleet_view.reply(forwarder, frames.Waits(ticket, what, round(max_wait_ms, 1)))
+    def _reply(self, proxy: int, ticket: int, what: str, max_wait_ms: float) -> None:
+        self.fleet_view.reply(proxy, frames.Waits(ticket, what, round(max_wait_ms, 1)))
 
     def _count(self, kind: int, end: str) -> None:
         self.context.metrics.jobs.labels(self.names[kind], end).inc()
@@ -158,22 +158,22 @@
     def on_answers(self) -> None:
         """Take answers on the ages of sessions and jobs, and on claims."""
         now = self.context.clock()
-        for query, told in self._idempotency().take_answers():
-            if told.number in self.sessions.queries:
-                forwarder, jobs = self.sessions.on_answer(now, told)
+        for query, result in self._idempotency().take_answers():
+            if result.number in self.sessions.queries:
+                proxy, jobs = self.sessions.on_answer(now, result)
                 for received_at, frame in jobs:
-                    self._take_in(forwarder, frame, received_at=received_at)
+                    self._take_in(proxy, frame, received_at=received_at)
             elif isinstance(query, AgeQuery):
-                self._on_age(now, query.job, told)
+                self._on_age(now, query.job, result)
             elif isinstance(query, ClaimQuery):
-                self._on_claim_answer(now, query, claim_outcome(told.what))
+                self._on_claim_answer(now, query, claim_outcome(result.what))
 
-    def _on_age(self, now: float, job: Job, told: QueryResult) -> None:
-        if told.what in (KeyStatus.UNCLAIMED, KeyStatus.DUPLICATE):
-            self.core.set_waiting_since(job, now - told.value)
-        elif told.what == KeyStatus.UNAVAILABLE and (job.proxy, job.ticket) in self.core.tickets:
+    def _on_age(self, now: float, job: Job, result: QueryResult) -> None:
+        if result.what in (KeyStatus.UNCLAIMED, KeyStatus.DUPLICATE):
+            self.core.set_waiting_since(job, now - result.value)
+        elif result.what == KeyStatus.UNAVAILABLE and (job.proxy, job.ticket) in self.core.tickets:
             self._idempotency().query_age(now, job)  # no majority could answer
-        if told.what == KeyStatus.DUPLICATE and self.core.start_claim(job):
+        if result.what == KeyStatus.DUPLICATE and self.core.start_claim(job):
             self._claim(now, job)
 
     def _on_claim_answer(self, now: float, query: ClaimQuery, outcome: ClaimOutcome) -> None:
@@ -186,7 +186,7 @@
         elif (job.proxy, job.ticket) in self.core.tickets:
             # Queued again, or set aside: it could not go while the query was pending.
             blocked_ms = 0.0 if outcome is ClaimOutcome.GRANTED else self.core.limits.blocked_ms
-            self.journal.on_returned(job, query.asked_at, blocked_ms)
+            self.journal.on_returned(job, query.sent_at, blocked_ms)
 
     def _claim(self, now: float, job: Job) -> None:
         self._idempotency().claim(now, job, self._owner(job))
@@ -223,7 +223,7 @@
 
     def _release(self, action: Dispatch) -> None:
         job = action.job
-        self._count(job.job_class, JobEnd.GONE)
+        self._count(job.job_class, JobEnd.RELEASED)
         self.journal.on_released(job, action.effective_priority, action.observed_peers)
         self.fleet_view.reply(job.proxy, frames.Go(job.ticket, JobOrder.SEND))
 
--- a/corallanding/controller/sessions.py
+++ b/corallanding/controller/sessions.py
@@ -32,7 +32,7 @@
 class ReleasedJobs(NamedTuple):
     """Jobs of one proxy that need not be delayed any longer."""
 
-    forwarder: int
+    proxy: int
     jobs: list[DelayedJob]
 
 
@@ -59,22 +59,22 @@
         self.by_proxy: dict[int, Session] = {}
         self.queries: dict[int, tuple[int, str]] = {}  # number of the query: proxy, name of its session
 
-    def on_proxy_joined(self, now: float, forwarder: int, name: str) -> None:
+    def on_proxy_joined(self, now: float, proxy: int, name: str) -> None:
         """A proxy connected; the age of its process is asked for, once."""
-        known = self.by_proxy.get(forwarder)
+        known = self.by_proxy.get(proxy)
         if known is None or known.name != name:
-            self.by_proxy[forwarder] = Session(name, now, self.claims is None)
-            self._query_age(now, forwarder, name)
+            self.by_proxy[proxy] = Session(name, now, self.claims is None)
+            self._query_age(now, proxy, name)
 
-    def _query_age(self, now: float, forwarder: int, name: str) -> None:
+    def _query_age(self, now: float, proxy: int, name: str) -> None:
         if self.claims and self.records:
             query = self.claims.query_age(now, record_key_of(f"session {name}"), 0.0)
-            self.queries[query] = (forwarder, name)
+            self.queries[query] = (proxy, name)
             self.records.schedule_queries()
 
-    def admit(self, now: float, forwarder: int, frame: frames.Wait) -> Admission:
+    def admit(self, now: float, proxy: int, frame: frames.Wait) -> Admission:
         """Whether the job may be queued now; if it is delayed it is stored here."""
-        session = self.by_proxy.get(forwarder)
+        session = self.by_proxy.get(proxy)
         if session is None:
             return Admission.REJECTED
         if session.is_confirmed:
@@ -84,27 +84,27 @@
         session.delayed.append(DelayedJob(now, frame))
         return Admission.DELAYED
 
-    def on_answer(self, now: float, told: QueryResult) -> ReleasedJobs:
+    def on_answer(self, now: float, result: QueryResult) -> ReleasedJobs:
         """Take the answer to a query of this object. Returns the jobs that waited for it."""
-        forwarder, name = self.queries.pop(told.number)
-        session = self.by_proxy.get(forwarder)
+        proxy, name = self.queries.pop(result.number)
+        session = self.by_proxy.get(proxy)
         if session is None or session.name != name:
-            return ReleasedJobs(forwarder, [])
-        if told.what == KeyStatus.UNAVAILABLE:
-            self._query_age(now, forwarder, name)  # no majority could answer: the jobs wait on
-            return ReleasedJobs(forwarder, [])
-        session.started_at = min(session.started_at, now - told.value)
+            return ReleasedJobs(proxy, [])
+        if result.what == KeyStatus.UNAVAILABLE:
+            self._query_age(now, proxy, name)  # no majority could answer: the jobs wait on
+            return ReleasedJobs(proxy, [])
+        session.started_at = min(session.started_at, now - result.value)
         session.is_confirmed = True
         delayed = session.delayed
         session.delayed = []
-        return ReleasedJobs(forwarder, delayed)
+        return ReleasedJobs(proxy, delayed)
 
-    def age_ms(self, now: float, forwarder: int) -> float:
+    def age_ms(self, now: float, proxy: int) -> float:
         """How long the process of a proxy has run, as far as known; 0 if it is unknown."""
-        session = self.by_proxy.get(forwarder)
+        session = self.by_proxy.get(proxy)
         return max(0.0, now - session.started_at) if session else 0.0
 
-    def name(self, forwarder: int) -> str:
+    def name(self, proxy: int) -> str:
         """The name of the proxy's process; "" if it is unknown."""
-        session = self.by_proxy.get(forwarder)
+        session = self.by_proxy.get(proxy)
         return session.name if session else ""
