--- a/bench/link.py
+++ b/bench/link.py
@@ -100,7 +100,7 @@
         configure("json", "error")
         steward = Controller(load_controller(Path(folder) / "s.hcl"), Echoing)
         await steward.start()
-        made = await clients(steward.servers[0].sockets[0].getsockname()[1])
+        made = await clients(steward.network.servers[0].sockets[0].getsockname()[1])
         await asyncio.sleep(0.5)
         module: Any = steward.engine.assigner
         before, begun = module.rounds, time.perf_counter()
--- /dev/null
+++ b/corallanding/controller/active_recording.py
@@ -0,0 +1,56 @@
+"""The recording of all decision steps that was asked for on the command line, while it lasts."""
+
+from __future__ import annotations
+
+from ..telemetry import log
+from .context import Context
+from .recorder import Recorder
+from .step_observer import DecisionStep
+
+
+class ActiveRecording:
+    """StoreWrites every step to a file, until the file is full; does nothing if no recording was asked for."""
+
+    def __init__(self, context: Context) -> None:
+        self._context = context
+        self._recorder: Recorder | None = None
+
+    @property
+    def _max_bytes(self) -> float:
+        return self._context.config.record.most_mb * 1e6
+
+    @property
+    def position(self) -> tuple[str, int] | None:
+        """The file and the bytes in it; None if nothing is recorded."""
+        return (str(self._recorder.path), self._recorder.written_bytes) if self._recorder else None
+
+    def start(self, path: str, seed: int, *, is_restored: bool) -> None:
+        """Begin a file. is_restored: the assigner goes on from a state before it. Raises OSError."""
+        self._recorder = Recorder(path, self._context.settings, seed, self._max_bytes, is_restored)
+
+    def resume(self, path: str, offset: int) -> None:
+        """Go on with the file of the process before this one, from `offset` bytes on."""
+        try:
+            self._recorder = Recorder(path, self._context.settings, 0, self._max_bytes, after=offset)
+        except OSError as error:
+            log.error("the recording ends here", why=str(error))
+
+    def on_step(self, step: DecisionStep) -> None:
+        """Record one step."""
+        if self._recorder is None:
+            return
+        self._recorder.write_step(step.now, step.events, step.actions)
+        if self._recorder.is_stopped:
+            self.end(self._recorder.stop_reason)
+
+    def end(self, why: str) -> None:
+        """Record no more, and log why."""
+        if self._recorder:
+            log.error("the recording ends here", why=why)
+            self.stop()
+            self._recorder = None
+
+    def stop(self) -> None:
+        """Close the file."""
+        if self._recorder:
+            self._recorder.close()
--- a/corallanding/controller/config_reload.py
+++ b/corallanding/controller/config_reload.py
@@ -1,14 +1,15 @@
-"""A configuration read again while the steward runs."""
+"""A configuration that is read again while the controller runs."""
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import Sequence
+from typing import Any, Protocol
 
 from ..config import ConfigError, ControllerConfig, load_controller
 from ..telemetry import configure, log
-from .components import Parts, link_limits
+from .context import Context
 
-# What a reload can change while the steward runs; all else needs a restart, and is said to.
+# Prefixes of keys that a reload can change while the controller runs; all others need a restart, and are logged.
 RELOADABLE = (
     "log.",
     "door.connections_most",
@@ -30,50 +31,73 @@
 )
 
 
-def flat(value: Any, path: str = "") -> dict[str, Any]:
-    if isinstance(value, dict):
-        out: dict[str, Any] = {}
-        for key, inner in value.items():
-            out.update(flat(inner, f"{path}.{key}" if path else str(key)))
-        return out
-    return {path: value}
-
-
-def reload(s: Parts) -> None:
-    """Take what can be taken, and name what cannot."""
-    if not s.path:
-        return
-    try:
-        new = load_controller(s.path)
-    except ConfigError as fault:
-        log.error("reload refused; the old configuration stands", why=str(fault))
-        return
-    old_keys, new_keys = flat(s.config.model_dump()), flat(new.model_dump())
-    changed = [k for k in sorted(old_keys | new_keys) if old_keys.get(k) != new_keys.get(k)]
-    # A block that comes or goes whole needs a restart, whatever its keys.
-    # A budget may change its size alone: all else of it must be the same at all stewards at any instant.
-    sizes = [k for k in changed if k == "pins.current" or (k.startswith("budget.") and k.endswith(".whole"))]
-    taken = [k for k in changed if (k.startswith(RELOADABLE) or k in sizes) and k in old_keys and k in new_keys]
-    merged = s.config.model_dump()
-    for key in taken:
-        at, (*path, last) = merged, key.split(".")
-        for part in path:
-            at = at[part]
-        at[last] = new_keys[key]
-    s.config = ControllerConfig.model_validate(merged)
-    configure(s.config.log.format, s.config.log.level)
-    s.limits = link_limits(s.config)
-    f = s.config.forwarders
-    s.joins.rate_per_second, s.listener.rate = f.reads_per_s, f.accepts_per_s
-    for link in s.links:
-        link.link.limits = s.limits
-        link.link.reader.most = s.limits.frame_most
-    p = s.config.probe
-    s.prober.timeout_ms, s.prober.max_in_flight = p.timeout_ms, p.most_in_flight
-    s.prober.max_waiting = p.most_waiting
-    if d := s.config.door:
-        s.admin_server.max_connections, s.admin_server.max_header_bytes = d.connections_most, d.header_most_bytes
-        s.admin_server.request_timeout_ms = d.request_within_ms
-    if s.cluster:
-        s.cluster.reload(s.config)
-    log.info("reloaded", taken=taken, needs_restart=[k for k in changed if k not in taken])
+class Reloadable(Protocol):
+    """A component that takes limits of a new configuration."""
+
+    def reload(self, config: ControllerConfig) -> None:
+        """Take what the configuration says now."""
+        ...
+
+
+def flatten(value: Any, path: str = "") -> dict[str, Any]:
+    """A nested map as one map of dotted keys."""
+    if not isinstance(value, dict):
+        return {path: value}
+    flat: dict[str, Any] = {}
+    for key, inner in value.items():
+        flat.update(flatten(inner, f"{path}.{key}" if path else str(key)))
+    return flat
+
+
+def may_reload(key: str) -> bool:
+    """Whether a key can change while the controller runs.
+
+    A quota may change its size alone: all else of it must be the same at all controllers at any instant.
+    """
+    is_quota_size = key.startswith("budget.") and key.endswith(".whole")
+    return key.startswith(RELOADABLE) or key == "pins.current" or is_quota_size
+
+
+def set_key(tree: dict[str, Any], key: str, value: Any) -> None:
+    """Set a dotted key in a nested map that has it."""
+    *path, last = key.split(".")
+    for part in path:
+        tree = tree[part]
+    tree[last] = value
+
+
+class ConfigReloader:
+    """Reads the configuration file again and tells the components. path: of the file; None if there is none."""
+
+    def __init__(self, context: Context, path: str | None, components: Sequence[Reloadable]) -> None:
+        self._context = context
+        self._path = path
+        self._components = components
+
+    def reload(self) -> None:
+        """Take what can be taken, and log what needs a restart. A file with an error changes nothing."""
+        if not self._path:
+            return
+        try:
+            new = load_controller(self._path)
+        except ConfigError as error:
+            log.error("reload refused; the old configuration stands", why=str(error))
+            return
+        changed, taken = self._merge(new)
+        configure(self._context.config.log.format, self._context.config.log.level)
+        for component in self._components:
+            component.reload(self._context.config)
+        log.info("reloaded", taken=taken, needs_restart=[key for key in changed if key not in taken])
+
+    def _merge(self, new: ControllerConfig) -> tuple[list[str], list[str]]:
+        """Take the reloadable keys into the context's configuration; the keys that changed, and those taken."""
+        merged = self._context.config.model_dump()
+        old_keys = flatten(merged)
+        new_keys = flatten(new.model_dump())
+        changed = [key for key in sorted(old_keys | new_keys) if old_keys.get(key) != new_keys.get(key)]
+        # A block that comes or goes whole needs a restart, whatever its keys.
+        taken = [key for key in changed if may_reload(key) and key in old_keys and key in new_keys]
+        for key in taken:
+            set_key(merged, key, new_keys[key])
+        self._context.config = ControllerConfig.model_validate(merged)
+        return changed, taken
--- /dev/null
+++ b/corallanding/controller/control_socket.py
@@ -0,0 +1,95 @@
+"""The socket by which `corallanding upgrade` asks for a handover."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+from pathlib import Path
+
+from ..upgrade.pipe import peer_credentials
+from .context import Context
+from .handover import Handover, HandoverResult
+from .peer_services import PeerServices
+from .task_service import UPGRADE
+
+REQUEST_TIMEOUT_S = 2.0
+TURN_POLL_S = 0.02
+MAX_QUOTED = 40  # characters of an unknown request
+
+
+def remove_old_socket(path: Path) -> None:
+    """Remove the socket of the process before this one. Raises OSError if the path is something else."""
+    if path.is_socket():
+        path.unlink()
+    elif path.exists():
+        raise OSError(f"steward.control: {path} is there, and is no socket")
+
+
+class ControlSocket:
+    """A UNIX socket that takes one request per connection, from this user only."""
+
+    def __init__(self, context: Context, handover: Handover, peers: PeerServices) -> None:
+        self._context = context
+        self._handover = handover
+        self._peers = peers
+        self._server: asyncio.Server | None = None
+
+    async def start(self) -> None:
+        """Listen, where a path is configured. Raises OSError."""
+        path = self._context.config.steward.control
+        if not path:
+            return
+        remove_old_socket(Path(path))
+        self._server = await asyncio.start_unix_server(self._on_connection, path)
+        os.chmod(path, 0o600)
+
+    def stop(self) -> None:
+        """Listen no more."""
+        if self._server:
+            self._server.close()
+
+    async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        try:
+            _, uid = peer_credentials(writer.get_extra_info("socket"))
+            line = await asyncio.wait_for(reader.readline(), REQUEST_TIMEOUT_S)
+            words = line.decode("utf-8", "replace").split("\0")
+            request = words[0].strip()
+            if uid != os.getuid():
+                answer = "failed: another user"
+            elif request != "upgrade":
+                answer = f"failed: {request[:MAX_QUOTED]!r} is not known here"
+            else:
+                answer = await self._upgrade([word.strip() for word in words[1:]])
+            writer.write(answer.encode() + b"\n")
+            await writer.drain()
+        except (OSError, TimeoutError):
+            pass  # who asked is gone, or said nothing
+        finally:
+            writer.close()
+
+    async def _upgrade(self, command: list[str]) -> str:
+        """Wait for this controller's turn, and hand over; the answer to who asked."""
+        waited_ms = await self._wait_for_turn()
+        if waited_ms is None:
+            result = HandoverResult("no turn came")
+        else:
+            result = await self._handover.run(command or None)
+        if self._peers.cluster and self._peers.cluster.tasks:
+            self._peers.cluster.tasks.release_task(UPGRADE)
+        if result.failure:
+            return f"failed: {result.failure}"
+        after = f" after {waited_ms / 1000.0:.1f} s for its turn" if waited_ms else ""
+        return f"ok{after}: handed over to process {result.successor}"
+
+    async def _wait_for_turn(self) -> float | None:
+        """One controller of the fleet at a time, where `task "upgrade"` says so: ms that it waited; None if in vain."""
+        tasks = self._peers.cluster.tasks if self._peers.cluster else None
+        if tasks is None or UPGRADE not in tasks.core.tasks.by_name:
+            return 0.0
+        begun = self._context.clock()
+        while not tasks.begin_act_on(UPGRADE):
+            is_too_late = self._context.clock() - begun > self._context.config.tasks.wait_most_ms
+            if is_too_late or self._peers.cluster is None:
+                return None
+            await asyncio.sleep(TURN_POLL_S)
+        return max(1.0, self._context.clock() - begun)
--- a/corallanding/controller/daemon.py
+++ b/corallanding/controller/daemon.py
@@ -1,238 +1,235 @@
-"""The running steward: owns the loop, the clock and the sockets, and wires the cores together.
+"""The controller: builds its components, starts them in order, and stops them in reverse.
 
-What comes in becomes an event of the engine; what the engine hands out is kept, then sent. No decision here. The rooms
-that it is made of are listed in `parts`.
+What comes in becomes an event of the engine; what the engine hands out is saved, then carried out. No decision here.
 """
 
 from __future__ import annotations
 
-import asyncio
-import socket
-from collections.abc import Sequence
+import time
+from collections.abc import Callable, Sequence
+from contextlib import ExitStack
 
-from ..admin.http_server import AdminServer
+from .. import interface as api
 from ..assignment import Assigner
-from ..endpoints.endpoint_list import loopback
+from ..channel import Channel
+from ..config import ControllerConfig, assigner_settings
+from ..endpoints.endpoint_list import View
+from ..snapshot.assigner_state import load as load_assigner
 from ..snapshot.rankings import StoredRanking
-from ..telemetry import log
-from .acceptor import raise_descriptor_limit
-from .cluster import Cluster
-from .components import ORIGIN, Clock
-from .config_reload import reload
-from .decision_loop import Turning
-from .engine import Engine
-from .fleet_view import FleetView
-from .handover import Passing
+from ..store import SqliteStore, Store, StoreContents
+from ..telemetry import Metrics, RateLimitedLogger, log
+from .clock import Clock
+from .components import Components
+from .context import Context, Lifecycle, ProcessState
+from .event_inbox import Decider
+from .factories import Factories
+from .handover import HandoverResult
 from .handover_state import HandoverState
-from .host_sources import Hosts
 from .inherited_sockets import InheritedSockets
-from .overload import OverloadLimits
-from .peer_dispatch import PeerDispatcher
-from .peer_transport import PeerTransport
-from .persistence import Keeping
-from .proxy_connections import Joining
-from .proxy_protocol import ProxyConnection
-from .recorder import Recorder
-from .status_views import Pages
+from .recovery import ControllerState, StateMismatchError, boot_id, check_state
+from .resources import Resources, channel_limits, configured_slices, join_admission
+from .snapshot_keeper import read_last_state
+from .startup_state import Inheritance, restore_assigner
 
-__all__ = ["ORIGIN", "Clock", "Controller"]
 
-SPARE_DESCRIPTORS = 200  # for the store, probes, the door, the registry, and links that are being closed
+class Controller:
+    """One controller. Its components exist once `start` has begun.
 
+    decider: makes the assigner. recording_path: record every step there. config_path: what a reload and a successor
+    read. store, monotonic, wall (seconds) and factories: replaced by simulations and measurements.
+    """
 
-class Controller(Turning, Keeping, Joining, Hosts, Passing, Pages):
-    """One steward. `start` raises `StoreFault` or `OSError` if it cannot run; `stopped` ends when it is over."""
+    def __init__(
+        self,
+        config: ControllerConfig,
+        decider: Callable[[api.Settings, int], Decider] = Assigner,
+        recording_path: str | None = None,
+        config_path: str | None = None,
+        store: Store | None = None,
+        monotonic: Callable[[], float] = time.monotonic,
+        wall: Callable[[], float] = time.time,
+        factories: Factories | None = None,
+    ) -> None:
+        clock = Clock(monotonic)
+        self.context = Context(
+            config,
+            assigner_settings(config),
+            clock,
+            wall,
+            Metrics(),
+            RateLimitedLogger(clock),
+            Lifecycle(self.stop),
+        )
+        self.clock = clock
+        self.metrics = self.context.metrics
+        self.store = store or SqliteStore(config.store.path, config.store.sync)
+        self.channel = Channel(channel_limits(config))
+        self.view = View(config.roster.hosts_most)
+        self.trust_snapshot = True
+        self._recording_path = recording_path
+        self._resources = Resources(
+            self.context,
+            self.store,
+            self.channel,
+            self.view,
+            join_admission(config, clock()),
+            decider,
+            factories or Factories(),
+            config_path,
+        )
+        self._loaded_assigner: Assigner | None = None  # of a handover, from its check until it is restored
+        self._exit_stack = ExitStack()  # synchronous: a decision step that fails stops the controller at once
+
+    # ---- start ---------------------------------------------------------------------------------------------------
 
     async def start(
         self, handed: HandoverState | None = None, fds: Sequence[int] = (), ranked: Sequence[StoredRanking] = ()
     ) -> None:
-        """handed, fds, ranked: what the process before this one hands over (`upgrade`)."""
-        loop = asyncio.get_running_loop()
-        self.stopped = loop.create_future()
-        life = self.store.open()
-        s, c = self.config.slices, self.config
-        charge = range(s.first, s.count if s.last is None else s.last + 1)
-        has_slice_leases = c.registry is not None and c.registry.charge
-        if handed:
-            state, self.clock.zero, self.log_number = None, handed.controller.clock_zero_s, handed.controller.log_number
-            self.stepped_at = self.clock()
-        else:
-            state = self.last_state(life.start_number)
-        now, wall = self.clock(), self.wall() * 1000.0
-        self.engine = Engine(
-            self.settings,
-            self.seed(life.start_number),
-            life,
-            () if has_slice_leases else charge,
-            self.view.addresses,
-            self.decider,
-            OverloadLimits(c.steward.late_ms, c.steward.busy_share, c.steward.put_off_most_ms),
-        )
-        self.engine.recall_until = now + c.forwarders.silence_ms * 2 if not has_slice_leases else now - 1.0
-        self.engine.usage.max_keys = c.reports.keys_most
-        saved = self.view.restore(
-            now, wall, life.host_list_version, life.host_entries, life.addresses, life.started_at_ms
-        )
-        self.engine.publisher.addresses = self.view.addresses
-        revived = handed is not None or (state is not None and self.take_up(state, now))
+        """Start every component. Raises StoreError or OSError; what was started has been stopped then.
+
+        handed, fds, ranked: state, descriptors and scores of the process before this one. If such a start fails,
+        nothing is stopped: sockets are shared with that process, which goes on with them, and this one exits.
+        """
+        self.context.lifecycle.is_started = True
+        try:
+            await self._start(handed, fds, ranked)
+        except BaseException:
+            if handed is None and not fds:
+                self._exit_stack.close()
+                self.context.lifecycle.is_started = False
+            raise
+
+    async def _start(self, handed: HandoverState | None, fds: Sequence[int], scores: Sequence[StoredRanking]) -> None:
+        contents = self.store.open()
+        self._exit_stack.callback(self.store.close)
+        state = self._continue_clock(handed, contents)
+        last_log = handed.controller.log_number if handed else state.log_number if state else 0
+        self._build(contents, last_log)
+        inheritance = Inheritance(state, handed, scores, self._loaded_assigner)
+        is_restored = restore_assigner(self.components, self.view, contents, inheritance)
+        self._loaded_assigner = None
+        inherited = InheritedSockets(fds)
+        self._start_logs(contents, handed, is_restored=is_restored)
+        # What the channel holds is for links that do not stand yet: nothing is sent before all of them do.
+        self.context.lifecycle.state = ProcessState.PAUSED if handed else ProcessState.ACTIVE
+        await self._start_services(handed, inherited, is_restored=is_restored)
+        await self._start_proxy_side(handed, inherited)
+        self._finish_start(contents)
+
+    def _build(self, contents: StoreContents, last_log: int) -> None:
+        self.components = Components(self._resources, contents, last_log)
+        self.engine = self.components.engine
+        self.timer = self.components.timer
+        self.connections = self.components.connections
+        self.peers = self.components.peers
+        self.load_weights = self.components.load_weights
+        self.host_sources = self.components.host_sources
+        self.persistence = self.components.persistence
+        self.snapshots = self.components.snapshots
+        self.network = self.components.network
+
+    def _continue_clock(self, handed: HandoverState | None, contents: StoreContents) -> ControllerState | None:
+        """Let the clock go on where the last process was; the state that it left on disk, if it can be used."""
         if handed:
-            self.take_over(handed, now, ranked)
-        elif not revived:
-            self.engine.start(now, saved)
-        given = InheritedSockets(fds)
-        if self.record:
-            # The seed of a life is its own: a restart must not draw the same chances again.
-            seed, most = self.seed(life.start_number), c.record.most_mb * 1e6
-            self.recorder = Recorder(self.record, self.settings, seed, most, revived)
+            self.context.clock.zero = handed.controller.clock_zero_s
+            return None
+        return read_last_state(self.context, contents.start_number, is_trusted=self.trust_snapshot)
+
+    def _start_logs(self, contents: StoreContents, handed: HandoverState | None, *, is_restored: bool) -> None:
+        """Start the recording, the snapshots and the step log."""
+        self._exit_stack.callback(self.components.recording.stop)
+        if self._recording_path:
+            # The seed of a start is its own: a restart must not draw the same random numbers again.
+            seed = self.context.seed(contents.start_number)
+            self.components.recording.start(self._recording_path, seed, is_restored=is_restored)
         elif handed and handed.recording:
-            try:
-                self.recorder = Recorder(
-                    handed.recording[0], self.settings, 0, c.record.most_mb * 1e6, after=handed.recording[1]
-                )
-            except OSError as fault:
-                log.error("the recording ends here", why=str(fault))
-        if c.store.snapshot_path:
-            if not revived:
-                self.drop_logs(2**63)  # of a life that nothing is left of
-            self.keep_state()
-        self.metrics.store_writable.set(1)
-        # What the channel holds is for links that do not stand yet: nothing is said before all of them do.
-        self.paused = handed is not None
-        self.roster = self.make_source()
-        host, port = loopback(c.steward.listen)
-        needed = c.forwarders.most + c.forwarders.strangers_most + SPARE_DESCRIPTORS
-        if (have := raise_descriptor_limit(needed)) < needed:
-            log.warning("few descriptors: not all forwarders can be joined", have=have, needed=needed)
-        self.listener = self.make_listener(host, port, given.take_listener(host, port))
-        self.servers.append(self.listener)
-        if c.door:
-            routes = {
-                "/healthz": self.healthz,
-                "/metrics": self.metrics_page,
-                "/tables": self.tables_page,
-                "/stewards": self.stewards_page,
-            }
-            self.admin_server = AdminServer(
-                routes, c.door.connections_most, c.door.header_most_bytes, c.door.request_within_ms
-            )
-            host, port = loopback(c.door.listen)
-            if sock := given.take_listener(host, port):
-                self.servers.append(await loop.create_server(self.admin_server, sock=sock))
-            else:
-                self.servers.append(await loop.create_server(self.admin_server, host, port))
-        if c.steward.peer_listen:
-            where = given.take_listener(*loopback(c.steward.peer_listen), socket.SOCK_DGRAM)
-            me, dropped = c.steward.number, self.metrics.dropped_peer_datagrams.inc
-            self.peers = PeerTransport(me, c.steward.peer_listen, c.steward.peers, self.peer_said, dropped, where)
-        self.open_shared()
-        if c.load_reports:
-            self.feed = self.make_feed(c.load_reports)
-            self.feed.start(handed.load_reports if handed else None, given.take_intake())
-        self.roster.start()
-        if revived and self.settings.polls_host_list:
-            self.roster.follow(True)
-        if c.registry and has_slice_leases:
-            self.keeper = self.make_keeper(c.registry, charge)
-            self.keeper.start()
-        if c.steward.control:
-            await self.open_control(c.steward.control)
+            self.components.recording.resume(*handed.recording)
+        self._exit_stack.callback(self.snapshots.stop)
+        self.snapshots.start(is_restored=is_restored)
+        self.context.metrics.store_writable.set(1)
+
+    async def _start_services(
+        self, handed: HandoverState | None, inherited: InheritedSockets, *, is_restored: bool
+    ) -> None:
+        """Start all that brings events in, but for the proxies of the process before this one."""
+        stack = self._exit_stack
+        stack.callback(self.timer.stop)
+        stack.callback(self.components.health_checks.stop)
+        self.host_sources.open(self._resources.factories.dial_registry)
+        stack.callback(self.network.stop)
+        await self.network.start(inherited)
+        self.peers.open_transport(inherited)
+        stack.callback(self.peers.close_transport)
+        stack.callback(self.peers.stop_cluster)
+        self.peers.start_cluster(self.components.fleet_view(), self.components.registry.leadership_store)
+        stack.callback(self.connections.stop)
+        stack.callback(self.load_weights.stop)
+        self.load_weights.start(handed.load_reports if handed else None, inherited)
+        stack.callback(self.host_sources.stop)
+        self.host_sources.start(is_restored=is_restored)
+        stack.callback(self.components.registry.stop)
+        self.components.registry.start(configured_slices(self.context.config))
+        stack.callback(self.components.control_socket.stop)
+        await self.components.control_socket.start()
+
+    async def _start_proxy_side(self, handed: HandoverState | None, inherited: InheritedSockets) -> None:
+        """Go on with the proxies of the process before this one, and begin to decide."""
         if handed:
-            for link, sock in zip(handed.connections, given.take_connections(len(handed.connections)), strict=True):
-                if sock:
-                    await loop.connect_accepted_socket(lambda link=link: ProxyConnection(self, link), sock)  # type: ignore[misc]
-            self.greet_all()  # should this process die too, its forwarders must know whose messages they hold
-            for f in [f for f in self.engine.proxy_zones if f not in self.forwarders]:
-                self.channel.leave(f)
-                self.engine.on_proxy_left(now, f)
-            for f in self.forwarders:
-                self.channel.block(f, False)  # nothing of ours waits in their sockets
-                if self.cluster:
-                    self.cluster.on_proxy_joined(f)
-            self.paused = False
-            self.admit()
-            self.pump()
-        given.close()
-        self.watched_at = self.clock() - c.forwarders.beat_ms / 4.0
-        self.watch_links()
-        self.wake()
-        self.ready = True
+            await self.connections.adopt(handed.connections, inherited)
+            self.context.lifecycle.state = ProcessState.ACTIVE
+            self.components.joining.admit()
+            self.components.proxy_channel.pump()
+        inherited.close()
+        self._exit_stack.callback(self.components.decision_loop.stop)
+        self.components.link_monitor.start()
+        self.timer.wake()
+
+    def _finish_start(self, contents: StoreContents) -> None:
+        self.context.lifecycle.is_ready = True
         log.info(
             "ready",
-            life=life.start_number,
-            listen=[s.sockets[0].getsockname()[:2] for s in self.servers],
+            life=contents.start_number,
+            listen=self.network.addresses(),
             slices=len(self.engine.owned_slices),
-            tables=len(life.tables),
-            hosts=len(life.host_entries),
+            tables=len(contents.tables),
+            hosts=len(contents.host_entries),
         )
 
-    def open_shared(self) -> None:
-        """Members, budgets and tasks of the fleet, where any is configured. Raises OSError."""
-        c = self.config
-        if not (c.budget or c.task or c.task_group):
-            return
-        say = lambda to, data: self.peers.send(to, data) if self.peers else None  # noqa: E731
-        self.peer_dispatcher = PeerDispatcher(say, self.metrics.dropped_peer_datagrams.inc)
-        keeper = self.office_keeper(c.registry) if c.registry and c.budgets.office == "registry" else None
-        self.cluster = Cluster(
-            c,
-            self.peer_dispatcher,
-            self.clock,
-            lambda: self.paused,
-            self.metrics,
-            self.rate_limited_log,
-            FleetView(self),
-            keeper,
-        )
-        if self.cluster.quota and isinstance(self.engine.assigner, Assigner):
-            self.engine.assigner.publication.may_begin = self.cluster.quota.may_begin
-        self.cluster.start()
+    # ---- operation -----------------------------------------------------------------------------------------------
+
+    def check_handover(self, handed: HandoverState) -> None:
+        """Check that this process can go on from a state. Raises StateMismatchError."""
+        number = self.context.config.steward.number
+        check_state(handed.controller, number, self.context.settings, boot_id(), handed.controller.start_number + 1)
+        try:
+            self._loaded_assigner = load_assigner(self.context.settings, handed.controller.assigner)
+        except (ValueError, TypeError) as error:
+            raise StateMismatchError(str(error)) from None
+
+    async def upgrade(self, command: list[str] | None = None) -> HandoverResult:
+        """Hand over to a new process."""
+        return await self.components.handover.run(command)
+
+    def reload(self) -> None:
+        """Read the configuration again."""
+        self.components.config_reloader.reload()
 
     async def retire(self) -> None:
-        """A planned end: slices go to the other stewards first, as long as the settings wait for it."""
-        if self.keeper and self.config.registry:
-            self.keeper.leave()
-            end = self.clock() + self.config.registry.retire_within_ms
-            while not self.keeper.empty and self.clock() < end:
-                await asyncio.sleep(0.02)
+        """Stop as planned: slices go to the other controllers first, as long as the settings wait for it."""
+        await self.components.registry.retire()
         self.stop()
 
-    def stop(self, code: int = 0) -> None:
-        """End cleanly: no new link, a last word to each forwarder, the store closed."""
-        if self.stopped is None or self.stopped.done():
+    def stop(self, exit_code: int = 0) -> None:
+        """Stop every component, in the reverse order of their starts."""
+        lifecycle = self.context.lifecycle
+        if not lifecycle.is_running:
             return
-        log.info("stopping", code=code)
-        for server in self.servers:
-            server.close()
-        if self.control:
-            self.control.close()
-        for link in list(self.links):
-            link.close("stopping")
-        if self.config.door:
-            self.admin_server.close()
-        self.roster.stop()
-        self.prober.stop()
-        if self.feed:
-            self.feed.stop()
-        if self.keeper:
-            self.ending = asyncio.get_running_loop().create_task(self.keeper.stop())
-        if self.writing:
-            self.writing.cancel()
-        if self.cluster:
-            self.cluster.close(self.handed_over)
-            self.cluster = None
-        if self.peers:
-            self.peers.close()
-        for handle in (self.timer, self.pump_timer, self.admitting):
-            if handle:
-                handle.cancel()
-        self.timer_at = float("-inf")
-        self.keep_roster()
-        self.store.close()
-        for recorder in (self.recorder, self.steps_log):
-            if recorder:
-                recorder.close()
-        self.stopped.set_result(code)
+        log.info("stopping", code=exit_code)
+        try:
+            self._exit_stack.close()
+        finally:
+            lifecycle.finish(exit_code)
 
-    def reload(self) -> None:
-        """Read the configuration again."""
-        reload(self)
+    async def wait_stopped(self) -> int:
+        """Wait until the controller has stopped; its exit code."""
+        return await self.context.lifecycle.wait_stopped()
--- a/corallanding/controller/decision_loop.py
+++ b/corallanding/controller/decision_loop.py
@@ -1,143 +1,123 @@
-"""Steps: when one is due, what it decides is kept, then said."""
+"""Decision steps: when one is due the engine decides, what it decided is saved, then it is carried out."""
 
 from __future__ import annotations
 
 import asyncio
 from collections import Counter
-from pathlib import Path
+from collections.abc import Sequence
 
-from .. import interface as api
-from ..channel import Overrun
 from ..interface.stored_names import NAMES
 from ..telemetry import log
-from .components import Parts
-from .step_outputs import NO_VERSION, CheckHost, Output, SendFrame
+from .context import Context, ExitCode
+from .engine import Engine
+from .output_dispatch import OutputDispatcher
+from .persistence import TablePersistence
+from .proxy_channel import ProxyChannel
+from .step_observer import DecisionStep, StepObserver
+from .step_timer import StepTimer
 
-AHEAD = 2_000  # marks of the module worked out at a time between steps: a millisecond or two
+SCORES_PER_SLOT = 2_000  # rendezvous scores computed ahead at a time between steps: a millisecond or two
+SLOT_INTERVAL_S = 0.001
 
 
-class Turning(Parts):
-    """What happened becomes a step of the engine; what it hands out is kept first, then carried out."""
+class DecisionLoop:
+    """Runs the engine's steps. observers: told of each step that had an event or an action."""
 
-    def wake(self) -> None:
-        """A step comes at the engine's next due time, and never sooner than a turn after the last."""
-        due = self.engine.next_at(self.clock())
-        if due is None or self.stopped is None or self.stopped.done() or self.writing or self.paused:
-            return
-        at = max(due, self.clock(), self.stepped_at + self.config.steward.turn_ms)
-        if at >= self.timer_at:
-            return
-        if self.timer:
-            self.timer.cancel()
-        self.timer_at = at
-        self.timer = asyncio.get_running_loop().call_later(max(0.0, at - self.clock()) / 1000.0, self.step)
+    def __init__(
+        self,
+        context: Context,
+        engine: Engine,
+        timer: StepTimer,
+        persistence: TablePersistence,
+        dispatcher: OutputDispatcher,
+        proxy_channel: ProxyChannel,
+        observers: Sequence[StepObserver],
+    ) -> None:
+        self._context = context
+        self._engine = engine
+        self._timer = timer
+        self._persistence = persistence
+        self._dispatcher = dispatcher
+        self._proxy_channel = proxy_channel
+        self._observers = observers
+        self._writing: asyncio.Task[None] | None = None
+        self._deciding_ms = 0.0  # time that the first half of the step took
+        self._is_computing_ahead = False
 
     def step(self) -> None:
-        begun = self.clock()
-        self.spent = 0.0
-        self.metrics.step_delay_seconds.observe(max(0.0, begun - self.timer_at) / 1000.0)
-        self.timer, self.timer_at, self.stepped_at = None, float("inf"), begun
-        self.engine.is_store_backing_off = begun < self.store_again
+        """Run one step. The engine decides on all events that came; a registry write delays the second half."""
+        begun = self._context.clock()
+        self._deciding_ms = 0.0
+        self._context.metrics.step_delay_seconds.observe(max(0.0, begun - self._timer.due_at_ms) / 1000.0)
+        self._timer.begin_step(begun)
+        self._engine.is_store_backing_off = begun < self._persistence.retry_at_ms
         try:
-            writes = self.engine.decide(begun)
+            writes = self._engine.decide(begun)
         except Exception:
-            # A module that fails has no state to go on from: a new life starts from the store.
+            # An assigner that fails has no state to go on from: a new process starts from the store.
             log.exception("the module failed")
-            self.stop(3)
+            self._context.lifecycle.request_stop(ExitCode.MODULE)
             return
-        assert self.engine.last_step is not None
-        now, events, actions = self.engine.last_step
-        if self.steps_log and (events or actions):
-            self.steps_log.write_step(now, events, actions)
-            if self.steps_log.is_stopped:
-                # A log with a gap must not be taken up: without its snapshot it is nothing.
-                log.error(
-                    "the log of steps ends here; the next snapshot begins another", why=self.steps_log.stop_reason
-                )
-                Path(str(self.config.store.snapshot_path)).unlink(missing_ok=True)
-                self.steps_log.close()
-                self.steps_log = None
-        if self.recorder and (events or actions):
-            self.recorder.write_step(now, events, actions)
-            if self.recorder.is_stopped:
-                log.error("the recording ends here", why=self.recorder.stop_reason)
-                self.recorder.close()
-                self.recorder = None
-        if self.feed:
-            for e in events:
-                if isinstance(e, api.HostUsageReport):
-                    self.feed.worth.seen(e.host, e.attempts, e.failed, e.latency_ms)
-        if not self.engine.overload.is_overloaded:  # detail that can wait
-            for kind, count in Counter(NAMES[type(e)] for e in events).items():
-                self.metrics.events.labels(kind).inc(count)
-            for kind, count in Counter(NAMES[type(a)] for a in actions).items():
-                self.metrics.actions.labels(kind).inc(count)
-        if self.keeper and begun >= self.store_again and (writes.entries or writes.resets):
-            # The next step waits for this one's write: what is sent is kept first, there too.
-            self.spent = self.clock() - begun
-            self.writing = asyncio.get_running_loop().create_task(self.keep_shared(begun))
+        self._notify_observers()
+        if self._persistence.needs_registry_write(begun, writes):
+            # The next step waits for this one's write: what is sent is saved first, there too.
+            self._deciding_ms = self._context.clock() - begun
+            self._timer.is_held = True
+            self._writing = asyncio.get_running_loop().create_task(self._write_then_finish(begun))
             return
-        stored = not self.store_faults if self.keeper else self.keep(begun, writes)
-        self.spent = self.clock() - begun
-        self.finish(begun, stored)
+        is_stored = self._persistence.write(begun, writes)
+        self._deciding_ms = self._context.clock() - begun
+        self._finish(begun, is_stored=is_stored)
 
-    def finish(self, begun: float, stored: bool) -> None:
-        """The second half of a step."""
-        resumed = self.clock()
-        for output in self.engine.publish(stored):
-            self.carry_out(begun, output)
-        ended = self.clock()
-        self.engine.overload.on_step(ended, self.spent + ended - resumed)
-        self.metrics.step_seconds.observe((ended - begun) / 1000.0)
-        self.metrics.unsaved_tables.set(len(self.engine.unsaved_tables))
-        self.metrics.dropped_usage_rows.set(self.engine.usage.dropped_rows)
-        self.metrics.discarded_orders.set(self.engine.discarded_actions)
-        self.pump()
-        self.wake()
-        if not self.working_ahead:
-            self.working_ahead = True
-            asyncio.get_running_loop().call_soon(self.ahead)
+    def stop(self) -> None:
+        """Abandon a step that waits for the registry."""
+        if self._writing:
+            self._writing.cancel()
 
-    def ahead(self) -> None:
-        """Between steps, a millisecond or two at a time."""
-        going = self.stopped is not None and not self.stopped.done()
-        self.working_ahead = going and self.engine.precompute_scores(AHEAD)
-        if self.working_ahead:
-            asyncio.get_running_loop().call_later(0.001, self.ahead)
+    def _notify_observers(self) -> None:
+        if self._engine.last_step is None:
+            return
+        now, events, actions = self._engine.last_step
+        if events or actions:
+            step = DecisionStep(now, events, actions)
+            for observer in self._observers:
+                observer.on_step(step)
+        if self._engine.overload.is_overloaded:
+            return  # detail that can wait
+        metrics = self._context.metrics
+        for kind, count in Counter(NAMES[type(event)] for event in events).items():
+            metrics.events.labels(kind).inc(count)
+        for kind, count in Counter(NAMES[type(action)] for action in actions).items():
+            metrics.actions.labels(kind).inc(count)
 
-    def submit(self, data: bytes, lines: int, to: tuple[int, ...]) -> None:
-        """A frame that is no order of the module's."""
-        self.queue(self.clock(), SendFrame(data, lines, NO_VERSION, to))
-        self.pump()
+    async def _write_then_finish(self, begun: float) -> None:
+        is_stored = await self._persistence.write_to_registry()
+        self._writing = None
+        self._timer.is_held = False
+        if self._context.lifecycle.is_running:
+            self._finish(begun, is_stored=is_stored)
 
-    def queue(self, now: float, o: SendFrame) -> None:
-        try:
-            self.channel.submit(now, o.frame, o.cost_lines, o.version, o.proxies, o.orders, o.is_urgent)
-        except Overrun as over:
-            for forwarder in over.forwarders:
-                if link := self.forwarders.get(forwarder):
-                    self.rate_limited_log.warn("link cut off", forwarder=forwarder, why="the channel is full")
-                    link.close("overrun", "the channel is full: read the store")
+    def _finish(self, begun: float, *, is_stored: bool) -> None:
+        """The second half of a step: publish."""
+        resumed = self._context.clock()
+        for output in self._engine.publish(is_stored):
+            self._dispatcher.dispatch(begun, output)
+        ended = self._context.clock()
+        self._engine.overload.on_step(ended, self._deciding_ms + ended - resumed)
+        metrics = self._context.metrics
+        metrics.step_seconds.observe((ended - begun) / 1000.0)
+        metrics.unsaved_tables.set(len(self._engine.unsaved_tables))
+        metrics.dropped_usage_rows.set(self._engine.usage.dropped_rows)
+        metrics.discarded_orders.set(self._engine.discarded_actions)
+        self._proxy_channel.pump()
+        self._timer.wake()
+        if not self._is_computing_ahead:
+            self._is_computing_ahead = True
+            asyncio.get_running_loop().call_soon(self._compute_ahead)
 
-    def carry_out(self, now: float, output: Output) -> None:
-        match output:
-            case SendFrame():
-                self.queue(now, output)
-            case CheckHost():
-                budgets = self.cluster.quota if self.cluster else None
-                if budgets and not budgets.may_begin("probes", output.host, True):
-                    # Others ask it already: for the module one that says neither good nor bad.
-                    self.probed(api.HealthCheckResult(output.host, api.HealthCheckOutcome.FULL))
-                elif output.address:
-                    self.prober.check(output.host, output.address)
-                else:
-                    self.probed(api.HealthCheckResult(output.host, api.HealthCheckOutcome.UNREACHABLE))
-            case api.WatchHostList():
-                self.roster.follow(output.is_watching)
-            case api.FetchHostList():
-                self.roster.fetch()
-            case api.SendToPeer():
-                if self.peers:
-                    self.peers.send(output.peer, output.payload)
-            case api.LogNote():
-                log.info("note", text=output.text)
+    def _compute_ahead(self) -> None:
+        """Compute scores of coming steps, a slot at a time."""
+        is_running = self._context.lifecycle.is_running
+        self._is_computing_ahead = is_running and self._engine.precompute_scores(SCORES_PER_SLOT)
+        if self._is_computing_ahead:
+            asyncio.get_running_loop().call_later(SLOT_INTERVAL_S, self._compute_ahead)
--- /dev/null
+++ b/corallanding/controller/factories.py
@@ -0,0 +1,53 @@
+"""The parts of a controller that a simulation or a measurement replaces."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any, Protocol
+
+from ..config.sources import RegistryBlock
+from ..load_reports.feed import Feed
+from .acceptor import Listener
+from .decision_loop import DecisionLoop
+from .proxy_connections import ProxyConnections
+
+if TYPE_CHECKING:
+    from ..registry.etcd import Etcd
+
+
+class ListenerFactory(Protocol):
+    """Makes the listener for connections of proxies; the arguments are those of `acceptor.Listener`."""
+
+    def __call__(
+        self,
+        host: str,
+        port: int,
+        backlog: int,
+        rate: float,
+        factory: Callable[[], asyncio.Protocol],
+        said: Callable[[str], None],
+        given: socket.socket | None = None,
+    ) -> Listener:
+        """Listen at the address. Raises OSError."""
+        ...
+
+
+def dial_etcd(block: RegistryBlock, on_failure: Callable[[str], None]) -> Callable[[], Etcd]:
+    """A function that opens connections to the configured registry."""
+    from ..registry.source import etcd  # gRPC is imported only where a registry is configured
+
+    return etcd(block, on_failure)
+
+
+@dataclass(frozen=True)
+class Factories:
+    """What makes the parts; by default those of the real service."""
+
+    listener: ListenerFactory = Listener
+    dial_registry: Callable[[RegistryBlock, Callable[[str], None]], Callable[[], Any]] = dial_etcd
+    feed: type[Feed] = Feed
+    decision_loop: type[DecisionLoop] = DecisionLoop
+    proxy_connections: type[ProxyConnections] = ProxyConnections
--- /dev/null
+++ b/corallanding/controller/fleet_source.py
@@ -0,0 +1,28 @@
+"""What the services of the fleet read of this controller."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from ..config import ControllerConfig
+from ..endpoints.endpoint_list import View
+from .clock import Clock
+from .engine import Engine
+from .proxy_channel import ProxyChannel
+from .proxy_protocol import ProxyConnection
+
+
+@dataclass
+class ControllerFleetSource:
+    """The `FleetSource` of a running controller. forwarders: the connection of each proxy, by its number."""
+
+    config: ControllerConfig
+    view: View
+    engine: Engine
+    forwarders: dict[int, ProxyConnection]
+    clock: Clock
+    proxy_channel: ProxyChannel
+
+    def submit(self, data: bytes, lines: int, to: tuple[int, ...]) -> None:
+        """Send a frame to proxies through the paced channel."""
+        self.proxy_channel.submit(data, lines, to)
--- a/corallanding/controller/handover_sender.py
+++ b/corallanding/controller/handover_sender.py
@@ -5,41 +5,64 @@
 import asyncio
 import socket
 import sys
-from abc import abstractmethod
+from dataclasses import dataclass
+from typing import Protocol
 
 import msgspec
 
-from ..snapshot import file as snapshots
+from ..config import ControllerConfig
 from ..snapshot.rankings import StoredRanking
 from ..store import StoreLockedError
 from ..telemetry import log
 from ..upgrade.core import HandoverCommand, Predecessor
 from ..upgrade.pipe import HandoverPipe, PipeClosedError
-from .components import Parts
+from .context import ExitCode
 from .handover_driver import HandoverSide, TerminationLock, now
-from .handover_state import capture_connection, capture_handover
 
 
-class HandoverSource(Parts):
-    """What a handover asks of the steward that speaks."""
+@dataclass(frozen=True)
+class CapturedState:
+    """A packed `HandoverState`, and the descriptors that go with it: those of links come last, in the state's order."""
 
-    @abstractmethod
-    async def pause(self) -> None: ...
+    body: bytes
+    file_descriptors: list[int]
 
-    @abstractmethod
-    async def ranked(self) -> list[StoredRanking]: ...
 
-    @abstractmethod
-    def let_go(self) -> None: ...
+class HandoverSource(Protocol):
+    """What a handover asks of the active controller."""
 
-    @abstractmethod
-    def take_back(self) -> None: ...
+    async def capture_scores(self) -> list[StoredRanking]:
+        """The assigner's rendezvous scores, ahead of the state."""
+        ...
 
+    async def pause(self) -> None:
+        """Send and receive nothing from here on."""
+        ...
 
-def handover_obstacle(s: Parts) -> str:
-    """What of this steward cannot be handed over; empty if all can."""
-    registry = s.config.registry
-    if registry and registry.charge:
+    def capture(self) -> CapturedState:
+        """All state of the paused controller. Raises OSError if it cannot be handed over."""
+        ...
+
+    def release_store(self) -> None:
+        """Close the store, for the new process."""
+        ...
+
+    def take_back(self) -> None:
+        """Go on, since nothing came of the handover. Raises StoreLockedError if the store is another controller's."""
+        ...
+
+    def finish(self) -> None:
+        """End this process: the new one is active."""
+        ...
+
+    def request_stop(self, exit_code: int) -> None:
+        """End this process, which cannot go on."""
+        ...
+
+
+def handover_obstacle(config: ControllerConfig) -> str:
+    """What of a controller cannot be handed over; empty if all can."""
+    if config.registry and config.registry.charge:
         return "registry.charge: end it (SIGTERM), its slices go to the other stewards first"
     return ""
 
@@ -49,9 +72,10 @@
 
     name = "old"
 
-    def __init__(self, steward: HandoverSource, command: list[str], within: float) -> None:
-        self.s, self.command, self.core = steward, command, Predecessor(within)
-        self.arbiter = TerminationLock(f"{steward.config.store.path}.handover")
+    def __init__(self, source: HandoverSource, store_path: str, command: list[str], within: float) -> None:
+        """store_path: a lock beside it decides who may end the other process. within: ms for each phase."""
+        self.source, self.command, self.core = source, command, Predecessor(within)
+        self.arbiter = TerminationLock(f"{store_path}.handover")
         self.process: asyncio.subprocess.Process | None = None
         self.pipe = None
 
@@ -75,11 +99,11 @@
                     theirs.close()
                 case HandoverCommand.PAUSE:
                     await self.send_marks()
-                    await self.s.pause()
+                    await self.source.pause()
                 case HandoverCommand.SEND_STATE:
                     await self.send_state()
                 case HandoverCommand.CLOSE_STORE:
-                    self.s.let_go()
+                    self.source.release_store()
                 case HandoverCommand.SEND_COMMIT:
                     self.words.send_message("commit")
                 case HandoverCommand.END_OTHER:
@@ -91,49 +115,30 @@
                         await self.process.wait()
                     self.arbiter.release()
                 case HandoverCommand.RESUME:
-                    self.s.take_back()
+                    self.source.take_back()
                 case HandoverCommand.EXIT:
-                    self.s.handed_over = True
-                    if self.s.stopped and not self.s.stopped.done():
-                        self.s.stopped.set_result(0)
+                    self.source.finish()
         except (PipeClosedError, OSError) as fault:
             return self.core.abort(f"{a.value}: {fault}")
         except StoreLockedError as fault:
             log.error("the store is not to be had again", why=str(fault))
-            self.s.stop(4)
+            self.source.request_stop(ExitCode.STORE)
         return None
 
     async def send_marks(self) -> None:
         """Ahead of the state, while this process still speaks: in a large fleet they are the most of it."""
-        body = msgspec.msgpack.encode(await self.s.ranked())
+        body = msgspec.msgpack.encode(await self.source.capture_scores())
         await asyncio.get_running_loop().run_in_executor(None, self.words.send_message, "marks", body)
 
     async def send_state(self) -> None:
-        s = self.s
-        state = s.state(s.log_number)
-        if state is None:
-            raise OSError("this module's state cannot be handed over")
-        links = [x for x in s.links if x.link.hello and not x.is_closed and x.transport]
-        v = s.view
-        roster = (v.version, list(v.entries.values()), dict(v.addresses), dict(v.starts), sorted(v.known))
-        rows = [capture_connection(x.link, x.is_joined, x.is_write_paused, x.heartbeat_sent_at) for x in links]
-        fds = [server.sockets[0].fileno() for server in s.servers]
-        feed = None
-        if s.feed:
-            feed, pair = s.feed.handed()
-            fds += [pair.fileno()] if pair else []
-        if s.peers:
-            fds.append(s.peers.socket.fileno())
-        kept = (str(s.recorder.path), s.recorder.written_bytes) if s.recorder else None
-        body = snapshots.pack(
-            capture_handover(s.engine, state, s.channel, rows, s.joins, roster, s.factors, feed, kept)
-        )
-        fds += [x.transport.get_extra_info("socket").fileno() for x in links if x.transport]
+        """All state, then the sockets. Raises OSError."""
+        captured = self.source.capture()
+        descriptors = captured.file_descriptors
 
         def work() -> None:
-            self.words.send_message("state", body)
-            self.words.send_message("sockets", str(len(fds)).encode())
-            self.words.send_descriptors(fds)
+            self.words.send_message("state", captured.body)
+            self.words.send_message("sockets", str(len(descriptors)).encode())
+            self.words.send_descriptors(descriptors)
 
         await asyncio.get_running_loop().run_in_executor(None, work)
 
--- /dev/null
+++ b/corallanding/controller/link_monitor.py
@@ -0,0 +1,76 @@
+"""Watches the links of proxies: sends heartbeats, closes silent links, measures the lag of the event loop."""
+
+from __future__ import annotations
+
+import asyncio
+
+from ..telemetry import log
+from ..wire import frames
+from .context import Context
+from .engine import Engine
+from .host_sources import HostSources
+from .link_registry import LinkRegistry
+
+CHECKS_PER_BEAT = 4.0
+
+
+class LinkMonitor:
+    """Runs a few times per heartbeat; also saves the host list when it has changed."""
+
+    def __init__(self, context: Context, engine: Engine, registry: LinkRegistry, host_sources: HostSources) -> None:
+        self._context = context
+        self._engine = engine
+        self._registry = registry
+        self._host_sources = host_sources
+        self._checked_at_ms = 0.0
+        self._is_overloaded = False  # as last logged
+
+    def start(self) -> None:
+        """Begin to watch."""
+        self._checked_at_ms = self._context.clock() - self._interval_ms
+        self._check()
+
+    @property
+    def _interval_ms(self) -> float:
+        return self._context.config.forwarders.beat_ms / CHECKS_PER_BEAT
+
+    def _check(self) -> None:
+        if not self._context.lifecycle.is_running:
+            return
+        now = self._context.clock()
+        self._measure_lag(now)
+        self._log_overload()
+        if not self._context.lifecycle.is_paused:
+            self._check_links(now)
+            if self._host_sources.is_unsaved:
+                self._host_sources.save()
+        asyncio.get_running_loop().call_later(self._interval_ms / 1000.0, self._check)
+
+    def _measure_lag(self, now: float) -> None:
+        lag = max(0.0, now - self._checked_at_ms - self._interval_ms)
+        self._checked_at_ms = now
+        self._engine.overload.on_lateness(lag)
+        self._context.metrics.loop_lag_seconds.observe(lag / 1000.0)
+        self._context.metrics.deferred_turns.set(self._engine.overload.delayed_timers)
+
+    def _log_overload(self) -> None:
+        overload = self._engine.overload
+        if overload.is_overloaded == self._is_overloaded:
+            return
+        self._is_overloaded = overload.is_overloaded
+        log.warning(
+            "late: ordinary moves wait" if self._is_overloaded else "in time again",
+            lag_ms=round(overload.lateness_ms, 1),
+            busy=round(overload.busy_share, 2),
+        )
+
+    def _check_links(self, now: float) -> None:
+        beat_ms = self._context.config.forwarders.beat_ms
+        beat = frames.encode(frames.Beat(now))
+        for link in list(self._registry.links):
+            if why := link.link.overdue(now):
+                self._context.rate_limited_log.warn("link closed", forwarder=link.proxy, why=why)
+                link.close(why.replace(" ", "-"), why)
+            elif link.is_joined and now - link.heartbeat_sent_at >= beat_ms:
+                link.heartbeat_sent_at = now
+                link.send(beat)
--- /dev/null
+++ b/corallanding/controller/load_weights.py
@@ -0,0 +1,169 @@
+"""Weights of hosts by what load reports say: the feed of reports, and the factors that the assigner was told."""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Callable
+from importlib.util import find_spec
+from pathlib import Path
+from typing import Any
+
+from .. import interface as api
+from ..config.sources import LoadReportsBlock
+from ..endpoints.endpoint_list import View
+from ..load_reports.feed import Feed
+from ..load_reports.load_estimator import Policy
+from ..load_reports.state import FeedState
+from ..load_reports.weights import changes, weigh
+from ..telemetry import log
+from .clock import ORIGIN_MS
+from .context import Context
+from .engine import Engine
+from .inherited_sockets import InheritedSockets
+from .step_observer import DecisionStep
+
+INTAKE_SETTINGS = (
+    "listen",
+    "sender_rate",
+    "sender_burst",
+    "processes_most",
+    "reports_per_s",
+    "tick_ms",
+    "streams_most",
+    "buffer_bytes",
+)
+NOT_OUTCOMES = ("senders", "waiting")  # counts of the feed that do not say what became of a report
+
+
+def feed_policy(block: LoadReportsBlock) -> Policy:
+    """How reports become factors, as configured."""
+    return Policy(
+        block.half_life_ms,
+        block.expiry_ms,
+        block.window_ms,
+        block.step,
+        block.floor,
+        block.busy_from,
+        block.tolerance,
+        block.gain,
+        block.reporting_least,
+        block.changes_most,
+        block.stuck_after_ms,
+        processes_most=block.processes_most,
+    )
+
+
+def intake_settings(block: LoadReportsBlock) -> dict[str, Any]:
+    """The settings of the intake process. Raises OSError if the key cannot be read."""
+    key = Path(block.key_file).read_bytes().strip().hex() if block.key_file else ""
+    return {**{name: getattr(block, name) for name in INTAKE_SETTINGS}, "key": key}
+
+
+class LoadWeights:
+    """Multiplies the listed weights by factors from load reports; does nothing where no reports are configured.
+
+    factors: by host, those that differ from 1. has_host_list: whether a newer list than the saved one has come.
+    wake: asks for a decision step.
+    """
+
+    def __init__(
+        self, context: Context, engine: Engine, view: View, feed_type: type[Feed], wake: Callable[[], None]
+    ) -> None:
+        self._context = context
+        self._engine = engine
+        self._view = view
+        self._feed_type = feed_type
+        self._wake = wake
+        self.feed: Feed | None = None
+        self.factors: dict[int, float] = {}
+        self.has_host_list = False
+
+    def start(self, state: FeedState | None, inherited: InheritedSockets) -> None:
+        """Start the feed, with the state and the intake's socket of the process before this one if they came.
+
+        Raises OSError if the key cannot be read, or the libraries are not there.
+        """
+        block = self._context.config.load_reports
+        if not block:
+            return
+        if not find_spec("xds"):
+            raise OSError("load_reports needs the extra: pip install 'corallanding[reports]'")
+        context = self._context
+        zero = ORIGIN_MS - context.clock.zero * 1000.0
+        self.feed = self._feed_type(
+            intake_settings(block),
+            feed_policy(block),
+            context.clock,
+            context.wall_ms,
+            zero,
+            self._on_factors_changed,
+            log,
+        )
+        self.feed.start(state, inherited.take_intake())
+
+    def restore(self, factors: dict[int, float]) -> None:
+        """Go on with the factors that the process before this one told the assigner."""
+        self.has_host_list = True
+        self._set_factors(dict(factors))
+
+    def on_host_list(self, event: api.HostListUpdate) -> api.HostListUpdate:
+        """Note a new host list; the same event with weights multiplied."""
+        self.has_host_list = True
+        if self.feed is None:
+            return event
+        self.feed.listed(self._view.entries, self._view.starts, self._context.settings.warm_up_ms)
+        self.factors = self.feed.worth.factors()
+        return weigh(event, self.factors)
+
+    def on_step(self, step: DecisionStep) -> None:
+        """Let the feed compare what hosts report with what proxies saw."""
+        if self.feed is None:
+            return
+        for event in step.events:
+            if isinstance(event, api.HostUsageReport):
+                self.feed.worth.seen(event.host, event.attempts, event.failed, event.latency_ms)
+
+    def publish_metrics(self) -> None:
+        """Set the metrics of load reports."""
+        if self.feed is None:
+            return
+        metrics = self._context.metrics
+        for outcome, count in {**self.feed.counts, **self.feed.worth.counts.by_name()}.items():
+            if outcome not in NOT_OUTCOMES:
+                metrics.load_reports.labels(outcome).set(count)
+        metrics.load_report_senders.set(self.feed.counts.get("senders", 0))
+
+    def capture(self) -> tuple[FeedState | None, socket.socket | None]:
+        """The state of the feed and its end of the intake's socket, for a handover; None where there is no feed."""
+        return self.feed.handed() if self.feed else (None, None)
+
+    def pause(self) -> None:
+        """Take no reports for now."""
+        if self.feed:
+            self.feed.hold()
+
+    def resume(self, *, is_stale: bool) -> None:
+        """Take reports again. is_stale: another process may have read from the intake meanwhile."""
+        if self.feed:
+            self.feed.resume(is_stale)
+
+    def stop(self) -> None:
+        """End the feed and its intake."""
+        if self.feed:
+            self.feed.stop()
+
+    def _on_factors_changed(self) -> None:
+        """Tell the assigner of the hosts concerned, as changes of the host list."""
+        if self.feed is None or not self.has_host_list:
+            return  # before the first list of this process the assigner would take the change for that list
+        before = self.factors
+        self._set_factors(self.feed.worth.factors())
+        event = changes(self._view.entries, self._view.version, before, self.factors)
+        if event:
+            log.info("load factors", factors={str(host): round(factor, 3) for host, factor in self.factors.items()})
+            self._engine.add_event(self._context.clock(), event)
+            self._wake()
+
+    def _set_factors(self, factors: dict[int, float]) -> None:
+        self.factors = factors
+        self._context.metrics.lowered_weights.set(len(factors))
--- a/corallanding/controller/main.py
+++ b/corallanding/controller/main.py
@@ -1,4 +1,4 @@
-"""The steward as a program: its start, its signals, its exit code."""
+"""The controller as a program: its start, its signals, its exit code."""
 
 from __future__ import annotations
 
@@ -9,72 +9,102 @@
 import sys
 import time
 from collections.abc import Callable
+from typing import Any
 
 import uvloop
 
 from .. import interface as api
 from ..assignment import Assigner
-from ..config import ConfigError, load_controller
+from ..config import ConfigError, ControllerConfig, load_controller
 from ..store import StoreError
 from ..telemetry import configure, log
 from ..upgrade.pipe import HandoverPipe
+from .context import ExitCode, ProcessState
 from .crash_loop import STABLE_AFTER_MS, StartHistory, advise_start
 from .daemon import Controller
 from .event_inbox import Decider
 from .handover_receiver import HandoverReceiver
 
+LINGER_S = 0.05  # for what was last written on links
+
 
 async def serve(
     path: str,
-    record: str | None,
+    recording_path: str | None,
     decider: Callable[[api.Settings, int], Decider] = Assigner,
-    take_over: int | None = None,
+    handover_fd: int | None = None,
 ) -> int:
+    """Run a controller until it stops; the exit code. Raises ConfigError."""
     config = load_controller(path)
     configure(config.log.format, config.log.level)
-    controller = Controller(config, decider, record, path)
-    starts, loop = StartHistory(f"{config.store.path}.starts"), asyncio.get_running_loop()
+    controller = Controller(config, decider, recording_path, path)
+    starts = StartHistory(f"{config.store.path}.starts")
     try:
-        if take_over is None:
-            wall, before = time.time() * 1000.0, starts.read()
-            advice = advise_start(before, wall)
-            starts.write([*before[-advice.recent_failures :], wall] if advice.recent_failures else [wall])
-            controller.trust_snapshot = advice.may_use_snapshot
-            if advice.wait_ms:
-                log.error(
-                    "crash loop: waiting before the next try", deaths=advice.recent_failures, wait_ms=advice.wait_ms
-                )
-                await asyncio.sleep(advice.wait_ms / 1000.0)
-            await controller.start()
-        else:
-            pipe = HandoverPipe(socket.socket(fileno=take_over))
-            within = config.steward.upgrade_within_ms
-            if not await HandoverReceiver(pipe, within, config.store.path, controller.can_take, controller.start).run():
-                return 6
-    except StoreError as fault:
-        log.error("cannot start", why=str(fault))
-        return 4
-    except OSError as fault:
-        log.error("cannot start", why=str(fault))
-        return 5
-    calm = loop.call_later(STABLE_AFTER_MS / 1000.0, starts.write, [])
-    retiring = list[asyncio.Task[None]]()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, lambda: retiring.append(loop.create_task(controller.retire())))
-    loop.add_signal_handler(signal.SIGHUP, controller.reload)
-    loop.add_signal_handler(signal.SIGUSR2, lambda: retiring.append(loop.create_task(controller.upgrade())))  # type: ignore[arg-type]
-    assert controller.stopped is not None
-    code = await controller.stopped
-    calm.cancel()
-    if code == 0:
+        if handover_fd is None:
+            await start_alone(controller, starts)
+        elif not await take_over(controller, config, handover_fd):
+            return ExitCode.HANDOVER_FAILED
+    except StoreError as error:
+        log.error("cannot start", why=str(error))
+        return ExitCode.STORE
+    except OSError as error:
+        log.error("cannot start", why=str(error))
+        return ExitCode.ADDRESS
+    calm_timer = asyncio.get_running_loop().call_later(STABLE_AFTER_MS / 1000.0, starts.write, [])
+    signal_tasks: set[asyncio.Task[Any]] = set()
+    handle_signals(controller, signal_tasks)
+    exit_code = await controller.wait_stopped()
+    calm_timer.cancel()
+    if exit_code == ExitCode.CLEAN:
         starts.write([])
-    await asyncio.sleep(0.05)  # last words of the links
-    if controller.handed_over:
-        # The sockets are another process's now: nothing here may say goodbye on them.
-        sys.stdout.flush()
-        sys.stderr.flush()
-        os._exit(code)
-    return code
+    await asyncio.sleep(LINGER_S)
+    if controller.context.lifecycle.state is ProcessState.HANDED_OVER:
+        exit_silently(exit_code)
+    return exit_code
+
+
+async def start_alone(controller: Controller, starts: StartHistory) -> None:
+    """Start from the store, after a wait if the last starts ended soon. Raises StoreError or OSError."""
+    wall_ms = time.time() * 1000.0
+    before = starts.read()
+    advice = advise_start(before, wall_ms)
+    starts.write([*before[-advice.recent_failures :], wall_ms] if advice.recent_failures else [wall_ms])
+    controller.trust_snapshot = advice.may_use_snapshot
+    if advice.wait_ms:
+        log.error("crash loop: waiting before the next try", deaths=advice.recent_failures, wait_ms=advice.wait_ms)
+        await asyncio.sleep(advice.wait_ms / 1000.0)
+    await controller.start()
+
+
+async def take_over(controller: Controller, config: ControllerConfig, handover_fd: int) -> bool:
+    """Take over from the process at the other end of a pipe; false if nothing came of it."""
+    pipe = HandoverPipe(socket.socket(fileno=handover_fd))
+    timeout_ms = config.steward.upgrade_within_ms
+    receiver = HandoverReceiver(pipe, timeout_ms, config.store.path, controller.check_handover, controller.start)
+    return await receiver.run()
+
+
+def handle_signals(controller: Controller, tasks: set[asyncio.Task[Any]]) -> None:
+    """Retire, reload and upgrade by signals. tasks: keeps the tasks that signals begin."""
+    loop = asyncio.get_running_loop()
+
+    def retire() -> None:
+        tasks.add(loop.create_task(controller.retire()))
+
+    def upgrade() -> None:
+        tasks.add(loop.create_task(controller.upgrade()))
+
+    loop.add_signal_handler(signal.SIGTERM, retire)
+    loop.add_signal_handler(signal.SIGINT, retire)
+    loop.add_signal_handler(signal.SIGHUP, controller.reload)
+    loop.add_signal_handler(signal.SIGUSR2, upgrade)
+
+
+def exit_silently(exit_code: int) -> None:
+    """End the process at once: its sockets are another process's now, and nothing may be sent on them."""
+    sys.stdout.flush()
+    sys.stderr.flush()
+    os._exit(exit_code)
 
 
 def run(
@@ -83,10 +113,12 @@
     decider: Callable[[api.Settings, int], Decider] = Assigner,
     take_over: int | None = None,
 ) -> int:
-    """The daemon until it ends; its exit code: 0 clean, 2 configuration, 3 module, 4 store, 5 address, 6 nothing came
-    of a handover. take_over: the descriptor of a pipe to the process that hands over."""
+    """Run the daemon until it ends; its exit code, an `ExitCode`.
+
+    record: the file to record every step in. take_over: the descriptor of a pipe to the process that hands over.
+    """
     try:
         return uvloop.run(serve(path, record, decider, take_over))
-    except ConfigError as fault:
-        print(fault, file=sys.stderr)
-        return 2
+    except ConfigError as error:
+        print(error, file=sys.stderr)
+        return ExitCode.CONFIGURATION
--- /dev/null
+++ b/corallanding/controller/pause_control.py
@@ -0,0 +1,79 @@
+"""Pausing the whole controller while a handover decides which process goes on."""
+
+from __future__ import annotations
+
+import asyncio
+
+from .context import Context, ProcessState
+from .engine import Engine
+from .load_weights import LoadWeights
+from .network import Network
+from .output_dispatch import OutputDispatcher
+from .peer_services import PeerServices
+from .proxy_connections import ProxyConnections
+from .step_timer import StepTimer
+
+MAX_FLUSH_MS = 300.0  # that a link may take to send what was written before the pause
+FLUSH_POLL_S = 0.001
+
+
+class PauseControl:
+    """Silences every component that sends or receives, and lets them go on. paused_at_ms: of the last pause."""
+
+    def __init__(
+        self,
+        context: Context,
+        engine: Engine,
+        timer: StepTimer,
+        network: Network,
+        connections: ProxyConnections,
+        load_weights: LoadWeights,
+        peers: PeerServices,
+        dispatcher: OutputDispatcher,
+    ) -> None:
+        self._context = context
+        self._engine = engine
+        self._timer = timer
+        self._network = network
+        self._connections = connections
+        self._load_weights = load_weights
+        self._peers = peers
+        self._dispatcher = dispatcher
+        self.paused_at_ms = 0.0
+
+    async def pause(self) -> None:
+        """Send and receive nothing from here on; what was written has left when this returns, or its link ends."""
+        self._context.lifecycle.state = ProcessState.PAUSED
+        self.paused_at_ms = self._context.clock()
+        self._timer.pause()
+        self._connections.pause()
+        self._network.pause()
+        self._load_weights.pause()
+        self._peers.pause()
+        for output in self._engine.publish(False):
+            self._dispatcher.dispatch(self._context.clock(), output)
+        self._connections.pause_reading()
+        await self._flush()
+
+    def resume(self, *, is_stale: bool = False) -> None:
+        """Go on after a handover that failed.
+
+        is_stale: another process may have sent to proxies; all of them read their tables again.
+        """
+        self._context.lifecycle.state = ProcessState.ACTIVE
+        self._load_weights.resume(is_stale=is_stale)
+        self._peers.resume()
+        if is_stale:
+            self._connections.joining.rejoin_all()
+        self._network.resume()
+        self._connections.resume()
+        self._timer.wake()
+
+    async def _flush(self) -> None:
+        deadline = self._context.clock() + MAX_FLUSH_MS
+        while unsent := self._connections.unsent():
+            if self._context.clock() >= deadline:
+                break
+            await asyncio.sleep(FLUSH_POLL_S)
+        for link in unsent:
+            link.close("not-reading", "")
--- a/corallanding/controller/persistence.py
+++ b/corallanding/controller/persistence.py
@@ -1,217 +1,175 @@
-"""What outlives the process: tables in the store or the registry, snapshots and the log of steps after them."""
+"""Tables in the store or the registry. A store that fails is tried again; meanwhile tables are published unsaved."""
 
 from __future__ import annotations
 
 import asyncio
-from pathlib import Path
+from collections.abc import Callable
 
 from ..registry.slice_ownership import Fenced
-from ..snapshot import file as snapshots
-from ..store import StoreContents, StoreError, StoreLockedError
+from ..store import Store, StoreContents, StoreError, StoreLockedError
 from ..telemetry import log
-from . import recorder
-from .components import Parts
-from .recorder import Recorder, RecordingError
-from .recovery import ControllerState, StateMismatchError, Step, boot_id, capture_state, check_state, restore
+from .context import Context, ExitCode
+from .engine import Engine
+from .registry_slices import RegistrySlices
 from .step_outputs import StoreWrites
 
-
-class Keeping(Parts):
-    """A store that fails is tried again at growing waits; meanwhile tables go out unsaved."""
-
-    def seed(self, life: int) -> int:
-        return self.config.steward.seed * 1_000_003 + life
-
-    def last_state(self, life: int) -> ControllerState | None:
-        """What the last life left; its clock goes on. None if there is nothing that can be used; the log says why."""
-        path = self.config.store.snapshot_path
-        if not path:
-            return None
-        if not self.trust_snapshot:
-            log.warning("snapshot not used; the tables alone are", why="the last starts ended in deaths soon after")
-            return None
-        try:
-            state = snapshots.read(path, ControllerState)
-            check_state(state, self.config.steward.number, self.settings, boot_id(), life)
-        except snapshots.SnapshotMissingError:
-            return None
-        except (snapshots.SnapshotError, StateMismatchError, OSError) as fault:
-            log.warning("snapshot not used; the tables alone are", why=str(fault))
-            return None
-        self.clock.zero, self.log_number = state.clock_zero_s, state.log_number
-        self.stepped_at = self.clock()
-        return state
-
-    def take_up(self, state: ControllerState, now: float) -> bool:
-        """Begin where the last life was; false if that cannot be, and the log says why."""
-        origins = self.view.origins
-        try:
-            steps: list[Step] = []
-            while (path := Path(self.log_path(self.log_number))).exists():
-                steps += recorder.read(path).steps
-                self.log_number += 1
-            self.view.origins = {(h, started): since for h, started, since in state.host_origins}
-            count, anew = restore(self.engine, state, steps, now)
-        except (StateMismatchError, RecordingError, OSError) as fault:
-            log.warning("snapshot not used; the tables alone are", why=str(fault))
-            self.view.origins = origins
-            return False
-        log.info("revived", life=state.start_number, steps=count, anew=len(anew), age_ms=round(now - state.captured_at))
-        return True
-
-    def log_path(self, number: int) -> str:
-        return f"{self.config.store.snapshot_path}.log.{number}"
-
-    def drop_logs(self, below: int) -> None:
-        path = Path(str(self.config.store.snapshot_path))
-        for old in path.parent.glob(path.name + ".log.*"):
-            if old.suffix[1:].isdigit() and int(old.suffix[1:]) < below:
-                old.unlink(missing_ok=True)
-
-    def keep_state(self) -> None:
-        """Take a snapshot, and begin the log of what comes after it. Written beside the loop."""
-        if self.stopped is None or self.stopped.done():
-            return
-        loop, c = asyncio.get_running_loop(), self.config.store
-        loop.call_later(c.snapshot_every_ms / 1000.0, self.keep_state)
-        if self.paused or self.engine.overload.is_overloaded or (self.state_task and not self.state_task.done()):
-            return  # the log goes on meanwhile
-        begun = self.clock()
-        number = self.log_number + 1
-        state = self.state(number)
-        if state is None or c.snapshot_path is None:
-            return
-        try:
-            fresh = Recorder(self.log_path(number), self.settings, state.assigner.seed, c.log_most_mb * 1e6, True)
-        except OSError as fault:
-            self.rate_limited_log.warn("snapshot not kept", why=str(fault))
-            return
-        if self.steps_log:
-            self.steps_log.close()
-        self.steps_log, self.log_number = fresh, number
-        data = snapshots.pack(state)
-        self.metrics.snapshot_bytes.set(len(data))
-        self.metrics.snapshot_seconds.observe((self.clock() - begun) / 1000.0)
-        self.state_task = loop.create_task(self.write_state(c.snapshot_path, data, number))
-
-    def state(self, log: int) -> ControllerState | None:
-        """As it stands between two steps; None if the module is not one that can be kept."""
-        me = self.config.steward.number
-        return capture_state(self.engine, me, boot_id(), self.clock.zero, self.view.origins, log)
-
-    async def write_state(self, path: str, data: bytes, number: int) -> None:
-        def work() -> None:
-            snapshots.replace_file(path, data)
-            self.drop_logs(number)
-
-        try:
-            await asyncio.get_running_loop().run_in_executor(None, work)
-        except OSError as fault:
-            self.rate_limited_log.warn("snapshot not kept", why=str(fault))
-
-    def keep(self, now: float, writes: StoreWrites) -> bool:
+MAX_BACKOFF_DOUBLINGS = 20
+RETRY_MARGIN_S = 0.002  # after the end of a wait, so that a timer that fires early does not come in vain
+
+
+class TablePersistence:
+    """StoreWrites what a decision step changed.
+
+    error_count, error_text: of writes that failed since the last that did not. retry_at_ms: no write before.
+    is_released: the store was closed for a handover. wake: asks for a decision step. on_reopened: called when the
+    store has been opened again after a handover that failed.
+    """
+
+    def __init__(
+        self,
+        context: Context,
+        engine: Engine,
+        store: Store,
+        registry: RegistrySlices,
+        wake: Callable[[], None],
+        on_reopened: Callable[[], None],
+    ) -> None:
+        self._context = context
+        self._engine = engine
+        self._registry = registry
+        self._wake = wake
+        self._on_reopened = on_reopened
+        self.store = store
+        self.error_count = 0
+        self.error_text = ""
+        self.retry_at_ms = 0.0
+        self.is_released = False
+
+    def needs_registry_write(self, now: float, writes: StoreWrites) -> bool:
+        """Whether these writes go to the registry, which takes time."""
+        return bool(self._registry.keeper and now >= self.retry_at_ms and (writes.entries or writes.resets))
+
+    def write(self, now: float, writes: StoreWrites) -> bool:
         """Write to the store; false while it does not take it."""
-        if not writes.entries and not writes.resets:
-            return not self.store_faults
-        if now < self.store_again or self.store_shut:
+        if self._registry.keeper or not (writes.entries or writes.resets):
+            return not self.error_count
+        if now < self.retry_at_ms or self.is_released:
             return False
         try:
             self.store.write(writes.message_number, writes.entries, writes.resets)
-        except StoreLockedError as fault:
-            # Another steward has the slices: what this one says from now on would be a second voice.
-            log.error("store taken by another steward", why=str(fault))
-            self.stop(4)
+        except StoreLockedError as error:
+            # Another controller has the slices: proxies would get contradictory tables.
+            self._stop_as_taken(error)
             return False
-        except StoreError as fault:
-            self.store_failed(now, str(fault), self.store_faults)
+        except StoreError as error:
+            self.on_failure(now, str(error), self.error_count)
             log.error(
                 "store does not write; tables go out unsaved",
-                why=str(fault),
-                faults=self.store_faults,
-                unsaved=len(self.engine.unsaved_tables),
+                why=str(error),
+                faults=self.error_count,
+                unsaved=len(self._engine.unsaved_tables),
             )
             return False
-        if self.store_faults:
-            log.info("store writes again", faults=self.store_faults)
-            self.store_mended()
+        if self.error_count:
+            log.info("store writes again", faults=self.error_count)
+            self._on_success()
         return True
 
-    async def keep_shared(self, begun: float) -> None:
-        """Write the step's tables to the registry, fenced. What is refused is not sent; what cannot be reached in
-        time is sent all the same while the lease surely stands, and written later."""
-        assert self.keeper
-        assert self.config.registry
-        engine, stored = self.engine, False
+    async def write_to_registry(self) -> bool:
+        """Write the tables of the step to the registry, under the leases' fencing tokens; whether it took them.
+
+        Tables that are refused are not published. If the registry cannot be reached in time, they are published all
+        the same while the lease surely stands, and written later.
+        """
+        keeper = self._registry.keeper
+        block = self._context.config.registry
+        if keeper is None or block is None:
+            return False
+        engine = self._engine
         tables = {
-            t: dict(engine.published.tables.get(t, {})) for t in engine.unsaved_tables if t in engine.owned_slices
+            slice_: dict(engine.published.tables.get(slice_, {}))
+            for slice_ in engine.unsaved_tables
+            if slice_ in engine.owned_slices
         }
+        is_stored = False
         try:
-            async with asyncio.timeout(self.config.registry.write_within_ms / 1000.0):
-                await self.keeper.write(tables)
-            stored = True
+            async with asyncio.timeout(block.write_within_ms / 1000.0):
+                await keeper.write(tables)
+            is_stored = True
         except TimeoutError:
-            self.shared_fault("no answer in time")
-        except Exception as fault:
-            if isinstance(fault, Fenced):
+            self._on_registry_failure("no answer in time")
+        except Exception as error:
+            if isinstance(error, Fenced):
                 engine.on_writes_fenced()
-                log.warning("fenced", why=str(fault))
-            self.shared_fault(str(fault))
-        if not stored and not self.keeper.charge.may_speak(self.clock()):
+                log.warning("fenced", why=str(error))
+            self._on_registry_failure(str(error))
+        if not is_stored and not keeper.charge.may_speak(self._context.clock()):
             engine.on_writes_fenced()
-        if stored:
-            self.store_mended()
-        self.writing = None
-        if self.stopped and not self.stopped.done():
-            self.finish(begun, stored)
-
-    def shared_fault(self, why: str) -> None:
-        self.store_failed(self.clock(), why, self.store_faults + 1)
-        self.rate_limited_log.warn("registry does not write; tables go out unsaved", why=why)
-
-    def store_failed(self, now: float, why: str, tries: int) -> None:
-        """Tries again with a growing, capped wait."""
-        s = self.config.store
-        wait = min(s.retry_most_ms, s.retry_ms * 2 ** min(tries, 20))
-        self.store_faults, self.store_again, self.store_fault = self.store_faults + 1, now + wait, why
-        self.metrics.store_failures.inc()
-        self.metrics.store_writable.set(0)
-        asyncio.get_running_loop().call_later(wait / 1000.0 + 0.002, self.retry_store)
-
-    def store_mended(self) -> None:
-        self.store_faults, self.store_fault = 0, ""
-        self.metrics.store_writable.set(1)
-
-    def retry_store(self) -> None:
-        if self.store_shut and not self.paused and not self.open_again():
+        if is_stored:
+            self._on_success()
+        return is_stored
+
+    def on_failure(self, now: float, why: str, attempts: int) -> None:
+        """Note a failure, and retry with exponential backoff."""
+        config = self._context.config.store
+        backoff_ms = min(config.retry_most_ms, config.retry_ms * 2 ** min(attempts, MAX_BACKOFF_DOUBLINGS))
+        self.error_count += 1
+        self.retry_at_ms = now + backoff_ms
+        self.error_text = why
+        self._context.metrics.store_failures.inc()
+        self._context.metrics.store_writable.set(0)
+        asyncio.get_running_loop().call_later(backoff_ms / 1000.0 + RETRY_MARGIN_S, self._retry)
+
+    def release(self) -> None:
+        """Close the store, for another process."""
+        self.store.close()
+        self.is_released = True
+
+    def note_reopened(self, contents: StoreContents) -> bool:
+        """Go on with a store that was opened again. True if another process had it since it was released."""
+        self.is_released = False
+        was_used = contents.start_number != self._engine.start_number + 1
+        self._engine.start_number = contents.start_number
+        return was_used
+
+    def _on_registry_failure(self, why: str) -> None:
+        self.on_failure(self._context.clock(), why, self.error_count + 1)
+        self._context.rate_limited_log.warn("registry does not write; tables go out unsaved", why=why)
+
+    def _on_success(self) -> None:
+        self.error_count = 0
+        self.error_text = ""
+        self._context.metrics.store_writable.set(1)
+
+    def _retry(self) -> None:
+        if self.is_released and not self._context.lifecycle.is_paused and not self._reopen():
             return
-        self.engine.is_store_backing_off = False
-        if self.stopped and not self.stopped.done():
-            self.wake()
+        self._engine.is_store_backing_off = False
+        if self._context.lifecycle.is_running:
+            self._wake()
+
+    def _reopen(self) -> bool:
+        """Open a store that could not be opened when a handover failed, and write all tables to it.
 
-    def open_again(self) -> bool:
-        """A store that could not be opened when a handover came to nothing. What forwarders hold is what counts by
-        now: it is written whole."""
+        What proxies have is what counts by now.
+        """
         try:
-            life = self.store.open()
-        except StoreLockedError as fault:
-            log.error("store taken by another steward", why=str(fault))
-            self.stop(4)
+            contents = self.store.open()
+        except StoreLockedError as error:
+            self._stop_as_taken(error)
             return False
-        except StoreError as fault:
-            self.store_failed(self.clock(), str(fault), self.store_faults)
+        except StoreError as error:
+            self.on_failure(self._context.clock(), str(error), self.error_count)
             return False
-        self.reopened(life)
-        tables = self.engine.published.tables
-        self.engine.unsaved_resets |= set(life.tables) | set(tables)
-        self.engine.unsaved_tables = {t: dict(rows) for t, rows in tables.items()}
-        log.info("the store is open again", life=life.start_number, faults=self.store_faults)
-        self.store_mended()
-        self.greet_all()
+        self.note_reopened(contents)
+        tables = self._engine.published.tables
+        self._engine.unsaved_resets |= set(contents.tables) | set(tables)
+        self._engine.unsaved_tables = {slice_: dict(row) for slice_, row in tables.items()}
+        log.info("the store is open again", life=contents.start_number, faults=self.error_count)
+        self._on_success()
+        self._on_reopened()
         return True
 
-    def reopened(self, life: StoreContents) -> bool:
-        """True if another process had the store since it was let go."""
-        self.store_shut = False
-        spoke = life.start_number != self.engine.start_number + 1
-        self.engine.start_number = life.start_number
-        return spoke
+    def _stop_as_taken(self, error: StoreLockedError) -> None:
+        log.error("store taken by another steward", why=str(error))
+        self._context.lifecycle.request_stop(ExitCode.STORE)
--- /dev/null
+++ b/corallanding/controller/proxy_joining.py
@@ -0,0 +1,139 @@
+"""How proxies join: identification, admission at the configured pace, and their tables."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from ..channel import Channel
+from ..telemetry import log
+from ..wire import frames
+from .context import Context
+from .engine import Engine
+from .join_admission import JoinAdmission
+from .link_registry import LinkRegistry
+from .peer_services import PeerServices
+from .proxy_protocol import ProxyConnection
+
+MIN_ADMISSION_DELAY_S = 0.001
+
+
+class ProxyJoining:
+    """Lets proxies join. admission: decides when. wake: asks for a decision step."""
+
+    def __init__(
+        self,
+        context: Context,
+        engine: Engine,
+        channel: Channel,
+        admission: JoinAdmission,
+        registry: LinkRegistry,
+        peers: PeerServices,
+        wake: Callable[[], None],
+    ) -> None:
+        self._context = context
+        self._engine = engine
+        self._channel = channel
+        self.admission = admission
+        self._registry = registry
+        self._peers = peers
+        self._wake = wake
+        self._timer: asyncio.TimerHandle | None = None
+
+    def admit(self) -> None:
+        """Let proxies join at the configured pace, since each of them reads all tables."""
+        if self._context.lifecycle.is_paused:
+            return
+        now = self._context.clock()
+        for proxy in self.admission.admit_due(now):
+            if (link := self._registry.proxies.get(proxy)) and link.link.hello and not link.is_joined:
+                self._welcome(link, link.link.hello)
+        self.pause()
+        next_at = self.admission.next_at(now)
+        if next_at is not None and self._context.lifecycle.is_running:
+            delay = max(MIN_ADMISSION_DELAY_S, (next_at - now) / 1000.0)
+            self._timer = asyncio.get_running_loop().call_later(delay, self.admit)
+
+    def request(self, link: ProxyConnection) -> None:
+        """Note that a proxy asks for its tables."""
+        self.admission.request(self._context.clock(), link.proxy)
+        self.admit()
+
+    def pause(self) -> None:
+        """Admit no more until `admit` is called."""
+        if self._timer:
+            self._timer.cancel()
+            self._timer = None
+
+    def rejoin_all(self) -> None:
+        """Send all tables to every joined proxy, since another process may have sent it others."""
+        for link in self._registry.joined():
+            link.is_joined = False
+            self.join(link)
+
+    def join(self, link: ProxyConnection) -> None:
+        """Send a proxy its tables; it counts as joined from here on."""
+        hello = link.link.hello
+        if link.is_closed or link.is_joined or hello is None or self._registry.proxies.get(link.proxy) is not link:
+            return
+        now = self._context.clock()
+        link.is_joined = True
+        link.link.marks.clear()
+        self._channel.join(link.proxy)
+        self._channel.block(link.proxy, link.is_write_paused)
+        link.send(self._engine.on_proxy_joined(now, hello))
+        self._context.metrics.table_reads.inc()
+        self._context.metrics.proxies.set(len(self._engine.proxy_zones))
+        log.info("forwarder joined", forwarder=link.proxy, zone=hello.zone, fresh=hello.fresh)
+        if self._peers.cluster:
+            self._peers.cluster.on_proxy_joined(link.proxy)
+        self._wake()
+
+    def greet_all(self) -> None:
+        """Tell every joined proxy the start number, which has changed since it joined."""
+        for link in self._registry.joined():
+            self._greet(link)
+
+    def on_hello(self, link: ProxyConnection, hello: frames.Hello) -> None:
+        """Take the first frame of a connection: which proxy it is of. A connection that cannot be is closed."""
+        config = self._context.config
+        if hello.zone >= len(config.zones):
+            link.close("malformed", f"zone {hello.zone}: there are {len(config.zones)}")
+            return
+        if hello.forwarder >= config.forwarders.most:
+            link.close("full", f"forwarder {hello.forwarder}: numbers end at {config.forwarders.most - 1}")
+            return
+        former = self._registry.proxies.get(hello.forwarder)
+        if former and former.link.hello and former.link.hello.session != hello.session:
+            # Two processes under one number: the one at work stays; silence takes it away soon enough.
+            self._context.rate_limited_log.warn("forwarder number in use", forwarder=hello.forwarder)
+            link.close("number-in-use", "another process holds this number")
+            return
+        if former:
+            former.close("superseded", "the same forwarder joined again")
+        self._registry.proxies[hello.forwarder] = link
+        self._registry.unidentified.pop(link, None)
+        self.request(link)
+
+    def _welcome(self, link: ProxyConnection, hello: frames.Hello) -> None:
+        self._greet(link)
+        if not self._engine.needs_recall(self._context.clock(), hello):
+            self.join(link)
+            return
+        link.link.recalled = True
+        link.send(frames.encode(frames.Recall()))
+        delay = self._context.config.forwarders.beat_ms / 1000.0
+        asyncio.get_running_loop().call_later(delay, self.join, link)
+
+    def _greet(self, link: ProxyConnection) -> None:
+        config = self._context.config
+        welcome = frames.Welcome(
+            frames.VERSION,
+            config.steward.number,
+            self._engine.start_number,
+            config.forwarders.beat_ms,
+            config.forwarders.silence_ms,
+            config.reports.every_ms,
+            self._context.settings.slice_count,
+        )
+        link.send(frames.encode(welcome))
--- /dev/null
+++ b/corallanding/controller/snapshot_keeper.py
@@ -0,0 +1,161 @@
+"""Snapshots of the assigner's state, and the log of the decision steps after each."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+
+from ..endpoints.endpoint_list import View
+from ..snapshot import file as snapshots
+from ..telemetry import log
+from . import recorder
+from .context import Context
+from .engine import Engine
+from .recorder import Recorder, RecordingError
+from .recovery import ControllerState, StateMismatchError, Step, boot_id, capture_state, check_state, restore
+from .step_observer import DecisionStep
+
+ALL_LOGS = 2**63  # a number above that of every log
+
+
+def read_last_state(context: Context, start_number: int, *, is_trusted: bool) -> ControllerState | None:
+    """What the last process left; the clock goes on from there. None, with a log line, if it cannot be used.
+
+    is_trusted: false after starts that all ended soon, of which the snapshot may be the cause.
+    """
+    path = context.config.store.snapshot_path
+    if not path:
+        return None
+    if not is_trusted:
+        log.warning("snapshot not used; the tables alone are", why="the last starts ended in deaths soon after")
+        return None
+    try:
+        state = snapshots.read(path, ControllerState)
+        check_state(state, context.config.steward.number, context.settings, boot_id(), start_number)
+    except snapshots.SnapshotMissingError:
+        return None
+    except (snapshots.SnapshotError, StateMismatchError, OSError) as error:
+        log.warning("snapshot not used; the tables alone are", why=str(error))
+        return None
+    context.clock.zero = state.clock_zero_s
+    return state
+
+
+class SnapshotKeeper:
+    """Takes a snapshot now and then, and logs each step after it. log_number: of the present step log."""
+
+    def __init__(self, context: Context, engine: Engine, view: View, log_number: int) -> None:
+        self._context = context
+        self._engine = engine
+        self._view = view
+        self._writing: asyncio.Task[None] | None = None
+        self.log_number = log_number
+        self.step_log: Recorder | None = None
+
+    def restore(self, state: ControllerState, now: float) -> bool:
+        """Go on from a snapshot and the steps logged after it; false, with a log line, if that cannot be."""
+        origins = self._view.origins
+        try:
+            steps = self._read_steps()
+            self._view.origins = {(host, started): since for host, started, since in state.host_origins}
+            count, changed = restore(self._engine, state, steps, now)
+        except (StateMismatchError, RecordingError, OSError) as error:
+            log.warning("snapshot not used; the tables alone are", why=str(error))
+            self._view.origins = origins
+            return False
+        log.info(
+            "revived", life=state.start_number, steps=count, anew=len(changed), age_ms=round(now - state.captured_at)
+        )
+        return True
+
+    def start(self, *, is_restored: bool) -> None:
+        """Take the first snapshot, where snapshots are configured. is_restored: logs of the last process count."""
+        if not self._context.config.store.snapshot_path:
+            return
+        if not is_restored:
+            self._delete_logs(ALL_LOGS)
+        self._take_snapshot()
+
+    def capture(self, log_number: int) -> ControllerState | None:
+        """The state between two steps; None if the assigner is not one that can be saved."""
+        number = self._context.config.steward.number
+        return capture_state(self._engine, number, boot_id(), self._context.clock.zero, self._view.origins, log_number)
+
+    def on_step(self, step: DecisionStep) -> None:
+        """Log one step."""
+        if self.step_log is None:
+            return
+        self.step_log.write_step(step.now, step.events, step.actions)
+        if self.step_log.is_stopped:
+            # A log with a gap must not be replayed: without it the snapshot is worth nothing.
+            log.error("the log of steps ends here; the next snapshot begins another", why=self.step_log.stop_reason)
+            Path(str(self._context.config.store.snapshot_path)).unlink(missing_ok=True)
+            self.step_log.close()
+            self.step_log = None
+
+    def stop(self) -> None:
+        """Close the step log."""
+        if self.step_log:
+            self.step_log.close()
+
+    def _read_steps(self) -> list[Step]:
+        """The steps of all logs from `log_number` on, which is left at the first number that is free."""
+        steps: list[Step] = []
+        while (path := Path(self._log_path(self.log_number))).exists():
+            steps += recorder.read(path).steps
+            self.log_number += 1
+        return steps
+
+    def _take_snapshot(self) -> None:
+        """Take a snapshot, begin the log of what comes after it, and come again."""
+        if not self._context.lifecycle.is_running:
+            return
+        loop = asyncio.get_running_loop()
+        loop.call_later(self._context.config.store.snapshot_every_ms / 1000.0, self._take_snapshot)
+        is_writing = self._writing is not None and not self._writing.done()
+        if self._context.lifecycle.is_paused or self._engine.overload.is_overloaded or is_writing:
+            return  # the step log goes on meanwhile
+        begun = self._context.clock()
+        number = self.log_number + 1
+        state = self.capture(number)
+        path = self._context.config.store.snapshot_path
+        if state is None or path is None or not self._begin_log(number, state.assigner.seed):
+            return
+        data = snapshots.pack(state)
+        self._context.metrics.snapshot_bytes.set(len(data))
+        self._context.metrics.snapshot_seconds.observe((self._context.clock() - begun) / 1000.0)
+        self._writing = loop.create_task(self._write(path, data, number))
+
+    def _begin_log(self, number: int, seed: int) -> bool:
+        max_bytes = self._context.config.store.log_most_mb * 1e6
+        try:
+            fresh = Recorder(self._log_path(number), self._context.settings, seed, max_bytes, True)
+        except OSError as error:
+            self._context.rate_limited_log.warn("snapshot not kept", why=str(error))
+            return False
+        if self.step_log:
+            self.step_log.close()
+        self.step_log = fresh
+        self.log_number = number
+        return True
+
+    async def _write(self, path: str, data: bytes, number: int) -> None:
+        """Write a snapshot beside the loop, and delete the logs before it."""
+
+        def work() -> None:
+            snapshots.replace_file(path, data)
+            self._delete_logs(number)
+
+        try:
+            await asyncio.get_running_loop().run_in_executor(None, work)
+        except OSError as error:
+            self._context.rate_limited_log.warn("snapshot not kept", why=str(error))
+
+    def _log_path(self, number: int) -> str:
+        return f"{self._context.config.store.snapshot_path}.log.{number}"
+
+    def _delete_logs(self, below: int) -> None:
+        path = Path(str(self._context.config.store.snapshot_path))
+        for old in path.parent.glob(path.name + ".log.*"):
+            if old.suffix[1:].isdigit() and int(old.suffix[1:]) < below:
+                old.unlink(missing_ok=True)
--- /dev/null
+++ b/corallanding/controller/state_transfer.py
@@ -0,0 +1,114 @@
+"""The state of a running controller as one message, and a new process that goes on from it."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Sequence
+
+from ..assignment import Assigner
+from ..channel import Channel
+from ..endpoints.endpoint_list import View
+from ..snapshot import file as snapshots
+from ..snapshot.assigner_state import StoredHostEntry
+from ..snapshot.rankings import StoredRanking, dump_rankings, load_rankings
+from .active_recording import ActiveRecording
+from .context import Context
+from .engine import Engine
+from .handover_sender import CapturedState
+from .handover_state import HandoverState, capture_connection, capture_handover, restore_handover
+from .load_weights import LoadWeights
+from .proxy_connections import ProxyConnections
+from .snapshot_keeper import SnapshotKeeper
+
+SLICES_PER_TURN = 300  # whose scores are made ready for a handover at a time: a few milliseconds
+TURN_INTERVAL_S = 0.001
+
+
+class StateTransfer:
+    """Captures the state between two steps, and restores one that another process captured."""
+
+    def __init__(
+        self,
+        context: Context,
+        engine: Engine,
+        channel: Channel,
+        connections: ProxyConnections,
+        view: View,
+        load_weights: LoadWeights,
+        recording: ActiveRecording,
+        snapshots: SnapshotKeeper,
+    ) -> None:
+        self._context = context
+        self._engine = engine
+        self._channel = channel
+        self._connections = connections
+        self._view = view
+        self._load_weights = load_weights
+        self._recording = recording
+        self._snapshots = snapshots
+
+    async def capture_scores(self) -> list[StoredRanking]:
+        """The assigner's rendezvous scores, a few slices at a time: this process is still active."""
+        module = self._engine.assigner
+        if not isinstance(module, Assigner):
+            return []
+        rows: list[StoredRanking] = []
+        slices = list(module.rendezvous.rankings)
+        for start in range(0, len(slices), SLICES_PER_TURN):
+            rows += dump_rankings(module.rendezvous, slices[start : start + SLICES_PER_TURN])
+            await asyncio.sleep(TURN_INTERVAL_S)
+        return rows
+
+    def capture(self, servers: Sequence[int], peer_sockets: Sequence[int]) -> CapturedState:
+        """All state, of a controller that is paused. servers, peer_sockets: descriptors that go along.
+
+        Raises OSError if the assigner is not one that can be handed over.
+        """
+        state = self._snapshots.capture(self._snapshots.log_number)
+        if state is None:
+            raise OSError("this module's state cannot be handed over")
+        links = [link for link in self._connections.links if link.link.hello and not link.is_closed and link.transport]
+        view = self._view
+        host_list = (
+            view.version,
+            list(view.entries.values()),
+            dict(view.addresses),
+            dict(view.starts),
+            sorted(view.known),
+        )
+        link_states = [
+            capture_connection(link.link, link.is_joined, link.is_write_paused, link.heartbeat_sent_at)
+            for link in links
+        ]
+        feed, intake = self._load_weights.capture()
+        handed = capture_handover(
+            self._engine,
+            state,
+            self._channel,
+            link_states,
+            self._connections.joining.admission,
+            host_list,
+            self._load_weights.factors,
+            feed,
+            self._recording.position,
+        )
+        link_sockets = [link.transport.get_extra_info("socket").fileno() for link in links if link.transport]
+        descriptors = [*servers, *([intake.fileno()] if intake else []), *peer_sockets, *link_sockets]
+        return CapturedState(snapshots.pack(handed), descriptors)
+
+    def restore(
+        self, handed: HandoverState, now: float, scores: Sequence[StoredRanking], module: Assigner | None
+    ) -> None:
+        """Put all but the connections where they were. module: the assigner, if it was loaded already."""
+        view = self._view
+        view.version = handed.host_list_version
+        view.entries = {entry.host: entry for entry in map(StoredHostEntry.entry, handed.host_entries)}
+        view.addresses = dict(handed.host_addresses)
+        view.starts = dict(handed.host_starts)
+        view.known = set(handed.known_hosts)
+        view.origins = {(host, started): since for host, started, since in handed.controller.host_origins}
+        self._engine.publisher.addresses = view.addresses
+        restore_handover(self._engine, handed, self._channel, self._connections.joining.admission, now, module)
+        if module:
+            load_rankings(module.rendezvous, scores)
+        self._load_weights.restore(handed.load_factors)
--- a/corallanding/controller/status_views.py
+++ b/corallanding/controller/status_views.py
@@ -1,44 +1,78 @@
-"""What the HTTP door shows."""
+"""What the HTTP server shows: health, metrics, tables, and the fleet of controllers."""
 
 from __future__ import annotations
 
 import json
+from typing import Any
 
-from ..admin.http_server import HttpResponse, error_response
-from .components import Parts
-
-
-class Pages(Parts):
-    """Health, metrics, tables."""
-
-    def healthz(self) -> HttpResponse:
-        wrong = [f"store: {self.store_fault}"] if self.store_faults else []
-        if not self.ready:
-            wrong.append("starting")
-        return error_response(503, "; ".join(wrong)) if wrong else HttpResponse(200, b"ok\n", "text/plain")
-
-    def metrics_page(self) -> HttpResponse:
-        if self.cluster:
-            self.cluster.update_metrics()
-        if self.feed:
-            for end, count in {**self.feed.counts, **self.feed.worth.counts.by_name()}.items():
-                if end not in ("senders", "waiting"):
-                    self.metrics.load_reports.labels(end).set(count)
-            self.metrics.load_report_senders.set(self.feed.counts.get("senders", 0))
-        return HttpResponse(200, self.metrics.exposition(), "text/plain; version=0.0.4")
-
-    def stewards_page(self) -> HttpResponse:
-        """What this one believes of the fleet of stewards, and what it holds."""
-        page = self.cluster.status() if self.cluster else {}
-        return HttpResponse(200, json.dumps(page).encode() + b"\n")
-
-    def tables_page(self) -> HttpResponse:
-        state = self.engine.published
-        page = {
-            "life": self.engine.start_number,
-            "seq": self.engine.publisher.message_number,
-            "cordons": sorted(state.cordoned_hosts),
-            "levels": [[t, bits, a, r] for (t, bits), (a, r) in state.admissions.items()],
-            "tables": {str(t): {str(h): w for h, w in sorted(row.items())} for t, row in state.tables.items()},
+from ..admin.http_server import HttpResponse, Route, error_response
+from .context import Context
+from .engine import Engine
+from .load_weights import LoadWeights
+from .peer_services import PeerServices
+from .persistence import TablePersistence
+
+
+class StatusViews:
+    """One method for each page."""
+
+    def __init__(
+        self,
+        context: Context,
+        engine: Engine,
+        persistence: TablePersistence,
+        load_weights: LoadWeights,
+        peers: PeerServices,
+    ) -> None:
+        self._context = context
+        self._engine = engine
+        self._persistence = persistence
+        self._load_weights = load_weights
+        self._peers = peers
+
+    def routes(self) -> dict[str, Route]:
+        """The pages by their paths."""
+        return {
+            "/healthz": self.health,
+            "/metrics": self.metrics,
+            "/tables": self.tables,
+            "/stewards": self.controllers,
         }
-        return HttpResponse(200, json.dumps(page).encode() + b"\n")
+
+    def health(self) -> HttpResponse:
+        """200 if all is well; 503 with the reasons otherwise."""
+        reasons = [f"store: {self._persistence.error_text}"] if self._persistence.error_count else []
+        if not self._context.lifecycle.is_ready:
+            reasons.append("starting")
+        return error_response(503, "; ".join(reasons)) if reasons else HttpResponse(200, b"ok\n", "text/plain")
+
+    def metrics(self) -> HttpResponse:
+        """All metrics in the text form of Prometheus."""
+        if self._peers.cluster:
+            self._peers.cluster.update_metrics()
+        self._load_weights.publish_metrics()
+        return HttpResponse(200, self._context.metrics.exposition(), "text/plain; version=0.0.4")
+
+    def controllers(self) -> HttpResponse:
+        """What this controller knows of the others, and what it holds of their common limits and tasks."""
+        return _json(self._peers.cluster.status() if self._peers.cluster else {})
+
+    def tables(self) -> HttpResponse:
+        """Tables, admission levels and cordons as published."""
+        state = self._engine.published
+        return _json(
+            {
+                "life": self._engine.start_number,
+                "seq": self._engine.publisher.message_number,
+                "cordons": sorted(state.cordoned_hosts),
+                "levels": [[table, bits, amount, retry] for (table, bits), (amount, retry) in state.admissions.items()],
+                "tables": {
+                    str(table): {str(host): weight for host, weight in sorted(row.items())}
+                    for table, row in state.tables.items()
+                },
+            }
+        )
+
+
+def _json(page: dict[str, Any]) -> HttpResponse:
+    return HttpResponse(200, json.dumps(page).encode() + b"\n")
--- a/corallanding/lab/fleet/emulate.py
+++ b/corallanding/lab/fleet/emulate.py
@@ -190,7 +190,7 @@
         steward = SimSteward(self.loop, self.configs[me], self.decider, self.memories[me], record, self.registered)
         self.stewards[me] = steward
         task = machine.start(self.loop, steward.live())
-        while not steward.ready:
+        while not steward.context.lifecycle.is_ready:
             await asyncio.sleep(0.01)
             if task.done():
                 raise RuntimeError(f"the steward did not start: {task.exception()!r}")
@@ -218,9 +218,9 @@
                 steward = self.stewards[0]
                 point = {"t": (trace.clock() - self.begun) / 1000.0, "waiting": float(steward.channel.waiting)}
                 point["life"] = self.polled_life()
-                if feed := steward.feed:
+                if feed := steward.load_weights.feed:
                     point |= {**feed.counts, **feed.worth.counts.by_name()}
-                    point["load_factors_below_one"] = float(len(steward.factors))
+                    point["load_factors_below_one"] = float(len(steward.load_weights.factors))
                 self.polls.append(point)
 
     async def laid(self) -> dict[int, set[int]]:
--- a/corallanding/lab/fleet/steward.py
+++ b/corallanding/lab/fleet/steward.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import socket
 from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING, Any, cast
 
@@ -11,7 +12,7 @@
 from ...config.sources import RegistryBlock
 from ...controller.daemon import Controller
 from ...controller.event_inbox import Decider
-from ...controller.proxy_protocol import ProxyConnection
+from ...controller.factories import Factories
 from ...endpoints.endpoint_list import loopback
 from ...load_reports.feed import Feed
 from ...load_reports.intake import Datagrams, Intake, attend
@@ -122,7 +123,7 @@
 
 
 class SimSteward(Controller):
-    feed_kind = SimFeed
+    """A controller on the simulated loop. registry: reached without a network, where the configuration asks for one."""
 
     def __init__(
         self,
@@ -133,14 +134,26 @@
         record: str | None = None,
         registry: LocalRegistry | None = None,
     ) -> None:
-        self.registry = registry
-        super().__init__(config, decider, record, None, Handle(store), loop.time, loop.time)
         self.loop = loop
+        self.registry = registry
+        factories = Factories(listener=self.make_listener, dial_registry=self.dial_registry, feed=SimFeed)
+        super().__init__(config, decider, record, None, Handle(store), loop.time, loop.time, factories)
 
-    def make_listener(self, host: str, port: int, given: Any) -> Any:
-        return SimListener(self.loop.listen(lambda: ProxyConnection(self), host, port))
+    def make_listener(
+        self,
+        host: str,
+        port: int,
+        backlog: int,
+        rate: float,
+        factory: Callable[[], asyncio.Protocol],
+        said: Callable[[str], None],
+        given: socket.socket | None = None,
+    ) -> Any:
+        """A listener on the simulated network."""
+        return SimListener(self.loop.listen(factory, host, port))
 
     def dial_registry(self, g: RegistryBlock, said: Callable[[str], None]) -> Callable[[], Any]:
+        """A function that makes clients of the simulated registry."""
         from .registry import LocalClient
 
         assert self.registry
@@ -148,6 +161,6 @@
         return lambda: LocalClient(registry, g.timeout_ms)
 
     async def live(self) -> None:
+        """Run until the controller stops."""
         await self.start()
-        assert self.stopped is not None
-        await self.stopped
+        await self.wait_stopped()
--- a/tests/controller/test_quota_service.py
+++ b/tests/controller/test_quota_service.py
@@ -21,10 +21,12 @@
     async def scene() -> None:
         async with Running(tmp_path, blocks, config=CONFIG.replace("steward {", steward_block)) as running:
             controller = running.steward
-            assert controller.cluster
-            assert controller.cluster.quota
-            assert controller.peers
-            quota = controller.cluster.quota
+            cluster = controller.peers.cluster
+            transport = controller.peers.transport
+            assert cluster
+            assert cluster.quota
+            assert transport
+            quota = cluster.quota
             running.do(api.CheckHealth(7), api.CheckHealth(7))
             await until(lambda: sum(isinstance(event, api.HealthCheckResult) for event in running.module.told) == 2)
             outcomes = [event.outcome for event in running.module.told if isinstance(event, api.HealthCheckResult)]
@@ -46,7 +48,7 @@
             before = controller.metrics.dropped_peer_datagrams._value.get()
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown:
                 for data in (b"", b"\x92\x01\xc4\x01\xc1", msgspec.msgpack.encode([0, b"\xc1\x95"])):
-                    unknown.sendto(data, controller.peers.socket.getsockname())
+                    unknown.sendto(data, transport.socket.getsockname())
                 await until(lambda: controller.metrics.dropped_peer_datagrams._value.get() == before + 3)
             _, page = await running.get("GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")
             assert b'corallanding_budget_in_use{budget="probes"}' in page
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -109,11 +109,11 @@
         path = tmp / "s.hcl"
         path.write_text(config % (tmp / "s.db") + text)
         self.path = path
-        self.steward = Controller(load_controller(path), decider, path=str(path))
+        self.steward = Controller(load_controller(path), decider, config_path=str(path))
 
     async def __aenter__(self) -> Running:
         await self.steward.start()
-        self.port, self.door = (s.sockets[0].getsockname()[1] for s in self.steward.servers)
+        self.port, self.door = (s.sockets[0].getsockname()[1] for s in self.steward.network.servers)
         return self
 
     async def __aexit__(self, *why: object) -> None:
@@ -129,7 +129,7 @@
     def do(self, *actions: api.Action) -> None:
         self.module.todo += actions
         self.steward.engine.add_event(self.steward.clock(), api.TimerFired(99))
-        self.steward.wake()
+        self.steward.timer.wake()
 
     async def peer(self) -> Peer:
         return Peer(*await asyncio.open_connection("127.0.0.1", self.port))
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -174,8 +174,8 @@
         async with Running(tmp_path, config=config) as r, asyncio.timeout(20):
             silent = [await r.peer() for _ in range(40)]
             one = await r.joined(1)
-            assert len(r.steward.strangers) <= 5
-            assert len(r.steward.links) <= 6
+            assert len(r.steward.connections.strangers) <= 5
+            assert len(r.steward.connections.links) <= 6
             r.do(api.SetWeight(0, 10, 1.0))
             assert (await one.until(frames.Orders)).lines == [(0, 10, 1.0)]
             assert await silent[0].ended() == "no-hello"
@@ -193,8 +193,8 @@
                 await peer.until(frames.Orders)
             good.say(frames.Ack(1))
             assert await bad.ended() == "no-acks"
-            assert 1 in r.steward.forwarders
-            assert 2 not in r.steward.forwarders
+            assert 1 in r.steward.connections.forwarders
+            assert 2 not in r.steward.connections.forwarders
 
     asyncio.run(scene())
 
@@ -331,7 +331,7 @@
             over = True
             for t in tasks:
                 t.cancel()
-            assert 1 in r.steward.forwarders
-            assert r.steward.listener.accepted_count < 29 * 0.5 * 200 + 200
+            assert 1 in r.steward.connections.forwarders
+            assert r.steward.network.listener.accepted_count < 29 * 0.5 * 200 + 200
 
     asyncio.run(scene())
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -465,13 +465,13 @@
 
     async def scene() -> None:
         async with Running(tmp_path, BLOCK.format(key=tmp_path / "key"), config=CONFIG) as r:
-            feed = r.steward.feed
+            feed = r.steward.load_weights.feed
             assert feed is not None
             await until(lambda: feed.port)
             loop = asyncio.get_running_loop()
             udp, me = await loop.create_datagram_endpoint(Sender, remote_addr=("127.0.0.1", feed.port))
             _, writer = await asyncio.open_connection("127.0.0.1", feed.port)
-            r.steward.roster_rows(True, 1, rows)
+            r.steward.host_sources.roster_rows(True, 1, rows)
             await until(lambda: feed.transport and feed.hosts == [0, 1, 2, 3, 4])
 
             def weights() -> dict[int, float]:
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import asyncio
 import io
 import json
 import shutil
@@ -16,7 +17,7 @@
 from dataclasses import dataclass, fields, replace
 from pathlib import Path
 from types import SimpleNamespace
-from typing import Any
+from typing import Any, cast
 
 import msgspec
 import pytest
@@ -30,7 +31,7 @@
 from corallanding.controller import main, record_store
 from corallanding.controller import recorder as record
 from corallanding.controller.crash_loop import StartHistory
-from corallanding.controller.decision_loop import Turning
+from corallanding.controller.decision_loop import DecisionLoop
 from corallanding.controller.handover_driver import TerminationLock
 from corallanding.controller.handover_sender import successor_command
 from corallanding.controller.handover_state import (
@@ -563,25 +564,28 @@
 def test_events_and_actions_are_counted_under_their_stored_names() -> None:
     metrics = Metrics()
     events, actions = [e for _, e in samples.EVENTS], [a for _, a in samples.ACTIONS]
-    steward = SimpleNamespace(
-        clock=lambda: 0.0,
-        timer_at=0.0,
-        metrics=metrics,
-        store_again=0.0,
-        engine=SimpleNamespace(
-            decide=lambda now: SimpleNamespace(entries=(), resets=()),
-            last_step=(0.0, events, actions),
-            overload=SimpleNamespace(is_overloaded=False),
-        ),
-        steps_log=None,
-        recorder=None,
-        feed=None,
-        keeper=None,
-        store_faults=0,
-        keep=lambda now, writes: True,
-        finish=lambda now, stored: None,
+    engine = SimpleNamespace(
+        decide=lambda now: SimpleNamespace(entries=(), resets=()),
+        publish=lambda is_stored: [],
+        last_step=(0.0, events, actions),
+        overload=SimpleNamespace(is_overloaded=False, on_step=lambda now, spent: None),
+        unsaved_tables=(),
+        usage=SimpleNamespace(dropped_rows=0),
+        discarded_actions=0,
+        precompute_scores=lambda count: False,
     )
-    Turning.step(steward)  # type: ignore[arg-type]
+    context: Any = SimpleNamespace(clock=lambda: 0.0, metrics=metrics, lifecycle=SimpleNamespace(is_running=False))
+    timer: Any = SimpleNamespace(due_at_ms=0.0, begin_step=lambda now: None, wake=lambda: None)
+    persistence: Any = SimpleNamespace(
+        retry_at_ms=0.0, needs_registry_write=lambda now, writes: False, write=lambda now, writes: True
+    )
+    channel: Any = SimpleNamespace(pump=lambda: None)
+    nothing: Any = None
+
+    async def scene() -> None:
+        DecisionLoop(context, cast(Any, engine), timer, persistence, nothing, channel, ()).step()
+
+    asyncio.run(scene())
     for counter, counted in ((metrics.events, samples.EVENTS), (metrics.actions, samples.ACTIONS)):
         names = [name for name, _ in counted]
         rows = {r.labels["kind"]: r.value for m in counter.collect() for r in m.samples if r.name.endswith("_total")}
