--- a/corallanding/assignment/assigner.py
+++ b/corallanding/assignment/assigner.py
@@ -121,7 +121,7 @@
     # Decisions.
 
     def _decide(self) -> None:
-        """Make the decisions that are due, if a message may go out: evacuations always, others in turns."""
+        """Make the decisions that are due, if a message may go out: evacuations always, others by the timer."""
         publication = self.publication
         publication.lines_published = 0
         if not publication.may_publish(is_urgent=True):
@@ -150,34 +150,36 @@
 
         A replica that was a previous owner is dropped by and by, as any that is not needed.
         """
-        for s in self.slices.values():
-            if s.owner is None and s.weights:
-                owner = max(s.weights, key=lambda h: (s.weights[h], self.placement.score(s, h)))
-                s.owner = owner
-                s.replicas = [h for h in s.weights if h is not owner]
+        for slice_ in self.slices.values():
+            if slice_.owner is None and slice_.weights:
+                owner = max(slice_.weights, key=lambda host: (slice_.weights[host], self.placement.score(slice_, host)))
+                slice_.owner = owner
+                slice_.replicas = [host for host in slice_.weights if host is not owner]
 
     def forget_departed_hosts(self) -> None:
         """Remove hosts that left for good from memory: new ids may come for as long as this controller runs."""
-        listed_count = sum(h.is_listed for h in self.hosts.values())
+        listed_count = sum(host.is_listed for host in self.hosts.values())
         if not self.host_list.has_fresh_list or len(self.hosts) <= 2 * listed_count + MAX_DEPARTED_HOSTS:
             return
         named = self._hosts_named_by_slices()
-        departed = [h for h in self.hosts.values() if h not in named and self._has_departed(h)]
+        departed = [host for host in self.hosts.values() if host not in named and self._has_departed(host)]
         self.rendezvous.forget(departed)
-        for h in departed:
-            del self.hosts[h.id]
-        for s in self.slices.values():
-            s.hosts_considered = 0  # rankings may be made anew, a turn's scores at a time
+        for host in departed:
+            del self.hosts[host.id]
+        for slice_ in self.slices.values():
+            slice_.hosts_considered = 0  # rankings may be made anew, a limited number of scores at a time
 
     def _hosts_named_by_slices(self) -> set[Host | None]:
         return {
-            h for s in self.slices.values() for h in (*s.weights, *s.replicas, s.owner, s.previous_owner, s.candidate)
+            host
+            for slice_ in self.slices.values()
+            for host in (*slice_.weights, *slice_.replicas, slice_.owner, slice_.previous_owner, slice_.candidate)
         }
 
-    def _has_departed(self, h: Host) -> bool:
+    def _has_departed(self, host: Host) -> bool:
         """Whether a host is not listed, and nothing is awaited of it."""
-        is_awaited = h.is_being_checked or h.is_cordoned or self.host_health.is_alive_but_unlisted(h)
-        return not h.is_listed and not is_awaited
+        is_awaited = host.is_being_checked or host.is_cordoned or self.host_health.is_alive_but_unlisted(host)
+        return not host.is_listed and not is_awaited
 
 
 def decision_interval_ms(settings: api.Settings) -> float:
--- a/corallanding/assignment/demand.py
+++ b/corallanding/assignment/demand.py
@@ -30,13 +30,13 @@
         climbs. Of few requests it is chance.
         """
         self.recent_requests += event.requests
-        s = self.slices.get(event.slice)
-        if s is None or event.span_ms <= 0:
+        slice_ = self.slices.get(event.slice)
+        if slice_ is None or event.span_ms <= 0:
             return
         retries = min(event.unanswered, event.requests) * RETRY_SHARE_OF_UNANSWERED
         rate = (event.requests - retries) * 1000.0 / event.span_ms
-        smoothed = s.rate_by_class.get(event.request_class, rate)
+        smoothed = slice_.rate_by_class.get(event.request_class, rate)
         is_burst = rate > BURST_FACTOR * smoothed and event.requests > BURST_MIN_REQUESTS
         weight_of_past = 0.0 if is_burst else 0.5 ** (event.span_ms / RATE_HALF_LIFE_MS)
-        s.rate_by_class[event.request_class] = rate + (smoothed - rate) * weight_of_past
-        s.requests_per_second = sum(s.rate_by_class.values())
+        slice_.rate_by_class[event.request_class] = rate + (smoothed - rate) * weight_of_past
+        slice_.requests_per_second = sum(slice_.rate_by_class.values())
--- a/corallanding/assignment/evacuation.py
+++ b/corallanding/assignment/evacuation.py
@@ -35,34 +35,38 @@
         self._update_cordons()
         self._drop_ineligible_hosts()
         has_fresh_list = self.host_health.host_list.has_fresh_list
-        unsure = (h for h in self.host_health.hosts.values() if not (h.is_listed or has_fresh_list))
+        unsure = (host for host in self.host_health.hosts.values() if not (host.is_listed or has_fresh_list))
         staying = {*self.fleet.eligible_hosts, *unsure}
-        orphaned = [s for s in self.slices.values() if s.owner not in staying]
+        orphaned = [slice_ for slice_ in self.slices.values() if slice_.owner not in staying]
         orphaned += self._unload_overloaded_warming_hosts()
-        for s in sorted(orphaned, key=self._urgency):
-            self._reassign(s)
-
-    def _urgency(self, s: Slice) -> tuple[bool, float, int]:
-        return (not s.owner or not self.host_health.is_leaving(s.owner), -s.requests_per_second, s.id)
-
-    def _reassign(self, s: Slice) -> None:
-        if s.replicas:
-            replica = max(s.replicas, key=lambda h: self.placement.score(s, h))
-            self.placement.assign_owner(s, replica, holds_previous=False)
-        elif destination := self.placement.best_host(s, s.load_per_host, is_required=True):
-            self.placement.assign_owner(s, destination, holds_previous=False)
-        elif s.owner and self.host_health.is_leaving(s.owner):
-            s.owner = None  # no host is left; the drain is kept all the same
-            self.publication.write_table(s)
+        for slice_ in sorted(orphaned, key=self._urgency):
+            self._reassign(slice_)
+
+    def _urgency(self, slice_: Slice) -> tuple[bool, float, int]:
+        return (
+            not slice_.owner or not self.host_health.is_leaving(slice_.owner),
+            -slice_.requests_per_second,
+            slice_.id,
+        )
+
+    def _reassign(self, slice_: Slice) -> None:
+        if slice_.replicas:
+            replica = max(slice_.replicas, key=lambda host: self.placement.score(slice_, host))
+            self.placement.assign_owner(slice_, replica, holds_previous=False)
+        elif destination := self.placement.best_host(slice_, slice_.load_per_host, is_required=True):
+            self.placement.assign_owner(slice_, destination, holds_previous=False)
+        elif slice_.owner and self.host_health.is_leaving(slice_.owner):
+            slice_.owner = None  # no host is left; the drain is kept all the same
+            self.publication.write_table(slice_)
 
     def _drop_ineligible_hosts(self) -> None:
-        """Take replicas and previous owners that fail out of the tables; write first what found no room before."""
-        for s in self.slices.values():
-            s.replicas = s.replicas and [h for h in s.replicas if h.is_eligible]
-            if s.previous_owner and not s.previous_owner.is_eligible:
-                s.previous_owner = None
-            if s.owner and s.owner.is_eligible:
-                self.publication.write_table(s)
+        """Drop replicas and previous owners that fail; write first what exceeded the line budget before."""
+        for slice_ in self.slices.values():
+            slice_.replicas = slice_.replicas and [host for host in slice_.replicas if host.is_eligible]
+            if slice_.previous_owner and not slice_.previous_owner.is_eligible:
+                slice_.previous_owner = None
+            if slice_.owner and slice_.owner.is_eligible:
+                self.publication.write_table(slice_)
 
     def _update_cordons(self) -> None:
         """Cordon leaving hosts if their table entries exceed the line budget; lift it when a host is back.
@@ -71,15 +75,15 @@
         entries are removed by ordinary decisions.
         """
         is_leaving = self.host_health.is_leaving
-        leaving = {h for h in self.host_health.hosts.values() if is_leaving(h) and not h.is_cordoned}
+        leaving = {host for host in self.host_health.hosts.values() if is_leaving(host) and not host.is_cordoned}
         if leaving:
-            leaving = {h for s in self.slices.values() for h in s.weights if h in leaving}
-        affected = sum(not leaving.isdisjoint(s.weights) for s in self.slices.values()) if leaving else 0
+            leaving = {host for slice_ in self.slices.values() for host in slice_.weights if host in leaving}
+        affected = sum(not leaving.isdisjoint(slice_.weights) for slice_ in self.slices.values()) if leaving else 0
         exceeds_budget = LINES_PER_MOVE * affected > self.publication.line_budget
-        for h in self.host_health.hosts.values():
-            is_cordoned = is_leaving(h) and (h.is_cordoned or (exceeds_budget and h in leaving))
-            if h.is_cordoned != is_cordoned:
-                self.publication.set_cordon(h, is_cordoned=is_cordoned)
+        for host in self.host_health.hosts.values():
+            is_cordoned = is_leaving(host) and (host.is_cordoned or (exceeds_budget and host in leaving))
+            if host.is_cordoned != is_cordoned:
+                self.publication.set_cordon(host, is_cordoned=is_cordoned)
 
     def _unload_overloaded_warming_hosts(self) -> list[Slice]:
         """Take the slices that are too much off warming hosts, if another host is there; returns them, without owner.
@@ -87,29 +91,29 @@
         Such a host died with its slices and came back, or its slices grew. It would fail before gate and hold end.
         """
         eligible_hosts = self.fleet.eligible_hosts
-        if all(h.is_warming_up for h in eligible_hosts):
+        if all(host.is_warming_up for host in eligible_hosts):
             return []
-        slices_by_host: dict[Host, list[Slice]] = {h: [] for h in eligible_hosts if h.is_warming_up}
+        slices_by_host: dict[Host, list[Slice]] = {host: [] for host in eligible_hosts if host.is_warming_up}
         if not slices_by_host:
             return []
-        for s in self.slices.values():
-            if s.owner in slices_by_host:
-                slices_by_host[s.owner].append(s)
+        for slice_ in self.slices.values():
+            if slice_.owner in slices_by_host:
+                slices_by_host[slice_.owner].append(slice_)
         taken: list[Slice] = []
-        for h, owned in slices_by_host.items():
-            taken += self._unload(h, owned)
+        for host, owned in slices_by_host.items():
+            taken += self._unload(host, owned)
         return taken
 
-    def _unload(self, h: Host, owned: list[Slice]) -> list[Slice]:
+    def _unload(self, host: Host, owned: list[Slice]) -> list[Slice]:
         max_utilization = WARM_UP_OVERLOAD_SHARE * self.settings.overload_factor
-        since_shed_ms = self.publication.now_ms - h.shed_at_ms
-        if h.latency_ratio > WARM_UP_OVERLOAD_RATIO and since_shed_ms > self.fleet.report_window_ms:
-            max_utilization = min(max_utilization, h.utilization() / 2)
-            h.shed_at_ms = self.publication.now_ms
+        since_shed_ms = self.publication.now_ms - host.shed_at_ms
+        if host.latency_ratio > WARM_UP_OVERLOAD_RATIO and since_shed_ms > self.fleet.report_window_ms:
+            max_utilization = min(max_utilization, host.utilization() / 2)
+            host.shed_at_ms = self.publication.now_ms
         taken: list[Slice] = []
-        for s in sorted(owned, key=lambda s: (-s.requests_per_second, s.id)):
-            if h.utilization() > max_utilization:
-                self.placement.shift_load(h, -s.load_per_host)
-                s.owner = None
-                taken.append(s)
+        for slice_ in sorted(owned, key=lambda slice_: (-slice_.requests_per_second, slice_.id)):
+            if host.utilization() > max_utilization:
+                self.placement.shift_load(host, -slice_.load_per_host)
+                slice_.owner = None
+                taken.append(slice_)
         return taken
--- a/corallanding/assignment/host_list.py
+++ b/corallanding/assignment/host_list.py
@@ -57,36 +57,36 @@
 
     def _unlist_missing(self, entries: Iterable[api.HostEntry]) -> None:
         listed_ids = {entry.host for entry in entries}
-        for h in self.hosts.values():
-            if h.is_listed and h.id not in listed_ids:
-                h.is_listed = False
+        for host in self.hosts.values():
+            if host.is_listed and host.id not in listed_ids:
+                host.is_listed = False
                 self.publication.is_decision_due = True
 
     def _apply_entry(self, entry: api.HostEntry, kind: api.HostListKind) -> None:
-        h = self.get_or_create(entry.host)
+        host = self.get_or_create(entry.host)
         if entry.state == api.HostState.REMOVED:
             # The entry that was last listed stands: the host may be draining.
-            if h.is_listed:
+            if host.is_listed:
                 self.publication.is_decision_due = True
-            h.is_listed = False
+            host.is_listed = False
             return
         if not self.has_fresh_list and kind is not api.HostListKind.CHANGES:
-            h.alive_at_ms = self.publication.now_ms
-        if entry.online_since > h.process_started_at_ms:
-            self._on_process_start(h, entry.online_since)
+            host.alive_at_ms = self.publication.now_ms
+        if entry.online_since > host.process_started_at_ms:
+            self._on_process_start(host, entry.online_since)
         if entry.state != api.HostState.UP:
             self.publication.is_decision_due = True
-        h.entry = entry
-        h.is_listed = True
+        host.entry = entry
+        host.is_listed = True
 
-    def _on_process_start(self, h: Host, started_at_ms: float) -> None:
+    def _on_process_start(self, host: Host, started_at_ms: float) -> None:
         """A new process of a host: what was heard of the old one says nothing of it."""
         now_ms = self.publication.now_ms
-        if h.process_started_at_ms > -math.inf or started_at_ms > now_ms - self.settings.warm_up_ms:
-            h.start_learned_at_ms = now_ms
-            h.failed_at_ms = -math.inf
-            h.successes = 0.0
-            h.failures = 0.0
-            h.consecutive_failures = 0
-            h.alive_at_ms = -math.inf
-        h.process_started_at_ms = started_at_ms
+        if host.process_started_at_ms > -math.inf or started_at_ms > now_ms - self.settings.warm_up_ms:
+            host.start_learned_at_ms = now_ms
+            host.failed_at_ms = -math.inf
+            host.successes = 0.0
+            host.failures = 0.0
+            host.consecutive_failures = 0
+            host.alive_at_ms = -math.inf
+        host.process_started_at_ms = started_at_ms
--- a/corallanding/assignment/load_estimate.py
+++ b/corallanding/assignment/load_estimate.py
@@ -27,12 +27,12 @@
 REPORTS_PER_WINDOW = 4
 """Where several controllers share the work, what is remembered of a host halves in this part of a report window."""
 
-MAX_ROOM_FACTOR = 1.2
-"""Above the highest factor by which placement multiplies a weighted score (see `placement.ROOM_OFFSET`)."""
+MAX_HEADROOM = 1.2
+"""Above the highest factor by which placement multiplies a weighted score (see `placement.HEADROOM_LIMIT`)."""
 
 
 class LoadEstimator:
-    """Makes the figures by which all decisions of one turn go.
+    """Makes the figures by which all decisions go until the next estimate.
 
     It writes `FleetEstimate` and the estimates of each `Host`. Invariant: `peak_load_per_capacity` is the most that the
     whole site was seen to answer, and infinite until reports of all slices have come.
@@ -55,21 +55,21 @@
         self.ownership_changed_at_ms = 0.0  # when the slices of this controller last changed
         self.peak_load_per_capacity = math.inf
 
-    def capacity_of(self, h: Host) -> float:
+    def capacity_of(self, host: Host) -> float:
         """Listed weight by speed, reduced while the host warms up. Only its proportion to other hosts counts.
 
         Speed counts half way (geometric mean) between the host's own and its kind's: few attempts and caches make hosts
         of one kind look more different than they are.
         """
         settings = self.settings
-        age_ms = self.host_health.publication.now_ms - h.process_started_at_ms
+        age_ms = self.host_health.publication.now_ms - host.process_started_at_ms
         ramp = min(1.0, age_ms / (RAMP_SHARE_OF_WARM_UP * settings.warm_up_ms or 1.0))
         warm_share = settings.warm_up_initial_share + (1.0 - settings.warm_up_initial_share) * ramp
-        has_cold_cache = settings.caches_keys and self.host_health.is_warming_up(h)
+        has_cold_cache = settings.caches_keys and self.host_health.is_warming_up(host)
         cache_share = COLD_CACHE_FACTOR * settings.overload_factor if has_cold_cache else 1.0
         fleet = self.fleet
-        kind_ms = fleet.typical_latency_ms_by_kind.get(h.entry.kind) or fleet.typical_latency_ms or 1.0
-        return h.entry.weight * warm_share * cache_share / math.sqrt(kind_ms * (h.base_latency_ms or kind_ms))
+        kind_ms = fleet.typical_latency_ms_by_kind.get(host.entry.kind) or fleet.typical_latency_ms or 1.0
+        return host.entry.weight * warm_share * cache_share / math.sqrt(kind_ms * (host.base_latency_ms or kind_ms))
 
     def update(self) -> None:
         """Make all estimates anew, as of now."""
@@ -78,9 +78,9 @@
         self._decay_counts()
         total_load = self._update_loads()
         present = [
-            h
-            for h in hosts
-            if (h.is_listed or self.host_health.is_alive_but_unlisted(h)) and h.entry.state == api.HostState.UP
+            host
+            for host in hosts
+            if (host.is_listed or self.host_health.is_alive_but_unlisted(host)) and host.entry.state == api.HostState.UP
         ]
         serving = self._choose_eligible_hosts(present)
         self._update_fair_loads(serving, total_load)
@@ -90,9 +90,9 @@
 
     def _update_typical_latencies(self) -> None:
         latencies_by_kind: dict[int, list[float]] = {}
-        for h in self.host_health.hosts.values():
-            if h.base_latency_ms and h.is_listed:
-                latencies_by_kind.setdefault(h.entry.kind, []).append(h.base_latency_ms)
+        for host in self.host_health.hosts.values():
+            if host.base_latency_ms and host.is_listed:
+                latencies_by_kind.setdefault(host.entry.kind, []).append(host.base_latency_ms)
         all_latencies = [latency for latencies in latencies_by_kind.values() for latency in latencies]
         self.fleet.typical_latency_ms = upper_median(all_latencies)
         self.fleet.typical_latency_ms_by_kind = {
@@ -114,61 +114,63 @@
         health.recent_successes *= requests_left
         self.demand.recent_requests *= requests_left
         self.decayed_at_ms = health.publication.now_ms
-        for h in health.hosts.values():
-            h.successes *= attempts_left
-            h.failures *= attempts_left
+        for host in health.hosts.values():
+            host.successes *= attempts_left
+            host.failures *= attempts_left
 
     def _update_loads(self) -> float:
         """Each host's load, capacity and latency ratio; returns the sum of the slices' loads.
 
         A slice of which no report has come counts as the mean of the others.
         """
-        known_rates = [s.requests_per_second for s in self.slices.values() if s.rate_by_class]
+        known_rates = [slice_.requests_per_second for slice_ in self.slices.values() if slice_.rate_by_class]
         mean_rate = sum(known_rates) / len(known_rates) if known_rates else 1.0
         total_load = 0.0
-        for h in self.host_health.hosts.values():
-            self._reset_estimates(h)
-        for s in self.slices.values():
-            if not s.rate_by_class:
-                s.requests_per_second = mean_rate
-            total_load += s.requests_per_second
-            load = s.load_per_host
-            if s.owner:
-                s.owner.load += load
-            for h in s.replicas:
-                h.load += load
+        for host in self.host_health.hosts.values():
+            self._reset_estimates(host)
+        for slice_ in self.slices.values():
+            if not slice_.rate_by_class:
+                slice_.requests_per_second = mean_rate
+            total_load += slice_.requests_per_second
+            load = slice_.load_per_host
+            if slice_.owner:
+                slice_.owner.load += load
+            for host in slice_.replicas:
+                host.load += load
         return total_load
 
-    def _reset_estimates(self, h: Host) -> None:
+    def _reset_estimates(self, host: Host) -> None:
         """What is estimated of one host by itself; its load is summed up afterwards."""
         now_ms = self.host_health.publication.now_ms
-        h.load = 0.0
-        h.is_eligible = False
-        h.is_healthy = False
-        h.is_warming_up = self.host_health.is_warming_up(h)
-        h.capacity = self.capacity_of(h)
-        h.latency_ratio = latency_ratio(h, self.host_health.min_latency_objective_ms)
-        window_ms = self.fleet.feedback_delay_ms if h.is_warming_up else self.fleet.report_window_ms
-        if now_ms - h.taking_since_ms > window_ms:
-            h.slices_taken = 0
-            h.taking_since_ms = now_ms
+        host.load = 0.0
+        host.is_eligible = False
+        host.is_healthy = False
+        host.is_warming_up = self.host_health.is_warming_up(host)
+        host.capacity = self.capacity_of(host)
+        host.latency_ratio = latency_ratio(host, self.host_health.min_latency_objective_ms)
+        window_ms = self.fleet.feedback_delay_ms if host.is_warming_up else self.fleet.report_window_ms
+        if now_ms - host.taking_since_ms > window_ms:
+            host.slices_taken = 0
+            host.taking_since_ms = now_ms
 
     def _choose_eligible_hosts(self, present: list[Host]) -> list[Host]:
         """Set which hosts may own slices. Returns the hosts that serve, among them those that were found failing."""
         now_ms = self.host_health.publication.now_ms
         fleet = self.fleet
         # A new host, or one that failed, shows life before it counts: a list may name what does not exist.
-        for h in present:
-            is_silent = not h.is_listed and now_ms - h.alive_at_ms > fleet.report_window_ms
-            if h.alive_at_ms <= h.failed_at_ms or is_silent:
-                self.host_health.request_health_check(h)
+        for host in present:
+            is_silent = not host.is_listed and now_ms - host.alive_at_ms > fleet.report_window_ms
+            if host.alive_at_ms <= host.failed_at_ms or is_silent:
+                self.host_health.request_health_check(host)
         may_check = self.settings.may_check_health
-        serving = [h for h in present if h.load or h.alive_at_ms > h.failed_at_ms or not may_check] or present
+        serving = [
+            host for host in present if host.load or host.alive_at_ms > host.failed_at_ms or not may_check
+        ] or present
         self._update_report_window(len(serving))
-        fleet.eligible_hosts = [h for h in serving if now_ms - h.failed_at_ms > FAILURE_MEMORY_MS]
+        fleet.eligible_hosts = [host for host in serving if now_ms - host.failed_at_ms > FAILURE_MEMORY_MS]
         if len(fleet.eligible_hosts) * 2 < len(present):
             fleet.eligible_hosts = serving  # most fail at once: the path or the work is at fault, not the hosts
-        fleet.median_latency_ratio = upper_median([h.latency_ratio for h in serving])
+        fleet.median_latency_ratio = upper_median([host.latency_ratio for host in serving])
         fleet.overload_ratio = max(OVERLOAD_RATIO, OUTLIER_FACTOR * fleet.median_latency_ratio)
         return serving
 
@@ -183,7 +185,7 @@
     def _update_fair_loads(self, serving: list[Host], total_load: float) -> None:
         """Split the load by capacity. A warming host gets no more than the peak: what is asked would overload it."""
         fleet = self.fleet
-        capacity = sum(h.capacity for h in serving)
+        capacity = sum(host.capacity for host in serving)
         owned_share = len(self.slices) / (self.settings.slice_count or 1)
         counts_per_second = math.log(2.0) * 1000.0 / (PEAK_HALF_LIFE_REPORTS * self.settings.report_interval_ms)
         self._update_peak(capacity, owned_share, counts_per_second)
@@ -193,8 +195,10 @@
         fleet.load_per_capacity = total_load / capacity if capacity else 0.0
         fleet.site_load_per_capacity = fleet.load_per_capacity / (owned_share or 1.0)
         warming_load_per_capacity = min(fleet.load_per_capacity, peak)
-        for h in self.host_health.hosts.values():
-            h.fair_load = h.capacity * (warming_load_per_capacity if h.is_warming_up else fleet.load_per_capacity)
+        for host in self.host_health.hosts.values():
+            host.fair_load = host.capacity * (
+                warming_load_per_capacity if host.is_warming_up else fleet.load_per_capacity
+            )
 
     def _update_peak(self, capacity: float, owned_share: float, counts_per_second: float) -> None:
         """Raise the peak to what is answered now, once reports of all slices of this controller have come."""
@@ -210,32 +214,34 @@
         """Set which eligible hosts may be given more slices."""
         mean_slice_load = total_load / (len(self.slices) or 1)
         is_shared = self.settings.controller_count > 1
-        for h in self.fleet.eligible_hosts:
-            h.is_eligible = True
-            h.is_healthy = h.latency_ratio <= (OVERLOAD_RATIO if h.is_warming_up else self.fleet.overload_ratio)
-            if h.is_warming_up and is_shared and mean_slice_load:
-                self._round_to_whole_slices(h, mean_slice_load)
-
-    def _round_to_whole_slices(self, h: Host, mean_slice_load: float) -> None:
+        for host in self.fleet.eligible_hosts:
+            host.is_eligible = True
+            host.is_healthy = host.latency_ratio <= (
+                OVERLOAD_RATIO if host.is_warming_up else self.fleet.overload_ratio
+            )
+            if host.is_warming_up and is_shared and mean_slice_load:
+                self._round_to_whole_slices(host, mean_slice_load)
+
+    def _round_to_whole_slices(self, host: Host, mean_slice_load: float) -> None:
         """Round the fair load of a warming host to whole slices.
 
         At each of many controllers it is less than one slice, and all would leave the host idle. Each rounds with
         another offset, so that the sum over all controllers is rounded once.
         """
         count = self.settings.controller_count
-        position = (zlib.crc32(b"%d" % h.id) + self.settings.controller_index) % count
-        slices = math.floor(h.fair_load / mean_slice_load + (position + 0.5) / count)
-        h.fair_load = slices * mean_slice_load or h.fair_load
-        h.is_healthy = h.is_healthy and slices > 0
+        position = (zlib.crc32(b"%d" % host.id) + self.settings.controller_index) % count
+        slices = math.floor(host.fair_load / mean_slice_load + (position + 0.5) / count)
+        host.fair_load = slices * mean_slice_load or host.fair_load
+        host.is_healthy = host.is_healthy and slices > 0
 
     def _prepare_placement(self) -> None:
         """Figures that placement reads: what each healthy host may still be given, and the bound of weighted scores."""
         fleet = self.fleet
         spare_loads = [
-            SpareLoad(MAX_UTILIZATION * h.fair_load - h.load if h.fair_load else math.inf, h)
-            for h in fleet.eligible_hosts
-            if h.is_healthy
+            SpareLoad(MAX_UTILIZATION * host.fair_load - host.load if host.fair_load else math.inf, host)
+            for host in fleet.eligible_hosts
+            if host.is_healthy
         ]
         fleet.spare_loads = sorted(spare_loads, key=lambda spare: spare.requests_per_second)
         fleet.hosts_with_changed_load = {}
-        fleet.max_score_factor = MAX_ROOM_FACTOR * max((h.entry.weight for h in fleet.eligible_hosts), default=0.0)
+        fleet.max_score_factor = MAX_HEADROOM * max((host.entry.weight for host in fleet.eligible_hosts), default=0.0)
--- a/corallanding/assignment/load_shedding.py
+++ b/corallanding/assignment/load_shedding.py
@@ -1,4 +1,4 @@
-"""Slices that leave overloaded hosts: moved to hosts with room, or shared with replicas."""
+"""Slices that leave overloaded hosts: moved to hosts with headroom, or shared with replicas."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class SheddingPlan(NamedTuple):
-    """How far the load of a host is to come down in this turn.
+    """How far the load of a host is to come down in this decision.
 
     `latency_ratio` is the one to compare destinations with. `is_first` is false where a former shedding goes on.
     """
@@ -56,23 +56,23 @@
         """
         if not self.is_shared:
             return
-        for s in self.slices.values():
-            replica_count = len(s.replicas)
-            while s.owner and self._is_hot(s, s.owner):
-                if not self._add_healthy_replica(s, s.owner):
+        for slice_ in self.slices.values():
+            replica_count = len(slice_.replicas)
+            while slice_.owner and self._is_hot(slice_, slice_.owner):
+                if not self._add_healthy_replica(slice_, slice_.owner):
                     break
-            if len(s.replicas) > replica_count:
-                self.publication.write_table(s)
+            if len(slice_.replicas) > replica_count:
+                self.publication.write_table(slice_)
 
-    def _is_hot(self, s: Slice, owner: Host) -> bool:
+    def _is_hot(self, slice_: Slice, owner: Host) -> bool:
         if owner.latency_ratio <= self.fleet.overload_ratio:
             return False
-        return s.load_per_host > owner.capacity * self.fleet.site_load_per_capacity
+        return slice_.load_per_host > owner.capacity * self.fleet.site_load_per_capacity
 
-    def _add_healthy_replica(self, s: Slice, owner: Host) -> bool:
+    def _add_healthy_replica(self, slice_: Slice, owner: Host) -> bool:
         """Share a slice with one more host; false if the best one is not known to stand it."""
-        load_per_host = s.requests_per_second / (2 + len(s.replicas))
-        replica = self.placement.best_host(s, load_per_host, is_required=True)
+        load_per_host = slice_.requests_per_second / (2 + len(slice_.replicas))
+        replica = self.placement.best_host(slice_, load_per_host, is_required=True)
         if replica is None or replica.is_warming_up or replica.latency_ratio * OUTLIER_FACTOR >= owner.latency_ratio:
             return False
         silent_ms = self.publication.now_ms - replica.succeeded_at_ms
@@ -80,7 +80,7 @@
             return False
         if replica.slices_taken >= MAX_SLICES_PER_WINDOW:
             return False
-        self.placement.add_replica(s, replica, (owner, *s.replicas), load_per_host)
+        self.placement.add_replica(slice_, replica, (owner, *slice_.replicas), load_per_host)
         return True
 
     # Overloaded hosts.
@@ -88,78 +88,85 @@
     def shed_overloaded_hosts(self) -> None:
         """Take slices off each overloaded host, the largest first, until it is down to its target."""
         slices_by_host: dict[Host, dict[Slice, None]] = {}  # made once some host is to shed
-        for h in self.fleet.eligible_hosts:
-            plan = self._plan(h)
-            if plan.target_load >= h.load:
+        for host in self.fleet.eligible_hosts:
+            plan = self._plan(host)
+            if plan.target_load >= host.load:
                 continue
             if not slices_by_host:
                 self._add_slices_by_host(slices_by_host)
             served = [
-                s for s in slices_by_host.get(h, ()) if not s.previous_owner and (s.owner is h or h in s.replicas)
+                slice_
+                for slice_ in slices_by_host.get(host, ())
+                if not slice_.previous_owner and (slice_.owner is host or host in slice_.replicas)
             ]
-            for s in sorted(served, key=lambda s: (-s.load_per_host, s.id)):
-                if h.load - s.load_per_host * 0.5 > plan.target_load:
-                    self._shed_slice(s, h, plan, slices_by_host)
+            for slice_ in sorted(served, key=lambda slice_: (-slice_.load_per_host, slice_.id)):
+                if host.load - slice_.load_per_host * 0.5 > plan.target_load:
+                    self._shed_slice(slice_, host, plan, slices_by_host)
 
     def _add_slices_by_host(self, slices_by_host: dict[Host, dict[Slice, None]]) -> None:
-        for s in self.slices.values():
-            for h in (s.owner, *s.replicas):
-                if h:
-                    slices_by_host.setdefault(h, {})[s] = None
+        for slice_ in self.slices.values():
+            for host in (slice_.owner, *slice_.replicas):
+                if host:
+                    slices_by_host.setdefault(host, {})[slice_] = None
 
-    def _plan(self, h: Host) -> SheddingPlan:
+    def _plan(self, host: Host) -> SheddingPlan:
         """By latency ratio, and by utilization if answers begin to be late. No load comes off where it is at target."""
         fleet = self.fleet
-        utilization = h.utilization()
+        utilization = host.utilization()
         is_far_over = utilization > SHED_UTILIZATION
-        if self.publication.now_ms - h.shed_at_ms <= fleet.feedback_delay_ms:
+        if self.publication.now_ms - host.shed_at_ms <= fleet.feedback_delay_ms:
             # The effect of the last shedding does not show yet. A host far over its fair load goes on to the target
             # that it had: the gate held slices up.
-            target_load = h.shed_target_load if is_far_over and self.is_shared else h.load
+            target_load = host.shed_target_load if is_far_over and self.is_shared else host.load
             return SheddingPlan(target_load, fleet.overload_ratio, is_first=False)
-        ratio = self._cautious_latency_ratio(h)
+        ratio = self._cautious_latency_ratio(host)
         excess = utilization if is_far_over and ratio > CALM_RATIO else 1.0
         kept_share = min(1.0, 1.0 / excess, fleet.overload_ratio / max(ratio, MIN_LATENCY_RATIO))
-        return SheddingPlan(h.load * kept_share, ratio, is_first=True)
+        return SheddingPlan(host.load * kept_share, ratio, is_first=True)
 
-    def _cautious_latency_ratio(self, h: Host) -> float:
+    def _cautious_latency_ratio(self, host: Host) -> float:
         """The latency ratio, less where few attempts may be chance.
 
         Each of several controllers hears of only some attempts at a host.
         """
         is_calm = self.is_shared and self.fleet.median_latency_ratio < CALM_RATIO
-        attempts = h.successes + h.failures
+        attempts = host.successes + host.failures
         if not attempts:
             return 0.0
-        return h.latency_ratio * attempts / (attempts + (SMALL_SAMPLE_ATTEMPTS if is_calm else 0.0))
+        return host.latency_ratio * attempts / (attempts + (SMALL_SAMPLE_ATTEMPTS if is_calm else 0.0))
 
-    def _shed_slice(self, s: Slice, h: Host, plan: SheddingPlan, slices_by_host: dict[Host, dict[Slice, None]]) -> None:
+    def _shed_slice(
+        self, slice_: Slice, host: Host, plan: SheddingPlan, slices_by_host: dict[Host, dict[Slice, None]]
+    ) -> None:
         """Move a slice off a host, or share it, if a host that is much better off may take it now."""
         # A slice that alone fills much of a host is shared: moved, it would overload the next one.
-        is_hot = s.load_per_host > HOT_SLICE_SHARE * h.capacity * self.fleet.load_per_capacity
-        shared_load = s.requests_per_second / (2 + len(s.replicas))
-        destination = self.placement.best_host(s, shared_load if is_hot else s.load_per_host, is_required=is_hot)
+        is_hot = slice_.load_per_host > HOT_SLICE_SHARE * host.capacity * self.fleet.load_per_capacity
+        shared_load = slice_.requests_per_second / (2 + len(slice_.replicas))
+        destination = self.placement.best_host(
+            slice_, shared_load if is_hot else slice_.load_per_host, is_required=is_hot
+        )
         if destination is None or destination.latency_ratio * OUTLIER_FACTOR >= plan.latency_ratio:
             return
-        if is_hot and not self._has_room_to_share(h, destination, shared_load):
+        if is_hot and not self._remains_better_off(host, destination, shared_load):
             return
-        if not self.placement.passes_gate(s, destination):
+        if not self.placement.passes_gate(slice_, destination):
             return
-        if plan.is_first and not h.is_warming_up:  # of a warming host it is the time of its evacuation
-            h.shed_at_ms = self.publication.now_ms
-            h.shed_target_load = plan.target_load
+        if plan.is_first and not host.is_warming_up:  # of a warming host it is the time of its evacuation
+            host.shed_at_ms = self.publication.now_ms
+            host.shed_target_load = plan.target_load
         if is_hot:
-            self.placement.add_replica(s, destination, (h,), shared_load)
-            slices_by_host.setdefault(destination, {})[s] = None
-        elif s.owner is h:
-            self.placement.assign_owner(s, destination, holds_previous=True)
+            self.placement.add_replica(slice_, destination, (host,), shared_load)
+            slices_by_host.setdefault(destination, {})[slice_] = None
+        elif slice_.owner is host:
+            self.placement.assign_owner(slice_, destination, holds_previous=True)
         else:
-            self.placement.shift_load(h, -s.load_per_host)
-            s.replicas.remove(h)
-        self.publication.write_table(s)
+            self.placement.shift_load(host, -slice_.load_per_host)
+            slice_.replicas.remove(host)
+        self.publication.write_table(slice_)
 
-    def _has_room_to_share(self, h: Host, destination: Host, shared_load: float) -> bool:
+    def _remains_better_off(self, host: Host, destination: Host, shared_load: float) -> bool:
         """Whether sharing a slice leaves the destination clearly better off than the host that sheds it."""
         return (
-            not destination.is_warming_up and destination.utilization(shared_load) * MAX_UTILIZATION <= h.utilization()
+            not destination.is_warming_up
+            and destination.utilization(shared_load) * MAX_UTILIZATION <= host.utilization()
         )
--- a/corallanding/assignment/migration.py
+++ b/corallanding/assignment/migration.py
@@ -11,8 +11,8 @@
 INCUMBENT_FACTOR = 8.0
 """Times the number of slices: by so much the score of the present owner counts more than that of another host."""
 
-MAX_SCORES_PER_TURN = 300_000
-"""Scores worked out in one ordinary turn; in larger fleets the slices beyond them wait for a later one."""
+MAX_SCORES_PER_DECISION = 300_000
+"""Scores computed in one ordinary decision; in larger fleets the slices beyond them wait for a later one."""
 
 
 class Migration:
@@ -31,56 +31,58 @@
     def release_previous_owners(self) -> None:
         """Take previous owners out of tables once every proxy has acknowledged the move, or the hold has ended."""
         unacked = self.publication.pending_versions.unacked_versions()
-        for s in self.slices.values():
-            if s.previous_owner and not self._is_held(s, unacked):
-                s.previous_owner = None
-            self.publication.write_table(s, removes_cordoned=True)
+        for slice_ in self.slices.values():
+            if slice_.previous_owner and not self._is_held(slice_, unacked):
+                slice_.previous_owner = None
+            self.publication.write_table(slice_, removes_cordoned=True)
 
-    def _is_held(self, s: Slice, unacked: set[int]) -> bool:
-        is_unacked = any(is_at_or_before(version, s.hold_version) for version in unacked)
-        return is_unacked and self.publication.now_ms < s.hold_ends_at_ms
+    def _is_held(self, slice_: Slice, unacked: set[int]) -> bool:
+        is_unacked = any(is_at_or_before(version, slice_.hold_version) for version in unacked)
+        return is_unacked and self.publication.now_ms < slice_.hold_ends_at_ms
 
     def move_to_better_hosts(self) -> None:
         """Drop replicas that are no longer needed, and move slices that another host wins by score.
 
         New scores are counted, not looked up in the rankings: what was computed ahead must not change a decision.
         """
-        scores_left = MAX_SCORES_PER_TURN
+        scores_left = MAX_SCORES_PER_DECISION
         host_count = len(self.rendezvous.hosts)
         incumbent_factor = INCUMBENT_FACTOR * self.settings.slice_count
-        for s, owner in [(s, s.owner) for s in self.slices.values() if s.owner]:
-            if s.replicas and s.rate_by_class:
-                self._drop_unneeded_replica(s, owner)
-            new_scores = host_count - s.hosts_considered
-            if s.previous_owner or new_scores > scores_left:
+        for slice_, owner in [(slice_, slice_.owner) for slice_ in self.slices.values() if slice_.owner]:
+            if slice_.replicas and slice_.rate_by_class:
+                self._drop_unneeded_replica(slice_, owner)
+            new_scores = host_count - slice_.hosts_considered
+            if slice_.previous_owner or new_scores > scores_left:
                 continue
             scores_left -= new_scores
-            s.hosts_considered += new_scores
-            self._move_if_won(s, owner, incumbent_factor)
+            slice_.hosts_considered += new_scores
+            self._move_if_won(slice_, owner, incumbent_factor)
 
-    def _drop_unneeded_replica(self, s: Slice, owner: Host) -> None:
+    def _drop_unneeded_replica(self, slice_: Slice, owner: Host) -> None:
         """Drop the replica of the lowest score if the slice's load fits the other hosts of it."""
         fits_below = HOT_SLICE_SHARE / 2 * owner.capacity * self.fleet.load_per_capacity
-        if s.requests_per_second / len(s.replicas) < fits_below:
-            s.replicas.remove(min(s.replicas, key=lambda h: self.placement.score(s, h)))
-            self.publication.write_table(s)
+        if slice_.requests_per_second / len(slice_.replicas) < fits_below:
+            slice_.replicas.remove(min(slice_.replicas, key=lambda host: self.placement.score(slice_, host)))
+            self.publication.write_table(slice_)
 
-    def _move_if_won(self, s: Slice, owner: Host, incumbent_factor: float) -> None:
+    def _move_if_won(self, slice_: Slice, owner: Host, incumbent_factor: float) -> None:
         """Move a slice to the best host if that wins against the present owner's preference, and passes the gate.
 
         An owner far over its fair load is not preferred to a new host: what a fleet grew by would stand idle until the
         old hosts are overloaded.
         """
-        incumbent_score = self.placement.score(s, owner)
+        incumbent_score = self.placement.score(slice_, owner)
         is_far_over = owner.utilization() > SHED_UTILIZATION
         min_score = incumbent_score * (min(incumbent_factor, 1.0) if is_far_over else incumbent_factor)
-        scores = self.rendezvous.ranking(s.id).scores
+        scores = self.rendezvous.ranking(slice_.id).scores
         if not scores or scores[0] * self.fleet.max_score_factor <= min_score:
             return  # nearly always: no host could win
-        destination = self.placement.best_host(s, s.load_per_host, min_score=min_score)
+        destination = self.placement.best_host(slice_, slice_.load_per_host, min_score=min_score)
         if destination is None:
             return
         is_new = is_far_over and (destination.is_warming_up or not destination.load)
         score_to_beat = incumbent_score * (1.0 if is_new else incumbent_factor)
-        if self.placement.score(s, destination) > score_to_beat and self.placement.passes_gate(s, destination):
-            self.placement.assign_owner(s, destination, holds_previous=True)
+        if self.placement.score(slice_, destination) > score_to_beat and self.placement.passes_gate(
+            slice_, destination
+        ):
+            self.placement.assign_owner(slice_, destination, holds_previous=True)
--- a/corallanding/assignment/publication.py
+++ b/corallanding/assignment/publication.py
@@ -84,7 +84,7 @@
         self.line_budget = lines_per_proxy - settings.message_overhead_lines - CLOSING_LINES - self.lines_published
         return self.line_budget > settings.message_overhead_lines
 
-    def write_table(self, s: Slice, *, removes_cordoned: bool = False) -> None:
+    def write_table(self, slice_: Slice, *, removes_cordoned: bool = False) -> None:
         """Publish how the table of a slice differs from its owner, replicas and previous owner.
 
         New entries go before removed ones. Entries of cordoned hosts stay unless `removes_cordoned`. A difference that
@@ -92,34 +92,34 @@
         """
         if (
             self.line_budget >= 0
-            and not s.replicas
-            and not s.previous_owner
-            and len(s.weights) == 1
-            and s.owner in s.weights
+            and not slice_.replicas
+            and not slice_.previous_owner
+            and len(slice_.weights) == 1
+            and slice_.owner in slice_.weights
         ):
             return  # the usual case
-        hosts = [h for h in (s.owner, *s.replicas, s.previous_owner) if h]
-        added = [h for h in hosts if h not in s.weights]
-        removed = [h for h in s.weights if h not in hosts]
-        removed = [h for h in removed if removes_cordoned or not h.is_cordoned]
+        hosts = [host for host in (slice_.owner, *slice_.replicas, slice_.previous_owner) if host]
+        added = [host for host in hosts if host not in slice_.weights]
+        removed = [host for host in slice_.weights if host not in hosts]
+        removed = [host for host in removed if removes_cordoned or not host.is_cordoned]
         if len(added) + len(removed) > self.line_budget:
             self.is_decision_due = True
             return
         self.line_budget = self.line_budget - len(added) - len(removed)
         self.lines_published += len(added) + len(removed)
-        self._apply(s, added, removed)
+        self._apply(slice_, added, removed)
 
-    def _apply(self, s: Slice, added: list[Host], removed: list[Host]) -> None:
-        self.actions += [api.SetWeight(s.id, h.id, 1.0) for h in added]
-        self.actions += [api.SetWeight(s.id, h.id, 0.0) for h in removed]
-        s.weights = dict.fromkeys([h for h in (*s.weights, *added) if h not in removed], 1.0)
+    def _apply(self, slice_: Slice, added: list[Host], removed: list[Host]) -> None:
+        self.actions += [api.SetWeight(slice_.id, host.id, 1.0) for host in added]
+        self.actions += [api.SetWeight(slice_.id, host.id, 0.0) for host in removed]
+        slice_.weights = dict.fromkeys([host for host in (*slice_.weights, *added) if host not in removed], 1.0)
 
-    def set_cordon(self, h: Host, *, is_cordoned: bool) -> None:
+    def set_cordon(self, host: Host, *, is_cordoned: bool) -> None:
         """Cordon a host, or lift its cordon: one line."""
-        h.is_cordoned = is_cordoned
+        host.is_cordoned = is_cordoned
         self.lines_published += 1
         self.line_budget -= 1
-        self.actions.append(api.Cordon(h.id, is_cordoned))
+        self.actions.append(api.Cordon(host.id, is_cordoned))
 
     def close_message(self) -> None:
         """Close the message of this step, if proxies are told anything, by a version."""
--- a/corallanding/assignment/rendezvous.py
+++ b/corallanding/assignment/rendezvous.py
@@ -127,7 +127,8 @@
         """The ranking of a slice over all hosts; at most `max_ranked` of them."""
         ranking = self.rankings.get(slice_id)
         if ranking is None:
-            ranking = self.rankings[slice_id] = Ranking([], [])
+            ranking = Ranking([], [])
+            self.rankings[slice_id] = ranking
             self.hosts_seen[slice_id] = 0
         if (seen := self.hosts_seen[slice_id]) < len(self.hosts):
             self._extend(slice_id, ranking, seen)
--- a/corallanding/snapshot/assigner_state.py
+++ b/corallanding/snapshot/assigner_state.py
@@ -48,9 +48,9 @@
     online_since: float = msgspec.field(name="online_since", default=0.0)
 
     @classmethod
-    def of(cls, e: api.HostEntry) -> StoredHostEntry:
+    def of(cls, entry: api.HostEntry) -> StoredHostEntry:
         """An entry as it is stored."""
-        return cls(e.host, e.zone, e.kind, e.cell, e.state, e.weight, e.online_since)
+        return cls(entry.host, entry.zone, entry.kind, entry.cell, entry.state, entry.weight, entry.online_since)
 
     def entry(self) -> api.HostEntry:
         """The entry that was stored. Raises ValueError for an unknown state."""
@@ -102,22 +102,24 @@
         typical=list(assigner.fleet.typical_latency_ms_by_kind.items()),
         host_fields=HOST_FIELDS,
         slice_fields=SLICE_FIELDS,
-        hosts=[StoredHost(StoredHostEntry.of(h.entry), list(_host_values(h))) for h in assigner.hosts.values()],
-        slices=[dump_slice(s) for s in assigner.slices.values()],
-        ranked=[h.id for h in assigner.rendezvous.hosts],
+        hosts=[
+            StoredHost(StoredHostEntry.of(host.entry), list(_host_values(host))) for host in assigner.hosts.values()
+        ],
+        slices=[dump_slice(slice_) for slice_ in assigner.slices.values()],
+        ranked=[host.id for host in assigner.rendezvous.hosts],
     )
 
 
-def dump_slice(s: Slice) -> StoredSlice:
+def dump_slice(slice_: Slice) -> StoredSlice:
     """A slice as it is stored; its rates as pairs, since their order is part of the state."""
-    fields = list(_slice_values(s))
+    fields = list(_slice_values(slice_))
     fields[RATES_INDEX] = list(fields[RATES_INDEX].items())
     return StoredSlice(
-        [(h.id, weight) for h, weight in s.weights.items()],
-        s.owner.id if s.owner else None,
-        [h.id for h in s.replicas],
-        s.candidate.id if s.candidate else None,
-        s.previous_owner.id if s.previous_owner else None,
+        [(host.id, weight) for host, weight in slice_.weights.items()],
+        slice_.owner.id if slice_.owner else None,
+        [host.id for host in slice_.replicas],
+        slice_.candidate.id if slice_.candidate else None,
+        slice_.previous_owner.id if slice_.previous_owner else None,
         fields,
     )
 
@@ -130,8 +132,8 @@
         host = load_host(stored_host)
         assigner.hosts[host.entry.host] = host
     for stored_slice in state.slices:
-        s = load_slice(stored_slice, assigner.hosts)
-        assigner.slices[s.id] = s
+        slice_ = load_slice(stored_slice, assigner.hosts)
+        assigner.slices[slice_.id] = slice_
     assigner.rendezvous.add(named_host(assigner.hosts, host_id) for host_id in state.ranked)
     pending = assigner.pending_versions
     pending.unacked_by_proxy = {
@@ -161,15 +163,15 @@
 
 def load_slice(stored: StoredSlice, hosts: dict[int, Host]) -> Slice:
     """A slice from what is stored of it. Raises `AssignerStateError` if it names a host that is not stored."""
-    s = Slice(-1)
+    slice_ = Slice(-1)
     for (name, attribute), value in zip(SLICE_ATTRIBUTES.items(), stored.fields, strict=True):
-        setattr(s, attribute, dict(value) if name == "rates" else value)
-    s.weights = {named_host(hosts, host_id): weight for host_id, weight in stored.weights}
-    s.owner = optional_host(hosts, stored.owner)
-    s.candidate = optional_host(hosts, stored.candidate)
-    s.previous_owner = optional_host(hosts, stored.previous_owner)
-    s.replicas = [named_host(hosts, host_id) for host_id in stored.replicas]
-    return s
+        setattr(slice_, attribute, dict(value) if name == "rates" else value)
+    slice_.weights = {named_host(hosts, host_id): weight for host_id, weight in stored.weights}
+    slice_.owner = optional_host(hosts, stored.owner)
+    slice_.candidate = optional_host(hosts, stored.candidate)
+    slice_.previous_owner = optional_host(hosts, stored.previous_owner)
+    slice_.replicas = [named_host(hosts, host_id) for host_id in stored.replicas]
+    return slice_
 
 
 def named_host(hosts: dict[int, Host], host_id: int) -> Host:
--- a/corallanding/snapshot/file.py
+++ b/corallanding/snapshot/file.py
@@ -17,7 +17,7 @@
 
 from ..errors import StorageError
 
-FILE_MARK = b"CORALSNP"
+FILE_SIGNATURE = b"CORALSNP"
 VERSION = 1
 HEADER = struct.Struct(">8sHQ16s")
 """Name, version, length and digest of the body."""
@@ -53,7 +53,7 @@
 def pack(body: Any, version: int = VERSION) -> bytes:
     """A snapshot of `body`, with its header."""
     data = msgspec.msgpack.encode(body)
-    return HEADER.pack(FILE_MARK, version, len(data), digest_of(data)) + data
+    return HEADER.pack(FILE_SIGNATURE, version, len(data), digest_of(data)) + data
 
 
 def unpack(data: bytes, kind: type[T], version: int = VERSION, upgrades: Mapping[int, Upgrade] | None = None) -> T:
@@ -63,8 +63,8 @@
     """
     if len(data) < HEADER.size:
         raise SnapshotDamagedError(f"{len(data)} bytes; the head alone has {HEADER.size}")
-    mark, found, length, digest = HEADER.unpack_from(data)
-    if mark != FILE_MARK:
+    signature, found, length, digest = HEADER.unpack_from(data)
+    if signature != FILE_SIGNATURE:
         raise SnapshotDamagedError("no snapshot by its first bytes")
     if found > version:
         raise SnapshotVersionError(f"version {found}; this program knows versions up to {version}")
