--- /dev/null
+++ b/tests/snapshot/test_file.py
@@ -0,0 +1,49 @@
+"""A snapshot file that is not right is refused with an error that says why."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import msgspec
+import pytest
+
+from corallanding.snapshot import file
+
+
+class Body(msgspec.Struct):
+    """What the files of these tests hold."""
+
+    a: int
+    b: str = ""
+
+
+def test_a_file_when_it_is_cut_or_changed_then_it_is_refused(tmp_path: Path) -> None:
+    path = tmp_path / "s.snap"
+    with pytest.raises(file.SnapshotMissingError, match="there is none"):
+        file.read(path, Body)
+    assert file.write(path, Body(5, "x")) == path.stat().st_size
+    assert file.read(path, Body) == Body(5, "x")
+    complete = path.read_bytes()
+    for length in range(len(complete)):
+        path.write_bytes(complete[:length])
+        with pytest.raises(file.SnapshotDamagedError, match=r"s\.snap"):
+            file.read(path, Body)
+    for at in range(len(complete)):
+        path.write_bytes(complete[:at] + bytes([complete[at] ^ 0x41]) + complete[at + 1 :])
+        with pytest.raises((file.SnapshotDamagedError, file.SnapshotVersionError)):
+            file.read(path, Body)
+    path.write_bytes(complete)
+    (tmp_path / "s.snap.new").mkdir()  # the new file cannot be written: the older one stays
+    with pytest.raises(OSError, match=r"s\.snap\.new"):
+        file.write(path, Body(6))
+    assert file.read(path, Body) == Body(5, "x")
+
+
+def test_a_snapshot_when_its_version_is_older_then_it_is_upgraded_and_a_newer_one_refused() -> None:
+    old = file.pack({"a": 1}, version=1)
+    upgrades = {1: lambda raw: {**raw, "b": "two"}, 2: lambda raw: {**raw, "a": raw["a"] + 10}}
+    assert file.unpack(old, Body, 3, upgrades) == Body(11, "two")
+    with pytest.raises(file.SnapshotDamagedError, match="no way from version 2 to 3"):
+        file.unpack(old, Body, 3, {1: upgrades[1]})
+    with pytest.raises(file.SnapshotVersionError, match="version 4; this program knows versions up to 3"):
+        file.unpack(file.pack({}, version=4), Body, 3, upgrades)
