--- a/bench/one_fleet.py
+++ b/bench/one_fleet.py
@@ -148,7 +148,7 @@
         def carry(actions: list[Any]) -> None:
             for a in actions:
                 if isinstance(a, Persist) and disk:
-                    disk.write(a.what)
+                    disk.write(a.changes)
 
         for _ in range(10):
             now += 600.0
@@ -158,10 +158,10 @@
             key = chance.getrandbits(62) | 1
             begun = time.perf_counter()
             pins.request_run(now, key)
-            carry(fleet.push(now))
+            carry(fleet.send_new_queries(now))
             (told,) = pins.take_answers()
             times.append(time.perf_counter() - begun)
-            assert told.what == RunStatus.PINNED
+            assert told.result == RunStatus.PINNED
         size = (resident_mib() - before) * 2**20 / count
         if disk:
             disk.close()
--- a/corallanding/controller/cluster.py
+++ b/corallanding/controller/cluster.py
@@ -218,7 +218,7 @@
         if self.scheduling:
             page["waiting"] = self.scheduling.status()
         if self.records:
-            page["records"] = self.records.fleet.page()
+            page["records"] = self.records.fleet.status()
         return page
 
     def reload(self, config: ControllerConfig) -> None:
--- a/corallanding/controller/idempotency_queries.py
+++ b/corallanding/controller/idempotency_queries.py
@@ -70,5 +70,5 @@
 
     def take_answers(self) -> list[QueryAnswer]:
         """The answers that have come since the last call, in their order."""
-        results = self.claims.queries.take(self.claims.groups[0])
+        results = self.claims.queries.take_results(self.claims.groups[0])
         return [QueryAnswer(self.pending.pop(result.number, None), result) for result in results]
--- a/corallanding/controller/pinning_service.py
+++ b/corallanding/controller/pinning_service.py
@@ -95,7 +95,7 @@
         self.plan_stamp: PlanStamp | None = None
         self.is_any_host_warming = False
         self.pending: dict[int, PendingRun] = {}  # by the number of the core's query
-        peers = records.fleet.asking.others
+        peers = records.fleet.queries.others
         self.allowances = PeerRateLimiter(peers, config.budgets.words_per_s, context.clock())
         self.rejected_messages = 0
         records.listeners.append(self.on_answers)
@@ -126,7 +126,7 @@
         for result in self.core.take_answers():
             pending = self.pending.pop(result.number, PendingRun(UNKNOWN_PROXY, 0, ""))
             if pending.proxy >= 0:
-                self._reply(pending, result.what, result.value)
+                self._reply(pending, result.result, result.value)
 
     def _reply(self, pending: PendingRun, what: int, number: int) -> None:
         versions = self.core.release_sets.get(number) if what == RunStatus.PINNED else None
@@ -136,7 +136,7 @@
         self.context.metrics.run_answers.labels(answer).inc()
         asking = self.core.queries
         event, now = JournalEvent.RUN_ANSWERED, ActionJournal.now()
-        self.records.journal.write(event, now, asking.me, asking.life, pending.run, answer, number)
+        self.records.journal.write(event, now, asking.me, asking.incarnation, pending.run, answer, number)
         rows = self._version_rows(versions) if versions else []
         frame = frames.Pinned(pending.query, answer, number, rows, self.register_version)
         self.fleet_view.reply(pending.proxy, frame)
@@ -151,7 +151,7 @@
         now = self.context.clock()
         if self.allowances.take(sender, now):
             answers: list[Action] = [*self.core.on_message(sender, message)]
-            self.records.carry_out(self.records.fleet.after(now, answers))
+            self.records.carry_out(self.records.fleet.in_send_order(now, answers))
         else:
             self.rejected_messages += 1
 
--- a/corallanding/controller/quota_service.py
+++ b/corallanding/controller/quota_service.py
@@ -41,7 +41,7 @@
         self.warm_up_ms = config.rules.cold_ms
         block, election = config.budgets, context.election
         terms = quota.QuotaLimits(
-            office=block.office_ms, drift=block.drift, lease=block.lease_ms, keys_most=block.keys_most
+            office=block.office_ms, drift=block.drift, lease_ms=block.lease_ms, max_accounts=block.keys_most
         )
         self.core = quota.QuotaManager(
             election.me,
@@ -53,7 +53,7 @@
             context.clock(),
             random.random,
             words_per_s=block.words_per_s,
-            chair=election,
+            shared_election=election,
         )
         self.journal = ActionJournal(block.witness)
         self.leader_since: float | None = None  # as last logged
@@ -66,7 +66,7 @@
     def on_tick(self, tick: Tick) -> None:
         """Send what is due, and log a change of this controller's leadership."""
         self.context.send(self.core.tick(tick.now, tick.alive))
-        since = self.core.divider.since  # it may have changed with a vote, between two ticks
+        since = self.core.allocator.started_at_ms  # it may have changed with a vote, between two ticks
         if since != self.leader_since:
             self.leader_since = since
             log.info("quota leadership gained" if since else "quota leadership lost")
@@ -77,7 +77,7 @@
 
     def on_election_change(self) -> None:
         """Begin or end the allocation of quota with the leadership."""
-        self.core.office(self.context.clock())
+        self.core.is_allocating(self.context.clock())
 
     def may_begin(self, kind: str, host: int, now: bool) -> bool:
         """Whether one more action of `kind` at `host` may begin. now: it does, and takes a unit of the quota."""
@@ -90,17 +90,17 @@
         return False
 
     def _take(self, kind: str, host: int) -> bool:
-        if not self.core.take(self.context.clock(), kind, host):
+        if not self.core.acquire(self.context.clock(), kind, host):
             return False
-        self.journal.write(ActionJournal.now(), self.core.budgets[kind].span, kind, host, 1)
+        self.journal.write(ActionJournal.now(), self.core.budgets[kind].hold_ms, kind, host, 1)
         return True
 
     def _is_available(self, kind: str, host: int) -> bool:
         """Whether a unit is free; if none is, the demand is noted for the next request to the leader."""
         now = self.context.clock()
-        if self.core.free(now, kind, host) >= 1:
+        if self.core.available(now, kind, host) >= 1:
             return True
-        self.core.wish(now, kind, host)
+        self.core.record_demand(now, kind, host)
         return False
 
     def on_hosts_listed(self, now: float, entries: Iterable[api.HostEntry]) -> None:
@@ -109,21 +109,23 @@
             return
         for entry in entries:
             if entry.state == "up" and now - entry.online_since < self.warm_up_ms:
-                self.core.wish(now, COLD_SLICES, entry.host)
+                self.core.record_demand(now, COLD_SLICES, entry.host)
 
     @property
     def rejected(self) -> int:
         """How many messages of other controllers were rejected."""
-        return self.core.refused + self.core.divider.strangers
+        return self.core.rejected_count + self.core.allocator.unknown_count
 
     def update_metrics(self) -> None:
         """Set, for each budget, what is granted to this controller and what is in use, over all hosts."""
         core, now = self.core, self.context.clock()
         granted = dict.fromkeys(core.budgets, 0)
         in_use = dict.fromkeys(core.budgets, 0)
-        for account in core.holder.accounts.values():
+        for account in core.client.accounts.values():
             name = account.budget.name
-            granted[name] += core.holder.floor(now, account.budget) + (account.amount if now < account.until else 0)
+            granted[name] += core.client.floor(now, account.budget) + (
+                account.granted if now < account.expires_at_ms else 0
+            )
             in_use[name] += account.count(now, account.uses)
         for name in core.budgets:
             self.context.metrics.quota_granted.labels(name).set(granted[name])
@@ -131,8 +133,8 @@
 
     def reload(self, config: ControllerConfig) -> None:
         """Take new sizes of budgets; nothing else of them may change while the controller runs."""
-        sizes = {name: budget.whole for name, budget in configured_quotas(config).items()}
-        self.core.retune(self.context.clock(), sizes)
+        sizes = {name: budget.capacity for name, budget in configured_quotas(config).items()}
+        self.core.resize(self.context.clock(), sizes)
 
     def leave(self) -> list[OutgoingMessage]:
         """Give back what is granted and not in use."""
--- a/corallanding/controller/record_groups.py
+++ b/corallanding/controller/record_groups.py
@@ -34,4 +34,4 @@
         return RecordLimits(keep_ms, max_wait_ms, block.most, block.again_ms)
     limits = pinning_limits(config.pins, config.budgets.drift)
     terms = run_record_limits(limits, block.most, block.again_ms)
-    return replace(terms, keep=max(terms.keep, keep_ms))
+    return replace(terms, retention_ms=max(terms.retention_ms, keep_ms))
--- a/corallanding/controller/record_service.py
+++ b/corallanding/controller/record_service.py
@@ -87,7 +87,7 @@
             groups.lasting,
             block.words_per_s,
         )
-        self.fleet.records.peers.update(self.store.load(self.fleet.records.shelf))
+        self.fleet.records.peer_files.update(self.store.load(self.fleet.records.replica))
         self.unwritten: list[Persist] = []  # while the file does not take them, nothing that rests on them is sent
         self.write_failed_at = float("-inf")
         self.is_send_scheduled = False
@@ -116,7 +116,7 @@
             return False
         try:
             while self.unwritten:
-                self.store.write(self.unwritten[0].what)
+                self.store.write(self.unwritten[0].changes)
                 del self.unwritten[0]
         except OSError as error:
             self.write_failed_at = now
@@ -132,13 +132,13 @@
 
     def _send_queries(self) -> None:
         self.is_send_scheduled = False
-        self.carry_out(self.fleet.push(self.context.clock()))
+        self.carry_out(self.fleet.send_new_queries(self.context.clock()))
 
     def on_message(self, sender: int, message: Any) -> None:
         """Take a message of the records; while the file takes no writes it is ignored, as if it had been lost."""
         if self.unwritten and not self._write():
             return
-        self.carry_out(self.fleet.heard(self.context.clock(), sender, message))
+        self.carry_out(self.fleet.on_message(self.context.clock(), sender, message))
 
     def on_tick(self, tick: Tick) -> None:
         """Do what is due; call it after the tick of the tasks and of the services that rest on this one."""
@@ -150,18 +150,18 @@
     def rejected(self) -> int:
         """How many messages of other controllers were rejected."""
         records = self.fleet.records
-        return records.refused + records.shelf.refused + self.fleet.asking.refused
+        return records.rejected_count + records.replica.rejected_count + self.fleet.queries.rejected_count
 
     def update_metrics(self) -> None:
         """Set how many records the replica has, and how many queries have no answer yet."""
-        self.context.metrics.record_count.set(self.fleet.records.shelf.count)
-        self.context.metrics.pending_queries.set(len(self.fleet.asking.asked))
+        self.context.metrics.record_count.set(self.fleet.records.replica.record_count)
+        self.context.metrics.pending_queries.set(len(self.fleet.queries.pending))
 
     def reopen(self) -> None:
         """Take the file back after a handover that failed. What the other process wrote is read beside ours."""
         try:
             self.store = RecordStore(self.store.path, self.context.clock)
-            self.store.load(self.fleet.records.shelf)
+            self.store.load(self.fleet.records.replica)
         except OSError as error:
             log.error("records cannot be stored any more; answers withheld", reason=str(error))
 
--- a/corallanding/controller/record_store.py
+++ b/corallanding/controller/record_store.py
@@ -92,9 +92,9 @@
             age_ms = max(0.0, now.since_boot - started_at if self.is_same_boot else now.wall - wall)
             replica.put(group, key, value, (token, number), now.own - age_ms)
         for group, token in db.execute("select * from seen"):
-            replica.raise_seen(group, token)
-        replica.take_unkept()
-        replica.writes = max(replica.writes - 1, self.writes)
+            replica.raise_token(group, token)
+        replica.take_unsaved()
+        replica.write_count = max(replica.write_count - 1, self.writes)
         if not self.is_same_boot:
             self._move_to_this_boot(db, now)
         return {number: (opened, life, writes) for number, opened, life, writes in db.execute("select * from peer")}
@@ -126,27 +126,27 @@
             raise OSError(f"{self.path}: {error}") from None
 
     def _write_records(self, db: sqlite3.Connection, what: UnsavedChanges, now: ClockReadings) -> None:
-        if what.wiped:
+        if what.is_wiped:
             db.execute("delete from record")
             db.execute("delete from seen")
             self._write_metadata(db, {"whole": "0"})
-        db.executemany("delete from record where grp = ? and key = ?", what.gone)
+        db.executemany("delete from record where grp = ? and key = ?", what.deleted_keys)
         rows = []
         for group, key, value, token, number, started_at in what.rows:
             age_ms = now.own - started_at
             rows.append((group, key, value, token, number, now.since_boot - age_ms, now.wall - age_ms))
         db.executemany("insert or replace into record values (?, ?, ?, ?, ?, ?, ?)", rows)
-        db.executemany("insert or replace into seen values (?, ?)", what.seen.items())
+        db.executemany("insert or replace into seen values (?, ?)", what.highest_tokens.items())
 
     def _write_counters(self, db: sqlite3.Connection, what: UnsavedChanges) -> None:
-        peers = [(number, *row) for number, row in what.peers.items()]
+        peers = [(number, *row) for number, row in what.peer_files.items()]
         db.executemany("insert or replace into peer values (?, ?, ?, ?)", peers)
-        self.writes = what.writes
-        self._write_metadata(db, {"writes": str(what.writes)})
-        if what.opened:
-            self.opening_number = what.opened
-            self._write_metadata(db, {"opened": str(what.opened)})
-        if what.whole:
+        self.writes = what.write_count
+        self._write_metadata(db, {"writes": str(what.write_count)})
+        if what.open_count:
+            self.opening_number = what.open_count
+            self._write_metadata(db, {"opened": str(what.open_count)})
+        if what.is_recovered:
             self._write_metadata(db, {"whole": "1"})
 
     def close(self) -> None:
--- a/corallanding/controller/scheduling_service.py
+++ b/corallanding/controller/scheduling_service.py
@@ -68,8 +68,8 @@
         )
         claims: IdempotencyRecords | None = None
         self.queries: IdempotencyQueries | None = None
-        if records and JOBS in records.fleet.of:
-            claims = IdempotencyRecords(records.fleet.asking, records.fleet.of[JOBS])
+        if records and JOBS in records.fleet.groups_by_name:
+            claims = IdempotencyRecords(records.fleet.queries, records.fleet.groups_by_name[JOBS])
             self.queries = IdempotencyQueries(claims, records)
             records.listeners.append(self.on_answers)
         self.alive: list[int] = []
@@ -89,7 +89,7 @@
 
     def _request_releases(self, count: int) -> None:
         """State how many releases a second would be used here."""
-        self.quota.core.aim(self.context.clock(), RELEASES, count)
+        self.quota.core.set_demand(self.context.clock(), RELEASES, count)
 
     def on_proxy_joined(self, proxy: int) -> None:
         """A proxy connected: the age of its process bounds the age of its jobs."""
@@ -166,14 +166,14 @@
             elif isinstance(query, AgeQuery):
                 self._on_age(now, query.job, result)
             elif isinstance(query, ClaimQuery):
-                self._on_claim_answer(now, query, claim_outcome(result.what))
+                self._on_claim_answer(now, query, claim_outcome(result.result))
 
     def _on_age(self, now: float, job: Job, result: QueryResult) -> None:
-        if result.what in (KeyStatus.UNCLAIMED, KeyStatus.DUPLICATE):
+        if result.result in (KeyStatus.UNCLAIMED, KeyStatus.DUPLICATE):
             self.core.set_waiting_since(job, now - result.value)
-        elif result.what == KeyStatus.UNAVAILABLE and (job.proxy, job.ticket) in self.core.tickets:
+        elif result.result == KeyStatus.UNAVAILABLE and (job.proxy, job.ticket) in self.core.tickets:
             self._idempotency().query_age(now, job)  # no majority could answer
-        if result.what == KeyStatus.DUPLICATE and self.core.start_claim(job):
+        if result.result == KeyStatus.DUPLICATE and self.core.start_claim(job):
             self._claim(now, job)
 
     def _on_claim_answer(self, now: float, query: ClaimQuery, outcome: ClaimOutcome) -> None:
--- a/corallanding/controller/sessions.py
+++ b/corallanding/controller/sessions.py
@@ -90,7 +90,7 @@
         session = self.by_proxy.get(proxy)
         if session is None or session.name != name:
             return ReleasedJobs(proxy, [])
-        if result.what == KeyStatus.UNAVAILABLE:
+        if result.result == KeyStatus.UNAVAILABLE:
             self._query_age(now, proxy, name)  # no majority could answer: the jobs wait on
             return ReleasedJobs(proxy, [])
         session.started_at = min(session.started_at, now - result.value)
--- a/corallanding/lab/stewards/figures.py
+++ b/corallanding/lab/stewards/figures.py
@@ -22,7 +22,7 @@
         Budget("moves", max(WHOLE, stewards), 0, stewards, SPAN),
         Budget("cold", max(12, stewards), 0, stewards, 3_000.0, "host"),
     )
-    return {b.name: replace(b, floor=int(b.whole * floors / stewards)) for b in found}
+    return {b.name: replace(b, floor=int(b.capacity * floors / stewards)) for b in found}
 
 
 def uneven(seed: int) -> Callable[[float, int], list[tuple[str, int]]]:
@@ -44,7 +44,7 @@
     if faults:
         troubled(w, ms)
     w.run(ms)
-    rows = most(w.uses, {name: b.whole for name, b in own.items()})
+    rows = most(w.uses, {name: b.capacity for name, b in own.items()})
     return 1.0 - w.refused / max(1, w.wanted), sum(r["over_ms"] for r in rows)
 
 
@@ -82,7 +82,7 @@
         own = {"moves": Budget("moves", max(WHOLE, 3 * stewards), 0, stewards + 1, SPAN)}
         w = World(seed, stewards + 1, min(stewards, 5), own, QuotaLimits(), greedy, first=stewards)
         w.run(15_000.0)
-        divider = next((n for n, p in w.processes.items() if p.quota.office(p.clock(w.now))), 0)
+        divider = next((n for n, p in w.processes.items() if p.quota.is_allocating(p.clock(w.now))), 0)
         if what == "a fifth dies":
             others = [n for n in w.processes if n != divider]
             for n in others[-max(1, stewards // 5) :]:
@@ -93,7 +93,7 @@
             w.part({n for n in w.processes if n % 2 and n != divider})
         else:
             w.start(stewards)
-            held = w.processes[stewards].quota.holder
+            held = w.processes[stewards].quota.client
             took = until(w, lambda: any(a.uses for a in held.accounts.values()))  # noqa: B023
             out.append(Change("first right of a newcomer", took))
             continue
@@ -103,7 +103,7 @@
         low = [
             t
             for t in range(0, 14_000, 100)
-            if share_in_use(w, begun + t, begun + t + SPAN, own["moves"].whole) < ENOUGH
+            if share_in_use(w, begun + t, begun + t + SPAN, own["moves"].capacity) < ENOUGH
         ]
         out.append(Change(what, low[-1] + 100.0 if low else 0.0))
     return out
--- a/corallanding/lab/stewards/runs.py
+++ b/corallanding/lab/stewards/runs.py
@@ -29,7 +29,7 @@
 
 LEASE = LeaseTimings(lease=600.0, office=400.0)
 TERMS = PinningLimits(max_run_ms=6_000.0, announce_interval_ms=150.0)
-ASKS = QueryLimits(answer=900.0, again=60.0)
+ASKS = QueryLimits(timeout_ms=900.0, retry_ms=60.0)
 SETS = {n: {"quote": n, "claim": n} for n in range(1, 9)}
 
 
@@ -45,23 +45,23 @@
     blank: bool = True
 
     def write(self, what: UnsavedChanges, real: Callable[[float], float]) -> None:
-        if what.wiped:
+        if what.is_wiped:
             self.rows, self.seen, self.blank = {}, {}, True
-        for gone in what.gone:
+        for gone in what.deleted_keys:
             self.rows.pop(gone, None)
         for group, key, value, fence, number, born in what.rows:
             self.rows[group, key] = (value, fence, number, real(born))
-        self.seen.update(what.seen)
-        self.peers.update(what.peers)
-        self.opened, self.writes = max(self.opened, what.opened), what.writes
-        self.blank = self.blank and not what.whole
+        self.seen.update(what.highest_tokens)
+        self.peers.update(what.peer_files)
+        self.opened, self.writes = max(self.opened, what.open_count), what.write_count
+        self.blank = self.blank and not what.is_recovered
 
     def load(self, shelf: Replica, local: Callable[[float], float]) -> None:
         for (group, key), (value, fence, number, born) in self.rows.items():
             shelf.put(group, key, value, (fence, number), local(born))
-        shelf.seen.update(self.seen)
-        shelf.take_unkept()
-        shelf.writes = self.writes
+        shelf.highest_tokens.update(self.seen)
+        shelf.take_unsaved()
+        shelf.write_count = self.writes
 
 
 class RunWorld(TaskWorld):
@@ -108,7 +108,7 @@
         fleet = FleetRecords(
             leases,
             self.voters,
-            run_record_limits(self.pin_terms, retry_ms=ASKS.again),
+            run_record_limits(self.pin_terms, retry_ms=ASKS.retry_ms),
             ASKS,
             born,
             disk.opened,
@@ -118,8 +118,8 @@
             (RELEASE_TASK,),
         )
         pins = build_version_pinning(fleet, self.pin_terms, SETS, self.goal, lambda s: self.strong[s])
-        pins.records.peers.update(disk.peers)
-        disk.load(pins.records.shelf, lambda real: born - (self.now - real))
+        pins.records.peer_files.update(disk.peers)
+        disk.load(pins.records.replica, lambda real: born - (self.now - real))
         self.pins[n], self.fleets[n] = pins, fleet
         return leases
 
@@ -137,8 +137,8 @@
         for n in self.drawn.sample(up, min(len(up), 2 if twice else 1)):
             p, pins = self.processes[n], self.pins[n]
             number = pins.request_run(p.clock(self.now), key)
-            self.asked[n, pins.queries.life, number] = (key, self.now)
-            self.carry(n, p, self.fleets[n].push(p.clock(self.now)))
+            self.asked[n, pins.queries.incarnation, number] = (key, self.now)
+            self.carry(n, p, self.fleets[n].send_new_queries(p.clock(self.now)))
 
     def tick(self, n: int, p: Process) -> None:
         if p.alive and not p.stopped:
@@ -159,7 +159,7 @@
         """What must be on disk is, before anything that comes after it."""
         for a in actions:
             if isinstance(a, Persist):
-                self.disks[n].write(a.what, lambda born: self.now - (p.clock(self.now) - born) / p.rate)
+                self.disks[n].write(a.changes, lambda born: self.now - (p.clock(self.now) - born) / p.rate)
             else:
                 self.send(n, a.to, a.word)
         pins = self.pins[n]
@@ -167,15 +167,15 @@
             self.answered(n, pins, answer)
 
     def answered(self, n: int, pins: VersionPinning, answer: QueryResult) -> None:
-        key, _ = self.asked.pop((n, pins.queries.life, answer.number))
-        self.told.append((self.now, key, n, answer.what, answer.value))
+        key, _ = self.asked.pop((n, pins.queries.incarnation, answer.number))
+        self.told.append((self.now, key, n, answer.result, answer.value))
 
     def take(self, n: int, p: Process, sender: int, word: Any) -> None:
         kind, now = type(word).__module__, p.clock(self.now)
         if kind.startswith("corallanding.quorum_records"):
-            self.carry(n, p, self.fleets[n].heard(now, sender, word))
+            self.carry(n, p, self.fleets[n].on_message(now, sender, word))
         elif kind.startswith("corallanding.version_pinning"):
-            self.carry(n, p, self.fleets[n].after(now, list(self.pins[n].on_message(sender, word))))
+            self.carry(n, p, self.fleets[n].in_send_order(now, list(self.pins[n].on_message(sender, word))))
         else:
             super().take(n, p, sender, word)
 
@@ -191,7 +191,7 @@
                 not self.disks[k].blank
                 and k in self.processes
                 and not self.processes[k].stopped
-                and self.pins[k].records.catch.ready
+                and self.pins[k].records.recovery.is_ready
                 for k in self.voters
             )
             if whole and not self.ways and self.usual is self.rest:
--- a/corallanding/lab/stewards/waits.py
+++ b/corallanding/lab/stewards/waits.py
@@ -24,7 +24,7 @@
     blocked_ms=1_500.0,
     dispatches_per_second=20.0,
 )
-QUOTA = QuotaLimits(lease=600.0, office=400.0)
+QUOTA = QuotaLimits(lease_ms=600.0, office=400.0)
 NOTICED = 120.0  # ms until a forwarder sees that its steward is gone
 
 
@@ -86,7 +86,7 @@
             self.wait_terms,
             born,
             lambda: self.right(n, quota),
-            lambda k: quota.aim(clock(), "releases", k),
+            lambda k: quota.set_demand(clock(), "releases", k),
         )
         return quota
 
@@ -96,7 +96,7 @@
 
     def right(self, n: int, quota: Any) -> bool:
         p = self.processes[n]
-        if quota.take(p.clock(self.now), "releases", 0):
+        if quota.acquire(p.clock(self.now), "releases", 0):
             self.uses.append((self.now, self.now + 1_000.0, "releases", 0, 1))
             return True
         return False
--- a/corallanding/lab/stewards/walk.py
+++ b/corallanding/lab/stewards/walk.py
@@ -26,7 +26,7 @@
 from .runs import SETS, Disk
 
 TERMS = PinningLimits(max_run_ms=1e9, announce_interval_ms=60.0)
-ASKS = QueryLimits(answer=300.0, again=60.0)
+ASKS = QueryLimits(timeout_ms=300.0, retry_ms=60.0)
 TASKS = TaskCatalog(
     {RELEASE_TASK: TaskSpec(RELEASE_TASK, work=50.0), RUNS_TASK_GROUP: TaskSpec(RUNS_TASK_GROUP, 1, work=50.0)}
 )
@@ -79,7 +79,7 @@
         fleet = self.fleets[n] = FleetRecords(
             leases,  # type: ignore[arg-type]
             self.keepers,
-            run_record_limits(TERMS, retry_ms=ASKS.again),
+            run_record_limits(TERMS, retry_ms=ASKS.retry_ms),
             ASKS,
             self.now,
             disk.opened,
@@ -90,18 +90,18 @@
             1e9,
         )
         pins = self.pins[n] = build_version_pinning(fleet, TERMS, SETS, self.goal, lambda s: 1.0)
-        pins.records.peers.update(disk.peers)
-        disk.load(pins.records.shelf, lambda real: real)
+        pins.records.peer_files.update(disk.peers)
+        disk.load(pins.records.replica, lambda real: real)
 
     def carry(self, n: int, actions: list[Any]) -> None:
         for a in actions:
             if isinstance(a, Persist):
-                self.disks[n].write(a.what, lambda born: born)
+                self.disks[n].write(a.changes, lambda born: born)
             elif len(self.bag) < BAG:
                 self.bag.append((n, a.to, a.word))
         for answer in self.pins[n].take_answers():
             key = self.asked.pop((n, answer.number), None)
-            if key is not None and answer.what == RunStatus.PINNED:
+            if key is not None and answer.result == RunStatus.PINNED:
                 self.answers += 1
                 self.told.setdefault(key, set()).add(answer.value)
                 if len(self.told[key]) > 1:
@@ -120,14 +120,14 @@
 
     def hand(self, sender: int, to: int, word: Any) -> None:
         if type(word).__module__.startswith("corallanding.quorum_records"):
-            self.carry(to, self.fleets[to].heard(self.now, sender, word))
+            self.carry(to, self.fleets[to].on_message(self.now, sender, word))
         else:
-            self.carry(to, self.fleets[to].after(self.now, list(self.pins[to].on_message(sender, word))))
+            self.carry(to, self.fleets[to].in_send_order(self.now, list(self.pins[to].on_message(sender, word))))
 
     def ask(self, n: int, key: int) -> None:
         number = self.pins[n].request_run(self.now, key)
         self.asked[n, number] = key
-        self.carry(n, self.fleets[n].push(self.now))
+        self.carry(n, self.fleets[n].send_new_queries(self.now))
 
     def tick(self, n: int) -> None:
         self.now += self.chance.uniform(0.0, 20.0)
@@ -147,7 +147,7 @@
     def file(self) -> None:
         """One is lost or put back, while all the others have theirs and count."""
         n = self.chance.choice(self.keepers)
-        if all(not self.disks[k].blank and self.pins[k].records.catch.ready for k in self.keepers):
+        if all(not self.disks[k].blank and self.pins[k].records.recovery.is_ready for k in self.keepers):
             self.disks[n] = copy.deepcopy(self.saved[n]) if self.chance.random() < 0.5 else Disk()
             self.restart(n)
         elif self.chance.random() < 0.3:
--- a/corallanding/lab/stewards/world.py
+++ b/corallanding/lab/stewards/world.py
@@ -144,8 +144,8 @@
 
     def use(self, n: int, p: Process, name: str, subject: int) -> None:
         self.wanted += 1
-        if p.quota.take(p.clock(self.now), name, subject):
-            self.uses.append((self.now, self.now + self.budgets[name].span, name, subject, 1))
+        if p.quota.acquire(p.clock(self.now), name, subject):
+            self.uses.append((self.now, self.now + self.budgets[name].hold_ms, name, subject, 1))
         else:
             self.refused += 1
 
--- a/corallanding/quorum_records/core.py
+++ b/corallanding/quorum_records/core.py
@@ -20,7 +20,7 @@
 class Persist:
     """To be on disk before anything that follows is said."""
 
-    what: UnsavedChanges
+    changes: UnsavedChanges
 
 
 Action = OutgoingMessage | Persist
@@ -50,54 +50,58 @@
         lasting: Iterable[int] = (),
         words_per_s: float = 2_000.0,
     ) -> None:
-        self.me, self.others, self.keepers, self.life, self.terms = me, others, keepers, life, terms
+        self.me, self.others, self.replica_ids, self.incarnation, self.limits = me, others, keepers, life, terms
         self.groups = frozenset(groups)
-        self.shelf = Replica(terms, may, frozenset(counted), frozenset(lasting))
-        self.shelf.blank = blank
-        self.catch = ReplicaRecovery(me, others, keepers, life, terms, self.groups, opened, self.shelf)
-        self.held: dict[int, Proposer] = {}
+        self.replica = Replica(terms, may, frozenset(counted), frozenset(lasting))
+        self.replica.is_recovering = blank
+        self.recovery = ReplicaRecovery(me, others, keepers, life, terms, self.groups, opened, self.replica)
+        self.proposers: dict[int, Proposer] = {}
         self.rounds = itertools.count(1)
-        self.at: dict[int, tuple[int, int]] = {}  # group: the highest fence heard, and whose
-        self.peers: dict[int, tuple[int, int, int]] = {}  # keeper: most openings heard of, in which life; most writes
-        self.allowances = PeerRateLimiter(others, words_per_s, born)
-        self.refused = 0
-        self.swept = born
+        self.holders: dict[int, tuple[int, int]] = {}  # group: the highest fence heard, and whose
+        self.peer_files: dict[
+            int, tuple[int, int, int]
+        ] = {}  # keeper: most openings heard of, in which life; most writes
+        self.rate_limits = PeerRateLimiter(others, words_per_s, born)
+        self.rejected_count = 0
+        self.swept_at_ms = born
 
     @property
-    def keeps(self) -> bool:
-        return self.me in self.keepers
+    def has_replica(self) -> bool:
+        return self.me in self.replica_ids
 
-    def where(self, group: int) -> int | None:
+    def holder_of(self, group: int) -> int | None:
         """Who was last heard to hold it."""
-        return self.at.get(group, (0, None))[1]
+        return self.holders.get(group, (0, None))[1]
 
     # ---- groups --------------------------------------------------------------------------------------------
 
-    def hold(self, group: int, fence: int) -> None:
+    def acquire_group(self, group: int, fence: int) -> None:
         """The group is ours from here on; what a majority has of it is read first."""
-        self.held[group] = Proposer(self.life, group, self.keepers, self.terms, fence, self.rounds.__next__)
+        self.proposers[group] = Proposer(
+            self.incarnation, group, self.replica_ids, self.limits, fence, self.rounds.__next__
+        )
 
-    def drop(self, group: int) -> None:
-        self.held.pop(group, None)
+    def release_group(self, group: int) -> None:
+        self.proposers.pop(group, None)
 
     # ---- the core ------------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> list[Action]:
         """Call every 50 ms or so, and after writes that are to go at once."""
         out: list[OutgoingMessage] = []
-        if self.keeps:
-            out += self.catch.tick(now)
-        for writer in self.held.values():
+        if self.has_replica:
+            out += self.recovery.tick(now)
+        for writer in self.proposers.values():
             out += writer.tick(now)
-        if now - self.swept > 1_000.0:
-            self.swept = now
-            self.shelf.sweep(now)
-            for writer in [w for w in self.held.values() if w.group not in self.shelf.lasting]:
-                for key in [k for k, e in writer.rows.items() if now - e.born > self.terms.keep]:
+        if now - self.swept_at_ms > 1_000.0:
+            self.swept_at_ms = now
+            self.replica.sweep(now)
+            for writer in [w for w in self.proposers.values() if w.group not in self.replica.permanent_groups]:
+                for key in [k for k, e in writer.records.items() if now - e.created_at_ms > self.limits.retention_ms]:
                     writer.forget(key)
-        return self.settled(now, out)
+        return self.deliver(now, out)
 
-    def settled(self, now: float, words: list[OutgoingMessage]) -> list[Action]:
+    def deliver(self, now: float, words: list[OutgoingMessage]) -> list[Action]:
         """Words to ourselves are answered here; what the shelf took in is kept before any word goes out."""
         out: list[OutgoingMessage] = []
         while words:
@@ -105,56 +109,56 @@
             out += words
             words = []
             for s in here:
-                words += self.hear(now, self.me, s.word)
-        unkept = self.shelf.take_unkept()
+                words += self.handle(now, self.me, s.word)
+        unkept = self.replica.take_unsaved()
         return [*([Persist(unkept)] if unkept else []), *out]
 
-    def heard(self, now: float, sender: int, word: RecordMessage) -> list[Action]:
+    def on_message(self, now: float, sender: int, word: RecordMessage) -> list[Action]:
         """A word of a known steward."""
-        if not self.allowances.take(sender, now):
-            self.refused += 1
+        if not self.rate_limits.take(sender, now):
+            self.rejected_count += 1
             return []
-        return self.settled(now, self.hear(now, sender, word))
+        return self.deliver(now, self.handle(now, sender, word))
 
-    def hear(self, now: float, sender: int, word: RecordMessage) -> list[OutgoingMessage]:
+    def handle(self, now: float, sender: int, word: RecordMessage) -> list[OutgoingMessage]:
         match word:
             case Accept() | Prepare():
-                if word.group not in self.groups or not self.keeps:
-                    self.refused += 1
+                if word.group not in self.groups or not self.has_replica:
+                    self.rejected_count += 1
                     return []
-                if word.fence:
-                    self.holder(word.group, word.fence, sender)
-                answer = self.catch.answer(now, word)
+                if word.fencing_token:
+                    self.note_holder(word.group, word.fencing_token, sender)
+                answer = self.recovery.reply_to(now, word)
                 return [OutgoingMessage(sender, answer)] if answer else []
             case AcceptReply():
-                if (w := self.held.get(word.group)) and sender in self.keepers:
-                    w.copied(now, sender, word)
+                if (w := self.proposers.get(word.group)) and sender in self.replica_ids:
+                    w.on_accept_reply(now, sender, word)
             case PrepareReply():
-                if sender not in self.keepers:
+                if sender not in self.replica_ids:
                     return []
-                if self.catch.reads(sender, word):
-                    return self.catch.page(now, sender, word)
-                if w := self.held.get(word.group):
-                    return w.page(now, sender, word)
+                if self.recovery.is_recovery_reply(sender, word):
+                    return self.recovery.on_prepare_reply(now, sender, word)
+                if w := self.proposers.get(word.group):
+                    return w.on_prepare_reply(now, sender, word)
             case FileAnnouncement():
-                if sender in self.keepers:
-                    return [OutgoingMessage(sender, self.known(sender, word))]
+                if sender in self.replica_ids:
+                    return [OutgoingMessage(sender, self.announcement_reply(sender, word))]
             case FileAnnouncementReply():
-                return self.catch.known(now, sender, word)
+                return self.recovery.on_announcement_reply(now, sender, word)
         return []
 
-    def holder(self, group: int, fence: int, sender: int) -> None:
-        if fence >= self.at.get(group, (0, None))[0]:
-            self.at[group] = (fence, sender)
+    def note_holder(self, group: int, fence: int, sender: int) -> None:
+        if fence >= self.holders.get(group, (0, None))[0]:
+            self.holders[group] = (fence, sender)
 
-    def known(self, sender: int, word: FileAnnouncement) -> FileAnnouncementReply:
+    def announcement_reply(self, sender: int, word: FileAnnouncement) -> FileAnnouncementReply:
         """What we know of its file. An opening of another life with as high a number was made of the same contents, and
         so was one of a file with fewer writes."""
-        count, life, writes = self.peers.get(sender, (0, 0, 0))
-        most = max(writes, word.writes)
+        count, life, writes = self.peer_files.get(sender, (0, 0, 0))
+        most = max(writes, word.write_count)
         if word.round > count or most > writes:
             opened = max(word.round, count)
-            self.peers[sender] = (opened, word.life if word.round > count else life, most)
-            self.shelf.unkept.peers[sender] = self.peers[sender]
+            self.peer_files[sender] = (opened, word.life if word.round > count else life, most)
+            self.replica.unsaved.peer_files[sender] = self.peer_files[sender]
         other = 0 if word.round > count or life == word.life else count
-        return FileAnnouncementReply(word.life, other, self.shelf.blank or not self.keeps, most)
+        return FileAnnouncementReply(word.life, other, self.replica.is_recovering or not self.has_replica, most)
--- a/corallanding/quorum_records/fleet.py
+++ b/corallanding/quorum_records/fleet.py
@@ -12,7 +12,6 @@
 from .limits import RecordLimits
 from .messages import Query, QueryReply, RecordMessage
 from .queries import Queries, QueryLimits
-from .replica import AcceptRule
 
 
 class FleetRecords:
@@ -37,12 +36,16 @@
         words_per_s: float = 2_000.0,
     ) -> None:
         tasks = leases.tasks
-        self.numbers = {name: [tasks.number(name, n) for n in range(tasks.by_name[name].count)] for name in names}
-        self.of = {name: tuple(group_of(tasks.label(n)) for n in rows) for name, rows in self.numbers.items()}
-        every = [g for rows in self.of.values() for g in rows]
-        some, more = [g for name in counted for g in self.of[name]], [g for name in lasting for g in self.of[name]]
-        self.rules: dict[int, Callable[[int, bool], bool]] = {}  # by group: what a keeper takes in
-        may: AcceptRule = lambda group, value, first: group not in self.rules or self.rules[group](value, first)  # noqa: E731
+        self.task_numbers = {name: [tasks.number(name, n) for n in range(tasks.by_name[name].count)] for name in names}
+        self.groups_by_name = {
+            name: tuple(group_of(tasks.label(n)) for n in rows) for name, rows in self.task_numbers.items()
+        }
+        every = [g for rows in self.groups_by_name.values() for g in rows]
+        some, more = (
+            [g for name in counted for g in self.groups_by_name[name]],
+            [g for name in lasting for g in self.groups_by_name[name]],
+        )
+        self.acceptance_rules: dict[int, Callable[[int, bool], bool]] = {}  # by group: what a keeper takes in
         self.records = QuorumRecords(
             leases.me,
             leases.others,
@@ -53,55 +56,60 @@
             every,
             opened,
             blank,
-            may,
+            self.may_accept,
             some,
             more,
             words_per_s,
         )
-        self.groups = GroupLeases(leases, self.records, [n for rows in self.numbers.values() for n in rows])
-        self.asking = Queries(leases.me, leases.others, leases.life, self.records, asks)
+        self.group_leases = GroupLeases(leases, self.records, [n for rows in self.task_numbers.values() for n in rows])
+        self.queries = Queries(leases.me, leases.others, leases.life, self.records, asks)
+
+    def may_accept(self, group: int, value: int, is_initial: bool) -> bool:
+        """Whether the owner of the group lets a replica accept the value; groups without a rule accept any."""
+        rule = self.acceptance_rules.get(group)
+        return rule is None or rule(value, is_initial)
 
     def tick(self, now: float, actions: list[Action] | None = None) -> list[Action]:
         """Call after each tick of the leases; actions: of those who rest on us."""
-        self.groups.sync(now)
-        return self.after(now, [*(actions or []), *self.asking.tick(now), *self.records.tick(now)])
+        self.group_leases.sync(now)
+        return self.in_send_order(now, [*(actions or []), *self.queries.tick(now), *self.records.tick(now)])
 
-    def push(self, now: float) -> list[Action]:
+    def send_new_queries(self, now: float) -> list[Action]:
         """What was just asked goes out at once."""
-        return self.after(now, list(self.asking.push(now)))
+        return self.in_send_order(now, list(self.queries.send_new(now)))
 
-    def heard(self, now: float, sender: int, word: RecordMessage | Query | QueryReply) -> list[Action]:
+    def on_message(self, now: float, sender: int, word: RecordMessage | Query | QueryReply) -> list[Action]:
         """A word of a known steward."""
         if not isinstance(word, Query | QueryReply):
-            return self.after(now, self.records.heard(now, sender, word))
-        if not self.records.allowances.take(sender, now):
-            self.records.refused += 1
+            return self.in_send_order(now, self.records.on_message(now, sender, word))
+        if not self.records.rate_limits.take(sender, now):
+            self.records.rejected_count += 1
             return []
         if isinstance(word, QueryReply):
-            self.asking.told(sender, word)
+            self.queries.on_reply(sender, word)
             return []
-        return self.after(now, list(self.asking.heard(now, sender, word)))
+        return self.in_send_order(now, list(self.queries.on_query(now, sender, word)))
 
     def flush(self, now: float) -> list[Action]:
         """Copies of what has just begun go at once, not at the next tick."""
         out: list[Action] = []
-        for writer in self.records.held.values():
-            if writer.open and writer.queue:
-                out += self.records.settled(now, writer.tick(now))
+        for writer in self.records.proposers.values():
+            if writer.is_ready and writer.write_queue:
+                out += self.records.deliver(now, writer.tick(now))
         return out
 
-    def after(self, now: float, actions: list[Action]) -> list[Action]:
-        out = [*actions, *self.asking.decided(now), *self.flush(now), *self.asking.decided(now)]
+    def in_send_order(self, now: float, actions: list[Action]) -> list[Action]:
+        out = [*actions, *self.queries.on_decisions(now), *self.flush(now), *self.queries.on_decisions(now)]
         return [*[a for a in out if isinstance(a, Persist)], *[a for a in out if not isinstance(a, Persist)]]
 
-    def page(self) -> Mapping[str, Any]:
+    def status(self) -> Mapping[str, Any]:
         """What the door shows."""
-        shelf = self.records.shelf
+        shelf = self.records.replica
         return {
-            "records": shelf.count,
-            "counts": self.records.catch.ready,
-            "blank": shelf.blank,
-            "waits_for": self.records.catch.waits_for(),
-            "groups_held": len(self.records.held),
-            "questions": len(self.asking.asked),
+            "records": shelf.record_count,
+            "counts": self.records.recovery.is_ready,
+            "blank": shelf.is_recovering,
+            "waits_for": self.records.recovery.awaited_replicas(),
+            "groups_held": len(self.records.proposers),
+            "questions": len(self.queries.pending),
         }
--- a/corallanding/quorum_records/groups.py
+++ b/corallanding/quorum_records/groups.py
@@ -19,21 +19,21 @@
 
     def __init__(self, leases: TaskLeases, records: QuorumRecords, tasks: Iterable[int]) -> None:
         self.leases, self.records = leases, records
-        self.of = {number: group_of(leases.tasks.label(number)) for number in tasks}
-        self.behind: dict[int, int] = {}  # group: the fence that its keepers have seen
+        self.group_by_task = {number: group_of(leases.tasks.label(number)) for number in tasks}
+        self.superseded_tokens: dict[int, int] = {}  # group: the fence that its keepers have seen
 
     def sync(self, now: float) -> None:
         """Call after each tick of the leases. One that was refused behind a fence waits until it has a higher one."""
-        held = self.records.held
-        for number, group in self.of.items():
+        held = self.records.proposers
+        for number, group in self.group_by_task.items():
             writer = held.get(group)
-            if writer and writer.behind:
-                self.behind[group] = writer.behind
-                self.leases.holder.behind_of(writer.behind)
-                self.records.drop(group)
+            if writer and writer.superseded_by:
+                self.superseded_tokens[group] = writer.superseded_by
+                self.leases.holder.behind_of(writer.superseded_by)
+                self.records.release_group(group)
                 writer = None
             if not self.leases.holds(now, number):
                 if writer:
-                    self.records.drop(group)
-            elif writer is None and self.leases.holder.fence > self.behind.get(group, 0):
-                self.records.hold(group, self.leases.holder.fence)
+                    self.records.release_group(group)
+            elif writer is None and self.leases.holder.fence > self.superseded_tokens.get(group, 0):
+                self.records.acquire_group(group, self.leases.holder.fence)
--- a/corallanding/quorum_records/queries.py
+++ b/corallanding/quorum_records/queries.py
@@ -25,9 +25,9 @@
     """ms. answer: within which a question is answered, if only by "not now". most: that wait for an answer here, and
     that others wait for from here."""
 
-    answer: float = 1_500.0
-    again: float = 150.0
-    most: int = 10_000
+    timeout_ms: float = 1_500.0
+    retry_ms: float = 150.0
+    max_pending: int = 10_000
 
 
 @dataclass
@@ -37,9 +37,9 @@
     group: int
     key: int
     kind: int
-    more: int
-    since: float
-    asked_at: float = float("-inf")
+    argument: int
+    asked_at_ms: float
+    sent_at_ms: float = float("-inf")
 
 
 @dataclass(frozen=True)
@@ -47,7 +47,7 @@
     """number: as `ask` gave it."""
 
     number: int
-    what: int
+    result: int
     value: int
 
 
@@ -55,137 +55,139 @@
     """Subjects `serve` their groups: `look` says what there is, or begins to write it and says nothing yet."""
 
     def __init__(self, me: int, others: tuple[int, ...], life: int, records: QuorumRecords, terms: QueryLimits) -> None:
-        self.me, self.others, self.life, self.records, self.terms = me, others, life, records, terms
-        self.looks: dict[int, tuple[RecordHandler, RejectionHandler]] = {}
-        self.asked: dict[int, PendingQuery] = {}
-        self.fresh: list[int] = []  # that were not said yet
-        self.answers: dict[int, list[QueryResult]] = {}  # by the first group of the subject
-        self.parts: dict[int, tuple[int, ...]] = {}  # group: all of its subject; a key is of the one at its remainder
-        self.count = self.refused = 0
-        self.owed: dict[tuple[int, int], dict[tuple[int, int, int], tuple[int, int]]] = {}
-        self.at: dict[int, int] = {}  # group: who answered last
-        self.said_at = float("-inf")
-
-    def serve(self, groups: Iterable[int], look: RecordHandler, denied: RejectionHandler) -> None:
+        self.me, self.others, self.incarnation, self.records, self.limits = me, others, life, records, terms
+        self.handlers: dict[int, tuple[RecordHandler, RejectionHandler]] = {}
+        self.pending: dict[int, PendingQuery] = {}
+        self.unsent: list[int] = []  # that were not said yet
+        self.results: dict[int, list[QueryResult]] = {}  # by the first group of the subject
+        self.partitions: dict[
+            int, tuple[int, ...]
+        ] = {}  # group: all of its subject; a key is of the one at its remainder
+        self.query_count = self.rejected_count = 0
+        self.waiting_askers: dict[tuple[int, int], dict[tuple[int, int, int], tuple[int, int]]] = {}
+        self.last_responders: dict[int, int] = {}  # group: who answered last
+        self.retried_at_ms = float("-inf")
+
+    def register(self, groups: Iterable[int], look: RecordHandler, denied: RejectionHandler) -> None:
         groups = tuple(groups)
-        self.answers[groups[0]] = []
+        self.results[groups[0]] = []
         for group in groups:
-            self.looks[group], self.parts[group] = (look, denied), groups
+            self.handlers[group], self.partitions[group] = (look, denied), groups
 
-    def take(self, group: int) -> list[QueryResult]:
+    def take_results(self, group: int) -> list[QueryResult]:
         """Answers to questions on the subject of that group, since last taken."""
-        first = self.parts[group][0]
-        out, self.answers[first] = self.answers[first], []
+        first = self.partitions[group][0]
+        out, self.results[first] = self.results[first], []
         return out
 
     # ---- at the steward that is asked ----------------------------------------------------------------------
 
-    def ask(self, now: float, group: int, key: int, kind: int = 0, more: int = 0) -> int:
+    def submit(self, now: float, group: int, key: int, kind: int = 0, more: int = 0) -> int:
         """The number under which `take` will have the answer. key: not 0."""
-        self.count += 1
-        if len(self.asked) >= self.terms.most:
-            self.answers[self.parts[group][0]].append(QueryResult(self.count, NOT_NOW, 0))
-            self.refused += 1
+        self.query_count += 1
+        if len(self.pending) >= self.limits.max_pending:
+            self.results[self.partitions[group][0]].append(QueryResult(self.query_count, NOT_NOW, 0))
+            self.rejected_count += 1
         else:
-            self.asked[self.count] = PendingQuery(group, key, kind, more, now)
-            self.fresh.append(self.count)
-        return self.count
+            self.pending[self.query_count] = PendingQuery(group, key, kind, more, now)
+            self.unsent.append(self.query_count)
+        return self.query_count
 
-    def push(self, now: float) -> list[OutgoingMessage]:
+    def send_new(self, now: float) -> list[OutgoingMessage]:
         """What was just asked goes out at once."""
-        fresh, self.fresh = self.fresh, []
-        return [s for n in fresh if n in self.asked for s in self.say(now, n, self.asked[n])]
+        fresh, self.unsent = self.unsent, []
+        return [s for n in fresh if n in self.pending for s in self.send_query(now, n, self.pending[n])]
 
     def tick(self, now: float) -> list[OutgoingMessage]:
-        out = self.push(now)
-        if now - self.said_at < self.terms.again / 3.0:
+        out = self.send_new(now)
+        if now - self.retried_at_ms < self.limits.retry_ms / 3.0:
             return out
-        self.said_at = now
-        for number, a in list(self.asked.items()):
-            if now - a.since > self.terms.answer:
-                self.answered(number, NOT_NOW, 0)
-                self.at.pop(a.group, None)
-            elif now - a.asked_at >= self.terms.again:
-                out += self.say(now, number, a)
-        self.owed = {k: who for k, who in self.owed.items() if k[0] in self.records.held}
+        self.retried_at_ms = now
+        for number, a in list(self.pending.items()):
+            if now - a.asked_at_ms > self.limits.timeout_ms:
+                self.finish(number, NOT_NOW, 0)
+                self.last_responders.pop(a.group, None)
+            elif now - a.sent_at_ms >= self.limits.retry_ms:
+                out += self.send_query(now, number, a)
+        self.waiting_askers = {k: who for k, who in self.waiting_askers.items() if k[0] in self.records.proposers}
         return out
 
-    def say(self, now: float, number: int, a: PendingQuery) -> list[OutgoingMessage]:
+    def send_query(self, now: float, number: int, a: PendingQuery) -> list[OutgoingMessage]:
         """To the holder, or to all while it is not known, or does not answer."""
-        first, a.asked_at = a.asked_at == float("-inf"), now
-        word = Query(self.life, number, a.group, a.key, a.kind, a.more)
-        if a.group in self.records.held:
-            return self.heard(now, self.me, word)
-        to = self.at.get(a.group, self.records.where(a.group))
+        first, a.sent_at_ms = a.sent_at_ms == float("-inf"), now
+        word = Query(self.incarnation, number, a.group, a.key, a.kind, a.argument)
+        if a.group in self.records.proposers:
+            return self.on_query(now, self.me, word)
+        to = self.last_responders.get(a.group, self.records.holder_of(a.group))
         if first and to is not None and to != self.me:
             return [OutgoingMessage(to, word)]
         return [OutgoingMessage(n, word) for n in self.others]
 
-    def told(self, sender: int, word: QueryReply) -> None:
-        a = self.asked.get(word.round)
-        if word.life == self.life and a is not None and word.key != a.key:
-            self.refused += 1
-        elif word.life == self.life and a is not None:
-            self.at[a.group] = sender
-            if word.what != NOT_NOW:
-                self.answered(word.round, word.what, word.value)
+    def on_reply(self, sender: int, word: QueryReply) -> None:
+        a = self.pending.get(word.round)
+        if word.life == self.incarnation and a is not None and word.key != a.key:
+            self.rejected_count += 1
+        elif word.life == self.incarnation and a is not None:
+            self.last_responders[a.group] = sender
+            if word.result != NOT_NOW:
+                self.finish(word.round, word.result, word.value)
 
-    def answered(self, number: int, what: int, value: int) -> None:
-        if a := self.asked.pop(number, None):
-            self.answers[self.parts[a.group][0]].append(QueryResult(number, what, value))
+    def finish(self, number: int, what: int, value: int) -> None:
+        if a := self.pending.pop(number, None):
+            self.results[self.partitions[a.group][0]].append(QueryResult(number, what, value))
 
     # ---- at the holder of the group ------------------------------------------------------------------------
 
-    def heard(self, now: float, sender: int, word: Query) -> list[OutgoingMessage]:
+    def on_query(self, now: float, sender: int, word: Query) -> list[OutgoingMessage]:
         """No answer if the group is not ours: it is asked elsewhere, and again."""
-        if word.group not in self.records.held or word.group not in self.looks:
+        if word.group not in self.records.proposers or word.group not in self.handlers:
             return []
-        parts = self.parts[word.group]
+        parts = self.partitions[word.group]
         if parts[word.key % len(parts)] != word.group:
-            self.refused += 1  # a record must not be begun in a group where nobody will look for it
+            self.rejected_count += 1  # a record must not be begun in a group where nobody will look for it
             return []
-        owed = self.owed.setdefault((word.group, word.key), {})
-        if len(owed) >= 64 or len(self.owed) > self.terms.most:
-            self.refused += 1
+        owed = self.waiting_askers.setdefault((word.group, word.key), {})
+        if len(owed) >= 64 or len(self.waiting_askers) > self.limits.max_pending:
+            self.rejected_count += 1
             return []
         who = (sender, word.life, word.kind)
         if word.round >= owed.get(who, (0, 0))[0]:
-            owed[who] = (word.round, word.more)
-        return self.look(now, word.group, word.key)
+            owed[who] = (word.round, word.argument)
+        return self.try_answer(now, word.group, word.key)
 
-    def look(self, now: float, group: int, key: int) -> list[OutgoingMessage]:
+    def try_answer(self, now: float, group: int, key: int) -> list[OutgoingMessage]:
         """Answers whoever asked and can be told."""
-        writer, owed = self.records.held.get(group), self.owed.get((group, key))
-        if writer is None or not writer.open or writer.behind or owed is None:
+        writer, owed = self.records.proposers.get(group), self.waiting_askers.get((group, key))
+        if writer is None or not writer.is_ready or writer.superseded_by or owed is None:
             return []
         out: list[OutgoingMessage] = []
         for who, (number, more) in list(owed.items()):
-            if found := self.looks[group][0](now, group, key, who[2], more):
+            if found := self.handlers[group][0](now, group, key, who[2], more):
                 del owed[who]
-                out += self.answer(who, number, key, found)
+                out += self.reply(who, number, key, found)
         if not owed:
-            self.owed.pop((group, key), None)
+            self.waiting_askers.pop((group, key), None)
         return out
 
-    def answer(self, who: tuple[int, int, int], number: int, key: int, found: Outcome) -> list[OutgoingMessage]:
+    def reply(self, who: tuple[int, int, int], number: int, key: int, found: Outcome) -> list[OutgoingMessage]:
         if who[0] == self.me:
-            self.answered(number, *found)
+            self.finish(number, *found)
             return []
         return [OutgoingMessage(who[0], QueryReply(who[1], number, key, *found))]
 
-    def decided(self, now: float) -> list[OutgoingMessage]:
+    def on_decisions(self, now: float) -> list[OutgoingMessage]:
         """After words of keepers: what a majority has taken in is told; what it refused is begun anew, or told so."""
         out: list[OutgoingMessage] = []
-        for group, writer in self.records.held.items():
-            if group not in self.looks or not (writer.decided or writer.denied):
+        for group, writer in self.records.proposers.items():
+            if group not in self.handlers or not (writer.decided_keys or writer.rejected_keys):
                 continue
-            keys, writer.decided = writer.decided, []
+            keys, writer.decided_keys = writer.decided_keys, []
             for key in keys:
-                out += self.look(now, group, key)
-            denied, writer.denied = writer.denied, {}
+                out += self.try_answer(now, group, key)
+            denied, writer.rejected_keys = writer.rejected_keys, {}
             for key, why in denied.items():
                 writer.forget(key)
-                if found := self.looks[group][1](why):
-                    for who, (number, _) in self.owed.pop((group, key), {}).items():
-                        out += self.answer(who, number, key, found)
+                if found := self.handlers[group][1](why):
+                    for who, (number, _) in self.waiting_askers.pop((group, key), {}).items():
+                        out += self.reply(who, number, key, found)
         return out
--- a/corallanding/quorum_records/replica.py
+++ b/corallanding/quorum_records/replica.py
@@ -31,9 +31,9 @@
     """order: fence and round in which it was written; what was written later goes before. born: by our clock."""
 
     value: int
-    order: tuple[int, int]
-    born: float
-    live: bool = True  # it is tallied
+    ballot: tuple[int, int]
+    created_at_ms: float
+    is_counted: bool = True  # it is tallied
 
 
 UnsavedRow = tuple[int, int, int, int, int, float]  # group, key, value, fence, round, born
@@ -44,13 +44,15 @@
     """To be written in one transaction."""
 
     rows: list[UnsavedRow] = field(default_factory=list)
-    seen: dict[int, int] = field(default_factory=dict)
-    gone: list[tuple[int, int]] = field(default_factory=list)  # group, key
-    peers: dict[int, tuple[int, int, int]] = field(default_factory=dict)  # keeper: openings of its file, life, writes
-    opened: int = 0  # this file counts as opened so often
-    writes: int = 0  # of the file, this one among them
-    wiped: bool = False  # all that was in it goes first
-    whole: bool = False  # it has caught up
+    highest_tokens: dict[int, int] = field(default_factory=dict)
+    deleted_keys: list[tuple[int, int]] = field(default_factory=list)  # group, key
+    peer_files: dict[int, tuple[int, int, int]] = field(
+        default_factory=dict
+    )  # keeper: openings of its file, life, writes
+    open_count: int = 0  # this file counts as opened so often
+    write_count: int = 0  # of the file, this one among them
+    is_wiped: bool = False  # all that was in it goes first
+    is_recovered: bool = False  # it has caught up
 
     def __bool__(self) -> bool:
         return any(vars(self).values())
@@ -75,37 +77,39 @@
         counted: frozenset[int] = frozenset(),
         lasting: frozenset[int] = frozenset(),
     ) -> None:
-        self.terms, self.may, self.counted, self.lasting = terms, may, counted, lasting
-        self.tallies: Counter[int] = Counter()
+        self.limits, self.accepts, self.counted_groups, self.permanent_groups = terms, may, counted, lasting
+        self.value_counts: Counter[int] = Counter()
         self.groups: dict[int, dict[int, ReplicaRecord]] = {}
-        self.seen: dict[int, int] = {}
-        self.sorted: dict[int, list[int]] = {}  # keys of a group that is being read, ascending
-        self.count = self.refused = 0
-        self.writes = 0  # to its file, ever: one that was put back from a copy has had fewer than others know of
-        self.blank = False
-        self.unkept = UnsavedChanges()
-        self.swept = -1
-
-    def copy(self, now: float, word: Accept) -> AcceptReply:
+        self.highest_tokens: dict[int, int] = {}
+        self.sorted_keys: dict[int, list[int]] = {}  # keys of a group that is being read, ascending
+        self.record_count = self.rejected_count = 0
+        self.write_count = 0  # to its file, ever: one that was put back from a copy has had fewer than others know of
+        self.is_recovering = False
+        self.unsaved = UnsavedChanges()
+        self.last_swept_group = -1
+
+    def on_accept(self, now: float, word: Accept) -> AcceptReply:
         """The answer; nothing of a word is kept that is not kept whole."""
-        what = self.takes(word)
+        what = self.acceptance_status(word)
         if what == ACCEPTED:
-            self.raise_seen(word.group, word.fence)
+            self.raise_token(word.group, word.fencing_token)
             for key, value, age in word.rows:
-                self.put(word.group, key, value, (word.fence, word.round), now - age)
+                self.put(word.group, key, value, (word.fencing_token, word.round), now - age)
         else:
-            self.refused += 1
-        return AcceptReply(word.life, word.round, word.group, what, self.seen.get(word.group, 0))
+            self.rejected_count += 1
+        return AcceptReply(word.life, word.round, word.group, what, self.highest_tokens.get(word.group, 0))
 
-    def takes(self, word: Accept) -> int:
-        if self.blank:
+    def acceptance_status(self, word: Accept) -> int:
+        if self.is_recovering:
             return RECOVERING
-        if word.fence < self.seen.get(word.group, 0):
+        if word.fencing_token < self.highest_tokens.get(word.group, 0):
             return SUPERSEDED
         have = self.groups.get(word.group, {})
-        if self.count + sum(key not in have for key, _, _ in word.rows) > self.terms.most:
+        if self.record_count + sum(key not in have for key, _, _ in word.rows) > self.limits.max_records:
             return FULL
-        if not all(self.may(word.group, v, word.first) for k, v, _ in word.rows if k not in have or have[k].value != v):
+        if not all(
+            self.accepts(word.group, v, word.is_initial) for k, v, _ in word.rows if k not in have or have[k].value != v
+        ):
             return CLOSED
         return ACCEPTED
 
@@ -114,79 +118,83 @@
         old = rows.get(key)
         if old is None:
             rows[key] = ReplicaRecord(value, order, born)
-            self.count += 1
-            self.sorted.pop(group, None)
-        elif order >= old.order:
-            if old.live:
-                self.tally(group, old.value, -1)
-            old.value, old.order, old.born, old.live = value, order, min(old.born, born), True
+            self.record_count += 1
+            self.sorted_keys.pop(group, None)
+        elif order >= old.ballot:
+            if old.is_counted:
+                self.add_to_count(group, old.value, -1)
+            old.value, old.ballot, old.created_at_ms, old.is_counted = value, order, min(old.created_at_ms, born), True
         else:
             return
-        self.tally(group, value, 1)
+        self.add_to_count(group, value, 1)
         r = rows[key]
-        self.unkept.rows.append((group, key, r.value, *r.order, r.born))
+        self.unsaved.rows.append((group, key, r.value, *r.ballot, r.created_at_ms))
 
-    def tally(self, group: int, value: int, by: int) -> None:
-        if group in self.counted:
-            self.tallies[value] += by
-            if not self.tallies[value]:
-                del self.tallies[value]
+    def add_to_count(self, group: int, value: int, by: int) -> None:
+        if group in self.counted_groups:
+            self.value_counts[value] += by
+            if not self.value_counts[value]:
+                del self.value_counts[value]
 
-    def raise_seen(self, group: int, fence: int) -> None:
-        if fence > self.seen.get(group, 0):
-            self.seen[group] = self.unkept.seen[group] = fence
+    def raise_token(self, group: int, fence: int) -> None:
+        if fence > self.highest_tokens.get(group, 0):
+            self.highest_tokens[group] = self.unsaved.highest_tokens[group] = fence
 
-    def fetch(self, now: float, word: Prepare) -> PrepareReply:
+    def on_prepare(self, now: float, word: Prepare) -> PrepareReply:
         """A page of the group, which promises the fence that it was asked under."""
-        seen = self.seen.get(word.group, 0)
-        if self.blank or (word.fence and word.fence < seen):
-            return PrepareReply(word.life, word.round, word.group, RECOVERING if self.blank else SUPERSEDED, seen)
-        self.raise_seen(word.group, word.fence)
+        seen = self.highest_tokens.get(word.group, 0)
+        if self.is_recovering or (word.fencing_token and word.fencing_token < seen):
+            return PrepareReply(
+                word.life, word.round, word.group, RECOVERING if self.is_recovering else SUPERSEDED, seen
+            )
+        self.raise_token(word.group, word.fencing_token)
         rows = self.groups.get(word.group, {})
-        keys = self.sorted.get(word.group)
+        keys = self.sorted_keys.get(word.group)
         if keys is None:
-            keys = self.sorted[word.group] = sorted(rows)
-        page = self.page(now, rows, keys, word.after)
+            keys = self.sorted_keys[word.group] = sorted(rows)
+        page = self.read_page(now, rows, keys, word.after_key)
         more = len(page) == PAGED_MOST and page[-1][0] != keys[-1]
         if not more:
-            self.sorted.pop(word.group, None)
-        return PrepareReply(word.life, word.round, word.group, ACCEPTED, self.seen.get(word.group, 0), page, more)
+            self.sorted_keys.pop(word.group, None)
+        return PrepareReply(
+            word.life, word.round, word.group, ACCEPTED, self.highest_tokens.get(word.group, 0), page, more
+        )
 
-    def page(self, now: float, rows: dict[int, ReplicaRecord], keys: list[int], after: int) -> list[VersionedRow]:
+    def read_page(self, now: float, rows: dict[int, ReplicaRecord], keys: list[int], after: int) -> list[VersionedRow]:
         at = bisect_right(keys, after)
         out = []
         for key in keys[at : at + PAGED_MOST]:
             r = rows[key]
-            out.append((key, r.value, max(0, int(now - r.born)), *r.order))
+            out.append((key, r.value, max(0, int(now - r.created_at_ms)), *r.ballot))
         return out
 
     def sweep(self, now: float) -> None:
         """Drop what is over its time; call every second: all groups are seen within a sixteenth of it."""
-        groups = sorted(self.groups.keys() - self.lasting)
-        for _ in range(min(len(groups), 1 + int(len(groups) * 16_000.0 / self.terms.keep))):
-            group = self.swept = next((g for g in groups if g > self.swept), groups[0])
+        groups = sorted(self.groups.keys() - self.permanent_groups)
+        for _ in range(min(len(groups), 1 + int(len(groups) * 16_000.0 / self.limits.retention_ms))):
+            group = self.last_swept_group = next((g for g in groups if g > self.last_swept_group), groups[0])
             rows = self.groups.get(group, {})
             for key, r in list(rows.items()):
-                if r.live and now - r.born > self.terms.live:
-                    r.live = False
-                    self.tally(group, r.value, -1)
-                if now - r.born > self.terms.keep:
+                if r.is_counted and now - r.created_at_ms > self.limits.counted_ms:
+                    r.is_counted = False
+                    self.add_to_count(group, r.value, -1)
+                if now - r.created_at_ms > self.limits.retention_ms:
                     del rows[key]
-                    self.count -= 1
-                    self.unkept.gone.append((group, key))
-                    self.sorted.pop(group, None)
+                    self.record_count -= 1
+                    self.unsaved.deleted_keys.append((group, key))
+                    self.sorted_keys.pop(group, None)
             if not rows:
                 self.groups.pop(group, None)
 
     def wipe(self) -> None:
         """What stands here is a copy of former days: nothing of it is to be trusted."""
-        self.groups, self.seen, self.sorted, self.count, self.blank = {}, {}, {}, 0, True
-        self.tallies.clear()
-        self.unkept = UnsavedChanges(wiped=True)
+        self.groups, self.highest_tokens, self.sorted_keys, self.record_count, self.is_recovering = {}, {}, {}, 0, True
+        self.value_counts.clear()
+        self.unsaved = UnsavedChanges(is_wiped=True)
 
-    def take_unkept(self) -> UnsavedChanges:
-        out, self.unkept = self.unkept, UnsavedChanges()
+    def take_unsaved(self) -> UnsavedChanges:
+        out, self.unsaved = self.unsaved, UnsavedChanges()
         if out:
-            self.writes += 1
-            out.writes = self.writes
+            self.write_count += 1
+            out.write_count = self.write_count
         return out
--- a/corallanding/quota/core.py
+++ b/corallanding/quota/core.py
@@ -27,122 +27,129 @@
     voters: tuple[int, ...]
     budgets: dict[str, Budget]
     terms: QuotaLimits
-    life: int
-    born: float
+    incarnation: int
+    created_at_ms: float
     chance: Callable[[], float]
-    alone: int = 0  # wants that found no divider to go to
-    refused: int = 0  # words of nobody that we know, or too many
+    requests_without_allocator: int = 0  # wants that found no divider to go to
+    rejected_count: int = 0  # words of nobody that we know, or too many
     words_per_s: float = 200.0  # taken from one
-    chair: LeaderElection | None = None
+    shared_election: LeaderElection | None = None
 
     def __post_init__(self) -> None:
-        self.allowances = PeerRateLimiter(self.others, self.words_per_s, self.born)
-        self.ids = {b.id: b for b in self.budgets.values()}
-        self.holder = QuotaClient(self.life, self.terms, self.born)
-        self.shared = self.chair is not None
-        self.desk: LeaderElection = self.chair or VotedElection(
-            self.me, self.others, self.voters, self.terms, self.life, self.born, self.chance, self.words_per_s
+        self.allowances = PeerRateLimiter(self.others, self.words_per_s, self.created_at_ms)
+        self.budgets_by_id = {b.id: b for b in self.budgets.values()}
+        self.client = QuotaClient(self.incarnation, self.terms, self.created_at_ms)
+        self.has_shared_election = self.shared_election is not None
+        self.election: LeaderElection = self.shared_election or VotedElection(
+            self.me,
+            self.others,
+            self.voters,
+            self.terms,
+            self.incarnation,
+            self.created_at_ms,
+            self.chance,
+            self.words_per_s,
         )
-        self.divider = QuotaAllocator(self.terms, self.ids, self.life)
+        self.allocator = QuotaAllocator(self.terms, self.budgets_by_id, self.incarnation)
 
     # ---- what is asked in the instant of a use -------------------------------------------------------------
 
-    def free(self, now: float, name: str, subject: int = 0) -> float:
+    def available(self, now: float, name: str, subject: int = 0) -> float:
         """How many may begin now; without such a budget, as many as you like."""
         budget = self.budgets.get(name)
-        return float("inf") if budget is None else self.holder.free(now, budget, subject)
+        return float("inf") if budget is None else self.client.available(now, budget, subject)
 
-    def take(self, now: float, name: str, subject: int = 0, n: int = 1) -> bool:
+    def acquire(self, now: float, name: str, subject: int = 0, n: int = 1) -> bool:
         budget = self.budgets.get(name)
-        return budget is None or self.holder.take(now, budget, subject, n)
+        return budget is None or self.client.acquire(now, budget, subject, n)
 
-    def wish(self, now: float, name: str, subject: int = 0, n: int = 1) -> None:
+    def record_demand(self, now: float, name: str, subject: int = 0, n: int = 1) -> None:
         if budget := self.budgets.get(name):
-            self.holder.miss(now, budget, subject, n)
+            self.client.record_unmet(now, budget, subject, n)
 
-    def aim(self, now: float, name: str, n: int, subject: int = 0) -> None:
+    def set_demand(self, now: float, name: str, n: int, subject: int = 0) -> None:
         """So many would be used within a span, those in use among them: what is missing is wished for, once."""
         budget = self.budgets[name]
-        if a := self.holder.account(now, budget, subject):
-            have = a.count(now, a.uses) + a.count(now, a.missed)
+        if a := self.client.account(now, budget, subject):
+            have = a.count(now, a.uses) + a.count(now, a.unmet)
             if n > have:
-                self.holder.miss(now, budget, subject, n - have)
+                self.client.record_unmet(now, budget, subject, n - have)
 
     @property
     def candidate(self) -> Candidate:
         """Where the office is held by votes."""
-        assert isinstance(self.desk, VotedElection)
-        return self.desk.candidate
+        assert isinstance(self.election, VotedElection)
+        return self.election.candidate
 
     @property
     def voter(self) -> Voter:
-        assert isinstance(self.desk, VotedElection)
-        return self.desk.voter
+        assert isinstance(self.election, VotedElection)
+        return self.election.voter
 
     # ---- the core ------------------------------------------------------------------------------------------
 
-    def office(self, now: float) -> bool:
+    def is_allocating(self, now: float) -> bool:
         """Whether we divide at this instant. Each new holding of the office begins with empty books."""
-        term = self.desk.term if self.desk.holds(now) else None
+        term = self.election.term if self.election.holds(now) else None
         if term is None:
-            self.divider.since = None
+            self.allocator.started_at_ms = None
             return False
-        if self.divider.since is None or self.divider.since < term[0]:
-            self.divider.life = self.desk.identity
-            self.divider.begin(now, term[1])
+        if self.allocator.started_at_ms is None or self.allocator.started_at_ms < term[0]:
+            self.allocator.incarnation = self.election.identity
+            self.allocator.begin_term(now, term[1])
         return True
 
     def tick(self, now: float, alive: Iterable[int]) -> list[OutgoingMessage]:
         """Call every 50 ms or so. alive: the stewards reckoned with, by the membership."""
         out: list[OutgoingMessage] = []
-        self.office(now)
+        self.is_allocating(now)
         for budget in self.budgets.values():
-            if budget.per == "fleet" and budget.pool > 0:
-                self.holder.account(now, budget, 0)
-        if not self.shared:
-            out += self.desk.tick(now, alive)
-            self.office(now)
-        return out + self.ask(now)
-
-    def ask(self, now: float) -> list[OutgoingMessage]:
+            if budget.scope == "fleet" and budget.shared_capacity > 0:
+                self.client.account(now, budget, 0)
+        if not self.has_shared_election:
+            out += self.election.tick(now, alive)
+            self.is_allocating(now)
+        return out + self.request_capacity(now)
+
+    def request_capacity(self, now: float) -> list[OutgoingMessage]:
         out: list[OutgoingMessage] = []
-        divider, identity, office = self.desk.holder
-        for want in self.holder.ask(now, identity, office):
+        divider, identity, office = self.election.holder
+        for want in self.client.due_requests(now, identity, office):
             if divider is None:
-                self.alone += 1
+                self.requests_without_allocator += 1
             elif divider != self.me:
                 out.append(OutgoingMessage(divider, want))
-            elif self.office(now):
-                self.holder.given(now, self.divider.asked(now, self.me, want))
+            elif self.is_allocating(now):
+                self.client.on_grant(now, self.allocator.on_request(now, self.me, want))
         return out
 
     def heard(self, now: float, sender: int, word: QuotaMessage) -> list[OutgoingMessage]:
         """A word of a known steward."""
         if isinstance(word, VoteRequest | VoteReply | VoteRelease):
-            out = self.desk.heard(now, sender, word)
-            self.office(now)
+            out = self.election.heard(now, sender, word)
+            self.is_allocating(now)
             return out
         if not self.allowances.take(sender, now):
-            self.refused += 1
+            self.rejected_count += 1
             return []
         match word:
             case CapacityRequest():
-                if self.office(now):
-                    return [OutgoingMessage(sender, self.divider.asked(now, sender, word))]
+                if self.is_allocating(now):
+                    return [OutgoingMessage(sender, self.allocator.on_request(now, sender, word))]
             case CapacityGrant():
-                if self.holder.given(now, word):
-                    return self.ask(now)
+                if self.client.on_grant(now, word):
+                    return self.request_capacity(now)
         return []
 
-    def retune(self, now: float, wholes: dict[str, int]) -> None:
+    def resize(self, now: float, wholes: dict[str, int]) -> None:
         """New sizes by a reload. What was lent beyond a smaller one runs out with its grants, and is not renewed."""
         for name, whole in wholes.items():
-            new = replace(self.budgets[name], whole=whole)
-            self.budgets[name] = self.ids[new.id] = new
+            new = replace(self.budgets[name], capacity=whole)
+            self.budgets[name] = self.budgets_by_id[new.id] = new
 
     def leave(self, now: float) -> list[OutgoingMessage]:
         """A planned end: nothing more is asked for, the office is given back."""
-        self.holder.leaving = True
-        for a in self.holder.accounts.values():
-            a.asked_at = float("-inf")
-        return [*self.ask(now), *(() if self.shared else self.desk.leave(now))]
+        self.client.is_leaving = True
+        for a in self.client.accounts.values():
+            a.requested_at_ms = float("-inf")
+        return [*self.request_capacity(now), *(() if self.has_shared_election else self.election.leave(now))]
--- a/corallanding/quota/limits.py
+++ b/corallanding/quota/limits.py
@@ -17,33 +17,35 @@
     rights stay in use for a second each, so that no second ever sees more of them than the whole."""
 
     name: str
-    whole: int
+    capacity: int
     floor: int
-    most: int
-    span: float = 1000.0
-    per: str = "fleet"
+    max_controllers: int
+    hold_ms: float = 1000.0
+    scope: str = "fleet"
 
     def __post_init__(self) -> None:
-        if self.whole < self.floor * self.most:
-            raise ValueError(f"budget {self.name!r}: floor for each of {self.most} stewards is more than whole")
+        if self.capacity < self.floor * self.max_controllers:
+            raise ValueError(
+                f"budget {self.name!r}: floor for each of {self.max_controllers} stewards is more than whole"
+            )
 
     @property
     def id(self) -> int:
         """Whatever must be the same in all stewards for the sum to hold is in it; `whole` may change by reload."""
-        return zlib.crc32(f"{self.name}|{self.floor}|{self.most}|{self.span}|{self.per}".encode())
+        return zlib.crc32(f"{self.name}|{self.floor}|{self.max_controllers}|{self.hold_ms}|{self.scope}".encode())
 
     @property
-    def pool(self) -> int:
-        return self.whole - self.floor * self.most
+    def shared_capacity(self) -> int:
+        return self.capacity - self.floor * self.max_controllers
 
 
 @dataclass(frozen=True)
 class QuotaLimits(ElectionTimings):
     """ms. lease: a right lent is good for this and the budget's span."""
 
-    lease: float = 3_000.0
-    keys_most: int = 4_096  # budget and host, at a steward
-    rows_most: int = 8  # in one word
+    lease_ms: float = 3_000.0
+    max_accounts: int = 4_096  # budget and host, at a steward
+    max_rows: int = 8  # in one word
 
-    def good(self, budget: Budget) -> float:
-        return budget.span * (1.0 + self.drift) + self.lease
+    def grant_lifetime_ms(self, budget: Budget) -> float:
+        return budget.hold_ms * (1.0 + self.drift) + self.lease_ms
--- a/corallanding/quota/messages.py
+++ b/corallanding/quota/messages.py
@@ -16,8 +16,8 @@
     """to, office: life and round of the last word by which that divider said that it holds the office. So it knows that
     what a row says was so in its own term, and that no former divider can have lent it to another since."""
 
-    to: int = 0
-    office: int = 0
+    allocator: int = 0
+    allocator_round: int = 0
     rows: list[RequestRow] = []
 
 
--- a/corallanding/quota/quota_client.py
+++ b/corallanding/quota/quota_client.py
@@ -16,15 +16,15 @@
     """One budget, or one host of a budget."""
 
     budget: Budget
-    amount: int = 0  # lent, beyond the floor
-    until: float = float("-inf")  # by our clock
+    granted: int = 0  # lent, beyond the floor
+    expires_at_ms: float = float("-inf")  # by our clock
     round: int = 0  # of the want that it answered; answers to that and earlier ones are void
     uses: deque[list[float]] = field(default_factory=deque)  # [end, number], ends ascending
-    missed: deque[list[float]] = field(default_factory=deque)  # the same, of what was refused
-    asked_at: float = float("-inf")
-    touched: float = 0.0
+    unmet: deque[list[float]] = field(default_factory=deque)  # the same, of what was refused
+    requested_at_ms: float = float("-inf")
+    touched_at_ms: float = 0.0
     peak: int = 0  # the most wanted of late: what is asked for does not follow every lull
-    peak_at: float = float("-inf")
+    peak_at_ms: float = float("-inf")
 
     def count(self, now: float, uses: deque[list[float]]) -> int:
         while uses and uses[0][0] <= now:
@@ -32,7 +32,7 @@
         return int(sum(n for _, n in uses))
 
     def add(self, uses: deque[list[float]], end: float, n: int) -> None:
-        if uses and end - uses[-1][0] < self.budget.span / BUCKETS:
+        if uses and end - uses[-1][0] < self.budget.hold_ms / BUCKETS:
             uses[-1] = [end, uses[-1][1] + n]
         else:
             uses.append([end, n])
@@ -46,120 +46,122 @@
     the wait that makes up for it makes up for no store at all.
     """
 
-    life: int
-    terms: QuotaLimits
-    born: float
+    incarnation: int
+    limits: QuotaLimits
+    created_at_ms: float
     accounts: dict[BudgetKey, Account] = field(default_factory=dict)
     round: int = 0
-    wants: dict[int, tuple[float, set[BudgetKey]]] = field(default_factory=dict)  # round: when, what
-    refused: int = 0  # takes without a right
-    stale: int = 0  # grants that came too late or for nothing
-    overfull: int = 0
-    leaving: bool = False
+    pending: dict[int, tuple[float, set[BudgetKey]]] = field(default_factory=dict)  # round: when, what
+    unmet_count: int = 0  # takes without a right
+    stale_count: int = 0  # grants that came too late or for nothing
+    accounts_rejected: int = 0
+    is_leaving: bool = False
 
     def account(self, now: float, budget: Budget, subject: int) -> Account | None:
         key = (budget.id, subject)
         a = self.accounts.get(key)
         if a is None:
-            if len(self.accounts) >= self.terms.keys_most:
-                self.overfull += 1
+            if len(self.accounts) >= self.limits.max_accounts:
+                self.accounts_rejected += 1
                 return None
             a = self.accounts[key] = Account(budget, round=self.round)
-        a.budget, a.touched = budget, now
+        a.budget, a.touched_at_ms = budget, now
         return a
 
     def floor(self, now: float, budget: Budget) -> int:
-        return budget.floor if now >= self.born + self.terms.theirs(budget.span) else 0
+        return budget.floor if now >= self.created_at_ms + self.limits.theirs(budget.hold_ms) else 0
 
-    def free(self, now: float, budget: Budget, subject: int = 0) -> int:
+    def available(self, now: float, budget: Budget, subject: int = 0) -> int:
         """How many may be taken now. Looking is no wish: see `miss`."""
         a = self.account(now, budget, subject)
         if a is None:
             return 0
-        floor, end = self.floor(now, budget), now + self.terms.theirs(budget.span)
+        floor, end = self.floor(now, budget), now + self.limits.theirs(budget.hold_ms)
         used = a.count(now, a.uses)
-        if now >= a.until:
+        if now >= a.expires_at_ms:
             return max(0, floor - used)
-        room = floor + a.amount - used
-        if end > a.until:
+        room = floor + a.granted - used
+        if end > a.expires_at_ms:
             # Those that outlast the grant must find room in the floor alone.
-            later = sum(n for e, n in a.uses if e > a.until)
+            later = sum(n for e, n in a.uses if e > a.expires_at_ms)
             room = min(room, int(floor - later))
         return max(0, room)
 
-    def take(self, now: float, budget: Budget, subject: int = 0, n: int = 1) -> bool:
+    def acquire(self, now: float, budget: Budget, subject: int = 0, n: int = 1) -> bool:
         """Whether n were taken; their use ends a span from now. Asked in the instant of the use."""
         a = self.account(now, budget, subject)
-        end = now + self.terms.theirs(budget.span)
-        if a is not None and self.free(now, budget, subject) >= n:
+        end = now + self.limits.theirs(budget.hold_ms)
+        if a is not None and self.available(now, budget, subject) >= n:
             a.add(a.uses, end, n)
             return True
-        self.miss(now, budget, subject, n)
+        self.record_unmet(now, budget, subject, n)
         return False
 
-    def miss(self, now: float, budget: Budget, subject: int = 0, n: int = 1) -> None:
+    def record_unmet(self, now: float, budget: Budget, subject: int = 0, n: int = 1) -> None:
         """A wish that was not granted: it shows in what is asked for."""
-        self.refused += n
+        self.unmet_count += n
         if a := self.account(now, budget, subject):
-            a.add(a.missed, now + self.terms.theirs(budget.span), n)
+            a.add(a.unmet, now + self.limits.theirs(budget.hold_ms), n)
 
-    def row(self, now: float, key: BudgetKey) -> RequestRow:
+    def request_row(self, now: float, key: BudgetKey) -> RequestRow:
         a = self.accounts[key]
         floor, used = a.budget.floor, a.count(now, a.uses)
-        wanted = min(a.budget.whole, used + a.count(now, a.missed))
-        if wanted >= a.peak or now - a.peak_at > self.terms.lease:
-            a.peak, a.peak_at = wanted, now
-        have = a.amount if now < a.until else 0
+        wanted = min(a.budget.capacity, used + a.count(now, a.unmet))
+        if wanted >= a.peak or now - a.peak_at_ms > self.limits.lease_ms:
+            a.peak, a.peak_at_ms = wanted, now
+        have = a.granted if now < a.expires_at_ms else 0
         # Of a budget of the fleet one is wanted always: what it is for seldom can wait for an answer.
-        least = 1 if a.budget.per == "fleet" else 0
-        wanted = 0 if self.leaving else max(least, a.peak - floor)
+        least = 1 if a.budget.scope == "fleet" else 0
+        wanted = 0 if self.is_leaving else max(least, a.peak - floor)
         # What was lent counts as in use as long as it could be: the divider may lend the rest anew once it hears this.
         return (*key, wanted, have, max(have, used - self.floor(now, a.budget), 0), a.round)
 
-    def ask(self, now: float, to: int = 0, office: int = 0) -> list[CapacityRequest]:
+    def due_requests(self, now: float, to: int = 0, office: int = 0) -> list[CapacityRequest]:
         """Words for the divider: accounts whose grant wants renewal, or whose wish it does not meet. to, office: as
         in `Want`."""
         due: list[BudgetKey] = []
         for key, a in list(self.accounts.items()):
-            used, missed = a.count(now, a.uses), a.count(now, a.missed)
-            good = now < a.until and a.amount > 0
-            standing = a.budget.per == "fleet" and not self.leaving
+            used, missed = a.count(now, a.uses), a.count(now, a.unmet)
+            good = now < a.expires_at_ms and a.granted > 0
+            standing = a.budget.scope == "fleet" and not self.is_leaving
             if not used and not missed and not good and not standing:
-                if now - a.touched > self.terms.lease:
+                if now - a.touched_at_ms > self.limits.lease_ms:
                     del self.accounts[key]
                 continue
-            short = missed > 0 and (not good or used + missed > a.budget.floor + a.amount)
-            wait = self.terms.lease / (16.0 if short else 6.0)
-            if (short or good or standing or used > a.budget.floor) and now - a.asked_at >= wait:
+            short = missed > 0 and (not good or used + missed > a.budget.floor + a.granted)
+            wait = self.limits.lease_ms / (16.0 if short else 6.0)
+            if (short or good or standing or used > a.budget.floor) and now - a.requested_at_ms >= wait:
                 due.append(key)
-                a.asked_at = now
+                a.requested_at_ms = now
         out = []
-        old = now - self.terms.lease * 2 - max((a.budget.span for a in self.accounts.values()), default=0.0)
-        self.wants = {r: w for r, w in self.wants.items() if w[0] > old}
-        for k in range(0, len(due), self.terms.rows_most):
-            keys = due[k : k + self.terms.rows_most]
+        old = now - self.limits.lease_ms * 2 - max((a.budget.hold_ms for a in self.accounts.values()), default=0.0)
+        self.pending = {r: w for r, w in self.pending.items() if w[0] > old}
+        for k in range(0, len(due), self.limits.max_rows):
+            keys = due[k : k + self.limits.max_rows]
             self.round += 1
-            self.wants[self.round] = (now, set(keys))
-            out.append(CapacityRequest(self.life, self.round, to, office, [self.row(now, key) for key in keys]))
+            self.pending[self.round] = (now, set(keys))
+            out.append(
+                CapacityRequest(self.incarnation, self.round, to, office, [self.request_row(now, key) for key in keys])
+            )
         return out
 
-    def given(self, now: float, word: CapacityGrant) -> bool:
+    def on_grant(self, now: float, word: CapacityGrant) -> bool:
         """A grant, good from when it was asked for. True if one was made smaller: the divider wants to hear of it."""
-        asked = self.wants.get(word.round)
-        if word.life != self.life or asked is None:
-            self.stale += 1
+        asked = self.pending.get(word.round)
+        if word.life != self.incarnation or asked is None:
+            self.stale_count += 1
             return False
         smaller = False
         at, keys = asked
         for budget, subject, amount in word.rows:
             a = self.accounts.get((budget, subject))
             if a is None or (budget, subject) not in keys or word.round <= a.round:
-                self.stale += 1
+                self.stale_count += 1
                 continue
-            if self.leaving and amount > a.amount:
+            if self.is_leaving and amount > a.granted:
                 continue
-            if amount < a.amount and now < a.until:
-                smaller, a.asked_at = True, float("-inf")
-            a.amount, a.round = amount, word.round
-            a.until = at + self.terms.mine(self.terms.good(a.budget))
+            if amount < a.granted and now < a.expires_at_ms:
+                smaller, a.requested_at_ms = True, float("-inf")
+            a.granted, a.round = amount, word.round
+            a.expires_at_ms = at + self.limits.mine(self.limits.grant_lifetime_ms(a.budget))
         return smaller
--- a/corallanding/scheduling/idempotency.py
+++ b/corallanding/scheduling/idempotency.py
@@ -46,7 +46,7 @@
         self.queries = queries
         self.groups = groups
         self.records = queries.records
-        queries.serve(groups, self.on_query, self.on_write_denied)
+        queries.register(groups, self.on_query, self.on_write_denied)
 
     def query_age(self, now_ms: float, key: int, waited_ms: float) -> int:
         """Ask since when the job of the key has waited, which is `waited_ms` if it is new; returns the answer's number.
@@ -67,14 +67,14 @@
         return self._ask(now_ms, job.idempotency_key, KeyQuery.RELEASE, owner)
 
     def _ask(self, now_ms: float, key: int, kind: KeyQuery, argument: int) -> int:
-        return self.queries.ask(now_ms, self.groups[key % len(self.groups)], key, kind, argument)
+        return self.queries.submit(now_ms, self.groups[key % len(self.groups)], key, kind, argument)
 
     def on_query(self, now_ms: float, group: int, key: int, kind: int, argument: int) -> Outcome | None:
         """Answer a query as the holder of the key's group; None until a majority has what the answer says.
 
         `argument` is the age in ms for `KeyQuery.AGE`, else the owner.
         """
-        proposer = self.records.held[group]
+        proposer = self.records.proposers[group]
         record = proposer.get(key)
         if record is None:
             return self._begin(now_ms, proposer, key, kind, argument)
@@ -82,11 +82,11 @@
             return None
         if kind == KeyQuery.RELEASE:
             if record.value == argument:
-                proposer.write(now_ms, key, NO_OWNER, record.born, first=False)
+                proposer.write(now_ms, key, NO_OWNER, record.created_at_ms, first=False)
             return KeyStatus.UNCLAIMED, NO_VALUE
         if kind == KeyQuery.AGE:
             status = KeyStatus.UNCLAIMED if record.value == NO_OWNER else KeyStatus.DUPLICATE
-            return status, int(now_ms - record.born)
+            return status, int(now_ms - record.created_at_ms)
         return self._claim(now_ms, proposer, key, record, argument)
 
     def _begin(self, now_ms: float, proposer: Proposer, key: int, kind: int, argument: int) -> Outcome | None:
@@ -101,7 +101,7 @@
 
     def _claim(self, now_ms: float, proposer: Proposer, key: int, record: ProposedRecord, owner: int) -> Outcome | None:
         if record.value == NO_OWNER:
-            proposer.write(now_ms, key, owner, record.born, first=False)
+            proposer.write(now_ms, key, owner, record.created_at_ms, first=False)
             return None
         status = KeyStatus.GRANTED if record.value == owner else KeyStatus.DUPLICATE
         return status, NO_VALUE
--- a/corallanding/version_pinning/core.py
+++ b/corallanding/version_pinning/core.py
@@ -50,12 +50,12 @@
 
     From then on replicas accept records of runs by the register that they have accepted.
     """
-    run_groups = fleet.of[RUNS_TASK_GROUP]
-    register_group = fleet.of[RELEASE_TASK][0]
+    run_groups = fleet.groups_by_name[RUNS_TASK_GROUP]
+    register_group = fleet.groups_by_name[RELEASE_TASK][0]
     pinning = VersionPinning(
-        fleet.asking, run_groups, register_group, limits, release_sets, wanted_set, capacity_of_set, on_change
+        fleet.queries, run_groups, register_group, limits, release_sets, wanted_set, capacity_of_set, on_change
     )
-    fleet.rules.update(dict.fromkeys(run_groups, pinning.may_accept))
+    fleet.acceptance_rules.update(dict.fromkeys(run_groups, pinning.may_accept))
     return pinning
 
 
@@ -84,7 +84,7 @@
         self.wanted_set = wanted_set
         self.capacity_of_set = capacity_of_set
         self.releases = ReleaseCoordinator(
-            queries.me, queries.others, queries.life, queries.records, register_group, limits, on_change
+            queries.me, queries.others, queries.incarnation, queries.records, register_group, limits, on_change
         )
         self.workflow_runs = WorkflowRuns(queries, run_groups, limits, lambda: self.releases.register, capacity_of_set)
 
@@ -101,7 +101,7 @@
 
     def take_answers(self) -> list[QueryResult]:
         """Answers to `request_run` since the last call."""
-        return self.queries.take(self.workflow_runs.groups[0])
+        return self.queries.take_results(self.workflow_runs.groups[0])
 
     def tick(self, now_ms: float) -> list[Action]:
         """Carry a release on; call it before each tick of the records."""
@@ -122,7 +122,7 @@
     def status(self) -> dict[str, Any]:
         """Releases and runs as the status page shows them."""
         register = self.releases.register
-        tallies = self.records.shelf.tallies
+        tallies = self.records.replica.value_counts
         live_runs = {str(number): runs for number, runs in sorted(tallies.items()) if not number & ENDED_FLAG}
         return {
             "current": register.current_set if register else None,
@@ -132,5 +132,5 @@
             "wanted": self.wanted_set,
             "in_the_way": self.releases.obstacle,
             "live_runs_here": live_runs,
-            "groups_held": sum(group in self.records.held for group in self.workflow_runs.groups),
+            "groups_held": sum(group in self.records.proposers for group in self.workflow_runs.groups),
         }
--- a/corallanding/version_pinning/releases.py
+++ b/corallanding/version_pinning/releases.py
@@ -65,7 +65,7 @@
 
     def accepted_register(self) -> ReleaseRegister | None:
         """The register that this replica has accepted, in force or not: it binds which runs the replica accepts."""
-        record = self.records.shelf.groups.get(self.group, {}).get(REGISTER_KEY)
+        record = self.records.replica.groups.get(self.group, {}).get(REGISTER_KEY)
         return unpack_register(record.value) if record else None
 
     def may_accept(self, release_set: int, is_new_run: bool) -> bool:
@@ -77,11 +77,11 @@
         self, now_ms: float, wanted_set: int, configured_sets: Collection[int], capacities: Mapping[int, float]
     ) -> list[OutgoingMessage]:
         """Carry the release on if this controller holds the task; returns the messages to send."""
-        proposer = self.records.held.get(self.group)
-        if proposer is None or not proposer.open or proposer.behind:
+        proposer = self.records.proposers.get(self.group)
+        if proposer is None or not proposer.is_ready or proposer.superseded_by:
             self.run_counts = RunCounts()
             return []
-        proposer.decided.clear()
+        proposer.decided_keys.clear()
         record = proposer.get(REGISTER_KEY)
         if record is None:
             if wanted_set in configured_sets:
@@ -104,7 +104,7 @@
             self.on_change(decision.reason)
             self.obstacle = ""
             self.run_counts = RunCounts()
-            proposer.write(now_ms, REGISTER_KEY, decision.register.pack(), record.born, first=False)
+            proposer.write(now_ms, REGISTER_KEY, decision.register.pack(), record.created_at_ms, first=False)
         return messages
 
     def _report_obstacle(self, obstacle: str) -> None:
@@ -133,9 +133,9 @@
         """Ask all replicas anew for their run counts; this controller's own count is taken at once."""
         self.run_counts = RunCounts(next(self.records.rounds), now_ms)
         query = RunCountQuery(self.incarnation, self.run_counts.round)
-        if self.records.keeps:
+        if self.records.has_replica:
             self.on_run_count_report(self.member, self.on_run_count_query(query))
-        return [OutgoingMessage(replica, query) for replica in self.records.keepers if replica != self.member]
+        return [OutgoingMessage(replica, query) for replica in self.records.replica_ids if replica != self.member]
 
     def on_run_count_query(self, query: RunCountQuery) -> RunCountReport:
         """Count the live runs of this replica.
@@ -143,16 +143,16 @@
         The report is empty while the replica recovers, and when it has more sets than fit: a set that is missing from a
         report would count as unused.
         """
-        record = self.records.shelf.groups.get(self.group, {}).get(REGISTER_KEY)
-        counts = sorted(self.records.shelf.tallies.items(), key=lambda count: (-count[1], count[0]))
-        if record is None or not self.records.catch.ready or len(counts) > MAX_COUNTED_SETS:
+        record = self.records.replica.groups.get(self.group, {}).get(REGISTER_KEY)
+        counts = sorted(self.records.replica.value_counts.items(), key=lambda count: (-count[1], count[0]))
+        if record is None or not self.records.recovery.is_ready or len(counts) > MAX_COUNTED_SETS:
             return RunCountReport(query.life, query.round)
         return RunCountReport(query.life, query.round, record.value, [RunCount(*count) for count in counts])
 
     def on_run_count_report(self, replica: int, report: RunCountReport) -> None:
         """Take the report of a replica, if it answers the query that is out."""
         is_answer = report.life == self.incarnation and report.round == self.run_counts.round
-        if is_answer and replica in self.records.keepers:
+        if is_answer and replica in self.records.replica_ids:
             self.run_counts.runs_by_replica[replica] = dict(report.run_counts)
             self.run_counts.register_by_replica[replica] = report.packed_register
 
@@ -164,6 +164,6 @@
         """
         counts = self.run_counts
         replicas = [replica for replica, packed in counts.register_by_replica.items() if packed == packed_register]
-        if len(replicas) <= len(self.records.keepers) // 2:
+        if len(replicas) <= len(self.records.replica_ids) // 2:
             return False
         return not any(counts.runs_by_replica[replica].get(release_set) for replica in replicas)
--- a/corallanding/version_pinning/workflow_runs.py
+++ b/corallanding/version_pinning/workflow_runs.py
@@ -41,7 +41,7 @@
         self.client_rate_limits: dict[int, TokenBucket] = {}
         self.begun_count = 0
         self.rejected_count = 0
-        queries.serve(groups, self.on_query, self.on_write_denied)
+        queries.register(groups, self.on_query, self.on_write_denied)
 
     def request_run(self, now_ms: float, key: int, client: str = "", *, has_ended: bool = False) -> int:
         """Ask for the release set of the run `key` (not 0), or report that it has ended.
@@ -50,22 +50,22 @@
         """
         kind = RunQueryKind.END if has_ended else RunQueryKind.CONTINUE
         bucket = zlib.crc32(client.encode()) % self.limits.client_buckets
-        return self.queries.ask(now_ms, self.groups[key % len(self.groups)], key, kind, bucket)
+        return self.queries.submit(now_ms, self.groups[key % len(self.groups)], key, kind, bucket)
 
     def on_query(self, now_ms: float, group: int, key: int, kind: int, bucket: int) -> Outcome | None:
         """Answer a query on a run as the holder of its group; None until a majority has what the answer says."""
-        proposer = self.records.held[group]
+        proposer = self.records.proposers[group]
         record = proposer.get(key)
         if record is None:
             if kind == RunQueryKind.END:
                 return RunStatus.OVER, NO_SET
             return self._begin(now_ms, group, key, bucket)
-        if record.value & ENDED_FLAG or self._is_expired(now_ms, record.born):
+        if record.value & ENDED_FLAG or self._is_expired(now_ms, record.created_at_ms):
             return RunStatus.OVER, NO_SET
         if not proposer.confirm(now_ms, key):
             return None
         if kind == RunQueryKind.END:
-            proposer.write(now_ms, key, record.value | ENDED_FLAG, record.born, first=False)
+            proposer.write(now_ms, key, record.value | ENDED_FLAG, record.created_at_ms, first=False)
             return RunStatus.OVER, NO_SET
         return RunStatus.PINNED, record.value
 
@@ -82,7 +82,7 @@
             return RunStatus.REJECTED, NO_SET
         capacities = [self.capacity_of_set(number) for number in register.open_sets]
         release_set = choose_set(key, register.open_sets, capacities)
-        if self.records.held[group].write(now_ms, key, release_set, now_ms):
+        if self.records.proposers[group].write(now_ms, key, release_set, now_ms):
             self.begun_count += 1
         return None
 
--- a/tests/config/test_quota_blocks.py
+++ b/tests/config/test_quota_blocks.py
@@ -27,9 +27,9 @@
     loaded = load_controller(config(tmp_path, GOOD + cold_slices))
     budgets = configured_quotas(loaded)
     probes = budgets["probes"]
-    assert (probes.whole, probes.floor, probes.most, probes.span) == (7, 1, 3, 1_000.0)
-    assert budgets["cold_slices"].span == loaded.rules.cold_ms
-    assert budgets["cold_slices"].pool == 4
+    assert (probes.capacity, probes.floor, probes.max_controllers, probes.hold_ms) == (7, 1, 3, 1_000.0)
+    assert budgets["cold_slices"].hold_ms == loaded.rules.cold_ms
+    assert budgets["cold_slices"].shared_capacity == 4
     assert budgets["probes"].id != budgets["cold_slices"].id
 
 
--- a/tests/controller/test_quota_service.py
+++ b/tests/controller/test_quota_service.py
@@ -39,7 +39,7 @@
             assert quota.may_begin("moves", 0, True)
             running.path.write_text(running.path.read_text().replace("whole = 1", "whole = 3"))
             controller.reload()
-            account = quota.core.holder.account(controller.clock(), quota.core.budgets["probes"], 9)
+            account = quota.core.client.account(controller.clock(), quota.core.budgets["probes"], 9)
             assert account
             await until(
                 lambda: quota.may_begin("probes", 9, True) and account.count(controller.clock(), account.uses) == 3
--- a/tests/controller/test_record_store.py
+++ b/tests/controller/test_record_store.py
@@ -23,13 +23,13 @@
 
     def save(self) -> None:
         """Write what changed in the replica."""
-        self.store.write(self.replica.take_unkept())
+        self.store.write(self.replica.take_unsaved())
 
 
 def open_store(path: Path, now: float = 5_000.0) -> OpenStore:
     store = RecordStore(str(path), lambda: now)
     replica = Replica(RecordLimits())
-    replica.blank = store.is_blank
+    replica.is_recovering = store.is_blank
     store.load(replica)
     return OpenStore(store, replica)
 
@@ -38,21 +38,21 @@
     opened = open_store(tmp_path / "r.db")
     assert opened.store.is_blank
     assert opened.store.opening_number == 1
-    opened.replica.unkept.whole = True
+    opened.replica.unsaved.is_recovered = True
     opened.replica.put(7, 99, 3, (12, 4), 4_000.0)
-    opened.replica.raise_seen(7, 13)
-    opened.replica.unkept.peers[2] = (5, 77, 40)
+    opened.replica.raise_token(7, 13)
+    opened.replica.unsaved.peer_files[2] = (5, 77, 40)
     opened.save()
     opened.store.close()
     opened = open_store(tmp_path / "r.db", 1_000.0)
     record = opened.replica.groups[7][99]
-    assert (record.value, record.order) == (3, (12, 4))
-    assert opened.replica.seen[7] == 13
+    assert (record.value, record.ballot) == (3, (12, 4))
+    assert opened.replica.highest_tokens[7] == 13
     assert not opened.store.is_blank
     assert opened.store.opening_number == 2
-    assert 1_000.0 <= 1_000.0 - record.born < 6_000.0, "a second old when it was written, and goes on"
+    assert 1_000.0 <= 1_000.0 - record.created_at_ms < 6_000.0, "a second old when it was written, and goes on"
     assert opened.store.load(Replica(RecordLimits())) == {2: (5, 77, 40)}
-    assert opened.replica.writes == 1
+    assert opened.replica.write_count == 1
     opened.store.close()
 
 
@@ -68,10 +68,12 @@
         db.execute("insert or replace into meta values ('boot', 'another')")
     monkeypatch.setattr(record_store, "boot_id", lambda: "this one")
     opened = open_store(tmp_path / "r.db")
-    assert 61_000.0 <= 5_000.0 - opened.replica.groups[7][99].born < 66_000.0
+    assert 61_000.0 <= 5_000.0 - opened.replica.groups[7][99].created_at_ms < 66_000.0
     opened.store.close()
     opened = open_store(tmp_path / "r.db")
-    assert 61_000.0 <= 5_000.0 - opened.replica.groups[7][99].born < 66_000.0, "from here on by this boot's clock"
+    assert 61_000.0 <= 5_000.0 - opened.replica.groups[7][99].created_at_ms < 66_000.0, (
+        "from here on by this boot's clock"
+    )
     opened.store.close()
 
 
@@ -93,7 +95,7 @@
     with sqlite3.connect(tmp_path / "r.db", isolation_level=None) as other:
         other.execute("begin immediate")
         opened.replica.put(7, 99, 3, (12, 4), 0.0)
-        what = opened.replica.take_unkept()
+        what = opened.replica.take_unsaved()
         with pytest.raises(OSError, match="locked"):
             opened.store.write(what)
         other.execute("rollback")
@@ -112,11 +114,11 @@
             assert opened.store.db is not None
             opened.store.db.execute("pragma wal_checkpoint(truncate)")
             shutil.copy(tmp_path / "r.db", tmp_path / "copy.db")
-        write_counts.append(opened.replica.writes)
+        write_counts.append(opened.replica.write_count)
     opened.store.close()
     copy = open_store(tmp_path / "copy.db")
     assert write_counts == [1, 2, 3, 4, 5]
-    assert copy.replica.writes == 3
+    assert copy.replica.write_count == 3
     assert copy.store.opening_number == 2, "by its openings alone it would pass"
     copy.store.close()
 
@@ -124,7 +126,7 @@
 def test_store_when_wiped_then_it_is_blank_until_it_is_complete_again(tmp_path: Path) -> None:
     opened = open_store(tmp_path / "r.db")
     opened.replica.put(7, 99, 3, (12, 4), 0.0)
-    opened.replica.unkept.whole = True
+    opened.replica.unsaved.is_recovered = True
     opened.save()
     opened.replica.wipe()
     opened.save()
@@ -132,6 +134,6 @@
     opened = open_store(tmp_path / "r.db")
     assert opened.store.is_blank
     assert not opened.replica.groups
-    opened.store.write(UnsavedChanges(whole=True, writes=9))
+    opened.store.write(UnsavedChanges(is_recovered=True, write_count=9))
     opened.store.close()
     assert not open_store(tmp_path / "r.db").store.is_blank
--- a/tests/controller/test_sessions.py
+++ b/tests/controller/test_sessions.py
@@ -15,12 +15,12 @@
     """In place of the records: counts queries, whose numbers rise from 1."""
 
     def __init__(self) -> None:
-        self.count = 0
+        self.query_count = 0
         self.is_scheduled = False
 
     def query_age(self, now: float, key: int, waited: float) -> int:
-        self.count += 1
-        return self.count
+        self.query_count += 1
+        return self.query_count
 
     def schedule_queries(self) -> None:
         self.is_scheduled = True
@@ -55,7 +55,7 @@
     sessions = sessions_with(queries)
     sessions.on_proxy_joined(1_000.0, 4, "one")
     sessions.on_proxy_joined(1_001.0, 4, "one")
-    assert (queries.count, queries.is_scheduled) == (1, True), "asked for once"
+    assert (queries.query_count, queries.is_scheduled) == (1, True), "asked for once"
     assert sessions.admit(1_010.0, 4, job(1)) is Admission.DELAYED
     released = sessions.on_answer(1_020.0, QueryResult(1, KeyStatus.UNCLAIMED, 600))
     assert released.proxy == 4
@@ -70,7 +70,7 @@
     sessions.on_proxy_joined(0.0, 4, "one")
     sessions.admit(1.0, 4, job(1))
     assert sessions.on_answer(2.0, QueryResult(1, KeyStatus.UNAVAILABLE, 0)).jobs == []
-    assert queries.count == 2
+    assert queries.query_count == 2
     assert len(sessions.on_answer(3.0, QueryResult(2, KeyStatus.UNCLAIMED, 9)).jobs) == 1
 
 
--- a/tests/scheduling/test_idempotency.py
+++ b/tests/scheduling/test_idempotency.py
@@ -14,22 +14,22 @@
     quorum_records = QuorumRecords(1, (), (1,), 9, RecordLimits(), 0.0, [5], 1, True)
     records = IdempotencyRecords(Queries(1, (), 9, quorum_records, QueryLimits()), (5,))
     quorum_records.tick(0.0)
-    quorum_records.hold(5, 1)
+    quorum_records.acquire_group(5, 1)
     for now in range(4):
         quorum_records.tick(float(now))
-    assert quorum_records.held[5].open
+    assert quorum_records.proposers[5].is_ready
     return records
 
 
 def answer_to(records: IdempotencyRecords, now: float, number: int) -> tuple[int, int]:
     asking = records.queries
-    asking.push(now)
+    asking.send_new(now)
     for _ in range(6):
         records.records.tick(now)
-        asking.decided(now)
-    (told,) = asking.take(5)
+        asking.on_decisions(now)
+    (told,) = asking.take_results(5)
     assert told.number == number
-    return told.what, told.value
+    return told.result, told.value
 
 
 def test_key_when_claimed_then_keeps_its_age_and_goes_to_one_owner() -> None:
@@ -51,15 +51,15 @@
 def test_key_when_claimed_twice_at_once_then_is_granted_once() -> None:
     records, job = make_records(), Job(1, 0, 3, 8, 0.0, idempotency_key=77)
     first, second = records.query_claim(10.0, job, 500), records.query_claim(10.0, job, 600)
-    records.queries.push(10.0)
+    records.queries.send_new(10.0)
     for _ in range(8):
         records.records.tick(10.0)
-        records.queries.decided(10.0)
+        records.queries.on_decisions(10.0)
     records.queries.tick(500.0)
     for _ in range(8):
         records.records.tick(500.0)
-        records.queries.decided(500.0)
-    ends = {t.number: t.what for t in records.queries.take(5)}
+        records.queries.on_decisions(500.0)
+    ends = {t.number: t.result for t in records.queries.take_results(5)}
     assert sorted(ends.values()) == [KeyStatus.GRANTED, KeyStatus.DUPLICATE]
     assert set(ends) == {first, second}
 
--- a/tests/test_mutation.py
+++ b/tests/test_mutation.py
@@ -27,7 +27,7 @@
 from corallanding.lease.tasks import TaskCatalog, TaskSpec
 from corallanding.membership.messages import Ack, Ping, PingRequest
 from corallanding.quorum_records.messages import sound as sound_record
-from corallanding.quota import Budget, QuotaLimits
+from corallanding.quota import Budget, QuotaLimits, QuotaManager
 from corallanding.quota.messages import CapacityGrant, CapacityRequest
 from corallanding.quota.messages import sound as sound_quota
 from corallanding.scheduling.messages import is_valid as sound_line
@@ -104,7 +104,7 @@
 
 
 def budgets(seed: int) -> World:
-    terms = QuotaLimits(lease=600.0, office=400.0)
+    terms = QuotaLimits(lease_ms=600.0, office=400.0)
     return World(seed, 3, 3, {"moves": Budget("moves", 5, 1, 3, 300.0)}, terms, lambda t, n: [("moves", 0)] * 2)
 
 
@@ -140,12 +140,18 @@
     return bool(most(w.uses, {"moves": 5})[0]["over_ms"])
 
 
+def refused_by_core(core: Any) -> int:
+    if isinstance(core, QuotaManager):
+        allocator = core.allocator
+        counted = core.rejected_count + allocator.unknown_count + allocator.stale_count + core.client.stale_count
+        return counted + core.election.refused
+    return core.refused + core.desk.refused + core.dealer.strangers + core.dealer.late + core.holder.stale
+
+
 def refused(w: Any) -> int:
-    cores = [p.quota for p in w.processes.values()]
-    desks = [(c, c.divider if hasattr(c, "divider") else c.dealer) for c in cores]
-    total = sum(c.refused + c.desk.refused + d.strangers + d.late + c.holder.stale for c, d in desks)
+    total = sum(refused_by_core(p.quota) for p in w.processes.values())
     for fleet in getattr(w, "fleets", {}).values():
-        total += fleet.records.refused + fleet.records.shelf.refused + fleet.asking.refused
+        total += fleet.records.rejected_count + fleet.records.replica.rejected_count + fleet.queries.rejected_count
     total += sum(x.peer_queues.rejected_count for x in getattr(w, "waits", {}).values())
     return total + sum(p.members.refused for p in w.processes.values())
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -29,7 +29,7 @@
 )
 from corallanding.quota import quota_allocator as divider_module
 
-TIGHT = QuotaLimits(lease=500.0, office=400.0)
+TIGHT = QuotaLimits(lease_ms=500.0, office=400.0)
 WHOLES = {"moves": 7, "cold": 2}
 
 
@@ -95,8 +95,8 @@
 
 def test_a_wide_word_fits_a_datagram() -> None:
     big = 2**32 - 1
-    want = CapacityRequest(2**62, big, 2**62, big, [(big, 2**20, 2**15, 2**15, 2**15, big)] * QuotaLimits().rows_most)
-    give = CapacityGrant(2**62, big, [(big, 2**20, 2**15)] * QuotaLimits().rows_most)
+    want = CapacityRequest(2**62, big, 2**62, big, [(big, 2**20, 2**15, 2**15, 2**15, big)] * QuotaLimits().max_rows)
+    give = CapacityGrant(2**62, big, [(big, 2**20, 2**15)] * QuotaLimits().max_rows)
     assert len(encode(want)) <= 255
     assert len(encode(give)) <= 255
 
@@ -110,18 +110,18 @@
     q = QuotaManager(0, (1,), (0, 1), {}, TIGHT, 1, 0.0, random.Random(1).random, words_per_s=100.0)
     for k in range(4_000):  # twice the rate for twenty seconds, and the first second's worth at once
         q.heard(5.0 * k, 1, CapacityGrant(1, k))
-    assert abs(q.refused - (4_000 - 20 * 100 - 100)) <= 2
+    assert abs(q.rejected_count - (4_000 - 20 * 100 - 100)) <= 2
     q.heard(20_000.0, 7, CapacityGrant(1, 1))
-    assert abs(q.refused - 1_901) <= 2, "a number that nobody has"
+    assert abs(q.rejected_count - 1_901) <= 2, "a number that nobody has"
 
 
 def test_a_whole_made_smaller_than_what_is_in_use_is_kept_once_that_has_ended() -> None:
     w = World(3, 3, 3, {"moves": Budget("moves", 9, 0, 3, 300.0)}, TIGHT, lambda t, n: [("moves", 0)] * 3)
     w.run(5_000.0)
     for p in w.processes.values():
-        p.quota.retune(p.clock(w.now), {"moves": 4})
+        p.quota.resize(p.clock(w.now), {"moves": 4})
     w.run(10_000.0)
-    late = [u for u in w.uses if u[0] > 5_000.0 + 2 * (TIGHT.good(BUDGET) + 300.0)]
+    late = [u for u in w.uses if u[0] > 5_000.0 + 2 * (TIGHT.grant_lifetime_ms(BUDGET) + 300.0)]
     assert most(w.uses, {"moves": 9})[0]["most"] == 9
     assert most(late, {"moves": 4})[0]["most"] == 4
     assert most(w.uses, {"moves": 9})[0]["over_ms"] == 0
@@ -131,11 +131,11 @@
     """The divider itself and another, of five: theirs are in use by the rest within lease, span and office."""
     w = World(5, 5, 5, {"moves": BUDGET5}, TIGHT, lambda t, n: [("moves", 0)] * 3)
     w.run(6_000.0)
-    divider = next(n for n, p in w.processes.items() if p.quota.office(p.clock(w.now)))
+    divider = next(n for n, p in w.processes.items() if p.quota.is_allocating(p.clock(w.now)))
     w.kill(divider)
     w.kill((divider + 1) % 5)
     w.run(12_000.0)
-    bound = TIGHT.theirs(TIGHT.good(BUDGET5)) * 2 + TIGHT.office * 3
+    bound = TIGHT.theirs(TIGHT.grant_lifetime_ms(BUDGET5)) * 2 + TIGHT.office * 3
     after = [u for u in w.uses if u[0] > 6_000.0 + bound]
     row = most(after, {"moves": 7})[0]
     assert row["most"] == 7
@@ -156,29 +156,29 @@
 
     def __init__(self) -> None:
         self.divider = QuotaAllocator(TIGHT, {BUDGET.id: BUDGET})
-        self.divider.begin(-1e6)
+        self.divider.begin_term(-1e6)
         self.holders = [QuotaClient(n + 1, TIGHT, -1e6) for n in range(2)]
         self.uses: list[Any] = []
 
     def elect(self, now: float) -> None:
         """Another divider, whose first word all have heard."""
-        self.divider = QuotaAllocator(TIGHT, {BUDGET.id: BUDGET}, self.divider.life + 1)
-        self.divider.begin(now, 1)
+        self.divider = QuotaAllocator(TIGHT, {BUDGET.id: BUDGET}, self.divider.incarnation + 1)
+        self.divider.begin_term(now, 1)
 
     def ask(self, now: float, n: int, wish: int = 7) -> CapacityRequest:
         h = self.holders[n]
         if wish:
-            h.miss(now, BUDGET, 0, wish)
+            h.record_unmet(now, BUDGET, 0, wish)
         for a in h.accounts.values():
-            a.asked_at = float("-inf")
-        return h.ask(now, self.divider.life, self.divider.first)[0]
+            a.requested_at_ms = float("-inf")
+        return h.due_requests(now, self.divider.incarnation, self.divider.first_round)[0]
 
     def answer(self, now: float, n: int, want: CapacityRequest) -> CapacityGrant:
-        return self.divider.asked(now, n, want)
+        return self.divider.on_request(now, n, want)
 
     def use(self, now: float, n: int) -> None:
-        while self.holders[n].take(now, BUDGET):
-            self.uses.append((now, now + BUDGET.span, "moves", 0, 1))
+        while self.holders[n].acquire(now, BUDGET):
+            self.uses.append((now, now + BUDGET.hold_ms, "moves", 0, 1))
 
     def over(self) -> float:
         return float(most(self.uses, {"moves": 7})[0]["over_ms"])
@@ -187,20 +187,20 @@
 def an_answer_that_comes_late() -> float:
     d = Desk()
     give = d.answer(1.0, 0, d.ask(0.0, 0))
-    d.holders[0].given(500.0, give)
+    d.holders[0].on_grant(500.0, give)
     for now in range(500, 1_400, 20):
         d.use(now, 0)
-        d.holders[1].given(now, d.answer(now, 1, d.ask(now, 1)))
+        d.holders[1].on_grant(now, d.answer(now, 1, d.ask(now, 1)))
         d.use(now, 1)
     return d.over()
 
 
 def a_use_that_would_outlast_its_grant() -> float:
     d = Desk()
-    d.holders[0].given(1.0, d.answer(0.0, 0, d.ask(0.0, 0)))
+    d.holders[0].on_grant(1.0, d.answer(0.0, 0, d.ask(0.0, 0)))
     d.use(700.0, 0)
     for now in range(820, 1_000, 20):
-        d.holders[1].given(now, d.answer(now, 1, d.ask(now, 1)))
+        d.holders[1].on_grant(now, d.answer(now, 1, d.ask(now, 1)))
         d.use(now, 1)
     return d.over()
 
@@ -209,24 +209,24 @@
     d = Desk()
     late = d.answer(1.0, 0, d.ask(0.0, 0))
     d.answer(2.0, 1, d.ask(2.0, 1))
-    d.holders[0].given(4.0, d.answer(3.0, 0, d.ask(3.0, 0)))
+    d.holders[0].on_grant(4.0, d.answer(3.0, 0, d.ask(3.0, 0)))
     d.answer(6.0, 0, d.ask(5.0, 0))  # says that the second answer was taken up
     for now in range(10, 400, 20):
-        d.holders[1].given(now, d.answer(now, 1, d.ask(now, 1)))
+        d.holders[1].on_grant(now, d.answer(now, 1, d.ask(now, 1)))
         d.use(now, 1)
-    d.holders[0].given(400.0, late)
+    d.holders[0].on_grant(400.0, late)
     d.use(400.0, 0)
     return d.over()
 
 
 def a_renewal_of_what_was_over() -> float:
     d = Desk()
-    d.holders[0].given(1.0, d.answer(0.0, 0, d.ask(0.0, 0)))
+    d.holders[0].on_grant(1.0, d.answer(0.0, 0, d.ask(0.0, 0)))
     late = d.ask(780.0, 0)
-    d.holders[1].given(830.0, d.answer(829.0, 1, d.ask(828.0, 1)))
+    d.holders[1].on_grant(830.0, d.answer(829.0, 1, d.ask(828.0, 1)))
     d.elect(831.0)
     give = d.answer(840.0, 0, late)
-    d.holders[0].given(845.0, give)
+    d.holders[0].on_grant(845.0, give)
     d.use(850.0, 0)
     d.use(850.0, 1)
     return d.over()
@@ -235,13 +235,13 @@
 def a_divider_that_goes_on_with_what_holders_have() -> float:
     """It divides those rights anew before its predecessor's other grants have ended, and no more than those."""
     d = Desk()
-    d.holders[0].given(1.0, d.answer(0.0, 0, d.ask(0.0, 0, 3)))
+    d.holders[0].on_grant(1.0, d.answer(0.0, 0, d.ask(0.0, 0, 3)))
     lost = d.answer(3.0, 1, d.ask(2.0, 1))  # lent to one that the new divider does not hear of yet
-    d.holders[1].given(4.0, lost)
+    d.holders[1].on_grant(4.0, lost)
     d.elect(5.0)
     d.use(6.0, 1)
     for now in range(10, 300, 10):
-        d.holders[0].given(now, d.answer(now, 0, d.ask(now, 0)))
+        d.holders[0].on_grant(now, d.answer(now, 0, d.ask(now, 0)))
         d.use(now, 0)
     assert {u[0] < 300.0 for u in d.uses} == {True}
     return d.over()
@@ -249,12 +249,12 @@
 
 def a_grant_made_smaller_while_in_use() -> float:
     d = Desk()
-    d.holders[0].given(1.0, d.answer(0.0, 0, d.ask(0.0, 0)))
+    d.holders[0].on_grant(1.0, d.answer(0.0, 0, d.ask(0.0, 0)))
     d.use(200.0, 0)
     for now in range(210, 1_000, 10):
-        d.holders[1].given(now, d.answer(now, 1, d.ask(now, 1)))
+        d.holders[1].on_grant(now, d.answer(now, 1, d.ask(now, 1)))
         d.use(now, 1)
-        d.holders[0].given(now, d.answer(now, 0, d.ask(now, 0)))
+        d.holders[0].on_grant(now, d.answer(now, 0, d.ask(now, 0)))
     return d.over()
 
 
@@ -331,14 +331,14 @@
 
 
 def counted_from_the_answer(m: pytest.MonkeyPatch) -> None:
-    real = QuotaClient.given
+    real = QuotaClient.on_grant
 
-    def given(self: QuotaClient, now: float, word: CapacityGrant) -> bool:
-        if word.round in self.wants:
-            self.wants[word.round] = (now, self.wants[word.round][1])
+    def on_grant(self: QuotaClient, now: float, word: CapacityGrant) -> bool:
+        if word.round in self.pending:
+            self.pending[word.round] = (now, self.pending[word.round][1])
         return real(self, now, word)
 
-    m.setattr(QuotaClient, "given", given)
+    m.setattr(QuotaClient, "on_grant", on_grant)
 
 
 def margin_on_the_wrong_side(m: pytest.MonkeyPatch) -> None:
@@ -346,22 +346,22 @@
 
 
 def lends_without_learning(m: pytest.MonkeyPatch) -> None:
-    def begin(self: QuotaAllocator, now: float, first: int = 0) -> None:
-        self.since, self.first, self.books, self.known = now - 1e6, first, {}, {}
+    def begin_term(self: QuotaAllocator, now: float, first: int = 0) -> None:
+        self.started_at_ms, self.first_round, self.ledgers, self.inherited = now - 1e6, first, {}, {}
 
-    m.setattr(QuotaAllocator, "begin", begin)
+    m.setattr(QuotaAllocator, "begin_term", begin_term)
 
 
 def a_former_life_forgotten(m: pytest.MonkeyPatch) -> None:
-    real = QuotaAllocator.row
+    real = QuotaAllocator.grant_row
 
-    def row(self: QuotaAllocator, now: float, sender: int, word: CapacityRequest, row: Any) -> Any:
-        book = self.books.get((row[0], row[1]), {})
+    def grant_row(self: QuotaAllocator, now: float, sender: int, word: CapacityRequest, row: Any) -> Any:
+        book = self.ledgers.get((row[0], row[1]), {})
         for who in [w for w in book if w[0] == sender and w[1] != word.life]:
             del book[who]
         return real(self, now, sender, word, row)
 
-    m.setattr(QuotaAllocator, "row", row)
+    m.setattr(QuotaAllocator, "grant_row", grant_row)
 
 
 def floor_at_once(m: pytest.MonkeyPatch) -> None:
@@ -379,33 +379,33 @@
 
 
 def answers_in_any_order(m: pytest.MonkeyPatch) -> None:
-    real = QuotaClient.given
+    real = QuotaClient.on_grant
 
-    def given(self: QuotaClient, now: float, word: CapacityGrant) -> bool:
+    def on_grant(self: QuotaClient, now: float, word: CapacityGrant) -> bool:
         for a in self.accounts.values():
             a.round = -1
         return real(self, now, word)
 
-    m.setattr(QuotaClient, "given", given)
+    m.setattr(QuotaClient, "on_grant", on_grant)
 
 
 def uses_outlast_the_grant(m: pytest.MonkeyPatch) -> None:
-    def free(self: QuotaClient, now: float, budget: Budget, subject: int = 0) -> int:
+    def available(self: QuotaClient, now: float, budget: Budget, subject: int = 0) -> int:
         a = self.account(now, budget, subject)
         assert a
-        return max(0, self.floor(now, budget) + (a.amount if now < a.until else 0) - a.count(now, a.uses))
+        return max(0, self.floor(now, budget) + (a.granted if now < a.expires_at_ms else 0) - a.count(now, a.uses))
 
-    m.setattr(QuotaClient, "free", free)
+    m.setattr(QuotaClient, "available", available)
 
 
 def what_is_in_use_not_said(m: pytest.MonkeyPatch) -> None:
-    real = QuotaClient.row
+    real = QuotaClient.request_row
 
-    def row(self: QuotaClient, now: float, key: Any) -> Any:
+    def request_row(self: QuotaClient, now: float, key: Any) -> Any:
         budget, subject, wanted, have, _, taken = real(self, now, key)
         return budget, subject, wanted, have, have, taken
 
-    m.setattr(QuotaClient, "row", row)
+    m.setattr(QuotaClient, "request_row", request_row)
 
 
 def answers_on_their_way_forgotten(m: pytest.MonkeyPatch) -> None:
@@ -413,28 +413,30 @@
 
     def settle(self: QuotaAllocator, now: float, life: Any, taken: int, held: int, learning: float | None) -> None:
         real(self, now, life, taken, held, learning)
-        life.entries = [e for e in life.entries if e[0] <= taken]
+        life.grants = [e for e in life.grants if e[0] <= taken]
 
     m.setattr(QuotaAllocator, "settle", settle)
 
 
 def a_word_to_a_former_office_counts(m: pytest.MonkeyPatch) -> None:
-    real = QuotaAllocator.asked
+    real = QuotaAllocator.on_request
 
-    def asked(self: QuotaAllocator, now: float, sender: int, word: CapacityRequest) -> CapacityGrant:
-        return real(self, now, sender, CapacityRequest(word.life, word.round, self.life, self.first, word.rows))
+    def on_request(self: QuotaAllocator, now: float, sender: int, word: CapacityRequest) -> CapacityGrant:
+        return real(
+            self, now, sender, CapacityRequest(word.life, word.round, self.incarnation, self.first_round, word.rows)
+        )
 
-    m.setattr(QuotaAllocator, "asked", asked)
+    m.setattr(QuotaAllocator, "on_request", on_request)
 
 
 def what_a_predecessor_lent_counts_twice(m: pytest.MonkeyPatch) -> None:
-    real = QuotaAllocator.row
+    real = QuotaAllocator.grant_row
 
-    def row(self: QuotaAllocator, now: float, sender: int, word: CapacityRequest, row: Any) -> Any:
-        self.books.get((row[0], row[1]), {}).pop((sender, word.life), None)  # as if it were heard of anew each time
+    def grant_row(self: QuotaAllocator, now: float, sender: int, word: CapacityRequest, row: Any) -> Any:
+        self.ledgers.get((row[0], row[1]), {}).pop((sender, word.life), None)  # as if it were heard of anew each time
         return real(self, now, sender, word, row)
 
-    m.setattr(QuotaAllocator, "row", row)
+    m.setattr(QuotaAllocator, "grant_row", grant_row)
 
 
 def half_is_enough(m: pytest.MonkeyPatch) -> None:
@@ -444,15 +446,16 @@
 def office_kept_over_a_sleep(m: pytest.MonkeyPatch) -> None:
     m.setattr(
         QuotaManager,
-        "office",
+        "is_allocating",
         lambda self, now: (
-            self.divider.since is not None or (self.candidate.holds(now) and (self.divider.begin(now) or True))
+            self.allocator.started_at_ms is not None
+            or (self.candidate.holds(now) and (self.allocator.begin_term(now) or True))
         ),
     )
 
 
 def lent_again_by_the_new_figure(m: pytest.MonkeyPatch) -> None:
-    m.setattr(divider_module.ClientState, "out", lambda self, now: self.entries[-1][1] if self.entries else 0)
+    m.setattr(divider_module.ClientState, "outstanding", lambda self, now: self.grants[-1][1] if self.grants else 0)
 
 
 def votes_counted_after_a_quit(m: pytest.MonkeyPatch) -> None:
--- a/tests/test_quota_small.py
+++ b/tests/test_quota_small.py
@@ -11,7 +11,7 @@
 from corallanding.quota import Budget, QuotaAllocator, QuotaClient, QuotaLimits
 
 # A grant of two steps and a use of one and a half: a few steps see grants end, and uses that would outlast them.
-TERMS = QuotaLimits(lease=50.0, office=100.0, drift=0.0)
+TERMS = QuotaLimits(lease_ms=50.0, office=100.0, drift=0.0)
 BUDGET = Budget("moves", 2, 0, 2, 150.0)
 STEP = 100.0
 DEEP = 8
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self.now = 0.0
         self.divider = QuotaAllocator(TERMS, {BUDGET.id: BUDGET})
-        self.divider.begin(-1e6)
+        self.divider.begin_term(-1e6)
         self.holders = [QuotaClient(1, TERMS, -1e6), QuotaClient(2, TERMS, -1e6)]
         self.wants: list[tuple[int, Any]] = []
         self.gives: list[tuple[int, Any]] = []
@@ -49,41 +49,41 @@
             case "ask":
                 h = self.holders[n]
                 if not h.accounts:
-                    h.miss(self.now, BUDGET, 0, 2)
+                    h.record_unmet(self.now, BUDGET, 0, 2)
                 for a in h.accounts.values():
-                    a.asked_at = float("-inf")
-                words = h.ask(self.now)
+                    a.requested_at_ms = float("-inf")
+                words = h.due_requests(self.now)
                 self.wants += [(n, w) for w in words]
                 return bool(words)
             case "want":
                 who, word = self.wants.pop(n)
-                self.gives.append((who, self.divider.asked(self.now, who, word)))
+                self.gives.append((who, self.divider.on_request(self.now, who, word)))
             case "give":
                 who, word = self.gives.pop(n)
-                self.holders[who].given(self.now, word)
+                self.holders[who].on_grant(self.now, word)
             case "use":
-                free = self.holders[n].free(self.now, BUDGET)
+                free = self.holders[n].available(self.now, BUDGET)
                 if not free:
                     return False
-                assert self.holders[n].take(self.now, BUDGET, 0, free)
-                self.ends += [self.now + BUDGET.span] * free
+                assert self.holders[n].acquire(self.now, BUDGET, 0, free)
+                self.ends += [self.now + BUDGET.hold_ms] * free
         return True
 
     def key(self) -> str:
         """Two worlds of one key go on alike."""
         books = [
-            (who, life.round, life.wanted, life.at, sorted(life.entries))
-            for book in self.divider.books.values()
+            (who, life.round, life.wanted, life.reported_at_ms, sorted(life.grants))
+            for book in self.divider.ledgers.values()
             for who, life in sorted(book.items())
         ]
         holders = [
             (
                 h.round,
                 [
-                    (a.amount, a.until, a.round, list(a.uses), list(a.missed), a.peak, a.peak_at)
+                    (a.granted, a.expires_at_ms, a.round, list(a.uses), list(a.unmet), a.peak, a.peak_at_ms)
                     for a in h.accounts.values()
                 ],
-                sorted((r, w[0]) for r, w in h.wants.items()),
+                sorted((r, w[0]) for r, w in h.pending.items()),
             )
             for h in self.holders
         ]
@@ -102,7 +102,7 @@
                 if not new.play(move):
                     continue
                 most = max(most, new.in_use())
-                if most > BUDGET.whole:
+                if most > BUDGET.capacity:
                     return len(seen), most
                 if (key := new.key()) not in seen:
                     seen.add(key)
@@ -128,7 +128,7 @@
 @pytest.mark.parametrize("start", STARTS)
 def test_no_order_of_events_uses_more_than_the_whole(start: str) -> None:
     worlds, most = explore(DEEP - 1, after(*STARTS[start]))
-    assert most == BUDGET.whole, "both rights are used in some order, and never three"
+    assert most == BUDGET.capacity, "both rights are used in some order, and never three"
     assert worlds > 2_000
 
 
@@ -143,4 +143,4 @@
 @pytest.mark.parametrize("mistake", FOUND, ids=lambda f: f.__name__)
 def test_the_small_world_finds_mistakes(mistake: Any, monkeypatch: pytest.MonkeyPatch) -> None:
     mistake(monkeypatch)
-    assert explore(DEEP, after(*STARTS[FOUND[mistake]]))[1] > BUDGET.whole
+    assert explore(DEEP, after(*STARTS[FOUND[mistake]]))[1] > BUDGET.capacity
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -291,8 +291,8 @@
     found, shelf = RecordStore(str(tmp_path / "records.sqlite"), lambda: 9000.0), Replica(RecordLimits())
     assert (found.is_same_boot, found.is_blank, found.opening_number, found.writes) == (True, False, 2, 1)
     assert found.load(shelf) == {2: (5, 77, 40), 3: (6, 78, 41)}
-    assert found.writes == shelf.writes == 1
-    pages = [msgspec.to_builtins(shelf.fetch(9000.0, Prepare(1, 1, group, 0))) for group in (7, 8)]
+    assert found.writes == shelf.write_count == 1
+    pages = [msgspec.to_builtins(shelf.on_prepare(9000.0, Prepare(1, 1, group, 0))) for group in (7, 8)]
     assert pages[0] == [33, 1, 1, 7, 0, 13, [(99, 3, 5000, 12, 4), (100, 5, 4500, 12, 5)], False]
     assert pages[1] == [33, 1, 1, 8, 0, 2, [(1, 6, 1000, 2, 1)], False]
     found.close()
--- a/tests/version_pinning/support.py
+++ b/tests/version_pinning/support.py
@@ -38,55 +38,55 @@
 
 
 def accept_without_fencing(patch: Any) -> None:
-    real = Replica.takes
+    real = Replica.acceptance_status
 
-    def takes(self: Replica, word: Any) -> int:
-        seen = self.seen.pop(word.group, 0)
+    def acceptance_status(self: Replica, word: Any) -> int:
+        seen = self.highest_tokens.pop(word.group, 0)
         out = real(self, word)
-        self.seen[word.group] = seen
+        self.highest_tokens[word.group] = seen
         return out
 
-    patch.setattr(Replica, "takes", takes)
+    patch.setattr(Replica, "acceptance_status", acceptance_status)
 
 
 def forget_promises(patch: Any) -> None:
-    real = Replica.fetch
+    real = Replica.on_prepare
 
-    def fetch(self: Replica, now: float, word: Any) -> Any:
-        seen = dict(self.seen)
+    def on_prepare(self: Replica, now: float, word: Any) -> Any:
+        seen = dict(self.highest_tokens)
         out = real(self, now, word)
-        self.seen = seen
+        self.highest_tokens = seen
         return out
 
-    patch.setattr(Replica, "fetch", fetch)
+    patch.setattr(Replica, "on_prepare", on_prepare)
 
 
 def skip_reading(patch: Any) -> None:
-    real = QuorumRecords.hold
+    real = QuorumRecords.acquire_group
 
-    def hold(self: QuorumRecords, group: int, fence: int) -> None:
+    def acquire_group(self: QuorumRecords, group: int, fence: int) -> None:
         real(self, group, fence)
-        self.held[group].open = True
+        self.proposers[group].is_ready = True
 
-    patch.setattr(QuorumRecords, "hold", hold)
+    patch.setattr(QuorumRecords, "acquire_group", acquire_group)
 
 
 def keep_first_read(patch: Any) -> None:
-    def read(self: Proposer, keeper: int, key: int, value: int, born: float, order: tuple[int, int]) -> None:
-        e = self.rows.get(key)
+    def merge_read(self: Proposer, keeper: int, key: int, value: int, born: float, order: tuple[int, int]) -> None:
+        e = self.records.get(key)
         if e is None:
-            self.rows[key] = ProposedRecord(value, born, order, votes=self.bit[keeper])
-        elif order == e.order:
-            e.votes |= self.bit[keeper]
+            self.records[key] = ProposedRecord(value, born, order, votes=self.vote_bits[keeper])
+        elif order == e.read_ballot:
+            e.votes |= self.vote_bits[keeper]
 
-    patch.setattr(Proposer, "read", read)
+    patch.setattr(Proposer, "merge_read", merge_read)
 
 
 def deny_on_one_refusal(patch: Any) -> None:
-    def no(self: Proposer, o: Any, why: int) -> None:
-        self.denied.update((k, why) for k in o.rows if (e := self.rows.get(k)) and not e.decided)
+    def reject_undecidable(self: Proposer, o: Any, why: int) -> None:
+        self.rejected_keys.update((k, why) for k in o.keys if (e := self.records.get(k)) and not e.is_decided)
 
-    patch.setattr(Proposer, "no", no)
+    patch.setattr(Proposer, "reject_undecidable", reject_undecidable)
 
 
 def send_before_writing(patch: Any) -> None:
@@ -114,7 +114,7 @@
 def count_any_report(patch: Any) -> None:
     def is_unused(self: ReleaseCoordinator, packed_register: int, release_set: int) -> bool:
         reports = self.run_counts.runs_by_replica.values()
-        return len(reports) > len(self.records.keepers) // 2 and not any(runs.get(release_set) for runs in reports)
+        return len(reports) > len(self.records.replica_ids) // 2 and not any(runs.get(release_set) for runs in reports)
 
     patch.setattr(ReleaseCoordinator, "is_unused", is_unused)
 
--- a/tests/version_pinning/test_failures.py
+++ b/tests/version_pinning/test_failures.py
@@ -14,8 +14,8 @@
     for controller in range(5):
         process, pins = world.processes[controller], world.pins[controller]
         number = pins.request_run(process.clock(world.now), key)
-        world.asked[controller, pins.queries.life, number] = (key, world.now)
-        world.carry(controller, process, world.fleets[controller].push(process.clock(world.now)))
+        world.asked[controller, pins.queries.incarnation, number] = (key, world.now)
+        world.carry(controller, process, world.fleets[controller].send_new_queries(process.clock(world.now)))
     world.run(world.now + 3_000.0)
     rows = [row for row in world.told if row[1] == key]
     assert len(rows) == 5
@@ -56,8 +56,8 @@
         world.run(1_000.0 * controller)
         world.start(controller)
     world.run(7_000.0)
-    assert [f.records.catch.ready for f in world.fleets.values()] == [True] * 5
-    assert [f.page()["waits_for"] for f in world.fleets.values()] == [[]] * 5
+    assert [f.records.recovery.is_ready for f in world.fleets.values()] == [True] * 5
+    assert [f.status()["waits_for"] for f in world.fleets.values()] == [[]] * 5
 
 
 def test_controller_when_away_during_a_retirement_then_does_not_revive_the_set() -> None:
--- a/tests/version_pinning/test_fencing.py
+++ b/tests/version_pinning/test_fencing.py
@@ -30,22 +30,22 @@
                 if s.to not in to:
                     late.append(s)
                 elif isinstance(s.word, Accept):
-                    writer.copied(0.0, s.to, shelves[s.to].copy(0.0, s.word))
+                    writer.on_accept_reply(0.0, s.to, shelves[s.to].on_accept(0.0, s.word))
                 else:
-                    assert not writer.page(0.0, s.to, shelves[s.to].fetch(0.0, s.word))
+                    assert not writer.on_prepare_reply(0.0, s.to, shelves[s.to].on_prepare(0.0, s.word))
             return late
 
         deliver(first.tick(0.0), {0, 1, 2})
         first.write(0.0, 99, 1, 0.0)
         late = deliver(first.tick(0.0), {0})
         deliver(second.tick(0.0), {1, 2})
-        assert second.open
+        assert second.is_ready
         assert second.get(99) is None
         second.write(0.0, 99, 2, 0.0)
         copies = second.tick(0.0)
         deliver(late, {1, 2})
         deliver(copies, {1, 2})
-        return [world.rows[99].decided for world in (first, second)]
+        return [world.records[99].is_decided for world in (first, second)]
 
     assert scene() == [False, True]
     for plant in (accept_without_fencing, forget_promises):
--- a/tests/version_pinning/test_planted_mistakes.py
+++ b/tests/version_pinning/test_planted_mistakes.py
@@ -22,7 +22,7 @@
 MISTAKES: dict[str, tuple[Callable[[Any], None], str, int]] = {
     # name: the mistake, where it is looked for, the seed from which on
     "told before a majority has it": (
-        lambda patch: patch.setattr(Proposer, "needed", property(lambda s: 1)),
+        lambda patch: patch.setattr(Proposer, "quorum_size", property(lambda s: 1)),
         "world",
         0,
     ),
--- a/tests/version_pinning/test_retirement.py
+++ b/tests/version_pinning/test_retirement.py
@@ -51,7 +51,7 @@
     world = ScriptedWalk()
     world.ask(0, 99)
     assert not world.told, "its copies are on their way"
-    run = lambda a, b, word: isinstance(word, Accept) and word.first  # noqa: E731
+    run = lambda a, b, word: isinstance(word, Accept) and word.is_initial  # noqa: E731
     held, world.bag = [x for x in world.bag if run(*x)], [x for x in world.bag if not run(*x)]
     assert held
     world.goal = 2
