--- a/corallanding/platform/__init__.py
+++ b/corallanding/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The steward on the platform: `python -m corallanding.platform`. `service` wires it up."""
+"""The controller on the users' platform: `python -m corallanding.platform`. `service` connects its parts."""
--- a/corallanding/platform/__main__.py
+++ b/corallanding/platform/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m corallanding.platform`: one steward on the platform. LB_CONFIG names its configuration. See `program`."""
+"""`python -m corallanding.platform`: one controller on the platform. LB_CONFIG names its configuration file."""
 
 from __future__ import annotations
 
@@ -7,10 +7,11 @@
 
 
 def main() -> int:
-    # Held back until the loop takes it, then told: one that comes while the program loads neither ends it nor is lost.
+    """Run the program and return its exit code; see `program`."""
+    # Blocked until the event loop handles it: a signal during the imports neither ends the program nor is lost.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
-    signal.signal(signal.SIGINT, signal.SIG_DFL)  # until then: ends it without a traceback, as SIGTERM does
-    from .program import run  # only now, as loading it is most of a start
+    signal.signal(signal.SIGINT, signal.SIG_DFL)  # until then it ends the program without a traceback, as SIGTERM does
+    from .program import run  # imported only now, since the imports are most of a start
 
     return run()
 
--- a/corallanding/platform/clock.py
+++ b/corallanding/platform/clock.py
@@ -1,4 +1,4 @@
-"""The platform's clock."""
+"""The platform controller's clock."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 
 
 class Clock:
-    """Unix time in milliseconds, anchored once: a wall clock that steps does not move it."""
+    """Unix time in milliseconds, anchored once: it does not move when the wall clock is set."""
 
     def __init__(self) -> None:
-        self.base = time.time() * 1000.0 - time.monotonic() * 1000.0
+        self.unix_offset_ms = time.time() * 1000.0 - time.monotonic() * 1000.0
 
     def __call__(self) -> float:
-        return self.base + time.monotonic() * 1000.0
+        """Return the time now, in ms; it never goes back."""
+        return self.unix_offset_ms + time.monotonic() * 1000.0
--- a/corallanding/platform/config.py
+++ b/corallanding/platform/config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration file: JSON to what the steward needs. Pure but for `read`."""
+"""The platform's configuration file: JSON to what the controller needs. Pure but for `read`."""
 
 from __future__ import annotations
 
@@ -14,156 +14,154 @@
 from ..collector.reports import NameTables
 from ..connection import Address
 from ..discovery.host_list import ListAnswer
+from ..errors import ConfigurationError
 from ..json_errors import JSON_DECODE_ERRORS
 from ..simulator_adapter.fields import MalformedLineError
 from ..simulator_adapter.settings import milliseconds, positive, read_settings
+from .settings_pairs import flatten
 
+DEFAULT_CONNECT_TIMEOUT_MS = 300.0
+MAX_PORT = 65_535
+MAX_QUOTED = 60  # characters of a rejected address in an error
+MISSING_FIELD = re.compile(r"missing required field `(?P<key>\w+)`(?: - at `\$\.?(?P<path>.*)`)?")
+INVALID_FIELD = re.compile(r"(?P<reason>.*) - at `\$\.?(?P<path>.*)`")
 
-class BadConfig(Exception):
-    """One line: what is wrong, and at which key."""
+
+class InvalidConfigError(ConfigurationError):
+    """The configuration cannot be used. The text is one line that names the key."""
 
 
 @dataclass(frozen=True)
 class Config:
-    """known: the list as this steward last had it. sockets: descriptors, memory_mb: 0 where not told."""
+    """What the controller needs of its configuration.
+
+    `saved_list` is the host list as this controller last had it; `max_sockets` (descriptors) and `memory_mb` are 0
+    where they are not stated; `connect_timeout_ms` is how long proxies wait for a connection.
+    """
 
     name: str
     listen: Address
     discovery: Address
-    store: Address
+    relay: Address
     seed: int
-    sockets: int
+    max_sockets: int
     memory_mb: float
-    known: ListAnswer
+    saved_list: ListAnswer
     settings: api.Settings
-    places: NameTables
+    names: NameTables
     kinds: dict[str, int]
-    dial_timeout: float  # ms that proxies wait for a connection
-
+    connect_timeout_ms: float
 
-def address(text: str) -> Address:
-    """ "10.0.0.4:8081" or "[::1]:8081" as host and port. Raises ValueError: there is no DNS."""
-    name, mark, port = text.rpartition(":")
-    if not mark or not port.isdigit() or not 0 < int(port) <= 65_535:
-        raise ValueError(f"{text[:60]!r} is no ADDRESS:PORT")
-    return str(ipaddress.ip_address(name.strip("[]"))), int(port)
 
-
-def flatten(value: Any, path: str = "") -> dict[str, str]:
-    """Nested JSON as the pairs that the simulator's wire gives: one reader of settings serves both fronts.
-
-    Objects by dots, lists of plain values by commas, lists of objects by `.count` and places.
-    """
-    if isinstance(value, dict):
-        out: dict[str, str] = {}
-        for key, below in value.items():
-            out.update(flatten(below, f"{path}.{key}" if path else str(key)))
-        return out
-    if isinstance(value, list):
-        if any(isinstance(x, dict) for x in value):
-            out = {f"{path}.count": str(len(value))}
-            for n, below in enumerate(value):
-                out.update(flatten(below, f"{path}.{n}"))
-            return out
-        return {path: ",".join(plain(x) for x in value)}
-    return {} if value is None else {path: plain(value)}
-
-
-def plain(value: Any) -> str:
-    if isinstance(value, bool):
-        return "true" if value else "false"
-    return "".join("_" if c in " ,\t" else c for c in str(value))
-
-
-def places(names: Any, key: str) -> dict[str, int]:
-    if not isinstance(names, list) or not all(isinstance(x, str) for x in names):
-        raise BadConfig(f"{key}: a list of names is expected")
-    return {name: n for n, name in enumerate(names)}
-
-
-class Store(msgspec.Struct):
+class _Store(msgspec.Struct):
     address: str
 
 
-class Limits(msgspec.Struct):
+class _Limits(msgspec.Struct):
     sockets: float = 0.0
     memory_mb: float = 0.0
 
 
-class Top(msgspec.Struct):
-    """The file as it stands; what it holds beside these is passed over."""
+class _ConfigFile(msgspec.Struct):
+    """The file as it stands; what else it holds is ignored."""
 
     settings: dict[str, Any]
     listen: str
     discovery: str
-    store: Store
+    store: _Store
     name: str = ""
     seed: str | int = 0
-    limits: Limits | None = None
+    limits: _Limits | None = None
     known: ListAnswer | None = None
 
 
-MISSING = re.compile(r"missing required field `(?P<key>\w+)`(?: - at `\$\.?(?P<path>.*)`)?")
-WRONG = re.compile(r"(?P<why>.*) - at `\$\.?(?P<path>.*)`")
+def parse_address(text: str) -> Address:
+    """Parse "10.0.0.4:8081" or "[::1]:8081". Raises ValueError; names are not resolved."""
+    host, separator, port = text.rpartition(":")
+    if not separator or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
+        raise ValueError(f"{text[:MAX_QUOTED]!r} is no ADDRESS:PORT")
+    return str(ipaddress.ip_address(host.strip("[]"))), int(port)
 
 
-def named(fault: msgspec.ValidationError) -> str:
-    """What msgspec says, with the key first."""
-    if found := MISSING.search(str(fault)):
-        return f"{'.'.join(filter(None, (found['path'], found['key'])))}: missing"
-    if found := WRONG.match(str(fault)):
-        return f"{found['path']}: {'missing' if 'got `null`' in found['why'] else found['why']}"
-    return f"no JSON object: {fault}"
+def read(path: str) -> Config:
+    """Read and parse a file. Raises InvalidConfigError, which names the file."""
+    try:
+        return parse(Path(path).read_bytes())
+    except OSError as error:
+        raise InvalidConfigError(f"{path}: {error.strerror}") from None
+    except InvalidConfigError as error:
+        raise InvalidConfigError(f"{path}: {error}") from None
 
 
 def parse(raw: bytes) -> Config:
-    """Raises BadConfig."""
+    """Parse the contents of a file. Raises InvalidConfigError."""
+    file = _decode(raw)
+    pairs = flatten(file.settings)
     try:
-        top = msgspec.json.decode(raw, type=Top)
-    except msgspec.ValidationError as fault:
-        raise BadConfig(named(fault)) from None
-    except JSON_DECODE_ERRORS as fault:
-        raise BadConfig(f"no JSON: {fault}") from None
-
-    def where(path: str, text: str) -> Address:
-        try:
-            return address(text)
-        except ValueError as fault:
-            raise BadConfig(f"{path}: {fault}") from None
-
-    flat = flatten(top.settings)
-    try:
-        settings = read_settings(flat)
-        dial_timeout = positive(milliseconds, flat, "limits.dialTimeout", 300.0)
-    except MalformedLineError as fault:
-        raise BadConfig(f"settings: {fault}") from None
-    try:
-        seed = int(top.seed, 16) if isinstance(top.seed, str) else top.seed
-    except ValueError as fault:
-        raise BadConfig(f"seed: {fault}") from None
-    classes, limits = top.settings.get("classes"), top.limits or Limits()
-    names = [c.get("name") if isinstance(c, dict) else None for c in classes] if isinstance(classes, list) else None
+        settings = read_settings(pairs)
+        connect_timeout_ms = positive(milliseconds, pairs, "limits.dialTimeout", DEFAULT_CONNECT_TIMEOUT_MS)
+    except MalformedLineError as error:
+        raise InvalidConfigError(f"settings: {error}") from None
+    limits = file.limits or _Limits()
     return Config(
-        top.name,
-        where("listen", top.listen),
-        where("discovery", top.discovery),
-        where("store.address", top.store.address),
-        seed,
-        max(0, int(limits.sockets)),
-        max(0.0, limits.memory_mb),
-        top.known or ListAnswer(0, True, []),
-        settings,
-        NameTables(places(top.settings.get("zones"), "settings.zones"), places(names, "settings.classes")),
-        places(top.settings.get("kinds"), "settings.kinds"),
-        dial_timeout,
+        name=file.name,
+        listen=_address("listen", file.listen),
+        discovery=_address("discovery", file.discovery),
+        relay=_address("store.address", file.store.address),
+        seed=_seed(file.seed),
+        max_sockets=max(0, int(limits.sockets)),
+        memory_mb=max(0.0, limits.memory_mb),
+        saved_list=file.known or ListAnswer(0, True, []),
+        settings=settings,
+        names=_name_tables(file.settings),
+        kinds=_numbered(file.settings.get("kinds"), "settings.kinds"),
+        connect_timeout_ms=connect_timeout_ms,
     )
 
 
-def read(path: str) -> Config:
-    """Raises BadConfig, which names the file."""
+def _decode(raw: bytes) -> _ConfigFile:
     try:
-        return parse(Path(path).read_bytes())
-    except OSError as fault:
-        raise BadConfig(f"{path}: {fault.strerror}") from None
-    except BadConfig as fault:
-        raise BadConfig(f"{path}: {fault}") from None
+        return msgspec.json.decode(raw, type=_ConfigFile)
+    except msgspec.ValidationError as error:
+        raise InvalidConfigError(_describe(error)) from None
+    except JSON_DECODE_ERRORS as error:
+        raise InvalidConfigError(f"no JSON: {error}") from None
+
+
+def _describe(error: msgspec.ValidationError) -> str:
+    """Return what msgspec says, with the key first."""
+    if found := MISSING_FIELD.search(str(error)):
+        return f"{'.'.join(filter(None, (found['path'], found['key'])))}: missing"
+    if found := INVALID_FIELD.match(str(error)):
+        return f"{found['path']}: {'missing' if 'got `null`' in found['reason'] else found['reason']}"
+    return f"no JSON object: {error}"
+
+
+def _address(key: str, text: str) -> Address:
+    try:
+        return parse_address(text)
+    except ValueError as error:
+        raise InvalidConfigError(f"{key}: {error}") from None
+
+
+def _seed(seed: str | int) -> int:
+    try:
+        return int(seed, 16) if isinstance(seed, str) else seed
+    except ValueError as error:
+        raise InvalidConfigError(f"seed: {error}") from None
+
+
+def _name_tables(settings: dict[str, Any]) -> NameTables:
+    classes = settings.get("classes")
+    class_names: list[Any] | None = None
+    if isinstance(classes, list):
+        class_names = [found.get("name") if isinstance(found, dict) else None for found in classes]
+    zones = _numbered(settings.get("zones"), "settings.zones")
+    return NameTables(zones, _numbered(class_names, "settings.classes"))
+
+
+def _numbered(names: Any, key: str) -> dict[str, int]:
+    """Return names with their places in the list."""
+    if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
+        raise InvalidConfigError(f"{key}: a list of names is expected")
+    return {name: number for number, name in enumerate(names)}
--- a/corallanding/platform/endpoint_updates.py
+++ b/corallanding/platform/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Discovery's answers on their way to the module: what can be used becomes an event, what cannot is named."""
+"""The host list on its way to the assigner: what can be used becomes an event, what cannot is logged."""
 
 from __future__ import annotations
 
@@ -9,48 +9,60 @@
 from ..discovery.long_poll import DiscoveryClient
 from ..host_names import name
 from .config import Config
-from .logs import Seldom, log
+from .logs import RateLimitedLogger, log
 
+MAX_LOGGED_ENTRIES = 5  # rejected entries of one list
 
-class Lists:
-    """The agent's owner. tell: takes events for the module. traced: each list goes to the log."""
+
+class HostListSource:
+    """Receives the answers of the discovery client. `on_events` takes events; `is_traced` logs each list."""
 
     def __init__(
-        self, config: Config, seldom: Seldom, tell: Callable[[Sequence[api.Event]], None], traced: bool
+        self,
+        config: Config,
+        logger: RateLimitedLogger,
+        on_events: Callable[[Sequence[api.Event]], None],
+        is_traced: bool,
     ) -> None:
-        self.seldom, self.tell, self.traced = seldom, tell, traced
-        self.view = HostListView(config.places.zones, config.kinds)
-        self.agent = DiscoveryClient(config.discovery, self, config.settings.polls_host_list)
-        self.agent.on_warning = lambda text: self.seldom.warn("discovery", text)
+        self.logger = logger
+        self.on_events = on_events
+        self.is_traced = is_traced
+        self.view = HostListView(config.names.zones, config.kinds)
+        self.client = DiscoveryClient(config.discovery, self, config.settings.polls_host_list)
+        self.client.on_warning = lambda text: self.logger.warn("discovery", text)
 
     @property
     def version(self) -> int:
+        """The version of the list in force."""
         return self.view.version
 
-    def saved(self, known: ListAnswer) -> api.HostListUpdate | None:
-        """The list as this steward last had it, with its start."""
-        event = self.view.apply(known, api.HostListKind.SAVED)
+    def apply_saved(self, saved: ListAnswer) -> api.HostListUpdate | None:
+        """Take the list as this controller last had it, at its start."""
+        update = self.view.apply(saved, api.HostListKind.SAVED)
         self.log_rejected_entries()
-        return event
+        return update
 
     def on_list(self, body: bytes) -> bool:
+        """Take an answer; false if it cannot be parsed."""
         try:
             answer = self.view.decode(body)
-        except InvalidAnswerError as fault:
-            self.seldom.warn("discovery", f"discovery: an answer that cannot be read: {fault}")
+        except InvalidAnswerError as error:
+            self.logger.warn("discovery", f"discovery: an answer that cannot be read: {error}")
             return False
-        event = self.view.apply(answer)
-        if self.traced and event:
-            rows = " ".join(f"{name(e.host)}:{e.state}:{e.online_since:.0f}" for e in event.entries)
-            log.info("list %d %s %s", event.version, event.kind.value, rows)
+        update = self.view.apply(answer)
+        if self.is_traced and update:
+            rows = " ".join(f"{name(e.host)}:{e.state}:{e.online_since:.0f}" for e in update.entries)
+            log.info("list %d %s %s", update.version, update.kind.value, rows)
         self.log_rejected_entries()
-        if event or self.agent.on_request:
-            self.tell([event or api.HostListUpdate(api.HostListKind.CHANGES, answer.version)])
+        if update or self.client.on_request:
+            self.on_events([update or api.HostListUpdate(api.HostListKind.CHANGES, answer.version)])
         return True
 
-    def log_rejected_entries(self) -> None:
-        for text in self.view.rejected_entries[:5]:
-            self.seldom.warn("entry", f"discovery: {text}")
+    def on_list_failed(self, _: str) -> None:
+        """Report that a requested list did not come."""
+        self.on_events([api.HostListUpdate(api.HostListKind.FAILED, self.view.version)])
 
-    def on_list_failed(self, why: str) -> None:
-        self.tell([api.HostListUpdate(api.HostListKind.FAILED, self.view.version)])
+    def log_rejected_entries(self) -> None:
+        """Log entries that the last answer had to leave out."""
+        for text in self.view.rejected_entries[:MAX_LOGGED_ENTRIES]:
+            self.logger.warn("entry", f"discovery: {text}")
--- a/corallanding/platform/logs.py
+++ b/corallanding/platform/logs.py
@@ -1,7 +1,7 @@
-"""The log of the platform's steward: lines to standard error that never hold up the loop, few of a kind at a time.
+"""The log of the platform controller: lines to standard error that never block the event loop, few of a kind at a time.
 
-The standard library's logging, as memory binds. The log goes to a pipe whose reader may stand still: a line that the
-pipe does not take at once is lost and counted.
+It uses the standard library's logging, since memory is limited. Standard error is a pipe whose reader may stand still:
+a line that the pipe does not take at once is lost and counted.
 """
 
 from __future__ import annotations
@@ -13,66 +13,79 @@
 from collections import Counter
 from collections.abc import Callable
 
-MAX_LINE_BYTES = 4_000  # bytes: what a pipe takes whole or not at all
-KINDS_MOST = 64
+MAX_LINE_BYTES = 4_000  # what a pipe takes as a whole or not at all
+MAX_KINDS = 64  # of rate-limited lines
+MAX_REASONS = 8  # in one line of counts
 
 log = logging.getLogger("corallanding.platform")
 
 
-class Pipe(logging.Handler):
-    def __init__(self, fd: int = 2) -> None:
+class NonBlockingHandler(logging.Handler):
+    """Writes each record as one line to a file descriptor, or drops it if that would block."""
+
+    def __init__(self, descriptor: int = 2) -> None:
         super().__init__()
-        self.fd, self.lost = fd, 0
+        self.descriptor = descriptor
+        self.lost_lines = 0
         self.poll = select.poll()
-        self.poll.register(fd, select.POLLOUT)
+        self.poll.register(descriptor, select.POLLOUT)
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Write a line; it says how many were lost before it."""
         try:
-            if any(flag & select.POLLOUT for _, flag in self.poll.poll(0)):
-                lost = f" (lost before: {self.lost})" if self.lost else ""
-                text = (self.format(record).replace("\n", " | ") + lost).encode("utf-8", "replace")
-                os.write(self.fd, text[:MAX_LINE_BYTES] + b"\n")
-                self.lost = 0
-            else:
-                self.lost += 1
+            is_writable = any(flags & select.POLLOUT for _, flags in self.poll.poll(0))
+            if not is_writable:
+                self.lost_lines += 1
+                return
+            lost = f" (lost before: {self.lost_lines})" if self.lost_lines else ""
+            text = (self.format(record).replace("\n", " | ") + lost).encode("utf-8", "replace")
+            os.write(self.descriptor, text[:MAX_LINE_BYTES] + b"\n")
+            self.lost_lines = 0
         except OSError:
-            self.lost += 1
+            self.lost_lines += 1
 
 
 def configure(level: int = logging.INFO) -> None:
-    handler = Pipe()
+    """Send the log to standard error."""
+    handler = NonBlockingHandler()
     handler.setFormatter(logging.Formatter("%(asctime)s.%(msecs)03d %(levelname)s %(message)s", "%H:%M:%S"))
     log.handlers[:] = [handler]
     log.propagate = False
     log.setLevel(level)
 
 
-class Seldom:
-    """Says a line of a kind at most every `every` s, with how many were kept back."""
+class RateLimitedLogger:
+    """Logs a warning of one kind at most once in `interval_seconds`, with the count of those left out."""
 
-    def __init__(self, every: float = 2.0, clock: Callable[[], float] = time.monotonic) -> None:
-        self.every, self.clock = every, clock
-        self.kinds: dict[str, tuple[float, int]] = {}
+    def __init__(self, interval_seconds: float = 2.0, clock: Callable[[], float] = time.monotonic) -> None:
+        self.interval_seconds = interval_seconds
+        self.clock = clock  # s
+        self.kinds: dict[str, tuple[float, int]] = {}  # when a line was last logged, and lines left out since
 
     def warn(self, kind: str, text: str) -> None:
+        """Log a line, unless one of its kind was logged lately."""
         now = self.clock()
-        if kind not in self.kinds and len(self.kinds) >= KINDS_MOST:
+        if kind not in self.kinds and len(self.kinds) >= MAX_KINDS:
             kind = "other"
-        at, kept = self.kinds.get(kind, (-self.every, 0))
-        if now - at < self.every:
-            self.kinds[kind] = (at, kept + 1)
+        logged_at, left_out = self.kinds.get(kind, (-self.interval_seconds, 0))
+        if now - logged_at < self.interval_seconds:
+            self.kinds[kind] = (logged_at, left_out + 1)
             return
         self.kinds[kind] = (now, 0)
-        log.warning("%s%s", text, f" (and {kept} more like it)" if kept else "")
+        log.warning("%s%s", text, f" (and {left_out} more like it)" if left_out else "")
 
 
-class Tally:
-    """Counts by reason: what came since the last line, the most frequent first."""
+class CountLogger:
+    """Logs counts by reason: what was added since the last line, the most frequent first."""
 
-    def __init__(self, what: str) -> None:
-        self.what, self.before = what, Counter[str]()
+    def __init__(self, title: str) -> None:
+        self.title = title
+        self.logged: Counter[str] = Counter()
 
-    def say(self, now: Counter[str]) -> None:
-        if more := now - self.before:
-            log.info("%s: %s", self.what, ", ".join(f"{n} {why}" for why, n in more.most_common(8)))
-        self.before.update(more)
+    def log(self, counts: Counter[str]) -> None:
+        """Log what has come to `counts` since the last call, if anything."""
+        added = counts - self.logged
+        if added:
+            reasons = ", ".join(f"{count} {reason}" for reason, count in added.most_common(MAX_REASONS))
+            log.info("%s: %s", self.title, reasons)
+        self.logged.update(added)
--- a/corallanding/platform/program.py
+++ b/corallanding/platform/program.py
@@ -1,6 +1,6 @@
-"""The program: configuration, signals, the loop. LB_CONFIG names the configuration.
+"""The program: configuration, signals, the event loop. LB_CONFIG names the configuration file.
 
-Exit codes: 0 after SIGTERM or SIGINT, 1 if the listening address cannot be had, 2 for a configuration that cannot be
+Exit codes: 0 after SIGTERM or SIGINT, 1 if the listening address cannot be used, 2 for a configuration that cannot be
 used (one line on standard error names file and key).
 """
 
@@ -10,47 +10,59 @@
 import os
 import signal
 import sys
+from enum import IntEnum
 from typing import Any
 
 import uvloop
 
-from .config import BadConfig, Config, read
+from .config import Config, InvalidConfigError, read
 from .logs import configure, log
-from .service import Service
+from .service import PlatformController
 
 
-def failed(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """A callback raised: a defect to mend, that costs what the callback was about and nothing else."""
+class ExitCode(IntEnum):
+    """How the program ends."""
+
+    STOPPED = 0
+    ADDRESS_UNUSABLE = 1
+    CONFIGURATION_UNUSABLE = 2
+
+
+def on_callback_error(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    """Log an exception of a callback: a defect to be fixed, which costs nothing but what the callback was to do."""
     log.error("%s", context.get("message", ""), exc_info=context.get("exception"))
 
 
 async def serve(config: Config, path: str) -> int:
+    """Run the controller until a signal stops it; return the exit code."""
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(failed)
+    loop.set_exception_handler(on_callback_error)
+    is_traced = os.environ.get("CORALLANDING_TRACE", "") not in ("", "0")
     try:
-        service = Service(config, path, traced=os.environ.get("CORALLANDING_TRACE", "") not in ("", "0"))
-        loop.add_signal_handler(signal.SIGHUP, service.reload)
-        for sign in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(sign, service.stop)
+        controller = PlatformController(config, path, is_traced)
+        loop.add_signal_handler(signal.SIGHUP, controller.reload)
+        for stop_signal in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(stop_signal, controller.stop)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-        await service.run()
-    except OSError as fault:
-        log.error("cannot listen on %s:%d: %s", *config.listen, fault)
-        return 1
-    return 0
+        await controller.run()
+    except OSError as error:
+        log.error("cannot listen on %s:%d: %s", *config.listen, error)
+        return ExitCode.ADDRESS_UNUSABLE
+    return ExitCode.STOPPED
 
 
 def run() -> int:
+    """Read the configuration and serve; return the exit code."""
     configure()
     path = os.environ.get("LB_CONFIG", "")
     if not path:
         print("corallanding: LB_CONFIG names no configuration file", file=sys.stderr)
-        return 2
+        return ExitCode.CONFIGURATION_UNUSABLE
     try:
         config = read(path)
-    except BadConfig as fault:
-        print(f"corallanding: {fault}", file=sys.stderr)
-        return 2
+    except InvalidConfigError as error:
+        print(f"corallanding: {error}", file=sys.stderr)
+        return ExitCode.CONFIGURATION_UNUSABLE
     loop = uvloop.new_event_loop()
     try:
         return loop.run_until_complete(serve(config, path))
--- a/corallanding/platform/trace.py
+++ b/corallanding/platform/trace.py
@@ -1,4 +1,4 @@
-"""What the steward believes, in lines for the trace: to be laid beside what passes on the sockets."""
+"""Lines of the trace: what the controller knows and does, to be compared with what passes on the sockets."""
 
 from __future__ import annotations
 
@@ -19,64 +19,101 @@
 from ..relay.subscription import RelayView
 from ..relay.subscription_connection import Subscription
 from .clock import Clock
+from .decision_loop import DecisionLoop
+from .logs import log
 
+SHOWN_HOSTS = 4
+SHOWN_SLICES = 12
 
-class Shown(Protocol):
-    """What a steward on the platform shows of itself. took, took_most: ms of the last and of the longest step."""
 
-    view: HostListView
-    agent: DiscoveryClient
-    news: RelayView
-    news_link: Subscription
+class Traced(Protocol):
+    """What a controller shows of itself."""
+
+    host_list: HostListView
+    discovery: DiscoveryClient
+    relay_view: RelayView
+    subscription: Subscription
     calls: PendingCalls
     intake: ReportIntake
-    door: CollectorServer | None
-    turns: EventInbox
+    server: CollectorServer | None
+    inbox: EventInbox
+    decisions: DecisionLoop
     clock: Clock
-    took: float
-    took_most: float
-
-
-def orders(given: Sequence[Order]) -> str:
-    """Orders in short."""
-    words = []
-    for o in given:
-        match o:
-            case api.SetWeight():
-                words.append(f"{o.slice}{'+' if o.weight > 0 else '-'}{name(o.host)}")
-            case api.Cordon():
-                words.append(f"{'out' if o.is_cordoned else 'in'} {name(o.host)}")
-            case _:
-                words.append(str(o))
-    return " ".join(words)
-
-
-def module(a: Assigner) -> Iterator[str]:
-    """The four most strained hosts, each as name:strain/load/fair part, and what slices the first of them owns."""
-    crowd = sorted((h for h in a.hosts.values() if h.is_listed), key=lambda h: -h.latency_ratio)
-    pooled = sum(h.is_eligible for h in a.hosts.values())
-    said = " ".join(f"{name(h.id)}:{h.latency_ratio:.2f}/{h.load:.1f}/{h.fair_load:.1f}" for h in crowd[:4])
-    yield f"pooled={pooled} median={a.fleet.median_latency_ratio:.2f} level={a.admission.level:.2f} worst {said}"
-    if crowd:
-        rows = sorted((s for s in a.slices.values() if s.owner is crowd[0]), key=lambda s: -s.load_per_host)
-        yield f"{name(crowd[0].id)} owns " + " ".join(
-            f"{s.id}:{s.load_per_host:.1f}x{1 + len(s.replicas)}" for s in rows[:12]
-        )
 
 
-def figures(s: Shown) -> Iterator[str]:
-    """A second's figures: what was told, what was said, what it cost."""
-    news, door = s.news_link.current, s.door
-    yield (
-        f"list={s.view.version} hosts={len(s.view.entries)} proxies={len(s.news.proxies)} slices={len(s.news.tables)} "
-        f"news={s.clock() - news.last_received_ms if news else -1.0:.0f} breaks={s.news_link.break_count} "
-        f"polls={s.agent.poll_count} "
-        f"reports={s.intake.accepted} spoilt={dict(s.intake.rejected)} ended={dict(door.close_reasons) if door else {}}"
+def log_event(event: api.Event) -> None:
+    """Log usage reports, and changes of proxies and of slice ownership."""
+    if isinstance(event, api.HostUsageReport | api.SliceUsageReport):
+        log.info("usage report: %s", event)
+    elif isinstance(event, api.SliceOwnershipChange | api.ProxyLeft | api.ProxyJoined):
+        log.info("watch event: %s", event)
+
+
+def describe_orders(orders: Sequence[Order]) -> str:
+    """Return orders in short: `7+host` adds a host to slice 7, `7-host` removes it."""
+    return " ".join(_describe_order(order) for order in orders)
+
+
+def _describe_order(order: Order) -> str:
+    match order:
+        case api.SetWeight():
+            return f"{order.slice}{'+' if order.weight > 0 else '-'}{name(order.host)}"
+        case api.Cordon():
+            return f"{'cordon' if order.is_cordoned else 'uncordon'} {name(order.host)}"
+        case _:
+            return str(order)
+
+
+def figures(controller: Traced) -> Iterator[str]:
+    """Yield the lines of one second: what was received and sent, and what it cost."""
+    yield _connection_figures(controller)
+    yield _cost_figures(controller)
+    if isinstance(controller.inbox.assigner, Assigner):
+        yield from _assigner_figures(controller.inbox.assigner)
+
+
+def _connection_figures(controller: Traced) -> str:
+    view = controller.relay_view
+    watch = controller.subscription.current
+    watch_age_ms = controller.clock() - watch.last_received_ms if watch else -1.0
+    closed = dict(controller.server.close_reasons) if controller.server else {}
+    return (
+        f"list={controller.host_list.version} hosts={len(controller.host_list.entries)} proxies={len(view.proxies)} "
+        f"slices={len(view.tables)} watch={watch_age_ms:.0f} breaks={controller.subscription.break_count} "
+        f"polls={controller.discovery.poll_count} reports={controller.intake.accepted} "
+        f"rejected={dict(controller.intake.rejected)} closed={closed}"
     )
+
+
+def _cost_figures(controller: Traced) -> str:
     usage = resource.getrusage(resource.RUSAGE_SELF)
-    yield (
-        f"calls={s.calls.counts} waiting={len(s.calls.waiting)} step={s.took:.1f}/{s.took_most:.1f} "
+    decisions = controller.decisions
+    return (
+        f"calls={controller.calls.counts} waiting={len(controller.calls.waiting)} "
+        f"step={decisions.last_duration_ms:.1f}/{decisions.max_duration_ms:.1f} "
         f"cpu={usage.ru_utime + usage.ru_stime:.2f} rss={usage.ru_maxrss // 1024}"
     )
-    if isinstance(s.turns.assigner, Assigner):
-        yield from module(s.turns.assigner)
+
+
+def _assigner_figures(assigner: Assigner) -> Iterator[str]:
+    """Yield the slowest hosts, each as name:latency ratio/load/fair load, and the slices that the first one owns."""
+    listed = [host for host in assigner.hosts.values() if host.is_listed]
+    slowest = sorted(listed, key=lambda host: -host.latency_ratio)
+    eligible = sum(host.is_eligible for host in assigner.hosts.values())
+    worst = " ".join(
+        f"{name(host.id)}:{host.latency_ratio:.2f}/{host.load:.1f}/{host.fair_load:.1f}"
+        for host in slowest[:SHOWN_HOSTS]
+    )
+    yield (
+        f"eligible={eligible} median={assigner.fleet.median_latency_ratio:.2f} "
+        f"admission={assigner.admission.level:.2f} worst {worst}"
+    )
+    if slowest:
+        owned = sorted(
+            (owned for owned in assigner.slices.values() if owned.owner is slowest[0]),
+            key=lambda owned: -owned.load_per_host,
+        )
+        slices = " ".join(
+            f"{found.id}:{found.load_per_host:.1f}x{1 + len(found.replicas)}" for found in owned[:SHOWN_SLICES]
+        )
+        yield f"{name(slowest[0].id)} owns {slices}"
--- a/corallanding/platform/unconfirmed_acks.py
+++ b/corallanding/platform/unconfirmed_acks.py
@@ -1,4 +1,4 @@
-"""Acks that fell into a gap of the news."""
+"""Acknowledgements that were lost while the relay's watch was interrupted."""
 
 from __future__ import annotations
 
@@ -8,33 +8,43 @@
 from .. import interface as api
 from ..relay.subscription import RelayView
 
+NO_VERSION = -1
 
-class Gaps:
-    """Acks of what has left the channel by the time the news goes on were lost in the gap. tell: takes events."""
+
+class LostAckRecovery:
+    """Counts versions as acknowledged whose acks were lost, once they must have left the relay's channel.
+
+    `on_events` takes the acks.
+    """
 
     def __init__(
         self,
         settings: api.Settings,
-        news: RelayView,
+        view: RelayView,
         clock: Callable[[], float],
-        tell: Callable[[list[api.Event]], None],
+        on_events: Callable[[list[api.Event]], None],
     ) -> None:
-        self.set, self.news, self.clock, self.tell = settings, news, clock, tell
-        self.marked, self.marked_at = -1, 0.0  # the last mark ordered, and when
-
-    def ordered(self, mark: int, now: float) -> None:
-        self.marked, self.marked_at = mark, now
-
-    def bridged(self) -> None:
-        """News goes on after a gap."""
-        over = (
-            self.marked_at
-            + self.set.max_queued_lines * 1000.0 / self.set.channel_lines_per_second
-            + self.set.max_propagation_ms
-        )
-        loop = asyncio.get_running_loop()
-        loop.call_later(max(0.0, over - self.clock()) / 1000.0, self.lost, self.marked)
-
-    def lost(self, mark: int) -> None:
-        if mark >= 0:
-            self.tell(self.news.assume_acked(mark))
+        self.settings = settings
+        self.view = view
+        self.clock = clock
+        self.on_events = on_events
+        self.last_version = NO_VERSION
+        self.last_version_at_ms = 0.0
+
+    def on_version_ordered(self, version: int, now_ms: float) -> None:
+        """Note the last version that was ordered."""
+        self.last_version = version
+        self.last_version_at_ms = now_ms
+
+    def on_gap_bridged(self) -> None:
+        """The watch goes on after an interruption: wait until what was ordered must have been applied."""
+        settings = self.settings
+        queue_ms = settings.max_queued_lines * 1000.0 / settings.channel_lines_per_second
+        applied_by_ms = self.last_version_at_ms + queue_ms + settings.max_propagation_ms
+        delay_ms = max(0.0, applied_by_ms - self.clock())
+        asyncio.get_running_loop().call_later(delay_ms / 1000.0, self.assume_acked, self.last_version)
+
+    def assume_acked(self, version: int) -> None:
+        """Count all versions up to this one as acknowledged."""
+        if version != NO_VERSION:
+            self.on_events(self.view.assume_acked(version))
--- a/tests/crossings_life.py
+++ b/tests/crossings_life.py
@@ -31,7 +31,7 @@
         self.config = {**TOP, "known": {"seq": 1, "whole": True, "hosts": [row("s-1"), row("s-2")]}}
         self.write(discovery=text(agent.where), store={"address": text(relay.where)})
         # A listening port of 0 is none that a file may name.
-        self.service = node.Service(replace(read(str(path)), listen=("127.0.0.1", 0)), str(path))
+        self.service = node.PlatformController(replace(read(str(path)), listen=("127.0.0.1", 0)), str(path))
 
     def write(self, **changes: Any) -> None:
         self.config.update(changes)
@@ -42,8 +42,8 @@
         await turns(2)
 
     def listens(self) -> Any:
-        assert self.service.door
-        return self.service.door.listener.socket.getsockname()
+        assert self.service.server
+        return self.service.server.listener.socket.getsockname()
 
     async def came(self) -> tuple[Side, dict[str, Any]]:
         """The next connection at the relay, and its first line."""
@@ -63,7 +63,7 @@
                 side.say(taken(said["id"], len(said["params"]["ops"])))
         self.poll = await self.agent.next()
         await self.poll.question()
-        await until(lambda: self.service.news_link.has_been_ready and not self.service.calls.in_flight)
+        await until(lambda: self.service.subscription.has_been_ready and not self.service.calls.in_flight)
 
     async def calling(self) -> dict[str, Any]:
         """A drain is listed: the call that tells it, which stays open."""
@@ -81,7 +81,7 @@
 async def life(tmp_path: Path, answer_within: float = 100.0) -> AsyncIterator[Life]:
     async with Stand() as relay, Stand() as agent:
         one = Life(tmp_path / "config.json", relay, agent)
-        one.service.call_link.answer_timeout_ms = answer_within
+        one.service.call_connection.answer_timeout_ms = answer_within
         await one.begin()
         try:
             yield one
--- a/tests/test_crossings_life.py
+++ b/tests/test_crossings_life.py
@@ -22,20 +22,20 @@
         async with life(tmp_path, FOR_EVER) as it, Stand() as other:
             await it.serve()
             said = await it.calling()
-            dials, steps = Dials(), it.service.turns.step_count
+            dials, steps = Dials(), it.service.inbox.step_count
             it.service.stop()
             it.service.stop()
             await it.news.gone()
             await it.poll.gone()
             moved(it, other, other)
-            due = it.service.due_at
-            it.service.tell([api.ProxyLeft(0)])
+            due = it.service.decisions.due_at_ms
+            it.service.on_events([api.ProxyLeft(0)])
             await turns()
-            assert it.service.due_at == due
+            assert it.service.decisions.due_at_ms == due
             assert not it.running.done(), "the call in flight may end"
             it.call.say(taken(said["id"], len(said["params"]["ops"])))
             await it.running
-            assert it.service.turns.step_count == steps
+            assert it.service.inbox.step_count == steps
             assert not dials.count
 
     play(scene)
@@ -46,9 +46,9 @@
         async with life(tmp_path) as it:
             side = Side(*await asyncio.open_connection(*it.listens()))
             side.say(encode(["hb"]))
-            await until(lambda: it.service.door and it.service.door.unidentified)
+            await until(lambda: it.service.server and it.service.server.unidentified)
             it.service.stop()
-            it.service.ready()  # its timer, in the same turn of the loop
+            it.service.set_ready()  # its timer, in the same turn of the loop
             side.writer.write_eof()
             assert await side.reader.read() == b""
 
@@ -96,8 +96,8 @@
             it.service.reload()
             await turns()
             assert not dials.count
-            assert it.service.news_link.current
-            assert it.service.agent.connection
+            assert it.service.subscription.current
+            assert it.service.discovery.connection
 
     play(scene)
 
@@ -158,6 +158,6 @@
             moved(it, relay=empty)
             await until(lambda: dials.over[empty] >= 3)
             it.news.tell(attach(1))
-            await until(lambda: 1 in it.service.news.proxies)
+            await until(lambda: 1 in it.service.relay_view.proxies)
 
     play(scene)
--- a/tests/test_crossings_planted.py
+++ b/tests/test_crossings_planted.py
@@ -25,7 +25,7 @@
 from corallanding.discovery import host_list as discovery
 from corallanding.discovery.http_connection import HttpConnection
 from corallanding.discovery.long_poll import DiscoveryClient
-from corallanding.platform.service import Service
+from corallanding.platform.service import PlatformController
 from corallanding.relay.call import Call
 from corallanding.relay.call_connection import CallConnection
 from corallanding.relay.pending_calls import PendingCalls
@@ -160,17 +160,18 @@
 
 
 def ready_at_any_time(p: Patch) -> None:
-    p.setattr(Service, "ready", lambda self: self.door and self.door.set_ready())
+    p.setattr(PlatformController, "set_ready", lambda self: self.server and self.server.set_ready())
 
 
 def turns_after_the_end(p: Patch) -> None:
-    real = Service.stop
+    real = PlatformController.stop
 
-    def stop(self: Service) -> None:
+    def stop(self: PlatformController) -> None:
         real(self)
-        self.ending = False
+        self.is_stopping = False
+        self.decisions.is_stopped = False
 
-    p.setattr(Service, "stop", stop)
+    p.setattr(PlatformController, "stop", stop)
 
 
 def second_answers_taken(p: Patch) -> None:
--- a/tests/test_crossings_start.py
+++ b/tests/test_crossings_start.py
@@ -30,13 +30,13 @@
             for _ in range(2 * resets):
                 (await it.relay.next()).reset()
             answered = 0
-            while not it.service.door or not it.service.door.is_ready:
+            while not it.service.server or not it.service.server.is_ready:
                 side = await it.relay.next()
                 said = await side.line()
                 if said["method"] == "relay.watch":
                     side.say(RESULT)
                     side.tell(attach(0), owner(2), PING)
-                    await until(lambda: it.service.door and it.service.door.is_ready)
+                    await until(lambda: it.service.server and it.service.server.is_ready)
                 else:
                     answered += 1
                     side.say(taken(said["id"], len(said["params"]["ops"])))
@@ -47,7 +47,7 @@
 def test_a_relay_that_says_nothing_keeps_signs_of_life_back_for_a_time_only(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(node, "READY_MOST", 0.05)
+    monkeypatch.setattr(node, "MAX_START_SECONDS", 0.05)
 
     async def scene() -> None:
         async with life(tmp_path) as it:
--- a/tests/test_platform_state.py
+++ b/tests/test_platform_state.py
@@ -13,7 +13,7 @@
 from corallanding import interface as api
 from corallanding.discovery.host_list import MAX_DEPARTED_HOSTS, HostListView, InvalidAnswerError, ListAnswer
 from corallanding.host_names import name, number
-from corallanding.platform.config import BadConfig, flatten, parse, read
+from corallanding.platform.config import InvalidConfigError, flatten, parse, read
 from corallanding.simulator_adapter.settings import read_settings
 
 
@@ -149,12 +149,12 @@
 
 def test_a_configuration() -> None:
     c = parse(msgspec.json.encode(TOP))
-    assert (c.listen, c.store, c.seed) == (("127.0.0.4", 8081), ("127.2.0.2", 6400), 0x8C1F30D27A5BE964)
-    assert c.places.zones == {"a": 0, "north b": 1}
-    assert c.places.request_classes == {"lookup": 0, "claim": 1}
-    assert c.sockets == 256
-    assert c.dial_timeout == 300.0
-    assert c.known.version == 41
+    assert (c.listen, c.relay, c.seed) == (("127.0.0.4", 8081), ("127.2.0.2", 6400), 0x8C1F30D27A5BE964)
+    assert c.names.zones == {"a": 0, "north b": 1}
+    assert c.names.request_classes == {"lookup": 0, "claim": 1}
+    assert c.max_sockets == 256
+    assert c.connect_timeout_ms == 300.0
+    assert c.saved_list.version == 41
 
 
 @pytest.mark.parametrize(
@@ -179,14 +179,16 @@
     ],
 )
 def test_a_configuration_that_cannot_be_used_names_the_key(change: dict[str, Any], says: str) -> None:
-    with pytest.raises(BadConfig, match="^" + says.replace(".", r"\.") if says not in ("seed", "known") else says):
+    with pytest.raises(
+        InvalidConfigError, match="^" + says.replace(".", r"\.") if says not in ("seed", "known") else says
+    ):
         parse(msgspec.json.encode({**TOP, **change}))
 
 
 def test_a_configuration_that_is_not_there_or_half_written_names_the_file(tmp_path: Any) -> None:
-    with pytest.raises(BadConfig, match=r"nowhere\.json: No such file"):
+    with pytest.raises(InvalidConfigError, match=r"nowhere\.json: No such file"):
         read(str(tmp_path / "nowhere.json"))
     half = tmp_path / "half.json"
     half.write_bytes(msgspec.json.encode(TOP)[:200])
-    with pytest.raises(BadConfig, match=r"half\.json: no JSON"):
+    with pytest.raises(InvalidConfigError, match=r"half\.json: no JSON"):
         read(str(half))
--- a/tests/test_settings_any.py
+++ b/tests/test_settings_any.py
@@ -15,7 +15,7 @@
 from corallanding.collector.reports import ReportIntake
 from corallanding.controller.event_inbox import EventInbox
 from corallanding.host_names import number
-from corallanding.platform.config import BadConfig, Config, parse
+from corallanding.platform.config import Config, InvalidConfigError, parse
 from corallanding.relay.channel import ChannelEstimate
 from corallanding.relay.pending_calls import PendingCalls
 from corallanding.relay.subscription import RelayView
@@ -73,7 +73,7 @@
 def read(given_settings: Any) -> Config | None:
     try:
         return parse(msgspec.json.encode({**TOP, "known": None, "settings": given_settings}))
-    except BadConfig as fault:
+    except InvalidConfigError as fault:
         assert "\n" not in str(fault) and "settings" in str(fault), fault
         return None
 
@@ -81,13 +81,13 @@
 def play(c: Config) -> None:
     """Hosts come, drain, fail and go; proxies join and leave; slices are given; acks come or do not."""
     s = c.settings
-    news = RelayView(s, c.places.zones)
-    intake = ReportIntake(s, c.places, set(), news.tables)
+    news = RelayView(s, c.names.zones)
+    intake = ReportIntake(s, c.names, set(), news.tables)
     channel = ChannelEstimate(
         s.max_queued_lines, s.channel_lines_per_second, s.message_overhead_lines, lambda: len(news.proxies)
     )
-    calls = PendingCalls(list(c.places.request_classes), s.max_messages, s.message_window_ms, channel)
-    assert c.dial_timeout > 0.0
+    calls = PendingCalls(list(c.names.request_classes), s.max_messages, s.message_window_ms, channel)
+    assert c.connect_timeout_ms > 0.0
     assert math.isfinite(intake.max_latency_ms)
     assert intake.max_span_ms > 0
     turns, now, sent = EventInbox(Assigner(s, c.seed)), 1e9, list[float]()
@@ -156,6 +156,6 @@
     assert c
     assert len(c.settings.request_classes) == len(operations)
     assert c.settings.zone_count == len(zones)
-    assert list(c.places.request_classes) == operations
-    assert list(c.places.zones) == zones
+    assert list(c.names.request_classes) == operations
+    assert list(c.names.zones) == zones
     play(c)
