--- a/corallanding/lab/fleet/steward.py
+++ b/corallanding/lab/fleet/steward.py
@@ -4,7 +4,7 @@
 
 import asyncio
 import socket
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Mapping, Sequence
 from typing import TYPE_CHECKING, Any, cast
 
 from ... import interface as api
@@ -17,7 +17,7 @@
 from ...load_reports.feed import Feed
 from ...load_reports.intake import Datagrams, Intake, attend
 from ...load_reports.state import FeedState
-from ...store import StoreContents, StoreError, StoreLockedError
+from ...store import StoreContents, StoreError, StoreLockedError, TableEntry
 from .loop import Machine, Server, SimLoop, Stream
 
 if TYPE_CHECKING:
@@ -55,22 +55,26 @@
             raise StoreError("the store does not write")
         return self.store
 
-    def write(self, seq: int, lines: Sequence[tuple[int, int, float]], resets: Sequence[int] = ()) -> None:
+    def write(self, message_number: int, entries: Sequence[TableEntry], resets: Sequence[int] = ()) -> None:
         s = self.check()
         for t in resets:
             s.tables.pop(t, None)
-        for t, host, weight in lines:
+        for t, host, weight in entries:
             row = s.tables.setdefault(t, {})
             if weight > 0:
                 row[host] = weight
             else:
                 row.pop(host, None)
-        s.seq = seq
+        s.seq = message_number
 
     def save_host_list(
-        self, version: int, entries: Sequence[api.HostEntry], addresses: dict[int, str], starts: dict[int, float]
+        self,
+        version: int,
+        entries: Sequence[api.HostEntry],
+        addresses: Mapping[int, str],
+        started_at_ms: Mapping[int, float],
     ) -> None:
-        self.check().roster = (version, tuple(entries), dict(addresses), dict(starts))
+        self.check().roster = (version, tuple(entries), dict(addresses), dict(started_at_ms))
 
     def close(self) -> None:
         """The next one may open it."""
--- a/corallanding/scheduling/queue.py
+++ b/corallanding/scheduling/queue.py
@@ -90,9 +90,9 @@
         """Let a job take part in the order."""
         job.state = JobState.READY
         job.heap_entry += 1
-        entry = (job.waiting_since_ms, job.number, job.heap_entry)
-        heappush(self.heaps.setdefault(job.group, []), entry)
-        self.ready_counts[job.group] = self.ready_counts.get(job.group, 0) + 1
+        group = job.group
+        heappush(self.heaps.setdefault(group, []), (job.waiting_since_ms, job.number, job.heap_entry))
+        self.ready_counts[group] = self.ready_counts.get(group, 0) + 1
 
     def make_unready(self, job: Job, state: JobState) -> None:
         """Take a job out of the order; its heap entry is passed over when it comes up."""
