--- a/corallanding/controller/pinning_service.py
+++ b/corallanding/controller/pinning_service.py
@@ -25,8 +25,6 @@
 PROTOCOL_PART = 1  # the bit in a proxy's hello that says that it knows pinned runs
 RUN_ANSWERS = ("not-now", "pinned", "over", "full")  # by the number that the core answers with
 
-UNKNOWN_PROXY = -1  # in place of the proxy whose query is not known any more
-
 
 class PendingRun(NamedTuple):
     """A query of a proxy on a run. query: the proxy's own number for it."""
@@ -80,12 +78,12 @@
         self.fleet_view = fleet_view
         self.publish_ms = pins.publish_ms
         self.request_classes = tuple(config.operation)
-        self.set_strengths: dict[int, float] = {}
+        self.set_capacities: dict[int, float] = {}
         self.hosts: dict[int, PinningHost] = {}
         sets = {release.number: dict(release.versions) for release in config.release.values()}
         limits = pinning_limits(pins, config.budgets.drift)
         self.core = build_version_pinning(
-            records.fleet, limits, sets, pins.current, self._strength_of, self._on_release_change
+            records.fleet, limits, sets, pins.current, self._capacity_of, self._on_release_change
         )
         carries = {release.number: release.carries for release in config.release.values()}
         self.routes = RoutePlanner(self.request_classes, sets, carries, no_host_rules(config), may_use_cold_host)
@@ -96,7 +94,7 @@
         self.is_any_host_warming = False
         self.pending: dict[int, PendingRun] = {}  # by the number of the core's query
         peers = records.fleet.queries.others
-        self.allowances = PeerRateLimiter(peers, config.budgets.words_per_s, context.clock())
+        self.rate_limiter = PeerRateLimiter(peers, config.budgets.words_per_s, context.clock())
         self.rejected_messages = 0
         records.listeners.append(self.on_answers)
 
@@ -105,8 +103,8 @@
         """Whether the fields of a message lie within what a correct controller sends."""
         return messages.is_valid(message)
 
-    def _strength_of(self, number: int) -> float:
-        return self.set_strengths.get(number, 0.0)
+    def _capacity_of(self, number: int) -> float:
+        return self.set_capacities.get(number, 0.0)
 
     def _on_release_change(self, text: str) -> None:
         log.info("release", change=text)
@@ -124,8 +122,7 @@
     def on_answers(self) -> None:
         """Pass answers of the core on to the proxies that asked."""
         for result in self.core.take_answers():
-            pending = self.pending.pop(result.number, PendingRun(UNKNOWN_PROXY, 0, ""))
-            if pending.proxy >= 0:
+            if pending := self.pending.pop(result.number, None):
                 self._reply(pending, result.result, result.value)
 
     def _reply(self, pending: PendingRun, what: int, number: int) -> None:
@@ -149,7 +146,7 @@
     def on_message(self, sender: int, message: RegisterAnnouncement | RunCountQuery | RunCountReport) -> None:
         """Take a message on releases, within the rate that one controller may send."""
         now = self.context.clock()
-        if self.allowances.take(sender, now):
+        if self.rate_limiter.take(sender, now):
             answers: list[Action] = [*self.core.on_message(sender, message)]
             self.records.carry_out(self.records.fleet.in_send_order(now, answers))
         else:
@@ -179,7 +176,7 @@
         self.plan_stamp = stamp
         self.hosts = self.fleet_view.hosts()
         self.is_any_host_warming = any(host.capacity_share < 1.0 for host in self.hosts.values())
-        self.set_strengths = {
+        self.set_capacities = {
             number: serving_capacity(versions, self.hosts.values())
             for number, versions in self.core.release_sets.items()
         }
--- a/tests/controller/test_quota_service.py
+++ b/tests/controller/test_quota_service.py
@@ -31,7 +31,7 @@
             await until(lambda: sum(isinstance(event, api.HealthCheckResult) for event in running.module.told) == 2)
             outcomes = [event.outcome for event in running.module.told if isinstance(event, api.HealthCheckResult)]
             assert outcomes == [api.HealthCheckOutcome.FULL] * 2, (
-                "the floor is waited for: a former life may have used it"
+                "the floor is waited for: a former process may have used it"
             )
             await until(lambda: quota.may_begin("probes", 7, True))
             assert not quota.may_begin("probes", 7, True)
