--- a/corallanding/scheduling/idempotency.py
+++ b/corallanding/scheduling/idempotency.py
@@ -53,20 +53,20 @@
 
         The answer has `UNCLAIMED` or `DUPLICATE` and the age in ms.
         """
-        return self._ask(now_ms, key, KeyQuery.AGE, int(max(0.0, waited_ms)))
+        return self._send_query(now_ms, key, KeyQuery.AGE, int(max(0.0, waited_ms)))
 
     def query_claim(self, now_ms: float, job: Job, owner: int) -> int:
         """Ask whether the job may go; returns the answer's number.
 
         `owner` is a number above `NO_OWNER` of that ticket alone, the same at all controllers.
         """
-        return self._ask(now_ms, job.idempotency_key, KeyQuery.CLAIM, owner)
+        return self._send_query(now_ms, job.idempotency_key, KeyQuery.CLAIM, owner)
 
     def query_release(self, now_ms: float, job: Job, owner: int) -> int:
         """Give back a claim whose job was never sent, so that its client may bring it again."""
-        return self._ask(now_ms, job.idempotency_key, KeyQuery.RELEASE, owner)
+        return self._send_query(now_ms, job.idempotency_key, KeyQuery.RELEASE, owner)
 
-    def _ask(self, now_ms: float, key: int, kind: KeyQuery, argument: int) -> int:
+    def _send_query(self, now_ms: float, key: int, kind: KeyQuery, argument: int) -> int:
         return self.queries.submit(now_ms, self.groups[key % len(self.groups)], key, kind, argument)
 
     def on_query(self, now_ms: float, group: int, key: int, kind: int, argument: int) -> Outcome | None:
--- a/corallanding/scheduling/peer_queues.py
+++ b/corallanding/scheduling/peer_queues.py
@@ -9,7 +9,7 @@
 from .limits import JobClass
 from .messages import LEVELS_PER_PRIORITY, QueueRow, QueueSummary, class_of_group, is_boosted_group
 
-NOTHING_WAITS = float("-inf")  # the watermark where no other controller has a ready job
+NO_PRIORITY = float("-inf")  # the watermark where no other controller has a ready job
 
 
 @dataclass
@@ -64,11 +64,11 @@
         return queue is not None and now_ms - queue.received_at_ms <= self.peer_timeout_ms
 
     def watermark(self, now_ms: float, alive_peers: Iterable[int]) -> float:
-        """The highest effective priority that waits at another controller; `NOTHING_WAITS` if none does."""
+        """The highest effective priority that waits at another controller; `NO_PRIORITY` if none does."""
         queues = [self.by_peer[peer] for peer in self.observed_peers(now_ms, alive_peers)]
         return max(
             (self.effective_priority(now_ms, queue, row) for queue in queues for row in queue.groups),
-            default=NOTHING_WAITS,
+            default=NO_PRIORITY,
         )
 
     def effective_priority(self, now_ms: float, queue: PeerQueue, row: QueueRow) -> float:
--- a/corallanding/scheduling/status.py
+++ b/corallanding/scheduling/status.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from .core import Scheduler
-from .peer_queues import NOTHING_WAITS
+from .peer_queues import NO_PRIORITY
 
 
 def scheduler_status(scheduler: Scheduler, now_ms: float, alive_peers: Iterable[int]) -> dict[str, Any]:
@@ -21,7 +21,7 @@
         "waiting": dict(zip(names, queue.counts_by_class, strict=True)),
         "oldest_ms": oldest_by_class(scheduler, now_ms),
         "highest_here": round(highest.effective_priority, 3) if highest else None,
-        "waterline_elsewhere": round(watermark, 3) if watermark > NOTHING_WAITS else None,
+        "waterline_elsewhere": round(watermark, 3) if watermark > NO_PRIORITY else None,
         "counted": peer_queues.observed_peers(now_ms, alive_peers),
         "waiting_elsewhere": peer_queues.total_jobs(now_ms, alive_peers),
         "claiming": scheduler.claims_in_flight,
