--- a/corallanding/controller/active_recording.py
+++ b/corallanding/controller/active_recording.py
@@ -33,7 +33,7 @@
         try:
             self._recorder = Recorder(path, self._context.settings, 0, self._max_bytes, after=offset)
         except OSError as error:
-            log.error("the recording ends here", why=str(error))
+            log.error("recording ended", why=str(error))
 
     def on_step(self, step: DecisionStep) -> None:
         """Record one step."""
@@ -46,7 +46,7 @@
     def end(self, why: str) -> None:
         """Record no more, and log why."""
         if self._recorder:
-            log.error("the recording ends here", why=why)
+            log.error("recording ended", why=why)
             self.stop()
             self._recorder = None
 
--- a/corallanding/controller/components.py
+++ b/corallanding/controller/components.py
@@ -21,8 +21,8 @@
 from .pause_control import PauseControl
 from .peer_services import PeerServices
 from .persistence import TablePersistence
+from .proxy_admission import ProxyAdmission
 from .proxy_channel import ProxyChannel
-from .proxy_joining import ProxyJoining
 from .registry_slices import RegistrySlices
 from .resources import Resources, configured_slices, has_slice_leases
 from .snapshot_keeper import SnapshotKeeper
@@ -51,15 +51,15 @@
         context = self.context
         self.engine = self._build_engine(contents)
         self.timer = StepTimer(context, self.engine)
-        wake = self.timer.wake
-        self.peers = PeerServices(context, self.engine, wake)
+        request_step = self.timer.request_step
+        self.peers = PeerServices(context, self.engine, request_step)
         self.load_weights = LoadWeights(
-            context, self.engine, self._resources.view, self._resources.factories.feed, wake
+            context, self.engine, self._resources.view, self._resources.factories.feed, request_step
         )
         self.snapshots = SnapshotKeeper(context, self.engine, self._resources.view, last_log)
         self.recording = ActiveRecording(context)
-        self.health_checks = HealthChecks(context, self.engine, self.peers, wake)
-        self.registry = RegistrySlices(context, self.engine, self._resources.factories.dial_registry, wake)
+        self.health_checks = HealthChecks(context, self.engine, self.peers, request_step)
+        self.registry = RegistrySlices(context, self.engine, self._resources.factories.dial_registry, request_step)
 
     def _build_engine(self, contents: StoreContents) -> Engine:
         config = self.context.config
@@ -82,14 +82,14 @@
         """The connections of proxies and what is sent on them."""
         registry = LinkRegistry()
         self.proxy_channel = ProxyChannel(self.context, self._resources.channel, registry)
-        self.joining = ProxyJoining(
+        self.proxy_admission = ProxyAdmission(
             self.context,
             self.engine,
             self._resources.channel,
             self._resources.admission,
             registry,
             self.peers,
-            self.timer.wake,
+            self.timer.request_step,
         )
         self.connections = self._resources.factories.proxy_connections(
             self.context,
@@ -97,19 +97,30 @@
             self._resources.channel,
             registry,
             self.proxy_channel,
-            self.joining,
+            self.proxy_admission,
             self.peers,
-            self.timer.wake,
+            self.timer.request_step,
         )
 
     def _build_decisions(self) -> None:
         """What decides, and what saves and carries out the decisions."""
         context = self.context
         self.persistence = TablePersistence(
-            context, self.engine, self._resources.store, self.registry, self.timer.wake, self.joining.greet_all
+            context,
+            self.engine,
+            self._resources.store,
+            self.registry,
+            self.timer.request_step,
+            self.proxy_admission.greet_all,
         )
         self.host_sources = HostSources(
-            context, self.engine, self._resources.view, self.persistence, self.load_weights, self.peers, self.timer.wake
+            context,
+            self.engine,
+            self._resources.view,
+            self.persistence,
+            self.load_weights,
+            self.peers,
+            self.timer.request_step,
         )
         self.dispatcher = OutputDispatcher(self.proxy_channel, self.health_checks, self.host_sources, self.peers)
         self.decision_loop = self._resources.factories.decision_loop(
@@ -152,7 +163,7 @@
             pause_control,
             self.persistence,
             self.host_sources,
-            self.joining,
+            self.proxy_admission,
             self.peers,
             self.recording,
         )
--- a/corallanding/controller/context.py
+++ b/corallanding/controller/context.py
@@ -29,7 +29,7 @@
 
     ACTIVE = "active"
     PAUSED = "paused"
-    HANDED_OVER = "handed over"
+    SUPERSEDED = "superseded"
 
 
 class Lifecycle:
--- a/corallanding/controller/control_socket.py
+++ b/corallanding/controller/control_socket.py
@@ -52,14 +52,14 @@
         try:
             _, uid = peer_credentials(writer.get_extra_info("socket"))
             line = await asyncio.wait_for(reader.readline(), REQUEST_TIMEOUT_S)
-            words = line.decode("utf-8", "replace").split("\0")
-            request = words[0].strip()
+            parts = line.decode("utf-8", "replace").split("\0")
+            request = parts[0].strip()
             if uid != os.getuid():
                 answer = "failed: another user"
             elif request != "upgrade":
                 answer = f"failed: {request[:MAX_QUOTED]!r} is not known here"
             else:
-                answer = await self._upgrade([word.strip() for word in words[1:]])
+                answer = await self._upgrade([word.strip() for word in parts[1:]])
             writer.write(answer.encode() + b"\n")
             await writer.drain()
         except (OSError, TimeoutError):
--- a/corallanding/controller/daemon.py
+++ b/corallanding/controller/daemon.py
@@ -83,37 +83,42 @@
     # ---- start ---------------------------------------------------------------------------------------------------
 
     async def start(
-        self, handed: HandoverState | None = None, fds: Sequence[int] = (), ranked: Sequence[StoredRanking] = ()
+        self,
+        handover: HandoverState | None = None,
+        file_descriptors: Sequence[int] = (),
+        scores: Sequence[StoredRanking] = (),
     ) -> None:
         """Start every component. Raises StoreError or OSError; what was started has been stopped then.
 
-        handed, fds, ranked: state, descriptors and scores of the process before this one. If such a start fails,
-        nothing is stopped: sockets are shared with that process, which goes on with them, and this one exits.
+        handover, file_descriptors, scores: what came of the process before this one. If such a start fails, nothing
+        is stopped: sockets are shared with that process, which goes on with them, and this one exits.
         """
         self.context.lifecycle.is_started = True
         try:
-            await self._start(handed, fds, ranked)
+            await self._start(handover, file_descriptors, scores)
         except BaseException:
-            if handed is None and not fds:
+            if handover is None and not file_descriptors:
                 self._exit_stack.close()
                 self.context.lifecycle.is_started = False
             raise
 
-    async def _start(self, handed: HandoverState | None, fds: Sequence[int], scores: Sequence[StoredRanking]) -> None:
+    async def _start(
+        self, handover: HandoverState | None, file_descriptors: Sequence[int], scores: Sequence[StoredRanking]
+    ) -> None:
         contents = self.store.open()
         self._exit_stack.callback(self.store.close)
-        state = self._continue_clock(handed, contents)
-        last_log = handed.controller.log_number if handed else state.log_number if state else 0
+        state = self._continue_clock(handover, contents)
+        last_log = handover.controller.log_number if handover else state.log_number if state else 0
         self._build(contents, last_log)
-        inheritance = Inheritance(state, handed, scores, self._loaded_assigner)
+        inheritance = Inheritance(state, handover, scores, self._loaded_assigner)
         is_restored = restore_assigner(self.components, self.view, contents, inheritance)
         self._loaded_assigner = None
-        inherited = InheritedSockets(fds)
-        self._start_logs(contents, handed, is_restored=is_restored)
+        inherited = InheritedSockets(file_descriptors)
+        self._start_logs(contents, handover, is_restored=is_restored)
         # What the channel holds is for links that do not stand yet: nothing is sent before all of them do.
-        self.context.lifecycle.state = ProcessState.PAUSED if handed else ProcessState.ACTIVE
-        await self._start_services(handed, inherited, is_restored=is_restored)
-        await self._start_proxy_side(handed, inherited)
+        self.context.lifecycle.state = ProcessState.PAUSED if handover else ProcessState.ACTIVE
+        await self._start_services(handover, inherited, is_restored=is_restored)
+        await self._start_proxy_side(handover, inherited)
         self._finish_start(contents)
 
     def _build(self, contents: StoreContents, last_log: int) -> None:
@@ -128,28 +133,28 @@
         self.snapshots = self.components.snapshots
         self.network = self.components.network
 
-    def _continue_clock(self, handed: HandoverState | None, contents: StoreContents) -> ControllerState | None:
+    def _continue_clock(self, handover: HandoverState | None, contents: StoreContents) -> ControllerState | None:
         """Let the clock go on where the last process was; the state that it left on disk, if it can be used."""
-        if handed:
-            self.context.clock.zero = handed.controller.clock_zero_s
+        if handover:
+            self.context.clock.zero = handover.controller.clock_zero_s
             return None
         return read_last_state(self.context, contents.start_number, is_trusted=self.trust_snapshot)
 
-    def _start_logs(self, contents: StoreContents, handed: HandoverState | None, *, is_restored: bool) -> None:
+    def _start_logs(self, contents: StoreContents, handover: HandoverState | None, *, is_restored: bool) -> None:
         """Start the recording, the snapshots and the step log."""
         self._exit_stack.callback(self.components.recording.stop)
         if self._recording_path:
             # The seed of a start is its own: a restart must not draw the same random numbers again.
             seed = self.context.seed(contents.start_number)
             self.components.recording.start(self._recording_path, seed, is_restored=is_restored)
-        elif handed and handed.recording:
-            self.components.recording.resume(*handed.recording)
+        elif handover and handover.recording:
+            self.components.recording.resume(*handover.recording)
         self._exit_stack.callback(self.snapshots.stop)
         self.snapshots.start(is_restored=is_restored)
         self.context.metrics.store_writable.set(1)
 
     async def _start_services(
-        self, handed: HandoverState | None, inherited: InheritedSockets, *, is_restored: bool
+        self, handover: HandoverState | None, inherited: InheritedSockets, *, is_restored: bool
     ) -> None:
         """Start all that brings events in, but for the proxies of the process before this one."""
         stack = self._exit_stack
@@ -164,7 +169,7 @@
         self.peers.start_cluster(self.components.fleet_view(), self.components.registry.leadership_store)
         stack.callback(self.connections.stop)
         stack.callback(self.load_weights.stop)
-        self.load_weights.start(handed.load_reports if handed else None, inherited)
+        self.load_weights.start(handover.load_reports if handover else None, inherited)
         stack.callback(self.host_sources.stop)
         self.host_sources.start(is_restored=is_restored)
         stack.callback(self.components.registry.stop)
@@ -172,23 +177,23 @@
         stack.callback(self.components.control_socket.stop)
         await self.components.control_socket.start()
 
-    async def _start_proxy_side(self, handed: HandoverState | None, inherited: InheritedSockets) -> None:
+    async def _start_proxy_side(self, handover: HandoverState | None, inherited: InheritedSockets) -> None:
         """Go on with the proxies of the process before this one, and begin to decide."""
-        if handed:
-            await self.connections.adopt(handed.connections, inherited)
+        if handover:
+            await self.connections.adopt(handover.connections, inherited)
             self.context.lifecycle.state = ProcessState.ACTIVE
-            self.components.joining.admit()
+            self.components.proxy_admission.admit()
             self.components.proxy_channel.pump()
         inherited.close()
         self._exit_stack.callback(self.components.decision_loop.stop)
         self.components.link_monitor.start()
-        self.timer.wake()
+        self.timer.request_step()
 
     def _finish_start(self, contents: StoreContents) -> None:
         self.context.lifecycle.is_ready = True
         log.info(
             "ready",
-            life=contents.start_number,
+            start_number=contents.start_number,
             listen=self.network.addresses(),
             slices=len(self.engine.owned_slices),
             tables=len(contents.tables),
@@ -197,12 +202,12 @@
 
     # ---- operation -----------------------------------------------------------------------------------------------
 
-    def check_handover(self, handed: HandoverState) -> None:
+    def check_handover(self, handover: HandoverState) -> None:
         """Check that this process can go on from a state. Raises StateMismatchError."""
         number = self.context.config.steward.number
-        check_state(handed.controller, number, self.context.settings, boot_id(), handed.controller.start_number + 1)
+        check_state(handover.controller, number, self.context.settings, boot_id(), handover.controller.start_number + 1)
         try:
-            self._loaded_assigner = load_assigner(self.context.settings, handed.controller.assigner)
+            self._loaded_assigner = load_assigner(self.context.settings, handover.controller.assigner)
         except (ValueError, TypeError) as error:
             raise StateMismatchError(str(error)) from None
 
--- a/corallanding/controller/decision_loop.py
+++ b/corallanding/controller/decision_loop.py
@@ -55,7 +55,7 @@
             writes = self._engine.decide(begun)
         except Exception:
             # An assigner that fails has no state to go on from: a new process starts from the store.
-            log.exception("the module failed")
+            log.exception("the assigner failed")
             self._context.lifecycle.request_stop(ExitCode.MODULE)
             return
         self._notify_observers()
@@ -110,7 +110,7 @@
         metrics.dropped_usage_rows.set(self._engine.usage.dropped_rows)
         metrics.discarded_orders.set(self._engine.discarded_actions)
         self._proxy_channel.pump()
-        self._timer.wake()
+        self._timer.request_step()
         if not self._is_computing_ahead:
             self._is_computing_ahead = True
             asyncio.get_running_loop().call_soon(self._compute_ahead)
--- a/corallanding/controller/handover.py
+++ b/corallanding/controller/handover.py
@@ -90,7 +90,7 @@
 
     def finish(self) -> None:
         """End this process: the new one is active."""
-        self._context.lifecycle.state = ProcessState.HANDED_OVER
+        self._context.lifecycle.state = ProcessState.SUPERSEDED
         self._context.lifecycle.finish(0)
 
     def request_stop(self, exit_code: int) -> None:
@@ -99,7 +99,7 @@
 
     def _log_result(self, failure: str, begun: float) -> None:
         if failure:
-            log.error("handover came to nothing; this process carries on", why=failure)
+            log.error("handover failed; this process goes on", why=failure)
             return
         now = self._context.clock()
         silent_ms = round(now - self._pause_control.paused_at_ms, 1)
--- a/corallanding/controller/health_checks.py
+++ b/corallanding/controller/health_checks.py
@@ -13,13 +13,13 @@
 
 
 class HealthChecks:
-    """Runs health checks and hands their results to the engine. wake: asks for a decision step."""
+    """Runs health checks and hands their results to the engine. request_step: asks for a decision step."""
 
-    def __init__(self, context: Context, engine: Engine, peers: PeerServices, wake: Callable[[], None]) -> None:
+    def __init__(self, context: Context, engine: Engine, peers: PeerServices, request_step: Callable[[], None]) -> None:
         self._context = context
         self._engine = engine
         self._peers = peers
-        self._wake = wake
+        self._request_step = request_step
         config = context.config.probe
         self._checker = HealthChecker(
             self._on_result,
@@ -53,4 +53,4 @@
     def _on_result(self, result: api.HealthCheckResult) -> None:
         self._context.metrics.health_checks.labels(result.outcome.value).inc()
         self._engine.add_event(self._context.clock(), result)
-        self._wake()
+        self._request_step()
--- a/corallanding/controller/host_sources.py
+++ b/corallanding/controller/host_sources.py
@@ -22,7 +22,7 @@
 class HostSources:
     """Turns updates of the host list into events of the engine, and saves the list.
 
-    is_unsaved: whether the list has changed since it was saved. wake: asks for a decision step.
+    is_unsaved: whether the list has changed since it was saved. request_step: asks for a decision step.
     """
 
     def __init__(
@@ -33,14 +33,14 @@
         persistence: TablePersistence,
         load_weights: LoadWeights,
         peers: PeerServices,
-        wake: Callable[[], None],
+        request_step: Callable[[], None],
     ) -> None:
         self._context = context
         self._engine = engine
         self._persistence = persistence
         self._load_weights = load_weights
         self._peers = peers
-        self._wake = wake
+        self._request_step = request_step
         self._source: Source | None = None
         self.view = view
         self.is_unsaved = False
@@ -96,7 +96,7 @@
             self._persistence.store.save_host_list(view.version, entries, view.addresses, view.starts)
             self.is_unsaved = False
         except StoreError as error:
-            self._context.rate_limited_log.warn("list not kept", why=str(error))
+            self._context.rate_limited_log.warn("host list not saved", why=str(error))
 
     def stop(self) -> None:
         """Receive no more."""
@@ -119,22 +119,22 @@
             self._peers.cluster.quota.on_hosts_listed(now, view.entries.values())
         self._engine.add_event(now, self._load_weights.on_host_list(event))
         self.is_unsaved = True
-        self._wake()
+        self._request_step()
 
     def roster_failed(self, why: str) -> None:
         """Note that the source does not answer."""
         self._context.metrics.host_source_failures.inc()
-        self._context.rate_limited_log.warn("roster failed", why=why)
+        self._context.rate_limited_log.warn("host list source failed", why=why)
         if self._context.settings.polls_host_list:
             failure = api.HostListUpdate(api.HostListKind.FAILED, self.view.version)
             self._engine.add_event(self._context.clock(), failure)
-            self._wake()
+            self._request_step()
 
     def _report(self, version: int) -> None:
         metrics = self._context.metrics
         for text in self.view.bad:
             metrics.rejected_host_entries.inc()
-            self._context.rate_limited_log.warn("roster entry left out", why=text)
+            self._context.rate_limited_log.warn("host list entry rejected", why=text)
         metrics.host_list_version.set(version)
         metrics.hosts_listed.set(len(self.view.entries))
 
--- a/corallanding/controller/link_monitor.py
+++ b/corallanding/controller/link_monitor.py
@@ -59,7 +59,7 @@
             return
         self._is_overloaded = overload.is_overloaded
         log.warning(
-            "late: ordinary moves wait" if self._is_overloaded else "in time again",
+            "overloaded: ordinary moves wait" if self._is_overloaded else "overload ended",
             lag_ms=round(overload.lateness_ms, 1),
             busy=round(overload.busy_share, 2),
         )
@@ -69,7 +69,7 @@
         beat = frames.encode(frames.Beat(now))
         for link in list(self._registry.links):
             if why := link.link.overdue(now):
-                self._context.rate_limited_log.warn("link closed", forwarder=link.proxy, why=why)
+                self._context.rate_limited_log.warn("link closed", proxy=link.proxy, why=why)
                 link.close(why.replace(" ", "-"), why)
             elif link.is_joined and now - link.heartbeat_sent_at >= beat_ms:
                 link.heartbeat_sent_at = now
--- a/corallanding/controller/load_weights.py
+++ b/corallanding/controller/load_weights.py
@@ -63,17 +63,17 @@
     """Multiplies the listed weights by factors from load reports; does nothing where no reports are configured.
 
     factors: by host, those that differ from 1. has_host_list: whether a newer list than the saved one has come.
-    wake: asks for a decision step.
+    request_step: asks for a decision step.
     """
 
     def __init__(
-        self, context: Context, engine: Engine, view: View, feed_type: type[Feed], wake: Callable[[], None]
+        self, context: Context, engine: Engine, view: View, feed_type: type[Feed], request_step: Callable[[], None]
     ) -> None:
         self._context = context
         self._engine = engine
         self._view = view
         self._feed_type = feed_type
-        self._wake = wake
+        self._request_step = request_step
         self.feed: Feed | None = None
         self.factors: dict[int, float] = {}
         self.has_host_list = False
@@ -162,7 +162,7 @@
         if event:
             log.info("load factors", factors={str(host): round(factor, 3) for host, factor in self.factors.items()})
             self._engine.add_event(self._context.clock(), event)
-            self._wake()
+            self._request_step()
 
     def _set_factors(self, factors: dict[int, float]) -> None:
         self.factors = factors
--- a/corallanding/controller/main.py
+++ b/corallanding/controller/main.py
@@ -58,7 +58,7 @@
     if exit_code == ExitCode.CLEAN:
         starts.write([])
     await asyncio.sleep(LINGER_S)
-    if controller.context.lifecycle.state is ProcessState.HANDED_OVER:
+    if controller.context.lifecycle.state is ProcessState.SUPERSEDED:
         exit_silently(exit_code)
     return exit_code
 
@@ -71,7 +71,7 @@
     starts.write([*before[-advice.recent_failures :], wall_ms] if advice.recent_failures else [wall_ms])
     controller.trust_snapshot = advice.may_use_snapshot
     if advice.wait_ms:
-        log.error("crash loop: waiting before the next try", deaths=advice.recent_failures, wait_ms=advice.wait_ms)
+        log.error("crash loop: waiting before the next attempt", deaths=advice.recent_failures, wait_ms=advice.wait_ms)
         await asyncio.sleep(advice.wait_ms / 1000.0)
     await controller.start()
 
--- a/corallanding/controller/network.py
+++ b/corallanding/controller/network.py
@@ -80,7 +80,7 @@
         needed = proxies.most + proxies.strangers_most + SPARE_DESCRIPTORS
         available = raise_descriptor_limit(needed)
         if available < needed:
-            log.warning("few descriptors: not all forwarders can be joined", have=available, needed=needed)
+            log.warning("few descriptors: not all proxies can join", have=available, needed=needed)
 
     def _start_listener(self, inherited: InheritedSockets) -> None:
         config = self._context.config
--- a/corallanding/controller/pause_control.py
+++ b/corallanding/controller/pause_control.py
@@ -64,10 +64,10 @@
         self._load_weights.resume(is_stale=is_stale)
         self._peers.resume()
         if is_stale:
-            self._connections.joining.rejoin_all()
+            self._connections.proxy_admission.rejoin_all()
         self._network.resume()
         self._connections.resume()
-        self._timer.wake()
+        self._timer.request_step()
 
     async def _flush(self) -> None:
         deadline = self._context.clock() + MAX_FLUSH_MS
--- a/corallanding/controller/peer_services.py
+++ b/corallanding/controller/peer_services.py
@@ -25,13 +25,14 @@
 class PeerServices:
     """The transport to other controllers, where one is configured, and the cluster services on it.
 
-    cluster: membership, quotas and tasks; None where none of them is configured. wake: asks for a decision step.
+    cluster: membership, quotas and tasks; None where none of them is configured.
+    request_step: asks for a decision step.
     """
 
-    def __init__(self, context: Context, engine: Engine, wake: Callable[[], None]) -> None:
+    def __init__(self, context: Context, engine: Engine, request_step: Callable[[], None]) -> None:
         self._context = context
         self._engine = engine
-        self._wake = wake
+        self._request_step = request_step
         self._dispatcher: PeerDispatcher | None = None
         self.transport: PeerTransport | None = None
         self.cluster: Cluster | None = None
@@ -99,7 +100,7 @@
     def stop_cluster(self) -> None:
         """Return what is reserved and stop; silent if another process has taken over."""
         if self.cluster:
-            self.cluster.close(self._context.lifecycle.state is ProcessState.HANDED_OVER)
+            self.cluster.close(self._context.lifecycle.state is ProcessState.SUPERSEDED)
             self.cluster = None
 
     def close_transport(self) -> None:
@@ -113,4 +114,4 @@
                 self._dispatcher.on_datagram(sender, payload[1:])
             return
         self._engine.add_event(self._context.clock(), api.PeerMessage(sender, payload))
-        self._wake()
+        self._request_step()
--- a/corallanding/controller/persistence.py
+++ b/corallanding/controller/persistence.py
@@ -21,8 +21,8 @@
     """StoreWrites what a decision step changed.
 
     error_count, error_text: of writes that failed since the last that did not. retry_at_ms: no write before.
-    is_released: the store was closed for a handover. wake: asks for a decision step. on_reopened: called when the
-    store has been opened again after a handover that failed.
+    is_released: the store was closed for a handover. request_step: asks for a decision step. on_reopened: called when
+    the store has been opened again after a handover that failed.
     """
 
     def __init__(
@@ -31,13 +31,13 @@
         engine: Engine,
         store: Store,
         registry: RegistrySlices,
-        wake: Callable[[], None],
+        request_step: Callable[[], None],
         on_reopened: Callable[[], None],
     ) -> None:
         self._context = context
         self._engine = engine
         self._registry = registry
-        self._wake = wake
+        self._request_step = request_step
         self._on_reopened = on_reopened
         self.store = store
         self.error_count = 0
@@ -146,7 +146,7 @@
             return
         self._engine.is_store_backing_off = False
         if self._context.lifecycle.is_running:
-            self._wake()
+            self._request_step()
 
     def _reopen(self) -> bool:
         """Open a store that could not be opened when a handover failed, and write all tables to it.
@@ -165,11 +165,11 @@
         tables = self._engine.published.tables
         self._engine.unsaved_resets |= set(contents.tables) | set(tables)
         self._engine.unsaved_tables = {slice_: dict(row) for slice_, row in tables.items()}
-        log.info("the store is open again", life=contents.start_number, faults=self.error_count)
+        log.info("the store is open again", start_number=contents.start_number, faults=self.error_count)
         self._on_success()
         self._on_reopened()
         return True
 
     def _stop_as_taken(self, error: StoreLockedError) -> None:
-        log.error("store taken by another steward", why=str(error))
+        log.error("store taken by another controller", why=str(error))
         self._context.lifecycle.request_stop(ExitCode.STORE)
--- a/corallanding/controller/proxy_joining.py
+++ b/corallanding/controller/proxy_admission.py
@@ -18,8 +18,8 @@
 MIN_ADMISSION_DELAY_S = 0.001
 
 
-class ProxyJoining:
-    """Lets proxies join. admission: decides when. wake: asks for a decision step."""
+class ProxyAdmission:
+    """Lets proxies join. admission: decides when. request_step: asks for a decision step."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         admission: JoinAdmission,
         registry: LinkRegistry,
         peers: PeerServices,
-        wake: Callable[[], None],
+        request_step: Callable[[], None],
     ) -> None:
         self._context = context
         self._engine = engine
@@ -37,7 +37,7 @@
         self.admission = admission
         self._registry = registry
         self._peers = peers
-        self._wake = wake
+        self._request_step = request_step
         self._timer: asyncio.TimerHandle | None = None
 
     def admit(self) -> None:
@@ -84,10 +84,10 @@
         link.send(self._engine.on_proxy_joined(now, hello))
         self._context.metrics.table_reads.inc()
         self._context.metrics.proxies.set(len(self._engine.proxy_zones))
-        log.info("forwarder joined", forwarder=link.proxy, zone=hello.zone, fresh=hello.fresh)
+        log.info("proxy joined", proxy=link.proxy, zone=hello.zone, fresh=hello.fresh)
         if self._peers.cluster:
             self._peers.cluster.on_proxy_joined(link.proxy)
-        self._wake()
+        self._request_step()
 
     def greet_all(self) -> None:
         """Tell every joined proxy the start number, which has changed since it joined."""
@@ -106,7 +106,7 @@
         former = self._registry.proxies.get(hello.forwarder)
         if former and former.link.hello and former.link.hello.session != hello.session:
             # Two processes under one number: the one at work stays; silence takes it away soon enough.
-            self._context.rate_limited_log.warn("forwarder number in use", forwarder=hello.forwarder)
+            self._context.rate_limited_log.warn("proxy number in use", proxy=hello.forwarder)
             link.close("number-in-use", "another process holds this number")
             return
         if former:
--- a/corallanding/controller/proxy_channel.py
+++ b/corallanding/controller/proxy_channel.py
@@ -41,7 +41,7 @@
         except Overrun as overrun:
             for proxy in overrun.forwarders:
                 if link := self._registry.proxies.get(proxy):
-                    self._context.rate_limited_log.warn("link cut off", forwarder=proxy, why="the channel is full")
+                    self._context.rate_limited_log.warn("link cut off", proxy=proxy, why="the channel is full")
                     link.close("overrun", "the channel is full: read the store")
 
     def pump(self) -> None:
--- a/corallanding/controller/proxy_connections.py
+++ b/corallanding/controller/proxy_connections.py
@@ -18,8 +18,8 @@
 from .inherited_sockets import InheritedSockets
 from .link_registry import LinkRegistry
 from .peer_services import PeerServices
+from .proxy_admission import ProxyAdmission
 from .proxy_channel import ProxyChannel
-from .proxy_joining import ProxyJoining
 from .proxy_protocol import ProxyConnection
 
 
@@ -38,7 +38,7 @@
 
 
 class ProxyConnections:
-    """Between the sockets of proxies, the channel and the engine. wake: asks for a decision step."""
+    """Between the sockets of proxies, the channel and the engine. request_step: asks for a decision step."""
 
     def __init__(
         self,
@@ -47,18 +47,18 @@
         channel: Channel,
         registry: LinkRegistry,
         proxy_channel: ProxyChannel,
-        joining: ProxyJoining,
+        proxy_admission: ProxyAdmission,
         peers: PeerServices,
-        wake: Callable[[], None],
+        request_step: Callable[[], None],
     ) -> None:
         self._context = context
         self._engine = engine
         self._channel = channel
         self.registry = registry
         self._proxy_channel = proxy_channel
-        self.joining = joining
+        self.proxy_admission = proxy_admission
         self._peers = peers
-        self._wake = wake
+        self._request_step = request_step
         # What a link reads of its owner (`proxy_protocol.Owner`).
         self.config = context.config
         self.limits = link_limits(context.config)
@@ -76,23 +76,23 @@
         now = self._context.clock()
         match frame:
             case frames.Hello():
-                self.joining.on_hello(link, frame)
+                self.proxy_admission.on_hello(link, frame)
             case frames.Ack() if link.is_joined:
                 self._on_ack(now, link)
             case frames.Sums() if link.is_joined:
                 self._engine.on_usage_report(now, link.proxy, frame)
             case frames.Read():
                 link.is_joined = False
-                self.joining.request(link)
+                self.proxy_admission.request(link)
             case frames.Held():
                 if changed := self._engine.on_recalled_tables(now, frame):
-                    log.warning("tables recalled", forwarder=link.proxy, seq=frame.seq, slices=len(changed))
-                self.joining.join(link)
+                    log.warning("tables recalled", proxy=link.proxy, seq=frame.seq, slices=len(changed))
+                self.proxy_admission.join(link)
             case frames.Bye():
                 link.close("bye")
             case _ if link.is_joined and self._peers.cluster:
                 self._peers.cluster.on_proxy_frame(link.proxy, frame)
-        self._wake()
+        self._request_step()
 
     def takes(self, link: ProxyConnection, takes: bool) -> None:
         """Note that a proxy's socket takes no more for now, or takes more again."""
@@ -106,14 +106,14 @@
         proxy = link.proxy
         if not self.registry.remove(link):
             return
-        self.joining.admission.cancel(proxy)
+        self.proxy_admission.admission.cancel(proxy)
         self._channel.leave(proxy)
         self._engine.on_proxy_left(self._context.clock(), proxy)
         self._context.metrics.proxies.set(len(self._engine.proxy_zones))
-        log.info("forwarder left", forwarder=proxy)
+        log.info("proxy left", proxy=proxy)
         if self._peers.cluster:
             self._peers.cluster.on_proxy_left(proxy)
-        self._wake()
+        self._request_step()
 
     def _on_ack(self, now: float, link: ProxyConnection) -> None:
         # The link has checked it and knows since when the version was out.
@@ -133,7 +133,7 @@
         for state, sock in zip(states, inherited.take_connections(len(states)), strict=True):
             if sock:
                 await loop.connect_accepted_socket(partial(ProxyConnection, self, state), sock)
-        self.joining.greet_all()  # should this process die too, its proxies must know whose messages they hold
+        self.proxy_admission.greet_all()  # should this process die too, its proxies must know whose messages they hold
         now = self._context.clock()
         for proxy in [number for number in self._engine.proxy_zones if number not in self.registry.proxies]:
             self._channel.leave(proxy)
@@ -145,7 +145,7 @@
 
     def pause(self) -> None:
         """Admit and send nothing more; `admit` and `pump` go on."""
-        self.joining.pause()
+        self.proxy_admission.pause()
         self._proxy_channel.pause()
 
     def pause_reading(self) -> None:
@@ -163,14 +163,14 @@
         for link in list(self.registry.links):
             if link.transport and not link.is_closed:
                 link.transport.resume_reading()
-        self.joining.admit()
+        self.proxy_admission.admit()
         self._proxy_channel.pump()
 
     def reload(self, config: ControllerConfig) -> None:
         """Take the limits of a new configuration, for standing links too."""
         self.config = config
         self.limits = link_limits(config)
-        self.joining.admission.rate_per_second = config.forwarders.reads_per_s
+        self.proxy_admission.admission.rate_per_second = config.forwarders.reads_per_s
         for link in self.registry.links:
             link.link.limits = self.limits
             link.link.reader.most = self.limits.frame_most
--- a/corallanding/controller/proxy_protocol.py
+++ b/corallanding/controller/proxy_protocol.py
@@ -79,7 +79,7 @@
         try:
             found = self.link.receive(self.steward.clock(), data)
         except LinkFault as fault:
-            self.steward.rate_limited_log.warn("link fault", forwarder=self.proxy, code=fault.code, why=str(fault))
+            self.steward.rate_limited_log.warn("link fault", proxy=self.proxy, code=fault.code, why=str(fault))
             self.close(fault.code, str(fault))
             return
         for frame in found:
@@ -96,7 +96,7 @@
             return False
         self.transport.write(data)
         if self.transport.get_write_buffer_size() > self.steward.limits.buffer_most:
-            self.steward.rate_limited_log.warn("link cut off", forwarder=self.proxy, why="it does not read")
+            self.steward.rate_limited_log.warn("link cut off", proxy=self.proxy, why="it does not read")
             self.close("not-reading", "")
             return False
         return True
--- a/corallanding/controller/registry_slices.py
+++ b/corallanding/controller/registry_slices.py
@@ -26,17 +26,17 @@
 
     def given(self, slice: int, lines: dict[int, float]) -> None:
         """The lease was granted."""
-        log.info("office", held=True)
+        log.info("leadership", is_held=True)
 
     def taken(self, slice: int) -> None:
         """The lease was lost."""
-        log.info("office", held=False)
+        log.info("leadership", is_held=False)
 
 
 class RegistrySlices:
     """Slices that this controller owns by leases in the registry; `keeper` is None where they are not shared.
 
-    dial_registry: makes a function that opens connections. wake: asks for a decision step.
+    dial_registry: makes a function that opens connections. request_step: asks for a decision step.
     """
 
     def __init__(
@@ -44,12 +44,12 @@
         context: Context,
         engine: Engine,
         dial_registry: Callable[[RegistryBlock, Callable[[str], None]], Callable[[], Any]],
-        wake: Callable[[], None],
+        request_step: Callable[[], None],
     ) -> None:
         self._context = context
         self._engine = engine
         self._dial_registry = dial_registry
-        self._wake = wake
+        self._request_step = request_step
         self._stopping: asyncio.Task[None] | None = None
         self.keeper: Keeper | None = None
 
@@ -93,12 +93,12 @@
     def given(self, slice: int, lines: dict[int, float]) -> None:
         """The registry granted a slice, with its table as stored there."""
         self._engine.on_slice_gained(self._context.clock(), slice, lines)
-        self._wake()
+        self._request_step()
 
     def taken(self, slice: int) -> None:
         """The lease of a slice has ended."""
         self._engine.on_slice_lost(self._context.clock(), slice)
-        self._wake()
+        self._request_step()
 
     def said(self, text: str) -> None:
         """The registry failed."""
--- a/corallanding/controller/snapshot_keeper.py
+++ b/corallanding/controller/snapshot_keeper.py
@@ -27,7 +27,7 @@
     if not path:
         return None
     if not is_trusted:
-        log.warning("snapshot not used; the tables alone are", why="the last starts ended in deaths soon after")
+        log.warning("snapshot not used; starting from the stored tables", why="the last starts ended in early deaths")
         return None
     try:
         state = snapshots.read(path, ControllerState)
@@ -35,7 +35,7 @@
     except snapshots.SnapshotMissingError:
         return None
     except (snapshots.SnapshotError, StateMismatchError, OSError) as error:
-        log.warning("snapshot not used; the tables alone are", why=str(error))
+        log.warning("snapshot not used; starting from the stored tables", why=str(error))
         return None
     context.clock.zero = state.clock_zero_s
     return state
@@ -60,11 +60,15 @@
             self._view.origins = {(host, started): since for host, started, since in state.host_origins}
             count, changed = restore(self._engine, state, steps, now)
         except (StateMismatchError, RecordingError, OSError) as error:
-            log.warning("snapshot not used; the tables alone are", why=str(error))
+            log.warning("snapshot not used; starting from the stored tables", why=str(error))
             self._view.origins = origins
             return False
         log.info(
-            "revived", life=state.start_number, steps=count, anew=len(changed), age_ms=round(now - state.captured_at)
+            "state restored",
+            start_number=state.start_number,
+            steps=count,
+            changed_slices=len(changed),
+            age_ms=round(now - state.captured_at),
         )
         return True
 
@@ -88,7 +92,7 @@
         self.step_log.write_step(step.now, step.events, step.actions)
         if self.step_log.is_stopped:
             # A log with a gap must not be replayed: without it the snapshot is worth nothing.
-            log.error("the log of steps ends here; the next snapshot begins another", why=self.step_log.stop_reason)
+            log.error("step log ended; the next snapshot begins another", why=self.step_log.stop_reason)
             Path(str(self._context.config.store.snapshot_path)).unlink(missing_ok=True)
             self.step_log.close()
             self.step_log = None
@@ -131,7 +135,7 @@
         try:
             fresh = Recorder(self._log_path(number), self._context.settings, seed, max_bytes, True)
         except OSError as error:
-            self._context.rate_limited_log.warn("snapshot not kept", why=str(error))
+            self._context.rate_limited_log.warn("snapshot not saved", why=str(error))
             return False
         if self.step_log:
             self.step_log.close()
@@ -149,7 +153,7 @@
         try:
             await asyncio.get_running_loop().run_in_executor(None, work)
         except OSError as error:
-            self._context.rate_limited_log.warn("snapshot not kept", why=str(error))
+            self._context.rate_limited_log.warn("snapshot not saved", why=str(error))
 
     def _log_path(self, number: int) -> str:
         return f"{self._context.config.store.snapshot_path}.log.{number}"
--- a/corallanding/controller/startup_state.py
+++ b/corallanding/controller/startup_state.py
@@ -19,7 +19,7 @@
     """What the last process left: on disk, or as a handover with scores and the assigner loaded from it."""
 
     state_on_disk: ControllerState | None
-    handed: HandoverState | None
+    handover: HandoverState | None
     scores: Sequence[StoredRanking]
     loaded_assigner: Assigner | None
 
@@ -37,8 +37,8 @@
         contents.started_at_ms,
     )
     components.engine.publisher.addresses = view.addresses
-    if inheritance.handed:
-        components.transfer.restore(inheritance.handed, now, inheritance.scores, inheritance.loaded_assigner)
+    if inheritance.handover:
+        components.transfer.restore(inheritance.handover, now, inheritance.scores, inheritance.loaded_assigner)
         return True
     if inheritance.state_on_disk is not None and components.snapshots.restore(inheritance.state_on_disk, now):
         return True
--- a/corallanding/controller/state_transfer.py
+++ b/corallanding/controller/state_transfer.py
@@ -62,11 +62,11 @@
     def capture(self, servers: Sequence[int], peer_sockets: Sequence[int]) -> CapturedState:
         """All state, of a controller that is paused. servers, peer_sockets: descriptors that go along.
 
-        Raises OSError if the assigner is not one that can be handed over.
+        Raises OSError if the assigner is not one that can be handover over.
         """
         state = self._snapshots.capture(self._snapshots.log_number)
         if state is None:
-            raise OSError("this module's state cannot be handed over")
+            raise OSError("this module's state cannot be handover over")
         links = [link for link in self._connections.links if link.link.hello and not link.is_closed and link.transport]
         view = self._view
         host_list = (
@@ -81,12 +81,12 @@
             for link in links
         ]
         feed, intake = self._load_weights.capture()
-        handed = capture_handover(
+        handover = capture_handover(
             self._engine,
             state,
             self._channel,
             link_states,
-            self._connections.joining.admission,
+            self._connections.proxy_admission.admission,
             host_list,
             self._load_weights.factors,
             feed,
@@ -94,21 +94,23 @@
         )
         link_sockets = [link.transport.get_extra_info("socket").fileno() for link in links if link.transport]
         descriptors = [*servers, *([intake.fileno()] if intake else []), *peer_sockets, *link_sockets]
-        return CapturedState(snapshots.pack(handed), descriptors)
+        return CapturedState(snapshots.pack(handover), descriptors)
 
     def restore(
-        self, handed: HandoverState, now: float, scores: Sequence[StoredRanking], module: Assigner | None
+        self, handover: HandoverState, now: float, scores: Sequence[StoredRanking], module: Assigner | None
     ) -> None:
         """Put all but the connections where they were. module: the assigner, if it was loaded already."""
         view = self._view
-        view.version = handed.host_list_version
-        view.entries = {entry.host: entry for entry in map(StoredHostEntry.entry, handed.host_entries)}
-        view.addresses = dict(handed.host_addresses)
-        view.starts = dict(handed.host_starts)
-        view.known = set(handed.known_hosts)
-        view.origins = {(host, started): since for host, started, since in handed.controller.host_origins}
+        view.version = handover.host_list_version
+        view.entries = {entry.host: entry for entry in map(StoredHostEntry.entry, handover.host_entries)}
+        view.addresses = dict(handover.host_addresses)
+        view.starts = dict(handover.host_starts)
+        view.known = set(handover.known_hosts)
+        view.origins = {(host, started): since for host, started, since in handover.controller.host_origins}
         self._engine.publisher.addresses = view.addresses
-        restore_handover(self._engine, handed, self._channel, self._connections.joining.admission, now, module)
+        restore_handover(
+            self._engine, handover, self._channel, self._connections.proxy_admission.admission, now, module
+        )
         if module:
             load_rankings(module.rendezvous, scores)
-        self._load_weights.restore(handed.load_factors)
+        self._load_weights.restore(handover.load_factors)
--- a/corallanding/controller/step_timer.py
+++ b/corallanding/controller/step_timer.py
@@ -23,7 +23,7 @@
         self.last_step_ms = context.clock()
         self.is_held = False  # while the tables of the last step are written to the registry
 
-    def wake(self) -> None:
+    def request_step(self) -> None:
         """Make sure that a step comes as soon as one is due. Does nothing while the controller may not act."""
         clock = self._context.clock
         lifecycle = self._context.lifecycle
@@ -46,7 +46,7 @@
         self.last_step_ms = now
 
     def pause(self) -> None:
-        """Cancel the next step; `wake` schedules it again."""
+        """Cancel the next step; `request_step` schedules it again."""
         self._cancel()
         self.due_at_ms = NEVER
 
--- a/corallanding/controller/store_release.py
+++ b/corallanding/controller/store_release.py
@@ -11,7 +11,7 @@
 from .pause_control import PauseControl
 from .peer_services import PeerServices
 from .persistence import TablePersistence
-from .proxy_joining import ProxyJoining
+from .proxy_admission import ProxyAdmission
 
 
 class StoreRelease:
@@ -24,7 +24,7 @@
         pause_control: PauseControl,
         persistence: TablePersistence,
         host_sources: HostSources,
-        joining: ProxyJoining,
+        proxy_admission: ProxyAdmission,
         peers: PeerServices,
         recording: ActiveRecording,
     ) -> None:
@@ -33,7 +33,7 @@
         self._pause_control = pause_control
         self._persistence = persistence
         self._host_sources = host_sources
-        self._joining = joining
+        self._proxy_admission = proxy_admission
         self._peers = peers
         self._recording = recording
 
@@ -67,8 +67,8 @@
         was_used = self._persistence.note_reopened(contents)
         if was_used:
             # The new process had the store, and may have sent and saved orders before it was ended.
-            log.warning("the new process had begun to speak; tables are read again", life=contents.start_number)
+            log.warning("the new process had become active; tables are read again", start_number=contents.start_number)
             self._recording.end("the new process may have written to it")
             self._engine.reconcile(self._context.clock(), contents)
         self._pause_control.resume(is_stale=was_used)
-        self._joining.greet_all()
+        self._proxy_admission.greet_all()
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -105,6 +105,8 @@
 
 
 class Running:
+    """A controller that runs in this process; port, door: where it listens for proxies and for HTTP."""
+
     def __init__(self, tmp: Path, text: str = "", decider: Any = Scripted, config: str = CONFIG) -> None:
         path = tmp / "s.hcl"
         path.write_text(config % (tmp / "s.db") + text)
@@ -129,7 +131,7 @@
     def do(self, *actions: api.Action) -> None:
         self.module.todo += actions
         self.steward.engine.add_event(self.steward.clock(), api.TimerFired(99))
-        self.steward.timer.wake()
+        self.steward.timer.request_step()
 
     async def peer(self) -> Peer:
         return Peer(*await asyncio.open_connection("127.0.0.1", self.port))
@@ -150,6 +152,9 @@
 
 
 async def until(wanted: Callable[[], Any], within: float = 5.0) -> None:
+    """Wait until a condition holds; raises TimeoutError after `within` seconds."""
     async with asyncio.timeout(within):
-        while not wanted():
+        while True:
+            if wanted():
+                return
             await asyncio.sleep(0.005)
--- a/tests/test_revive.py
+++ b/tests/test_revive.py
@@ -318,7 +318,7 @@
             p.wait()
             p, port = await life()
             peer, tables = await joined(port)
-            assert any(w["event"] == "revived" and w["life"] == 1 for w in words())
+            assert any(w["event"] == "state restored" and w["start_number"] == 1 for w in words())
             assert min(amount for _, _, amount, _ in tables.levels) < 0.95, "what was let in stands"
             await until(lambda: snap.stat().st_size > 0)
             p.send_signal(signal.SIGKILL)
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -575,7 +575,7 @@
         precompute_scores=lambda count: False,
     )
     context: Any = SimpleNamespace(clock=lambda: 0.0, metrics=metrics, lifecycle=SimpleNamespace(is_running=False))
-    timer: Any = SimpleNamespace(due_at_ms=0.0, begin_step=lambda now: None, wake=lambda: None)
+    timer: Any = SimpleNamespace(due_at_ms=0.0, begin_step=lambda now: None, request_step=lambda: None)
     persistence: Any = SimpleNamespace(
         retry_at_ms=0.0, needs_registry_write=lambda now, writes: False, write=lambda now, writes: True
     )
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -240,7 +240,7 @@
             await until(lambda: s.running() == 1)
             assert len(s.words("handed over")) == 10
             assert len(s.words("ready")) == 11
-            assert [w["life"] for w in s.words("ready")] == list(range(1, 12))
+            assert [w["start_number"] for w in s.words("ready")] == list(range(1, 12))
             # Each forwarder knows whose messages it holds, should that one die with a failing store.
             await until(lambda: all(f.lives == list(range(1, 12)) for f in s.forwarders))
             # Eleven processes, one recording: one module runs through it from its beginning.
