--- a/tests/test_crossings_door.py
+++ b/tests/collector/test_server.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 import pytest
-from crossings import Side, busy, play, turns, until
-from platform_front import host_report, intake, slice_report
+from forced_order import Side, busy, play, turns, until
+from platform_samples import host_report, intake, slice_report
 
 from corallanding.collector import server as at
 from corallanding.collector.server import CollectorServer
@@ -53,7 +53,7 @@
     monkeypatch.setattr(at, "JOIN_TIMEOUT_MS", at.JOIN_TIMEOUT_MS / 20.0)
 
 
-def test_a_collector_whose_joining_waits_in_the_kernel_as_its_time_ends_is_taken(quick: None) -> None:
+def test_collector_when_received_at_its_timeout_then_it_is_accepted(quick: None) -> None:
     """The loop was busy for longer than a stranger has: a step on a small share of a core."""
 
     async def scene() -> None:
@@ -69,7 +69,7 @@
     play(scene)
 
 
-def test_a_stranger_that_says_nothing_half_or_asks_again_and_again_is_told_to_go(quick: None) -> None:
+def test_unidentified_connection_when_it_never_joins_then_it_is_rejected(quick: None) -> None:
     async def scene() -> None:
         async with opened() as o:
             o.door.set_ready()
@@ -84,7 +84,7 @@
     play(scene)
 
 
-def test_one_that_asked_before_the_steward_is_ready_is_answered_then_and_has_its_time_after(quick: None) -> None:
+def test_heartbeat_when_requested_before_ready_then_it_is_answered_once_ready(quick: None) -> None:
     async def scene() -> None:
         async with opened() as o:
             side, mute = await o.come(HB), await o.come()
@@ -96,7 +96,7 @@
     play(scene)
 
 
-def test_hundreds_before_it_is_ready_cost_a_joining_collector_nothing(quick: None) -> None:
+def test_collector_when_hundreds_are_unidentified_then_it_can_join(quick: None) -> None:
     async def scene() -> None:
         async with opened(strangers=8) as o:
             collector = await o.come(JOIN)
@@ -113,7 +113,7 @@
     play(scene)
 
 
-def test_hundreds_before_it_is_ready_do_not_turn_away_who_waits_for_it() -> None:
+def test_heartbeat_when_hundreds_are_unidentified_then_its_requester_is_not_rejected() -> None:
     async def scene() -> None:
         async with opened(strangers=8) as o:
             waits = await o.come(HB)
@@ -127,7 +127,7 @@
     play(scene)
 
 
-def test_messages_in_pieces_and_many_at_once_are_the_same() -> None:
+def test_messages_when_in_pieces_or_many_at_once_then_they_are_the_same() -> None:
     async def scene() -> None:
         async with opened() as o:
             raw = JOIN + encode(host_report()) + encode(slice_report())
@@ -144,7 +144,7 @@
     play(scene)
 
 
-def test_one_that_sends_on_without_end_is_closed() -> None:
+def test_unidentified_connection_when_it_sends_without_end_then_it_is_closed() -> None:
     async def scene() -> None:
         async with opened() as o:
             side = await o.come(b"*1\r\n$9999\r\n")
@@ -158,7 +158,7 @@
     play(scene)
 
 
-def test_a_stranger_that_closes_its_half_and_waits_is_closed() -> None:
+def test_unidentified_connection_when_it_half_closes_then_it_is_closed() -> None:
     async def scene() -> None:
         async with opened() as o:
             o.door.set_ready()
@@ -170,7 +170,7 @@
     play(scene)
 
 
-def test_a_collector_lost_in_the_middle_of_a_message_and_back_before_its_old_connection_is_seen_to_go() -> None:
+def test_collector_when_it_reconnects_before_the_old_connection_ends_then_it_is_accepted() -> None:
     async def scene() -> None:
         async with opened() as o:
             first = await o.come(JOIN, encode(host_report())[:-4])
@@ -190,7 +190,7 @@
     play(scene)
 
 
-def test_a_report_on_what_has_just_gone_costs_itself_alone() -> None:
+def test_report_when_its_host_or_slice_has_just_gone_then_only_it_is_rejected() -> None:
     async def scene() -> None:
         async with opened() as o:
             side = await o.come(JOIN, encode(slice_report(shard=4)), encode(host_report(endpoint="s-77")))
@@ -222,7 +222,7 @@
         b"*1\r\n*1\r\n$1\r\na\r\n",
     ],
 )
-def test_what_no_collector_says_gets_the_word_and_a_close_and_disturbs_nobody(raw: bytes) -> None:
+def test_message_when_no_collector_sends_it_then_it_is_rejected_and_disturbs_nobody(raw: bytes) -> None:
     async def scene() -> None:
         async with opened() as o:
             collector = await o.come(JOIN)
--- a/tests/test_collector.py
+++ b/tests/collector/test_session.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from platform_front import HOSTS, SETTINGS, ZONES, collector, host_report, intake, owner, slice_report, told
+from platform_samples import HOSTS, SETTINGS, ZONES, collector, host_report, intake, owner, slice_report, told
 
 from corallanding import interface as api
 from corallanding.collector.session import REJECT, CollectorSession
@@ -11,7 +11,7 @@
 from corallanding.resp import encode
 
 
-def test_reports_on_slices_count_whichever_way_a_slice_came() -> None:
+def test_slice_report_when_the_slice_is_owned_then_it_counts_however_it_was_given() -> None:
     """The table that reports are checked against is the view's own, also once a connection said what stands."""
     news = RelayView(SETTINGS, ZONES)
     peer = collector(intake(news.tables))
@@ -26,7 +26,7 @@
     assert peer.feed(encode(slice_report(shard=4))).reports == [api.SliceUsageReport(4, 1, 9, 2, 500.0)]
 
 
-def test_a_slice_with_more_unanswered_than_came_is_no_fault() -> None:
+def test_slice_report_when_more_are_unanswered_than_came_then_it_is_accepted() -> None:
     """What came two seconds ago runs out of time now: total 0, errors 1."""
     peer = collector(intake({3}))
     assert peer.feed(encode(slice_report(total=0, errors=1))).reports == [api.SliceUsageReport(3, 1, 0, 1, 500.0)]
@@ -58,7 +58,7 @@
         (["assign", "shard", "1"], "unknown kind"),
     ],
 )
-def test_a_spoilt_report_costs_itself_alone(report: list[str], reason: str) -> None:
+def test_report_when_invalid_then_only_it_is_rejected(report: list[str], reason: str) -> None:
     peer = collector(intake({3}))
     heard = peer.feed(encode(host_report()) + encode(report) + encode(slice_report()))
     assert [type(e) for e in heard.reports] == [api.HostUsageReport, api.SliceUsageReport]
@@ -66,7 +66,7 @@
     assert dict(peer.intake.rejected) == {reason: 1}
 
 
-def test_a_report_that_is_sound_reaches_the_module_whole() -> None:
+def test_report_when_valid_then_every_field_is_in_the_event() -> None:
     heard = collector(intake({3})).feed(encode(host_report(metrics="inflight:7,util:0.61")))
     assert heard.reports == [api.HostUsageReport(0, HOSTS[1], 9, 2, 41.5, 500.0, {"inflight": 7.0, "util": 0.61})]
 
@@ -84,20 +84,20 @@
         b"*1\r\n$1048576\r\n",
     ],
 )
-def test_strangers_are_told_and_go(said: bytes) -> None:
+def test_session_when_the_first_message_is_invalid_then_it_is_rejected_and_ends(said: bytes) -> None:
     heard = CollectorSession(intake({3})).feed(said)
     assert heard.close_reason
     assert heard.answer == REJECT
     assert not heard.reports
 
 
-def test_a_collector_is_never_written_to_and_ends_at_what_cannot_be_read() -> None:
+def test_collector_when_bytes_cannot_be_parsed_then_it_ends_without_an_answer() -> None:
     heard = collector(intake({3})).feed(encode(slice_report()) + b"garbage")
     assert heard.close_reason
     assert heard.answer == b""
     assert len(heard.reports) == 1
 
 
-def test_a_sign_of_life_is_owed_on_any_connection() -> None:
+def test_heartbeat_when_requested_on_any_connection_then_it_is_owed() -> None:
     assert CollectorSession(intake(set())).feed(encode(["hb"]) * 2).heartbeats == 2
     assert collector(intake(set())).feed(encode(["hb"])).heartbeats == 1
--- a/tests/connection/test_connector.py
+++ b/tests/connection/test_connector.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from crossings import FOR_EVER, Address, Dials, Side, Stand, nobody, play, turns, until
+from forced_order import FOR_EVER, Address, Dials, Side, Stand, nobody, play, turns, until
 
 from corallanding.connection import Connector, OutboundConnection
 
--- a/tests/crossings_agent.py
+++ b/tests/discovery/support.py
@@ -1,10 +1,10 @@
-"""A discovery agent's connection and what its answers come to, for forced crossings."""
+"""A discovery client with a receiver that keeps what it is given."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from crossings import FOR_EVER, Side, Stand
+from forced_order import FOR_EVER, Side, Stand
 
 from corallanding.discovery.long_poll import DiscoveryClient
 
--- a/tests/test_crossings_answers.py
+++ b/tests/discovery/test_answers.py
@@ -6,10 +6,10 @@
 from typing import Any
 
 import pytest
-from crossings import FOR_EVER, Side, Stand, busy, play, turns, until
-from crossings_agent import Listed, agent, asked, poll
+from forced_order import FOR_EVER, Side, Stand, busy, play, turns, until
 
 from corallanding.discovery.long_poll import UNCHANGED_PAUSE_SECONDS
+from tests.discovery.support import Listed, agent, asked, poll
 
 
 def half(side: Side) -> None:
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("said", [lambda side: None, half, lambda side: side.say(b"HTTP/1.1 200 OK\r\nCont")])
-def test_one_that_says_nothing_or_half_is_given_up_and_asked_anew(said: Any) -> None:
+def test_request_when_no_complete_answer_comes_then_it_is_sent_on_a_new_connection(said: Any) -> None:
     async def scene() -> None:
         listener = Listed()
         async with Stand() as stand:
@@ -37,7 +37,7 @@
     play(scene)
 
 
-def test_an_answer_that_is_there_when_the_limit_passes_is_taken() -> None:
+def test_answer_when_received_as_its_timeout_passes_then_it_is_used() -> None:
     async def scene() -> None:
         listener = Listed()
         async with Stand() as stand:
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("head", [b"Content-Length: 1\r\n", b"Content-Length: 1\r\nConnection: close\r\n"])
-def test_a_connection_closed_right_after_a_whole_answer_costs_nothing(head: bytes) -> None:
+def test_answer_when_the_connection_closes_right_after_then_it_is_used(head: bytes) -> None:
     async def scene() -> None:
         listener = Listed()
         async with Stand() as stand:
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(("end", "bodies"), [(Side.close, [b"17"]), (Side.reset, [])])
-def test_a_body_without_a_length_ends_with_the_connection_unless_that_was_reset(end: Any, bodies: list[bytes]) -> None:
+def test_body_when_it_has_no_length_then_it_ends_with_the_connection(end: Any, bodies: list[bytes]) -> None:
     async def scene() -> None:
         listener = Listed()
         async with Stand() as stand:
@@ -89,7 +89,7 @@
     play(scene)
 
 
-def test_an_answer_cut_by_the_end_of_the_connection_is_none() -> None:
+def test_answer_when_cut_by_the_end_of_the_connection_then_it_is_not_used() -> None:
     async def scene() -> None:
         listener = Listed()
         async with Stand() as stand:
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("one_write", [True, False])
-def test_a_second_answer_is_not_taken_for_that_of_the_next_question(one_write: bool) -> None:
+def test_answer_when_unrequested_then_it_does_not_count_for_the_next_request(one_write: bool) -> None:
     async def scene() -> None:
         listener = Listed()
         async with Stand() as stand:
@@ -140,7 +140,7 @@
         b"HTTP/1.1 503 Unavailable\r\nContent-Length: 1\r\n\r\n9",
     ],
 )
-def test_what_is_no_answer_is_named_and_asked_again(raw: bytes) -> None:
+def test_answer_when_invalid_then_it_is_logged_and_requested_again(raw: bytes) -> None:
     async def scene() -> None:
         listener, said = Listed(), list[str]()
         async with Stand() as stand:
@@ -159,7 +159,7 @@
     play(scene)
 
 
-def test_an_agent_that_does_not_wait_is_asked_at_a_pace() -> None:
+def test_client_when_polls_are_not_held_then_requests_are_paced() -> None:
     async def scene() -> None:
         listener = Listed()
         async with Stand() as stand:
@@ -181,7 +181,7 @@
     play(scene)
 
 
-def test_an_answer_without_end_is_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_answer_when_it_never_ends_then_the_connection_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
         listener, said = Listed(), list[str]()
         async with Stand() as stand:
--- a/tests/test_crossings_lists.py
+++ b/tests/discovery/test_damaged_lists.py
@@ -6,20 +6,20 @@
 
 import msgspec
 import pytest
-from platform_front import KINDS, ZONES
+from platform_samples import KINDS, ZONES
 from test_platform_state import held, row, take
 
 from corallanding.discovery.host_list import HostListView, InvalidAnswerError
 
 
-def test_objects_nested_without_end_are_an_answer_that_cannot_be_read() -> None:
+def test_answer_when_nested_without_end_then_it_is_rejected() -> None:
     with pytest.raises(InvalidAnswerError):
         HostListView(ZONES, KINDS).decode(b'{"seq":1,"whole":true,"hosts":' + b"[" * 5_000 + b"]" * 5_000 + b"}")
 
 
 @pytest.mark.parametrize("health", ["terminating", "terminated"])
 @pytest.mark.parametrize("whole", [True, False])
-def test_a_damaged_entry_that_says_its_host_leaves_is_believed_in_that(health: str, whole: bool) -> None:
+def test_damaged_entry_when_its_host_leaves_then_that_is_believed(health: str, whole: bool) -> None:
     view = HostListView(ZONES, KINDS)
     take(view, True, row("s-1"), row("s-2"))
     told = take(view, whole, row("s-1", health, site="z", share="x"), row("s-2"), seq=2)
@@ -30,7 +30,7 @@
     assert take(view, False, row("s-9", health, share="x"), seq=3) is None, "one that nobody knows is not made up"
 
 
-def test_a_damaged_entry_of_a_host_with_a_long_name_is_held_too() -> None:
+def test_damaged_entry_when_the_name_is_long_then_its_last_good_state_stays() -> None:
     view, name = HostListView(ZONES, KINDS), "rack-17.hall-b.olaine.example"
     take(view, True, row(name))
     take(view, True, row(name, share="x"), seq=2)
@@ -53,7 +53,7 @@
         {"host": "s-1", "health": {}},
     ],
 )
-def test_an_entry_of_any_shape_is_named_and_costs_only_itself(entry: Any) -> None:
+def test_entry_when_of_any_shape_then_it_is_logged_and_affects_only_itself(entry: Any) -> None:
     view = HostListView(ZONES, KINDS)
     take(view, True, row("s-1"))
     told = take(view, True, entry, row("s-2"), seq=2)
@@ -62,7 +62,7 @@
     assert "s-2" in held(view)
 
 
-def test_an_older_list_from_an_agent_that_lags_is_undone_by_its_next_answers() -> None:
+def test_list_when_older_than_the_last_then_the_next_answers_undo_it() -> None:
     """Its version goes back with it, so that what it lacks is asked for again."""
     view = HostListView(ZONES, KINDS)
     take(view, True, row("s-1"), seq=40)
@@ -73,7 +73,7 @@
     assert held(view) == {"s-1": "draining"}
 
 
-def test_the_same_host_twice_back_with_a_new_start_and_draining_at_first_sight() -> None:
+def test_list_when_a_host_is_named_twice_or_returns_then_the_last_entry_counts() -> None:
     view = HostListView(ZONES, KINDS)
     told = take(view, True, row("s-1"), row("s-1", "terminating"), row("s-3", "terminating"))
     assert told
@@ -84,10 +84,12 @@
     assert told.entries[0].online_since == 9_000
     assert held(view) == {"s-1": "up", "s-3": "draining"}
     told = take(view, True, seq=4)
-    assert told and told.entries == () and held(view) == {}, "an empty list is a list: the module judges it"
+    assert told
+    assert told.entries == ()
+    assert held(view) == {}, "an empty list is a list: the assigner judges it"
 
 
-def test_lists_that_are_cut_at_any_byte_are_refused_or_whole() -> None:
+def test_list_when_cut_at_any_byte_then_it_is_rejected_or_complete() -> None:
     view, body = (
         HostListView(ZONES, KINDS),
         msgspec.json.encode({"seq": 2, "whole": True, "hosts": [row("s-1"), row("s-2")]}),
--- a/tests/test_crossings_agent.py
+++ b/tests/discovery/test_long_poll.py
@@ -5,11 +5,12 @@
 import asyncio
 from typing import Any
 
-from crossings import Dials, Stand, nobody, play, turns, until
-from crossings_agent import Listed, agent, asked, poll
+from forced_order import Dials, Stand, nobody, play, turns, until
 
+from tests.discovery.support import Listed, agent, asked, poll
 
-def test_a_dial_of_the_old_address_that_comes_up_after_the_new_one_is_not_used() -> None:
+
+def test_client_when_the_old_address_connects_after_the_new_one_then_it_is_not_used() -> None:
     async def scene() -> None:
         dials, listener = Dials(), Listed()
         async with Stand() as old, Stand() as new:
@@ -33,7 +34,7 @@
     play(scene)
 
 
-def test_a_dial_of_the_new_address_changed_back_meanwhile_leaves_the_old_connection() -> None:
+def test_client_when_the_address_is_changed_back_then_the_old_connection_stays() -> None:
     async def scene() -> None:
         dials, listener = Dials(), Listed()
         async with Stand() as old, Stand() as new:
@@ -56,7 +57,7 @@
     play(scene)
 
 
-def test_an_address_where_nobody_listens_is_dialled_again_while_the_old_one_goes_on() -> None:
+def test_client_when_nobody_listens_at_the_new_address_then_the_old_connection_goes_on() -> None:
     async def scene() -> None:
         dials, listener = Dials(), Listed()
         empty = await nobody()
@@ -77,7 +78,7 @@
     play(scene)
 
 
-def test_a_poll_that_moves_is_asked_at_the_new_address_and_told_as_no_failure() -> None:
+def test_poll_when_the_address_changes_then_it_is_sent_there_and_no_failure_is_reported() -> None:
     async def scene() -> None:
         listener = Listed()
         async with Stand() as old, Stand() as new:
@@ -96,7 +97,7 @@
     play(scene)
 
 
-def test_nothing_is_dialled_after_the_end() -> None:
+def test_client_when_stopped_then_it_connects_no_more() -> None:
     async def scene() -> None:
         dials, listener = Dials(), Listed()
         async with Stand() as old, Stand() as new:
@@ -120,7 +121,7 @@
 # ---- a listener that fails, questions that come to nothing (7, 8) ----------------------------------------
 
 
-def test_a_fault_in_what_the_answer_goes_to_does_not_end_the_watch() -> None:
+def test_poll_when_the_receiver_raises_then_polling_goes_on() -> None:
     async def scene() -> None:
         listener = Listed(raises=2)
         faults: list[Any] = []
@@ -137,7 +138,7 @@
     play(scene)
 
 
-def test_a_whole_list_asked_for_is_asked_for_again_until_it_comes() -> None:
+def test_fetch_when_requests_fail_then_it_is_repeated() -> None:
     async def scene() -> None:
         listener = Listed()
         async with Stand() as stand:
@@ -156,7 +157,7 @@
     play(scene)
 
 
-def test_asked_to_follow_while_a_call_fails_it_tells_the_failure_after_that_and_asks_when_asked_again() -> None:
+def test_watch_when_a_request_fails_meanwhile_then_one_failure_is_reported() -> None:
     async def scene() -> None:
         listener = Listed()
         async with Stand() as stand:
--- a/tests/crossings.py
+++ b/tests/forced_order.py
@@ -1,4 +1,7 @@
-"""Forced crossings: peers on loopback whose every word waits for the test, and dials that come up when it says so."""
+"""Peers on loopback that send nothing but what the test says, and connections established when it says so.
+
+With them a test forces each order of events that could otherwise occur by chance.
+"""
 
 from __future__ import annotations
 
--- a/tests/health_check/test_checker.py
+++ b/tests/health_check/test_checker.py
@@ -6,11 +6,11 @@
 from typing import Any
 
 import pytest
-from crossings import FOR_EVER, Side, Stand, clock, nobody, play, until
-from crossings_life import text
+from forced_order import FOR_EVER, Side, Stand, clock, nobody, play, until
 
 from corallanding import interface as api
 from corallanding.health_check.checker import HealthChecker
+from tests.platform.support import text
 
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nbusy=0.5"
 
--- a/tests/crossings_life.py
+++ b/tests/platform/support.py
@@ -1,4 +1,4 @@
-"""The platform's steward in the test's loop, its peers in the test's hands, for forced crossings."""
+"""A platform controller on the test's event loop, with peers that the test drives."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from typing import Any
 
 import msgspec
-from crossings import Address, Side, Stand, turns, until
-from crossings_relay import PING, RESULT, taken
-from platform_front import attach, entry, owner
+from forced_order import Address, Side, Stand, turns, until
+from platform_samples import attach, entry, owner
 from test_platform_state import TOP, row
 
 from corallanding.platform import service as node
 from corallanding.platform.config import read
+from tests.relay.support import PING, RESULT, taken
 
 
 def text(where: Address) -> str:
--- a/tests/test_mutation_platform.py
+++ b/tests/platform/test_mutated_messages.py
@@ -9,7 +9,7 @@
 
 import msgspec
 import pytest
-from platform_front import HOSTS, KINDS, SETTINGS, ZONES, attach, entry, owner
+from platform_samples import HOSTS, KINDS, SETTINGS, ZONES, attach, entry, owner
 from test_platform_state import row
 
 from corallanding import interface as api
@@ -60,7 +60,8 @@
 
 def exchange(lines: list[Any]) -> tuple[RelayView, int]:
     """What stands, then what comes: the view at the end, and how many lines were refused."""
-    news, standing, refused = RelayView(SETTINGS, ZONES), InitialState(), 0
+    news, standing = RelayView(SETTINGS, ZONES), InitialState()
+    errors: list[str] = []
     events: list[api.Event] = []
     for at, line in enumerate(lines):
         if at == len(STANDS):
@@ -72,13 +73,13 @@
             else:
                 events += news.apply(notice)
         except InvalidNotificationError as fault:
-            assert "\n" not in str(fault)
-            refused += 1
+            errors.append(str(fault))
     events += news.complete_slices()
+    assert not any("\n" in error for error in errors)
     assert all(0 <= p < SETTINGS.proxy_count for p in news.proxies)
     assert all(0 <= s < SETTINGS.slice_count and all(w > 0 for w in rows.values()) for s, rows in news.tables.items())
     assert all(isinstance(e, TOLD) for e in events)
-    return news, refused
+    return news, len(errors)
 
 
 def spoken_of(*lines: Any) -> tuple[set[int], set[int]]:
@@ -92,7 +93,7 @@
 
 
 @pytest.mark.parametrize("at", range(len(LINES)))
-def test_a_line_of_news_that_is_changed_costs_no_more_than_what_it_speaks_of(at: int) -> None:
+def test_notification_when_one_value_is_changed_then_only_what_it_names_is_affected(at: int) -> None:
     sound, refused_sound = exchange(LINES)
     assert refused_sound == 0
     refused = 0
@@ -109,7 +110,7 @@
 
 @pytest.mark.parametrize("at", range(len(LINES)))
 @pytest.mark.parametrize("way", ["lost", "doubled", "after the next"])
-def test_a_line_of_news_that_goes_another_way_costs_no_more_than_what_it_speaks_of(at: int, way: str) -> None:
+def test_notification_when_lost_doubled_or_late_then_only_what_it_names_is_affected(at: int, way: str) -> None:
     sound, _ = exchange(LINES)
     after = LINES[at + 1 : at + 2]
     instead = {"lost": after, "doubled": [LINES[at], LINES[at], *after], "after the next": [*after, LINES[at]]}[way]
@@ -145,7 +146,7 @@
 
 
 @pytest.mark.parametrize("at", range(len(LISTS)))
-def test_a_list_with_one_value_changed_costs_no_more_than_its_entry(at: int) -> None:
+def test_list_when_one_value_is_changed_then_only_its_entry_is_affected(at: int) -> None:
     sound, refused = listed(LISTS)
     assert refused == 0
     for path, mutant in mutants(LISTS[at]):
@@ -167,7 +168,7 @@
 
 
 @pytest.mark.parametrize("said", [ANSWER, ERROR], ids=["answer", "error"])
-def test_an_answer_with_one_value_changed_loses_no_order_unnamed(said: dict[str, Any]) -> None:
+def test_call_answer_when_one_value_is_changed_then_no_order_is_lost_silently(said: dict[str, Any]) -> None:
     orders = [api.SetWeight(1, HOSTS[0], 1.0), api.SetWeight(2, HOSTS[1], 2.0), api.PublishVersion(5)]
     for _, mutant in mutants(said):
         calls = PendingCalls(["lookup"])
--- a/tests/test_crossings_planted.py
+++ b/tests/platform/test_planted_races.py
@@ -1,4 +1,4 @@
-"""The races that the forced crossings were written for, put back one at a time: each is found by its scene."""
+"""Races that were fixed once, planted again one at a time: the test written for each finds it."""
 
 from __future__ import annotations
 
@@ -7,18 +7,10 @@
 from pathlib import Path
 from typing import Any
 
-import crossings
+import forced_order
 import msgspec
 import pytest
-import test_crossings_agent as agent_scenes
-import test_crossings_answers as answer_scenes
-import test_crossings_call_answers as call_answer_scenes
-import test_crossings_calls as call_scenes
-import test_crossings_door as door_scenes
-import test_crossings_life as life_scenes
-import test_crossings_lists as list_scenes
-import test_crossings_news as news_scenes
-from crossings import Side
+from forced_order import Side
 
 from corallanding import connection
 from corallanding.collector import server
@@ -30,6 +22,7 @@
 from corallanding.relay.call_connection import CallConnection
 from corallanding.relay.pending_calls import PendingCalls
 from corallanding.relay.subscription_connection import Subscription
+from tests.collector import test_server as door_scenes
 from tests.connection.test_connector import (
     test_connection_when_another_attempt_begins_after_adoption_then_it_stays_open as connection_after_adoption,
 )
@@ -39,6 +32,13 @@
 from tests.connection.test_connector import (
     test_connection_when_it_ends_then_its_owner_is_told_once_unless_it_was_discarded as connection_end,
 )
+from tests.discovery import test_answers as answer_scenes
+from tests.discovery import test_damaged_lists as list_scenes
+from tests.discovery import test_long_poll as agent_scenes
+from tests.platform import test_stop_and_reload as life_scenes
+from tests.relay import test_call_answers as call_answer_scenes
+from tests.relay import test_call_connection as call_scenes
+from tests.relay import test_subscription_connection as news_scenes
 
 Patch = pytest.MonkeyPatch
 
@@ -204,70 +204,80 @@
 PLANTED: list[tuple[Callable[[Patch], None], Callable[[Path], None]]] = [
     (
         adopted_late,
-        lambda tmp: call_scenes.test_a_connection_that_breaks_as_it_comes_up_is_not_kept_for_the_next_call(Side.reset),
+        lambda tmp: call_scenes.test_connection_when_it_breaks_at_once_then_no_call_uses_it(Side.reset),
     ),
     (
         adopted_late,
-        lambda tmp: news_scenes.test_news_that_break_as_they_come_up_are_asked_for_again_at_once(Side.close),
+        lambda tmp: news_scenes.test_watch_when_it_breaks_at_once_then_it_is_requested_again(Side.close),
     ),
     (
         dial_that_outlives_the_close,
-        lambda tmp: call_scenes.test_a_dial_that_comes_up_after_the_close_leaves_no_connection(),
+        lambda tmp: call_scenes.test_attempt_when_established_after_close_then_no_connection_is_left(),
     ),
     (
         dial_that_outlives_the_close,
-        lambda tmp: news_scenes.test_a_dial_of_news_that_comes_up_after_the_close_leaves_no_connection(),
+        lambda tmp: news_scenes.test_watch_when_established_after_close_then_no_connection_is_left(),
     ),
     (
         every_dial_adopted,
-        lambda tmp: agent_scenes.test_a_dial_of_the_old_address_that_comes_up_after_the_new_one_is_not_used(),
+        lambda tmp: agent_scenes.test_client_when_the_old_address_connects_after_the_new_one_then_it_is_not_used(),
     ),
     (
         cancelled_after_adoption,
         lambda tmp: connection_after_adoption(),
     ),
-    (limits_before_reads, lambda tmp: answer_scenes.test_an_answer_that_is_there_when_the_limit_passes_is_taken()),
-    (limits_before_reads, lambda tmp: call_answer_scenes.test_an_answer_that_is_there_when_the_limit_passes_counts()),
+    (limits_before_reads, lambda tmp: answer_scenes.test_answer_when_received_as_its_timeout_passes_then_it_is_used()),
+    (
+        limits_before_reads,
+        lambda tmp: call_answer_scenes.test_call_answer_when_received_at_its_timeout_then_it_counts(),
+    ),
     (
         limits_before_reads,
         lambda tmp: connection_at_the_limit(),
     ),
     (
         short_joining,
-        lambda tmp: door_scenes.test_a_collector_whose_joining_waits_in_the_kernel_as_its_time_ends_is_taken(None),
+        lambda tmp: door_scenes.test_collector_when_received_at_its_timeout_then_it_is_accepted(None),
+    ),
+    (
+        whole_list_forgotten,
+        lambda tmp: agent_scenes.test_fetch_when_requests_fail_then_it_is_repeated(),
     ),
-    (whole_list_forgotten, lambda tmp: agent_scenes.test_a_whole_list_asked_for_is_asked_for_again_until_it_comes()),
     (
         old_lines_after_a_slice_came_back,
-        lambda tmp: call_scenes.test_a_slice_taken_away_and_given_back_around_a_call_in_every_order("unknown", False),
+        lambda tmp: call_scenes.test_slice_when_lost_and_given_back_then_tables_agree("unknown", False),
+    ),
+    (
+        echoes_counted,
+        lambda tmp: call_answer_scenes.test_answer_when_doubled_then_the_next_call_is_not_affected(),
     ),
-    (echoes_counted, lambda tmp: call_answer_scenes.test_two_answers_cost_the_next_call_nothing()),
     (
         move_forgotten,
-        lambda tmp: call_scenes.test_a_call_in_flight_ends_at_the_old_address_and_the_next_goes_to_the_new_one(),
+        lambda tmp: call_scenes.test_call_when_the_address_changes_then_it_ends_at_the_old_one(),
+    ),
+    (
+        calls_after_the_last,
+        lambda tmp: call_scenes.test_finish_when_a_call_is_in_flight_then_no_other_begins(),
     ),
-    (calls_after_the_last, lambda tmp: call_scenes.test_no_call_begins_after_the_last_one_which_is_whole()),
-    (lines_for_ever, lambda tmp: news_scenes.test_a_slice_is_told_though_lines_of_others_never_cease()),
+    (lines_for_ever, lambda tmp: news_scenes.test_slice_when_entries_of_others_never_cease_then_it_is_delivered()),
     (
         half_said_kept,
-        lambda tmp: news_scenes.test_a_break_before_the_first_sign_of_life_tells_nothing_of_what_was_half_said(),
+        lambda tmp: news_scenes.test_watch_when_it_breaks_in_the_initial_state_then_no_event_is_delivered(),
     ),
-    (ready_at_any_time, lambda tmp: life_scenes.test_one_that_ends_before_it_is_ready_gives_no_sign_of_life(tmp)),
-    (turns_after_the_end, lambda tmp: life_scenes.test_after_the_end_is_told_there_is_no_turn_no_call_and_no_dial(tmp)),
+    (ready_at_any_time, lambda tmp: life_scenes.test_stop_when_not_ready_then_no_heartbeat_is_answered(tmp)),
+    (turns_after_the_end, lambda tmp: life_scenes.test_stop_when_called_then_no_step_call_or_connection_begins(tmp)),
     (
         second_answers_taken,
-        lambda tmp: answer_scenes.test_a_second_answer_is_not_taken_for_that_of_the_next_question(False),
+        lambda tmp: answer_scenes.test_answer_when_unrequested_then_it_does_not_count_for_the_next_request(False),
     ),
     (
         lengths_wanted,
-        lambda tmp: answer_scenes.test_a_body_without_a_length_ends_with_the_connection_unless_that_was_reset(
-            Side.close, [b"17"]
-        ),
+        lambda tmp: answer_scenes.test_body_when_it_has_no_length_then_it_ends_with_the_connection(Side.close, [b"17"]),
     ),
-    (deep_json_raises, lambda tmp: list_scenes.test_objects_nested_without_end_are_an_answer_that_cannot_be_read()),
+    (deep_json_raises, lambda tmp: list_scenes.test_answer_when_nested_without_end_then_it_is_rejected()),
     (
         drains_in_damaged_entries_passed_over,
-        lambda tmp: list_scenes.test_a_damaged_entry_that_says_its_host_leaves_is_believed_in_that("terminating", True),
+        lambda tmp: list_scenes.test_damaged_entry_when_its_host_leaves_then_that_is_believed("terminating", True),
     ),
     (
         ends_told,
@@ -277,11 +287,11 @@
 
 
 @pytest.mark.parametrize(("plant", "scene"), PLANTED, ids=[plant.__name__ for plant, _ in PLANTED])
-def test_a_race_that_is_put_back_is_found(
+def test_race_when_planted_then_its_test_fails(
     plant: Callable[[Patch], None], scene: Callable[[Path], None], monkeypatch: Patch, tmp_path: Path
 ) -> None:
     scene(tmp_path)
-    monkeypatch.setattr(crossings, "LONG", 1.0)
+    monkeypatch.setattr(forced_order, "LONG", 1.0)
     plant(monkeypatch)
     with pytest.raises((AssertionError, TimeoutError, RecursionError, ConnectionError, asyncio.IncompleteReadError)):
         scene(tmp_path)
--- a/tests/test_node.py
+++ b/tests/platform/test_program.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import os
 import signal
 import subprocess
@@ -12,7 +13,7 @@
 from typing import Any
 
 import pytest
-from platform_front import slice_report
+from platform_samples import slice_report
 from platform_standins import LONG, Agent, Hosts, Process, Relay, free, until
 from test_platform_state import TOP, row
 
@@ -20,6 +21,8 @@
 
 
 class Day:
+    """A program on the platform with its stand-ins."""
+
     def __init__(self, relay: Relay, agent: Agent, hosts: Hosts, dial: str, steward: Process) -> None:
         self.relay, self.agent, self.hosts, self.dial, self.steward = relay, agent, hosts, dial, steward
 
@@ -64,7 +67,8 @@
             await scene(d)
             d.steward.signal(signal.SIGTERM)
             code, log = await d.steward.end()
-            assert code == 0 and "Traceback" not in log, log
+            assert code == 0, log
+            assert "Traceback" not in log, log
             assert relay.outstanding_most == 1
         finally:
             if d.steward.process.returncode is None:
@@ -75,7 +79,7 @@
     asyncio.run(play())
 
 
-def test_drains_and_deaths_reach_the_relay_whatever_becomes_of_calls(tmp_path: Path) -> None:
+def test_drains_when_calls_fail_in_any_way_then_they_reach_the_relay(tmp_path: Path) -> None:
     async def scene(d: Day) -> None:
         await until(lambda: d.relay.calls, "the first call")
         for n, faults in enumerate((["broken", "silent"], ["lost", "spoilt"], ["throttled", "lost", "broken"])):
@@ -88,7 +92,7 @@
     day(tmp_path, scene)
 
 
-def test_news_that_breaks_off_and_an_agent_that_stalls_lose_nothing(tmp_path: Path) -> None:
+def test_events_when_watch_and_discovery_stall_then_nothing_is_lost(tmp_path: Path) -> None:
     async def scene(d: Day) -> None:
         for _ in range(3):
             watched = d.relay.watched
@@ -109,7 +113,7 @@
     day(tmp_path, scene)
 
 
-def test_new_addresses_under_load_a_bad_file_and_a_kill(tmp_path: Path) -> None:
+def test_reload_when_under_load_then_new_addresses_are_used_and_invalid_files_are_not(tmp_path: Path) -> None:
     async def scene(d: Day) -> None:
         await until(lambda: d.relay.calls, "the first call")
         relay, agent = Relay(), Agent(list(d.agent.hosts.values()))
@@ -141,7 +145,7 @@
     day(tmp_path, scene)
 
 
-def test_drains_told_while_a_new_relay_says_what_stands(tmp_path: Path) -> None:
+def test_drains_when_a_new_relay_gives_its_initial_state_then_they_are_carried_out(tmp_path: Path) -> None:
     """Moves made meanwhile are not in what it said: their new hosts must be known when those drain in turn."""
 
     async def scene(d: Day) -> None:
@@ -162,7 +166,7 @@
     day(tmp_path, scene)
 
 
-def test_strangers_by_the_hundred_cost_no_collector_its_place(tmp_path: Path) -> None:
+def test_collectors_when_hundreds_are_unidentified_then_they_stay_connected(tmp_path: Path) -> None:
     async def scene(d: Day) -> None:
         said = [
             b"",
@@ -181,10 +185,8 @@
             strangers[-1][1].write(said[n % len(said)])
         async with asyncio.timeout(LONG):
             for r, _ in strangers:
-                try:
+                with contextlib.suppress(ConnectionError):
                     await r.read()  # to the end: each is closed
-                except ConnectionError:
-                    pass
         writer.write(encode(slice_report(route="lookup")) + encode(["hb"]))
         async with asyncio.timeout(LONG):
             assert await reader.readexactly(len(encode(["hb_ok"]))) == encode(["hb_ok"])
@@ -196,7 +198,7 @@
 
 
 @pytest.mark.parametrize(("content", "says"), [(None, "No such file"), (b"{}", "settings: missing"), (b"{", "no JSON")])
-def test_a_configuration_that_cannot_be_used_is_one_line_and_exit_code_2(
+def test_program_when_the_configuration_is_invalid_then_one_line_and_exit_code_2(
     tmp_path: Path, content: bytes | None, says: str
 ) -> None:
     path = tmp_path / "config.json"
--- a/tests/test_crossings_start.py
+++ b/tests/platform/test_start.py
@@ -9,20 +9,20 @@
 
 import msgspec
 import pytest
-from crossings import Side, Stand, play, until
-from crossings_life import life, text
-from crossings_relay import PING, RESULT, taken
-from platform_front import attach, owner
+from forced_order import Side, Stand, play, until
+from platform_samples import attach, owner
 from platform_standins import Process, free
 from test_platform_state import TOP
 
 from corallanding.collector.session import HEARTBEAT_ANSWER, REJECT
 from corallanding.platform import service as node
 from corallanding.resp import encode
+from tests.platform.support import life, text
+from tests.relay.support import PING, RESULT, taken
 
 
 @pytest.mark.parametrize("resets", [1, 4])
-def test_a_relay_that_still_holds_a_dead_processs_connections_and_resets_new_ones_is_asked_until_it_takes_one(
+def test_start_when_the_relay_resets_connections_then_it_tries_until_one_is_accepted(
     tmp_path: Path, resets: int
 ) -> None:
     async def scene() -> None:
@@ -44,7 +44,7 @@
     play(scene)
 
 
-def test_a_relay_that_says_nothing_keeps_signs_of_life_back_for_a_time_only(
+def test_start_when_the_relay_is_silent_then_heartbeats_are_answered_after_a_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(node, "MAX_START_SECONDS", 0.05)
@@ -71,7 +71,7 @@
         return await asyncio.to_thread(os.open, self.path, os.O_WRONLY)
 
 
-def test_a_new_configuration_told_while_the_old_one_is_read_is_followed(tmp_path: Path) -> None:
+def test_reload_when_signalled_during_the_start_then_the_new_configuration_is_used(tmp_path: Path) -> None:
     async def scene() -> None:
         async with Stand() as relay, Stand() as agent, Stand() as new_relay, Stand() as new_agent:
             steward = Reading({**TOP, "listen": "127.0.0.1:1"}, tmp_path / "config.json")
@@ -87,13 +87,14 @@
             assert (await (await new_relay.next()).line())["method"] in ("relay.watch", "relay.apply")
             steward.signal(signal.SIGTERM)
             code, log = await steward.end()
-            assert code == 0 and "Traceback" not in log, log
+            assert code == 0, log
+            assert "Traceback" not in log, log
 
     play(scene)
 
 
 @pytest.mark.parametrize("sign", [signal.SIGTERM, signal.SIGINT])
-def test_told_to_end_before_it_has_read_its_configuration_it_ends_at_once(tmp_path: Path, sign: signal.Signals) -> None:
+def test_stop_when_signalled_at_the_start_then_it_ends_at_once(tmp_path: Path, sign: signal.Signals) -> None:
     async def scene() -> None:
         steward = Reading(dict(TOP), tmp_path / "config.json")
         pipe = await steward.begin()
--- a/tests/test_crossings_life.py
+++ b/tests/platform/test_stop_and_reload.py
@@ -7,17 +7,17 @@
 
 import msgspec
 import pytest
-from crossings import FOR_EVER, Dials, Side, Stand, nobody, play, turns, until
-from crossings_life import life, moved
-from crossings_relay import PING, RESULT, taken
-from platform_front import attach, entry, owner
+from forced_order import FOR_EVER, Dials, Side, Stand, nobody, play, turns, until
+from platform_samples import attach, entry, owner
 from test_platform_state import row
 
 from corallanding import interface as api
 from corallanding.resp import encode
+from tests.platform.support import life, moved
+from tests.relay.support import PING, RESULT, taken
 
 
-def test_after_the_end_is_told_there_is_no_turn_no_call_and_no_dial(tmp_path: Path) -> None:
+def test_stop_when_called_then_no_step_call_or_connection_begins(tmp_path: Path) -> None:
     async def scene() -> None:
         async with life(tmp_path, FOR_EVER) as it, Stand() as other:
             await it.serve()
@@ -41,7 +41,7 @@
     play(scene)
 
 
-def test_one_that_ends_before_it_is_ready_gives_no_sign_of_life(tmp_path: Path) -> None:
+def test_stop_when_not_ready_then_no_heartbeat_is_answered(tmp_path: Path) -> None:
     async def scene() -> None:
         async with life(tmp_path) as it:
             side = Side(*await asyncio.open_connection(*it.listens()))
@@ -55,7 +55,7 @@
     play(scene)
 
 
-def test_a_call_in_flight_at_the_end_is_whole_and_what_waits_behind_it_never_begins(tmp_path: Path) -> None:
+def test_stop_when_a_call_is_in_flight_then_it_is_complete_and_no_other_begins(tmp_path: Path) -> None:
     async def scene() -> None:
         async with life(tmp_path, FOR_EVER) as it:
             await it.serve()
@@ -71,7 +71,7 @@
     play(scene)
 
 
-def test_a_relay_that_never_answers_holds_up_the_end_for_its_time_only(tmp_path: Path) -> None:
+def test_stop_when_the_relay_never_answers_then_it_waits_for_the_timeout_only(tmp_path: Path) -> None:
     async def scene() -> None:
         async with life(tmp_path) as it:
             await it.serve()
@@ -82,7 +82,7 @@
     play(scene)
 
 
-def test_the_same_addresses_or_a_file_half_written_move_nothing(tmp_path: Path) -> None:
+def test_reload_when_nothing_changed_or_the_file_is_invalid_then_connections_stay(tmp_path: Path) -> None:
     async def scene() -> None:
         async with life(tmp_path) as it:
             await it.serve()
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize("which", ["relay", "agent"])
-def test_only_what_changed_is_dialled(tmp_path: Path, which: str) -> None:
+def test_reload_when_one_address_changed_then_only_it_is_connected(tmp_path: Path, which: str) -> None:
     async def scene() -> None:
         async with life(tmp_path) as it, Stand() as new:
             await it.serve()
@@ -123,7 +123,7 @@
     play(scene)
 
 
-def test_changed_twice_within_a_dial_the_last_address_counts(tmp_path: Path) -> None:
+def test_reload_when_an_address_changes_twice_then_the_last_one_counts(tmp_path: Path) -> None:
     async def scene() -> None:
         async with life(tmp_path) as it, Stand() as wrong, Stand() as right:
             await it.serve()
@@ -146,7 +146,7 @@
     play(scene)
 
 
-def test_where_nobody_listens_the_old_addresses_go_on(tmp_path: Path) -> None:
+def test_reload_when_nobody_listens_at_the_new_addresses_then_the_old_ones_go_on(tmp_path: Path) -> None:
     async def scene() -> None:
         async with life(tmp_path) as it:
             await it.serve()
--- a/tests/crossings_relay.py
+++ b/tests/relay/support.py
@@ -1,11 +1,11 @@
-"""The relay's two connections and what comes of them, for forced crossings."""
+"""The relay's two connections, and what they report."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from crossings import FOR_EVER, Address, Side, Stand, clock, until
-from platform_front import HOSTS, SETTINGS, ZONES
+from forced_order import FOR_EVER, Address, Side, Stand, clock, until
+from platform_samples import HOSTS, SETTINGS, ZONES
 
 from corallanding import interface as api
 from corallanding.relay.call_connection import CallConnection
@@ -18,13 +18,15 @@
 
 
 class Caller:
+    """A connection for calls, and what the relay confirmed on it."""
+
     def __init__(self, where: Address, **more: Any) -> None:
         self.calls, self.stood = PendingCalls(["lookup"]), list[Any]()
         more = {"answer_timeout_ms": FOR_EVER, "connect_timeout_ms": FOR_EVER, **more}
         self.link = CallConnection(where, self.calls, clock, self.stood.extend, **more)
 
-    def order(self, slice: int) -> None:
-        self.calls.add([api.SetWeight(slice, A, 1.0)])
+    def order(self, slice_id: int) -> None:
+        self.calls.add([api.SetWeight(slice_id, A, 1.0)])
         self.link.send_next()
 
 
@@ -35,8 +37,8 @@
     return int(said["id"])
 
 
-def taken(id: int, count: int = 1) -> dict[str, Any]:
-    return {"jsonrpc": "2.0", "id": id, "result": {"taken": count}}
+def taken(call_id: int, count: int = 1) -> dict[str, Any]:
+    return {"jsonrpc": "2.0", "id": call_id, "result": {"taken": count}}
 
 
 RESULT = {"jsonrpc": "2.0", "id": 1, "result": True}
@@ -44,6 +46,8 @@
 
 
 class Watcher:
+    """A watch, and what it reported."""
+
     def __init__(self, where: Address, **more: Any) -> None:
         self.news, self.events, self.said, self.gaps = RelayView(SETTINGS, ZONES), list[Any](), list[str](), 0
         timings = WatchTimings(**{**NEVER, "entries_quiet_ms": 1.0, **more})
--- a/tests/test_crossings_call_answers.py
+++ b/tests/relay/test_call_answers.py
@@ -4,13 +4,13 @@
 
 import msgspec
 import pytest
-from crossings import FOR_EVER, Stand, busy, play, turns, until
-from crossings_relay import Caller, called, taken
+from forced_order import FOR_EVER, Stand, busy, play, turns, until
 
 from corallanding.relay.line_protocol import MAX_LINE_BYTES
+from tests.relay.support import Caller, called, taken
 
 
-def test_two_answers_cost_the_next_call_nothing() -> None:
+def test_answer_when_doubled_then_the_next_call_is_not_affected() -> None:
     async def scene() -> None:
         async with Stand() as stand:
             c = Caller(stand.where)
@@ -34,7 +34,7 @@
     play(scene)
 
 
-def test_an_answer_in_pieces_is_one_and_half_an_answer_is_none() -> None:
+def test_answer_when_in_pieces_then_it_counts_and_half_of_one_does_not() -> None:
     async def scene() -> None:
         async with Stand() as stand:
             c = Caller(stand.where)
@@ -58,7 +58,7 @@
     play(scene)
 
 
-def test_an_answer_that_is_there_when_the_limit_passes_counts() -> None:
+def test_call_answer_when_received_at_its_timeout_then_it_counts() -> None:
     async def scene() -> None:
         async with Stand() as stand:
             c = Caller(stand.where, answer_timeout_ms=60.0)
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("how", ["closed after the answer", "closed as the call is written", "reset under the call"])
-def test_a_call_meets_a_connection_that_closes(how: str) -> None:
+def test_call_when_the_connection_closes_at_any_point_then_it_is_carried_out(how: str) -> None:
     async def scene() -> None:
         async with Stand() as stand:
             c = Caller(stand.where)
@@ -113,7 +113,7 @@
         b'{"id":-4,"result":{"taken":1}}\n',
     ],
 )
-def test_what_is_no_answer_leaves_the_call_unknown_and_it_goes_again_once(raw: bytes) -> None:
+def test_call_when_the_answer_is_invalid_then_it_is_sent_again_once(raw: bytes) -> None:
     async def scene() -> None:
         async with Stand() as stand:
             c = Caller(stand.where)
@@ -130,7 +130,7 @@
     play(scene)
 
 
-def test_an_answer_without_end_ends_the_connection() -> None:
+def test_call_answer_when_it_never_ends_then_the_connection_is_closed() -> None:
     async def scene() -> None:
         async with Stand() as stand:
             c = Caller(stand.where)
--- a/tests/test_crossings_calls.py
+++ b/tests/relay/test_call_connection.py
@@ -7,15 +7,17 @@
 
 import msgspec
 import pytest
-from crossings import Dials, Side, Stand, play, turns, until
-from crossings_relay import A, B, C, Caller, called, taken
+from forced_order import Dials, Side, Stand, play, turns, until
 
 from corallanding import interface as api
 from corallanding.relay.pending_calls import PendingCalls
+from tests.relay.support import A, B, C, Caller, called, taken
 
 
 @pytest.mark.parametrize("end", [Side.close, Side.reset])
-def test_a_connection_that_breaks_as_it_comes_up_is_not_kept_for_the_next_call(end: Callable[[Side], None]) -> None:
+def test_connection_when_it_breaks_at_once_then_no_call_uses_it(
+    end: Callable[[Side], None],
+) -> None:
     async def scene() -> None:
         dials = Dials()
         async with Stand() as stand:
@@ -35,7 +37,7 @@
     play(scene)
 
 
-def test_a_dial_that_comes_up_after_the_close_leaves_no_connection() -> None:
+def test_attempt_when_established_after_close_then_no_connection_is_left() -> None:
     async def scene() -> None:
         dials = Dials()
         async with Stand() as stand:
@@ -53,7 +55,7 @@
     play(scene)
 
 
-def test_a_dial_of_the_old_address_is_not_waited_for_after_a_move() -> None:
+def test_attempt_when_the_address_changes_then_it_is_not_waited_for() -> None:
     async def scene() -> None:
         dials = Dials()
         async with Stand() as old, Stand() as new:
@@ -70,18 +72,18 @@
     play(scene)
 
 
-def test_a_call_in_flight_ends_at_the_old_address_and_the_next_goes_to_the_new_one() -> None:
+def test_call_when_the_address_changes_then_it_ends_at_the_old_one() -> None:
     async def scene() -> None:
         async with Stand() as old, Stand() as new:
             c = Caller(old.where)
             c.order(1)
             side = await old.next()
-            id = await called(side, 1)
+            call_id = await called(side, 1)
             c.link.set_address(new.where)
             c.order(2)
             await turns()
             assert new.came.empty()
-            side.say(taken(id))
+            side.say(taken(call_id))
             fresh = await new.next()
             fresh.say(taken(await called(fresh, 2)))
             await side.gone()
@@ -91,18 +93,18 @@
     play(scene)
 
 
-def test_no_call_begins_after_the_last_one_which_is_whole() -> None:
+def test_finish_when_a_call_is_in_flight_then_no_other_begins() -> None:
     async def scene() -> None:
         async with Stand() as stand:
             c = Caller(stand.where)
             c.order(1)
             side = await stand.next()
-            id = await called(side, 1)
+            call_id = await called(side, 1)
             c.order(2)
             c.link.finish()
             c.order(3)
             assert not c.link.finished.is_set()
-            side.say(taken(id))
+            side.say(taken(call_id))
             await c.link.finished.wait()
             assert c.stood == [api.SetWeight(1, A, 1.0)]
             c.link.close()
@@ -111,7 +113,7 @@
     play(scene)
 
 
-def test_the_end_waits_for_a_call_no_longer_than_its_answer_may_take() -> None:
+def test_finish_when_no_answer_comes_then_it_waits_for_the_timeout_only() -> None:
     async def scene() -> None:
         async with Stand() as stand:
             c = Caller(stand.where, answer_timeout_ms=30.0)
@@ -173,7 +175,7 @@
 @pytest.mark.parametrize(
     ("fate", "carried"), [("answered", True), ("unknown", True), ("unknown", False), ("throttled", False)]
 )
-def test_a_slice_taken_away_and_given_back_around_a_call_in_every_order(fate: str, carried: bool) -> None:
+def test_slice_when_lost_and_given_back_then_tables_agree(fate: str, carried: bool) -> None:
     """All interleavings of the call's life and the slice's: in the end the table is what the module believes."""
     for places in combinations(range(5), 2):
         story = Story(fate, carried)
--- a/tests/test_relay_calls.py
+++ b/tests/relay/test_pending_calls.py
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from platform_front import HOSTS
+from platform_samples import HOSTS
 
 from corallanding import interface as api
 from corallanding.relay.call import MAX_CALL_BYTES, Call
@@ -36,7 +36,7 @@
     return c.on_answer(at, msgspec.json.encode({"jsonrpc": "2.0", "id": c.in_flight.id, **said}))
 
 
-def test_every_order_in_the_relays_words() -> None:
+def test_order_when_encoded_then_it_is_in_the_relays_format() -> None:
     c = calls()
     c.add(
         [
@@ -62,7 +62,7 @@
     ]
 
 
-def test_one_call_is_outstanding_and_the_newest_of_what_waits_wins() -> None:
+def test_orders_when_a_call_is_in_flight_then_the_latest_of_each_key_waits() -> None:
     c = calls()
     c.add([api.SetWeight(1, A, 1.0), api.PublishVersion(1)])
     assert len(ops(c.next_call(0.0))) == 2
@@ -92,7 +92,7 @@
         b'{"id":1,"error":{"message":"odd"}}',
     ],
 )
-def test_an_answer_that_tells_nothing_leaves_the_call_unknown_and_it_goes_again(line: bytes) -> None:
+def test_call_when_its_outcome_is_unknown_then_it_is_sent_again(line: bytes) -> None:
     c = calls()
     c.add([api.SetWeight(1, A, 1.0), api.SetWeight(1, B, 0.0), api.PublishVersion(1)])
     c.next_call(0.0)
@@ -107,7 +107,7 @@
     ]
 
 
-def test_tries_that_fail_again_and_again_are_spaced() -> None:
+def test_calls_when_they_fail_repeatedly_then_they_back_off() -> None:
     c, now, gaps = calls(), 0.0, []
     c.add([api.SetWeight(1, A, 1.0)])
     for _ in range(9):
@@ -120,7 +120,7 @@
     assert gaps == [0.0, 0.0, 40.0, 160.0, 500.0, 500.0, 500.0, 500.0, 500.0]
 
 
-def test_an_order_the_relay_cannot_use_is_left_out_and_the_rest_goes_on() -> None:
+def test_order_when_the_relay_cannot_use_it_then_it_is_left_out_and_the_rest_is_sent() -> None:
     c = calls()
     c.add([api.SetWeight(1, A, 1.0), api.SetWeight(2, B, 1.0), api.SetWeight(3, C, 1.0), api.PublishVersion(1)])
     c.next_call(0.0)
@@ -129,7 +129,7 @@
     assert "s-1" in c.warnings[0]
 
 
-def test_turned_away_before_the_beginning_nothing_is_lost_and_nothing_spins() -> None:
+def test_calls_when_throttled_then_nothing_is_lost_and_retries_are_paced() -> None:
     c = calls(max_messages=1)
     c.add([api.SetWeight(1, A, 1.0)])
     c.next_call(0.0)
@@ -141,7 +141,7 @@
     assert len(ops(c.next_call(at))) == 1
 
 
-def test_no_call_beyond_the_cap_on_messages_sent_again_or_not() -> None:
+def test_calls_when_the_message_cap_is_reached_then_none_is_sent() -> None:
     c = calls(max_messages=2, message_window_ms=10_000.0)
     c.add([api.SetWeight(1, A, 1.0)])
     for now in (0.0, 100.0):
@@ -154,7 +154,7 @@
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 50.0), st.floats(0.0, 1.0), st.booleans()), max_size=40))
-def test_no_more_messages_than_the_cap_however_long_each_call_takes_to_become_one(
+def test_messages_when_calls_take_any_time_then_the_cap_holds(
     story: list[tuple[float, float, bool]],
 ) -> None:
     """A call that becomes a message late is nearer to those after it than its sending was; and one whose connection
@@ -176,7 +176,7 @@
         assert len([m for m in messages if m > messages[-1] - span]) <= 3
 
 
-def test_a_call_over_the_limit_is_cut_at_an_order_and_the_mark_goes_last() -> None:
+def test_call_when_over_the_size_limit_then_it_is_cut_and_the_version_goes_last() -> None:
     c = calls()
     lines = [api.SetWeight(t, A, 1.0) for t in range(1_500)] + [api.SetWeight(t, B, 0.0) for t in range(1_500)]
     c.add([*lines, api.Cordon(C, True), api.PublishVersion(5)])
@@ -195,7 +195,7 @@
     assert [o["w"] for o in seen if o["op"] == "SET"] == [1.0] * 1_500 + [0.0] * 1_500
 
 
-def test_what_waits_for_a_slice_that_is_taken_away_is_void() -> None:
+def test_orders_when_their_slice_is_lost_then_they_are_void() -> None:
     c = calls()
     c.add([api.SetWeight(1, A, 1.0), api.SetWeight(2, A, 1.0), api.PublishVersion(1)])
     c.forget_slice(1)
@@ -203,7 +203,7 @@
     assert [o.slice for o in c.unconfirmed_table_orders()] == [2]
 
 
-def test_an_emptied_table_takes_what_waited_for_it_along() -> None:
+def test_reset_when_entries_of_its_table_wait_then_they_are_dropped() -> None:
     c = calls()
     c.add([api.SetWeight(1, A, 1.0)])
     c.next_call(0.0)
@@ -220,13 +220,12 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 250), st.sampled_from(["answered", "lost", "twice"]), st.integers(1, 2_000))))
-def test_calls_sent_again_never_fill_the_channel_beyond_its_queue(story: list[tuple[int, str, int]]) -> None:
+def test_channel_when_calls_are_sent_again_then_its_queue_is_not_exceeded(story: list[tuple[int, str, int]]) -> None:
     """Whatever was carried out, once or twice, at the stated rate: a wave of drains in a day of spoilt answers."""
     c = calls(channel=channel())
-    now, held, mark = 0.0, 0.0, 0
-    for lines, what, wait in story:
-        # The module orders what by its own count, which knows no copies, fits nine tenths of the queue.
-        mark += 1
+    now, held = 0.0, 0.0
+    for mark, (lines, what, wait) in enumerate(story, 1):
+        # The assigner orders what by its own count, which knows no copies, fits nine tenths of the queue.
         c.add([*(api.SetWeight(n, A, float(mark)) for n in range(lines)), api.PublishVersion(mark)])
         while (at := c.next_send_ms(now)) is not None:
             held, now = max(0.0, held - (max(at, now) - now) * RATE), max(at, now)
@@ -243,7 +242,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 250), st.floats(0.0, 50.0), st.floats(0.0, 1.0), st.booleans()), max_size=20))
-def test_no_call_fills_the_channel_beyond_its_queue_however_long_it_takes_to_become_a_message(
+def test_channel_when_calls_take_any_time_then_its_queue_is_not_exceeded(
     story: list[tuple[int, float, float, bool]],
 ) -> None:
     """What the channel holds, by the instant in which each call became a message."""
@@ -266,7 +265,7 @@
                 assert answer(c, now, result={"taken": len(call.orders)}) is not None
 
 
-def test_a_mark_applied_proves_that_a_doubted_call_was_carried_out() -> None:
+def test_version_when_applied_then_its_unconfirmed_call_counts_as_carried_out() -> None:
     c = calls(channel=channel())
     orders = [*(api.SetWeight(n, A, 1.0) for n in range(200)), api.PublishVersion(5)]
     c.add(orders)
--- a/tests/test_relay_news.py
+++ b/tests/relay/test_subscription.py
@@ -10,7 +10,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from platform_front import HOSTS, SETTINGS, ZONES, attach, entry, owner, told
+from platform_samples import HOSTS, SETTINGS, ZONES, attach, entry, owner, told
 
 from corallanding import interface as api
 from corallanding.assignment import Assigner
@@ -40,7 +40,7 @@
     return news
 
 
-def test_the_first_connection_gives_all_that_stands_lines_with_their_slice() -> None:
+def test_view_when_the_first_connection_is_complete_then_everything_is_an_event() -> None:
     news = RelayView(SETTINGS, ZONES)
     assert stand(news, attach(1), owner(3), owner(4), entry(4, 1), entry(3, 0, 0.5)) == [
         api.ProxyJoined(1, 0, 2.5, True),
@@ -51,11 +51,11 @@
     ]
 
 
-def test_what_is_said_again_unchanged_is_no_event() -> None:
+def test_view_when_state_is_repeated_unchanged_then_there_is_no_event() -> None:
     assert stand(begun(), attach(2), attach(1), owner(4), entry(4, 1), owner(3), entry(3, 0)) == []
 
 
-def test_what_is_not_said_again_is_gone_and_what_is_new_has_come() -> None:
+def test_view_when_state_differs_then_the_difference_is_delivered() -> None:
     assert stand(begun(), attach(2), attach(5), owner(4), entry(4, 1), owner(6)) == [
         api.ProxyLeft(1),
         api.ProxyJoined(5, 0, 2.5, True),
@@ -64,7 +64,7 @@
     ]
 
 
-def test_lines_that_differ_are_the_stores_word_but_for_orders_under_way() -> None:
+def test_tables_when_they_differ_then_the_relay_counts_except_for_unconfirmed_orders() -> None:
     rows = (attach(1), attach(2), owner(3), entry(3, 2), owner(4), entry(4, 1))
     move = [api.SetWeight(3, HOSTS[2], 1.0), api.SetWeight(3, HOSTS[0], 0.0)]
     assert stand(begun(), *rows, under_way=move) == []
@@ -89,7 +89,7 @@
 
 
 @given(ORDERS, st.lists(st.integers(0, 12), min_size=3, max_size=3))
-def test_whenever_a_connection_says_what_stands_orders_meanwhile_are_in_the_tables(
+def test_tables_when_orders_are_confirmed_during_the_initial_state_then_they_hold_them(
     orders: list[TableOrder], at: list[int]
 ) -> None:
     """The relay tells the lines as they were at one moment after the opening: incident of the moves forgotten."""
@@ -112,7 +112,7 @@
     assert news.tables == store
 
 
-def test_a_slice_given_waits_for_its_lines() -> None:
+def test_slice_when_given_then_it_waits_for_its_entries() -> None:
     news = begun()
     assert say(news, owner(5), entry(5, 0), entry(5, 1)) == []
     assert news.complete_slices() == [
@@ -124,13 +124,13 @@
     assert say(news, owner(5, False), owner(5, False)) == [api.SliceOwnershipChange(5, False)]
 
 
-def test_a_slice_taken_back_before_its_lines_came_was_never_given() -> None:
+def test_slice_when_lost_before_its_entries_came_then_it_is_never_delivered() -> None:
     news = begun()
     assert say(news, owner(5), entry(5, 0), owner(5, False)) == []
     assert news.complete_slices() == []
 
 
-def test_marks_count_of_joined_proxies_only() -> None:
+def test_acks_when_the_proxy_has_not_joined_then_they_do_not_count() -> None:
     done = ("done", {"node": 1, "nonce": 905, "latency": 310.4})
     assert say(begun(), done, ("detach", {"node": 1}), done) == [api.VersionAcked(1, 905, 310.4), api.ProxyLeft(1)]
 
@@ -147,12 +147,12 @@
         ("entry", {"shard": 1, "endpoint": "s-1", "w": -1}),
     ],
 )
-def test_news_that_cannot_be_used_is_named(method: str, params: dict[str, Any]) -> None:
+def test_notification_when_invalid_then_the_error_names_the_field(method: str, params: dict[str, Any]) -> None:
     with pytest.raises(InvalidNotificationError):
         say(begun(), (method, params))
 
 
-def test_acks_lost_in_a_gap_do_not_hold_up_drains_for_good() -> None:
+def test_acks_when_lost_in_an_interruption_then_drains_are_not_delayed_for_good() -> None:
     """A full queue by the module's own count, and nothing that would clear it: incident of a silent relay."""
     proxies, hosts = range(20), [api.HostEntry(h) for h in HOSTS]
     settings = replace(SETTINGS, max_queued_lines=20 * 30.0)
--- a/tests/test_crossings_news.py
+++ b/tests/relay/test_subscription_connection.py
@@ -8,16 +8,18 @@
 from typing import Any
 
 import pytest
-from crossings import FOR_EVER, Dials, Side, Stand, busy, play, turns, until
-from crossings_relay import PING, RESULT, Watcher, joined, standing, watched
-from platform_front import HOSTS, attach, entry, owner
+from forced_order import FOR_EVER, Dials, Side, Stand, busy, play, turns, until
+from platform_samples import HOSTS, attach, entry, owner
 
 from corallanding import interface as api
 from corallanding.relay.notifications import InvalidNotificationError, parse_notification
+from tests.relay.support import PING, RESULT, Watcher, joined, standing, watched
 
 
 @pytest.mark.parametrize("end", [Side.close, Side.reset])
-def test_news_that_break_as_they_come_up_are_asked_for_again_at_once(end: Callable[[Side], None]) -> None:
+def test_watch_when_it_breaks_at_once_then_it_is_requested_again(
+    end: Callable[[Side], None],
+) -> None:
     async def scene() -> None:
         dials = Dials()
         async with Stand() as stand:
@@ -36,7 +38,7 @@
     play(scene)
 
 
-def test_a_dial_of_news_that_comes_up_after_the_close_leaves_no_connection() -> None:
+def test_watch_when_established_after_close_then_no_connection_is_left() -> None:
     async def scene() -> None:
         dials = Dials()
         async with Stand() as stand:
@@ -54,7 +56,7 @@
     play(scene)
 
 
-def test_a_dial_of_the_old_relay_is_not_waited_for_after_a_move() -> None:
+def test_watch_when_the_address_changes_then_an_attempt_at_the_old_one_is_not_waited_for() -> None:
     async def scene() -> None:
         dials = Dials()
         async with Stand() as old, Stand() as new:
@@ -74,7 +76,7 @@
     play(scene)
 
 
-def test_a_break_before_the_first_sign_of_life_tells_nothing_of_what_was_half_said() -> None:
+def test_watch_when_it_breaks_in_the_initial_state_then_no_event_is_delivered() -> None:
     async def scene() -> None:
         async with Stand() as stand:
             w = Watcher(stand.where)
@@ -94,7 +96,7 @@
 
 
 @pytest.mark.parametrize("first", [[("tell", PING)], [("tell", PING), ("say", RESULT), ("say", RESULT)]])
-def test_a_sign_of_life_before_the_result_is_no_end_of_what_stands(first: list[tuple[str, Any]]) -> None:
+def test_ping_when_before_the_result_then_the_initial_state_is_not_complete(first: list[tuple[str, Any]]) -> None:
     async def scene() -> None:
         async with Stand() as stand:
             w = Watcher(stand.where)
@@ -114,7 +116,7 @@
     play(scene)
 
 
-def test_a_break_right_after_what_stands_is_bridged_by_the_difference() -> None:
+def test_watch_when_it_breaks_after_the_initial_state_then_the_difference_is_delivered() -> None:
     async def scene() -> None:
         async with Stand() as stand:
             w = Watcher(stand.where)
@@ -132,7 +134,7 @@
     play(scene)
 
 
-def test_a_slice_and_its_lines_in_different_reads_are_told_in_one_step_or_line_by_line() -> None:
+def test_slice_when_its_entries_come_in_several_reads_then_they_are_delivered_together() -> None:
     async def scene() -> None:
         async with Stand() as stand:
             w = Watcher(stand.where, entries_quiet_ms=FOR_EVER)
@@ -154,7 +156,7 @@
     play(scene)
 
 
-def test_a_slice_is_told_though_lines_of_others_never_cease() -> None:
+def test_slice_when_entries_of_others_never_cease_then_it_is_delivered() -> None:
     async def scene() -> None:
         w, now, due = Watcher(("127.0.0.1", 1), entries_quiet_ms=30.0), 0.0, list[float]()
 
@@ -167,13 +169,14 @@
         for _ in range(20):
             w.link.on_entries()
             now += 20.0
-        assert due[:3] == [30.0, 50.0, 70.0] and due[-1] == now - 20.0, "the last ones are due at once"
+        assert due[:3] == [30.0, 50.0, 70.0]
+        assert due[-1] == now - 20.0, "the last ones are due at once"
         w.link.close()
 
     play(scene)
 
 
-def test_of_two_relays_in_a_move_the_old_one_counts_until_the_new_one_knows_what_stands() -> None:
+def test_watch_when_the_address_changes_then_the_old_one_counts_until_the_new_state_is_complete() -> None:
     async def scene() -> None:
         async with Stand() as old, Stand() as new:
             w = Watcher(old.where)
@@ -205,7 +208,7 @@
     play(scene)
 
 
-def test_a_relay_that_accepts_and_says_nothing_is_given_up_and_dialled_again() -> None:
+def test_watch_when_the_relay_is_silent_then_it_is_opened_again() -> None:
     async def scene() -> None:
         async with Stand() as stand:
             w = Watcher(stand.where, silence_timeout_ms=40.0)
@@ -222,7 +225,7 @@
     play(scene)
 
 
-def test_a_relay_whose_word_waits_in_the_kernel_as_its_silence_ends_is_not_given_up() -> None:
+def test_watch_when_a_line_is_received_as_the_silence_ends_then_it_stays_open() -> None:
     async def scene() -> None:
         async with Stand() as stand:
             w = Watcher(stand.where, silence_timeout_ms=80.0)
@@ -250,7 +253,7 @@
         b"\xff",
     ],
 )
-def test_a_line_of_news_that_cannot_be_read_is_named_and_costs_no_connection(line: bytes) -> None:
+def test_line_when_invalid_then_it_is_logged_and_the_connection_stays(line: bytes) -> None:
     with pytest.raises(InvalidNotificationError):
         parse_notification(line)
 
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -15,7 +15,8 @@
 import msgspec
 import pytest
 from platform_standins import until
-from test_node import Day, day
+
+from tests.platform.test_program import Day, day
 
 ROOT = Path(__file__).parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
--- a/tests/test_platform_state.py
+++ b/tests/test_platform_state.py
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from platform_front import KINDS, ZONES
+from platform_samples import KINDS, ZONES
 
 from corallanding import interface as api
 from corallanding.discovery.host_list import MAX_DEPARTED_HOSTS, HostListView, InvalidAnswerError, ListAnswer
