--- a/bench/registry.py
+++ b/bench/registry.py
@@ -24,9 +24,9 @@
 from corallanding.config.sources import RegistryBlock
 from corallanding.lab.processes import free_port
 from corallanding.lab.registry import Registry
-from corallanding.registry.connection import Lost
-from corallanding.registry.etcd import Etcd
-from corallanding.registry.source import make
+from corallanding.registry.errors import RegistryUnavailableError
+from corallanding.registry.etcd import EtcdConnection
+from corallanding.registry.source import make_source
 from corallanding.wire import frames
 
 from .machine import machine
@@ -204,7 +204,7 @@
 
 def source(r: Registry, seat: Seat, k: int) -> Any:
     block = RegistryBlock(address=f"127.0.0.1:{r.port}")
-    made = make(block, seat, lambda: time.monotonic() * 1000.0, random.Random(k).random)
+    made = make_source(block, seat, lambda: time.monotonic() * 1000.0, random.Random(k).random)
     made.start()
     return made
 
@@ -274,14 +274,14 @@
     def __init__(self) -> None:
         self.rows = 0
 
-    def created(self, header: Any) -> None: ...
+    def on_created(self, header: Any) -> None: ...
 
-    def progress(self, header: Any) -> None: ...
+    def on_progress(self, header: Any) -> None: ...
 
-    def changes(self, header: Any, rows: list[Any], fragment: bool) -> None:
+    def on_changes(self, header: Any, rows: list[Any], fragment: bool) -> None:
         self.rows += len(rows)
 
-    def cancelled(self, header: Any, compacted: int, why: str) -> None: ...
+    def on_cancelled(self, header: Any, compacted: int, why: str) -> None: ...
 
 
 async def pace() -> dict[str, Any]:
@@ -293,16 +293,18 @@
             r, seat, count = Registry(), Seat(), Count()
             await r.start()
             await r.put(f"{PREFIX}0", host(0))
-            conn = Etcd(f"127.0.0.1:{r.port}", 5000.0)
+            conn = EtcdConnection(f"127.0.0.1:{r.port}", 5000.0)
             if kind == "source":
                 s = source(r, seat, 1)
                 await until(lambda: seat.view)  # noqa: B023
             else:
 
-                async def watch(conn: Etcd = conn, count: Count = count, at: int = r.store.revision + 1) -> None:
+                async def watch(
+                    conn: EtcdConnection = conn, count: Count = count, at: int = r.store.revision + 1
+                ) -> None:
                     try:
                         await conn.watch(PREFIX.encode(), at, count)
-                    except Lost:
+                    except RegistryUnavailableError:
                         return
 
                 task = asyncio.create_task(watch())
--- a/corallanding/controller/cluster.py
+++ b/corallanding/controller/cluster.py
@@ -33,7 +33,7 @@
 from .task_service import TaskService
 
 if TYPE_CHECKING:
-    from ..registry.table_store import Keeper
+    from ..registry.table_store import TableStore
 
 TICK_S = 0.05
 MAX_DEFAULT_VOTERS = 5  # the lowest numbers, where the configuration names no voters
@@ -46,7 +46,7 @@
     """The services that one controller shares with the others; made only where a budget or a task is configured.
 
     dispatcher: takes and sends messages of controllers. is_paused: whether this process sends nothing just now.
-    keeper: of the election in the registry, in place of votes. Raises OSError if a file cannot be used.
+    table_store: of the election in the registry, in place of votes. Raises OSError if a file cannot be used.
     """
 
     def __init__(
@@ -58,13 +58,13 @@
         metrics: Metrics,
         rate_limited_log: RateLimitedLogger,
         fleet_view: FleetView,
-        keeper: Keeper | None = None,
+        table_store: TableStore | None = None,
     ) -> None:
         self.dispatcher = dispatcher
         self.clock = clock
         self.is_paused = is_paused
         self.metrics = metrics
-        self.keeper = keeper
+        self.table_store = table_store
         self.timer: asyncio.TimerHandle | None = None
         self.ending: asyncio.Task[None] | None = None
         peers = tuple(sorted(int(number) for number in config.steward.peers))
@@ -88,9 +88,9 @@
         terms = membership.MembershipConfig(block.period_ms, block.timeout_ms, words_per_s=block.words_per_s)
         self.membership = membership.Membership(number, peers, incarnation, terms, chance, now)
         self.election: LeaderElection
-        if self.keeper:
-            self.election = RegistryElection(number, peers, incarnation, self.keeper.charge)
-            self.keeper.start()
+        if self.table_store:
+            self.election = RegistryElection(number, peers, incarnation, self.table_store.ownership)
+            self.table_store.start()
         else:
             limits = ElectionTimings(block.office_ms, block.drift)
             self.election = VotedElection(number, peers, voters, limits, incarnation, now, chance, block.words_per_s)
@@ -242,7 +242,7 @@
         if not is_handed_over:
             self.send(self.election.leave(now))
             self._carry_out_membership(self.membership.leave(now))
-            if self.keeper:
-                self.keeper.leave()
-        if self.keeper:
-            self.ending = asyncio.get_running_loop().create_task(self.keeper.stop())
+            if self.table_store:
+                self.table_store.start_leaving()
+        if self.table_store:
+            self.ending = asyncio.get_running_loop().create_task(self.table_store.stop())
--- a/corallanding/controller/factories.py
+++ b/corallanding/controller/factories.py
@@ -15,7 +15,7 @@
 from .proxy_connections import ProxyConnections
 
 if TYPE_CHECKING:
-    from ..registry.etcd import Etcd
+    from ..registry.etcd import EtcdConnection
 
 
 class ListenerFactory(Protocol):
@@ -35,11 +35,11 @@
         ...
 
 
-def dial_etcd(block: RegistryBlock, on_failure: Callable[[str], None]) -> Callable[[], Etcd]:
+def dial_etcd(block: RegistryBlock, on_failure: Callable[[str], None]) -> Callable[[], EtcdConnection]:
     """A function that opens connections to the configured registry."""
-    from ..registry.source import etcd  # gRPC is imported only where a registry is configured
+    from ..registry.source import etcd_connector  # gRPC is imported only where a registry is configured
 
-    return etcd(block, on_failure)
+    return etcd_connector(block, on_failure)
 
 
 @dataclass(frozen=True)
--- a/corallanding/controller/host_sources.py
+++ b/corallanding/controller/host_sources.py
@@ -49,10 +49,10 @@
         """Prepare the configured source. Raises OSError if a file of it cannot be read."""
         config = self._context.config
         if config.registry:
-            from ..registry.source import make  # gRPC is imported only where a registry is configured
+            from ..registry.source import make_source  # gRPC is imported only where a registry is configured
 
             chance = random.Random(f"{config.steward.seed}:{self._engine.start_number}").random
-            self._source = make(config.registry, self, self._context.clock, chance, dial_registry)
+            self._source = make_source(config.registry, self, self._context.clock, chance, dial_registry)
             return
         roster = config.roster
         if roster.address is None:
--- a/corallanding/controller/peer_services.py
+++ b/corallanding/controller/peer_services.py
@@ -19,7 +19,7 @@
 from .peer_transport import SHARED, PeerTransport
 
 if TYPE_CHECKING:
-    from ..registry.table_store import Keeper
+    from ..registry.table_store import TableStore
 
 
 class PeerServices:
@@ -48,7 +48,7 @@
             config.number, config.peer_listen, config.peers, self._on_datagram, on_drop, sock
         )
 
-    def start_cluster(self, fleet_view: FleetView, leadership_store: Callable[[], Keeper | None]) -> None:
+    def start_cluster(self, fleet_view: FleetView, leadership_store: Callable[[], TableStore | None]) -> None:
         """Start the services of the fleet, where any is configured. Raises OSError.
 
         leadership_store: makes what keeps the leader's lease in the registry, in place of votes.
--- a/corallanding/controller/persistence.py
+++ b/corallanding/controller/persistence.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from ..registry.slice_ownership import Fenced
+from ..registry.errors import FencedError
 from ..store import Store, StoreContents, StoreError, StoreLockedError
 from ..telemetry import log
 from .context import Context, ExitCode
@@ -47,11 +47,11 @@
 
     def needs_registry_write(self, now: float, writes: StoreWrites) -> bool:
         """Whether these writes go to the registry, which takes time."""
-        return bool(self._registry.keeper and now >= self.retry_at_ms and (writes.entries or writes.resets))
+        return bool(self._registry.table_store and now >= self.retry_at_ms and (writes.entries or writes.resets))
 
     def write(self, now: float, writes: StoreWrites) -> bool:
         """Write to the store; false while it does not take it."""
-        if self._registry.keeper or not (writes.entries or writes.resets):
+        if self._registry.table_store or not (writes.entries or writes.resets):
             return not self.error_count
         if now < self.retry_at_ms or self.is_released:
             return False
@@ -81,9 +81,9 @@
         Tables that are refused are not published. If the registry cannot be reached in time, they are published all
         the same while the lease surely stands, and written later.
         """
-        keeper = self._registry.keeper
+        table_store = self._registry.table_store
         block = self._context.config.registry
-        if keeper is None or block is None:
+        if table_store is None or block is None:
             return False
         engine = self._engine
         tables = {
@@ -94,16 +94,16 @@
         is_stored = False
         try:
             async with asyncio.timeout(block.write_within_ms / 1000.0):
-                await keeper.write(tables)
+                await table_store.write(tables)
             is_stored = True
         except TimeoutError:
             self._on_registry_failure("no answer in time")
         except Exception as error:
-            if isinstance(error, Fenced):
+            if isinstance(error, FencedError):
                 engine.on_writes_fenced()
                 log.warning("fenced", why=str(error))
             self._on_registry_failure(str(error))
-        if not is_stored and not keeper.charge.may_speak(self._context.clock()):
+        if not is_stored and not table_store.ownership.has_valid_lease(self._context.clock()):
             engine.on_writes_fenced()
         if is_stored:
             self._on_success()
--- a/corallanding/controller/registry_slices.py
+++ b/corallanding/controller/registry_slices.py
@@ -13,7 +13,7 @@
 from .engine import Engine
 
 if TYPE_CHECKING:
-    from ..registry.table_store import Holder, Keeper
+    from ..registry.table_store import SliceListener, TableStore
 
 RETIRE_POLL_S = 0.02
 
@@ -22,19 +22,19 @@
     """Logs whether this controller holds the leader's lease; who needs to know asks the lease itself."""
 
     def __init__(self, on_failure: Callable[[str], None]) -> None:
-        self.said = on_failure
+        self.on_failure = on_failure
 
-    def given(self, slice: int, lines: dict[int, float]) -> None:
+    def on_slice_granted(self, slice_id: int, weights: dict[int, float]) -> None:
         """The lease was granted."""
         log.info("leadership", is_held=True)
 
-    def taken(self, slice: int) -> None:
+    def on_slice_revoked(self, slice_id: int) -> None:
         """The lease was lost."""
         log.info("leadership", is_held=False)
 
 
 class RegistrySlices:
-    """Slices that this controller owns by leases in the registry; `keeper` is None where they are not shared.
+    """Slices that this controller owns by leases in the registry; `table_store` is None where they are not shared.
 
     dial_registry: makes a function that opens connections. request_step: asks for a decision step.
     """
@@ -51,7 +51,7 @@
         self._dial_registry = dial_registry
         self._request_step = request_step
         self._stopping: asyncio.Task[None] | None = None
-        self.keeper: Keeper | None = None
+        self.table_store: TableStore | None = None
 
     def start(self, slices: range) -> None:
         """Begin to ask for leases, where the configuration shares slices through the registry."""
@@ -60,66 +60,66 @@
             return
         config = self._context.config.steward
         chance = random.Random(f"{config.seed}:{config.number}:{self._engine.start_number}")
-        self.keeper = self._make_keeper(block, block.base, slices, self, chance)
-        self.keeper.start()
+        self.table_store = self._make_table_store(block, block.base, slices, self, chance)
+        self.table_store.start()
 
-    def leadership_store(self) -> Keeper | None:
+    def leadership_store(self) -> TableStore | None:
         """What keeps the leader's lease in the registry, if the configuration says so; it is not started."""
         block = self._context.config.registry
         if not block or self._context.config.budgets.office != "registry":
             return None
-        holder = LeadershipHolder(self.said)
-        return self._make_keeper(block, f"{block.base}office/", range(1), holder, random.SystemRandom())
+        holder = LeadershipHolder(self.on_failure)
+        return self._make_table_store(block, f"{block.base}office/", range(1), holder, random.SystemRandom())
 
     async def retire(self) -> None:
         """Give the slices to other controllers, as long as the settings wait for it."""
         block = self._context.config.registry
-        if not self.keeper or not block:
+        if not self.table_store or not block:
             return
-        self.keeper.leave()
+        self.table_store.start_leaving()
         deadline = self._context.clock() + block.retire_within_ms
-        while not self.keeper.empty:
+        while not self.table_store.is_drained:
             if self._context.clock() >= deadline:
                 return
             await asyncio.sleep(RETIRE_POLL_S)
 
     def stop(self) -> None:
         """End the connection; the leases expire."""
-        if self.keeper:
-            self._stopping = asyncio.get_running_loop().create_task(self.keeper.stop())
+        if self.table_store:
+            self._stopping = asyncio.get_running_loop().create_task(self.table_store.stop())
 
-    # ---- what the keeper asks of its holder (`registry.table_store.Holder`) ---------------------------------------
+    # ---- what the table store tells (`registry.table_store.SliceListener`) ---------------------------------------
 
-    def given(self, slice: int, lines: dict[int, float]) -> None:
+    def on_slice_granted(self, slice_id: int, weights: dict[int, float]) -> None:
         """The registry granted a slice, with its table as stored there."""
-        self._engine.on_slice_gained(self._context.clock(), slice, lines)
+        self._engine.on_slice_gained(self._context.clock(), slice_id, weights)
         self._request_step()
 
-    def taken(self, slice: int) -> None:
+    def on_slice_revoked(self, slice_id: int) -> None:
         """The lease of a slice has ended."""
-        self._engine.on_slice_lost(self._context.clock(), slice)
+        self._engine.on_slice_lost(self._context.clock(), slice_id)
         self._request_step()
 
-    def said(self, text: str) -> None:
+    def on_failure(self, text: str) -> None:
         """The registry failed."""
         self._context.rate_limited_log.warn("registry", why=text)
 
-    def _make_keeper(
-        self, block: RegistryBlock, base: str, slices: range, holder: Holder, chance: random.Random
-    ) -> Keeper:
-        from ..registry.slice_ownership import Terms
-        from ..registry.table_store import Keeper
-        from ..registry.watch_state import Limits
+    def _make_table_store(
+        self, block: RegistryBlock, base: str, slices: range, holder: SliceListener, chance: random.Random
+    ) -> TableStore:
+        from ..registry.slice_ownership import OwnershipTimings
+        from ..registry.table_store import TableStore
+        from ..registry.watch_messages import WatchLimits
 
-        limits = Limits(block.wait_ms, block.wait_most_ms, block.reads_per_min, block.page)
-        return Keeper(
-            self._dial_registry(block, self.said),
+        limits = WatchLimits(block.wait_ms, block.wait_most_ms, block.reads_per_min, block.page)
+        return TableStore(
+            self._dial_registry(block, self.on_failure),
             base,
             self._context.config.steward.number,
             slices,
             holder,
             self._context.clock,
             chance.random,
-            Terms(block.lease_ms),
+            OwnershipTimings(block.lease_ms),
             limits,
         )
--- a/corallanding/lab/fleet/registry.py
+++ b/corallanding/lab/fleet/registry.py
@@ -13,7 +13,7 @@
 import grpc
 import grpc.aio
 
-from ...registry.etcd import Etcd as Client
+from ...registry.etcd import EtcdConnection as Client
 from ..registry import Etcd as Handlers
 from ..registry import Mvcc, Registry
 from ..roster import RegistryRoster
@@ -144,12 +144,12 @@
 
 class LocalClient(Client):
     def __init__(self, registry: LocalRegistry, timeout: float) -> None:
-        self.timeout, self.closed, self.meta = timeout / 1000.0, False, ()
-        self.watch_meta = (("hasleader", "true"),)
-        self.kv = self.watches = self.leases = Stub(registry)
+        self.timeout_seconds, self.is_closed, self.metadata = timeout / 1000.0, False, ()
+        self.watch_metadata = (("hasleader", "true"),)
+        self.kv_stub = self.watch_stub = self.lease_stub = Stub(registry)
 
     async def close(self) -> None:
-        self.closed = True
+        self.is_closed = True
 
 
 class LocalRoster(RegistryRoster):
--- a/corallanding/lease/registry_election.py
+++ b/corallanding/lease/registry_election.py
@@ -1,7 +1,7 @@
 """The office by the registry's compare-and-swap: one key, whose holder and create revision are office and term. Pure.
 
-What `registry.charge` decides of slices it decides here of one thing; the registry's revisions only rise, so that
-fences do through any restart, without votes and without a clock.
+What `registry.slice_ownership` decides of slices it decides here of one thing; the registry's revisions only rise, so
+that fences do through any restart, without votes and without a clock.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 
 class Held(Protocol):
-    """As `registry.charge.Charge` keeps it."""
+    """As `registry.slice_ownership.SliceOwnership` keeps it."""
 
-    held: dict[int, int]  # number: fence, the create revision
-    holders: dict[int, tuple[int, int]]  # number: (holder, create revision), as seen
+    fencing_tokens: dict[int, int]  # number: fence, the create revision
+    observed_owners: dict[int, tuple[int, int]]  # number: (holder, create revision), as seen
 
-    def may_speak(self, now: float) -> bool: ...
+    def has_valid_lease(self, now: float) -> bool: ...
 
 
 class RegistryElection:
@@ -35,7 +35,7 @@
         self.refused = 0  # words of an office that is held by votes elsewhere
 
     def holds(self, now: float) -> bool:
-        revision = self.charge.held.get(OFFICE, 0) if self.charge.may_speak(now) else 0
+        revision = self.charge.fencing_tokens.get(OFFICE, 0) if self.charge.has_valid_lease(now) else 0
         if revision != self.revision:
             self.revision, self.since = revision, now if revision else None
         return bool(revision)
@@ -50,7 +50,7 @@
 
     @property
     def holder(self) -> tuple[int | None, int, int]:
-        if found := self.charge.holders.get(OFFICE):
+        if found := self.charge.observed_owners.get(OFFICE):
             return found[0], found[1], found[1]
         return None, 0, 0
 
--- a/corallanding/registry/connection.py
+++ b/corallanding/registry/connection.py
@@ -4,34 +4,28 @@
 
 from typing import Protocol
 
-from .watch_state import Header, Row
+from .watch_messages import KeyValue, ResponseHeader
 
 
-class Lost(Exception):
-    """The registry cannot be asked: not reached, refused, or broken in the middle. The text says which."""
-
-
-class Compacted(Exception):
-    """The revision asked for is compacted away."""
-
-
-class Stream(Protocol):
+class WatchListener(Protocol):
     """Where a watch tells what came."""
 
-    def created(self, header: Header) -> None: ...
+    def on_created(self, header: ResponseHeader) -> None: ...
 
-    def changes(self, header: Header, rows: list[Row], fragment: bool) -> None: ...
+    def on_changes(self, header: ResponseHeader, rows: list[KeyValue], fragment: bool) -> None: ...
 
-    def progress(self, header: Header) -> None: ...
+    def on_progress(self, header: ResponseHeader) -> None: ...
 
-    def cancelled(self, header: Header | None, compacted: int, why: str) -> None: ...
+    def on_cancelled(self, header: ResponseHeader | None, compacted: int, why: str) -> None: ...
 
 
-class Connection(Protocol):
-    async def page(self, prefix: bytes, after: bytes, revision: int, most: int) -> tuple[Header, list[Row], bool]:
-        """A page of a full read. Raises `Lost`, `Compacted`."""
+class RegistryConnection(Protocol):
+    async def list_page(
+        self, prefix: bytes, after: bytes, revision: int, most: int
+    ) -> tuple[ResponseHeader, list[KeyValue], bool]:
+        """A page of a full read. Raises `RegistryUnavailableError`, `CompactedError`."""
 
-    async def watch(self, prefix: bytes, revision: int, told: Stream) -> None:
-        """Tells what comes until the registry ends it. Raises `Lost` when the way breaks."""
+    async def watch(self, prefix: bytes, revision: int, told: WatchListener) -> None:
+        """Tells what comes until the registry ends it. Raises `RegistryUnavailableError` when the way breaks."""
 
     async def close(self) -> None: ...
--- a/corallanding/registry/consul.py
+++ b/corallanding/registry/consul.py
@@ -12,19 +12,20 @@
 import msgspec
 
 from ..endpoints.endpoint_list import loopback
-from .connection import Lost, Stream
-from .watch_state import Header, Row
+from .connection import WatchListener
+from .errors import RegistryUnavailableError
+from .watch_messages import KeyValue, ResponseHeader
 
-MOST = 64 << 20
+MAX_RESPONSE_BYTES = 64 << 20
 
 
-class Entry(msgspec.Struct, rename="pascal"):
+class ConsulEntry(msgspec.Struct, rename="pascal"):
     key: str
     value: str | None
     modify_index: int
 
 
-class Consul:
+class ConsulConnection:
     """One source. timeout, wait: ms for an answer, and how long a read may block on the registry's side."""
 
     def __init__(self, address: str, timeout: float, wait: float = 10_000.0, token: str = "") -> None:
@@ -32,9 +33,9 @@
         self.where = f"http://[{host}]:{port}" if ":" in host else f"http://{host}:{port}"
         self.timeout, self.wait, self.token = timeout, wait, token
         self.epoch, self.index = 1, 0
-        self.kept: tuple[int, list[Row]] | None = None  # what a blocking read brought
+        self.kept: tuple[int, list[KeyValue]] | None = None  # what a blocking read brought
 
-    async def read(self, prefix: bytes, index: int) -> tuple[int, list[Row]]:
+    async def read(self, prefix: bytes, index: int) -> tuple[int, list[KeyValue]]:
         """One answer on a connection of its own: a registry that is gone shows at once, and no pool outlives it."""
         asked = {"recurse": "true", "index": str(index), "wait": f"{max(1, int(self.wait / 1000))}s"}
         limit = aiohttp.ClientTimeout((self.timeout + (self.wait if index else 0.0)) / 1000.0)
@@ -47,23 +48,25 @@
                 status, told, body = answer.status, answer.headers.get("X-Consul-Index", ""), bytearray()
                 async for piece in answer.content.iter_chunked(1 << 16):
                     body += piece
-                    if len(body) > MOST:
-                        raise Lost(f"an answer of over {MOST} bytes")
+                    if len(body) > MAX_RESPONSE_BYTES:
+                        raise RegistryUnavailableError(f"an answer of over {MAX_RESPONSE_BYTES} bytes")
         except (aiohttp.ClientError, OSError, TimeoutError) as fault:
-            raise Lost(str(fault) or "timed out") from None
+            raise RegistryUnavailableError(str(fault) or "timed out") from None
         if status not in (200, 404):
-            raise Lost(f"the registry answered {status}")
+            raise RegistryUnavailableError(f"the registry answered {status}")
         try:
-            found = msgspec.json.decode(bytes(body), type=list[Entry]) if status == 200 else []
-            rows = [Row(e.key.encode(), base64.b64decode(e.value or ""), e.modify_index) for e in found]
+            found = msgspec.json.decode(bytes(body), type=list[ConsulEntry]) if status == 200 else []
+            rows = [KeyValue(e.key.encode(), base64.b64decode(e.value or ""), e.modify_index) for e in found]
         except (msgspec.DecodeError, ValueError) as fault:
-            raise Lost(f"not an answer: {fault}"[:200]) from None
+            raise RegistryUnavailableError(f"not an answer: {fault}"[:200]) from None
         return max(1, int(told) if told.isdigit() else 0), rows
 
-    def header(self, index: int) -> Header:
-        return Header(self.epoch, index)
+    def header(self, index: int) -> ResponseHeader:
+        return ResponseHeader(self.epoch, index)
 
-    async def page(self, prefix: bytes, after: bytes, revision: int, most: int) -> tuple[Header, list[Row], bool]:
+    async def list_page(
+        self, prefix: bytes, after: bytes, revision: int, most: int
+    ) -> tuple[ResponseHeader, list[KeyValue], bool]:
         kept, self.kept = self.kept, None
         index, rows = kept or await self.read(prefix, 0)
         if index < self.index:
@@ -71,14 +74,14 @@
         self.index = index
         return self.header(index), rows, False
 
-    async def watch(self, prefix: bytes, revision: int, told: Stream) -> None:
+    async def watch(self, prefix: bytes, revision: int, told: WatchListener) -> None:
         """Blocks until the index moves; then asks the owner for a full read, which is all that there is here."""
-        told.created(self.header(self.index))
+        told.on_created(self.header(self.index))
         while True:
             index, rows = await self.read(prefix, self.index)
             if index != self.index:
                 self.kept = (index, rows)
-                told.cancelled(None, index + revision, "the index moved")
+                told.on_cancelled(None, index + revision, "the index moved")
                 return
 
     async def close(self) -> None:
--- a/corallanding/registry/etcd.py
+++ b/corallanding/registry/etcd.py
@@ -14,12 +14,13 @@
 import grpc.aio
 from aetcd.rpc import kv_pb2, rpc_pb2, rpc_pb2_grpc
 
-from .connection import Compacted, Lost, Stream
-from .watch_state import Header, Row
+from .connection import WatchListener
+from .errors import CompactedError, RegistryUnavailableError
+from .watch_messages import KeyValue, ResponseHeader
 
 
 @dataclass(frozen=True)
-class Tls:
+class TlsConfig:
     """PEM files: the registry's CA, and a client certificate with its key where it asks for one."""
 
     ca: bytes
@@ -28,7 +29,7 @@
     name: str | None = None  # the name to expect in the registry's certificate, if not its address
 
 
-def end_of(prefix: bytes) -> bytes:
+def prefix_end(prefix: bytes) -> bytes:
     """The first key after all keys with this prefix."""
     for at in range(len(prefix) - 1, -1, -1):
         if prefix[at] < 255:
@@ -36,18 +37,18 @@
     return b"\0"
 
 
-def lost(fault: grpc.aio.AioRpcError) -> Lost:
-    return Lost(f"{fault.code().name}: {fault.details()}"[:200])
+def unavailable_error(fault: grpc.aio.AioRpcError) -> RegistryUnavailableError:
+    return RegistryUnavailableError(f"{fault.code().name}: {fault.details()}"[:200])
 
 
-def header_of(h: Any) -> Header:
-    return Header(h.cluster_id, h.revision)
+def response_header(h: Any) -> ResponseHeader:
+    return ResponseHeader(h.cluster_id, h.revision)
 
 
-class Etcd:
+class EtcdConnection:
     """One connection. timeout: ms for a call; token: sent as the registry's auth token if given."""
 
-    def __init__(self, address: str, timeout: float, tls: Tls | None = None, token: str = "") -> None:
+    def __init__(self, address: str, timeout: float, tls: TlsConfig | None = None, token: str = "") -> None:
         # Pings more often than every 5 s are an offence to etcd as it comes: it would end the connection.
         options: list[tuple[str, Any]] = [
             ("grpc.keepalive_time_ms", 10_000),
@@ -63,40 +64,42 @@
             self.channel = grpc.aio.secure_channel(address, credentials, options)
         else:
             self.channel = grpc.aio.insecure_channel(address, options)
-        self.timeout, self.closed = timeout / 1000.0, False
-        self.meta = (("token", token),) if token else ()
+        self.timeout_seconds, self.is_closed = timeout / 1000.0, False
+        self.metadata = (("token", token),) if token else ()
         # A member that has lost its leader would keep a watch open and silent for ever: asked so, it ends it.
-        self.watch_meta = (*self.meta, ("hasleader", "true"))
-        self.kv = rpc_pb2_grpc.KVStub(self.channel)
-        self.watches = rpc_pb2_grpc.WatchStub(self.channel)
-        self.leases = rpc_pb2_grpc.LeaseStub(self.channel)
+        self.watch_metadata = (*self.metadata, ("hasleader", "true"))
+        self.kv_stub = rpc_pb2_grpc.KVStub(self.channel)
+        self.watch_stub = rpc_pb2_grpc.WatchStub(self.channel)
+        self.lease_stub = rpc_pb2_grpc.LeaseStub(self.channel)
 
     async def call(self, method: Any, request: Any) -> Any:
         try:
-            return await method(request, timeout=self.timeout, metadata=self.meta)
+            return await method(request, timeout=self.timeout_seconds, metadata=self.metadata)
         except grpc.aio.AioRpcError as fault:
             if fault.code() is grpc.StatusCode.OUT_OF_RANGE:
-                raise Compacted(fault.details() or "") from None
-            raise lost(fault) from None
+                raise CompactedError(fault.details() or "") from None
+            raise unavailable_error(fault) from None
         except asyncio.CancelledError:
             # A watch that broke closes the channel under calls of others: gRPC tells them as if they were cancelled,
             # and a writer would end as a task that somebody stopped.
             task = asyncio.current_task()
-            if self.closed and task and not task.cancelling():
-                raise Lost("the connection was given up in the middle") from None
+            if self.is_closed and task and not task.cancelling():
+                raise RegistryUnavailableError("the connection was given up in the middle") from None
             raise
 
-    async def page(self, prefix: bytes, after: bytes, revision: int, most: int) -> tuple[Header, list[Row], bool]:
-        """Up to `most` rows of the prefix after a key, at a revision (0: now). Raises `Lost`, `Compacted`."""
+    async def list_page(
+        self, prefix: bytes, after: bytes, revision: int, most: int
+    ) -> tuple[ResponseHeader, list[KeyValue], bool]:
+        """Up to `most` rows of the prefix after a key, at a revision (0: now)."""
         first = after + b"\0" if after else prefix
-        request = rpc_pb2.RangeRequest(key=first, range_end=end_of(prefix), limit=most, revision=revision)
-        r = await self.call(self.kv.Range, request)
-        return header_of(r.header), [Row(x.key, x.value, x.mod_revision) for x in r.kvs], r.more
+        request = rpc_pb2.RangeRequest(key=first, range_end=prefix_end(prefix), limit=most, revision=revision)
+        r = await self.call(self.kv_stub.Range, request)
+        return response_header(r.header), [KeyValue(x.key, x.value, x.mod_revision) for x in r.kvs], r.more
 
-    async def watch(self, prefix: bytes, revision: int, told: Stream) -> None:
-        """Watches until the registry ends it. Raises `Lost` when the way breaks."""
+    async def watch(self, prefix: bytes, revision: int, told: WatchListener) -> None:
+        """Watches until the registry ends it. Raises `RegistryUnavailableError` when the way breaks."""
         create = rpc_pb2.WatchCreateRequest(
-            key=prefix, range_end=end_of(prefix), start_revision=revision, progress_notify=True, fragment=True
+            key=prefix, range_end=prefix_end(prefix), start_revision=revision, progress_notify=True, fragment=True
         )
         stop = asyncio.Event()
 
@@ -104,30 +107,30 @@
             yield rpc_pb2.WatchRequest(create_request=create)
             await stop.wait()  # an open request side keeps the watch
 
-        stream = self.watches.Watch(asks(), metadata=self.watch_meta)
+        stream = self.watch_stub.Watch(asks(), metadata=self.watch_metadata)
         try:
             async for r in stream:
-                header = header_of(r.header)
+                header = response_header(r.header)
                 if r.canceled:
-                    told.cancelled(header, r.compact_revision, r.cancel_reason)
+                    told.on_cancelled(header, r.compact_revision, r.cancel_reason)
                     return
                 if r.created:
-                    told.created(header)
+                    told.on_created(header)
                 elif r.events or r.fragment:
                     rows = [
-                        Row(e.kv.key, None if e.type == kv_pb2.Event.DELETE else e.kv.value, e.kv.mod_revision)
+                        KeyValue(e.kv.key, None if e.type == kv_pb2.Event.DELETE else e.kv.value, e.kv.mod_revision)
                         for e in r.events
                     ]
-                    told.changes(header, rows, r.fragment)
+                    told.on_changes(header, rows, r.fragment)
                 else:
-                    told.progress(header)
-            raise Lost("the watch ended")
+                    told.on_progress(header)
+            raise RegistryUnavailableError("the watch ended")
         except grpc.aio.AioRpcError as fault:
-            raise lost(fault) from None
+            raise unavailable_error(fault) from None
         finally:
             stop.set()
             stream.cancel()
 
     async def close(self) -> None:
-        self.closed = True
+        self.is_closed = True
         await self.channel.close()
--- a/corallanding/registry/slice_ownership.py
+++ b/corallanding/registry/slice_ownership.py
@@ -13,72 +13,28 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-
-class Fenced(Exception):
-    """Slices whose charge is not ours any more: nothing of their batch was written."""
-
-    def __init__(self, slices: list[int]) -> None:
-        super().__init__(f"the charge of {len(slices)} slices was lost: {slices[:5]}")
-        self.slices = slices
-
-
-@dataclass(frozen=True)
-class GrantLease:
-    ttl: float
-
-
-@dataclass(frozen=True)
-class KeepAlive:
-    lease: int
+from .ownership_actions import (
+    AnnounceMember,
+    ClaimSlice,
+    GrantLease,
+    KeepAlive,
+    OwnershipAction,
+    OwnershipChange,
+    ReleaseSlice,
+)
 
 
 @dataclass(frozen=True)
-class Announce:
-    """Put members/<me>."""
-
-    lease: int
-    leaving: bool
-
-
-@dataclass(frozen=True)
-class Claim:
-    """Put charge/<slice> = me under `lease` if it does not exist."""
-
-    slice: int
-    lease: int
-
-
-@dataclass(frozen=True)
-class Release:
-    """Delete charge/<slice> if its create revision is `fence`."""
-
-    slice: int
-    fence: int
-
-
-@dataclass(frozen=True)
-class Given:
-    """To the engine: the slice is held from now on, with this fence; or not any more."""
-
-    slice: int
-    on: bool
-    fence: int = 0
-
-
-Action = GrantLease | KeepAlive | Announce | Claim | Release | Given
-
-
-@dataclass(frozen=True)
-class Terms:
+class OwnershipTimings:
     """Times in ms. margin: a steward stops this share of the lease before the registry may end it."""
 
-    ttl: float = 5_000.0
-    margin: float = 0.25
-    claims_most: int = 64  # in flight at once
-    settle: float = 500.0  # members must have been the same for so long before slices are handed over
+    lease_ttl_ms: float = 5_000.0
+    safety_margin: float = 0.25
+    max_pending_claims: int = 64  # in flight at once
+    settle_ms: float = 500.0  # members must have been the same for so long before slices are handed over
 
 
-def owner(slice: int, members: Iterable[int]) -> int | None:
+def preferred_owner(slice: int, members: Iterable[int]) -> int | None:
     """Whom a slice should belong to among live stewards: the top of a rendezvous, the same for all that ask."""
 
     def mark(steward: int) -> tuple[bytes, int]:
@@ -88,158 +44,185 @@
 
 
 @dataclass
-class Charge:
+class SliceOwnership:
     """me, slices: this steward and the numbers that there are. All calls return actions, in order."""
 
-    me: int
+    controller: int
     slices: range
-    terms: Terms
-    lease: int = 0
-    until: float = 0.0  # by our clock: the lease cannot have ended before
-    asked: float = -1.0  # when the keep-alive or grant in flight was sent; -1: none
+    timings: OwnershipTimings
+    lease_id: int = 0
+    lease_valid_until_ms: float = 0.0  # by our clock: the lease cannot have ended before
+    lease_requested_at_ms: float = -1.0  # when the keep-alive or grant in flight was sent; -1: none
     members: dict[int, bool] = field(default_factory=dict)  # steward: leaving
-    members_at: float = 0.0
-    held: dict[int, int] = field(default_factory=dict)  # slice: fence
-    holders: dict[int, tuple[int, int]] = field(default_factory=dict)  # slice: (holder, create revision), as seen
-    claiming: set[int] = field(default_factory=set)
-    releasing: set[int] = field(default_factory=set)
-    leaving: bool = False
-    reachable: bool = False
-    seen: bool | None = None  # our own member key as the watch shows it: leaving or not; None: it is not there
-    announced: float = 0.0  # when it was last put
+    members_changed_at_ms: float = 0.0
+    fencing_tokens: dict[int, int] = field(default_factory=dict)  # slice: fence
+    observed_owners: dict[int, tuple[int, int]] = field(
+        default_factory=dict
+    )  # slice: (holder, create revision), as seen
+    pending_claims: set[int] = field(default_factory=set)
+    pending_releases: set[int] = field(default_factory=set)
+    is_leaving: bool = False
+    is_connected: bool = False
+    is_observed_leaving: bool | None = (
+        None  # our own member key as the watch shows it: leaving or not; None: it is not there
+    )
+    announced_at_ms: float = 0.0  # when it was last put
 
     # ---- the lease -------------------------------------------------------------------------------------
 
-    def granted(self, now: float, lease: int) -> list[Action]:
+    def on_lease_granted(self, now: float, lease: int) -> list[OwnershipAction]:
         """A lease is ours; it counts from when it was asked for, not from when the answer came."""
-        self.lease, self.until, self.asked, self.announced = lease, self.asked + self.terms.ttl, -1.0, now
-        return [Announce(lease, self.leaving)]
-
-    def kept(self, now: float, ttl: float) -> list[Action]:
+        self.lease_id, self.lease_valid_until_ms, self.lease_requested_at_ms, self.announced_at_ms = (
+            lease,
+            self.lease_requested_at_ms + self.timings.lease_ttl_ms,
+            -1.0,
+            now,
+        )
+        return [AnnounceMember(lease, self.is_leaving)]
+
+    def on_lease_renewed(self, now: float, ttl: float) -> list[OwnershipAction]:
         """The answer to a keep-alive. ttl 0: the registry has ended the lease."""
         if ttl <= 0:
-            self.asked = -1.0
-            return self.lost()
-        if self.asked >= 0:
-            self.until, self.asked = max(self.until, self.asked + min(ttl, self.terms.ttl)), -1.0
+            self.lease_requested_at_ms = -1.0
+            return self.on_lease_lost()
+        if self.lease_requested_at_ms >= 0:
+            self.lease_valid_until_ms, self.lease_requested_at_ms = (
+                max(self.lease_valid_until_ms, self.lease_requested_at_ms + min(ttl, self.timings.lease_ttl_ms)),
+                -1.0,
+            )
         return []
 
-    def lost(self) -> list[Action]:
+    def on_lease_lost(self) -> list[OwnershipAction]:
         """The lease is over: nothing is held. A new one is asked for at the next tick."""
-        gone: list[Action] = [Given(s, False) for s in sorted(self.held)]
-        self.lease, self.held, self.claiming, self.releasing = 0, {}, set(), set()
+        gone: list[OwnershipAction] = [OwnershipChange(s, False) for s in sorted(self.fencing_tokens)]
+        self.lease_id, self.fencing_tokens, self.pending_claims, self.pending_releases = 0, {}, set(), set()
         return gone
 
-    def may_speak(self, now: float) -> bool:
+    def has_valid_lease(self, now: float) -> bool:
         """Whether what is held is surely still ours: by our own clock, with a margin. Asked before every write."""
-        return bool(self.lease) and now < self.until - self.terms.margin * self.terms.ttl
+        return (
+            bool(self.lease_id)
+            and now < self.lease_valid_until_ms - self.timings.safety_margin * self.timings.lease_ttl_ms
+        )
 
-    def connection(self, up: bool) -> None:
+    def on_connection_change(self, up: bool) -> None:
         """A keep-alive that was out when the way broke will not be answered."""
-        self.reachable, self.asked = up, -1.0
-        self.claiming.clear()
-        self.releasing.clear()
+        self.is_connected, self.lease_requested_at_ms = up, -1.0
+        self.pending_claims.clear()
+        self.pending_releases.clear()
 
     # ---- what the watch says ---------------------------------------------------------------------------
 
-    def member(self, now: float, steward: int, alive: bool, leaving: bool = False) -> None:
-        if steward == self.me:
-            self.seen = leaving if alive else None
+    def on_member_observed(self, now: float, steward: int, alive: bool, leaving: bool = False) -> None:
+        if steward == self.controller:
+            self.is_observed_leaving = leaving if alive else None
         before = dict(self.members)
         if alive:
             self.members[steward] = leaving
         else:
             self.members.pop(steward, None)
         if self.members != before:
-            self.members_at = now
+            self.members_changed_at_ms = now
 
-    def holder(self, now: float, slice: int, steward: int | None, create: int) -> list[Action]:
+    def on_owner_observed(self, now: float, slice: int, steward: int | None, create: int) -> list[OwnershipAction]:
         """A charge key as the watch shows it now; None: it does not exist."""
         if steward is None:
-            self.holders.pop(slice, None)
+            self.observed_owners.pop(slice, None)
         else:
-            self.holders[slice] = (steward, create)
-        fence = self.held.get(slice)
-        if fence is not None and (steward != self.me or create > fence):
+            self.observed_owners[slice] = (steward, create)
+        fence = self.fencing_tokens.get(slice)
+        if fence is not None and (steward != self.controller or create > fence):
             # Ended behind our back (the lease ran out, or an operator deleted it).
-            del self.held[slice]
-            self.releasing.discard(slice)
-            return [Given(slice, False)]
+            del self.fencing_tokens[slice]
+            self.pending_releases.discard(slice)
+            return [OwnershipChange(slice, False)]
         return []
 
     # ---- answers to transactions -----------------------------------------------------------------------
 
-    def claimed(self, now: float, slice: int, lease: int, fence: int) -> list[Action]:
+    def on_claim_result(self, now: float, slice: int, lease: int, fence: int) -> list[OwnershipAction]:
         """A claim's answer: `fence` is the create revision, 0 if another had the key."""
-        self.claiming.discard(slice)
-        if not fence or lease != self.lease or not self.may_speak(now):
+        self.pending_claims.discard(slice)
+        if not fence or lease != self.lease_id or not self.has_valid_lease(now):
             return []  # too late to be sure of: the key goes with its lease, or is released below
-        self.held[slice] = fence
-        self.holders[slice] = (self.me, fence)
-        return [Given(slice, True, fence)]
+        self.fencing_tokens[slice] = fence
+        self.observed_owners[slice] = (self.controller, fence)
+        return [OwnershipChange(slice, True, fence)]
 
-    def released(self, slice: int) -> list[Action]:
-        self.releasing.discard(slice)
+    def on_released(self, slice: int) -> list[OwnershipAction]:
+        self.pending_releases.discard(slice)
         return []
 
     # ---- time ------------------------------------------------------------------------------------------
 
-    def tick(self, now: float) -> list[Action]:
+    def tick(self, now: float) -> list[OwnershipAction]:
         """Call often (a tenth of the lease). Keeps the lease, claims what is free and ours, hands over the rest."""
-        out: list[Action] = []
-        if self.lease and now >= self.until:
-            out += self.lost()
-        if not self.reachable:
+        out: list[OwnershipAction] = []
+        if self.lease_id and now >= self.lease_valid_until_ms:
+            out += self.on_lease_lost()
+        if not self.is_connected:
             return out  # cut off: nothing new is taken; what is held stands while the lease surely does
-        if self.asked < 0:
-            if not self.lease:
-                self.asked = now
-                out.append(GrantLease(self.terms.ttl))
-            elif now > self.until - self.terms.ttl * (1 - self.terms.margin):
-                self.asked = now
-                out.append(KeepAlive(self.lease))
-        elif now - self.asked > self.terms.ttl * self.terms.margin:
-            self.asked = -1.0  # that answer is late: ask again, counting from now
-        if not self.may_speak(now):
+        if self.lease_requested_at_ms < 0:
+            if not self.lease_id:
+                self.lease_requested_at_ms = now
+                out.append(GrantLease(self.timings.lease_ttl_ms))
+            elif now > self.lease_valid_until_ms - self.timings.lease_ttl_ms * (1 - self.timings.safety_margin):
+                self.lease_requested_at_ms = now
+                out.append(KeepAlive(self.lease_id))
+        elif now - self.lease_requested_at_ms > self.timings.lease_ttl_ms * self.timings.safety_margin:
+            self.lease_requested_at_ms = -1.0  # that answer is late: ask again, counting from now
+        if not self.has_valid_lease(now):
             return out
-        if self.seen is not self.leaving and now - self.announced > self.terms.ttl * self.terms.margin:
+        if (
+            self.is_observed_leaving is not self.is_leaving
+            and now - self.announced_at_ms > self.timings.lease_ttl_ms * self.timings.safety_margin
+        ):
             # The registry lost it (its leader fell): unannounced, a steward gets nothing, or never gets rid of it.
-            self.announced = now
-            out.append(Announce(self.lease, self.leaving))
-        out += self.balance(now)
+            self.announced_at_ms = now
+            out.append(AnnounceMember(self.lease_id, self.is_leaving))
+        out += self.rebalance(now)
         return out
 
-    def balance(self, now: float) -> list[Action]:
-        out: list[Action] = []
+    def rebalance(self, now: float) -> list[OwnershipAction]:
+        out: list[OwnershipAction] = []
         able = [m for m, leaving in self.members.items() if not leaving]
-        settled = now - self.members_at >= self.terms.settle
+        settled = now - self.members_changed_at_ms >= self.timings.settle_ms
         for s in self.slices:
-            should = owner(s, able)
-            if s in self.held:
-                if should is not None and should != self.me and (settled or self.leaving) and s not in self.releasing:
+            should = preferred_owner(s, able)
+            if s in self.fencing_tokens:
+                if (
+                    should is not None
+                    and should != self.controller
+                    and (settled or self.is_leaving)
+                    and s not in self.pending_releases
+                ):
                     # Planned: told to the engine first, so that nothing is written after the key is gone.
-                    self.releasing.add(s)
-                    fence = self.held.pop(s)
-                    out += [Given(s, False), Release(s, fence)]
-            elif (holder := self.holders.get(s)) and holder[0] == self.me:
-                if s not in self.releasing and s not in self.claiming:
+                    self.pending_releases.add(s)
+                    fence = self.fencing_tokens.pop(s)
+                    out += [OwnershipChange(s, False), ReleaseSlice(s, fence)]
+            elif (holder := self.observed_owners.get(s)) and holder[0] == self.controller:
+                if s not in self.pending_releases and s not in self.pending_claims:
                     # A claim whose answer was lost or came too late is not ours to use; a release that a falling
                     # leader lost would keep the slice from everybody for as long as the lease is kept.
-                    self.releasing.add(s)
-                    out.append(Release(s, holder[1]))
-            elif should == self.me and s not in self.claiming and len(self.claiming) < self.terms.claims_most:
+                    self.pending_releases.add(s)
+                    out.append(ReleaseSlice(s, holder[1]))
+            elif (
+                should == self.controller
+                and s not in self.pending_claims
+                and len(self.pending_claims) < self.timings.max_pending_claims
+            ):
                 if holder is None:
-                    self.claiming.add(s)
-                    out.append(Claim(s, self.lease))
+                    self.pending_claims.add(s)
+                    out.append(ClaimSlice(s, self.lease_id))
         return out
 
-    def leave(self, now: float) -> list[Action]:
+    def start_leaving(self, now: float) -> list[OwnershipAction]:
         """Planned end: announce it; slices go over as others are there to take them."""
-        self.leaving, self.announced = True, now
-        self.members[self.me] = True
-        return [Announce(self.lease, True)] if self.lease else []
+        self.is_leaving, self.announced_at_ms = True, now
+        self.members[self.controller] = True
+        return [AnnounceMember(self.lease_id, True)] if self.lease_id else []
 
     @property
-    def empty(self) -> bool:
-        ours = any(holder == self.me for holder, _ in self.holders.values())
-        return not self.held and not self.releasing and not ours
+    def is_drained(self) -> bool:
+        ours = any(holder == self.controller for holder, _ in self.observed_owners.values())
+        return not self.fencing_tokens and not self.pending_releases and not ours
--- a/corallanding/registry/source.py
+++ b/corallanding/registry/source.py
@@ -15,17 +15,18 @@
 
 import msgspec
 
-from .connection import Connection
-from .watch_state import Delta, Limits, Row, Sync
-from .watcher import Follower
+from .connection import RegistryConnection
+from .watch_messages import KeyValue, ViewChange, WatchLimits
+from .watch_state import WatchState
+from .watcher import Watcher
 
 if TYPE_CHECKING:
     from ..config.sources import RegistryBlock
     from ..endpoints.source import Listener
-    from .etcd import Etcd
+    from .etcd import EtcdConnection
 
 
-def row_of(prefix: bytes, row: Row) -> dict[str, Any] | None:
+def host_row(prefix: bytes, row: KeyValue) -> dict[str, Any] | None:
     """A registry's row as a roster's; None if its key names no host. What cannot be read names its host all the same,
     so that the view holds that one entry at its last good state and reports it."""
     name = row.key[len(prefix) :]
@@ -48,21 +49,21 @@
 
     def __init__(
         self,
-        dial: Callable[[], Connection],
+        dial: Callable[[], RegistryConnection],
         prefix: str,
         listener: Listener,
         clock: Callable[[], float],
         chance: Callable[[], float],
-        limits: Limits,
+        limits: WatchLimits,
     ) -> None:
         self.prefix, self.listener = prefix.encode(), listener
-        self.sync = Sync(limits, chance)
-        self.follower = Follower(dial, self.prefix, self.sync, clock, self.tell, listener.roster_failed, self.whole)
+        self.state = WatchState(limits, chance)
+        self.watcher = Watcher(dial, self.prefix, self.state, clock, self.tell, listener.roster_failed, self.whole)
         self.task: asyncio.Task[None] | None = None
-        self.told = False  # the first whole list of this life
+        self.is_listed = False  # the first whole list of this life
 
     def start(self) -> None:
-        self.task = asyncio.get_running_loop().create_task(self.follower.run())
+        self.task = asyncio.get_running_loop().create_task(self.watcher.run())
 
     def follow(self, on: bool) -> None:
         """A registry is always followed."""
@@ -74,26 +75,26 @@
         if self.task:
             self.task.cancel()
 
-    def rows(self, rows: Iterable[Row]) -> list[dict[str, Any]]:
-        return [r for r in (row_of(self.prefix, row) for row in rows) if r]
+    def rows(self, rows: Iterable[KeyValue]) -> list[dict[str, Any]]:
+        return [r for r in (host_row(self.prefix, row) for row in rows) if r]
 
     def whole(self) -> None:
         """The view is whole: told as a list once a life, however little differs."""
-        if not self.told:
-            self.told = True
-            self.listener.roster_rows(True, self.sync.revision, self.rows(self.sync.view.values()))
+        if not self.is_listed:
+            self.is_listed = True
+            self.listener.roster_rows(True, self.state.revision, self.rows(self.state.view.values()))
 
-    def tell(self, d: Delta) -> None:
-        if self.told and (rows := self.rows(d.rows)):
+    def tell(self, d: ViewChange) -> None:
+        if self.is_listed and (rows := self.rows(d.changes)):
             self.listener.roster_rows(False, d.revision, rows)
 
 
-def text(path: str | None) -> bytes | None:
+def read_optional(path: str | None) -> bytes | None:
     return Path(path).read_bytes() if path else None
 
 
 @dataclass(frozen=True)
-class Papers:
+class Credentials:
     """What the registry asks of us, as the files hold it. Raises OSError if one of them cannot be read."""
 
     token: str
@@ -102,12 +103,12 @@
     key: bytes | None
 
     @classmethod
-    def read(cls, c: RegistryBlock) -> Papers:
-        token = (text(c.token_file) or b"").decode("ascii", "replace").strip()
-        return cls(token, text(c.ca_file), text(c.certificate_file), text(c.key_file))
+    def read(cls, c: RegistryBlock) -> Credentials:
+        token = (read_optional(c.token_file) or b"").decode("ascii", "replace").strip()
+        return cls(token, read_optional(c.ca_file), read_optional(c.certificate_file), read_optional(c.key_file))
 
 
-class Files:
+class CredentialFiles:
     """The papers, read anew for every connection, so that new tokens and certificates need no restart.
 
     Guards against files that are away or half written while they are replaced: the last good ones stand, and that is
@@ -115,53 +116,55 @@
     """
 
     def __init__(self, c: RegistryBlock, said: Callable[[str], None]) -> None:
-        self.block, self.said, self.good = c, said, Papers.read(c)
+        self.block, self.said, self.good = c, said, Credentials.read(c)
 
-    def __call__(self) -> Papers:
+    def __call__(self) -> Credentials:
         try:
-            self.good = Papers.read(self.block)
+            self.good = Credentials.read(self.block)
         except OSError as fault:
             self.said(f"registry: {fault.filename}: {fault.strerror}; the token and certificates read before stand")
         return self.good
 
 
-def etcd(c: RegistryBlock, said: Callable[[str], None]) -> Callable[[], Etcd]:
+def etcd_connector(c: RegistryBlock, said: Callable[[str], None]) -> Callable[[], EtcdConnection]:
     """New connections as configured, to each member in turn. Raises OSError if one of the files cannot be read."""
-    from .etcd import Etcd, Tls
+    from .etcd import EtcdConnection, TlsConfig
 
-    files, turn = Files(c, said), count()
+    files, turn = CredentialFiles(c, said), count()
     members = [c.address, *c.others]
 
-    def dial() -> Etcd:
+    def dial() -> EtcdConnection:
         p = files()
-        tls = Tls(p.ca, p.certificate, p.key, c.server_name) if p.ca else None
-        return Etcd(members[next(turn) % len(members)], c.timeout_ms, tls, p.token)
+        tls = TlsConfig(p.ca, p.certificate, p.key, c.server_name) if p.ca else None
+        return EtcdConnection(members[next(turn) % len(members)], c.timeout_ms, tls, p.token)
 
     return dial
 
 
-def make(
+def make_source(
     c: RegistryBlock,
     listener: Listener,
     clock: Callable[[], float],
     chance: Callable[[], float],
-    to_etcd: Callable[[RegistryBlock, Callable[[str], None]], Callable[[], Etcd]] | None = None,
+    dial_registry: Callable[[RegistryBlock, Callable[[str], None]], Callable[[], EtcdConnection]] | None = None,
 ) -> RegistrySource:
     """The source that a configuration names. Raises OSError if one of its files cannot be read."""
 
     rate = c.reads_per_min
-    dial: Callable[[], Connection]
+    dial: Callable[[], RegistryConnection]
     if c.kind == "consul":
-        from .consul import Consul
+        from .consul import ConsulConnection
 
         rate = max(rate, 6_000.0)  # every change is a read there: bounded by the registry's own blocking
-        files = Files(c, listener.roster_failed)
-        consul = Consul(c.address, c.timeout_ms, c.block_ms, files.good.token)  # it keeps index and epoch over breaks
+        files = CredentialFiles(c, listener.roster_failed)
+        consul = ConsulConnection(
+            c.address, c.timeout_ms, c.block_ms, files.good.token
+        )  # it keeps index and epoch over breaks
 
-        def dial() -> Connection:
+        def dial() -> RegistryConnection:
             consul.token = files().token
             return consul
     else:
-        dial = (to_etcd or etcd)(c, listener.roster_failed)
-    limits = Limits(c.wait_ms, c.wait_most_ms, rate, c.page)
+        dial = (dial_registry or etcd_connector)(c, listener.roster_failed)
+    limits = WatchLimits(c.wait_ms, c.wait_most_ms, rate, c.page)
     return RegistrySource(dial, c.prefix, listener, clock, chance, limits)
--- a/tests/relay/support.py
+++ b/tests/relay/support.py
@@ -49,9 +49,11 @@
     """A watch, and what it reported."""
 
     def __init__(self, where: Address, **more: Any) -> None:
-        self.news, self.events, self.said, self.gaps = RelayView(SETTINGS, ZONES), list[Any](), list[str](), 0
+        self.news, self.events, self.on_failure, self.gaps = RelayView(SETTINGS, ZONES), list[Any](), list[str](), 0
         timings = WatchTimings(**{**NEVER, "entries_quiet_ms": 1.0, **more})
-        self.link = Subscription(where, self.news, clock, self.events.extend, lambda: [], self.said.append, timings)
+        self.link = Subscription(
+            where, self.news, clock, self.events.extend, lambda: [], self.on_failure.append, timings
+        )
         self.link.on_gap_bridged = self.gap
 
     def gap(self) -> None:
--- a/tests/relay/test_subscription_connection.py
+++ b/tests/relay/test_subscription_connection.py
@@ -236,7 +236,7 @@
             busy(lambda: side.now(b'{"method":"ping"}\n'), 0.2)
             await until(lambda: w.link.current is None or w.link.current.last_received_ms > first)
             assert w.link.current
-            assert not w.said
+            assert not w.on_failure
             w.link.close()
 
     play(scene)
@@ -267,7 +267,7 @@
             side.tell(attach(4))
             await until(lambda: w.events)
             assert w.told() == [joined(4)]
-            assert len(w.said) == 1
+            assert len(w.on_failure) == 1
             assert len(stand.sides) == 1
             w.link.close()
 
--- a/tests/store/test_conformance.py
+++ b/tests/store/test_conformance.py
@@ -16,10 +16,10 @@
 from sockets import until
 
 from corallanding.lab.registry import Registry
-from corallanding.registry.etcd import Etcd
-from corallanding.registry.slice_ownership import Terms
-from corallanding.registry.table_store import Keeper
-from corallanding.registry.watch_state import Limits
+from corallanding.registry.etcd import EtcdConnection
+from corallanding.registry.slice_ownership import OwnershipTimings
+from corallanding.registry.table_store import TableStore
+from corallanding.registry.watch_messages import WatchLimits
 from corallanding.store import SqliteStore
 
 Tables = dict[int, dict[int, float]]
@@ -67,13 +67,13 @@
     def __init__(self) -> None:
         self.held: Tables = {}
 
-    def given(self, slice_number: int, weights: dict[int, float]) -> None:
+    def on_slice_granted(self, slice_number: int, weights: dict[int, float]) -> None:
         self.held[slice_number] = weights
 
-    def taken(self, slice_number: int) -> None:
+    def on_slice_revoked(self, slice_number: int) -> None:
         self.held.pop(slice_number, None)
 
-    def said(self, text: str) -> None: ...
+    def on_failure(self, text: str) -> None: ...
 
 
 class Shared:
@@ -81,7 +81,7 @@
 
     def __init__(self, tmp: Path) -> None:
         self.registry = Registry()
-        self.keepers: list[Keeper] = []
+        self.keepers: list[TableStore] = []
         self.found: Tables = {}
 
     async def open(self) -> int:
@@ -91,16 +91,16 @@
             for task in list(former.tasks):
                 task.cancel()
         seat, me = Seat(), len(self.keepers)
-        keeper = Keeper(
-            lambda: Etcd(f"127.0.0.1:{self.registry.port}", 400.0),
+        keeper = TableStore(
+            lambda: EtcdConnection(f"127.0.0.1:{self.registry.port}", 400.0),
             "/t/",
             me,
             range(4),
             seat,
             lambda: time.monotonic() * 1000.0,
             random.Random(me).random,
-            Terms(ttl=1000.0, settle=50.0),
-            Limits(wait=20.0, wait_most=100.0, reads_per_min=600.0),
+            OwnershipTimings(lease_ttl_ms=1000.0, settle_ms=50.0),
+            WatchLimits(min_backoff_ms=20.0, max_backoff_ms=100.0, max_full_reads_per_minute=600.0),
         )
         self.keepers.append(keeper)
         keeper.start()
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -33,8 +33,7 @@
 from corallanding.lease.shard_allocator import ShardAllocator
 from corallanding.lease.shard_plan import plan
 from corallanding.lease.tasks import SHARDS, TaskCatalog, TaskSpec, each, pack, unpack
-from corallanding.registry.slice_ownership import Charge
-from corallanding.registry.slice_ownership import Terms as ChargeTerms
+from corallanding.registry.slice_ownership import OwnershipTimings, SliceOwnership
 
 TIGHT = LeaseTimings(lease=600.0, office=400.0)
 LONG = LeaseTimings(lease=1_500.0, office=300.0)  # leases that outlast the office under which they were dealt
@@ -202,25 +201,25 @@
 
 
 def test_an_office_of_the_registry_ends_with_its_lease_and_its_fences_rise_with_its_revision() -> None:
-    charge = Charge(2, range(1), ChargeTerms(ttl=1_000.0))
+    charge = SliceOwnership(2, range(1), OwnershipTimings(lease_ttl_ms=1_000.0))
     desk = RegistryElection(2, (0, 1), 77, charge)
     assert not desk.holds(0.0)
     assert desk.term is None
     assert desk.holder == (None, 0, 0)
-    charge.connection(True)
-    charge.asked = 0.0
-    charge.granted(10.0, 5)
-    charge.claimed(20.0, 0, 5, 41)
+    charge.on_connection_change(True)
+    charge.lease_requested_at_ms = 0.0
+    charge.on_lease_granted(10.0, 5)
+    charge.on_claim_result(20.0, 0, 5, 41)
     assert desk.holds(30.0)
     assert desk.term == (30.0, 41)
     assert desk.holder == (2, 41, 41)
     assert desk.identity == 41
     before = desk.ceiling
     assert not desk.holds(760.0) and desk.term is None, "a margin before the registry could end it"
-    charge.lost()
-    charge.asked = 2_000.0
-    charge.granted(2_010.0, 6)
-    charge.claimed(2_020.0, 0, 6, 58)
+    charge.on_lease_lost()
+    charge.lease_requested_at_ms = 2_000.0
+    charge.on_lease_granted(2_010.0, 6)
+    charge.on_claim_result(2_020.0, 0, 6, 58)
     assert desk.holds(2_030.0) and desk.base(1e15) > before, "whatever the wall clock says"
     core = TaskLeases(2, (0, 1), (), TASKS, TIGHT, 77, 2_030.0, random.random, chair=desk)
     assert core.office(2_030.0)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -25,8 +25,8 @@
 from corallanding.config.sources import RegistryBlock
 from corallanding.endpoints.endpoint_list import View
 from corallanding.lab.registry import Registry
-from corallanding.registry.source import RegistrySource, make, row_of
-from corallanding.registry.watch_state import Row
+from corallanding.registry.source import RegistrySource, host_row, make_source
+from corallanding.registry.watch_messages import KeyValue
 
 PREFIX = "/corallanding/hosts/"
 
@@ -72,7 +72,7 @@
         "block_ms": 1000,
         **more,
     }
-    made = make(RegistryBlock(**block), seat, lambda: time.monotonic() * 1000.0, random.Random(1).random)
+    made = make_source(RegistryBlock(**block), seat, lambda: time.monotonic() * 1000.0, random.Random(1).random)
     made.start()
     return made
 
@@ -264,20 +264,20 @@
         await second.start()
         await r.put(f"{PREFIX}1", host(1))
         heard = Seat()
-        deaf = make(
+        deaf = make_source(
             RegistryBlock(address=f"127.0.0.1:{r.port}"),
             heard,
             lambda: time.monotonic() * 1000.0,
             random.Random(1).random,
         )
-        dial = deaf.follower.dial
+        dial = deaf.watcher.connect
 
         def undemanding() -> Any:
             conn = dial()
-            conn.watch_meta = ()
+            conn.watch_metadata = ()
             return conn
 
-        deaf.follower.dial = undemanding
+        deaf.watcher.connect = undemanding
         deaf.start()
         s = source(r, seat, others=[f"127.0.0.1:{second.port}"])
         await until(lambda: same(r, seat) and same(r, heard))
@@ -307,12 +307,12 @@
         s.stop()
 
     play(scene)
-    assert row_of(b"/h/", Row(b"/h/x", b"{}", 1)) is None
-    assert row_of(b"/h/", Row(b"/h/5", None, 1)) == {
+    assert host_row(b"/h/", KeyValue(b"/h/x", b"{}", 1)) is None
+    assert host_row(b"/h/", KeyValue(b"/h/5", None, 1)) == {
         "host": 5,
         "state": "removed",
     }
-    assert row_of(b"/h/", Row(b"/h/5", b'{"host": 6}', 1)) == {"host": 5, "state": "unreadable"}
+    assert host_row(b"/h/", KeyValue(b"/h/5", b'{"host": 6}', 1)) == {"host": 5, "state": "unreadable"}
 
 
 def test_fifty_sources_that_come_back_ask_little() -> None:
--- a/tests/test_registry_charge.py
+++ b/tests/test_registry_charge.py
@@ -7,19 +7,17 @@
 
 import pytest
 
-from corallanding.registry.slice_ownership import (
-    Announce,
-    Charge,
-    Claim,
-    Given,
+from corallanding.registry.ownership_actions import (
+    AnnounceMember,
+    ClaimSlice,
     GrantLease,
     KeepAlive,
-    Release,
-    Terms,
-    owner,
+    OwnershipChange,
+    ReleaseSlice,
 )
+from corallanding.registry.slice_ownership import OwnershipTimings, SliceOwnership, preferred_owner
 
-TERMS = Terms(ttl=4.0, margin=0.25, claims_most=1, settle=1.0)
+TERMS = OwnershipTimings(lease_ttl_ms=4.0, safety_margin=0.25, max_pending_claims=1, settle_ms=1.0)
 
 
 class Broken(AssertionError):
@@ -31,7 +29,7 @@
 
     def __init__(self, slices: int = 1, fenced: bool = True, careless: bool = False) -> None:
         self.now, self.revision, self.fenced, self.careless = 0, 1, fenced, careless
-        self.stewards = [Charge(m, range(slices), TERMS, reachable=True) for m in (0, 1)]
+        self.stewards = [SliceOwnership(m, range(slices), TERMS, is_connected=True) for m in (0, 1)]
         self.asleep = [False, False]
         self.up: list[list[Any]] = [[], []]  # to the registry
         self.down: list[list[Any]] = [[], []]  # to the stewards
@@ -41,7 +39,7 @@
         self.writers: dict[int, int] = {}  # slice: who wrote last
 
     def act(self, me: int, actions: list[Any]) -> None:
-        self.up[me] += [a for a in actions if not isinstance(a, Given)]
+        self.up[me] += [a for a in actions if not isinstance(a, OwnershipChange)]
 
     # ---- moves of the world ----------------------------------------------------------------------------
 
@@ -51,7 +49,7 @@
             if not self.asleep[me]:
                 out.append(("tick", me))
                 out += [("hear", me)] if self.down[me] else []
-                out += [("write", me)] if self.stewards[me].held else []
+                out += [("write", me)] if self.stewards[me].fencing_tokens else []
             out += [("arrive", me)] if self.up[me] else []
             out.append(("wake" if self.asleep[me] else "sleep", me))
         return out
@@ -69,11 +67,11 @@
             self.asleep[me] = what == "sleep"
         elif what == "hear":
             kind, *args = self.down[me].pop(0)
-            self.act(me, getattr(s, kind)(*([now] if kind != "released" else []), *args) or [])
+            self.act(me, getattr(s, kind)(*([now] if kind != "on_released" else []), *args) or [])
         elif what == "write":
-            for slice, fence in s.held.items():
+            for slice, fence in s.fencing_tokens.items():
                 # What a steward does before every write: asks its own clock. A careless one does not.
-                if self.careless or s.may_speak(now):
+                if self.careless or s.has_valid_lease(now):
                     self.up[me].append(("write", slice, fence))
         elif what == "arrive":
             self.arrive(me, self.up[me].pop(0))
@@ -91,38 +89,38 @@
         for slice, (_, create, bound) in list(self.charge.items()):
             if bound == lease:
                 del self.charge[slice]
-                self.watchers("holder", slice, None, create)
+                self.watchers("on_owner_observed", slice, None, create)
         for m, (bound, _) in list(self.members.items()):
             if bound == lease:
                 del self.members[m]
-                self.watchers("member", m, False)
+                self.watchers("on_member_observed", m, False)
 
     def arrive(self, me: int, asked: Any) -> None:
         self.revision += 1
         match asked:
             case GrantLease():
-                self.leases[self.revision] = (me, self.now + TERMS.ttl)
-                self.tell(me, "granted", self.revision)
+                self.leases[self.revision] = (me, self.now + TERMS.lease_ttl_ms)
+                self.tell(me, "on_lease_granted", self.revision)
             case KeepAlive(lease):
                 alive = lease in self.leases
                 if alive:
-                    self.leases[lease] = (me, self.now + TERMS.ttl)
-                self.tell(me, "kept", TERMS.ttl if alive else 0.0)
-            case Announce(lease, leaving) if lease in self.leases:
+                    self.leases[lease] = (me, self.now + TERMS.lease_ttl_ms)
+                self.tell(me, "on_lease_renewed", TERMS.lease_ttl_ms if alive else 0.0)
+            case AnnounceMember(lease, leaving) if lease in self.leases:
                 self.members[me] = (lease, leaving)
-                self.watchers("member", me, True, leaving)
-            case Claim(slice, lease):
+                self.watchers("on_member_observed", me, True, leaving)
+            case ClaimSlice(slice, lease):
                 if slice in self.charge or lease not in self.leases:
-                    self.tell(me, "claimed", slice, lease, 0)
+                    self.tell(me, "on_claim_result", slice, lease, 0)
                 else:
                     self.charge[slice] = (me, self.revision, lease)
-                    self.tell(me, "claimed", slice, lease, self.revision)
-                    self.watchers("holder", slice, me, self.revision)
-            case Release(slice, fence):
+                    self.tell(me, "on_claim_result", slice, lease, self.revision)
+                    self.watchers("on_owner_observed", slice, me, self.revision)
+            case ReleaseSlice(slice, fence):
                 if slice in self.charge and self.charge[slice][1] == fence:
                     del self.charge[slice]
-                    self.watchers("holder", slice, None, fence)
-                self.tell(me, "released", slice)
+                    self.watchers("on_owner_observed", slice, None, fence)
+                self.tell(me, "on_released", slice)
             case ("write", slice, fence):
                 held = self.charge.get(slice)
                 if self.fenced and (held is None or held[1] != fence):
@@ -134,7 +132,7 @@
         """By their own clocks, no two stewards may speak for one slice at the same instant."""
         now = float(self.now)
         voices = [
-            {s for s in c.held if self.careless or c.may_speak(now)} if not self.asleep[m] else set()
+            {s for s in c.fencing_tokens if self.careless or c.has_valid_lease(now)} if not self.asleep[m] else set()
             for m, c in enumerate(self.stewards)
         ]
         if both := voices[0] & voices[1]:
@@ -143,15 +141,15 @@
     def key(self) -> bytes:
         c = [
             (
-                s.lease,
-                s.until,
-                s.asked,
+                s.lease_id,
+                s.lease_valid_until_ms,
+                s.lease_requested_at_ms,
                 sorted(s.members.items()),
-                s.members_at,
-                sorted(s.held.items()),
-                sorted(s.holders.items()),
-                sorted(s.claiming),
-                sorted(s.releasing),
+                s.members_changed_at_ms,
+                sorted(s.fencing_tokens.items()),
+                sorted(s.observed_owners.items()),
+                sorted(s.pending_claims),
+                sorted(s.pending_releases),
             )
             for s in self.stewards
         ]
@@ -221,7 +219,7 @@
 
 def test_the_explorer_finds_a_steward_that_does_not_ask_its_clock() -> None:
     w = settled(slices=1, careless=True)
-    holder = 0 if w.stewards[0].held else 1
+    holder = 0 if w.stewards[0].fencing_tokens else 1
     w.move("sleep", holder)  # it sleeps, and its lease is about to end: the rest is searched
     run(w, 2, skip=(holder,))
     with pytest.raises(Broken, match="both stewards speak"):
@@ -232,7 +230,7 @@
 
 
 def held(w: World) -> list[list[int]]:
-    return [sorted(s.held) for s in w.stewards]
+    return [sorted(s.fencing_tokens) for s in w.stewards]
 
 
 def run(w: World, turns: int, skip: tuple[int, ...] = ()) -> None:
@@ -259,10 +257,10 @@
     assert sorted(both[0] + both[1]) == list(range(8))
     assert both[0]
     assert both[1]
-    w.act(0, w.stewards[0].leave(float(w.now)))
+    w.act(0, w.stewards[0].start_leaving(float(w.now)))
     run(w, 20)
     assert held(w) == [[], list(range(8))]
-    assert w.stewards[0].empty
+    assert w.stewards[0].is_drained
 
 
 def test_a_steward_that_sleeps_past_its_lease_wakes_up_with_nothing() -> None:
@@ -272,7 +270,7 @@
     run(w, 12, skip=(0,))
     assert held(w)[1] == [0, 1, 2, 3], "the other took over"
     sleeper = w.stewards[0]
-    assert mine and not sleeper.may_speak(float(w.now)), "by its own clock, before it hears anything"
+    assert mine and not sleeper.has_valid_lease(float(w.now)), "by its own clock, before it hears anything"
     run(w, 30)
     both = held(w)
     assert sorted(both[0] + both[1]) == [0, 1, 2, 3]
@@ -283,21 +281,21 @@
     w = World(slices=4)
     run(w, 20)
     s = w.stewards[0]
-    s.connection(False)
+    s.on_connection_change(False)
     out = [a for t in range(10) for a in s.tick(float(w.now + t))]
-    assert all(isinstance(a, Given) and not a.on for a in out)
-    assert not s.held
+    assert all(isinstance(a, OwnershipChange) and not a.is_owned for a in out)
+    assert not s.fencing_tokens
 
 
 def test_a_claim_whose_answer_came_too_late_goes_back() -> None:
     w = World(slices=1)
     run(w, 20)
-    me = owner(0, (0, 1))
+    me = preferred_owner(0, (0, 1))
     assert me is not None
     s = w.stewards[me]
-    fence = s.held.pop(0)  # as if the answer had been lost
+    fence = s.fencing_tokens.pop(0)  # as if the answer had been lost
     out = s.tick(float(w.now))
-    assert Release(0, fence) in out
+    assert ReleaseSlice(0, fence) in out
 
 
 def test_a_release_that_the_registry_lost_is_sent_again() -> None:
@@ -306,11 +304,11 @@
     w = World(slices=4)
     run(w, 20)
     mine = held(w)[0]
-    out = w.stewards[0].leave(float(w.now)) + w.stewards[0].tick(float(w.now))
-    assert [a.slice for a in out if isinstance(a, Release)] == mine
+    out = w.stewards[0].start_leaving(float(w.now)) + w.stewards[0].tick(float(w.now))
+    assert [a.slice for a in out if isinstance(a, ReleaseSlice)] == mine
     for s in mine:
-        w.stewards[0].released(s)  # the way broke; none of them reached the registry
+        w.stewards[0].on_released(s)  # the way broke; none of them reached the registry
     assert mine
-    assert not w.stewards[0].empty
+    assert not w.stewards[0].is_drained
     run(w, 20)
     assert held(w)[1] == [0, 1, 2, 3]
--- a/tests/test_registry_keeper.py
+++ b/tests/test_registry_keeper.py
@@ -12,14 +12,14 @@
 from sockets import until
 
 from corallanding.lab.registry import Registry
-from corallanding.registry.connection import Lost
-from corallanding.registry.etcd import Etcd
-from corallanding.registry.slice_ownership import Terms
-from corallanding.registry.table_store import Fenced, Keeper
-from corallanding.registry.watch_state import Limits
+from corallanding.registry.errors import FencedError, RegistryUnavailableError
+from corallanding.registry.etcd import EtcdConnection
+from corallanding.registry.slice_ownership import OwnershipTimings
+from corallanding.registry.table_store import TableStore
+from corallanding.registry.watch_messages import WatchLimits
 
 SLICES = 12
-TERMS = Terms(ttl=1000.0, margin=0.25, settle=150.0)
+TERMS = OwnershipTimings(lease_ttl_ms=1000.0, safety_margin=0.25, settle_ms=150.0)
 
 
 class Seat:
@@ -27,13 +27,13 @@
         self.held: dict[int, dict[int, float]] = {}
         self.words: list[str] = []
 
-    def given(self, slice: int, lines: dict[int, float]) -> None:
+    def on_slice_granted(self, slice: int, lines: dict[int, float]) -> None:
         self.held[slice] = lines
 
-    def taken(self, slice: int) -> None:
+    def on_slice_revoked(self, slice: int) -> None:
         self.held.pop(slice, None)
 
-    def said(self, text: str) -> None:
+    def on_failure(self, text: str) -> None:
         self.words.append(text)
 
 
@@ -45,8 +45,8 @@
     def __init__(self, r: Registry, count: int) -> None:
         self.seats = [Seat() for _ in range(count)]
         self.keepers = [
-            Keeper(
-                lambda: Etcd(f"127.0.0.1:{r.port}", 500.0),
+            TableStore(
+                lambda: EtcdConnection(f"127.0.0.1:{r.port}", 500.0),
                 "/corallanding/",
                 me,
                 range(SLICES),
@@ -54,7 +54,7 @@
                 clock,
                 random.Random(me).random,
                 TERMS,
-                Limits(wait=20.0, wait_most=200.0, reads_per_min=600.0),
+                WatchLimits(min_backoff_ms=20.0, max_backoff_ms=200.0, max_full_reads_per_minute=600.0),
             )
             for me, seat in enumerate(self.seats)
         ]
@@ -94,12 +94,12 @@
     async def scene(r: Registry, s: Stewards) -> None:
         mine = sorted(s.seats[0].held)
         await s.keepers[0].write({slice: {100 + slice: 1.0} for slice in mine})
-        s.keepers[0].leave()
-        await until(lambda: s.keepers[0].empty and s.shared({1, 2}))
+        s.keepers[0].start_leaving()
+        await until(lambda: s.keepers[0].is_drained and s.shared({1, 2}))
         for slice in mine:
             holder = next(seat for seat in s.seats if slice in seat.held)
             assert holder.held[slice] == {100 + slice: 1.0}
-        with pytest.raises(Fenced):
+        with pytest.raises(FencedError):
             await s.keepers[0].write({mine[0]: {1: 1.0}})
 
     play(scene)
@@ -111,7 +111,7 @@
         s.seats[1].held.clear()
         begun = clock()
         await until(lambda: s.shared({0, 2}))
-        assert clock() - begun > TERMS.ttl * 0.4
+        assert clock() - begun > TERMS.lease_ttl_ms * 0.4
 
     play(scene)
 
@@ -124,12 +124,12 @@
             task.cancel()  # it stands still: no tick, no watch, no keep-alive
         await until(lambda: all(any(x in s.seats[k].held for k in (0, 1)) for x in mine))
         before = dict(r.store.keys)
-        with pytest.raises(Fenced):
+        with pytest.raises(FencedError):
             await sleeper.write({x: {666: 1.0} for x in mine})
         # Even one that believed its clock: the registry's transaction refuses it.
-        sleeper.charge.until = clock() + 1e9
-        sleeper.follower.conn = Etcd(f"127.0.0.1:{r.port}", 500.0)
-        with pytest.raises(Fenced, match=f"{len(mine)} slices"):
+        sleeper.ownership.lease_valid_until_ms = clock() + 1e9
+        sleeper.watcher.connection = EtcdConnection(f"127.0.0.1:{r.port}", 500.0)
+        with pytest.raises(FencedError, match=f"{len(mine)} slices"):
             await sleeper.write({x: {666: 1.0} for x in mine})
         tables = {k: v for k, v in r.store.keys.items() if b"tables" in k}
         assert tables == {k: v for k, v in before.items() if b"tables" in k}
@@ -142,7 +142,7 @@
         await r.stop()
         ended = [clock() for _ in s.keepers]
         for n, k in enumerate(s.keepers):
-            await until(lambda k=k: not k.charge.may_speak(clock()))  # type: ignore[misc]
+            await until(lambda k=k: not k.ownership.has_valid_lease(clock()))  # type: ignore[misc]
             ended[n] = clock()
         await until(lambda: not any(seat.held for seat in s.seats))
         assert all("registry" in " ".join(seat.words) for seat in s.seats)
@@ -160,17 +160,20 @@
 
         def look() -> bool:
             held = [
-                x for k, seat in zip(s.keepers, s.seats, strict=True) if k.charge.may_speak(clock()) for x in seat.held
+                x
+                for k, seat in zip(s.keepers, s.seats, strict=True)
+                if k.ownership.has_valid_lease(clock())
+                for x in seat.held
             ]
             doubled.extend(x for x in held if held.count(x) > 1)
             return True
 
         await s.keepers[0].write({x: {7: 1.0} for x in s.seats[0].held})
         r.faults.unanswered = 3  # of the claims that come now, three are applied and not answered
-        s.keepers[1].leave()
+        s.keepers[1].start_leaving()
         await until(lambda: look() and r.faults.unanswered == 0)
         r.faults.leaderless = True
-        with pytest.raises((Fenced, Lost)):
+        with pytest.raises((FencedError, RegistryUnavailableError)):
             await s.keepers[0].write({x: {8: 1.0} for x in s.seats[0].held})
         for _ in range(40):
             look()
@@ -187,7 +190,7 @@
 def test_large_writes_go_in_batches_within_the_registry_s_limits() -> None:
     async def scene(r: Registry, s: Stewards) -> None:
         k = s.keepers[0]
-        k.charge.slices = range(250)
+        k.ownership.slices = range(250)
         await until(lambda: len(s.seats[0].held) == 250, 15)
         calls = r.store.calls["Txn"]
         await k.write({x: dict.fromkeys(range(3), 1.0) for x in range(250)})
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -55,8 +55,8 @@
 from corallanding.quorum_records.limits import RecordLimits
 from corallanding.quorum_records.messages import Prepare
 from corallanding.quorum_records.replica import Replica, UnsavedChanges
-from corallanding.registry import slice_ownership
-from corallanding.registry.table_store import REQUESTS
+from corallanding.registry import ownership_actions
+from corallanding.registry.table_store import REQUEST_NAMES
 from corallanding.snapshot import file, stored_fields, stored_values
 from corallanding.snapshot.assigner_state import dump, load
 from corallanding.snapshot.rankings import StoredRanking, dump_rankings, load_rankings
@@ -530,14 +530,16 @@
 
 def test_requests_to_a_registry_are_named_by_frozen_texts() -> None:
     requests = (
-        slice_ownership.GrantLease,
-        slice_ownership.KeepAlive,
-        slice_ownership.Announce,
-        slice_ownership.Claim,
-        slice_ownership.Release,
+        ownership_actions.GrantLease,
+        ownership_actions.KeepAlive,
+        ownership_actions.AnnounceMember,
+        ownership_actions.ClaimSlice,
+        ownership_actions.ReleaseSlice,
+    )
+    assert [REQUEST_NAMES[kind] for kind in requests] == ["grantlease", "keepalive", "announce", "claim", "release"]
+    assert {*requests, ownership_actions.OwnershipChange} == set(ownership_actions.OwnershipAction.__args__), (
+        "the last is no request"
     )
-    assert [REQUESTS[kind] for kind in requests] == ["grantlease", "keepalive", "announce", "claim", "release"]
-    assert {*requests, slice_ownership.Given} == set(slice_ownership.Action.__args__), "the last is no request"
 
 
 @pytest.mark.parametrize("name", [name for name in samples.FROM_FORWARDER if name not in ("hello", "bye")])
