--- a/corallanding/controller/engine.py
+++ b/corallanding/controller/engine.py
@@ -153,16 +153,19 @@
         return True
 
     def _on_set_weight(self, action: api.SetWeight) -> None:
-        if not self._decides_on(action.slice):
+        table = action.slice
+        if not self._decides_on(table):
             return
-        self._changes.weights[action.slice, action.host] = action.weight
-        weights = self.published.tables.setdefault(action.slice, {})
-        if action.weight <= 0:
-            weights.pop(action.host, None)
+        host = action.host
+        weight = action.weight
+        self._changes.weights[table, host] = weight
+        weights = self.publisher.published.tables.setdefault(table, {})
+        if weight <= 0:
+            weights.pop(host, None)
             return
         if self.settings.has_sole_owner:
             weights.clear()
-        weights[action.host] = action.weight
+        weights[host] = weight
 
     def _on_reset_table(self, action: api.ResetTable) -> None:
         if not self._decides_on(action.slice):
--- a/corallanding/controller/handover_state.py
+++ b/corallanding/controller/handover_state.py
@@ -22,7 +22,7 @@
 from .join_admission import JoinAdmission, JoinHistory
 from .recorder import pack, unpack
 from .recovery import ControllerState, StateMismatchError, restore
-from .report_aggregation import UsageKey, UsageKind, UsageTally
+from .report_aggregation import UsageKind, UsageTally
 
 
 class ConnectionState(msgspec.Struct, array_like=True):
@@ -214,7 +214,7 @@
     e.proxy_zones, e.publisher.leaving_hosts, e.usage_due_at = dict(h.proxy_zones), set(h.leaving_hosts), h.usage_due_at
     e.recall_until = now - 1.0  # established links hold what this process has
     for kind, first, second, since, total, failed, latency_sum_ms in h.usage_tallies:
-        key = UsageKey(UsageKind(kind), first, second)
+        key = (UsageKind(kind), first, second)
         e.usage.tallies[key] = UsageTally(since, total, failed, latency_sum_ms)
     e.usage.available_reports, e.usage.replenished_at = h.usage_pace
     restore_channel(channel, h.channel)
--- a/corallanding/controller/report_aggregation.py
+++ b/corallanding/controller/report_aggregation.py
@@ -8,7 +8,6 @@
 from collections.abc import Container
 from dataclasses import dataclass
 from enum import StrEnum
-from typing import NamedTuple
 
 from .. import interface as api
 from ..wire.frames import Sums
@@ -25,12 +24,9 @@
     PROXY = "own"
 
 
-class UsageKey(NamedTuple):
-    """Names one total: (zone, host), (slice, request class) or (proxy, request class), by its kind."""
-
-    kind: UsageKind
-    first: int
-    second: int
+# Names one total: kind, then (zone, host), (slice, request class) or (proxy, request class). A plain tuple, since every
+# row of every report makes one.
+UsageKey = tuple[UsageKind, int, int]
 
 
 @dataclass
@@ -42,11 +38,6 @@
     failed: int = 0
     latency_sum_ms: float = 0.0
 
-    def add(self, total: int, failed: int) -> None:
-        """Add requests, and how many of them failed."""
-        self.total += total
-        self.failed += failed
-
     def mean_latency_ms(self) -> float:
         """The mean latency of requests that succeeded; 0 if none did."""
         succeeded = self.total - self.failed
@@ -69,25 +60,31 @@
     ) -> None:
         """Add one proxy's report. Rows on unknown hosts, slices or request classes are counted and dropped."""
         self._add_hosts(now, zone, report, hosts)
+        slice_kind = UsageKind.SLICE
+        proxy_kind = UsageKind.PROXY
         request_classes = len(self.settings.request_classes)
         for slice_number, request_class, requests, unanswered in report.slices:
             if slice_number not in slices or request_class >= request_classes or unanswered > requests:
                 self.dropped_rows += 1
-            elif tally := self._tally(now, UsageKey(UsageKind.SLICE, slice_number, request_class), report.span):
-                tally.add(requests, unanswered)
+            elif tally := self._tally(now, (slice_kind, slice_number, request_class), report.span):
+                tally.total += requests
+                tally.failed += unanswered
         for request_class, requests, unanswered in report.own:
             if request_class >= request_classes or unanswered > requests:
                 self.dropped_rows += 1
-            elif tally := self._tally(now, UsageKey(UsageKind.PROXY, proxy, request_class), report.span):
-                tally.add(requests, unanswered)
+            elif tally := self._tally(now, (proxy_kind, proxy, request_class), report.span):
+                tally.total += requests
+                tally.failed += unanswered
 
     def _add_hosts(self, now: float, zone: int, report: Sums, hosts: Container[int]) -> None:
+        kind = UsageKind.HOST
         zone_count = self.settings.zone_count
         for host, attempts, failed, latency_ms in report.hosts:
             if host not in hosts or failed > attempts or zone >= zone_count:
                 self.dropped_rows += 1
-            elif tally := self._tally(now, UsageKey(UsageKind.HOST, zone, host), report.span):
-                tally.add(attempts, failed)
+            elif tally := self._tally(now, (kind, zone, host), report.span):
+                tally.total += attempts
+                tally.failed += failed
                 tally.latency_sum_ms += latency_ms * (attempts - failed)
 
     def _tally(self, now: float, key: UsageKey, span_ms: float) -> UsageTally | None:
@@ -123,12 +120,13 @@
     def _report(self, now: float, key: UsageKey) -> api.Event:
         """Take out one total as the report that it makes."""
         tally = self.tallies.pop(key)
+        kind, first, second = key
         span_ms = max(now - tally.since, 1.0)
-        match key.kind:
+        match kind:
             case UsageKind.HOST:
                 latency_ms = tally.mean_latency_ms()
-                return api.HostUsageReport(key.first, key.second, tally.total, tally.failed, latency_ms, span_ms)
+                return api.HostUsageReport(first, second, tally.total, tally.failed, latency_ms, span_ms)
             case UsageKind.SLICE:
-                return api.SliceUsageReport(key.first, key.second, tally.total, tally.failed, span_ms)
+                return api.SliceUsageReport(first, second, tally.total, tally.failed, span_ms)
             case UsageKind.PROXY:
-                return api.ProxyUsageReport(key.first, key.second, tally.total, tally.failed, span_ms)
+                return api.ProxyUsageReport(first, second, tally.total, tally.failed, span_ms)
