--- a/corallanding/assignment/state.py
+++ b/corallanding/assignment/state.py
@@ -77,7 +77,7 @@
     """A slice that this controller decides on, compared by identity.
 
     `weights` is the table of the slice as the actions given out so far have made it. It lists the owner, its replicas
-    and the previous owner once `Publication.write_table` found room for the difference.
+    and the previous owner once `Publication.write_table` could publish the difference.
     """
 
     id: int
