--- a/corallanding/cli/main.py
+++ b/corallanding/cli/main.py
@@ -101,10 +101,10 @@
     from ..controller import recorder
 
     try:
-        recording = recorder.read(file)
+        recording = recorder.read_recording(file)
     except (recorder.RecordingError, OSError) as error:
         raise fail(error) from None
-    difference = recorder.compare(recording, Assigner)
+    difference = recorder.find_difference(recording, Assigner)
     if difference:
         raise fail(f"{file}: {difference}", REPLAY_DIFFERS)
     torn = "; the last item is torn off" if recording.is_truncated else ""
--- a/corallanding/controller/acceptor.py
+++ b/corallanding/controller/acceptor.py
@@ -1,7 +1,7 @@
-"""Takes connections at a pace, and goes on when descriptors run out. A thin layer over one listening socket.
+"""Accepts connections at a bounded rate, and goes on when file descriptors run out.
 
-asyncio's own server takes a hundred connections at a turn of the loop, as often as they come: forwarders that connect
-in a tight loop would leave no time for orders. What is not taken waits in the kernel's queue.
+asyncio's own server accepts a hundred connections at each turn of the loop, as often as they come: clients that connect
+in a tight loop would leave no time for other work. Connections that are not accepted yet wait in the kernel's queue.
 """
 
 from __future__ import annotations
@@ -13,12 +13,20 @@
 from collections.abc import Callable
 from typing import Any
 
-TICK = 0.01  # s
-OUT_OF = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
+MIN_PAUSE_S = 0.01
+OUT_OF_DESCRIPTORS_PAUSE_S = 0.2
+BURST_S = 0.05  # connections of so many seconds may be accepted at once
+MIN_BURST = 4.0  # and so many in any case
+OUT_OF_DESCRIPTORS = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
 
 
 class Listener:
-    """factory: a protocol a connection. rate: connections a second. said: what staff should know."""
+    """A listening socket with a token bucket.
+
+    `factory` makes the protocol of each connection, `rate` is connections per second, `on_warning` is told what
+    operators should know. `inherited` is a socket that listens already, from the predecessor of this process. Raises
+    `OSError` if the address cannot be had.
+    """
 
     def __init__(
         self,
@@ -27,99 +35,113 @@
         backlog: int,
         rate: float,
         factory: Callable[[], asyncio.Protocol],
-        said: Callable[[str], None],
-        given: socket.socket | None = None,
+        on_warning: Callable[[str], None],
+        inherited: socket.socket | None = None,
     ) -> None:
-        """given: a socket that listens already, from the process before this one."""
-        self.rate, self.factory, self.said = rate, factory, said
+        self.rate = rate
+        self.factory = factory
+        self.on_warning = on_warning
         self.loop = asyncio.get_running_loop()
-        self.socket = given or socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
+        self.socket = inherited or _listen(host, port, backlog)
         self.socket.setblocking(False)
-        try:
-            if given is None:
-                self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-                self.socket.bind((host, port))
-                self.socket.listen(backlog)
-        except OSError:
-            self.socket.close()
-            raise
         self.sockets = (self.socket,)
-        self.allowance, self.counted = self.most, self.loop.time()
+        self.tokens = self.max_tokens
+        self.replenished_at = self.loop.time()
         self.tasks: set[asyncio.Task[Any]] = set()
         self.timer: asyncio.TimerHandle | None = None
         self.accepted_count = 0
-        self.closed = self.held = False
-        self.loop.add_reader(self.socket, self.take)
+        self.is_closed = False
+        self.is_suspended = False
+        self.loop.add_reader(self.socket, self._on_readable)
 
     @property
-    def most(self) -> float:
-        return max(4.0, self.rate / 20)
+    def max_tokens(self) -> float:
+        """How many connections may be accepted at once."""
+        return max(MIN_BURST, self.rate * BURST_S)
 
-    def take(self) -> None:
+    def _on_readable(self) -> None:
+        """Accept as many connections as the rate allows, then pause."""
         now = self.loop.time()
-        self.allowance = min(self.most, self.allowance + (now - self.counted) * self.rate)
-        self.counted = now
-        while self.allowance >= 1.0:
+        self.tokens = min(self.max_tokens, self.tokens + (now - self.replenished_at) * self.rate)
+        self.replenished_at = now
+        while self.tokens >= 1.0:
             try:
-                conn, _ = self.socket.accept()
+                connection, _ = self.socket.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
-            except OSError as fault:
-                if fault.errno in OUT_OF:
-                    self.said(f"no descriptor for a new connection: {fault.strerror}")
-                    self.rest(0.2)
-                    return
-                raise
-            self.allowance -= 1.0
+            except OSError as error:
+                if error.errno not in OUT_OF_DESCRIPTORS:
+                    raise
+                self.on_warning(f"no descriptor for a new connection: {error.strerror}")
+                self._pause(OUT_OF_DESCRIPTORS_PAUSE_S)
+                return
+            self.tokens -= 1.0
             self.accepted_count += 1
-            task = self.loop.create_task(self.serve(conn))
+            task = self.loop.create_task(self._connect(connection))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
-        self.rest(max(TICK, (1.0 - self.allowance) / self.rate))
+        self._pause(max(MIN_PAUSE_S, (1.0 - self.tokens) / self.rate))
 
-    async def serve(self, conn: socket.socket) -> None:
+    async def _connect(self, connection: socket.socket) -> None:
+        """Hand an accepted connection to a protocol of its own."""
         try:
-            conn.setblocking(False)
-            conn.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            await self.loop.connect_accepted_socket(self.factory, conn)
+            connection.setblocking(False)
+            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            await self.loop.connect_accepted_socket(self.factory, connection)
         except OSError:
-            conn.close()
+            connection.close()
 
-    def rest(self, seconds: float) -> None:
+    def _pause(self, seconds: float) -> None:
         self.loop.remove_reader(self.socket)
-        self.timer = self.loop.call_later(seconds, self.again)
+        self.timer = self.loop.call_later(seconds, self._accept_again)
 
-    def suspend(self) -> None:
-        """Accept nothing for now: connections wait in the kernel."""
-        self.held = True
+    def _accept_again(self) -> None:
+        if not self.is_closed and not self.is_suspended:
+            self.loop.add_reader(self.socket, self._on_readable)
+            self._on_readable()
+
+    def _cancel_timer(self) -> None:
         if self.timer:
             self.timer.cancel()
+
+    def suspend(self) -> None:
+        """Accept nothing for now: connections wait in the kernel."""
+        self.is_suspended = True
+        self._cancel_timer()
         self.loop.remove_reader(self.socket)
 
     def resume(self) -> None:
         """Accept connections again."""
-        self.held = False
-        if self.timer:
-            self.timer.cancel()
+        self.is_suspended = False
+        self._cancel_timer()
         self.loop.remove_reader(self.socket)
-        self.again()
-
-    def again(self) -> None:
-        if not self.closed and not self.held:
-            self.loop.add_reader(self.socket, self.take)
-            self.take()
+        self._accept_again()
 
     def close(self) -> None:
-        if not self.closed:
-            self.closed = True
-            if self.timer:
-                self.timer.cancel()
+        """Stop listening."""
+        if not self.is_closed:
+            self.is_closed = True
+            self._cancel_timer()
             self.loop.remove_reader(self.socket)
             self.socket.close()
 
 
+def _listen(host: str, port: int, backlog: int) -> socket.socket:
+    """A new listening socket."""
+    family = socket.AF_INET6 if ":" in host else socket.AF_INET
+    listening = socket.socket(family, socket.SOCK_STREAM)
+    try:
+        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listening.bind((host, port))
+        listening.listen(backlog)
+    except OSError:
+        listening.close()
+        raise
+    return listening
+
+
 def raise_descriptor_limit(needed: int) -> int:
-    """Raise the soft limit on descriptors up to what is needed, as far as the hard one lets; the limit that holds."""
+    """Raise the soft limit on file descriptors to what is needed, as far as the hard limit allows; returns it."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < needed:
         soft = needed if hard == resource.RLIM_INFINITY else min(needed, hard)
--- a/corallanding/controller/active_recording.py
+++ b/corallanding/controller/active_recording.py
@@ -26,12 +26,14 @@
 
     def start(self, path: str, seed: int, *, is_restored: bool) -> None:
         """Begin a file. is_restored: the assigner goes on from a state before it. Raises OSError."""
-        self._recorder = Recorder(path, self._context.settings, seed, self._max_bytes, is_restored)
+        self._recorder = Recorder(
+            path, self._context.settings, seed, self._max_bytes, starts_after_snapshot=is_restored
+        )
 
     def resume(self, path: str, offset: int) -> None:
         """Go on with the file of the process before this one, from `offset` bytes on."""
         try:
-            self._recorder = Recorder(path, self._context.settings, 0, self._max_bytes, after=offset)
+            self._recorder = Recorder(path, self._context.settings, 0, self._max_bytes, resume_at=offset)
         except OSError as error:
             log.error("recording ended", why=str(error))
 
--- a/corallanding/controller/engine.py
+++ b/corallanding/controller/engine.py
@@ -16,9 +16,8 @@
 from .event_intake import EventIntake
 from .overload import OverloadDetector, OverloadLimits
 from .publisher import Publisher, TableChanges
-from .step_outputs import CheckHost, Output, SendFrame, StoreWrites
+from .step_outputs import MAX_PEER_PAYLOAD_BYTES, CheckHost, Output, SendFrame, StoreWrites
 
-MAX_PEER_PAYLOAD_BYTES = 256
 USAGE_INTERVALS_PER_REPORT = 8  # usage is handed on, and deferred timers are looked at, so often a report interval
 RECONCILED_MESSAGES = 1_000  # message numbers left to another process that wrote to the store meanwhile
 
@@ -92,21 +91,13 @@
         events = self.take_events()
         for event in events:
             if isinstance(event, api.HostListUpdate):
-                self._note_leaving_hosts(event)
+                self.publisher.on_host_list(event)
         self._carry_out(self.run_step(now, events))
         return self._store_writes()
 
     def _usage_interval_ms(self) -> float:
         return self.settings.report_interval_ms / USAGE_INTERVALS_PER_REPORT
 
-    def _note_leaving_hosts(self, update: api.HostListUpdate) -> None:
-        leaving_hosts = self.publisher.leaving_hosts
-        for entry in update.entries:
-            if entry.state == api.HostState.UP:
-                leaving_hosts.discard(entry.host)
-            else:
-                leaving_hosts.add(entry.host)
-
     def timer_delay(self, now: float, timer: int) -> float | None:
         """Delay the assigner's deferrable timer while the controller is overloaded."""
         is_delayed = timer == self.deferrable_timer and self.overload.should_delay(now, timer)
--- a/corallanding/controller/factories.py
+++ b/corallanding/controller/factories.py
@@ -28,8 +28,8 @@
         backlog: int,
         rate: float,
         factory: Callable[[], asyncio.Protocol],
-        said: Callable[[str], None],
-        given: socket.socket | None = None,
+        on_warning: Callable[[str], None],
+        inherited: socket.socket | None = None,
     ) -> Listener:
         """Listen at the address. Raises OSError."""
         ...
--- a/corallanding/controller/handover_driver.py
+++ b/corallanding/controller/handover_driver.py
@@ -1,4 +1,4 @@
-"""What both sides of a handover are made of: `upgrade.core` is carried out, the other heard, the time watched."""
+"""What both sides of a handover have in common: carry out commands, receive messages, watch the time."""
 
 from __future__ import annotations
 
@@ -10,88 +10,103 @@
 from abc import ABC, abstractmethod
 from typing import Generic, TypeVar
 
-from ..upgrade.core import HandoverCommand, Phase, Predecessor, Successor
-from ..upgrade.pipe import HandoverPipe, PipeClosedError
+from ..errors import HandoverError
+from ..upgrade.pipe import HandoverPipe, PipeClosedError, PipeMessage
+from ..upgrade.state_machine import HandoverCommand, Phase, Predecessor, Successor
+
+FINAL_PHASES = (Phase.IDLE, Phase.OVER, Phase.OWNER)
 
 
 def stop_at_test_point(point: str) -> None:
-    """Where tests end a process or let it stand still: CORALLANDING_HALT=<kill|stop>:<point>. Every step is named."""
+    """Let tests kill or stop a process at any point: CORALLANDING_HALT=<kill|stop>:<point>."""
     how, _, where = os.environ.get("CORALLANDING_HALT", "").partition(":")
     if where == point:
         os.kill(os.getpid(), signal.SIGKILL if how == "kill" else signal.SIGSTOP)
 
 
 def now() -> float:
+    """Milliseconds on the monotonic clock."""
     return time.monotonic() * 1000.0
 
 
 class TerminationLock:
-    """A file lock: only who has it may end the other. It goes with its process."""
+    """A file lock: only the process that holds it may kill the other. It is released when its process ends."""
 
     def __init__(self, path: str) -> None:
-        self.path, self.fd = path, -1
+        self.path = path
+        self.descriptor = -1
 
     def acquire(self) -> bool:
-        self.fd = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        """Take the lock; false if the other process holds it. Raises `OSError` if the file cannot be opened."""
+        self.descriptor = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
-            fcntl.flock(self.fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(self.descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            os.close(self.fd)
+            os.close(self.descriptor)
             return False
         return True
 
     def release(self) -> None:
-        os.close(self.fd)
+        """Release the lock."""
+        os.close(self.descriptor)
 
 
-Core = TypeVar("Core", Predecessor, Successor)
+StateMachine = TypeVar("StateMachine", Predecessor, Successor)
 
 
-class HandoverSide(ABC, Generic[Core]):
-    """One process's part: does what the core says, hears the other, watches the time."""
+class HandoverSide(ABC, Generic[StateMachine]):
+    """One process's part: carries out what its state machine commands. `name` stands in the names of test points."""
 
     name: str
-    core: Core
+    state_machine: StateMachine
     pipe: HandoverPipe | None
 
     @property
-    def words(self) -> HandoverPipe:
-        assert self.pipe, "no process was started"
+    def open_pipe(self) -> HandoverPipe:
+        """The pipe to the other process. Raises `HandoverError` if none was started."""
+        if self.pipe is None:
+            raise HandoverError("no process was started")
         return self.pipe
 
-    async def drive(self, todo: list[HandoverCommand]) -> None:
-        """Until the core has come to its end."""
-        loop = asyncio.get_running_loop()
-        hearing: asyncio.Future[tuple[str, bytes]] | None = None
+    async def drive(self, commands: list[HandoverCommand]) -> None:
+        """Carry out commands, and those that follow from messages and time, to the end of the handover."""
+        receiving: asyncio.Future[PipeMessage] | None = None
         while True:
-            for a in todo:
-                stop_at_test_point(f"{self.name} before {a.value}")
-                more = await self.perform(a)
-                if more is not None:
-                    todo = more
-                    break
-            else:
-                if self.core.phase in (Phase.IDLE, Phase.OVER, Phase.OWNER):
-                    return
-                if hearing is None:
-                    hearing = loop.run_in_executor(None, self.words.receive_message)
-                done, _ = await asyncio.wait({hearing}, timeout=max(0.0, self.core.deadline - now()) / 1000.0)
-                if not done:
-                    todo = self.core.on_tick(now())
-                    continue
-                try:
-                    todo = await self.on_message(*hearing.result())
-                except PipeClosedError:
-                    todo = await self.on_peer_lost()
-                hearing = None
-
-    async def on_message(self, word: str, detail: bytes) -> list[HandoverCommand]:
-        """Raises `Gone`."""
-        return self.core.on_message(now(), word, detail.decode("utf-8", "replace"))
+            await self._perform_all(commands)
+            if self.state_machine.phase in FINAL_PHASES:
+                return
+            if receiving is None:
+                receiving = asyncio.get_running_loop().run_in_executor(None, self.open_pipe.receive_message)
+            timeout_s = max(0.0, self.state_machine.deadline - now()) / 1000.0
+            done, _ = await asyncio.wait({receiving}, timeout=timeout_s)
+            if not done:
+                commands = self.state_machine.on_tick(now())
+                continue
+            try:
+                commands = await self.on_message(receiving.result())
+            except PipeClosedError:
+                commands = await self.on_peer_lost()
+            receiving = None
+
+    async def _perform_all(self, commands: list[HandoverCommand]) -> None:
+        """Carry out commands; where one has others instead of the rest, those."""
+        remaining = list(commands)
+        while remaining:
+            command = remaining.pop(0)
+            stop_at_test_point(f"{self.name} before {command.value}")
+            instead = await self.perform(command)
+            if instead is not None:
+                remaining = list(instead)
+
+    async def on_message(self, message: PipeMessage) -> list[HandoverCommand]:
+        """The other process has sent a message. Raises `PipeClosedError`."""
+        detail = message.detail.decode("utf-8", "replace")
+        return self.state_machine.on_message(now(), message.name, detail)
 
     async def on_peer_lost(self) -> list[HandoverCommand]:
-        return self.core.on_peer_lost(now())
+        """The other process has closed its end of the pipe."""
+        return self.state_machine.on_peer_lost(now())
 
     @abstractmethod
-    async def perform(self, a: HandoverCommand) -> list[HandoverCommand] | None:
-        """Another list of things to do in place of the rest, if this one did not go."""
+    async def perform(self, command: HandoverCommand) -> list[HandoverCommand] | None:
+        """Carry out one command. Returns commands to carry out instead of the remaining ones if it failed."""
--- a/corallanding/controller/handover_receiver.py
+++ b/corallanding/controller/handover_receiver.py
@@ -1,4 +1,4 @@
-"""The new process's side of a handover."""
+"""The successor's side of a handover: receives state and sockets, and starts the controller from them."""
 
 from __future__ import annotations
 
@@ -13,123 +13,148 @@
 from ..snapshot.rankings import StoredRanking
 from ..store import StoreError
 from ..telemetry import log
-from ..upgrade.core import PROTOCOL, HandoverCommand, Phase, Successor
-from ..upgrade.pipe import HandoverPipe, PipeClosedError, peer_credentials
+from ..upgrade.pipe import HandoverPipe, PipeClosedError, PipeMessage, peer_credentials
+from ..upgrade.state_machine import PROTOCOL, HandoverCommand, HandoverMessage, Phase, Successor
 from .handover_driver import HandoverSide, TerminationLock, now, stop_at_test_point
 from .handover_state import HandoverState
 from .recovery import StateMismatchError
 
 
 class HandoverReceiver(HandoverSide[Successor]):
-    """The process that is to speak. `start(handed, fds)` builds the steward and opens the store (raises `StoreFault`,
-    `OSError`, `Unfit`); `check(handed)` tells whether the state can be used."""
+    """Takes over from the process at the other end of a pipe.
+
+    `check(state)` raises `StateMismatchError` if a state cannot be used. `start(state, descriptors, rankings)` builds
+    the controller and opens the store; it raises `StoreError`, `OSError` or `StateMismatchError`.
+    """
 
     name = "new"
 
     def __init__(
         self,
         pipe: HandoverPipe,
-        within: float,
+        timeout_ms: float,
         store: str,
         check: Callable[[HandoverState], None],
         start: Callable[[HandoverState | None, list[int], list[StoredRanking]], Awaitable[None]],
     ) -> None:
-        self.pipe, self.core = pipe, Successor(within)
-        self.arbiter, self.check, self.start = TerminationLock(f"{store}.handover"), check, start
-        self.old, self.user = peer_credentials(pipe.sock)
-        self.body = b""
-        self.marks: list[StoredRanking] = []
-        self.handed: HandoverState | None = None
-        self.fds: list[int] = []
-        self.why = ""
+        self.pipe = pipe
+        self.state_machine = Successor(timeout_ms)
+        self.termination_lock = TerminationLock(f"{store}.handover")
+        self.check = check
+        self.start = start
+        self.predecessor = peer_credentials(pipe.socket)
+        self.packed_state = b""
+        self.rankings: list[StoredRanking] = []
+        self.state: HandoverState | None = None
+        self.descriptors: list[int] = []
+        self.failure = ""
 
     async def run(self) -> bool:
-        """True once this process speaks; false if it is to end."""
-        if self.user != os.getuid():
-            log.error("handover refused: the other side is of another user", user=self.user)
+        """Take over; true once this process controls, false if it is to end."""
+        if self.predecessor.user != os.getuid():
+            log.error("handover refused: the other side is of another user", user=self.predecessor.user)
             return False
-        await self.drive(self.core.start(now()))
-        if self.core.phase is not Phase.OWNER:
+        await self.drive(self.state_machine.start(now()))
+        if self.state_machine.phase is not Phase.OWNER:
             return False
         stop_at_test_point("new after all")
-        self.words.close()
+        self.open_pipe.close()
         return True
 
-    async def on_message(self, word: str, detail: bytes) -> list[HandoverCommand]:
-        if word == "marks":
-            self.core.deadline = now() + self.core.timeout_ms
-            try:
-                self.marks = msgspec.msgpack.decode(detail, type=list[StoredRanking])
-            except msgspec.DecodeError as fault:
-                log.warning("marks not used; they are worked out anew", why=str(fault))
+    async def on_message(self, message: PipeMessage) -> list[HandoverCommand]:
+        """Take in rankings, or the state with the sockets that follow it; other messages as they are."""
+        if message.name == HandoverMessage.RANKINGS:
+            self._take_rankings(message.detail)
             return []
-        if word == "state":
-            loop, self.body = asyncio.get_running_loop(), detail
-            count_word, count = await loop.run_in_executor(None, self.words.receive_message)
-            if count_word != "sockets":
-                raise PipeClosedError(f"{count_word!r} in place of sockets")
-            self.fds = await loop.run_in_executor(None, self.words.receive_descriptors, int(count))
-        return self.core.on_message(now(), word)
+        if message.name == HandoverMessage.STATE:
+            self.packed_state = message.detail
+            self.descriptors = await self._receive_sockets()
+        return self.state_machine.on_message(now(), message.name)
+
+    def _take_rankings(self, body: bytes) -> None:
+        self.state_machine.deadline = now() + self.state_machine.timeout_ms
+        try:
+            self.rankings = msgspec.msgpack.decode(body, type=list[StoredRanking])
+        except msgspec.DecodeError as error:
+            log.warning("marks not used; they are worked out anew", why=str(error))
+
+    async def _receive_sockets(self) -> list[int]:
+        loop = asyncio.get_running_loop()
+        message = await loop.run_in_executor(None, self.open_pipe.receive_message)
+        if message.name != HandoverMessage.SOCKETS:
+            raise PipeClosedError(f"{message.name!r} in place of sockets")
+        return await loop.run_in_executor(None, self.open_pipe.receive_descriptors, int(message.detail))
 
     async def on_peer_lost(self) -> list[HandoverCommand]:
-        # Its end of the pipe closes before its lock on the store does.
-        await self.gone(self.old)
-        return self.core.on_peer_lost(now())
+        """Wait for the end of the predecessor: its end of the pipe closes before its lock on the store does."""
+        await self._wait_for_end(self.predecessor.process)
+        return self.state_machine.on_peer_lost(now())
 
-    async def perform(self, a: HandoverCommand) -> list[HandoverCommand] | None:
+    async def perform(self, command: HandoverCommand) -> list[HandoverCommand] | None:
+        """Carry out one command of the state machine."""
         try:
-            match a:
-                case HandoverCommand.SEND_READY:
-                    self.words.send_message("ready", str(PROTOCOL).encode())
-                case HandoverCommand.LOAD:
-                    try:
-                        self.handed = snapshots.unpack(self.body, HandoverState)
-                        self.check(self.handed)
-                    except (snapshots.SnapshotError, StateMismatchError) as fault:
-                        # Versions or settings that share no state: sockets are taken, forwarders dial anew.
-                        log.warning("state not used; forwarders will join anew", why=str(fault))
-                        self.handed = None
-                    return self.core.on_state_loaded(now(), True)
-                case HandoverCommand.SEND_CHECKED:
-                    self.words.send_message("checked")
-                case HandoverCommand.OPEN_STORE | HandoverCommand.COLD_START:
-                    # Steward and store in one: nothing of it speaks before it returns.
-                    await self.start(self.handed, self.fds, self.marks)
-                case HandoverCommand.SEND_TAKEN:
-                    self.words.send_message("taken")
-                case HandoverCommand.SEND_FAILED:
-                    self.words.send_message("failed", self.why.encode())
-                case HandoverCommand.END_OTHER:
-                    if not self.arbiter.acquire():
-                        return self.core.on_lock_lost()
-                    await self.end(self.old)
-                    self.arbiter.release()
-        except (StoreError, StateMismatchError, OSError) as fault:
-            self.why = str(fault)
-            log.error("cannot take over", why=self.why)
-            return self.core.on_store_opened(now(), False)
+            return await self._perform(command)
+        except (StoreError, StateMismatchError, OSError) as error:
+            self.failure = str(error)
+            log.error("cannot take over", why=self.failure)
+            return self.state_machine.on_store_opened(now(), False)
         except PipeClosedError:
-            return self.core.on_peer_lost(now()) if a is not HandoverCommand.SEND_TAKEN else None
+            # Once this process controls, the predecessor needs to know nothing more.
+            return None if command is HandoverCommand.SEND_TAKEN else self.state_machine.on_peer_lost(now())
+
+    async def _perform(self, command: HandoverCommand) -> list[HandoverCommand] | None:
+        match command:
+            case HandoverCommand.SEND_READY:
+                self.open_pipe.send_message(HandoverMessage.READY, str(PROTOCOL).encode())
+            case HandoverCommand.LOAD:
+                self._load_state()
+                return self.state_machine.on_state_loaded(now(), True)
+            case HandoverCommand.SEND_CHECKED:
+                self.open_pipe.send_message(HandoverMessage.CHECKED)
+            case HandoverCommand.OPEN_STORE | HandoverCommand.COLD_START:
+                # Controller and store in one call: nothing is sent before it returns.
+                await self.start(self.state, self.descriptors, self.rankings)
+            case HandoverCommand.SEND_TAKEN:
+                self.open_pipe.send_message(HandoverMessage.TAKEN)
+            case HandoverCommand.SEND_FAILED:
+                self.open_pipe.send_message(HandoverMessage.FAILED, self.failure.encode())
+            case HandoverCommand.END_OTHER:
+                return await self._end_predecessor()
         return None
 
-    async def end(self, process: int) -> None:
-        """SIGKILL, and wait until it is surely gone."""
+    def _load_state(self) -> None:
+        """Unpack the state. One that cannot be used is dropped: sockets are taken over, proxies join anew."""
         try:
-            os.kill(process, signal.SIGKILL)
+            self.state = snapshots.unpack(self.packed_state, HandoverState)
+            self.check(self.state)
+        except (snapshots.SnapshotError, StateMismatchError) as error:
+            log.warning("state not used; forwarders will join anew", why=str(error))
+            self.state = None
+
+    async def _end_predecessor(self) -> list[HandoverCommand] | None:
+        """Kill the predecessor unless it is about to kill this process; wait until it has ended."""
+        if not self.termination_lock.acquire():
+            return self.state_machine.on_lock_lost()
+        try:
+            os.kill(self.predecessor.process, signal.SIGKILL)
         except ProcessLookupError:
-            return
-        await self.gone(process)
+            pass
+        else:
+            await self._wait_for_end(self.predecessor.process)
+        self.termination_lock.release()
+        return None
 
-    async def gone(self, process: int) -> None:
-        """Wait until a process that is dead, or dying, has let go of all that it held."""
+    async def _wait_for_end(self, process: int) -> None:
+        """Wait until a process that is dead, or dying, has released everything that it held."""
         try:
             handle = os.pidfd_open(process)
         except ProcessLookupError:
             return
-        loop, gone = asyncio.get_running_loop(), asyncio.Event()
-        loop.add_reader(handle, gone.set)
+        loop = asyncio.get_running_loop()
+        ended = asyncio.Event()
+        loop.add_reader(handle, ended.set)
         try:
-            await asyncio.wait_for(gone.wait(), self.core.timeout_ms / 1000.0)
+            await asyncio.wait_for(ended.wait(), self.state_machine.timeout_ms / 1000.0)
         except TimeoutError:
             log.error("the process before this one has closed its pipe and does not end", process=process)
         finally:
--- a/corallanding/controller/handover_sender.py
+++ b/corallanding/controller/handover_sender.py
@@ -1,4 +1,4 @@
-"""The old process's side of a handover."""
+"""The predecessor's side of a handover: spawns the successor, and sends it state and sockets."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from ..snapshot.rankings import StoredRanking
 from ..store import StoreLockedError
 from ..telemetry import log
-from ..upgrade.core import HandoverCommand, Predecessor
 from ..upgrade.pipe import HandoverPipe, PipeClosedError
+from ..upgrade.state_machine import HandoverCommand, HandoverMessage, Predecessor
 from .context import ExitCode
 from .handover_driver import HandoverSide, TerminationLock, now
 
@@ -68,80 +68,99 @@
 
 
 class HandoverSender(HandoverSide[Predecessor]):
-    """The process that speaks. `run` returns why nothing came of it, or "" once the new one has taken over."""
+    """Hands a controller to a process that `command` starts.
+
+    A lock beside the store decides which process may kill the other. Each phase may take `timeout_ms`.
+    """
 
     name = "old"
 
-    def __init__(self, source: HandoverSource, store_path: str, command: list[str], within: float) -> None:
-        """store_path: a lock beside it decides who may end the other process. within: ms for each phase."""
-        self.source, self.command, self.core = source, command, Predecessor(within)
-        self.arbiter = TerminationLock(f"{store_path}.handover")
+    def __init__(self, source: HandoverSource, store_path: str, command: list[str], timeout_ms: float) -> None:
+        self.source = source
+        self.command = command
+        self.state_machine = Predecessor(timeout_ms)
+        self.termination_lock = TerminationLock(f"{store_path}.handover")
         self.process: asyncio.subprocess.Process | None = None
         self.pipe = None
 
     async def run(self) -> str:
+        """Hand over; returns why it failed, or "" once the successor has taken over."""
         try:
-            await self.drive(self.core.start(now()))
-            return self.core.failure
+            await self.drive(self.state_machine.start(now()))
+            return self.state_machine.failure
         finally:
             if self.pipe:
                 self.pipe.close()
 
-    async def perform(self, a: HandoverCommand) -> list[HandoverCommand] | None:
+    async def perform(self, command: HandoverCommand) -> list[HandoverCommand] | None:
+        """Carry out one command of the state machine."""
         try:
-            match a:
-                case HandoverCommand.SPAWN:
-                    ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
-                    self.pipe = HandoverPipe(ours)
-                    fd = theirs.fileno()
-                    command = [*self.command, "--take-over", str(fd)]
-                    self.process = await asyncio.create_subprocess_exec(*command, pass_fds=[fd])
-                    theirs.close()
-                case HandoverCommand.PAUSE:
-                    await self.send_marks()
-                    await self.source.pause()
-                case HandoverCommand.SEND_STATE:
-                    await self.send_state()
-                case HandoverCommand.CLOSE_STORE:
-                    self.source.release_store()
-                case HandoverCommand.SEND_COMMIT:
-                    self.words.send_message("commit")
-                case HandoverCommand.END_OTHER:
-                    if not self.arbiter.acquire():
-                        return self.core.on_lock_lost()
-                    if self.process:
-                        if self.process.returncode is None:
-                            self.process.kill()
-                        await self.process.wait()
-                    self.arbiter.release()
-                case HandoverCommand.RESUME:
-                    self.source.take_back()
-                case HandoverCommand.EXIT:
-                    self.source.finish()
-        except (PipeClosedError, OSError) as fault:
-            return self.core.abort(f"{a.value}: {fault}")
-        except StoreLockedError as fault:
-            log.error("the store is not to be had again", why=str(fault))
+            if command is HandoverCommand.END_OTHER:
+                return await self._end_successor()
+            await self._perform(command)
+        except (PipeClosedError, OSError) as error:
+            return self.state_machine.abort(f"{command.value}: {error}")
+        except StoreLockedError as error:
+            log.error("the store is not to be had again", why=str(error))
             self.source.request_stop(ExitCode.STORE)
         return None
 
-    async def send_marks(self) -> None:
-        """Ahead of the state, while this process still speaks: in a large fleet they are the most of it."""
+    async def _perform(self, command: HandoverCommand) -> None:
+        match command:
+            case HandoverCommand.SPAWN:
+                await self._spawn()
+            case HandoverCommand.PAUSE:
+                await self._send_rankings()
+                await self.source.pause()
+            case HandoverCommand.SEND_STATE:
+                await self._send_state()
+            case HandoverCommand.CLOSE_STORE:
+                self.source.release_store()
+            case HandoverCommand.SEND_COMMIT:
+                self.open_pipe.send_message(HandoverMessage.COMMIT)
+            case HandoverCommand.RESUME:
+                self.source.take_back()
+            case HandoverCommand.EXIT:
+                self.source.finish()
+
+    async def _spawn(self) -> None:
+        ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
+        self.pipe = HandoverPipe(ours)
+        descriptor = theirs.fileno()
+        command = [*self.command, "--take-over", str(descriptor)]
+        self.process = await asyncio.create_subprocess_exec(*command, pass_fds=[descriptor])
+        theirs.close()
+
+    async def _end_successor(self) -> list[HandoverCommand] | None:
+        """Kill the successor unless it is about to kill this process; wait until it has ended."""
+        if not self.termination_lock.acquire():
+            return self.state_machine.on_lock_lost()
+        if self.process:
+            if self.process.returncode is None:
+                self.process.kill()
+            await self.process.wait()
+        self.termination_lock.release()
+        return None
+
+    async def _send_rankings(self) -> None:
+        """Send rankings ahead of the state, while this process still controls: in a large fleet they are most of it."""
         body = msgspec.msgpack.encode(await self.source.capture_scores())
-        await asyncio.get_running_loop().run_in_executor(None, self.words.send_message, "marks", body)
+        loop = asyncio.get_running_loop()
+        await loop.run_in_executor(None, self.open_pipe.send_message, HandoverMessage.RANKINGS, body)
 
-    async def send_state(self) -> None:
-        """All state, then the sockets. Raises OSError."""
+    async def _send_state(self) -> None:
+        """Send the state, then the sockets. Raises `OSError` if they cannot be captured."""
         captured = self.source.capture()
-        descriptors = captured.file_descriptors
-
-        def work() -> None:
-            self.words.send_message("state", captured.body)
-            self.words.send_message("sockets", str(len(descriptors)).encode())
-            self.words.send_descriptors(descriptors)
+        await asyncio.get_running_loop().run_in_executor(None, self._send_captured, captured)
 
-        await asyncio.get_running_loop().run_in_executor(None, work)
+    def _send_captured(self, captured: CapturedState) -> None:
+        """Blocks until everything is sent."""
+        descriptors = captured.file_descriptors
+        self.open_pipe.send_message(HandoverMessage.STATE, captured.body)
+        self.open_pipe.send_message(HandoverMessage.SOCKETS, str(len(descriptors)).encode())
+        self.open_pipe.send_descriptors(descriptors)
 
 
 def successor_command(config: str) -> list[str]:
+    """The command that starts a successor with a configuration file."""
     return [sys.executable, "-m", "corallanding.cli.main", "steward", "--config", config]
--- a/corallanding/controller/peer_dispatch.py
+++ b/corallanding/controller/peer_dispatch.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from .peer_transport import SHARED
+from .peer_transport import CLUSTER_PREFIX
 
 Handler = Callable[[int, Any], None]
 
@@ -41,7 +41,7 @@
         self.decoder = msgspec.msgpack.Decoder(functools.reduce(operator.or_, self.handlers))
 
     def on_datagram(self, sender: int, data: bytes) -> None:
-        """Take what followed `SHARED` in a datagram of a controller whose address was checked against its number."""
+        """Take what followed `CLUSTER_PREFIX` in a datagram of a controller, whose address fits its number."""
         if self.decoder is None:
             return  # the other controller has services that are not configured here
         try:
@@ -57,4 +57,4 @@
 
     def send(self, to: int, message: msgspec.Struct) -> None:
         """Send a message to the controller `to`; it may be lost."""
-        self.send_datagram(to, SHARED + msgspec.msgpack.encode(message))
+        self.send_datagram(to, CLUSTER_PREFIX + msgspec.msgpack.encode(message))
--- a/corallanding/controller/peer_services.py
+++ b/corallanding/controller/peer_services.py
@@ -16,7 +16,7 @@
 from .fleet_view import FleetView
 from .inherited_sockets import InheritedSockets
 from .peer_dispatch import PeerDispatcher
-from .peer_transport import SHARED, PeerTransport
+from .peer_transport import CLUSTER_PREFIX, PeerTransport
 
 if TYPE_CHECKING:
     from ..registry.table_store import TableStore
@@ -109,7 +109,7 @@
             self.transport.close()
 
     def _on_datagram(self, sender: int, payload: bytes) -> None:
-        if payload[:1] == SHARED:
+        if payload[:1] == CLUSTER_PREFIX:
             if self._dispatcher:
                 self._dispatcher.on_datagram(sender, payload[1:])
             return
--- a/corallanding/controller/peer_transport.py
+++ b/corallanding/controller/peer_transport.py
@@ -1,4 +1,4 @@
-"""Datagrams between stewards, on a socket of our own: reading can stop, and the socket can go to another process."""
+"""Datagrams between controllers, on a plain socket: reading can be suspended, and the socket handed over."""
 
 from __future__ import annotations
 
@@ -9,79 +9,94 @@
 import msgspec
 
 from ..endpoints.endpoint_list import loopback
+from .step_outputs import MAX_PEER_PAYLOAD_BYTES
 
-AT_ONCE = 64  # datagrams read in one turn of the loop
-PAYLOAD = 256  # bytes
-SHARED = b"\xc1"  # before words on members and budgets; no msgpack begins so, and modules pass over it
+MAX_DATAGRAMS_PER_READ = 64  # read in one turn of the loop
+MAX_DATAGRAM_BYTES = 2048
+# Begins payloads on members and quotas. No MessagePack value begins so, and the assigner ignores such payloads.
+CLUSTER_PREFIX = b"\xc1"
 
 
 class PeerTransport:
-    """peers: number to "ip:port". `heard(peer, payload)` for each word of a known one; `dropped()` for the rest.
+    """Sends and receives payloads of other controllers.
 
-    What comes while reading is held stays in the kernel's buffer, for whoever reads next. Raises OSError if the
-    address cannot be had.
+    `peers` maps the number of a controller to "ip:port". `on_message` is called with sender and payload for each
+    datagram of a known peer, `on_drop` for every other one. What arrives while reading is suspended stays in the
+    kernel's buffer for whoever reads next. Raises `OSError` if the address cannot be had.
     """
 
     def __init__(
         self,
-        me: int,
+        controller_number: int,
         listen: str,
         peers: Mapping[str, str],
-        heard: Callable[[int, bytes], None],
-        dropped: Callable[[], None],
-        given: socket.socket | None = None,
+        on_message: Callable[[int, bytes], None],
+        on_drop: Callable[[], None],
+        inherited: socket.socket | None = None,
     ) -> None:
-        self.controller_number, self.on_message, self.on_drop = me, heard, dropped
+        self.controller_number = controller_number
+        self.on_message = on_message
+        self.on_drop = on_drop
         self.addresses = {number: loopback(address) for number, address in peers.items()}
-        host, port = loopback(listen)
-        if given is None:
-            given = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_DGRAM)
-            try:
-                given.bind((host, port))
-            except OSError:
-                given.close()
-                raise
-        given.setblocking(False)
-        self.socket = given
+        self.socket = inherited or _bind(listen)
+        self.socket.setblocking(False)
         self.resume()
 
     def suspend(self) -> None:
-        """Stop reading: what comes stays in the kernel's buffer."""
+        """Stop reading: what arrives stays in the kernel's buffer."""
         asyncio.get_running_loop().remove_reader(self.socket)
 
     def resume(self) -> None:
         """Read again."""
-        asyncio.get_running_loop().add_reader(self.socket, self.read)
+        asyncio.get_running_loop().add_reader(self.socket, self._on_readable)
 
-    def read(self) -> None:
-        for _ in range(AT_ONCE):
+    def _on_readable(self) -> None:
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
-                data, origin = self.socket.recvfrom(2048)
+                data, origin = self.socket.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             except OSError:
-                continue  # a peer that is gone refused an earlier word
-            try:
-                sender, payload = msgspec.msgpack.decode(data, type=tuple[int, bytes])
-            except msgspec.DecodeError:
-                self.on_drop()
-                continue
-            # Its number alone would let any process of this machine speak as a steward.
-            if origin[:2] != self.addresses.get(str(sender)) or len(payload) > PAYLOAD:
-                self.on_drop()
-                continue
-            self.on_message(sender, payload)
+                continue  # a peer that has ended refused an earlier datagram
+            self._on_datagram(data, origin)
+
+    def _on_datagram(self, data: bytes, origin: tuple[str, int]) -> None:
+        try:
+            sender, payload = msgspec.msgpack.decode(data, type=tuple[int, bytes])
+        except msgspec.DecodeError:
+            self.on_drop()
+            return
+        # By its number alone any process of this machine could pass for a controller.
+        if origin[:2] != self.addresses.get(str(sender)) or len(payload) > MAX_PEER_PAYLOAD_BYTES:
+            self.on_drop()
+            return
+        self.on_message(sender, payload)
 
     def send(self, peer: int | None, payload: bytes) -> None:
-        """To one, or to all. What the socket does not take is lost, as datagrams may be."""
+        """Send to one peer, or with `None` to all. What the socket does not take is lost, as datagrams may be."""
         data = msgspec.msgpack.encode([self.controller_number, payload])
         for number in self.addresses if peer is None else [str(peer)]:
-            if to := self.addresses.get(number):
-                try:
-                    self.socket.sendto(data, to)
-                except OSError:
-                    self.on_drop()
+            address = self.addresses.get(number)
+            if address is None:
+                continue
+            try:
+                self.socket.sendto(data, address)
+            except OSError:
+                self.on_drop()
 
     def close(self) -> None:
+        """Close the socket."""
         self.suspend()
         self.socket.close()
+
+
+def _bind(listen: str) -> socket.socket:
+    """A new socket at "ip:port"."""
+    host, port = loopback(listen)
+    bound = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_DGRAM)
+    try:
+        bound.bind((host, port))
+    except OSError:
+        bound.close()
+        raise
+    return bound
--- a/corallanding/controller/proxy_connections.py
+++ b/corallanding/controller/proxy_connections.py
@@ -12,9 +12,9 @@
 from ..telemetry import log
 from ..wire import frames
 from ..wire.link import Limits
+from .connection_state import ConnectionState
 from .context import Context
 from .engine import Engine
-from .handover_state import ConnectionState
 from .inherited_sockets import InheritedSockets
 from .link_registry import LinkRegistry
 from .peer_services import PeerServices
@@ -59,7 +59,7 @@
         self.proxy_admission = proxy_admission
         self._peers = peers
         self._request_step = request_step
-        # What a link reads of its owner (`proxy_protocol.Owner`).
+        # What a link reads of its owner (`proxy_protocol.ConnectionOwner`).
         self.config = context.config
         self.limits = link_limits(context.config)
         self.clock = context.clock
@@ -69,7 +69,7 @@
         self.forwarders = registry.proxies
         self.strangers = registry.unidentified
 
-    # ---- what a link asks of its owner (`proxy_protocol.Owner`) --------------------------------------------------
+    # ---- what a link asks of its owner (`proxy_protocol.ConnectionOwner`) ----------------------------------------
 
     def frame(self, link: ProxyConnection, frame: frames.Frame) -> None:
         """Take a frame that a proxy sent."""
--- a/corallanding/controller/proxy_protocol.py
+++ b/corallanding/controller/proxy_protocol.py
@@ -1,4 +1,4 @@
-"""The steward's side of forwarder links on sockets: a thin protocol around `wire.link.Link`."""
+"""A proxy's connection on a socket: a thin asyncio protocol around `wire.link.Link`."""
 
 from __future__ import annotations
 
@@ -9,17 +9,22 @@
 from ..wire import frames
 from ..wire.frames import LinkFault
 from ..wire.link import Link
-from .handover_state import restore_connection
+from .connection_state import restore_connection
 
 if TYPE_CHECKING:
     from ..config import ControllerConfig
     from ..telemetry import Metrics, RateLimitedLogger
     from ..wire.link import Limits
-    from .handover_state import ConnectionState
+    from .connection_state import ConnectionState
 
+NO_PROXY = -1  # in place of a number, before the hello
+MAX_REASON_CHARACTERS = 200
+ABORT_AFTER_S = 1.0  # a peer that does not read its last frame must not keep the descriptor
+ABORTED_CODES = ("not-reading", "silent")  # closed without a last frame: the peer would not read it
 
-class Owner(Protocol):
-    """What a link asks of the steward that it belongs to."""
+
+class ConnectionOwner(Protocol):
+    """What a connection needs of the controller that it belongs to."""
 
     config: ControllerConfig
     limits: Limits
@@ -30,105 +35,120 @@
     strangers: dict[ProxyConnection, None]
 
     @property
-    def clock(self) -> Callable[[], float]: ...
+    def clock(self) -> Callable[[], float]:
+        """The controller's clock, ms."""
 
-    def frame(self, link: ProxyConnection, frame: frames.Frame) -> None: ...
+    def frame(self, link: ProxyConnection, frame: frames.Frame) -> None:
+        """A frame has come."""
 
-    def takes(self, link: ProxyConnection, takes: bool) -> None: ...
+    def takes(self, link: ProxyConnection, takes: bool) -> None:
+        """The socket takes no more for now, or takes more again."""
 
-    def gone(self, link: ProxyConnection) -> None: ...
+    def gone(self, link: ProxyConnection) -> None:
+        """The connection is closed."""
 
 
 class ProxyConnection(asyncio.Protocol):
-    """One connection of a forwarder. `joined` once its tables were sent."""
-
-    def __init__(self, steward: Owner, handed: ConnectionState | None = None) -> None:
-        """handed: the connection was another process's."""
-        self.steward, self.handed = steward, handed
-        self.link = Link(steward.limits, steward.clock())
-        self.is_joined = self.is_closed = self.is_write_paused = False
-        self.heartbeat_sent_at = steward.clock()
-        if handed:
-            restore_connection(self.link, handed)
-            self.is_joined, self.heartbeat_sent_at = handed.is_joined, handed.heartbeat_sent_at
+    """One connection of a proxy. `is_joined` once its tables were sent.
+
+    `inherited` is the state of a connection that was the predecessor's.
+    """
+
+    def __init__(self, owner: ConnectionOwner, inherited: ConnectionState | None = None) -> None:
+        self.owner = owner
+        self.inherited = inherited
+        self.link = Link(owner.limits, owner.clock())
+        self.is_joined = False
+        self.is_closed = False
+        self.is_write_paused = False
+        self.heartbeat_sent_at = owner.clock()
+        if inherited:
+            restore_connection(self.link, inherited)
+            self.is_joined = inherited.is_joined
+            self.heartbeat_sent_at = inherited.heartbeat_sent_at
         self.transport: asyncio.Transport | None = None
 
     @property
     def proxy(self) -> int:
-        return self.link.hello.forwarder if self.link.hello else -1
+        """The number of the proxy; `NO_PROXY` before its hello."""
+        return self.link.hello.forwarder if self.link.hello else NO_PROXY
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        transport = cast(asyncio.Transport, transport)
-        self.transport = transport
-        s, f = self.steward, self.steward.config.forwarders
-        if len(s.links) >= f.most + f.strangers_most:
+        """Called by asyncio. Connections beyond the limits are closed, the oldest without a hello first."""
+        self.transport = cast(asyncio.Transport, transport)
+        owner = self.owner
+        limits = owner.config.forwarders
+        if len(owner.links) >= limits.most + limits.strangers_most:
             self.close("full", "too many links")
             return
-        s.links[self] = None
-        if self.handed:
-            s.forwarders[self.proxy] = self
+        owner.links[self] = None
+        if self.inherited:
+            owner.forwarders[self.proxy] = self
             return
-        s.strangers[self] = None
-        if len(s.strangers) > f.strangers_most:
-            # Who means it says hello at once: those that keep silent must not take the places of those that come.
-            next(iter(s.strangers)).close("no-hello", "others wait for the place")
+        owner.strangers[self] = None
+        if len(owner.strangers) > limits.strangers_most:
+            # A proxy sends its hello at once: silent connections must not take the places of those that come.
+            next(iter(owner.strangers)).close("no-hello", "others wait for the place")
 
     def data_received(self, data: bytes) -> None:
+        """Called by asyncio."""
         if self.is_closed:
             return
         try:
-            found = self.link.receive(self.steward.clock(), data)
-        except LinkFault as fault:
-            self.steward.rate_limited_log.warn("link fault", proxy=self.proxy, code=fault.code, why=str(fault))
-            self.close(fault.code, str(fault))
+            received = self.link.receive(self.owner.clock(), data)
+        except LinkFault as error:
+            self.owner.rate_limited_log.warn("link fault", proxy=self.proxy, code=error.code, why=str(error))
+            self.close(error.code, str(error))
             return
-        for frame in found:
+        for frame in received:
             if not self.is_closed:
-                self.steward.frame(self, frame)
+                self.owner.frame(self, frame)
 
     @property
     def unsent_bytes(self) -> int:
+        """What waits in the socket's buffer."""
         return self.transport.get_write_buffer_size() if self.transport and not self.is_closed else 0
 
     def send(self, data: bytes) -> bool:
-        """False if the forwarder reads too slowly: it is cut off, and reads the store when it is back."""
+        """Send a frame. False if the proxy reads too slowly: it is cut off, and reads all tables when it is back."""
         if self.is_closed or self.transport is None:
             return False
         self.transport.write(data)
-        if self.transport.get_write_buffer_size() > self.steward.limits.buffer_most:
-            self.steward.rate_limited_log.warn("link cut off", proxy=self.proxy, why="it does not read")
+        if self.transport.get_write_buffer_size() > self.owner.limits.buffer_most:
+            self.owner.rate_limited_log.warn("link cut off", proxy=self.proxy, why="it does not read")
             self.close("not-reading", "")
             return False
         return True
 
     def pause_writing(self) -> None:
-        """The socket's buffer is full: later orders wait in the channel, where a drain can still overtake them."""
+        """Called by asyncio when the buffer is full: later frames wait in the channel, where urgent ones overtake."""
         self.is_write_paused = True
-        self.steward.takes(self, False)
+        self.owner.takes(self, False)
 
     def resume_writing(self) -> None:
+        """Called by asyncio when the buffer has room again."""
         self.is_write_paused = False
         if not self.is_closed:
-            self.steward.takes(self, True)
+            self.owner.takes(self, True)
 
     def close(self, code: str, text: str = "") -> None:
-        """Close this one link, saying why if the other side still reads."""
+        """Close the connection, with a last frame that says why if the other side still reads."""
         if self.is_closed:
             return
         self.is_closed = True
-        self.steward.metrics.links_closed.labels(code).inc()
+        self.owner.metrics.links_closed.labels(code).inc()
         if self.transport:
-            if code in ("not-reading", "silent"):
+            if code in ABORTED_CODES:
                 self.transport.abort()
             else:
-                self.transport.write(frames.encode(frames.Bye(code, text[:200])))
+                self.transport.write(frames.encode(frames.Bye(code, text[:MAX_REASON_CHARACTERS])))
                 self.transport.close()
-                # A peer that does not read its last frame must not keep the descriptor.
-                asyncio.get_running_loop().call_later(1.0, self.transport.abort)
-        self.steward.gone(self)
+                asyncio.get_running_loop().call_later(ABORT_AFTER_S, self.transport.abort)
+        self.owner.gone(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Called by asyncio."""
         if not self.is_closed:
             self.is_closed = True
-            self.steward.metrics.links_closed.labels("broken" if exc else "closed").inc()
-            self.steward.gone(self)
+            self.owner.metrics.links_closed.labels("broken" if exc else "closed").inc()
+            self.owner.gone(self)
--- a/corallanding/controller/publisher.py
+++ b/corallanding/controller/publisher.py
@@ -91,6 +91,14 @@
         self.leaving_hosts: set[int] = set()  # hosts that the list calls draining or removed
         self._tables_frame: tuple[int, bytes] | None = None  # message number, frame with all tables
 
+    def on_host_list(self, update: api.HostListUpdate) -> None:
+        """Note which hosts the list calls draining or removed."""
+        for entry in update.entries:
+            if entry.state == api.HostState.UP:
+                self.leaving_hosts.discard(entry.host)
+            else:
+                self.leaving_hosts.add(entry.host)
+
     def drop_cached_frame(self) -> None:
         """Forget the frame with all tables: they have changed."""
         self._tables_frame = None
--- a/corallanding/controller/snapshot_keeper.py
+++ b/corallanding/controller/snapshot_keeper.py
@@ -106,7 +106,7 @@
         """The steps of all logs from `log_number` on, which is left at the first number that is free."""
         steps: list[Step] = []
         while (path := Path(self._log_path(self.log_number))).exists():
-            steps += recorder.read(path).steps
+            steps += recorder.read_recording(path).steps
             self.log_number += 1
         return steps
 
@@ -133,7 +133,9 @@
     def _begin_log(self, number: int, seed: int) -> bool:
         max_bytes = self._context.config.store.log_most_mb * 1e6
         try:
-            fresh = Recorder(self._log_path(number), self._context.settings, seed, max_bytes, True)
+            fresh = Recorder(
+                self._log_path(number), self._context.settings, seed, max_bytes, starts_after_snapshot=True
+            )
         except OSError as error:
             self._context.rate_limited_log.warn("snapshot not saved", why=str(error))
             return False
--- a/corallanding/controller/state_transfer.py
+++ b/corallanding/controller/state_transfer.py
@@ -12,10 +12,11 @@
 from ..snapshot.assigner_state import StoredHostEntry
 from ..snapshot.rankings import StoredRanking, dump_rankings, load_rankings
 from .active_recording import ActiveRecording
+from .connection_state import capture_connection
 from .context import Context
 from .engine import Engine
 from .handover_sender import CapturedState
-from .handover_state import HandoverState, capture_connection, capture_handover, restore_handover
+from .handover_state import HandoverExtras, HandoverState, HostListState, capture_handover, restore_handover
 from .load_weights import LoadWeights
 from .proxy_connections import ProxyConnections
 from .snapshot_keeper import SnapshotKeeper
@@ -66,10 +67,10 @@
         """
         state = self._snapshots.capture(self._snapshots.log_number)
         if state is None:
-            raise OSError("this module's state cannot be handover over")
+            raise OSError("this module's state cannot be handed over")
         links = [link for link in self._connections.links if link.link.hello and not link.is_closed and link.transport]
         view = self._view
-        host_list = (
+        host_list = HostListState(
             view.version,
             list(view.entries.values()),
             dict(view.addresses),
@@ -77,7 +78,12 @@
             sorted(view.known),
         )
         link_states = [
-            capture_connection(link.link, link.is_joined, link.is_write_paused, link.heartbeat_sent_at)
+            capture_connection(
+                link.link,
+                is_joined=link.is_joined,
+                is_write_paused=link.is_write_paused,
+                heartbeat_sent_at=link.heartbeat_sent_at,
+            )
             for link in links
         ]
         feed, intake = self._load_weights.capture()
@@ -87,10 +93,7 @@
             self._channel,
             link_states,
             self._connections.proxy_admission.admission,
-            host_list,
-            self._load_weights.factors,
-            feed,
-            self._recording.position,
+            HandoverExtras(host_list, self._load_weights.factors, feed, self._recording.position),
         )
         link_sockets = [link.transport.get_extra_info("socket").fileno() for link in links if link.transport]
         descriptors = [*servers, *([intake.fileno()] if intake else []), *peer_sockets, *link_sockets]
--- a/corallanding/controller/step_outputs.py
+++ b/corallanding/controller/step_outputs.py
@@ -7,6 +7,7 @@
 from .. import interface as api
 from ..wire import frames
 
+MAX_PEER_PAYLOAD_BYTES = 256  # of a message to another controller
 NO_VERSION = -1  # in place of a version: the frame needs no acknowledgement
 
 
--- a/corallanding/lab/fleet/runs.py
+++ b/corallanding/lab/fleet/runs.py
@@ -24,7 +24,7 @@
 from ... import interface as api
 from ...config import ControllerConfig
 from ...controller.event_inbox import Decider
-from ...controller.recorder import read as read_recording
+from ...controller.recorder import read_recording
 from .. import report, trace
 from ..publishers import PUBLISHERS
 from ..scenario import Scenario
--- a/corallanding/lab/fleet/steward.py
+++ b/corallanding/lab/fleet/steward.py
@@ -150,8 +150,8 @@
         backlog: int,
         rate: float,
         factory: Callable[[], asyncio.Protocol],
-        said: Callable[[str], None],
-        given: socket.socket | None = None,
+        on_warning: Callable[[str], None],
+        inherited: socket.socket | None = None,
     ) -> Any:
         """A listener on the simulated network."""
         return SimListener(self.loop.listen(factory, host, port))
--- a/corallanding/upgrade/__init__.py
+++ b/corallanding/upgrade/__init__.py
@@ -1,1 +1,1 @@
-"""Handing a running steward to a new process: who owns what when (`core`), and how it goes over (`pipe`)."""
+"""Hands a running controller to a new process: who controls when (`state_machine`), and the pipe between them."""
--- a/corallanding/upgrade/pipe.py
+++ b/corallanding/upgrade/pipe.py
@@ -1,93 +1,120 @@
-"""Words and descriptors between the two processes of a handover, over a private pair of unix sockets.
+"""Messages and file descriptors between the two processes of a handover, over a private pair of Unix sockets.
 
-Calls block, and belong into a thread. Each word is a length, then MessagePack [word, detail].
+Calls block, and belong into a thread. A message is its length in four bytes, then MessagePack [name, detail].
 """
 
 from __future__ import annotations
 
+import contextlib
 import os
 import socket
 import struct
+from typing import NamedTuple
 
 import msgspec
 
-MOST = 1 << 30
-AT_ONCE = 200  # descriptors a message; the kernel takes 253
+from ..errors import ConnectionLostError
 
+LENGTH_BYTES = 4
+MAX_MESSAGE_BYTES = 1 << 30
+READ_BYTES = 1 << 20
+MAX_DESCRIPTORS_PER_MESSAGE = 200  # the kernel takes 253
+DESCRIPTORS_TAG = b"F"  # the byte that descriptors travel with
+CREDENTIALS_FORMAT = "3i"  # struct ucred: process, user, group
 
-class PipeClosedError(Exception):
-    """The other side has ended, or what came is no word."""
 
+class PipeClosedError(ConnectionLostError):
+    """The other side has ended, or what came is no message."""
 
-def peer_credentials(sock: socket.socket) -> tuple[int, int]:
-    """(process, user) of the other side, as the kernel says."""
-    raw = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
-    pid, uid, _ = struct.unpack("3i", raw)
-    return pid, uid
+
+class PeerCredentials(NamedTuple):
+    """The process at the other end of a Unix socket, and its user, as the kernel says."""
+
+    process: int
+    user: int
+
+
+class PipeMessage(NamedTuple):
+    """One message; the form of `detail` depends on its name."""
+
+    name: str
+    detail: bytes
+
+
+def peer_credentials(sock: socket.socket) -> PeerCredentials:
+    """Who is at the other end of a Unix socket."""
+    raw = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize(CREDENTIALS_FORMAT))
+    process, user, _ = struct.unpack(CREDENTIALS_FORMAT, raw)
+    return PeerCredentials(process, user)
 
 
 class HandoverPipe:
+    """One end of the pipe. All calls but `close` raise `PipeClosedError`."""
+
     def __init__(self, sock: socket.socket) -> None:
         sock.setblocking(True)
-        self.sock = sock
+        self.socket = sock
 
-    def send_message(self, word: str, detail: bytes = b"") -> None:
-        """Raises `Gone`."""
-        body = msgspec.msgpack.encode((word, detail))
+    def send_message(self, name: str, detail: bytes = b"") -> None:
+        """Send one message."""
+        body = msgspec.msgpack.encode((name, detail))
         try:
-            self.sock.sendall(len(body).to_bytes(4, "big") + body)
-        except OSError as fault:
-            raise PipeClosedError(str(fault)) from None
-
-    def receive_message(self) -> tuple[str, bytes]:
-        """Raises `Gone`."""
-        length = int.from_bytes(self.take(4), "big")
-        if length > MOST:
-            raise PipeClosedError(f"a word of {length} bytes")
+            self.socket.sendall(len(body).to_bytes(LENGTH_BYTES, "big") + body)
+        except OSError as error:
+            raise PipeClosedError(str(error)) from None
+
+    def receive_message(self) -> PipeMessage:
+        """Wait for one message."""
+        length = int.from_bytes(self._read_exactly(LENGTH_BYTES), "big")
+        if length > MAX_MESSAGE_BYTES:
+            raise PipeClosedError(f"a message of {length} bytes")
         try:
-            word, detail = msgspec.msgpack.decode(self.take(length), type=tuple[str, bytes])
-        except msgspec.DecodeError as fault:
-            raise PipeClosedError(str(fault)) from None
-        return word, detail
+            name, detail = msgspec.msgpack.decode(self._read_exactly(length), type=tuple[str, bytes])
+        except msgspec.DecodeError as error:
+            raise PipeClosedError(str(error)) from None
+        return PipeMessage(name, detail)
 
-    def take(self, size: int) -> bytes:
+    def _read_exactly(self, size: int) -> bytes:
         data = bytearray()
         while len(data) < size:
             try:
-                got = self.sock.recv(min(size - len(data), 1 << 20))
-            except OSError as fault:
-                raise PipeClosedError(str(fault)) from None
-            if not got:
+                chunk = self.socket.recv(min(size - len(data), READ_BYTES))
+            except OSError as error:
+                raise PipeClosedError(str(error)) from None
+            if not chunk:
                 raise PipeClosedError("the other side has ended")
-            data += got
+            data += chunk
         return bytes(data)
 
-    def send_descriptors(self, fds: list[int]) -> None:
-        """Descriptors, in order. Raises `Gone`."""
-        for at in range(0, len(fds), AT_ONCE):
+    def send_descriptors(self, descriptors: list[int]) -> None:
+        """Send file descriptors, in order."""
+        for at in range(0, len(descriptors), MAX_DESCRIPTORS_PER_MESSAGE):
             try:
-                socket.send_fds(self.sock, [b"F"], fds[at : at + AT_ONCE])
-            except OSError as fault:
-                raise PipeClosedError(str(fault)) from None
+                socket.send_fds(self.socket, [DESCRIPTORS_TAG], descriptors[at : at + MAX_DESCRIPTORS_PER_MESSAGE])
+            except OSError as error:
+                raise PipeClosedError(str(error)) from None
 
     def receive_descriptors(self, count: int) -> list[int]:
-        """As many as were given; all are closed if they do not come whole. Raises `Gone`."""
-        found: list[int] = []
+        """Wait for `count` file descriptors; those that came are closed if not all come."""
+        received: list[int] = []
         try:
-            while len(found) < count:
-                data, fds, flags, _ = socket.recv_fds(self.sock, 1, AT_ONCE)
-                found += fds
-                if not data or not fds or flags & socket.MSG_CTRUNC:
-                    raise PipeClosedError(f"{len(found)} of {count} descriptors came")
-        except (OSError, PipeClosedError) as fault:
-            for fd in found:
-                os.close(fd)
-            raise PipeClosedError(str(fault)) from None
-        return found
+            while len(received) < count:
+                self._receive_some(received, count)
+        except (OSError, PipeClosedError) as error:
+            for descriptor in received:
+                os.close(descriptor)
+            raise PipeClosedError(str(error)) from None
+        return received
+
+    def _receive_some(self, received: list[int], count: int) -> None:
+        """Add the descriptors of one message to those received."""
+        data, descriptors, flags, _ = socket.recv_fds(self.socket, 1, MAX_DESCRIPTORS_PER_MESSAGE)
+        received += descriptors
+        if not data or not descriptors or flags & socket.MSG_CTRUNC:
+            raise PipeClosedError(f"{len(received)} of {count} descriptors came")
 
     def close(self) -> None:
-        try:
-            self.sock.shutdown(socket.SHUT_RDWR)  # wakes the thread that reads
-        except OSError:
-            pass
-        self.sock.close()
+        """Close this end; a thread that reads from it wakes up."""
+        with contextlib.suppress(OSError):
+            self.socket.shutdown(socket.SHUT_RDWR)
+        self.socket.close()
--- a/tests/assignment/test_golden_days.py
+++ b/tests/assignment/test_golden_days.py
@@ -9,7 +9,7 @@
 
 from corallanding.assignment import Assigner
 from corallanding.assignment.state import Host
-from corallanding.controller.recorder import compare, read
+from corallanding.controller.recorder import find_difference, read_recording
 from tests.assignment.generated_days import CHECKSUM_STEPS, DAYS, GOLDEN, golden_checksums, play
 
 GOLDEN_CHECKSUMS = golden_checksums()
@@ -27,9 +27,9 @@
 def test_a_day_of_the_lab_when_replayed_then_every_action_is_as_before(start: int, tmp_path: Path) -> None:
     path = tmp_path / "day.rec"
     path.write_bytes(gzip.decompress((GOLDEN / f"bad-day-{start}.rec.gz").read_bytes()))
-    recording = read(path)
+    recording = read_recording(path)
     assert len(recording.steps) > 400
-    assert compare(recording, Assigner) == ""
+    assert find_difference(recording, Assigner) == ""
 
 
 def test_generated_days_when_one_host_bears_a_little_more_then_they_differ(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/controller/test_peer_dispatch.py
+++ b/tests/controller/test_peer_dispatch.py
@@ -8,7 +8,7 @@
 import pytest
 
 from corallanding.controller.peer_dispatch import PeerDispatcher
-from corallanding.controller.peer_transport import SHARED
+from corallanding.controller.peer_transport import CLUSTER_PREFIX
 
 
 class Greeting(msgspec.Struct, frozen=True, array_like=True, tag_field="t", tag=91):
@@ -58,8 +58,8 @@
     scene.dispatcher.register((Farewell,), scene.on_message, is_small)
     scene.dispatcher.send(3, Farewell(7))
     ((to, data),) = scene.sent
-    assert (to, data[: len(SHARED)]) == (3, SHARED)
-    scene.dispatcher.on_datagram(1, data[len(SHARED) :])
+    assert (to, data[: len(CLUSTER_PREFIX)]) == (3, CLUSTER_PREFIX)
+    scene.dispatcher.on_datagram(1, data[len(CLUSTER_PREFIX) :])
     assert scene.received == [(1, Farewell(7))]
 
 
--- a/tests/stored_samples.py
+++ b/tests/stored_samples.py
@@ -13,8 +13,9 @@
 from corallanding.assignment import Assigner
 from corallanding.channel import Channel
 from corallanding.channel import Limits as ChannelLimits
+from corallanding.controller.connection_state import ConnectionState, capture_connection
 from corallanding.controller.engine import Engine
-from corallanding.controller.handover_state import ConnectionState, HandoverState, capture_connection, capture_handover
+from corallanding.controller.handover_state import HandoverExtras, HandoverState, HostListState, capture_handover
 from corallanding.controller.join_admission import JoinAdmission
 from corallanding.controller.recovery import ControllerState, capture_state
 from corallanding.controller.step_outputs import SendFrame
@@ -298,7 +299,10 @@
     busy.marked(START + 3.0, 40)
     busy.marked(START + 4.0, 41)
     idle.receive(START + 5.0, frames.encode(frames.Hello(1, 2, "two")))
-    return [capture_connection(busy, True, False, START + 6.0), capture_connection(idle, False, True, START + 7.0)]
+    return [
+        capture_connection(busy, is_joined=True, is_write_paused=False, heartbeat_sent_at=START + 6.0),
+        capture_connection(idle, is_joined=False, is_write_paused=True, heartbeat_sent_at=START + 7.0),
+    ]
 
 
 def handed(rig: Rig) -> HandoverState:
@@ -312,7 +316,6 @@
     engine.usage.add(rig.now, 1, 0, frames.Sums(900.0, [(1, 9, 1, 8.0)], [(2, 0, 7, 2)], [(0, 6, 3)]), ADDRESSES, {2})
     rig.joins.request(rig.now, 1)
     rig.joins.request(rig.now, 2)
-    roster = (12, list(ENTRIES), dict(ADDRESSES), dict(STARTED), [0, 1, 5])
-    return capture_handover(
-        engine, rig.state(), rig.channel, links(), rig.joins, roster, {1: 0.5, 2: 0.84}, FEED, ("/var/s.rec", 4096)
-    )
+    host_list = HostListState(12, list(ENTRIES), dict(ADDRESSES), dict(STARTED), [0, 1, 5])
+    extras = HandoverExtras(host_list, {1: 0.5, 2: 0.84}, FEED, ("/var/s.rec", 4096))
+    return capture_handover(engine, rig.state(), rig.channel, links(), rig.joins, extras)
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -14,7 +14,7 @@
 
 from corallanding import interface as api
 from corallanding.cli.main import app
-from corallanding.controller.recorder import Recording, read
+from corallanding.controller.recorder import Recording, read_recording
 from corallanding.lab.commands import lab
 from corallanding.lab.fleet import compare, page, recorded, runs, search
 from corallanding.lab.fleet.emulate import emulate
@@ -355,7 +355,7 @@
     faults = [Fault(kind="crash", at_s=3, for_s=3, part=0.2), Fault(kind="deploy", at_s=5, for_s=6, part=0.3, extra=1)]
     day = HARD.model_copy(update={"seconds": 14.0, "fault": faults})
     e = emulate(day, 1, record=str(tmp_path / "s"))
-    d = recorded.day_of(read(tmp_path / "s-1.rec"), day.roster.notice_ms)
+    d = recorded.day_of(read_recording(tmp_path / "s-1.rec"), day.roster.notice_ms)
     asked = sum(w.count for w in d.windows)
     assert asked == pytest.approx(e.result["invocations"], rel=0.12)  # the last period was never told
     kinds = [x.what for x in d.seen]
--- a/tests/test_revive.py
+++ b/tests/test_revive.py
@@ -162,7 +162,7 @@
     one.begin()
     one.run(20)
     state, tail = one.state(), len(one.log)
-    log = recorder.Recorder(tmp_path / "log", SETTINGS, 1, 1e9, True)
+    log = recorder.Recorder(tmp_path / "log", SETTINGS, 1, 1e9, starts_after_snapshot=True)
     one.run(3)
     sizes = [log.written_bytes]
     for now, events, actions in one.log[tail:]:
@@ -172,7 +172,7 @@
     whole = (tmp_path / "log").read_bytes()
     for cut in range(sizes[0], len(whole) + 1):
         (tmp_path / "log").write_bytes(whole[:cut])
-        steps = recorder.read(tmp_path / "log").steps
+        steps = recorder.read_recording(tmp_path / "log").steps
         assert len(steps) == sum(size <= cut for size in sizes[1:])
         if cut in sizes or cut % 97 == 0:
             assert restore(Rig(2, lines(one.engine)).engine, state, steps, one.now)[0] == len(steps)
@@ -377,7 +377,7 @@
     assert r.is_stopped
     assert "a part" in r.stop_reason
     r.close()
-    found = recorder.read(tmp_path / "r")
+    found = recorder.read_recording(tmp_path / "r")
     assert [now for now, _, _ in found.steps] == [1.0]
     assert found.is_truncated
     with open("/dev/full", "wb", buffering=0) as full:
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -30,19 +30,13 @@
 from corallanding.cli.main import app
 from corallanding.controller import main, record_store
 from corallanding.controller import recorder as record
+from corallanding.controller.channel_state import capture_channel, restore_channel
+from corallanding.controller.connection_state import ConnectionState, capture_connection, restore_connection
 from corallanding.controller.crash_loop import StartHistory
 from corallanding.controller.decision_loop import DecisionLoop
 from corallanding.controller.handover_driver import TerminationLock
 from corallanding.controller.handover_sender import successor_command
-from corallanding.controller.handover_state import (
-    ConnectionState,
-    HandoverState,
-    capture_channel,
-    capture_connection,
-    restore_channel,
-    restore_connection,
-    restore_handover,
-)
+from corallanding.controller.handover_state import HandoverState, restore_handover
 from corallanding.controller.record_store import RecordStore
 from corallanding.controller.recovery import ControllerState, check_state, restore
 from corallanding.interface import stored_names
@@ -62,8 +56,8 @@
 from corallanding.snapshot.rankings import StoredRanking, dump_rankings, load_rankings
 from corallanding.store import SqliteStore, StoreContents
 from corallanding.telemetry.metrics import Metrics
-from corallanding.upgrade.core import PROTOCOL, HandoverCommand, Predecessor, Successor
 from corallanding.upgrade.pipe import HandoverPipe
+from corallanding.upgrade.state_machine import PROTOCOL, HandoverCommand, Predecessor, Successor
 from corallanding.wire import frames
 from corallanding.wire.link import Limits as LinkLimits
 from corallanding.wire.link import Link
@@ -83,7 +77,7 @@
 
 
 def recorded(path: Path, settings: api.Settings, seed: int, steps: list[Any], middle: bool = False) -> bytes:
-    recorder = record.Recorder(path, settings, seed, 1e9, middle)
+    recorder = record.Recorder(path, settings, seed, 1e9, starts_after_snapshot=middle)
     for step in steps:
         recorder.write_step(*step)
     recorder.close()
@@ -121,7 +115,7 @@
 
 
 def test_a_recording_with_every_event_and_action_is_read(tmp_path: Path) -> None:
-    found = record.read(FIXTURES / "recording.bin")
+    found = record.read_recording(FIXTURES / "recording.bin")
     assert (found.settings, found.seed, found.is_truncated, found.starts_after_snapshot) == (
         samples.EVERY_SETTING,
         77,
@@ -137,7 +131,9 @@
 
 def test_a_recording_holds_stored_names_only() -> None:
     """Laid open without the program: the names of types and fields, as other tools read them."""
-    head, step, _ = [msgspec.msgpack.decode(part) for part in record.items((FIXTURES / "recording.bin").read_bytes())]
+    head, step, _ = [
+        msgspec.msgpack.decode(part) for part in record.split_items((FIXTURES / "recording.bin").read_bytes())
+    ]
     assert set(head) == {"corallanding", "seed", "settings", "middle"}
     assert [name for name, _ in step[1]] == [name for name, _ in samples.EVENTS]
     assert [name for name, _ in step[2]] == [name for name, _ in samples.ACTIONS]
@@ -146,8 +142,8 @@
 
 
 def test_items_of_a_recording_are_shown_by_their_stored_names() -> None:
-    assert record.shown(samples.EVENTS[4][1]) == "ProbeDone(host=1, end=OK, latency=2.5, load={'cpu': 0.5})"
-    assert record.shown(samples.ACTIONS[4][1]) == "Level(slice=3, operations=2, amount=1.0, retry=TWICE)"
+    assert record.describe(samples.EVENTS[4][1]) == "ProbeDone(host=1, end=OK, latency=2.5, load={'cpu': 0.5})"
+    assert record.describe(samples.ACTIONS[4][1]) == "Level(slice=3, operations=2, amount=1.0, retry=TWICE)"
 
 
 # ---- snapshots ----------------------------------------------------------------------------------------------------
@@ -254,7 +250,7 @@
     check_state(state, 1, samples.SETTINGS, "boot", 2)
     tables = json.loads((FIXTURES / "snapshot.tables.json").read_text())
     rig = samples.Rig(2, {int(table): {int(h): w for h, w in row.items()} for table, row in tables.items()})
-    log = record.read(FIXTURES / "snapshot.log")
+    log = record.read_recording(FIXTURES / "snapshot.log")
     rig.now = log.steps[-1][0]
     assert log.starts_after_snapshot
     assert restore(rig.engine, state, log.steps, rig.now) == (10, [])
@@ -407,7 +403,9 @@
     busy, idle = Link(LinkLimits(), 0.0), Link(LinkLimits(), 0.0)
     restore_connection(busy, handed.connections[0])
     restore_connection(idle, handed.connections[1])
-    assert capture_connection(busy, True, False, samples.START + 6.0) == handed.connections[0]
+    at = samples.START + 6.0
+    again = capture_connection(busy, is_joined=True, is_write_paused=False, heartbeat_sent_at=at)
+    assert again == handed.connections[0]
     assert busy.receive(samples.START + 9.0, frames.encode(frames.Beat(3.5))[6:]) == [frames.Beat(3.5)]
     assert [number for number, _ in busy.marks] == [40, 41]
     assert not idle.marks
@@ -420,28 +418,33 @@
 def test_each_place_in_the_arrays_of_a_handover_stands_for_what_it_stood_for() -> None:
     handed = file.unpack(handover_words()["state"], HandoverState)
     assert handed.connections[0] == ConnectionState(
-        began=1e9,
+        began_at=1e9,
         hello=frames.Hello(1, 1, "one", 0, 9.5, True, 4, 5, 3),
         is_joined=True,
         is_write_paused=False,
-        heard=1e9 + 2.0,
-        marks=[(40, 1e9 + 3.0), (41, 1e9 + 4.0)],
-        recalled=False,
-        allowance=799.0,
-        flow=7999963.0,
-        counted=1e9 + 2.0,
-        held=frames.encode(frames.Beat(3.5))[:6],
+        last_received_at=1e9 + 2.0,
+        unacked_versions=[(40, 1e9 + 3.0), (41, 1e9 + 4.0)],
+        is_recalled=False,
+        frame_allowance=799.0,
+        byte_allowance=7999963.0,
+        replenished_at=1e9 + 2.0,
+        partial_frame=frames.encode(frames.Beat(3.5))[:6],
         heartbeat_sent_at=1e9 + 6.0,
     )
     raw = plain(handover_words()["state"])["channel"]
     frame, lines, mark, at, orders = raw["messages"][0]
     message = handed.channel.messages[0]
-    assert (message.frame, message.lines, message.mark, message.at) == (frame, lines, mark, at)
+    assert (message.frame, message.cost_lines, message.version, message.submitted_at) == (frame, lines, mark, at)
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(message.orders)) == orders
     forwarder, urgent, ordinary, turns, sent, blocked = raw["ports"][0]
     port = handed.channel.ports[0]
-    assert (port.forwarder, port.urgent, port.plain, port.turns) == (forwarder, urgent, ordinary, turns)
-    assert (port.sent, port.blocked) == (sent, blocked)
+    assert (port.proxy, port.urgent_messages, port.ordinary_messages, port.turns) == (
+        forwarder,
+        urgent,
+        ordinary,
+        turns,
+    )
+    assert (port.sent_at, port.is_blocked) == (sent, blocked)
 
 
 def test_the_words_of_both_processes_of_a_handover() -> None:
@@ -634,11 +637,11 @@
 def test_what_is_stored_of_a_wrong_form_is_refused() -> None:
     for raw in (["Due"], ["Dew", {"handle": 1}], ["Due", {}], ["Due", {"handle": "one"}], ["Due", [1]], 7):
         with pytest.raises((record.RecordingError, msgspec.ValidationError)):
-            record.unpack(raw)
+            record.from_stored_item(raw)
     for entries in (7, [7], [{"zone": 1}], [{"host": 1, "zone": "x"}]):
         with pytest.raises(msgspec.ValidationError):
-            record.unpack(["Membership", {"form": "full", "entries": entries}])
-    assert record.unpack(["Due", {"handle": 1, "of a later version": 2}]) == api.TimerFired(1)
+            record.from_stored_item(["Membership", {"form": "full", "entries": entries}])
+    assert record.from_stored_item(["Due", {"handle": 1, "of a later version": 2}]) == api.TimerFired(1)
 
 
 @dataclass(frozen=True)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -27,7 +27,7 @@
 from corallanding.lab.trace import Trace
 from corallanding.load_reports.envelope import Head, pack
 from corallanding.store import SqliteStore
-from corallanding.upgrade.core import HandoverCommand
+from corallanding.upgrade.state_machine import HandoverCommand
 from corallanding.wire import frames
 
 pytestmark = pytest.mark.processes
@@ -247,7 +247,7 @@
             os.killpg(s.process.pid, signal.SIGKILL)
             told = CliRunner().invoke(app, ["replay", str(tmp_path / "s.rec")])
             assert told.exit_code == 0 and "no difference" in told.output, told.output
-            assert len(recorder.read(tmp_path / "s.rec").steps) > 40
+            assert len(recorder.read_recording(tmp_path / "s.rec").steps) > 40
 
     play(scene())
 
--- a/tests/test_upgrade_core.py
+++ b/tests/test_upgrade_core.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from corallanding.upgrade.core import PROTOCOL, HandoverCommand, Phase, Predecessor, Successor
+from corallanding.upgrade.state_machine import PROTOCOL, HandoverCommand, Phase, Predecessor, Successor
 
 WITHIN = 2.0
 
--- a/tests/test_upgrade_state.py
+++ b/tests/test_upgrade_state.py
@@ -10,12 +10,13 @@
 from corallanding import interface as api
 from corallanding.assignment import Assigner
 from corallanding.channel import Channel, Limits
+from corallanding.controller.connection_state import ConnectionState, capture_connection, restore_connection
 from corallanding.controller.engine import Engine
 from corallanding.controller.handover_state import (
+    HandoverExtras,
     HandoverState,
-    capture_connection,
+    HostListState,
     capture_handover,
-    restore_connection,
     restore_handover,
 )
 from corallanding.controller.join_admission import JoinAdmission
@@ -90,11 +91,9 @@
     def handed(self) -> HandoverState:
         state = capture_state(self.engine, 0, "boot", 5.0, {}, 1)
         assert state
-        roster = (1, list[api.HostEntry](), dict(ADDRESSES), dict[int, float](), [1])
-        return file.unpack(
-            file.pack(capture_handover(self.engine, state, self.channel, [], self.joins, roster, {}, None)),
-            HandoverState,
-        )
+        extras = HandoverExtras(HostListState(1, [], dict(ADDRESSES), {}, [1]), {})
+        captured = capture_handover(self.engine, state, self.channel, [], self.joins, extras)
+        return file.unpack(file.pack(captured), HandoverState)
 
 
 @pytest.mark.parametrize("at", [5, 17, 40, 41, 42, 43, 44, 45, 80, 119])
@@ -146,12 +145,8 @@
     old.marked(3.0, 5)
     cut = len(frames.encode(frames.Hello(1, 7, "s"))) + 2
     assert old.receive(4.0, data[cut - 2 : cut]) == []
-    restore_connection(
-        new,
-        file.unpack(
-            file.pack(capture_connection(old, True, False, 9.0)), type(capture_connection(old, True, False, 9.0))
-        ),
-    )
+    state = capture_connection(old, is_joined=True, is_write_paused=False, heartbeat_sent_at=9.0)
+    restore_connection(new, file.unpack(file.pack(state), ConnectionState))
     got = new.receive(5.0, data[cut:])
     assert [f.number for f in got if isinstance(f, frames.Ack)] == [4, 5]
     assert not new.marks
