--- a/bench/load_reports.py
+++ b/bench/load_reports.py
@@ -289,7 +289,7 @@
         steward = Controller(load_controller(Path(folder) / "s.hcl"), Weights)
         await steward.start()
         rows = [{"host": h, "state": "up", "address": "127.0.0.1:9"} for h in range(10)]
-        steward.host_sources.roster_rows(True, 1, rows)
+        steward.host_sources.on_host_rows(True, 1, rows)
         where = steward.network.servers[0].sockets[0].getsockname()[:2]
         reader, writer = await asyncio.open_connection(*where)
         writer.write(frames.encode(frames.Hello(frames.VERSION, 1, "1")))
--- a/bench/registry.py
+++ b/bench/registry.py
@@ -191,7 +191,7 @@
         self.view: dict[int, str] = {}
         self.rows = 0
 
-    def roster_rows(self, full: bool, version: int, rows: list[Any]) -> None:
+    def on_host_rows(self, full: bool, version: int, rows: list[Any]) -> None:
         self.rows += len(rows)
         self.view = {} if full else self.view
         for row in rows:
@@ -199,7 +199,7 @@
             if row["state"] == "removed":
                 del self.view[row["host"]]
 
-    def roster_failed(self, why: str) -> None: ...
+    def on_source_failure(self, why: str) -> None: ...
 
 
 def source(r: Registry, seat: Seat, k: int) -> Any:
--- a/corallanding/cli/running_controller.py
+++ b/corallanding/cli/running_controller.py
@@ -9,7 +9,7 @@
 from http import HTTPStatus
 
 from ..config import ControllerConfig
-from ..endpoints.endpoint_list import loopback
+from ..endpoints.endpoint_list import parse_loopback_address
 from ..errors import HandoverError
 
 HANDOVER_PHASES = 6  # each lasts at most steward.upgrade_within_ms
@@ -62,7 +62,7 @@
 
 def health_problem(address: str) -> str:
     """What the health page at `address` says is wrong; "" if the controller is healthy."""
-    host, port = loopback(address)
+    host, port = parse_loopback_address(address)
     connection = http.client.HTTPConnection(host, port, timeout=HEALTH_TIMEOUT_S)
     try:
         connection.request("GET", "/healthz")
--- a/corallanding/config/blocks.py
+++ b/corallanding/config/blocks.py
@@ -6,14 +6,14 @@
 
 from pydantic import AfterValidator, BaseModel, ConfigDict, Field
 
-from ..endpoints.endpoint_list import loopback
+from ..endpoints.endpoint_list import parse_loopback_address
 
 MAX_MS = 86_400_000  # a day
 
 
 def on_loopback(address: str) -> str:
     """The address as it stands. Raises ValueError if it is no loopback address with a port."""
-    loopback(address)
+    parse_loopback_address(address)
     return address
 
 
--- a/corallanding/controller/daemon.py
+++ b/corallanding/controller/daemon.py
@@ -13,7 +13,7 @@
 from ..assignment import Assigner
 from ..channel import Channel
 from ..config import ControllerConfig, assigner_settings
-from ..endpoints.endpoint_list import View
+from ..endpoints.endpoint_list import EndpointList
 from ..snapshot.assigner_state import load as load_assigner
 from ..snapshot.rankings import StoredRanking
 from ..store import SqliteStore, Store, StoreContents
@@ -64,7 +64,7 @@
         self.metrics = self.context.metrics
         self.store = store or SqliteStore(config.store.path, config.store.sync)
         self.channel = Channel(channel_limits(config))
-        self.view = View(config.roster.hosts_most)
+        self.view = EndpointList(config.roster.hosts_most)
         self.trust_snapshot = True
         self._recording_path = recording_path
         self._resources = Resources(
--- a/corallanding/controller/fleet_source.py
+++ b/corallanding/controller/fleet_source.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from ..config import ControllerConfig
-from ..endpoints.endpoint_list import View
+from ..endpoints.endpoint_list import EndpointList
 from .clock import Clock
 from .engine import Engine
 from .proxy_channel import ProxyChannel
@@ -17,7 +17,7 @@
     """The `FleetSource` of a running controller. forwarders: the connection of each proxy, by its number."""
 
     config: ControllerConfig
-    view: View
+    view: EndpointList
     engine: Engine
     forwarders: dict[int, ProxyConnection]
     clock: Clock
--- a/corallanding/controller/fleet_view.py
+++ b/corallanding/controller/fleet_view.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple, Protocol
 
 from ..config import ControllerConfig
-from ..endpoints.endpoint_list import View
+from ..endpoints.endpoint_list import EndpointList
 from ..version_pinning.version_selection import PinningHost
 from ..wire import frames
 from .engine import Engine
@@ -17,7 +17,7 @@
     """What the controller must show."""
 
     config: ControllerConfig
-    view: View
+    view: EndpointList
     engine: Engine
     forwarders: dict[int, ProxyConnection]
 
@@ -57,7 +57,7 @@
             warm_up = min(1.0, (now - entry.online_since) / rules.cold_ms)
             capacity = rules.cold_from + (1.0 - rules.cold_from) * warm_up
             is_eligible = entry.state == "up" and host not in excluded
-            versions = view.versions.get(host, {})
+            versions = view.served_versions.get(host, {})
             found[host] = PinningHost(host, entry.weight, capacity, is_eligible, versions, host in in_tables)
         return found
 
--- a/corallanding/controller/host_sources.py
+++ b/corallanding/controller/host_sources.py
@@ -8,8 +8,8 @@
 
 from .. import interface as api
 from ..config.sources import RegistryBlock
-from ..endpoints.endpoint_list import View
-from ..endpoints.source import LineRoster, Source
+from ..endpoints.endpoint_list import EndpointList
+from ..endpoints.source import EndpointSource, LineJsonSource
 from ..errors import ConfigurationError
 from ..store import StoreError
 from .context import Context
@@ -29,7 +29,7 @@
         self,
         context: Context,
         engine: Engine,
-        view: View,
+        view: EndpointList,
         persistence: TablePersistence,
         load_weights: LoadWeights,
         peers: PeerServices,
@@ -41,7 +41,7 @@
         self._load_weights = load_weights
         self._peers = peers
         self._request_step = request_step
-        self._source: Source | None = None
+        self._source: EndpointSource | None = None
         self.view = view
         self.is_unsaved = False
 
@@ -57,7 +57,7 @@
         roster = config.roster
         if roster.address is None:
             raise ConfigurationError("roster.address is not set")
-        self._source = LineRoster(
+        self._source = LineJsonSource(
             roster.address,
             self,
             self._known_version,
@@ -93,7 +93,7 @@
         view = self.view
         entries: Sequence[api.HostEntry] = tuple(view.entries.values())
         try:
-            self._persistence.store.save_host_list(view.version, entries, view.addresses, view.starts)
+            self._persistence.store.save_host_list(view.version, entries, view.addresses, view.process_starts_ms)
             self.is_unsaved = False
         except StoreError as error:
             self._context.rate_limited_log.warn("host list not saved", why=str(error))
@@ -103,14 +103,14 @@
         if self._source:
             self._source.stop()
 
-    # ---- what a source tells its listener (`endpoints.source.Listener`) -------------------------------------------
+    # ---- what a source tells its listener (`endpoints.source.EndpointListener`) -------------------------------------
 
-    def roster_rows(self, full: bool, version: int, rows: list[Any]) -> None:
+    def on_host_rows(self, full: bool, version: int, rows: list[Any]) -> None:
         """Take a list, or changes of it. full: hosts that are not named are removed."""
         now = self._context.clock()
         view = self.view
         addresses_before = dict(view.addresses)
-        event = view.take(now, self._context.wall_ms(), full, version, rows)
+        event = view.apply(now, self._context.wall_ms(), full, version, rows)
         self._report(version)
         moved = [host for host, address in view.addresses.items() if addresses_before.get(host, address) != address]
         if moved:
@@ -121,7 +121,7 @@
         self.is_unsaved = True
         self._request_step()
 
-    def roster_failed(self, why: str) -> None:
+    def on_source_failure(self, why: str) -> None:
         """Note that the source does not answer."""
         self._context.metrics.host_source_failures.inc()
         self._context.rate_limited_log.warn("host list source failed", why=why)
@@ -132,7 +132,7 @@
 
     def _report(self, version: int) -> None:
         metrics = self._context.metrics
-        for text in self.view.bad:
+        for text in self.view.rejected_rows:
             metrics.rejected_host_entries.inc()
             self._context.rate_limited_log.warn("host list entry rejected", why=text)
         metrics.host_list_version.set(version)
@@ -140,4 +140,4 @@
 
     def _known_version(self) -> int:
         """The version to go on from. Release versions of hosts are not saved: where runs need them, all is read."""
-        return self.view.version if self.view.versions or self._context.config.pins is None else 0
+        return self.view.version if self.view.served_versions or self._context.config.pins is None else 0
--- a/corallanding/controller/load_weights.py
+++ b/corallanding/controller/load_weights.py
@@ -10,7 +10,7 @@
 
 from .. import interface as api
 from ..config.sources import LoadReportsBlock
-from ..endpoints.endpoint_list import View
+from ..endpoints.endpoint_list import EndpointList
 from ..load_reports.feed import Feed
 from ..load_reports.load_estimator import Policy
 from ..load_reports.state import FeedState
@@ -67,7 +67,12 @@
     """
 
     def __init__(
-        self, context: Context, engine: Engine, view: View, feed_type: type[Feed], request_step: Callable[[], None]
+        self,
+        context: Context,
+        engine: Engine,
+        view: EndpointList,
+        feed_type: type[Feed],
+        request_step: Callable[[], None],
     ) -> None:
         self._context = context
         self._engine = engine
@@ -111,7 +116,7 @@
         self.has_host_list = True
         if self.feed is None:
             return event
-        self.feed.listed(self._view.entries, self._view.starts, self._context.settings.warm_up_ms)
+        self.feed.listed(self._view.entries, self._view.process_starts_ms, self._context.settings.warm_up_ms)
         self.factors = self.feed.worth.factors()
         return weigh(event, self.factors)
 
--- a/corallanding/controller/network.py
+++ b/corallanding/controller/network.py
@@ -6,7 +6,7 @@
 
 from ..admin.http_server import AdminServer, Route
 from ..config import ControllerConfig
-from ..endpoints.endpoint_list import loopback
+from ..endpoints.endpoint_list import parse_loopback_address
 from ..telemetry import log
 from .acceptor import Listener, raise_descriptor_limit
 from .context import Context
@@ -84,7 +84,7 @@
 
     def _start_listener(self, inherited: InheritedSockets) -> None:
         config = self._context.config
-        host, port = loopback(config.steward.listen)
+        host, port = parse_loopback_address(config.steward.listen)
         self.listener = self._factories.listener(
             host,
             port,
@@ -101,7 +101,7 @@
         if not block:
             return
         self._http = AdminServer(self._routes, block.connections_most, block.header_most_bytes, block.request_within_ms)
-        host, port = loopback(block.listen)
+        host, port = parse_loopback_address(block.listen)
         loop = asyncio.get_running_loop()
         if sock := inherited.take_listener(host, port):
             self.servers.append(await loop.create_server(self._http, sock=sock))
--- a/corallanding/controller/peer_services.py
+++ b/corallanding/controller/peer_services.py
@@ -9,7 +9,7 @@
 from .. import interface as api
 from ..assignment import Assigner
 from ..config import ControllerConfig
-from ..endpoints.endpoint_list import loopback
+from ..endpoints.endpoint_list import parse_loopback_address
 from .cluster import Cluster
 from .context import Context, ProcessState
 from .engine import Engine
@@ -42,7 +42,7 @@
         config = self._context.config.steward
         if not config.peer_listen:
             return
-        sock = inherited.take_listener(*loopback(config.peer_listen), socket.SOCK_DGRAM)
+        sock = inherited.take_listener(*parse_loopback_address(config.peer_listen), socket.SOCK_DGRAM)
         on_drop = self._context.metrics.dropped_peer_datagrams.inc
         self.transport = PeerTransport(
             config.number, config.peer_listen, config.peers, self._on_datagram, on_drop, sock
--- a/corallanding/controller/peer_transport.py
+++ b/corallanding/controller/peer_transport.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..endpoints.endpoint_list import loopback
+from ..endpoints.endpoint_list import parse_loopback_address
 from .step_outputs import MAX_PEER_PAYLOAD_BYTES
 
 MAX_DATAGRAMS_PER_READ = 64  # read in one turn of the loop
@@ -37,7 +37,7 @@
         self.controller_number = controller_number
         self.on_message = on_message
         self.on_drop = on_drop
-        self.addresses = {number: loopback(address) for number, address in peers.items()}
+        self.addresses = {number: parse_loopback_address(address) for number, address in peers.items()}
         self.socket = inherited or _bind(listen)
         self.socket.setblocking(False)
         self.resume()
@@ -92,7 +92,7 @@
 
 def _bind(listen: str) -> socket.socket:
     """A new socket at "ip:port"."""
-    host, port = loopback(listen)
+    host, port = parse_loopback_address(listen)
     bound = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_DGRAM)
     try:
         bound.bind((host, port))
--- a/corallanding/controller/resources.py
+++ b/corallanding/controller/resources.py
@@ -9,7 +9,7 @@
 from ..channel import Channel
 from ..channel import Limits as ChannelLimits
 from ..config import ControllerConfig
-from ..endpoints.endpoint_list import View
+from ..endpoints.endpoint_list import EndpointList
 from ..store import Store
 from .context import Context
 from .event_inbox import Decider
@@ -56,7 +56,7 @@
     context: Context
     store: Store
     channel: Channel
-    view: View
+    view: EndpointList
     admission: JoinAdmission
     decider: Callable[[api.Settings, int], Decider]
     factories: Factories
--- a/corallanding/controller/snapshot_keeper.py
+++ b/corallanding/controller/snapshot_keeper.py
@@ -5,7 +5,7 @@
 import asyncio
 from pathlib import Path
 
-from ..endpoints.endpoint_list import View
+from ..endpoints.endpoint_list import EndpointList
 from ..snapshot import file as snapshots
 from ..telemetry import log
 from . import recorder
@@ -44,7 +44,7 @@
 class SnapshotKeeper:
     """Takes a snapshot now and then, and logs each step after it. log_number: of the present step log."""
 
-    def __init__(self, context: Context, engine: Engine, view: View, log_number: int) -> None:
+    def __init__(self, context: Context, engine: Engine, view: EndpointList, log_number: int) -> None:
         self._context = context
         self._engine = engine
         self._view = view
@@ -54,14 +54,14 @@
 
     def restore(self, state: ControllerState, now: float) -> bool:
         """Go on from a snapshot and the steps logged after it; false, with a log line, if that cannot be."""
-        origins = self._view.origins
+        origins = self._view.first_seen_starts
         try:
             steps = self._read_steps()
-            self._view.origins = {(host, started): since for host, started, since in state.host_origins}
+            self._view.first_seen_starts = {(host, started): since for host, started, since in state.host_origins}
             count, changed = restore(self._engine, state, steps, now)
         except (StateMismatchError, RecordingError, OSError) as error:
             log.warning("snapshot not used; starting from the stored tables", why=str(error))
-            self._view.origins = origins
+            self._view.first_seen_starts = origins
             return False
         log.info(
             "state restored",
@@ -83,7 +83,9 @@
     def capture(self, log_number: int) -> ControllerState | None:
         """The state between two steps; None if the assigner is not one that can be saved."""
         number = self._context.config.steward.number
-        return capture_state(self._engine, number, boot_id(), self._context.clock.zero, self._view.origins, log_number)
+        return capture_state(
+            self._engine, number, boot_id(), self._context.clock.zero, self._view.first_seen_starts, log_number
+        )
 
     def on_step(self, step: DecisionStep) -> None:
         """Log one step."""
--- a/corallanding/controller/startup_state.py
+++ b/corallanding/controller/startup_state.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from ..assignment import Assigner
-from ..endpoints.endpoint_list import View
+from ..endpoints.endpoint_list import EndpointList
 from ..snapshot.rankings import StoredRanking
 from ..store import StoreContents
 from .components import Components
@@ -24,7 +24,9 @@
     loaded_assigner: Assigner | None
 
 
-def restore_assigner(components: Components, view: View, contents: StoreContents, inheritance: Inheritance) -> bool:
+def restore_assigner(
+    components: Components, view: EndpointList, contents: StoreContents, inheritance: Inheritance
+) -> bool:
     """Put the assigner where the last process was; if that cannot be, begin with the stored tables and return false."""
     context = components.context
     now = context.clock()
--- a/corallanding/controller/state_transfer.py
+++ b/corallanding/controller/state_transfer.py
@@ -7,7 +7,7 @@
 
 from ..assignment import Assigner
 from ..channel import Channel
-from ..endpoints.endpoint_list import View
+from ..endpoints.endpoint_list import EndpointList
 from ..snapshot import file as snapshots
 from ..snapshot.assigner_state import StoredHostEntry
 from ..snapshot.rankings import StoredRanking, dump_rankings, load_rankings
@@ -34,7 +34,7 @@
         engine: Engine,
         channel: Channel,
         connections: ProxyConnections,
-        view: View,
+        view: EndpointList,
         load_weights: LoadWeights,
         recording: ActiveRecording,
         snapshots: SnapshotKeeper,
@@ -74,8 +74,8 @@
             view.version,
             list(view.entries.values()),
             dict(view.addresses),
-            dict(view.starts),
-            sorted(view.known),
+            dict(view.process_starts_ms),
+            sorted(view.hosts_ever_listed),
         )
         link_states = [
             capture_connection(
@@ -107,9 +107,9 @@
         view.version = handover.host_list_version
         view.entries = {entry.host: entry for entry in map(StoredHostEntry.entry, handover.host_entries)}
         view.addresses = dict(handover.host_addresses)
-        view.starts = dict(handover.host_starts)
-        view.known = set(handover.known_hosts)
-        view.origins = {(host, started): since for host, started, since in handover.controller.host_origins}
+        view.process_starts_ms = dict(handover.host_starts)
+        view.hosts_ever_listed = set(handover.known_hosts)
+        view.first_seen_starts = {(host, started): since for host, started, since in handover.controller.host_origins}
         self._engine.publisher.addresses = view.addresses
         restore_handover(
             self._engine, handover, self._channel, self._connections.proxy_admission.admission, now, module
--- a/corallanding/endpoints/endpoint_list.py
+++ b/corallanding/endpoints/endpoint_list.py
@@ -19,14 +19,14 @@
 STATES = ("up", "draining", "removed")
 
 
-class BadRow(Exception):
+class InvalidRowError(Exception):
     """One entry of a list that cannot be used; it names the entry and the field."""
 
 
 Versions = Annotated[list[Annotated[int, msgspec.Meta(ge=1, le=2**20)]], msgspec.Meta(max_length=16)]
 
 
-class Row(msgspec.Struct, forbid_unknown_fields=False):
+class EndpointRow(msgspec.Struct, forbid_unknown_fields=False):
     host: Annotated[int, msgspec.Meta(ge=0, le=2**32 - 1)]
     address: str = ""
     zone: Annotated[int, msgspec.Meta(ge=0, le=65535)] = 0
@@ -38,7 +38,7 @@
     versions: Annotated[dict[str, Versions], msgspec.Meta(max_length=64)] = {}  # by operation: those that it serves
 
 
-def loopback(address: str) -> tuple[str, int]:
+def parse_loopback_address(address: str) -> tuple[str, int]:
     """ "127.0.0.1:7000" or "[::1]:7000" as host and port. Raises ValueError on anything but loopback."""
     name, mark, port = address.rpartition(":")
     if not mark or not port.isdigit() or not 0 <= int(port) <= 65535:
@@ -52,37 +52,37 @@
     return str(ip), int(port)
 
 
-def parse(raw: Any) -> Row:
+def parse_row(raw: Any) -> EndpointRow:
     try:
-        row = msgspec.convert(raw, Row)
+        row = msgspec.convert(raw, EndpointRow)
     except msgspec.ValidationError as fault:
         name = raw.get("host", "?") if isinstance(raw, dict) else raw
-        raise BadRow(f"entry of host {str(name)[:40]}: {fault}") from None
+        raise InvalidRowError(f"entry of host {str(name)[:40]}: {fault}") from None
     if row.state not in STATES:
-        raise BadRow(f"entry of host {row.host}: state {row.state[:40]!r} is not one of {', '.join(STATES)}")
+        raise InvalidRowError(f"entry of host {row.host}: state {row.state[:40]!r} is not one of {', '.join(STATES)}")
     if row.state != "removed":
         try:
-            loopback(row.address)
+            parse_loopback_address(row.address)
         except ValueError as fault:
-            raise BadRow(f"entry of host {row.host}: address: {fault}") from None
+            raise InvalidRowError(f"entry of host {row.host}: address: {fault}") from None
     return row
 
 
 @dataclass
-class View:
+class EndpointList:
     """The list as last held. `hosts_most` bounds it: rows beyond are refused by name."""
 
-    hosts_most: int = 10_000
+    max_hosts: int = 10_000
     version: int = 0
     entries: dict[int, api.HostEntry] = field(default_factory=dict)
     addresses: dict[int, str] = field(default_factory=dict)
-    starts: dict[int, float] = field(default_factory=dict)
-    origins: dict[tuple[int, float], float] = field(default_factory=dict)
-    bad: list[str] = field(default_factory=list)  # what the last call had to leave out, and why
-    known: set[int] = field(default_factory=set)  # every host that was ever listed
-    versions: dict[int, dict[str, list[int]]] = field(default_factory=dict)  # of hosts that say which they serve
+    process_starts_ms: dict[int, float] = field(default_factory=dict)
+    first_seen_starts: dict[tuple[int, float], float] = field(default_factory=dict)
+    rejected_rows: list[str] = field(default_factory=list)  # what the last call had to leave out, and why
+    hosts_ever_listed: set[int] = field(default_factory=set)  # every host that was ever listed
+    served_versions: dict[int, dict[str, list[int]]] = field(default_factory=dict)  # of hosts that say which they serve
 
-    def since(self, now: float, wall: float, host: int, started: float) -> float:
+    def online_since(self, now: float, wall: float, host: int, started: float) -> float:
         """A process start on the steward's clock: fixed when first heard, since clocks drift and step.
 
         Guards against a wall-clock step turning a standing process into a new one, and a roster whose clock
@@ -91,11 +91,11 @@
         if started <= 0:
             return 0.0
         key = (host, started)
-        if key not in self.origins:
-            for old in [k for k in self.origins if k[0] == host]:
-                del self.origins[old]
-            self.origins[key] = max(0.0, min(now, now - (wall - started)))
-        return self.origins[key]
+        if key not in self.first_seen_starts:
+            for old in [k for k in self.first_seen_starts if k[0] == host]:
+                del self.first_seen_starts[old]
+            self.first_seen_starts[key] = max(0.0, min(now, now - (wall - started)))
+        return self.first_seen_starts[key]
 
     def restore(
         self,
@@ -109,38 +109,38 @@
         """The saved list, as the first event of a life."""
         rows = []
         for e in entries:
-            since = self.since(now, wall, e.host, starts.get(e.host, 0.0))
+            since = self.online_since(now, wall, e.host, starts.get(e.host, 0.0))
             rows.append(api.HostEntry(e.host, e.zone, e.kind, e.cell, e.state, e.weight, since))
         self.version, self.entries = version, {e.host: e for e in rows}
-        self.addresses, self.starts = dict(addresses), dict(starts)
-        self.known |= set(self.entries)
+        self.addresses, self.process_starts_ms = dict(addresses), dict(starts)
+        self.hosts_ever_listed |= set(self.entries)
         return api.HostListUpdate(api.HostListKind.SAVED, version, tuple(rows))
 
-    def take(self, now: float, wall: float, full: bool, version: int, rows: Sequence[Any]) -> api.HostListUpdate:
+    def apply(self, now: float, wall: float, full: bool, version: int, rows: Sequence[Any]) -> api.HostListUpdate:
         """One list or one set of changes. A full list takes out whom it does not name."""
-        self.bad, entries = [], {}
+        self.rejected_rows, entries = [], {}
         held: set[int] = set()
         for raw in rows:
             try:
-                row = parse(raw)
-            except BadRow as fault:
-                self.bad.append(str(fault))
+                row = parse_row(raw)
+            except InvalidRowError as fault:
+                self.rejected_rows.append(str(fault))
                 host = raw.get("host") if isinstance(raw, dict) else None
                 if isinstance(host, int):
                     held.add(host)
                 continue
-            if row.host not in self.known and len(self.known) >= self.hosts_most:
-                self.bad.append(f"entry of host {row.host}: more than {self.hosts_most} hosts")
+            if row.host not in self.hosts_ever_listed and len(self.hosts_ever_listed) >= self.max_hosts:
+                self.rejected_rows.append(f"entry of host {row.host}: more than {self.max_hosts} hosts")
                 continue
-            since = self.since(now, wall, row.host, row.started)
+            since = self.online_since(now, wall, row.host, row.started)
             state = api.HostState(row.state)
             entries[row.host] = api.HostEntry(row.host, row.zone, row.kind, row.cell, state, row.weight, since)
-            self.known.add(row.host)
-            self.starts[row.host] = row.started
+            self.hosts_ever_listed.add(row.host)
+            self.process_starts_ms[row.host] = row.started
             if row.address:
                 self.addresses[row.host] = row.address
-            if row.versions or row.host in self.versions:
-                self.versions[row.host] = row.versions
+            if row.versions or row.host in self.served_versions:
+                self.served_versions[row.host] = row.versions
         self.version = version
         if full:
             # A host whose entry is damaged is not gone: its last good state stands.
--- a/corallanding/endpoints/source.py
+++ b/corallanding/endpoints/source.py
@@ -13,18 +13,18 @@
 
 import msgspec
 
-from .endpoint_list import loopback
+from .endpoint_list import parse_loopback_address
 
 
-class Listener(Protocol):
+class EndpointListener(Protocol):
     """What a source tells its steward."""
 
-    def roster_rows(self, full: bool, version: int, rows: list[Any]) -> None: ...
+    def on_host_rows(self, full: bool, version: int, rows: list[Any]) -> None: ...
 
-    def roster_failed(self, why: str) -> None: ...
+    def on_source_failure(self, why: str) -> None: ...
 
 
-class Source(Protocol):
+class EndpointSource(Protocol):
     """A registry of hosts: further kinds implement this."""
 
     def start(self) -> None: ...
@@ -48,13 +48,13 @@
 decoder = msgspec.json.Decoder(Line)
 
 
-class LineRoster(asyncio.Protocol):
+class LineJsonSource(asyncio.Protocol):
     """One roster at ADDRESS:PORT, as a `Source`. Limits: bytes of a line, milliseconds of waits."""
 
     def __init__(
         self,
         address: str,
-        listener: Listener,
+        listener: EndpointListener,
         version: Callable[[], int],
         on_request: bool = False,
         line_most: int = 4 << 20,
@@ -63,7 +63,12 @@
         timeout: float = 2_000.0,
         seed: int = 0,
     ) -> None:
-        self.where, self.listener, self.version, self.on_request = loopback(address), listener, version, on_request
+        self.where, self.listener, self.version, self.on_request = (
+            parse_loopback_address(address),
+            listener,
+            version,
+            on_request,
+        )
         self.line_most, self.wait, self.wait_most, self.timeout = line_most, wait, wait_most, timeout
         self.chance = random.Random(seed)
         self.transport: asyncio.Transport | None = None
@@ -98,7 +103,7 @@
             self.transport.write(msgspec.json.encode({"ask": what, "after": after}) + b"\n")
             self.expect()
         elif self.on_request:
-            self.listener.roster_failed("roster not connected")
+            self.listener.on_source_failure("roster not connected")
             self.start()
 
     def expect(self) -> None:
@@ -129,7 +134,7 @@
                 if said.form not in ("full", "changes"):
                     raise msgspec.ValidationError(f"form {said.form[:40]!r} is not full or changes")
             except msgspec.DecodeError as fault:
-                self.listener.roster_failed(f"a line of the roster cannot be read: {fault}")
+                self.listener.on_source_failure(f"a line of the roster cannot be read: {fault}")
                 continue
             if self.asked:
                 self.asked.cancel()
@@ -139,9 +144,9 @@
                 self.ask("fetch")  # a gap: the whole list mends it
                 continue
             self.heard_list = True
-            self.listener.roster_rows(said.form == "full", said.version, said.hosts)
+            self.listener.on_host_rows(said.form == "full", said.version, said.hosts)
         if len(self.held) > self.line_most and self.transport:
-            self.listener.roster_failed(f"a line of the roster is over {self.line_most} bytes")
+            self.listener.on_source_failure(f"a line of the roster is over {self.line_most} bytes")
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -155,7 +160,7 @@
             self.asked = None
         if self.stopped:
             return
-        self.listener.roster_failed(why)
+        self.listener.on_source_failure(why)
         wait = min(self.wait_most, self.wait * 2 ** min(self.tries, 10)) * self.chance.uniform(0.5, 1.0)
         self.tries += 1
         self.timer = asyncio.get_running_loop().call_later(wait / 1000.0, self.start)
--- a/corallanding/health_check/checker.py
+++ b/corallanding/health_check/checker.py
@@ -17,7 +17,7 @@
 import httptools
 
 from .. import interface as api
-from ..endpoints.endpoint_list import loopback
+from ..endpoints.endpoint_list import parse_loopback_address
 
 MAX_ANSWER_BYTES = 16_384
 MAX_LOAD_VALUES = 16
@@ -128,7 +128,7 @@
         timeout_ms: float = 250.0,
         max_in_flight: int = 16,
         max_waiting: int = 1_000,
-        parse_address: Callable[[str], tuple[str, int]] = loopback,
+        parse_address: Callable[[str], tuple[str, int]] = parse_loopback_address,
         load_in_body: bool = False,
     ) -> None:
         self.on_result = on_result
--- a/corallanding/lab/fleet/steward.py
+++ b/corallanding/lab/fleet/steward.py
@@ -13,7 +13,7 @@
 from ...controller.daemon import Controller
 from ...controller.event_inbox import Decider
 from ...controller.factories import Factories
-from ...endpoints.endpoint_list import loopback
+from ...endpoints.endpoint_list import parse_loopback_address
 from ...load_reports.feed import Feed
 from ...load_reports.intake import Datagrams, Intake, attend
 from ...load_reports.state import FeedState
@@ -118,7 +118,7 @@
 
     async def intake(self, far: Stream, machine: Machine) -> None:
         intake = SimIntake(self.conf, lambda: self.loop.now * 1000.0)
-        host, port = loopback(self.conf["listen"])
+        host, port = parse_loopback_address(self.conf["listen"])
         far.begin(intake)
         udp, _ = await self.loop.create_datagram_endpoint(lambda: Datagrams(intake), (host, port))
         await attend(intake, host, port)
--- a/corallanding/load_reports/intake.py
+++ b/corallanding/load_reports/intake.py
@@ -19,7 +19,7 @@
 
 import uvloop
 
-from ..endpoints.endpoint_list import loopback
+from ..endpoints.endpoint_list import parse_loopback_address
 from .envelope import MOST, BadReport, Head, Load, genuine, read, sender
 from .framing import pack, unpack
 from .load_shedding import Triage
@@ -195,7 +195,7 @@
     loop = asyncio.get_running_loop()
     intake = Intake(conf)
     await loop.create_connection(lambda: intake, sock=socket.socket(fileno=fd))
-    host, port = loopback(conf["listen"])
+    host, port = parse_loopback_address(conf["listen"])
     udp = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_DGRAM)
     udp.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, conf["buffer_bytes"])
     udp.bind((host, port))
--- a/corallanding/registry/consul.py
+++ b/corallanding/registry/consul.py
@@ -11,7 +11,7 @@
 import aiohttp
 import msgspec
 
-from ..endpoints.endpoint_list import loopback
+from ..endpoints.endpoint_list import parse_loopback_address
 from .connection import WatchListener
 from .errors import RegistryUnavailableError
 from .watch_messages import KeyValue, ResponseHeader
@@ -29,7 +29,7 @@
     """One source. timeout, wait: ms for an answer, and how long a read may block on the registry's side."""
 
     def __init__(self, address: str, timeout: float, wait: float = 10_000.0, token: str = "") -> None:
-        host, port = loopback(address)
+        host, port = parse_loopback_address(address)
         self.where = f"http://[{host}]:{port}" if ":" in host else f"http://{host}:{port}"
         self.timeout, self.wait, self.token = timeout, wait, token
         self.epoch, self.index = 1, 0
--- a/corallanding/registry/source.py
+++ b/corallanding/registry/source.py
@@ -22,7 +22,7 @@
 
 if TYPE_CHECKING:
     from ..config.sources import RegistryBlock
-    from ..endpoints.source import Listener
+    from ..endpoints.source import EndpointListener
     from .etcd import EtcdConnection
 
 
@@ -51,14 +51,14 @@
         self,
         dial: Callable[[], RegistryConnection],
         prefix: str,
-        listener: Listener,
+        listener: EndpointListener,
         clock: Callable[[], float],
         chance: Callable[[], float],
         limits: WatchLimits,
     ) -> None:
         self.prefix, self.listener = prefix.encode(), listener
         self.state = WatchState(limits, chance)
-        self.watcher = Watcher(dial, self.prefix, self.state, clock, self.tell, listener.roster_failed, self.whole)
+        self.watcher = Watcher(dial, self.prefix, self.state, clock, self.tell, listener.on_source_failure, self.whole)
         self.task: asyncio.Task[None] | None = None
         self.is_listed = False  # the first whole list of this life
 
@@ -82,11 +82,11 @@
         """The view is whole: told as a list once a life, however little differs."""
         if not self.is_listed:
             self.is_listed = True
-            self.listener.roster_rows(True, self.state.revision, self.rows(self.state.view.values()))
+            self.listener.on_host_rows(True, self.state.revision, self.rows(self.state.view.values()))
 
     def tell(self, d: ViewChange) -> None:
         if self.is_listed and (rows := self.rows(d.changes)):
-            self.listener.roster_rows(False, d.revision, rows)
+            self.listener.on_host_rows(False, d.revision, rows)
 
 
 def read_optional(path: str | None) -> bytes | None:
@@ -143,7 +143,7 @@
 
 def make_source(
     c: RegistryBlock,
-    listener: Listener,
+    listener: EndpointListener,
     clock: Callable[[], float],
     chance: Callable[[], float],
     dial_registry: Callable[[RegistryBlock, Callable[[str], None]], Callable[[], EtcdConnection]] | None = None,
@@ -156,7 +156,7 @@
         from .consul import ConsulConnection
 
         rate = max(rate, 6_000.0)  # every change is a read there: bounded by the registry's own blocking
-        files = CredentialFiles(c, listener.roster_failed)
+        files = CredentialFiles(c, listener.on_source_failure)
         consul = ConsulConnection(
             c.address, c.timeout_ms, c.block_ms, files.good.token
         )  # it keeps index and epoch over breaks
@@ -165,6 +165,6 @@
             consul.token = files().token
             return consul
     else:
-        dial = (dial_registry or etcd_connector)(c, listener.roster_failed)
+        dial = (dial_registry or etcd_connector)(c, listener.on_source_failure)
     limits = WatchLimits(c.wait_ms, c.wait_most_ms, rate, c.page)
     return RegistrySource(dial, c.prefix, listener, clock, chance, limits)
--- a/tests/controller/test_persistence.py
+++ b/tests/controller/test_persistence.py
@@ -17,7 +17,7 @@
     async def scene() -> None:
         lock = sqlite3.connect(tmp_path / "s.db", isolation_level=None)
         async with Running(tmp_path) as r:
-            r.steward.host_sources.roster_rows(True, 1, ROWS)
+            r.steward.host_sources.on_host_rows(True, 1, ROWS)
             one = await r.joined(1)
             keep = asyncio.create_task(send_heartbeats(one))
             r.do(api.SetWeight(0, 10, 1.0))
--- a/tests/controller/test_proxy_connections.py
+++ b/tests/controller/test_proxy_connections.py
@@ -17,7 +17,7 @@
 def test_order_when_published_then_proxies_get_it_and_the_ack_reaches_the_assigner(tmp_path: Path) -> None:
     async def scene() -> None:
         async with Running(tmp_path) as r:
-            r.steward.host_sources.roster_rows(True, 1, ROWS)
+            r.steward.host_sources.on_host_rows(True, 1, ROWS)
             one, two = await r.joined(1), await r.joined(2)
             r.do(api.SetWeight(0, 10, 1.0), api.PublishVersion(5))
             for peer in (one, two):
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -23,7 +23,7 @@
 from corallanding import interface as api
 from corallanding.config import ConfigError, load_controller
 from corallanding.config.sources import RegistryBlock
-from corallanding.endpoints.endpoint_list import View
+from corallanding.endpoints.endpoint_list import EndpointList
 from corallanding.lab.registry import Registry
 from corallanding.registry.source import RegistrySource, host_row, make_source
 from corallanding.registry.watch_messages import KeyValue
@@ -39,15 +39,15 @@
     """Where a source tells: keeps the view as a steward does, and its whole history by version."""
 
     def __init__(self) -> None:
-        self.view, self.failures = View(), list[str]()
+        self.view, self.failures = EndpointList(), list[str]()
         self.history: list[tuple[bool, int, dict[int, str]]] = []
 
-    def roster_rows(self, full: bool, version: int, rows: list[Any]) -> None:
-        self.view.take(0.0, 0.0, full, version, rows)
+    def on_host_rows(self, full: bool, version: int, rows: list[Any]) -> None:
+        self.view.apply(0.0, 0.0, full, version, rows)
         states = {h: e.state + str(e.weight) for h, e in self.view.entries.items()}
         self.history.append((full, version, states))
 
-    def roster_failed(self, why: str) -> None:
+    def on_source_failure(self, why: str) -> None:
         self.failures.append(why)
 
 
--- a/tests/test_registry_stewards.py
+++ b/tests/test_registry_stewards.py
@@ -96,7 +96,7 @@
 
             # The registry is gone for less than a lease: tables stand, and a drain that is known still goes out.
             await r.stop()
-            made[0].steward.host_sources.roster_rows(
+            made[0].steward.host_sources.on_host_rows(
                 False, 10_000, [{"host": 0, "state": "draining", "address": "127.0.0.1:9000"}]
             )
             mine = {t for t, row in ears[0].tables.items() if set(row) == {0}}
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -471,7 +471,7 @@
             loop = asyncio.get_running_loop()
             udp, me = await loop.create_datagram_endpoint(Sender, remote_addr=("127.0.0.1", feed.port))
             _, writer = await asyncio.open_connection("127.0.0.1", feed.port)
-            r.steward.host_sources.roster_rows(True, 1, rows)
+            r.steward.host_sources.on_host_rows(True, 1, rows)
             await until(lambda: feed.transport and feed.hosts == [0, 1, 2, 3, 4])
 
             def weights() -> dict[int, float]:
--- a/tests/test_revive.py
+++ b/tests/test_revive.py
@@ -351,7 +351,7 @@
             await until(lambda: os.path.exists(f"{tmp_path}/x.snap"))
             rows = [{"host": h, "address": f"127.0.0.1:{h}", "state": "up"} for h in range(10, 60)]
             for n in range(9):
-                r.steward.host_sources.roster_rows(True, n + 1, rows)
+                r.steward.host_sources.on_host_rows(True, n + 1, rows)
                 await asyncio.sleep(0.02)
             await until(lambda: r.steward.snapshots.step_log is None)
             assert not os.path.exists(f"{tmp_path}/x.snap")
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -9,8 +9,8 @@
 import pytest
 
 from corallanding import interface as api
-from corallanding.endpoints.endpoint_list import View, loopback
-from corallanding.endpoints.source import LineRoster
+from corallanding.endpoints.endpoint_list import EndpointList, parse_loopback_address
+from corallanding.endpoints.source import LineJsonSource
 
 
 def row(host: int, **more: Any) -> dict[str, Any]:
@@ -18,42 +18,42 @@
 
 
 def test_a_bad_row_is_held_at_its_last_good_state_and_named() -> None:
-    view = View()
-    view.take(1000.0, 0.0, True, 1, [row(1), row(2), row(3)])
+    view = EndpointList()
+    view.apply(1000.0, 0.0, True, 1, [row(1), row(2), row(3)])
     bad = [row(1, weight="heavy"), row(2, address="8.8.8.8:53"), "rubbish", row(4, state="sleeping")]
-    event = view.take(2000.0, 0.0, True, 2, bad)
+    event = view.apply(2000.0, 0.0, True, 2, bad)
     assert {e.host for e in event.entries} == {1, 2}, "3 is gone, 1 and 2 stand as they were, 4 never was"
-    assert [text.split(":")[0] for text in view.bad] == [
+    assert [text.split(":")[0] for text in view.rejected_rows] == [
         "entry of host 1",
         "entry of host 2",
         "entry of host rubbish",
         "entry of host 4",
     ]
-    assert "8.8.8.8 is not a loopback address" in view.bad[1]
+    assert "8.8.8.8 is not a loopback address" in view.rejected_rows[1]
 
 
 def test_a_start_keeps_its_place_on_our_clock_when_wall_clocks_step() -> None:
-    view = View()
-    first = view.take(1e9, 5_000_000.0, True, 1, [row(1, started=4_990_000.0)]).entries[0].online_since
-    stepped = view.take(1e9 + 50, 8_000_000.0, True, 2, [row(1, started=4_990_000.0)]).entries[0].online_since
-    ahead = view.take(1e9 + 60, 8_000_000.0, True, 3, [row(1, started=9_999_000.0)]).entries[0].online_since
+    view = EndpointList()
+    first = view.apply(1e9, 5_000_000.0, True, 1, [row(1, started=4_990_000.0)]).entries[0].online_since
+    stepped = view.apply(1e9 + 50, 8_000_000.0, True, 2, [row(1, started=4_990_000.0)]).entries[0].online_since
+    ahead = view.apply(1e9 + 60, 8_000_000.0, True, 3, [row(1, started=9_999_000.0)]).entries[0].online_since
     assert first == stepped == 1e9 - 10_000.0
     assert ahead == 1e9 + 60
-    assert view.take(1e9, 0.0, True, 4, [row(2)]).entries[0].online_since == 0.0, "long ago"
+    assert view.apply(1e9, 0.0, True, 4, [row(2)]).entries[0].online_since == 0.0, "long ago"
 
 
 def test_hosts_are_bounded() -> None:
-    view = View(hosts_most=2)
-    view.take(0.0, 0.0, True, 1, [row(1), row(2)])
-    event = view.take(0.0, 0.0, False, 2, [row(3), row(2, state="draining")])
+    view = EndpointList(max_hosts=2)
+    view.apply(0.0, 0.0, True, 1, [row(1), row(2)])
+    event = view.apply(0.0, 0.0, False, 2, [row(3), row(2, state="draining")])
     assert [(e.host, e.state) for e in event.entries] == [(2, "draining")]
-    assert "more than 2 hosts" in view.bad[0]
+    assert "more than 2 hosts" in view.rejected_rows[0]
 
 
 @pytest.mark.parametrize("address", ["10.0.0.1:1", "example:80", "127.0.0.1", "127.0.0.1:99999", "0.0.0.0:1", ""])
 def test_only_loopback_addresses_pass(address: str) -> None:
     with pytest.raises(ValueError):
-        loopback(address)
+        parse_loopback_address(address)
 
 
 class Script:
@@ -63,12 +63,12 @@
         self.asked: list[dict[str, Any]] = []
         self.told: list[Any] = []
         self.writers: list[asyncio.StreamWriter] = []
-        self.view = View()
+        self.view = EndpointList()
 
-    async def open(self, on_request: bool = False) -> LineRoster:
+    async def open(self, on_request: bool = False) -> LineJsonSource:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         port = self.server.sockets[0].getsockname()[1]
-        source = LineRoster(f"127.0.0.1:{port}", self, lambda: self.view.version, on_request, 4096, 10, 50, 200)
+        source = LineJsonSource(f"127.0.0.1:{port}", self, lambda: self.view.version, on_request, 4096, 10, 50, 200)
         source.start()
         return source
 
@@ -80,11 +80,11 @@
     def say(self, **line: Any) -> None:
         self.writers[-1].write(json.dumps(line).encode() + b"\n")
 
-    def roster_rows(self, full: bool, version: int, rows: list[Any]) -> None:
-        self.view.take(0.0, 0.0, full, version, rows)
+    def on_host_rows(self, full: bool, version: int, rows: list[Any]) -> None:
+        self.view.apply(0.0, 0.0, full, version, rows)
         self.told.append((full, version, len(rows)))
 
-    def roster_failed(self, why: str) -> None:
+    def on_source_failure(self, why: str) -> None:
         self.told.append(why)
 
     async def until(self, wanted: Any) -> None:
@@ -137,7 +137,7 @@
 
 
 def test_events_are_the_module_s() -> None:
-    view = View()
+    view = EndpointList()
     event = view.restore(1e9, 50_000.0, 3, [api.HostEntry(7)], {7: "127.0.0.1:1"}, {7: 40_000.0})
     assert event.kind is api.HostListKind.SAVED
     assert event.entries[0].online_since == 1e9 - 10_000.0
