--- a/tests/scheduling/test_idempotency.py
+++ b/tests/scheduling/test_idempotency.py
@@ -49,8 +49,10 @@
 
 
 def test_key_when_claimed_twice_at_once_then_is_granted_once() -> None:
-    records, job = make_records(), Job(1, 0, 3, 8, 0.0, idempotency_key=77)
-    first, second = records.query_claim(10.0, job, 500), records.query_claim(10.0, job, 600)
+    records = make_records()
+    job = Job(1, 0, 3, 8, 0.0, idempotency_key=77)
+    first = records.query_claim(10.0, job, 500)
+    second = records.query_claim(10.0, job, 600)
     records.queries.send_new(10.0)
     for _ in range(8):
         records.records.tick(10.0)
@@ -65,7 +67,8 @@
 
 
 def test_claim_when_released_by_its_owner_then_can_be_granted_anew() -> None:
-    records, job = make_records(), Job(1, 0, 3, 8, 0.0, idempotency_key=77)
+    records = make_records()
+    job = Job(1, 0, 3, 8, 0.0, idempotency_key=77)
     assert answer_to(records, 10.0, records.query_claim(10.0, job, 500))[0] == KeyStatus.GRANTED
     assert answer_to(records, 20.0, records.query_release(20.0, job, 501))[0] == KeyStatus.UNCLAIMED, (
         "another's is not given back"
--- a/tests/scheduling/test_peer_queues.py
+++ b/tests/scheduling/test_peer_queues.py
@@ -17,11 +17,11 @@
 
 
 def test_summary_when_of_other_classes_or_late_then_is_not_taken() -> None:
-    lines = PeerQueues((JobClass("a"),), 2.0, 1_000.0)
-    lines.on_summary(0.0, 2, QueueSummary(1, 1, [(2, 5, 1)], [], 1))
-    assert lines.rejected_count == 1
-    assert lines.watermark(0.0, [2]) == float("-inf")
-    lines.on_summary(0.0, 2, QueueSummary(1, 5, [(0, 5_000, 1)], [], 1))
-    lines.on_summary(0.0, 2, QueueSummary(1, 4, [(0, 90_000, 1)], [], 1))
-    assert lines.watermark(1_000.0, [2]) == 0.6, "an older word that came late is passed over"
-    assert lines.watermark(1_001.0, [2]) == float("-inf"), "one that was not heard of for long is not waited for"
+    queues = PeerQueues((JobClass("a"),), 2.0, 1_000.0)
+    queues.on_summary(0.0, 2, QueueSummary(1, 1, [(2, 5, 1)], [], 1))
+    assert queues.rejected_count == 1
+    assert queues.watermark(0.0, [2]) == float("-inf")
+    queues.on_summary(0.0, 2, QueueSummary(1, 5, [(0, 5_000, 1)], [], 1))
+    queues.on_summary(0.0, 2, QueueSummary(1, 4, [(0, 90_000, 1)], [], 1))
+    assert queues.watermark(1_000.0, [2]) == 0.6, "an older summary that came late is passed over"
+    assert queues.watermark(1_001.0, [2]) == float("-inf"), "one that was not heard of for long is not waited for"
--- a/tests/scheduling/test_queue.py
+++ b/tests/scheduling/test_queue.py
@@ -12,14 +12,15 @@
 
 
 def test_queue_when_it_has_very_many_jobs_then_keeps_order_and_a_small_summary() -> None:
-    kinds, chance = tuple(JobClass(f"k{n}", float(n), 1_000.0 * (n + 1)) for n in range(8)), random.Random(1)
+    kinds = tuple(JobClass(f"k{n}", float(n), 1_000.0 * (n + 1)) for n in range(8))
+    chance = random.Random(1)
     queue = JobQueue(kinds, 2.0)
-    for n in range(200_000):
-        queue.add(Job(0, n % 8, 1, n, chance.uniform(-1e6, 0.0)))
+    for ticket in range(200_000):
+        queue.add(Job(0, ticket % 8, 1, ticket, chance.uniform(-1e6, 0.0)))
     top = queue.highest_priorities(0.0, 50)
     assert top == sorted((queue.effective_priority(0.0, j) for j in queue.jobs.values()), reverse=True)[:50]
-    word = QueueSummary(
+    summary = QueueSummary(
         2**62, 2**40, queue.summarize(0.0, MAX_ROWS), [int(x * 1e3) for x in top[:MAX_LEVELS]], len(queue.jobs)
     )
-    assert len(msgspec.msgpack.encode(word)) < 240
-    assert is_valid(word)
+    assert len(msgspec.msgpack.encode(summary)) < 240
+    assert is_valid(summary)
--- a/tests/scheduling/test_simulated_faults.py
+++ b/tests/scheduling/test_simulated_faults.py
@@ -73,16 +73,16 @@
         dispatches_per_second=10.0,
     )
     kinds = (JobClass("rank", 0.0, 1_000.0, 60_000.0),)
-    a = Scheduler((2,), 1, kinds, terms, 0.0, lambda: False, lambda n: None)
-    b = Scheduler((1,), 2, kinds, terms, 0.0, lambda: True, lambda n: None)
-    a.admit(0.0, [], 1, 1, 0, 5_000.0)
-    b.admit(0.0, [], 1, 1, 0, 0.0)
+    starved = Scheduler((2,), 1, kinds, terms, 0.0, lambda: False, lambda n: None)
+    other = Scheduler((1,), 2, kinds, terms, 0.0, lambda: True, lambda n: None)
+    starved.admit(0.0, [], 1, 1, 0, 5_000.0)
+    other.admit(0.0, [], 1, 1, 0, 0.0)
     gone = None
     for now in range(0, 2_000, 50):
-        for here, there, me in ((a, b, 1), (b, a, 2)):
-            actions, words = here.tick(float(now), [3 - me])
-            for s in words:
-                there.on_summary(float(now), me, s.word)
+        for here, there, me in ((starved, other, 1), (other, starved, 2)):
+            actions, messages = here.tick(float(now), [3 - me])
+            for message in messages:
+                there.on_summary(float(now), me, message.word)
             gone = gone or next((now for x in actions if isinstance(x, Dispatch)), None)
     assert gone is not None
     assert 400 <= gone <= 700
--- a/tests/store/test_conformance.py
+++ b/tests/store/test_conformance.py
@@ -90,7 +90,8 @@
         for former in self.keepers:
             for task in list(former.tasks):
                 task.cancel()
-        seat, me = Seat(), len(self.keepers)
+        seat = Seat()
+        me = len(self.keepers)
         keeper = TableStore(
             lambda: EtcdConnection(f"127.0.0.1:{self.registry.port}", 400.0),
             "/t/",
--- a/tests/version_pinning/support.py
+++ b/tests/version_pinning/support.py
@@ -22,7 +22,8 @@
 
 def play_world(seed: int, until: float = 16_000.0) -> RunWorld:
     """Releases forward and back, all faults, files lost and put back."""
-    world, chance = RunWorld(seed, 5, 5, per_s=60, runs=25), random.Random(f"goal {seed}")
+    world = RunWorld(seed, 5, 5, per_s=60, runs=25)
+    chance = random.Random(f"goal {seed}")
     troubled(world, until - 3_000.0, 2_500.0)
     newest = itertools.count(2)
 
@@ -73,11 +74,11 @@
 
 def keep_first_read(patch: Any) -> None:
     def merge_read(self: Proposer, keeper: int, key: int, value: int, born: float, order: tuple[int, int]) -> None:
-        e = self.records.get(key)
-        if e is None:
+        record = self.records.get(key)
+        if record is None:
             self.records[key] = ProposedRecord(value, born, order, votes=self.vote_bits[keeper])
-        elif order == e.read_ballot:
-            e.votes |= self.vote_bits[keeper]
+        elif order == record.read_ballot:
+            record.votes |= self.vote_bits[keeper]
 
     patch.setattr(Proposer, "merge_read", merge_read)
 
--- a/tests/version_pinning/test_failures.py
+++ b/tests/version_pinning/test_failures.py
@@ -12,7 +12,8 @@
     world.part({0, 1})
     key = 12_345
     for controller in range(5):
-        process, pins = world.processes[controller], world.pins[controller]
+        process = world.processes[controller]
+        pins = world.pins[controller]
         number = pins.request_run(process.clock(world.now), key)
         world.asked[controller, pins.queries.incarnation, number] = (key, world.now)
         world.carry(controller, process, world.fleets[controller].send_new_queries(process.clock(world.now)))
--- a/tests/version_pinning/test_fencing.py
+++ b/tests/version_pinning/test_fencing.py
@@ -15,24 +15,26 @@
 
 
 def test_former_holder_when_a_later_one_has_read_then_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The first of two holders has written to one keeper; the second reads from the two others, and writes; then the
-    words of the first arrive there."""
+    """The first of two holders has written to one replica; the second reads from the two others, and writes; then the
+    messages of the first arrive there."""
 
     def scene() -> list[bool]:
-        shelves = {k: Replica(RecordLimits()) for k in range(3)}
+        replicas = {number: Replica(RecordLimits()) for number in range(3)}
         rounds = itertools.count(1)
         first, second = (Proposer(life, 7, (0, 1, 2), RecordLimits(), life, rounds.__next__) for life in (1, 2))
 
-        def deliver(words: list[Any], to: set[int]) -> list[Any]:
+        def deliver(messages: list[Any], receivers: set[int]) -> list[Any]:
             late = []
-            for s in words:
-                writer = first if s.word.life == 1 else second
-                if s.to not in to:
-                    late.append(s)
-                elif isinstance(s.word, Accept):
-                    writer.on_accept_reply(0.0, s.to, shelves[s.to].on_accept(0.0, s.word))
+            for message in messages:
+                proposer = first if message.word.life == 1 else second
+                if message.to not in receivers:
+                    late.append(message)
+                elif isinstance(message.word, Accept):
+                    reply = replicas[message.to].on_accept(0.0, message.word)
+                    proposer.on_accept_reply(0.0, message.to, reply)
                 else:
-                    assert not writer.on_prepare_reply(0.0, s.to, shelves[s.to].on_prepare(0.0, s.word))
+                    reply = replicas[message.to].on_prepare(0.0, message.word)
+                    assert not proposer.on_prepare_reply(0.0, message.to, reply)
             return late
 
         deliver(first.tick(0.0), {0, 1, 2})
--- a/tests/version_pinning/test_limits.py
+++ b/tests/version_pinning/test_limits.py
@@ -15,10 +15,11 @@
         for controller, process in world.processes.items()
         if world.pins[controller].records.proposers.get(world.pins[controller].workflow_runs.groups[0])
     )
-    pins, flood = world.pins[controller], []
-    for k in range(400):
-        flood.append(pins.request_run(process.clock(world.now), 10**9 + k, "one client"))
-        world.asked[controller, pins.queries.incarnation, flood[-1]] = (10**9 + k, world.now)
+    pins = world.pins[controller]
+    flood = []
+    for offset in range(400):
+        flood.append(pins.request_run(process.clock(world.now), 10**9 + offset, "one client"))
+        world.asked[controller, pins.queries.incarnation, flood[-1]] = (10**9 + offset, world.now)
     world.carry(controller, process, world.fleets[controller].send_new_queries(process.clock(world.now)))
     world.run(world.now + 300.0)
     ends = [row[3] for row in world.told if row[1] >= 10**9 and row[1] < 10**9 + 400]
@@ -35,8 +36,8 @@
     for pins in world.pins.values():
         pins.records.replica.limits = type(pins.records.replica.limits)(max_records=pins.records.replica.record_count)
     count = len(world.told)
-    for k in range(20):
-        world.ask(10**9 + k)
+    for offset in range(20):
+        world.ask(10**9 + offset)
     world.run(world.now + 1_200.0)
     new = [row for row in world.told[count:] if 10**9 <= row[1] < 10**9 + 20]
     assert new
--- a/tests/version_pinning/test_retirement.py
+++ b/tests/version_pinning/test_retirement.py
@@ -24,7 +24,8 @@
     def __init__(self) -> None:
         super().__init__(0)
         self.passes: Callable[[int, int, Any], bool] = lambda a, b, word: True
-        self.leases[0].held, self.leases[1].held = {RUN_TASK}, {RELEASE_TASK}
+        self.leases[0].held = {RUN_TASK}
+        self.leases[1].held = {RELEASE_TASK}
         for lease in self.leases.values():
             lease.holder.fence = 5 + lease.me
         self.pump(20)
@@ -46,13 +47,14 @@
 
 
 def close_set_under_a_run(seen_by: set[int], counted: set[int]) -> ScriptedWalk:
-    """A run that has begun in set 1 at one keeper of three; then set 1 closes, which `seen_by` take in, and the holder
-    of the release hears the tallies of `counted`; last, the words of the run's beginning arrive at the others."""
+    """A run begins in set 1 at one replica of three. Then set 1 closes, which the replicas `seen_by` accept, and the
+    holder of the release task receives the run counts of `counted`. Last, the record of the run reaches the others."""
     world = ScriptedWalk()
     world.ask(0, 99)
-    assert not world.told, "its copies are on their way"
+    assert not world.told, "its records are on their way"
     run = lambda a, b, word: isinstance(word, Accept) and word.is_initial  # noqa: E731
-    held, world.bag = [x for x in world.bag if run(*x)], [x for x in world.bag if not run(*x)]
+    held = [x for x in world.bag if run(*x)]
+    world.bag = [x for x in world.bag if not run(*x)]
     assert held
     world.goal = 2
     world.passes = lambda a, b, word: (
@@ -75,7 +77,7 @@
     assert not world.broken, "the late messages of the run are refused"
     monkeypatch.setattr(ReleaseCoordinator, "may_accept", lambda self, value, begins: True)
     assert close_set_under_a_run({0, 1, 2}, {1, 2}).broken == ["run 99: set 1 is retired"], (
-        "keepers that take what is closed"
+        "replicas that accept what is closed"
     )
 
 
@@ -84,4 +86,4 @@
     assert 1 not in world.gone, "replica 2 may yet accept the run: nobody retires its set"
     assert not world.broken
     count_any_report(monkeypatch)
-    assert close_set_under_a_run({0, 1}, {1, 2}).broken == ["run 99: set 1 is retired"], "a tally of any register"
+    assert close_set_under_a_run({0, 1}, {1, 2}).broken == ["run 99: set 1 is retired"], "a run count by any register"
