--- a/bench/leases.py
+++ b/bench/leases.py
@@ -24,7 +24,7 @@
 
 def sized(stewards: int, tasks: int, seed: int) -> dict[str, Any]:
     """Calm, then a holder dies, then a new steward comes; each counted from its own instant."""
-    names = TaskCatalog({"group": TaskSpec("group", tasks, work=100.0)})
+    names = TaskCatalog({"group": TaskSpec("group", tasks, max_work_ms=100.0)})
     w = TaskWorld(seed, stewards + 1, min(stewards, 5), names, LeaseTimings(), acting=5, first=stewards)
     w.run(CALM)
     w.weigh = True
@@ -36,19 +36,19 @@
     size = sum(b for _, b in w.by.values()) / stewards / (CALM / 1000.0)
 
     def held() -> list[int]:
-        return [len(names.within(p.quota.holder.bits)) for p in w.processes.values()]
+        return [len(names.tasks_in(p.quota.holder.shards)) for p in w.processes.values()]
 
     spread = max(held()) / (tasks / stewards)
-    dealer = next(p.quota.dealer for p in w.processes.values() if p.quota.office(p.clock(w.now)))
+    dealer = next(p.quota.allocator for p in w.processes.values() if p.quota.update_leadership(p.clock(w.now)))
     victim = max(w.processes)  # no voter where there are more than five
-    moves = dealer.moves
+    moves = dealer.moved_shards
     w.kill(victim)
     gone = w.now
     while sum(held()) < tasks and w.now < gone + 60_000.0:
         w.run(w.now + 50.0)
     takeover = w.now - gone
-    dead = dealer.moves - moves
-    moves = dealer.moves
+    dead = dealer.moved_shards - moves
+    moves = dealer.moved_shards
     w.start(stewards)
     w.run(w.now + 12_000.0)
     found = judge(w.acts, w.takings)
@@ -62,7 +62,7 @@
         "takeover_ms": takeover,
         "moved_by_a_death": dead,
         "least_by_a_death": min(SHARDS, tasks) // stewards,
-        "moved_by_a_newcomer": dealer.moves - moves,
+        "moved_by_a_newcomer": dealer.moved_shards - moves,
         "least_by_a_newcomer": min(SHARDS, tasks) // stewards,
         "overlaps": found["overlaps"],
         "falls": found["falls"],
@@ -74,9 +74,15 @@
     """Seeded days with every fault and no rest."""
     kinds = ("acts", "overlaps", "falls", "shared", "late", "refused_by_fence", "takeovers")
     total = {"days": days, **dict.fromkeys(kinds, 0)}
-    names = TaskCatalog({"ledger": TaskSpec("ledger", 7, work=100.0), "sweep": TaskSpec("sweep", work=200.0)})
+    names = TaskCatalog(
+        {"ledger": TaskSpec("ledger", 7, max_work_ms=100.0), "sweep": TaskSpec("sweep", max_work_ms=200.0)}
+    )
     for seed in range(1_000, 1_000 + days):
-        terms = LeaseTimings(lease=600.0, office=400.0) if seed % 2 else LeaseTimings(lease=1_500.0, office=300.0)
+        terms = (
+            LeaseTimings(lease_ms=600.0, vote_lease_ms=400.0)
+            if seed % 2
+            else LeaseTimings(lease_ms=1_500.0, vote_lease_ms=300.0)
+        )
         w = TaskWorld(seed, 5, 5, names, terms, acting=8)
         troubled(w, 12_000.0, longest=2_500.0)
         w.run(12_000.0)
--- a/bench/one_fleet.py
+++ b/bench/one_fleet.py
@@ -62,7 +62,7 @@
     w = WaitWorld(seed, 5, 5, per_s=16, skew=1 + seed % 3)
     troubled(w, 20_000.0, 3_000.0)
     w.run(30_000.0)
-    found = w.found(bound_of(TERMS, QUOTA.drift, 15_000.0))
+    found = w.found(bound_of(TERMS, QUOTA.max_clock_drift, 15_000.0))
     keys = ("released", "doubled", "lost", "inversions_over_bound", "worst_inversion_ms", "apart")
     return {k: found[k] for k in keys} | {"again": w.again}
 
@@ -116,9 +116,9 @@
     def __init__(self) -> None:
         from corallanding.lease.tasks import TaskCatalog, TaskSpec
 
-        self.me, self.others, self.life, self.holder = 1, (), 7, self
+        self.controller_id, self.peer_ids, self.incarnation, self.holder = 1, (), 7, self
         self.tasks = TaskCatalog({RELEASE_TASK: TaskSpec(RELEASE_TASK), RUNS_TASK_GROUP: TaskSpec(RUNS_TASK_GROUP, 64)})
-        self.fence = 1
+        self.fencing_token = 1
 
     def holds(self, now: float, task: int) -> bool:
         return True
--- a/corallanding/controller/cluster.py
+++ b/corallanding/controller/cluster.py
@@ -13,15 +13,16 @@
 
 from .. import membership
 from ..config import ControllerConfig
-from ..lease.election import LeaderElection, OutgoingMessage, VotedElection
+from ..lease.election import LeaderElection, VotedElection
 from ..lease.limits import ElectionTimings
 from ..lease.messages import VoteRelease, VoteReply, VoteRequest
-from ..lease.messages import sound as is_valid_election_message
+from ..lease.messages import is_valid as is_valid_election_message
 from ..lease.registry_election import RegistryElection
 from ..membership.messages import Ack, Ping, PingRequest
-from ..membership.messages import sound as is_valid_membership_message
+from ..membership.messages import is_valid as is_valid_membership_message
 from ..telemetry import Metrics, RateLimitedLogger, log
 from ..wire.frames import Enter, Unwait, Wait
+from ..wire.peer_messages import OutgoingMessage
 from .cluster_service import ClusterService, ServiceContext, Tick
 from .fleet_view import FleetView
 from .peer_dispatch import PeerDispatcher
@@ -38,7 +39,6 @@
 TICK_S = 0.05
 MAX_DEFAULT_VOTERS = 5  # the lowest numbers, where the configuration names no voters
 INCARNATION_BITS = 62
-MEMBER_STATES = ("unknown", "alive", "suspect", "dead", "left")  # by the number that the membership gives
 NO_LEADER = -1  # in the metric of the leader's number
 
 
@@ -85,7 +85,9 @@
         """Make the membership and the election, and register their messages."""
         block, number, now = config.budgets, config.steward.number, self.clock()
         chance = random.Random(incarnation).random
-        terms = membership.MembershipConfig(block.period_ms, block.timeout_ms, words_per_s=block.words_per_s)
+        terms = membership.MembershipConfig(
+            block.period_ms, block.timeout_ms, max_messages_per_second=block.words_per_s
+        )
         self.membership = membership.Membership(number, peers, incarnation, terms, chance, now)
         self.election: LeaderElection
         if self.table_store:
@@ -158,7 +160,7 @@
 
     def start(self) -> None:
         """Announce this controller to the others, and begin to tick."""
-        self._carry_out_membership(self.membership.greet(self.clock()))
+        self._carry_out_membership(self.membership.announce())
         self.on_tick()
 
     def on_tick(self) -> None:
@@ -168,18 +170,18 @@
             return
         now = self.clock()
         self._carry_out_membership(self.membership.tick(now))
-        alive = self.membership.alive()
+        alive = self.membership.alive_members()
         self.send(self.election.tick(now, alive))
         for service in self.services:
             service.on_tick(Tick(now, alive, time.time() * 1000.0))
 
     def on_membership_message(self, sender: int, message: Ping | Ack | PingRequest) -> None:
         """Take a message of the membership."""
-        self._carry_out_membership(self.membership.heard(self.clock(), sender, message))
+        self._carry_out_membership(self.membership.on_message(self.clock(), sender, message))
 
     def on_election_message(self, sender: int, message: VoteRequest | VoteReply | VoteRelease) -> None:
         """Take a message of the leader election."""
-        self.send(self.election.heard(self.clock(), sender, message))
+        self.send(self.election.on_message(self.clock(), sender, message))
         for service in self.services:
             service.on_election_change()
 
@@ -187,20 +189,20 @@
         """Send the messages of the membership, and log changes of a controller's state."""
         for action in actions:
             if isinstance(action, membership.MemberStateChanged):
-                log.info("controller", number=action.member, state=MEMBER_STATES[action.state])
+                log.info("controller", number=action.member, state=action.state.label)
             else:
-                self.dispatcher.send(action.to, action.word)
+                self.dispatcher.send(action.to, action.message)
 
     def send(self, actions: Iterable[OutgoingMessage]) -> None:
         """Send messages to other controllers."""
         for action in actions:
-            self.dispatcher.send(action.to, action.word)
+            self.dispatcher.send(action.to, action.message)
 
     def update_metrics(self) -> None:
         """Set the gauges; called before each exposition."""
-        leader = self.election.holder[0]
-        rejected = self.membership.refused + self.election.refused
-        self.metrics.controllers_alive.set(len(self.membership.alive()))
+        leader = self.election.leader.controller
+        rejected = self.membership.rejected + self.election.rejected
+        self.metrics.controllers_alive.set(len(self.membership.alive_members()))
         self.metrics.quota_leader.set(NO_LEADER if leader is None else leader)
         self.metrics.rejected_peer_messages.set(rejected + sum(service.rejected for service in self.services))
         for service in self.services:
@@ -209,10 +211,10 @@
     def status(self) -> dict[str, Any]:
         """The status page of the controllers and of the services, as the admin server shows it."""
         members, now = self.membership, self.clock()
-        numbers = sorted([members.me, *members.table])
-        page: dict[str, Any] = {"stewards": {str(number): MEMBER_STATES[members.state(number)] for number in numbers}}
+        numbers = sorted([members.controller_id, *members.members])
+        page: dict[str, Any] = {"stewards": {str(number): members.state_of(number).label for number in numbers}}
         if self.tasks:
-            page["tasks"] = self.tasks.core.page(now)
+            page["tasks"] = self.tasks.core.status(now)
         if self.pinning:
             page["pins"] = self.pinning.status()
         if self.scheduling:
@@ -240,8 +242,8 @@
                 self.send(service.leave())
             service.close()
         if not is_handed_over:
-            self.send(self.election.leave(now))
-            self._carry_out_membership(self.membership.leave(now))
+            self.send(self.election.resign(now))
+            self._carry_out_membership(self.membership.leave())
             if self.table_store:
                 self.table_store.start_leaving()
         if self.table_store:
--- a/corallanding/controller/cluster_service.py
+++ b/corallanding/controller/cluster_service.py
@@ -7,8 +7,9 @@
 from dataclasses import dataclass
 from typing import Any, ClassVar
 
-from ..lease.election import LeaderElection, OutgoingMessage
+from ..lease.election import LeaderElection
 from ..telemetry import Metrics, RateLimitedLogger
+from ..wire.peer_messages import OutgoingMessage
 
 
 @dataclass(frozen=True)
--- a/corallanding/controller/control_socket.py
+++ b/corallanding/controller/control_socket.py
@@ -84,7 +84,7 @@
     async def _wait_for_turn(self) -> float | None:
         """One controller of the fleet at a time, where `task "upgrade"` says so: ms that it waited; None if in vain."""
         tasks = self._peers.cluster.tasks if self._peers.cluster else None
-        if tasks is None or UPGRADE not in tasks.core.tasks.by_name:
+        if tasks is None or UPGRADE not in tasks.core.tasks.specs:
             return 0.0
         begun = self._context.clock()
         while not tasks.begin_act_on(UPGRADE):
--- a/corallanding/controller/pinning_service.py
+++ b/corallanding/controller/pinning_service.py
@@ -146,7 +146,7 @@
     def on_message(self, sender: int, message: RegisterAnnouncement | RunCountQuery | RunCountReport) -> None:
         """Take a message on releases, within the rate that one controller may send."""
         now = self.context.clock()
-        if self.rate_limiter.take(sender, now):
+        if self.rate_limiter.try_take(sender, now):
             answers: list[Action] = [*self.core.on_message(sender, message)]
             self.records.carry_out(self.records.fleet.in_send_order(now, answers))
         else:
--- a/corallanding/controller/quota_service.py
+++ b/corallanding/controller/quota_service.py
@@ -9,9 +9,9 @@
 from .. import interface as api
 from .. import quota
 from ..config import ControllerConfig
-from ..lease.election import OutgoingMessage
 from ..quota import messages
 from ..telemetry import log
+from ..wire.peer_messages import OutgoingMessage
 from .action_journal import ActionJournal
 from .cluster_service import ClusterService, ServiceContext, Tick
 
@@ -41,15 +41,18 @@
         self.warm_up_ms = config.rules.cold_ms
         block, election = config.budgets, context.election
         terms = quota.QuotaLimits(
-            office=block.office_ms, drift=block.drift, lease_ms=block.lease_ms, max_accounts=block.keys_most
+            vote_lease_ms=block.office_ms,
+            max_clock_drift=block.drift,
+            lease_ms=block.lease_ms,
+            max_accounts=block.keys_most,
         )
         self.core = quota.QuotaManager(
-            election.me,
-            election.others,
+            election.controller_id,
+            election.peer_ids,
             (),
             configured_quotas(config),
             terms,
-            election.life,
+            election.incarnation,
             context.clock(),
             random.random,
             words_per_s=block.words_per_s,
@@ -73,7 +76,7 @@
 
     def on_message(self, sender: int, message: quota.CapacityRequest | quota.CapacityGrant) -> None:
         """Take demand or a grant."""
-        self.context.send(self.core.heard(self.context.clock(), sender, message))
+        self.context.send(self.core.on_message(self.context.clock(), sender, message))
 
     def on_election_change(self) -> None:
         """Begin or end the allocation of quota with the leadership."""
--- a/corallanding/controller/record_groups.py
+++ b/corallanding/controller/record_groups.py
@@ -19,7 +19,7 @@
 ) -> RecordGroups:
     """The groups for pinned runs, for the release register and for jobs, as far as each is configured."""
     candidates = (RUNS_TASK_GROUP, RELEASE_TASK, JOBS) if config.pins else (JOBS,)
-    names = tuple(name for name in candidates if name in tasks.by_name)
+    names = tuple(name for name in candidates if name in tasks.specs)
     if config.pins:
         return RecordGroups(voters, names, _terms(config, block), counted=(RUNS_TASK_GROUP,), lasting=(RELEASE_TASK,))
     return RecordGroups(voters, names, _terms(config, block), counted=(), lasting=())
--- a/corallanding/controller/record_service.py
+++ b/corallanding/controller/record_service.py
@@ -10,7 +10,6 @@
 
 from ..config.version_pinning import RecordsBlock
 from ..lease.core import TaskLeases
-from ..lease.election import OutgoingMessage
 from ..quorum_records import messages
 from ..quorum_records.core import Action, Persist
 from ..quorum_records.fleet import FleetRecords
@@ -27,6 +26,7 @@
 )
 from ..quorum_records.queries import QueryLimits
 from ..telemetry import log
+from ..wire.peer_messages import OutgoingMessage
 from .action_journal import ActionJournal
 from .cluster_service import ClusterService, ServiceContext, Tick
 from .record_store import RecordStore
--- a/corallanding/controller/scheduling_service.py
+++ b/corallanding/controller/scheduling_service.py
@@ -57,8 +57,8 @@
         self.names = [kind.name for kind in kinds]
         self.kind_of_class = {classes.index(name): kind for kind, name in enumerate(self.names)}
         self.core = Scheduler(
-            context.election.others,
-            context.election.life,
+            context.election.peer_ids,
+            context.election.incarnation,
             kinds,
             scheduling_limits(config),
             context.clock(),
--- a/corallanding/lab/stewards/runs.py
+++ b/corallanding/lab/stewards/runs.py
@@ -27,7 +27,7 @@
 from .tasks import TaskWorld
 from .world import Process
 
-LEASE = LeaseTimings(lease=600.0, office=400.0)
+LEASE = LeaseTimings(lease_ms=600.0, vote_lease_ms=400.0)
 TERMS = PinningLimits(max_run_ms=6_000.0, announce_interval_ms=150.0)
 ASKS = QueryLimits(timeout_ms=900.0, retry_ms=60.0)
 SETS = {n: {"quote": n, "claim": n} for n in range(1, 9)}
@@ -91,8 +91,8 @@
         self.files = True  # whether files outlive processes
         tasks = TaskCatalog(
             {
-                RELEASE_TASK: TaskSpec(RELEASE_TASK, work=50.0),
-                RUNS_TASK_GROUP: TaskSpec(RUNS_TASK_GROUP, groups, work=50.0),
+                RELEASE_TASK: TaskSpec(RELEASE_TASK, max_work_ms=50.0),
+                RUNS_TASK_GROUP: TaskSpec(RUNS_TASK_GROUP, groups, max_work_ms=50.0),
             }
         )
         super().__init__(seed, numbers, voters, tasks, lease, acting=0)
@@ -161,7 +161,7 @@
             if isinstance(a, Persist):
                 self.disks[n].write(a.changes, lambda born: self.now - (p.clock(self.now) - born) / p.rate)
             else:
-                self.send(n, a.to, a.word)
+                self.send(n, a.to, a.message)
         pins = self.pins[n]
         for answer in pins.take_answers():
             self.answered(n, pins, answer)
--- a/corallanding/lab/stewards/tasks.py
+++ b/corallanding/lab/stewards/tasks.py
@@ -43,17 +43,17 @@
         return TaskLeases(n, others, self.voters, self.tasks, self.task_terms, life, born, chance, self.wall(self.now))
 
     def tick(self, n: int, p: Process) -> None:
-        p.quota.wall = self.wall(self.now)
+        p.quota.wall_clock_ms = self.wall(self.now)
         super().tick(n, p)
 
     def work(self, n: int, p: Process) -> None:
         core, now = p.quota, p.clock(self.now)
-        held = core.tasks.within(core.holder.bits) if now < core.holder.until else []
+        held = core.tasks.tasks_in(core.holder.shards) if now < core.holder.leased_until else []
         for task in self.picks.sample(held, min(self.acting, len(held))):
-            if fence := core.begin(now, task):
-                work = core.tasks.task(task).work
+            if fence := core.begin_action(now, task):
+                work = core.tasks.spec(task).max_work_ms
                 # It takes all of its time, and ends wherever its process then is.
-                self.acts.append((self.now, self.now + work, task, n, core.life, fence))
+                self.acts.append((self.now, self.now + work, task, n, core.incarnation, fence))
                 late = min(work, self.picks.expovariate(1.0 / self.lag))
                 self.at(self.now + late, lambda t=task, f=fence: self.effect(n, p, t, f))  # type: ignore[misc]
                 self.at(self.now + work, lambda t=task: self.over(p, t))  # type: ignore[misc]
@@ -65,11 +65,11 @@
             return
         if not p.alive:
             return
-        taken = self.place.takes(task, fence)
-        self.takings.append((self.now, "place", task, n, p.quota.life, fence, taken))
+        taken = self.place.accept(task, fence)
+        self.takings.append((self.now, "place", task, n, p.quota.incarnation, fence, taken))
         if not taken:
-            p.quota.holder.behind_of(self.place.seen[task])
+            p.quota.holder.on_action_rejected(self.place.highest_tokens[task])
 
     def over(self, p: Process, task: int) -> None:
         if p.alive and not p.stopped:
-            p.quota.done(p.clock(self.now), task)
+            p.quota.end_action(p.clock(self.now), task)
--- a/corallanding/lab/stewards/waits.py
+++ b/corallanding/lab/stewards/waits.py
@@ -24,7 +24,7 @@
     blocked_ms=1_500.0,
     dispatches_per_second=20.0,
 )
-QUOTA = QuotaLimits(lease_ms=600.0, office=400.0)
+QUOTA = QuotaLimits(lease_ms=600.0, vote_lease_ms=400.0)
 NOTICED = 120.0  # ms until a forwarder sees that its steward is gone
 
 
@@ -122,7 +122,7 @@
         n, p = up[0], self.processes[up[0]]
         w.at, w.begun = n, self.now
         job, _, _ = self.waits[n].admit(
-            p.clock(self.now), p.members.alive(), w.forwarder, w.job, w.kind, self.now - w.came
+            p.clock(self.now), p.members.alive_members(), w.forwarder, w.job, w.kind, self.now - w.came
         )
         if job is None:
             w.done, self.refusals = True, self.refusals + 1
@@ -155,13 +155,13 @@
     # ---- stewards ------------------------------------------------------------------------------------------
 
     def work(self, n: int, p: Process) -> None:
-        alive = [] if self.lone else p.members.alive()
+        alive = [] if self.lone else p.members.alive_members()
         actions, words = self.waits[n].tick(p.clock(self.now), alive)
         for a in actions:
             assert isinstance(a, Dispatch)
             self.gone(n, a)
         for s in words:
-            self.send(n, s.to, s.word)
+            self.send(n, s.to, s.message)
 
     def gone(self, n: int, a: Dispatch) -> None:
         w = self.jobs[a.job.ticket]
--- a/corallanding/lab/stewards/walk.py
+++ b/corallanding/lab/stewards/walk.py
@@ -28,24 +28,27 @@
 TERMS = PinningLimits(max_run_ms=1e9, announce_interval_ms=60.0)
 ASKS = QueryLimits(timeout_ms=300.0, retry_ms=60.0)
 TASKS = TaskCatalog(
-    {RELEASE_TASK: TaskSpec(RELEASE_TASK, work=50.0), RUNS_TASK_GROUP: TaskSpec(RUNS_TASK_GROUP, 1, work=50.0)}
+    {
+        RELEASE_TASK: TaskSpec(RELEASE_TASK, max_work_ms=50.0),
+        RUNS_TASK_GROUP: TaskSpec(RUNS_TASK_GROUP, 1, max_work_ms=50.0),
+    }
 )
 BAG = 120
 
 
 class Holder:
     def __init__(self) -> None:
-        self.fence = self.seen = 0
+        self.fencing_token = self.highest_token = 0
 
-    def behind_of(self, fence: int) -> None:
-        self.seen = max(self.seen, fence)
+    def on_action_rejected(self, fence: int) -> None:
+        self.highest_token = max(self.highest_token, fence)
 
 
 class Anyone:
     """What `Pins` asks of leases: granted by the walk, to whomever it likes."""
 
     def __init__(self, me: int, others: tuple[int, ...], life: int) -> None:
-        self.me, self.others, self.life, self.tasks = me, others, life, TASKS
+        self.controller_id, self.peer_ids, self.incarnation, self.tasks = me, others, life, TASKS
         self.holder, self.held = Holder(), set[int]()
 
     def holds(self, now: float, task: int) -> bool:
@@ -98,7 +101,7 @@
             if isinstance(a, Persist):
                 self.disks[n].write(a.changes, lambda born: born)
             elif len(self.bag) < BAG:
-                self.bag.append((n, a.to, a.word))
+                self.bag.append((n, a.to, a.message))
         for answer in self.pins[n].take_answers():
             key = self.asked.pop((n, answer.number), None)
             if key is not None and answer.result == RunStatus.PINNED:
@@ -142,7 +145,7 @@
             for other in self.leases.values():
                 other.held.discard(task)
         self.leases[n].held.add(task)
-        self.leases[n].holder.fence = self.fence
+        self.leases[n].holder.fencing_token = self.fence
 
     def file(self) -> None:
         """One is lost or put back, while all the others have theirs and count."""
--- a/corallanding/lab/stewards/world.py
+++ b/corallanding/lab/stewards/world.py
@@ -90,7 +90,7 @@
 
     def start(self, n: int) -> None:
         life = self.chance.getrandbits(62)
-        rate = 1.0 + self.chance.uniform(-1.0, 1.0) * self.terms.drift * 0.99
+        rate = 1.0 + self.chance.uniform(-1.0, 1.0) * self.terms.max_clock_drift * 0.99
         zero = self.chance.uniform(0.0, 1e9) + 1e6
         born, others = zero + self.now * rate, tuple(k for k in range(self.numbers) if k != n)
         chance = random.Random(life).random
@@ -98,7 +98,7 @@
         p = self.processes[n] = Process(
             quota, Membership(n, others, life, MembershipConfig(), chance, born), zero, rate
         )
-        self.act(n, p.members.greet(born))
+        self.act(n, p.members.announce())
         self.at(self.now + self.chance.uniform(0.0, TICK), lambda: self.tick(n, p))
 
     def core(self, n: int, others: tuple[int, ...], life: int, born: float, chance: Callable[[], float]) -> Any:
@@ -133,7 +133,7 @@
         now = p.clock(self.now)
         self.act(n, p.members.tick(now))
         if not self.static:
-            self.act(n, p.quota.tick(now, p.members.alive()))
+            self.act(n, p.quota.tick(now, p.members.alive_members()))
         self.work(n, p)
         self.at(self.now + TICK, lambda: self.tick(n, p))
 
@@ -156,7 +156,7 @@
             if isinstance(a, MemberStateChanged):
                 self.seen.append((self.now, n, a.member, a.state))
             else:
-                self.send(n, a.to, a.word)
+                self.send(n, a.to, a.message)
 
     def send(self, a: int, b: int, word: Any) -> None:
         self.sent += 1
@@ -184,9 +184,9 @@
     def take(self, n: int, p: Process, sender: int, word: Any) -> None:
         now = p.clock(self.now)
         if isinstance(word, Ping | Ack | PingRequest):
-            self.act(n, p.members.heard(now, sender, word))
+            self.act(n, p.members.on_message(now, sender, word))
         else:
-            self.act(n, p.quota.heard(now, sender, word))
+            self.act(n, p.quota.on_message(now, sender, word))
 
     def part(self, one: set[int], both: bool = True) -> None:
         """A cut between `one` and the rest; one way: nothing reaches the rest."""
--- a/corallanding/lease/__init__.py
+++ b/corallanding/lease/__init__.py
@@ -1,2 +1,2 @@
-"""An office held by a majority's votes, and tasks of the fleet dealt under it, each with a fence. Pure. See
-docs/leases.md."""
+"""Leader election by a majority's votes, and leases of tasks that the leader grants with fencing tokens. No input or
+output of its own. See docs/leases.md."""
--- a/corallanding/lease/core.py
+++ b/corallanding/lease/core.py
@@ -1,5 +1,4 @@
-"""Tasks of the fleet as one steward lives them: what it holds, the office if it has it, and its place of effect for
-what others say they do. Sans-I/O."""
+"""Task leases as one controller takes part in them: its leases, the allocation if it leads, and its fenced resource."""
 
 from __future__ import annotations
 
@@ -7,7 +6,8 @@
 from typing import Any
 
 from ..rate_limit import PeerRateLimiter
-from .election import LeaderElection, OutgoingMessage, VotedElection
+from ..wire.peer_messages import OutgoingMessage
+from .election import LeaderElection, VotedElection
 from .fenced_resource import FencedResource
 from .lease_holder import LeaseHolder
 from .limits import LeaseTimings
@@ -25,144 +25,174 @@
 from .shard_allocator import ShardAllocator
 from .tasks import TaskCatalog
 
+MAX_LISTED_TASKS = 1_000  # of the tasks held, in the status
+
 
 class TaskLeases:
-    """me, others: numbers. wall: ms of the wall clock, which the owner sets before each tick: a new dealer begins its
-    fences there, or above all that it has heard of, so that they rise through a restart of all.
+    """The task leases of one controller, without input or output of its own. All times are in ms by its clock.
 
-    chair: the office, where others rest on it too; whoever made it then ticks it and hears its words.
+    The owner sets `wall_clock_ms` before each tick: a new leader's fencing tokens begin there, or above all that it has
+    heard of, so that they rise through a restart of all controllers. `election` is given where others rest on it too:
+    whoever made it then ticks it and hands it its messages.
     """
 
     def __init__(
         self,
-        me: int,
-        others: tuple[int, ...],
+        controller_id: int,
+        peer_ids: tuple[int, ...],
         voters: tuple[int, ...],
         tasks: TaskCatalog,
-        terms: LeaseTimings,
-        life: int,
-        born: float,
-        chance: Callable[[], float],
-        wall: float = 0.0,
-        words_per_s: float = 200.0,
-        chair: LeaderElection | None = None,
+        timings: LeaseTimings,
+        incarnation: int,
+        started_at: float,
+        random_fraction: Callable[[], float],
+        wall_clock_ms: float = 0.0,
+        max_messages_per_second: float = 200.0,
+        election: LeaderElection | None = None,
     ) -> None:
-        self.me, self.others, self.tasks, self.terms, self.life = me, others, tasks, terms, life
-        self.wall, self.shared = wall, chair is not None
-        self.desk: LeaderElection = chair or VotedElection(me, others, voters, terms, life, born, chance, words_per_s)
-        self.allowances = PeerRateLimiter(others, words_per_s, born)
-        self.holder = LeaseHolder(life, terms, tasks, born)
-        self.dealer = ShardAllocator(terms, tasks, life)
-        self.place = FencedResource(tasks.count)
-        self.refused = 0  # words of nobody that we know, or too many
-        self.alone = 0  # asks that found nobody in office to go to
-
-    # ---- what is asked in the instant of an act ------------------------------------------------------------
+        self.controller_id = controller_id
+        self.peer_ids = peer_ids
+        self.tasks = tasks
+        self.incarnation = incarnation
+        self.wall_clock_ms = wall_clock_ms
+        self.is_election_shared = election is not None
+        self.election: LeaderElection = election or VotedElection(
+            controller_id, peer_ids, voters, timings, incarnation, started_at, random_fraction, max_messages_per_second
+        )
+        self.rate_limiter = PeerRateLimiter(peer_ids, max_messages_per_second, started_at)
+        self.holder = LeaseHolder(incarnation, timings, tasks, started_at)
+        self.allocator = ShardAllocator(timings, tasks, incarnation)
+        self.fenced_resource = FencedResource(tasks.count)
+        self.rejected = 0  # messages of unknown senders, too many, or of unknown tasks
+        self.requests_without_leader = 0
 
     def holds(self, now: float, task: int) -> bool:
+        """Whether this controller holds the task at this instant."""
         return self.holder.holds(now, task)
 
-    def begin(self, now: float, task: int) -> int:
-        """The fence of an act that may begin now; 0 if none may. `acted` says it to the other stewards."""
-        fence = self.holder.begin(now, task)
-        if fence and not self.place.takes(task, fence):
-            self.holder.behind_of(self.place.seen[task])
-            self.holder.done(now, task, progress=False)
+    def begin_action(self, now: float, task: int) -> int:
+        """The fencing token of an action that begins now, to be told by `action_notices`; 0 if none may begin."""
+        fencing_token = self.holder.begin_action(now, task)
+        if fencing_token and not self.fenced_resource.accept(task, fencing_token):
+            self.holder.on_action_rejected(self.fenced_resource.highest_tokens[task])
+            self.holder.end_action(now, task, made_progress=False)
             return 0
-        return fence
+        return fencing_token
 
-    def acted(self, task: int, fence: int) -> list[OutgoingMessage]:
-        """Words for the others, each a place of effect."""
-        return [OutgoingMessage(n, FencedAction(self.life, task, fence)) for n in self.others]
+    def action_notices(self, task: int, fencing_token: int) -> list[OutgoingMessage]:
+        """Messages by which the other controllers, each a fenced resource, learn of an action."""
+        return [OutgoingMessage(peer, FencedAction(self.incarnation, task, fencing_token)) for peer in self.peer_ids]
 
-    def done(self, now: float, task: int, progress: bool = True) -> None:
-        self.holder.done(now, task, progress)
+    def end_action(self, now: float, task: int, *, made_progress: bool = True) -> None:
+        """The action has ended, and nothing of it is on its way any more."""
+        self.holder.end_action(now, task, made_progress=made_progress)
 
-    def want(self, task: int, on: bool) -> None:
-        """Ask for a task that is not always wanted, or give it back."""
-        (self.holder.wishes.add if on else self.holder.wishes.discard)(task)
-        self.holder.asked_at = float("-inf")
+    def request_task(self, task: int) -> None:
+        """Request a task that is not always wanted."""
+        self.holder.requested_tasks.add(task)
+        self.holder.request_soon()
 
-    # ---- the core ------------------------------------------------------------------------------------------
+    def give_back_task(self, task: int) -> None:
+        """Give back a task that is not always wanted."""
+        self.holder.requested_tasks.discard(task)
+        self.holder.request_soon()
 
-    def office(self, now: float) -> bool:
-        """Whether we deal at this instant. Each new holding of the office begins with empty books."""
-        held = self.desk.holds(now)
-        term = self.desk.term if held else None
+    def update_leadership(self, now: float) -> bool:
+        """Whether this controller grants leases at this instant. Each new term begins without any accounts."""
+        term = self.election.term if self.election.is_leader(now) else None
         if term is None:
-            self.dealer.since = None
-            self.desk.tell(0)
+            self.allocator.leader_since = None
+            self.election.reserve_tokens(0)
             return False
-        if self.dealer.since is None or self.dealer.since < term[0]:
-            self.dealer.life = self.desk.identity
-            self.dealer.begin(now, term[1], self.desk.base(self.wall))
-        self.desk.tell(self.dealer.top)
-        self.dealer.kept = self.desk.ceiling
+        if self.allocator.leader_since is None or self.allocator.leader_since < term.leader_since:
+            self.allocator.epoch = self.election.epoch
+            self.allocator.begin_term(now, term.first_round, self.election.first_token(self.wall_clock_ms))
+        self.election.reserve_tokens(self.allocator.wanted_max_token)
+        self.allocator.max_token = self.election.max_token
         return True
 
     def tick(self, now: float, alive: Iterable[int]) -> list[OutgoingMessage]:
-        """Call every 50 ms or so. alive: the stewards reckoned with, by the membership."""
-        self.office(now)
-        out = [] if self.shared else self.desk.tick(now, alive)
-        self.office(now)
-        return out + self.ask(now)
-
-    def ask(self, now: float) -> list[OutgoingMessage]:
-        to, life, office = self.desk.holder
-        word = self.holder.ask(now, life, office)
-        if word is None:
+        """The messages that are due; to be called every 50 ms or so. `alive` is what the membership counts as alive."""
+        self.update_leadership(now)
+        messages = [] if self.is_election_shared else self.election.tick(now, alive)
+        self.update_leadership(now)
+        return messages + self.send_request(now)
+
+    def send_request(self, now: float) -> list[OutgoingMessage]:
+        """Request leases of the leader, if that is due; of ourselves at once, if we lead."""
+        leader = self.election.leader
+        request = self.holder.next_request(now, leader.epoch, leader.round)
+        if request is None:
             return []
-        if to is None:
-            self.alone += 1
-        elif to != self.me:
-            return [OutgoingMessage(to, word)]
-        elif self.office(now) and (deal := self.dealer.asked(now, self.me, word)):
-            if self.holder.dealt(now, deal):
-                return self.ask(now)
-        return []
-
-    def heard(self, now: float, sender: int, word: ElectionMessage | LeaseMessage) -> list[OutgoingMessage]:
-        """A word of a known steward."""
-        if isinstance(word, VoteRequest | VoteReply | VoteRelease):
-            out = self.desk.heard(now, sender, word)
-            self.office(now)
-            return out
-        if not self.allowances.take(sender, now):
-            self.refused += 1
+        if leader.controller is None:
+            self.requests_without_leader += 1
+            return []
+        if leader.controller != self.controller_id:
+            return [OutgoingMessage(leader.controller, request)]
+        if not self.update_leadership(now):
+            return []
+        grant = self.allocator.on_request(now, self.controller_id, request)
+        return self._apply_grant(now, grant) if grant else []
+
+    def on_message(self, now: float, sender: int, message: ElectionMessage | LeaseMessage) -> list[OutgoingMessage]:
+        """Take a message of another controller; returns the answers."""
+        if isinstance(message, VoteRequest | VoteReply | VoteRelease):
+            answers = self.election.on_message(now, sender, message)
+            self.update_leadership(now)
+            return answers
+        if not self.rate_limiter.try_take(sender, now):
+            self.rejected += 1
             return []
-        match word:
+        match message:
             case LeaseRequest():
-                if self.office(now) and (deal := self.dealer.asked(now, sender, word)):
-                    return [OutgoingMessage(sender, deal)]
+                return self._on_request(now, sender, message)
             case LeaseGrant():
-                if self.holder.dealt(now, word):
-                    return self.ask(now)
+                return self._apply_grant(now, message)
             case FencedAction():
-                if word.round >= self.tasks.count:
-                    self.refused += 1
-                elif not self.place.takes(word.round, word.fence):
-                    return [OutgoingMessage(sender, ActionRejected(word.life, word.round, self.place.seen[word.round]))]
+                return self._on_action(sender, message)
             case ActionRejected():
-                if word.life == self.life:
-                    self.holder.behind_of(word.fence)
+                if message.incarnation == self.incarnation:
+                    self.holder.on_action_rejected(message.highest_token)
         return []
 
-    def leave(self, now: float) -> list[OutgoingMessage]:
-        """A planned end: everything is given back, but what is under way; the office too."""
-        self.holder.leaving, self.holder.asked_at = True, float("-inf")
-        return [*self.ask(now), *(() if self.shared else self.desk.leave(now))]
+    def _on_request(self, now: float, sender: int, request: LeaseRequest) -> list[OutgoingMessage]:
+        if not self.update_leadership(now):
+            return []
+        grant = self.allocator.on_request(now, sender, request)
+        return [OutgoingMessage(sender, grant)] if grant else []
+
+    def _apply_grant(self, now: float, grant: LeaseGrant) -> list[OutgoingMessage]:
+        """Apply a grant; one that granted less than before is confirmed at once."""
+        return self.send_request(now) if self.holder.on_grant(now, grant) else []
 
-    def page(self, now: float) -> dict[str, Any]:
-        """What the door shows."""
-        h = self.holder
-        held = [self.tasks.label(n) for n in self.tasks.within(h.bits)] if now < h.until else []
+    def _on_action(self, sender: int, action: FencedAction) -> list[OutgoingMessage]:
+        if action.task >= self.tasks.count:
+            self.rejected += 1
+            return []
+        if self.fenced_resource.accept(action.task, action.fencing_token):
+            return []
+        highest_token = self.fenced_resource.highest_tokens[action.task]
+        return [OutgoingMessage(sender, ActionRejected(action.incarnation, action.task, highest_token))]
+
+    def resign(self, now: float) -> list[OutgoingMessage]:
+        """Before a planned end: give back everything but the tasks that are acted on, and the leadership too."""
+        self.holder.is_leaving = True
+        self.holder.request_soon()
+        messages = self.send_request(now)
+        return messages if self.is_election_shared else messages + self.election.resign(now)
+
+    def status(self, now: float) -> dict[str, Any]:
+        """What the status page shows; its keys are part of the interface."""
+        holder = self.holder
+        tasks = self.tasks.tasks_in(holder.shards) if now < holder.leased_until else []
+        barred = {task: until for task, until in holder.barred_until.items() if until > now}
         return {
-            "dealer": self.desk.holder[0],
-            "held": held[:1_000],
-            "held_count": len(held),
-            "fence": h.fence,
-            "lease_left_ms": max(0.0, round(h.until - now, 1)),
-            "behind": h.behind,
-            "stale": h.stale,
-            "turns_lost": {self.tasks.label(n): round(end - now) for n, end in h.barred.items() if end > now},
+            "dealer": self.election.leader.controller,
+            "held": [self.tasks.label(task) for task in tasks[:MAX_LISTED_TASKS]],
+            "held_count": len(tasks),
+            "fence": holder.fencing_token,
+            "lease_left_ms": max(0.0, round(holder.leased_until - now, 1)),
+            "behind": holder.rejected_actions,
+            "stale": holder.stale_grants,
+            "turns_lost": {self.tasks.label(task): round(until - now) for task, until in barred.items()},
         }
--- a/corallanding/lease/election.py
+++ b/corallanding/lease/election.py
@@ -1,166 +1,191 @@
-"""An office of an electorate as one steward lives it: its vote, and the office if it holds it. Sans-I/O.
+"""The election of one leader among the controllers, as one of them takes part in it.
 
-What rests on it (budgets, tasks) asks `holds` in the instant of an act, and begins anew when `term` has changed.
+What rests on the leadership (quotas, task leases) asks `is_leader` at the instant of each action, and begins anew when
+`term` has changed.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import NamedTuple, Protocol
 
 from ..rate_limit import PeerRateLimiter
-from .limits import SALT, ElectionTimings
+from ..wire.peer_messages import OutgoingMessage
+from .limits import TOKEN_SALT_BITS, ElectionTimings
 from .messages import ElectionMessage, VoteRelease, VoteReply, VoteRequest
-from .voting import Candidate, Voter, electorate
+from .voting import Candidate, Voter, electorate_digest
 
 
-@dataclass(frozen=True)
-class OutgoingMessage:
-    to: int
-    word: Any
+class Term(NamedTuple):
+    """Our present leadership: when it began (ms), and the lowest round by which others can name it."""
+
+    leader_since: float
+    first_round: int
+
+
+class Leader(NamedTuple):
+    """The leader as far as we know: its number, its epoch, and the round in which it claimed the leadership."""
+
+    controller: int | None
+    epoch: int
+    round: int
 
 
 class LeaderElection(Protocol):
-    """An office of the fleet, whatever holds it: a majority's votes (`Office`), the registry (`RegistryOffice`)."""
+    """An election, whatever decides it: votes of a majority (`VotedElection`) or the registry (`RegistryElection`)."""
 
-    me: int
-    others: tuple[int, ...]
-    life: int
+    controller_id: int
+    peer_ids: tuple[int, ...]
+    incarnation: int
 
-    def holds(self, now: float) -> bool:
-        """Asked in the instant of an act."""
+    def is_leader(self, now: float) -> bool:
+        """Whether we lead at this instant; to be asked at each action."""
         ...
 
     @property
-    def term(self) -> tuple[float, int] | None:
-        """When the office that is held began, and the least number by which others can name it; None without it. Good
-        right after `holds`."""
+    def term(self) -> Term | None:
+        """Our present leadership; None without one. True right after `is_leader`."""
         ...
 
     @property
-    def identity(self) -> int:
-        """By what others name the one who holds it, while we do."""
+    def epoch(self) -> int:
+        """The number by which others name our leadership."""
         ...
 
     @property
-    def holder(self) -> tuple[int | None, int, int]:
-        """Who holds it as far as we heard, its identity, and the number by which it may be named."""
+    def leader(self) -> Leader:
+        """The leader as far as we know."""
         ...
 
-    def base(self, wall: float) -> int:
-        """The fence above which a new dealer begins. wall: ms of the wall clock."""
+    def first_token(self, wall_clock_ms: float) -> int:
+        """The fencing token above which a new leader begins."""
         ...
 
     @property
-    def ceiling(self) -> int:
-        """The highest fence that may be given out now."""
+    def max_token(self) -> int:
+        """The highest fencing token that may be granted now."""
         ...
 
-    def tell(self, top: int) -> None:
-        """How far the dealer would like to go."""
+    def reserve_tokens(self, max_token: int) -> None:
+        """Ask that fencing tokens up to `max_token` may be granted."""
         ...
 
     @property
-    def refused(self) -> int: ...
+    def rejected(self) -> int:
+        """How many messages were rejected."""
+        ...
 
-    def tick(self, now: float, alive: Iterable[int]) -> list[OutgoingMessage]: ...
+    def tick(self, now: float, alive: Iterable[int]) -> list[OutgoingMessage]:
+        """The messages that are due. `alive` are the controllers that membership counts as alive."""
+        ...
 
-    def heard(self, now: float, sender: int, word: ElectionMessage) -> list[OutgoingMessage]: ...
+    def on_message(self, now: float, sender: int, message: ElectionMessage) -> list[OutgoingMessage]:
+        """Take a message of another controller; returns the answers."""
+        ...
 
-    def leave(self, now: float) -> list[OutgoingMessage]: ...
+    def resign(self, now: float) -> list[OutgoingMessage]:
+        """Give the leadership back before a planned end."""
+        ...
 
 
 class VotedElection:
-    """me, others, voters: numbers. life: drawn at the start. All times in ms by one clock."""
+    """An election by the votes of a majority of `voters`. All times are in ms by this controller's clock."""
 
     def __init__(
         self,
-        me: int,
-        others: tuple[int, ...],
+        controller_id: int,
+        peer_ids: tuple[int, ...],
         voters: tuple[int, ...],
-        terms: ElectionTimings,
-        life: int,
-        born: float,
-        chance: Callable[[], float],
-        words_per_s: float = 200.0,
+        timings: ElectionTimings,
+        incarnation: int,
+        started_at: float,
+        random_fraction: Callable[[], float],
+        max_messages_per_second: float = 200.0,
     ) -> None:
-        self.me, self.others, self.voters, self.terms, self.life = me, others, voters, terms, life
-        self.voter = Voter(terms, born, electorate(voters))
-        self.candidate = Candidate(me, life, voters, terms, chance, born)
-        self.allowances = PeerRateLimiter(others, words_per_s, born)
-        self.dropped = 0  # words of nobody that we know, or too many
-
-    # ---- what is asked in the instant of an act ------------------------------------------------------------
-
-    def holds(self, now: float) -> bool:
-        return self.candidate.holds(now)
+        self.controller_id = controller_id
+        self.peer_ids = peer_ids
+        self.voters = voters
+        self.incarnation = incarnation
+        self.voter = Voter(timings, started_at, electorate_digest(voters))
+        self.candidate = Candidate(controller_id, incarnation, voters, timings, random_fraction, started_at)
+        self.rate_limiter = PeerRateLimiter(peer_ids, max_messages_per_second, started_at)
+        self.dropped_messages = 0  # of unknown senders, or too many
+
+    def is_leader(self, now: float) -> bool:
+        """Whether we lead at this instant; to be asked at each action."""
+        return self.candidate.is_leader(now)
 
     @property
-    def term(self) -> tuple[float, int] | None:
-        """When the office that is held began, and the round of the first word that can say so; None without it. Good
-        right after `holds`."""
-        c = self.candidate
-        return None if c.since is None else (c.since, c.round + 1)
+    def term(self) -> Term | None:
+        """Our present leadership; None without one. True right after `is_leader`."""
+        candidate = self.candidate
+        return None if candidate.leader_since is None else Term(candidate.leader_since, candidate.round + 1)
 
     @property
-    def identity(self) -> int:
-        return self.life
+    def epoch(self) -> int:
+        """The number by which others name our leadership: our incarnation."""
+        return self.incarnation
 
     @property
-    def holder(self) -> tuple[int | None, int, int]:
-        """Who holds it as far as we heard, its life, and the round in which it said so."""
-        return self.candidate.holder, *self.candidate.office
+    def leader(self) -> Leader:
+        """The leader as far as we know; its epoch is its incarnation."""
+        return Leader(self.candidate.leader, self.candidate.leader_epoch, self.candidate.leader_round)
 
-    def base(self, wall: float) -> int:
-        return max(self.candidate.known, self.voter.top, int(wall) << SALT)
+    def first_token(self, wall_clock_ms: float) -> int:
+        """The fencing token above which a new leader begins: above all that voters know, and by the wall clock."""
+        clock_token = int(wall_clock_ms) << TOKEN_SALT_BITS
+        return max(self.candidate.highest_known_token, self.voter.max_token, clock_token)
 
     @property
-    def ceiling(self) -> int:
-        return self.candidate.kept
+    def max_token(self) -> int:
+        """The highest fencing token that may be granted now: one that a majority knows."""
+        return self.candidate.max_token
 
-    def tell(self, top: int) -> None:
-        """In our words to the voters: at least what we know of others."""
-        self.candidate.top = max(self.candidate.top, self.candidate.known, self.voter.top, top)
+    def reserve_tokens(self, max_token: int) -> None:
+        """Announce `max_token` to the voters, or the highest that we know of others."""
+        candidate = self.candidate
+        known = max(candidate.announced_token, candidate.highest_known_token, self.voter.max_token)
+        candidate.announced_token = max(known, max_token)
 
     @property
-    def refused(self) -> int:
-        return self.dropped + self.voter.refused
-
-    # ---- the core ------------------------------------------------------------------------------------------
+    def rejected(self) -> int:
+        """How many messages were rejected."""
+        return self.dropped_messages + self.voter.rejected
 
     def tick(self, now: float, alive: Iterable[int]) -> list[OutgoingMessage]:
-        """Call every 50 ms or so. alive: the stewards reckoned with, by the membership."""
-        known = {self.me, *alive}
-        able = [v for v in self.voters if v in known]
-        rank = able.index(self.me) if self.me in able else len(able)
-        word = self.candidate.tick(now, rank)
-        return self.to_all(now, word) if word else []
-
-    def to_all(self, now: float, word: VoteRequest | VoteRelease) -> list[OutgoingMessage]:
-        if self.me in self.voters:
-            if isinstance(word, VoteRequest):
-                self.candidate.voted(now, self.me, self.voter.asked(now, self.me, word))
+        """The messages that are due; to be called every 50 ms or so."""
+        known = {self.controller_id, *alive}
+        able = [voter for voter in self.voters if voter in known]
+        rank = able.index(self.controller_id) if self.controller_id in able else len(able)
+        message = self.candidate.tick(now, rank)
+        return self.broadcast(now, message) if message else []
+
+    def broadcast(self, now: float, message: VoteRequest | VoteRelease) -> list[OutgoingMessage]:
+        """Hand a message to our own voter, and return it for all others."""
+        if self.controller_id in self.voters:
+            if isinstance(message, VoteRequest):
+                reply = self.voter.on_vote_request(now, self.controller_id, message)
+                self.candidate.on_vote_reply(now, self.controller_id, reply)
             else:
-                self.voter.quit(self.me, word)
-        return [OutgoingMessage(n, word) for n in self.others]
+                self.voter.on_vote_release(self.controller_id, message)
+        return [OutgoingMessage(peer, message) for peer in self.peer_ids]
 
-    def heard(self, now: float, sender: int, word: ElectionMessage) -> list[OutgoingMessage]:
-        """A word of a known steward."""
-        if not self.allowances.take(sender, now):
-            self.dropped += 1
+    def on_message(self, now: float, sender: int, message: ElectionMessage) -> list[OutgoingMessage]:
+        """Take a message of another controller; returns the answers."""
+        if not self.rate_limiter.try_take(sender, now):
+            self.dropped_messages += 1
             return []
-        match word:
+        match message:
             case VoteRequest():
-                self.candidate.said(now, sender, word)
-                if self.me in self.voters and sender in self.voters:
-                    return [OutgoingMessage(sender, self.voter.asked(now, sender, word))]
+                self.candidate.on_vote_request(now, sender, message)
+                if self.controller_id in self.voters and sender in self.voters:
+                    return [OutgoingMessage(sender, self.voter.on_vote_request(now, sender, message))]
             case VoteReply():
-                self.candidate.voted(now, sender, word)
+                self.candidate.on_vote_reply(now, sender, message)
             case VoteRelease():
-                self.voter.quit(sender, word)
+                self.voter.on_vote_release(sender, message)
         return []
 
-    def leave(self, now: float) -> list[OutgoingMessage]:
-        """A planned end: the office is given back."""
-        return self.to_all(now, self.candidate.leave())
+    def resign(self, now: float) -> list[OutgoingMessage]:
+        """Give the leadership back before a planned end."""
+        return self.broadcast(now, self.candidate.resign())
--- a/corallanding/lease/fenced_resource.py
+++ b/corallanding/lease/fenced_resource.py
@@ -1,21 +1,25 @@
-"""A place of effect: what is done there, and under which fence. Pure."""
+"""A resource that checks fencing tokens: it rejects an action under an older token than it has accepted."""
 
 from __future__ import annotations
 
 
 class FencedResource:
-    """Takes an act only if no later holder's act was taken before it."""
+    """Accepts an action on a task only if no action under a higher fencing token was accepted before it.
 
-    def __init__(self, tasks: int) -> None:
-        self.tasks = tasks
-        self.seen: dict[int, int] = {}
-        self.taken = self.refused = 0
+    Tasks are numbered from 0 to `task_count` - 1, which bounds what is kept.
+    """
 
-    def takes(self, task: int, fence: int) -> bool:
-        """task: 0 on, below `tasks`, which bounds what is kept."""
-        if not 0 <= task < self.tasks or fence < self.seen.get(task, 0):
-            self.refused += 1
+    def __init__(self, task_count: int) -> None:
+        self.task_count = task_count
+        self.highest_tokens: dict[int, int] = {}  # by task
+        self.accepted = 0
+        self.rejected = 0
+
+    def accept(self, task: int, fencing_token: int) -> bool:
+        """Whether an action on `task` under `fencing_token` may take place."""
+        if not 0 <= task < self.task_count or fencing_token < self.highest_tokens.get(task, 0):
+            self.rejected += 1
             return False
-        self.seen[task] = fence
-        self.taken += 1
+        self.highest_tokens[task] = fencing_token
+        self.accepted += 1
         return True
--- a/corallanding/lease/lease_holder.py
+++ b/corallanding/lease/lease_holder.py
@@ -1,139 +1,183 @@
-"""The tasks of one steward: which it holds, whether an act may begin, what it asks for. Pure."""
+"""The task leases of one controller: which tasks it holds, whether an action may begin, and what it requests."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from enum import StrEnum
 
 from .limits import LeaseTimings
 from .messages import LeaseGrant, LeaseRequest
 from .tasks import TaskCatalog, pack, unpack
 
+NEVER = float("-inf")
+
+
+class LeaseChange(StrEnum):
+    """How the lease of a task changed. The values are labels of a metric."""
+
+    TAKEN_UP = "taken up"
+    GIVEN_UP = "given up"
+    LOST = "lost"
+    TURN_LOST = "turn lost"  # held without progress
+
+
+def ignore_change(change: LeaseChange, task: int) -> None:
+    """Do nothing: nobody wants to know of changes."""
+
 
 @dataclass
 class LeaseHolder:
-    """life: drawn at the start. All times in ms by one clock."""
+    """The leases of this process. All times are in ms by this controller's clock.
+
+    `incarnation` is drawn at the start. `on_change` is called for each task whose lease changes.
+    """
 
-    life: int
-    terms: LeaseTimings
+    incarnation: int
+    timings: LeaseTimings
     tasks: TaskCatalog
-    born: float
-    bits: int = 0  # shards dealt to us
-    fence: int = 0
-    until: float = float("-inf")  # by our clock
-    taken: int = 0  # round of the ask that the last deal answered; answers to that and earlier ones are void
+    started_at: float
+    shards: int = 0  # granted to us
+    fencing_token: int = 0
+    leased_until: float = NEVER
+    applied_round: int = 0  # of the request that the last grant answered; answers up to it are void
     round: int = 0
-    asked: dict[int, float] = field(default_factory=dict)  # round: when
-    asked_at: float = float("-inf")
-    busy: dict[int, float] = field(default_factory=dict)  # task: when the act on it has ended at the longest
-    moved: dict[int, float] = field(default_factory=dict)  # task with `idle`: when it last moved, or was taken up
-    wishes: set[int] = field(default_factory=set)  # tasks asked for that are not always wanted
-    barred: dict[int, float] = field(default_factory=dict)  # task: until when we do not ask for it: a turn was lost
-    seen: int = 0  # the highest fence that was shown to us
-    leaving: bool = False
-    stale: int = 0  # deals that came too late or for nothing
-    behind: int = 0  # acts that a place refused
-    said: Callable[[str, int], None] = lambda what, task: None  # taken up, given up, lost, turn lost: by task
-
-    # ---- what is asked in the instant of an act ------------------------------------------------------------
+    requested_at: dict[int, float] = field(default_factory=dict)  # by round
+    last_request_at: float = NEVER
+    busy_until: dict[int, float] = field(default_factory=dict)  # by task: when its action has ended at the latest
+    progressed_at: dict[int, float] = field(default_factory=dict)  # by task with `max_idle_ms`
+    requested_tasks: set[int] = field(default_factory=set)  # those that are not always wanted
+    barred_until: dict[int, float] = field(default_factory=dict)  # by task that was held without progress
+    highest_token: int = 0  # that a resource has shown to us
+    is_leaving: bool = False
+    stale_grants: int = 0  # that came too late or answered no request
+    rejected_actions: int = 0
+    on_change: Callable[[LeaseChange, int], None] = ignore_change
 
     def holds(self, now: float, task: int) -> bool:
-        return now < self.until and bool(self.bits >> self.tasks.shard(task) & 1) and task not in self.barred
+        """Whether this process holds the task at this instant."""
+        is_granted = bool(self.shards >> self.tasks.shard_of(task) & 1)
+        return now < self.leased_until and is_granted and task not in self.barred_until
+
+    def begin_action(self, now: float, task: int) -> int:
+        """The fencing token of an action that begins now; 0 if none may.
 
-    def begin(self, now: float, task: int) -> int:
-        """The fence of an act that may begin now; 0 if none may. Only if its longest time ends within the lease."""
-        end = now + self.terms.theirs(self.tasks.task(task).work)
-        if not self.holds(now, task) or end > self.until or self.busy.get(task, 0.0) > now or self.fence <= self.seen:
+        An action may begin only if the longest time that it can take ends within the lease.
+        """
+        ends_at = now + self.timings.expiry_ms(self.tasks.spec(task).max_work_ms)
+        if not self.holds(now, task) or ends_at > self.leased_until:
             return 0
-        self.busy[task] = end
-        return self.fence
-
-    def progress(self, now: float, task: int) -> None:
-        """The task has moved on."""
-        if task in self.moved:
-            self.moved[task] = now
-
-    def done(self, now: float, task: int, progress: bool = True) -> None:
-        """The act has ended, and nothing of it is on its way any more."""
-        self.busy.pop(task, None)
-        if progress:
-            self.progress(now, task)
-
-    def behind_of(self, fence: int) -> None:
-        """A place refused an act, and said what it has seen: we ask for a fence above that."""
-        self.behind += 1
-        if fence > self.seen:
-            self.seen, self.asked_at = fence, float("-inf")
-
-    # ---- words ---------------------------------------------------------------------------------------------
-
-    def working(self, now: float) -> int:
-        """The shards on which acts may still be under way."""
-        self.busy = {task: end for task, end in self.busy.items() if end > now}
-        return self.tasks.shards(self.busy)
-
-    def wanted(self, now: float) -> int:
-        if self.leaving:
+        if self.busy_until.get(task, 0.0) > now or self.fencing_token <= self.highest_token:
             return 0
-        self.barred = {task: end for task, end in self.barred.items() if end > now}
-        return (self.tasks.always | self.tasks.shards(self.wishes)) & ~self.tasks.shards(self.barred)
-
-    def watch(self, now: float) -> None:
-        """Tasks that are held and do not move on: the turn is lost, and another may try."""
-        if now >= self.until:
-            if self.bits:
-                self.drop(self.bits, "lost")
+        self.busy_until[task] = ends_at
+        return self.fencing_token
+
+    def end_action(self, now: float, task: int, *, made_progress: bool = True) -> None:
+        """The action has ended, and nothing of it is on its way any more."""
+        self.busy_until.pop(task, None)
+        if made_progress:
+            self.record_progress(now, task)
+
+    def record_progress(self, now: float, task: int) -> None:
+        """The task has made progress."""
+        if task in self.progressed_at:
+            self.progressed_at[task] = now
+
+    def on_action_rejected(self, highest_token: int) -> None:
+        """A resource has rejected an action and named the token that it has met: request one above that."""
+        self.rejected_actions += 1
+        if highest_token > self.highest_token:
+            self.highest_token = highest_token
+            self.request_soon()
+
+    def request_soon(self) -> None:
+        """Send the next request without waiting for the interval between two requests."""
+        self.last_request_at = NEVER
+
+    def busy_shards(self, now: float) -> int:
+        """The shards on which actions may still take place."""
+        self.busy_until = {task: ends_at for task, ends_at in self.busy_until.items() if ends_at > now}
+        return self.tasks.shard_set(self.busy_until)
+
+    def wanted_shards(self, now: float) -> int:
+        """The shards to be requested."""
+        if self.is_leaving:
+            return 0
+        self.barred_until = {task: ends_at for task, ends_at in self.barred_until.items() if ends_at > now}
+        wanted = self.tasks.always_wanted_shards | self.tasks.shard_set(self.requested_tasks)
+        return wanted & ~self.tasks.shard_set(self.barred_until)
+
+    def check_progress(self, now: float) -> None:
+        """Drop what the lease no longer covers, and bar tasks that are held without progress: another may try."""
+        if now >= self.leased_until:
+            if self.shards:
+                self._drop_shards(self.shards, LeaseChange.LOST)
             return
-        for task, at in list(self.moved.items()):
-            idle = self.tasks.task(task).idle
-            if idle and now - at > idle and task not in self.barred:
-                self.barred[task] = now + self.terms.turn * self.terms.lease
-                self.moved.pop(task)
-                self.asked_at = float("-inf")
-                self.said("turn lost", task)
-
-    def ask(self, now: float, to: int, office: int) -> LeaseRequest | None:
-        """The word for the dealer, if one is due. One for all that is held."""
-        self.watch(now)
-        if now - self.asked_at < self.terms.again:
+        for task, progressed_at in list(self.progressed_at.items()):
+            max_idle_ms = self.tasks.spec(task).max_idle_ms
+            if max_idle_ms and now - progressed_at > max_idle_ms and task not in self.barred_until:
+                self.barred_until[task] = now + self.timings.barred_ms
+                del self.progressed_at[task]
+                self.request_soon()
+                self.on_change(LeaseChange.TURN_LOST, task)
+
+    def next_request(self, now: float, leader_epoch: int, leader_round: int) -> LeaseRequest | None:
+        """The request to the leader, if one is due: one message for all tasks."""
+        self.check_progress(now)
+        if now - self.last_request_at < self.timings.request_interval_ms:
             return None
-        wanted, held = self.wanted(now), self.bits if now < self.until else 0
-        if not wanted and not held and not self.working(now):
+        wanted = self.wanted_shards(now)
+        held = (self.shards if now < self.leased_until else 0) | self.busy_shards(now)
+        if not wanted and not held:
             return None
         self.round += 1
-        self.asked = {r: at for r, at in self.asked.items() if now - at < 2 * self.terms.lease}
-        self.asked[self.round] = self.asked_at = now
-        held |= self.working(now)
+        self.requested_at = {r: at for r, at in self.requested_at.items() if now - at < 2 * self.timings.lease_ms}
+        self.requested_at[self.round] = now
+        self.last_request_at = now
         return LeaseRequest(
-            self.life, self.round, to, office, pack(wanted), pack(held), self.taken, self.tasks.digest, self.seen
+            incarnation=self.incarnation,
+            round=self.round,
+            leader_epoch=leader_epoch,
+            leader_round=leader_round,
+            wanted_shards=pack(wanted),
+            held_shards=pack(held),
+            applied_round=self.applied_round,
+            tasks_digest=self.tasks.digest,
+            highest_token=self.highest_token,
         )
 
-    def dealt(self, now: float, word: LeaseGrant) -> bool:
-        """A deal, good from when it was asked for. True if it gave less: the dealer waits to hear of it."""
-        at = self.asked.get(word.round)
-        if word.life != self.life or at is None or word.round <= self.taken:
-            self.stale += 1
+    def on_grant(self, now: float, grant: LeaseGrant) -> bool:
+        """Apply a grant, which is good from the time of its request.
+
+        Returns whether it granted less than before: the leader waits until a request confirms that.
+        """
+        requested_at = self.requested_at.get(grant.round)
+        if grant.incarnation != self.incarnation or requested_at is None or grant.round <= self.applied_round:
+            self.stale_grants += 1
             return False
-        bits, before = unpack(word.held), self.bits if now < self.until else 0
-        if self.leaving:
-            bits &= before
-        self.taken, self.until = word.round, at + self.terms.mine(self.terms.lease)
-        if now >= self.until:
-            bits = 0
-        less = before & ~bits
-        self.drop(less, "given up")
-        self.bits = bits
-        self.fence = max(self.fence, word.fence)
-        for task in self.tasks.within(bits & ~before) if bits & ~before else ():
-            if self.tasks.task(task).idle:
-                self.moved[task] = now
-            self.said("taken up", task)
-        if less:
-            self.asked_at = float("-inf")
-        return bool(less)
-
-    def drop(self, bits: int, why: str) -> None:
-        self.bits &= ~bits
-        for task in self.tasks.within(bits) if bits else ():
-            self.moved.pop(task, None)
-            self.said(why, task)
+        before = self.shards if now < self.leased_until else 0
+        self.applied_round = grant.round
+        self.leased_until = requested_at + self.timings.usable_ms(self.timings.lease_ms)
+        granted = unpack(grant.granted_shards) if now < self.leased_until else 0
+        if self.is_leaving:
+            granted &= before
+        given_up = before & ~granted
+        self._drop_shards(given_up, LeaseChange.GIVEN_UP)
+        self.shards = granted
+        self.fencing_token = max(self.fencing_token, grant.fencing_token)
+        self._take_up(now, granted & ~before)
+        if given_up:
+            self.request_soon()
+        return bool(given_up)
+
+    def _take_up(self, now: float, shards: int) -> None:
+        for task in self.tasks.tasks_in(shards) if shards else ():
+            if self.tasks.spec(task).max_idle_ms:
+                self.progressed_at[task] = now
+            self.on_change(LeaseChange.TAKEN_UP, task)
+
+    def _drop_shards(self, shards: int, change: LeaseChange) -> None:
+        self.shards &= ~shards
+        for task in self.tasks.tasks_in(shards) if shards else ():
+            self.progressed_at.pop(task, None)
+            self.on_change(change, task)
--- a/corallanding/lease/limits.py
+++ b/corallanding/lease/limits.py
@@ -1,37 +1,48 @@
-"""The times that an office rests on, and those of what is lent under it."""
+"""The durations on which an election and the leases that its leader grants rest."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-SALT = 12  # bits of a fence that tell dealers apart, should two ever count from the same number
+TOKEN_SALT_BITS = 12  # low bits of a fencing token that differ between leaders which count from the same number
 
 
 @dataclass(frozen=True)
 class ElectionTimings:
-    """ms. office: for how long a vote is lent. drift: the share by which a clock may run fast or slow; all that is lent
-    is used for less by the one, and waited for longer by the other."""
+    """Durations of an election, in ms by each controller's own clock.
 
-    office: float = 2_000.0
-    drift: float = 0.02
+    A vote is good for `vote_lease_ms`. `max_clock_drift` is the fraction by which a clock may run fast or slow: who was
+    granted something uses it for less, and who granted it waits for longer.
+    """
 
-    def mine(self, span: float) -> float:
-        """How long one may use what was lent for `span`, by its own clock."""
-        return span * (1.0 - self.drift)
+    vote_lease_ms: float = 2_000.0
+    max_clock_drift: float = 0.02
 
-    def theirs(self, span: float) -> float:
-        """How long to wait, by our own clock, until another surely has ended."""
-        return span * (1.0 + self.drift)
+    def usable_ms(self, span_ms: float) -> float:
+        """How long the receiver of a grant for `span_ms` may use it, by its own clock."""
+        return span_ms * (1.0 - self.max_clock_drift)
+
+    def expiry_ms(self, span_ms: float) -> float:
+        """How long to wait, by our own clock, until another's grant for `span_ms` has surely ended."""
+        return span_ms * (1.0 + self.max_clock_drift)
 
 
 @dataclass(frozen=True)
 class LeaseTimings(ElectionTimings):
-    """lease: ms for which tasks are dealt. again: ms between two words of a holder, a part of the lease. turn: ms for
-    which one that lost its turn at a task does not ask for it, in leases."""
+    """Durations of an election and of the task leases under it.
+
+    A task that made no progress is not requested again by the same holder for `barred_leases` times `lease_ms`.
+    """
 
-    lease: float = 3_000.0
-    turn: float = 2.0
+    lease_ms: float = 3_000.0
+    barred_leases: float = 2.0
+
+    @property
+    def request_interval_ms(self) -> float:
+        """Time between two requests of a lease holder."""
+        return self.lease_ms / 6.0
 
     @property
-    def again(self) -> float:
-        return self.lease / 6.0
+    def barred_ms(self) -> float:
+        """How long a holder that made no progress does not request the task again."""
+        return self.barred_leases * self.lease_ms
--- a/corallanding/lease/messages.py
+++ b/corallanding/lease/messages.py
@@ -1,105 +1,105 @@
-"""Words between stewards on an office and on tasks: msgpack arrays, each within one datagram."""
+"""Messages between controllers on the election and on task leases. Their tags and the order of fields are frozen."""
 
 from __future__ import annotations
 
-import msgspec
+from ..wire.peer_messages import ControllerMessage, MessageCodec, has_valid_header
 
-BITS = 32  # bytes of a set of shards
-
-
-class ControllerMessage(msgspec.Struct, frozen=True, array_like=True, tag_field="t"):
-    """life: drawn by each process at its start. round: its own count, never less than before."""
-
-    life: int
-    round: int
+SHARD_SET_BYTES = 32  # a set of shards, one bit each
+MAX_TOKEN = 1 << 63  # exclusive
 
 
 class VoteRequest(ControllerMessage, frozen=True, array_like=True, tag=11):
-    """Vote for me; `holds`: I have the office already. electorate: a digest of the voters as I know them. top: no fence
-    that I give out goes beyond it until this word has a majority's votes."""
+    """A candidate's request for a vote; a leader renews its votes by it.
+
+    `electorate_digest` identifies the voters as the sender knows them. The sender grants no fencing token above
+    `max_token` until a majority has voted for this request.
+    """
 
-    holds: bool = False
-    electorate: int = 0
-    top: int = 0
+    is_leader: bool = False
+    electorate_digest: int = 0
+    max_token: int = 0
 
 
 class VoteReply(ControllerMessage, frozen=True, array_like=True, tag=12):
-    """The answer to the round of that life. top: the highest that any candidate told this voter."""
+    """The answer to a vote request. `max_token` is the highest that any candidate announced to this voter."""
 
-    given: bool = False
-    top: int = 0
+    is_granted: bool = False
+    max_token: int = 0
 
 
 class VoteRelease(ControllerMessage, frozen=True, array_like=True, tag=13):
-    """Votes up to this round are of no use to me."""
+    """The sender no longer uses votes up to this round: a voter may vote for another."""
 
 
 class LeaseRequest(ControllerMessage, frozen=True, array_like=True, tag=16):
-    """A holder to the dealer: which shards it wants, which it has or still acts on, by the deal to which round. to,
-    office: life and round of the last word by which that dealer said that it holds the office. tasks: a digest of the
-    tasks as configured. seen: the highest fence that a place of effect or another word has shown."""
+    """A lease holder's request to the leader, for all shards at once.
 
-    to: int = 0
-    office: int = 0
-    wanted: bytes = b""
-    held: bytes = b""
-    taken: int = 0
-    tasks: int = 0
-    seen: int = 0
+    `leader_epoch` and `leader_round` name the last message by which the leader claimed its leadership. `held_shards`
+    are those that the sender holds or still acts on, by the grant that answered its round `applied_round`.
+    `tasks_digest` identifies the configured tasks. `highest_token` is the highest fencing token that the sender has
+    met.
+    """
+
+    leader_epoch: int = 0
+    leader_round: int = 0
+    wanted_shards: bytes = b""
+    held_shards: bytes = b""
+    applied_round: int = 0
+    tasks_digest: int = 0
+    highest_token: int = 0
 
 
 class LeaseGrant(ControllerMessage, frozen=True, array_like=True, tag=17):
-    """The answer to the ask of that life and round: all that it holds, under one fence."""
+    """The answer to a lease request: all shards that the receiver holds, under one fencing token."""
 
-    held: bytes = b""
-    fence: int = 0
+    granted_shards: bytes = b""
+    fencing_token: int = 0
 
 
 class FencedAction(ControllerMessage, frozen=True, array_like=True, tag=18):
-    """A holder is at work on a task: `round` is the task's number. A steward that hears it is a place of effect."""
+    """A lease holder acts on a task; whoever receives it is a fenced resource. `round` is the number of the task."""
+
+    fencing_token: int = 0
 
-    fence: int = 0
+    @property
+    def task(self) -> int:
+        """The number of the task."""
+        return self.round
 
 
 class ActionRejected(ControllerMessage, frozen=True, array_like=True, tag=19):
-    """The answer of a place to an act on a task (`round`) that is behind a later one: the fence that it has seen."""
+    """A fenced resource rejects an action on a task (`round`): it has accepted one with `highest_token`."""
 
-    fence: int = 0
+    highest_token: int = 0
 
 
 ElectionMessage = VoteRequest | VoteReply | VoteRelease
 LeaseMessage = LeaseRequest | LeaseGrant | FencedAction | ActionRejected
 
 
-def sound(word: ControllerMessage) -> bool:
-    """Whether its fields can be meant."""
-    if not (0 <= word.life < 1 << 63 and 0 <= word.round < 1 << 53):
+def is_valid(message: ControllerMessage) -> bool:
+    """Whether the values of a message are possible."""
+    if not has_valid_header(message):
         return False
-    match word:
+    match message:
         case VoteRequest() | VoteReply():
-            return 0 <= word.top < 1 << 63
+            return 0 <= message.max_token < MAX_TOKEN
         case LeaseRequest():
-            return len(word.wanted) == BITS == len(word.held) and min(word.to, word.office, word.taken, word.seen) >= 0
+            return _is_valid_request(message)
         case LeaseGrant():
-            return len(word.held) == BITS and 0 <= word.fence < 1 << 63
-        case FencedAction() | ActionRejected():
-            return 0 < word.fence < 1 << 63
+            return len(message.granted_shards) == SHARD_SET_BYTES and 0 <= message.fencing_token < MAX_TOKEN
+        case FencedAction():
+            return 0 < message.fencing_token < MAX_TOKEN
+        case ActionRejected():
+            return 0 < message.highest_token < MAX_TOKEN
     return True
 
 
-_decoder: msgspec.msgpack.Decoder[ElectionMessage | LeaseMessage] = msgspec.msgpack.Decoder(
-    ElectionMessage | LeaseMessage
-)
-
-
-def encode(word: ControllerMessage) -> bytes:
-    return msgspec.msgpack.encode(word)
+def _is_valid_request(message: LeaseRequest) -> bool:
+    numbers = (message.leader_epoch, message.leader_round, message.applied_round, message.highest_token)
+    return len(message.wanted_shards) == SHARD_SET_BYTES == len(message.held_shards) and min(numbers) >= 0
 
 
-def decode(data: bytes) -> ElectionMessage | LeaseMessage | None:
-    """None for what is no word of ours, or a newer one's that we do not know."""
-    try:
-        word = _decoder.decode(data)
-    except (msgspec.DecodeError, msgspec.ValidationError):
-        return None
-    return word if sound(word) else None
+_codec = MessageCodec[ElectionMessage | LeaseMessage](ElectionMessage | LeaseMessage, is_valid)
+encode = _codec.encode
+decode = _codec.decode
--- a/corallanding/lease/registry_election.py
+++ b/corallanding/lease/registry_election.py
@@ -1,7 +1,8 @@
-"""The office by the registry's compare-and-swap: one key, whose holder and create revision are office and term. Pure.
+"""Leader election by the registry's compare-and-swap on one key.
 
-What `registry.slice_ownership` decides of slices it decides here of one thing; the registry's revisions only rise, so
-that fences do through any restart, without votes and without a clock.
+The key's holder is the leader and its create revision the term. `registry.slice_ownership` decides on slices, and here
+on one thing in the same way. Revisions only rise, and fencing tokens with them, through any restart, without votes and
+without a clock.
 """
 
 from __future__ import annotations
@@ -9,67 +10,86 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from .election import OutgoingMessage
+from ..wire.peer_messages import OutgoingMessage
+from .election import Leader, Term
 from .messages import ElectionMessage
 
-OFFICE = 0  # the number of the one thing that is held
-WIDE = 32  # bits of a fence below the term's
+LEADERSHIP = 0  # the number under which the registry keeps the one leadership
+REVISION_SHIFT = 32  # bits of a fencing token below the revision
 
 
-class Held(Protocol):
-    """As `registry.slice_ownership.SliceOwnership` keeps it."""
+class OwnershipView(Protocol):
+    """What is asked of the ownership that the registry grants (`registry.slice_ownership`)."""
 
-    fencing_tokens: dict[int, int]  # number: fence, the create revision
-    observed_owners: dict[int, tuple[int, int]]  # number: (holder, create revision), as seen
+    fencing_tokens: dict[int, int]  # by number: the create revision under which we own it
+    observed_owners: dict[int, tuple[int, int]]  # by number: the owner and its create revision, as observed
 
-    def has_valid_lease(self, now: float) -> bool: ...
+    def has_valid_lease(self, now: float) -> bool:
+        """Whether our lease in the registry is surely good at this instant."""
+        ...
 
 
 class RegistryElection:
-    """me, others: numbers. life: drawn at the start."""
-
-    def __init__(self, me: int, others: tuple[int, ...], life: int, charge: Held) -> None:
-        self.me, self.others, self.life, self.charge = me, others, life, charge
-        self.since: float | None = None
+    """An election that the registry decides. All times are in ms by this controller's clock."""
+
+    def __init__(
+        self, controller_id: int, peer_ids: tuple[int, ...], incarnation: int, ownership: OwnershipView
+    ) -> None:
+        self.controller_id = controller_id
+        self.peer_ids = peer_ids
+        self.incarnation = incarnation
+        self.ownership = ownership
+        self.leader_since: float | None = None
         self.revision = 0
-        self.refused = 0  # words of an office that is held by votes elsewhere
+        self.rejected = 0  # messages of an election that is held by votes elsewhere
 
-    def holds(self, now: float) -> bool:
-        revision = self.charge.fencing_tokens.get(OFFICE, 0) if self.charge.has_valid_lease(now) else 0
+    def is_leader(self, now: float) -> bool:
+        """Whether we lead at this instant; to be asked at each action."""
+        revision = self.ownership.fencing_tokens.get(LEADERSHIP, 0) if self.ownership.has_valid_lease(now) else 0
         if revision != self.revision:
-            self.revision, self.since = revision, now if revision else None
+            self.revision = revision
+            self.leader_since = now if revision else None
         return bool(revision)
 
     @property
-    def term(self) -> tuple[float, int] | None:
-        return None if self.since is None else (self.since, self.revision)
+    def term(self) -> Term | None:
+        """Our present leadership; None without one. True right after `is_leader`."""
+        return None if self.leader_since is None else Term(self.leader_since, self.revision)
 
     @property
-    def identity(self) -> int:
+    def epoch(self) -> int:
+        """The number by which others name our leadership: the revision of the key."""
         return self.revision
 
     @property
-    def holder(self) -> tuple[int | None, int, int]:
-        if found := self.charge.observed_owners.get(OFFICE):
-            return found[0], found[1], found[1]
-        return None, 0, 0
+    def leader(self) -> Leader:
+        """The leader as the registry names it."""
+        if found := self.ownership.observed_owners.get(LEADERSHIP):
+            controller, revision = found
+            return Leader(controller, revision, revision)
+        return Leader(None, 0, 0)
 
-    def base(self, wall: float) -> int:
-        return self.revision << WIDE
+    def first_token(self, wall_clock_ms: float) -> int:
+        """The fencing token above which a new leader begins."""
+        return self.revision << REVISION_SHIFT
 
     @property
-    def ceiling(self) -> int:
-        return (self.revision + 1 << WIDE) - 1
+    def max_token(self) -> int:
+        """The highest fencing token of this term."""
+        return (self.revision + 1 << REVISION_SHIFT) - 1
 
-    def tell(self, top: int) -> None:
-        """Nobody needs to be told: the next term's fences are above all of this one's."""
+    def reserve_tokens(self, max_token: int) -> None:
+        """Nothing is to be reserved: all tokens of the next term are above those of this one."""
 
     def tick(self, now: float, alive: Iterable[int]) -> list[OutgoingMessage]:
+        """No messages: the registry is asked by its own client."""
         return []
 
-    def heard(self, now: float, sender: int, word: ElectionMessage) -> list[OutgoingMessage]:
-        self.refused += 1
+    def on_message(self, now: float, sender: int, message: ElectionMessage) -> list[OutgoingMessage]:
+        """Reject the message: nobody votes here."""
+        self.rejected += 1
         return []
 
-    def leave(self, now: float) -> list[OutgoingMessage]:
+    def resign(self, now: float) -> list[OutgoingMessage]:
+        """Nothing is sent: the registry's client gives the key back."""
         return []
--- a/corallanding/lease/shard_allocator.py
+++ b/corallanding/lease/shard_allocator.py
@@ -1,172 +1,239 @@
-"""The books of the steward in office: which shards are out to whom, who gets which, under which fence. Pure.
+"""The leader's accounts of task leases: which shards are leased to whom, who gets which, under which fencing token.
 
-What is dealt counts as out until it surely has ended, whatever became of its holder. A dealer that is new in office
-goes on with what holders tell it, in its own term, that they hold; all else it deals once every deal of its predecessor
-has ended.
+A lease counts until it has surely ended, whatever became of its holder. A new leader goes on with what holders report,
+in its own term, that they hold; everything else it grants once every lease of its predecessor has ended.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-from .limits import SALT, LeaseTimings
+from .limits import TOKEN_SALT_BITS, LeaseTimings
 from .messages import LeaseGrant, LeaseRequest
-from .shard_plan import plan
-from .tasks import TaskCatalog, each, pack, unpack
+from .shard_plan import plan_shards
+from .tasks import TaskCatalog, pack, shard_list, unpack
 
-LIVES_MOST = 4  # of one steward, that something may still be out to
-PLANNED = 100.0  # ms for which a plan stands
+MAX_PROCESSES = 4  # of one controller, that may still hold something
+PLAN_VALID_MS = 100.0
+FAIRNESS_LEASES = 100  # lease durations for which it is remembered who held a shard
+ALL_SHARDS = -1
+
+
+class GrantedLease(NamedTuple):
+    """A grant that has not ended: the round that it answered, its shards, and when it surely ends (ms)."""
+
+    round: int
+    shards: int
+    ends_at: float
+
+
+class ProcessKey(NamedTuple):
+    """One process of a controller."""
+
+    controller: int
+    incarnation: int
 
 
 @dataclass
 class ProcessLeases:
-    """What one process may hold: every entry that has not ended."""
+    """What one process may hold: every grant that has not ended."""
 
-    round: int = -1  # of its last ask
-    wanted: int = 0
-    at: float = float("-inf")
-    fence: int = 0  # of the last deal
-    entries: list[tuple[int, int, float]] = field(default_factory=list)  # (round, shards, until)
+    last_round: int = -1
+    wanted_shards: int = 0
+    requested_at: float = float("-inf")
+    fencing_token: int = 0  # of the last grant
+    grants: list[GrantedLease] = field(default_factory=list)
 
     @property
-    def dealt(self) -> int:
-        """By the last answer; what is out may be more."""
-        return max(self.entries, default=(0, 0, 0.0))[1]
+    def granted_shards(self) -> int:
+        """The shards of the last grant; what is leased may be more."""
+        return max(self.grants, default=GrantedLease(0, 0, 0.0)).shards
 
-    def out(self, now: float) -> int:
-        self.entries = [e for e in self.entries if e[2] > now]
-        bits = 0
-        for _, held, _ in self.entries:
-            bits |= held
-        return bits
-
-
-Who = tuple[int, int]  # steward, life
+    def leased_shards(self, now: float) -> int:
+        """All shards that it may hold."""
+        self.grants = [grant for grant in self.grants if grant.ends_at > now]
+        shards = 0
+        for grant in self.grants:
+            shards |= grant.shards
+        return shards
 
 
 @dataclass
 class ShardAllocator:
-    """life: by what asks name the one in office. fence: the last one given out; `kept`: the highest that may be."""
+    """Grants leases of shards while this controller leads. All times are in ms by its clock.
+
+    Requests name the leadership by `epoch`. No fencing token above `max_token` is granted.
+    """
 
-    terms: LeaseTimings
+    timings: LeaseTimings
     tasks: TaskCatalog
-    life: int = 0
-    first: int = 0
-    since: float | None = None
-    fence: int = 0
-    kept: int = 0
-    book: dict[Who, ProcessLeases] = field(default_factory=dict)
-    known: int = 0  # shards of a predecessor's deals, by what holders said
-    turns: dict[tuple[int, int], float] = field(default_factory=dict)  # (shard, steward): when it last had it
-    planned: dict[int, int] = field(default_factory=dict)
+    epoch: int = 0
+    first_round: int = 0  # the lowest round by which a request can name the present term
+    leader_since: float | None = None
+    learning_until: float = float("inf")  # until then a lease of the predecessor may be good
+    last_token: int = 0
+    max_token: int = 0
+    leases: dict[ProcessKey, ProcessLeases] = field(default_factory=dict)
+    learned_shards: int = 0  # leases of the predecessor, as their holders reported
+    last_held_at: dict[tuple[int, int], float] = field(default_factory=dict)  # by (shard, controller)
+    planned_shards: dict[int, int] = field(default_factory=dict)  # by controller
     planned_at: float = float("-inf")
-    late: int = 0  # asks that were meant for a former office
-    strangers: int = 0  # asks of one with other tasks
-    refused: int = 0  # asks beyond the bounds
-    moves: int = 0  # shards that were dealt to another than had them last
-    last: dict[int, int] = field(default_factory=dict)  # shard: who had it last
+    stale_requests: int = 0  # meant for a former term
+    mismatched_requests: int = 0  # of controllers with other tasks
+    rejected: int = 0  # beyond `MAX_PROCESSES`
+    moved_shards: int = 0  # granted to another controller than held them last
+    last_holder: dict[int, int] = field(default_factory=dict)  # by shard
 
     @property
-    def good(self) -> float:
-        """For how long a deal counts as out, from its answer on."""
-        return self.terms.theirs(self.terms.lease)
-
-    def begin(self, now: float, first: int, fence: int) -> None:
-        """The office is new, or was lost for a moment. first: the round of the first word in which we can say that we
-        hold it. fence: above all that was ever given out, as far as known."""
-        self.since, self.first, self.book, self.known = now, first, {}, 0
-        self.fence, self.planned_at = max(self.fence, fence), float("-inf")
+    def grant_expiry_ms(self) -> float:
+        """For how long a grant counts as good, from its answer on."""
+        return self.timings.expiry_ms(self.timings.lease_ms)
+
+    def begin_term(self, now: float, first_round: int, first_token: int) -> None:
+        """A term begins, or was interrupted for a moment. Tokens are granted above `first_token`."""
+        self.leader_since = now
+        self.learning_until = now + self.grant_expiry_ms
+        self.first_round = first_round
+        self.leases = {}
+        self.learned_shards = 0
+        self.last_token = max(self.last_token, first_token)
+        self.planned_at = float("-inf")
 
     @property
-    def top(self) -> int:
-        """What our words to the voters tell: as many fences ahead as the wall clock passes in half an office's time, so
-        that it is beyond them by the time that voters who all forgot elect another."""
-        return self.fence + (int(self.terms.office / 2.0) << SALT)
-
-    def asked(self, now: float, sender: int, word: LeaseRequest) -> LeaseGrant | None:
-        """now: an instant at which the office was held. None: no answer that could be of use."""
-        if word.to != self.life or word.office < self.first:
-            self.late += 1
+    def wanted_max_token(self) -> int:
+        """The highest token that voters should know of.
+
+        It is as far ahead as the wall clock runs in half a vote's time. By the time that voters which all forgot it
+        elect another leader, the clock, by which that one's tokens begin, has passed it.
+        """
+        return self.last_token + (int(self.timings.vote_lease_ms / 2.0) << TOKEN_SALT_BITS)
+
+    def on_request(self, now: float, sender: int, request: LeaseRequest) -> LeaseGrant | None:
+        """The answer to a request, at an instant when we lead; None if no answer could be of use."""
+        if request.leader_epoch != self.epoch or request.leader_round < self.first_round:
+            self.stale_requests += 1
+            return None
+        if request.tasks_digest != self.tasks.digest:
+            self.mismatched_requests += 1
             return None
-        if word.tasks != self.tasks.digest:
-            self.strangers += 1
+        key = ProcessKey(sender, request.incarnation)
+        held = unpack(request.held_shards)
+        leases = self.leases.get(key) or self._register(now, key, held)
+        if leases is None or request.round <= leases.last_round:
+            return None  # late or repeated: it was answered, and what it says is outdated
+        leases.last_round = request.round
+        leases.requested_at = now
+        leases.wanted_shards = unpack(request.wanted_shards)
+        self.last_token = max(self.last_token, request.highest_token)  # the next grant is above what a resource has met
+        self.settle_grants(now, leases, request.applied_round, held)
+        return self.grant(now, key, leases, request)
+
+    def _register(self, now: float, key: ProcessKey, held: int) -> ProcessLeases | None:
+        """The new account of a process; None if its controller has too many."""
+        if self._process_count(key.controller) >= MAX_PROCESSES:
+            self._drop_expired(now)
+        if self._process_count(key.controller) >= MAX_PROCESSES:
+            self.rejected += 1
             return None
-        who, held = (sender, word.life), unpack(word.held)
-        mine = self.book.get(who)
-        if mine is None:
-            if sum(k[0] == sender for k in self.book) >= LIVES_MOST:
-                self.drop(now)
-            if sum(k[0] == sender for k in self.book) >= LIVES_MOST:
-                self.refused += 1
-                return None
-            assert self.since is not None
-            if now < self.since + self.good:
-                self.known |= held
-            mine = self.book[who] = ProcessLeases()
-        if word.round <= mine.round:
-            return None  # late or repeated: it was answered, and says what is no longer so
-        mine.round, mine.at, mine.wanted = word.round, now, unpack(word.wanted)
-        self.fence = max(self.fence, word.seen)  # a place has seen more than we knew: what is dealt next is above it
-        self.settle(now, mine, word.taken, held)
-        return self.deal(now, who, mine, word)
-
-    def settle(self, now: float, life: ProcessLeases, taken: int, held: int) -> None:
-        """It has taken up the answer to its round `taken`, will take up none before that any more, and holds or acts on
-        no more than `held` of all those. A later answer may still be on its way: what that dealt stands beside this."""
-        assert self.since is not None
-        learning = self.since + self.good
-        over = [e for e in life.entries if e[0] <= taken]
-        life.entries = [e for e in life.entries if e[0] > taken and e[2] > now]
-        ends = max((until for _, _, until in over), default=now)
-        if now < learning:
-            life.entries.append((taken, held, max(ends, learning)))
-        elif over and held:
-            lent = 0
-            for _, bits, _ in over:
-                lent |= bits
-            life.entries.append((taken, held & lent, ends))
-
-    def deal(self, now: float, who: Who, mine: ProcessLeases, word: LeaseRequest) -> LeaseGrant:
-        assert self.since is not None
-        others = 0
-        for other, life in self.book.items():
-            if other != who:
-                others |= life.out(now)
-        able = self.known if now < self.since + self.good else -1
-        before = mine.out(now)
-        bits = self.part(now, who[0]) & mine.wanted & able & ~others
-        if (bits & ~before) or (mine.fence <= word.seen and bits):
-            fence = ((self.fence >> SALT) + 1 << SALT) | self.life % (1 << SALT)
-            if fence <= self.kept:
-                self.fence = mine.fence = fence
+        if now < self.learning_until:
+            self.learned_shards |= held
+        leases = self.leases[key] = ProcessLeases()
+        return leases
+
+    def _process_count(self, controller: int) -> int:
+        return sum(key.controller == controller for key in self.leases)
+
+    def settle_grants(self, now: float, leases: ProcessLeases, applied_round: int, held: int) -> None:
+        """Replace the grants up to `applied_round` by what the process still holds of them.
+
+        It has applied the answer to that round, will apply no earlier one any more, and holds or acts on no more than
+        `held` of all these. A later answer may still be on its way: what it granted is kept beside this.
+        """
+        settled = [grant for grant in leases.grants if grant.round <= applied_round]
+        leases.grants = [grant for grant in leases.grants if grant.round > applied_round and grant.ends_at > now]
+        ends_at = max((grant.ends_at for grant in settled), default=now)
+        if now < self.learning_until:
+            leases.grants.append(GrantedLease(applied_round, held, max(ends_at, self.learning_until)))
+        elif settled and held:
+            granted = 0
+            for grant in settled:
+                granted |= grant.shards
+            leases.grants.append(GrantedLease(applied_round, held & granted, ends_at))
+
+    def grant(self, now: float, key: ProcessKey, leases: ProcessLeases, request: LeaseRequest) -> LeaseGrant:
+        """Grant what is planned for the process, as far as nobody else may hold it."""
+        leased_to_others = self._leased_to_others(now, key)
+        learned = self.learned_shards if now < self.learning_until else ALL_SHARDS
+        before = leases.leased_shards(now)
+        shards = self._planned_for(now, key.controller) & leases.wanted_shards & learned & ~leased_to_others
+        if (shards & ~before) or (shards and leases.fencing_token <= request.highest_token):
+            token = self._next_token()
+            if token <= self.max_token:
+                self.last_token = token
+                leases.fencing_token = token
             else:
-                bits &= before  # no majority would know of a higher fence yet: nothing new under it
-        for shard in each(bits):
-            self.turns[shard, who[0]] = now
-            self.moves += self.last.get(shard, who[0]) != who[0]
-            self.last[shard] = who[0]
-        mine.entries.append((word.round, bits, now + self.good))
-        return LeaseGrant(word.life, word.round, pack(bits), mine.fence)
-
-    def part(self, now: float, sender: int) -> int:
-        """What the plan gives it. A plan is made of all that asked of late, their last lives."""
-        if now - self.planned_at > PLANNED or sender not in self.planned:
-            newest: dict[int, ProcessLeases] = {}
-            for (steward, _), life in self.book.items():
-                late = now - life.at > self.terms.lease
-                if not late and (steward not in newest or life.at > newest[steward].at):
-                    newest[steward] = life
-            has = {n: life.dealt for n, life in newest.items()}
-            # What two may have (one gives it back as the other takes it up) counts for the first only.
-            taken = 0
-            for n in sorted(has):
-                has[n] &= ~taken
-                taken |= has[n]
-            wants = {n: life.wanted for n, life in newest.items()}
-            self.planned, self.planned_at = plan(has, wants, self.tasks.weights, self.turns, self.tasks.sticky), now
-            self.turns = {k: at for k, at in self.turns.items() if now - at < 100 * self.terms.lease}
-        return self.planned.get(sender, 0)
-
-    def drop(self, now: float) -> None:
-        for who in [w for w, life in self.book.items() if not life.out(now) and now - life.at > self.terms.lease]:
-            del self.book[who]
+                shards &= before  # no majority knows of a higher token yet: nothing new under it
+        self._record_holder(now, key.controller, shards)
+        leases.grants.append(GrantedLease(request.round, shards, now + self.grant_expiry_ms))
+        return LeaseGrant(request.incarnation, request.round, pack(shards), leases.fencing_token)
+
+    def _leased_to_others(self, now: float, key: ProcessKey) -> int:
+        """What other processes may hold. Drops their ended grants, which a plan must not count any more."""
+        shards = 0
+        for other, leases in self.leases.items():
+            if other != key:
+                shards |= leases.leased_shards(now)
+        return shards
+
+    def _next_token(self) -> int:
+        """The next token: a count above the last one, with low bits that differ between leaders."""
+        salt = self.epoch % (1 << TOKEN_SALT_BITS)
+        return ((self.last_token >> TOKEN_SALT_BITS) + 1 << TOKEN_SALT_BITS) | salt
+
+    def _record_holder(self, now: float, controller: int, shards: int) -> None:
+        for shard in shard_list(shards):
+            self.last_held_at[shard, controller] = now
+            self.moved_shards += self.last_holder.get(shard, controller) != controller
+            self.last_holder[shard] = controller
+
+    def _planned_for(self, now: float, controller: int) -> int:
+        """What the present plan gives a controller; the plan is made anew if it is too old or lacks the controller."""
+        if now - self.planned_at > PLAN_VALID_MS or controller not in self.planned_shards:
+            self._make_plan(now)
+        return self.planned_shards.get(controller, 0)
+
+    def _make_plan(self, now: float) -> None:
+        newest = self._newest_processes(now)
+        wanted = {controller: leases.wanted_shards for controller, leases in newest.items()}
+        held: dict[int, int] = {}
+        taken = 0
+        for controller in sorted(newest):
+            # What two may hold, as one gives it back and the other takes it up, counts for the first only.
+            held[controller] = newest[controller].granted_shards & ~taken
+            taken |= held[controller]
+        self.planned_shards = plan_shards(
+            held, wanted, self.tasks.shard_weights, self.last_held_at, self.tasks.sticky_shards
+        )
+        self.planned_at = now
+        horizon_ms = FAIRNESS_LEASES * self.timings.lease_ms
+        self.last_held_at = {key: at for key, at in self.last_held_at.items() if now - at < horizon_ms}
+
+    def _newest_processes(self, now: float) -> dict[int, ProcessLeases]:
+        """Of each controller that sent a request of late, the process that did so last."""
+        newest: dict[int, ProcessLeases] = {}
+        for key, leases in self.leases.items():
+            if now - leases.requested_at > self.timings.lease_ms:
+                continue
+            known = newest.get(key.controller)
+            if known is None or leases.requested_at > known.requested_at:
+                newest[key.controller] = leases
+        return newest
+
+    def _drop_expired(self, now: float) -> None:
+        """Forget processes that hold nothing and sent no request of late."""
+        self.leases = {
+            key: leases
+            for key, leases in self.leases.items()
+            if leases.leased_shards(now) or now - leases.requested_at <= self.timings.lease_ms
+        }
--- a/corallanding/lease/shard_plan.py
+++ b/corallanding/lease/shard_plan.py
@@ -1,58 +1,104 @@
-"""Who is to have which shard: evenly by weight, moved as little as can be, in fair turns. Pure."""
+"""Which controller is to hold which shard: evenly by weight, with as few moves as possible, in fair turns."""
 
 from __future__ import annotations
 
-from collections.abc import Mapping, Sequence
+from collections.abc import Iterable, Mapping, Sequence
+from typing import NamedTuple
 
-from .tasks import each
+from .tasks import shard_list
 
 
-def plan(
-    has: Mapping[int, int],
-    wants: Mapping[int, int],
+class Move(NamedTuple):
+    """A shard that would go to another controller. Moves compare by what they leave of the difference in load."""
+
+    remaining_difference: int
+    shard: int
+    receiver: int
+
+
+def plan_shards(
+    held: Mapping[int, int],
+    wanted: Mapping[int, int],
     weights: Sequence[int],
-    turns: Mapping[tuple[int, int], float],
-    sticky: int = 0,
+    last_held_at: Mapping[tuple[int, int], float],
+    sticky_shards: int = 0,
 ) -> dict[int, int]:
-    """has, wants: steward to a set of shards; no shard is had twice. turns: (shard, steward) to when it last had it.
-    sticky: shards that go over only when they are given back.
+    """The set of shards that each controller is to hold.
+
+    `held` and `wanted` map a controller to a set of shards; no shard is held twice. `last_held_at` tells for (shard,
+    controller) when it last held it. Sticky shards move only when they are given back.
 
-    A shard stays where it is wanted, unless its holder has more than its even part and another less. What is free goes
-    to who has least, and of those to who had it longest ago. Only stewards in `wants` get any.
+    A shard stays where it is wanted, unless its holder has more than an even part and another less. A free shard goes
+    to the controller with the least load, and among equals to the one that held it longest ago. Only controllers in
+    `wanted` get any.
     """
-    out = {who: has.get(who, 0) & wants[who] for who in wants}
-    load = {who: sum(weights[k] for k in each(bits)) for who, bits in out.items()}
-    taken = 0
-    for bits in out.values():
-        taken |= bits
-    free = 0
-    for bits in wants.values():
-        free |= bits
-    for shard in sorted(each(free & ~taken), key=lambda k: (-weights[k], k)):
-        able = [who for who, bits in wants.items() if bits >> shard & 1]
-        best = min(able, key=lambda who: (load[who], turns.get((shard, who), float("-inf")), who))
-        out[best] |= 1 << shard
-        load[best] += weights[shard]
+    planned = {controller: held.get(controller, 0) & wanted[controller] for controller in wanted}
+    load = {controller: sum(weights[shard] for shard in shard_list(shards)) for controller, shards in planned.items()}
+    _assign_free_shards(planned, load, wanted, weights, last_held_at)
     for _ in range(len(weights)):
-        # The one that has most gives one shard to the one that has least of those that want it, while that evens out.
-        most = max(load, key=lambda who: (load[who], who), default=None)
-        if most is None:
+        if not _move_one_shard(planned, load, wanted, weights, sticky_shards):
             break
-        best_move: tuple[int, int, int] | None = None  # difference left, shard, to
-        for who in sorted(load, key=lambda who: (load[who], who)):
-            gap = load[most] - load[who]
-            if gap < 2 or best_move is not None:
-                break  # to the one that has least: what went to another would be passed on later
-            for shard in each(out[most] & wants[who] & ~sticky):
-                if 0 < weights[shard] < gap:
-                    left = abs(gap - 2 * weights[shard])
-                    if best_move is None or (left, shard, who) < best_move:
-                        best_move = (left, shard, who)
-        if best_move is None:
-            break
-        _, shard, to = best_move
-        out[most] &= ~(1 << shard)
-        out[to] |= 1 << shard
-        load[most] -= weights[shard]
-        load[to] += weights[shard]
-    return out
+    return planned
+
+
+def _assign_free_shards(
+    planned: dict[int, int],
+    load: dict[int, int],
+    wanted: Mapping[int, int],
+    weights: Sequence[int],
+    last_held_at: Mapping[tuple[int, int], float],
+) -> None:
+    free = _union(wanted.values()) & ~_union(planned.values())
+    for shard in sorted(shard_list(free), key=lambda shard: (-weights[shard], shard)):
+        candidates = [controller for controller, shards in wanted.items() if shards >> shard & 1]
+        receiver = min(candidates, key=lambda c: (load[c], last_held_at.get((shard, c), float("-inf")), c))
+        planned[receiver] |= 1 << shard
+        load[receiver] += weights[shard]
+
+
+def _move_one_shard(
+    planned: dict[int, int],
+    load: dict[int, int],
+    wanted: Mapping[int, int],
+    weights: Sequence[int],
+    sticky_shards: int,
+) -> bool:
+    """Move one shard from the controller with the most load, if that evens out the load; False if none does."""
+    sender = max(load, key=lambda controller: (load[controller], controller), default=None)
+    if sender is None:
+        return False
+    move = _best_move(sender, planned, load, wanted, weights, sticky_shards)
+    if move is None:
+        return False
+    planned[sender] &= ~(1 << move.shard)
+    planned[move.receiver] |= 1 << move.shard
+    load[sender] -= weights[move.shard]
+    load[move.receiver] += weights[move.shard]
+    return True
+
+
+def _best_move(
+    sender: int,
+    planned: Mapping[int, int],
+    load: Mapping[int, int],
+    wanted: Mapping[int, int],
+    weights: Sequence[int],
+    sticky_shards: int,
+) -> Move | None:
+    """The move to the controller with the least load that wants a shard of the sender: any other would be repeated."""
+    for receiver in sorted(load, key=lambda controller: (load[controller], controller)):
+        gap = load[sender] - load[receiver]
+        if gap < 2:
+            return None
+        movable = shard_list(planned[sender] & wanted[receiver] & ~sticky_shards)
+        moves = [Move(abs(gap - 2 * weights[s]), s, receiver) for s in movable if 0 < weights[s] < gap]
+        if moves:
+            return min(moves)
+    return None
+
+
+def _union(shard_sets: Iterable[int]) -> int:
+    shards = 0
+    for shard_set in shard_sets:
+        shards |= shard_set
+    return shards
--- a/corallanding/lease/tasks.py
+++ b/corallanding/lease/tasks.py
@@ -1,7 +1,7 @@
-"""The tasks of a fleet as configured, and the shards in which they are dealt. Pure.
+"""The configured tasks of all controllers, and the shards in which they are leased.
 
-Words must follow members, not tasks: so tasks are dealt by shards, of which a set fits one datagram. As long as there
-are no more tasks than shards, each has one for itself, and moves alone.
+The size of messages must follow the number of controllers, not of tasks: tasks are leased by shards, and a set of all
+shards fits one datagram. As long as there are no more tasks than shards, each task has a shard for itself.
 """
 
 from __future__ import annotations
@@ -9,103 +9,132 @@
 import zlib
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
+from typing import NamedTuple
 
-from .messages import BITS
+from .messages import SHARD_SET_BYTES
 
-SHARDS = BITS * 8
+SHARDS = SHARD_SET_BYTES * 8
 
 
 @dataclass(frozen=True)
 class TaskSpec:
-    """count: tasks of a group by number, 1 for a single one. work: ms that one act takes at the longest. idle: ms
-    without progress after which its holder loses its turn, 0 for never. wanted: whether every steward wants it always;
-    else only those that say so."""
+    """A task, or a group of `count` tasks of one kind.
+
+    One action takes at most `max_work_ms`. A holder that makes no progress for `max_idle_ms` gives the task back; 0: it
+    never has to. A task that is not `is_always_wanted` is requested only by controllers that ask for it.
+    """
 
     name: str
     count: int = 1
-    work: float = 500.0
-    idle: float = 0.0
-    wanted: bool = True
+    max_work_ms: float = 500.0
+    max_idle_ms: float = 0.0
+    is_always_wanted: bool = True
+
+
+class NumberedSpec(NamedTuple):
+    """A task or group, and the number of its first task."""
+
+    first_number: int
+    spec: TaskSpec
+
+    @property
+    def numbers(self) -> range:
+        """The numbers of its tasks."""
+        return range(self.first_number, self.first_number + self.spec.count)
 
 
 class TaskCatalog:
-    """By name, in an order that all stewards share. Numbers run through all of them, 0 on."""
-
-    def __init__(self, tasks: Mapping[str, TaskSpec]) -> None:
-        self.by_name = dict(sorted(tasks.items()))
-        self.first: dict[str, int] = {}
-        self.rows: list[tuple[int, TaskSpec]] = []  # first number, task
-        at = 0
-        for name, task in self.by_name.items():
-            self.first[name] = at
-            self.rows.append((at, task))
-            at += task.count
-        self.count = at
-        self.last: tuple[int, list[int]] = (0, [])
-        self.weights = [at // SHARDS + (k < at % SHARDS) for k in range(SHARDS)]
-        self.digest = zlib.crc32(self.digest_text().encode())
-        self.sticky = self.shards(n for first, t in self.rows if not t.wanted for n in range(first, first + t.count))
-        self.always = self.shards(n for first, t in self.rows if t.wanted for n in range(first, first + t.count))
-
-    def digest_text(self) -> str:
-        """What the digest is computed from. Frozen: controllers of other versions compare theirs with it."""
-        return f"[{', '.join(_digest_row(task) for task in self.by_name.values())}]"
-
-    def number(self, name: str, which: int = 0) -> int:
-        """Raises KeyError for a task that is not configured."""
-        task = self.by_name[name]
-        if not 0 <= which < task.count:
-            raise KeyError(f"{name}[{which}]")
-        return self.first[name] + which
-
-    def row(self, number: int) -> tuple[int, TaskSpec]:
-        """The first number of its task or group, and that."""
-        return next(row for row in reversed(self.rows) if row[0] <= number)
-
-    def task(self, number: int) -> TaskSpec:
-        return self.row(number)[1]
+    """All tasks in an order that controllers share: by name. Tasks are numbered through all of them, from 0."""
+
+    def __init__(self, specs: Mapping[str, TaskSpec]) -> None:
+        self.specs = dict(sorted(specs.items()))
+        self.first_numbers: dict[str, int] = {}
+        self.numbered_specs: list[NumberedSpec] = []
+        self.count = 0
+        for name, spec in self.specs.items():
+            self.first_numbers[name] = self.count
+            self.numbered_specs.append(NumberedSpec(self.count, spec))
+            self.count += spec.count
+        self.shard_weights = [self.count // SHARDS + (shard < self.count % SHARDS) for shard in range(SHARDS)]
+        self.digest = zlib.crc32(self._digest_text().encode())
+        self.sticky_shards = self._shards_of_specs(is_always_wanted=False)
+        self.always_wanted_shards = self._shards_of_specs(is_always_wanted=True)
+        self._cached_shards = 0
+        self._cached_tasks: list[int] = []
+
+    def _shards_of_specs(self, *, is_always_wanted: bool) -> int:
+        specs = [row for row in self.numbered_specs if row.spec.is_always_wanted == is_always_wanted]
+        return self.shard_set(number for row in specs for number in row.numbers)
+
+    def _digest_text(self) -> str:
+        """What the digest is computed from. Frozen: controllers of other versions compare their digest with it."""
+        return f"[{', '.join(_digest_row(spec) for spec in self.specs.values())}]"
+
+    def number(self, name: str, index: int = 0) -> int:
+        """The number of a task, by its name and its index in the group.
+
+        Raises KeyError for a task that is not configured.
+        """
+        spec = self.specs[name]
+        if not 0 <= index < spec.count:
+            raise KeyError(f"{name}[{index}]")
+        return self.first_numbers[name] + index
+
+    def numbered_spec(self, number: int) -> NumberedSpec:
+        """The task or group to which a number belongs."""
+        return next(row for row in reversed(self.numbered_specs) if row.first_number <= number)
+
+    def spec(self, number: int) -> TaskSpec:
+        """What is configured of the task with this number."""
+        return self.numbered_spec(number).spec
 
     def label(self, number: int) -> str:
-        first, task = self.row(number)
-        return task.name if task.count == 1 else f"{task.name}[{number - first}]"
+        """The name of a task; within a group, with its index in brackets."""
+        first_number, spec = self.numbered_spec(number)
+        return spec.name if spec.count == 1 else f"{spec.name}[{number - first_number}]"
 
     @staticmethod
-    def shard(number: int) -> int:
+    def shard_of(number: int) -> int:
+        """The shard of a task."""
         return number % SHARDS
 
     @staticmethod
-    def shards(numbers: Iterable[int]) -> int:
-        """A set of shards, as bits of a whole number."""
-        out = 0
-        for n in numbers:
-            out |= 1 << n % SHARDS
-        return out
+    def shard_set(numbers: Iterable[int]) -> int:
+        """The shards of these tasks, as the bits of an integer."""
+        shards = 0
+        for number in numbers:
+            shards |= 1 << number % SHARDS
+        return shards
 
-    def within(self, bits: int) -> list[int]:
-        """The numbers of the tasks in these shards. The last answer is kept: it is asked for at every tick."""
-        if self.last[0] != bits:
-            self.last = (bits, sorted(n for shard in each(bits) for n in range(shard, self.count, SHARDS)))
-        return self.last[1]
+    def tasks_in(self, shards: int) -> list[int]:
+        """The numbers of the tasks in a set of shards, ascending. The last answer is cached: each tick asks for it."""
+        if self._cached_shards != shards:
+            self._cached_shards = shards
+            self._cached_tasks = sorted(n for shard in shard_list(shards) for n in range(shard, self.count, SHARDS))
+        return self._cached_tasks
 
 
-def _digest_row(task: TaskSpec) -> str:
-    row = f"name={task.name!r}, count={task.count!r}, work={task.work!r}, idle={task.idle!r}, wanted={task.wanted!r}"
-    return f"Task({row})"
+def _digest_row(spec: TaskSpec) -> str:
+    work, idle = spec.max_work_ms, spec.max_idle_ms
+    fields = f"name={spec.name!r}, count={spec.count!r}, work={work!r}, idle={idle!r}, wanted={spec.is_always_wanted!r}"
+    return f"Task({fields})"
 
 
-def pack(bits: int) -> bytes:
-    return bits.to_bytes(BITS, "little")
+def pack(shards: int) -> bytes:
+    """A set of shards as messages hold it."""
+    return shards.to_bytes(SHARD_SET_BYTES, "little")
 
 
 def unpack(data: bytes) -> int:
+    """The set of shards that `pack` wrote."""
     return int.from_bytes(data, "little")
 
 
-def each(bits: int) -> list[int]:
+def shard_list(shards: int) -> list[int]:
     """The shards of a set, ascending."""
-    out = []
-    while bits:
-        low = bits & -bits
-        out.append(low.bit_length() - 1)
-        bits ^= low
-    return out
+    found = []
+    while shards:
+        lowest_bit = shards & -shards
+        found.append(lowest_bit.bit_length() - 1)
+        shards ^= lowest_bit
+    return found
--- a/corallanding/lease/voting.py
+++ b/corallanding/lease/voting.py
@@ -1,7 +1,8 @@
-"""One at a time in office: held by the votes of a majority, each lent for a while. No log, no disk.
+"""Leader election by votes of a majority, each given for a limited time: the voter and the candidate. Nothing is logged
+or stored.
 
-A voter that starts promises nothing for as long as a vote of its former life may be good. So two hold it at once only
-if a clock is off by more than the stated drift.
+A voter that has just started gives no vote for as long as a vote of its former process may still be good. So two can
+lead at the same time only if a clock is off by more than the stated drift.
 """
 
 from __future__ import annotations
@@ -9,159 +10,223 @@
 import zlib
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from .limits import ElectionTimings
 from .messages import VoteRelease, VoteReply, VoteRequest
 
+HEARTBEATS_PER_VOTE = 4.0  # vote requests that are sent while one vote is good
+PATIENCE_PER_RANK = 0.5  # vote leases that a candidate waits longer for each able voter before it
+MIN_FRUITLESS_LEASES = 2  # vote leases after which a candidate that has votes and no leadership gets none
+MAX_FRUITLESS_LEASES = 4  # vote leases after which it may try again
 
-def electorate(voters: Collection[int]) -> int:
-    return zlib.crc32(",".join(str(v) for v in sorted(voters)).encode())
+
+def electorate_digest(voters: Collection[int]) -> int:
+    """A number that identifies the set of voters."""
+    return zlib.crc32(",".join(str(voter) for voter in sorted(voters)).encode())
+
+
+class CandidateKey(NamedTuple):
+    """One process of a candidate."""
+
+    controller: int
+    incarnation: int
 
 
 @dataclass
 class Voter:
-    """born: when this process started, by its clock."""
-
-    terms: ElectionTimings
-    born: float
-    electorate: int
-    to: tuple[int, int] | None = None  # candidate and its life
-    until: float = 0.0
-    round: int = -1  # the last that was voted for
-    idle: dict[int, float] = field(default_factory=dict)  # candidate: since when it has had votes and no office
-    refused: int = 0
-    top: int = 0  # the highest that a candidate told
-
-    def asked(self, now: float, candidate: int, word: VoteRequest) -> VoteReply:
-        who = (candidate, word.life)
-        if word.electorate != self.electorate:
-            self.refused += 1
-            return VoteReply(word.life, word.round, False)
-        self.top = max(self.top, word.top)
-        if now < self.born + self.terms.theirs(self.terms.office):
-            return VoteReply(word.life, word.round, False)
-        if who != self.to and self.to is not None and now < self.until:
-            return VoteReply(word.life, word.round, False)
-        if who == self.to and word.round <= self.round:
-            return VoteReply(word.life, word.round, False)  # an old or repeated word: its vote was given, or taken back
-        if word.holds:
-            self.idle.pop(candidate, None)
-        else:
-            # One whose votes do not reach it would keep all others from the office for good.
-            since = self.idle.setdefault(candidate, now)
-            if now - since > 2 * self.terms.office:
-                if now - since > 4 * self.terms.office:
-                    del self.idle[candidate]
-                return VoteReply(word.life, word.round, False)
-        self.to, self.round, self.until = who, word.round, now + self.terms.theirs(self.terms.office)
-        return VoteReply(word.life, word.round, True, self.top)
-
-    def quit(self, candidate: int, word: VoteRelease) -> None:
-        """Its votes are given back. A quit that comes late, behind a newer round, frees nothing."""
-        if self.to == (candidate, word.life) and word.round >= self.round:
-            self.until, self.round = 0.0, word.round
+    """One voter. `started_at` is when this process started, in ms by its own clock."""
+
+    timings: ElectionTimings
+    started_at: float
+    electorate_digest: int
+    voted_for: CandidateKey | None = None
+    voted_until: float = 0.0
+    voted_round: int = -1  # the last round that was voted for
+    unsuccessful_since: dict[int, float] = field(default_factory=dict)  # by candidate that has votes and does not lead
+    rejected: int = 0  # requests of candidates that know other voters
+    max_token: int = 0  # the highest that a candidate announced
+
+    def on_vote_request(self, now: float, candidate: int, request: VoteRequest) -> VoteReply:
+        """Grant the vote, or refuse it."""
+        key = CandidateKey(candidate, request.incarnation)
+        if request.electorate_digest != self.electorate_digest:
+            self.rejected += 1
+            return VoteReply(request.incarnation, request.round, False)
+        self.max_token = max(self.max_token, request.max_token)
+        if not self._is_free_for(now, key, request) or not self._may_go_on(now, candidate, request):
+            return VoteReply(request.incarnation, request.round, False)
+        self.voted_for = key
+        self.voted_round = request.round
+        self.voted_until = now + self.timings.expiry_ms(self.timings.vote_lease_ms)
+        return VoteReply(request.incarnation, request.round, True, self.max_token)
+
+    def on_vote_release(self, candidate: int, release: VoteRelease) -> None:
+        """The candidate gives back its votes. A release that arrives after a newer round has no effect."""
+        if self.voted_for == (candidate, release.incarnation) and release.round >= self.voted_round:
+            self.voted_until = 0.0
+            self.voted_round = release.round
+
+    def _is_free_for(self, now: float, key: CandidateKey, request: VoteRequest) -> bool:
+        """Whether no earlier vote, also of a former process, keeps us from voting for this request."""
+        if now < self.started_at + self.timings.expiry_ms(self.timings.vote_lease_ms):
+            return False
+        if key == self.voted_for:
+            return request.round > self.voted_round  # else old or repeated: its vote was given, or given back
+        return self.voted_for is None or now >= self.voted_until
+
+    def _may_go_on(self, now: float, candidate: int, request: VoteRequest) -> bool:
+        """Whether the candidate leads, or is not yet without success for too long.
+
+        A candidate that does not receive its votes would otherwise keep all others from the leadership for good.
+        """
+        if request.is_leader:
+            self.unsuccessful_since.pop(candidate, None)
+            return True
+        fruitless_ms = now - self.unsuccessful_since.setdefault(candidate, now)
+        if fruitless_ms <= MIN_FRUITLESS_LEASES * self.timings.vote_lease_ms:
+            return True
+        if fruitless_ms > MAX_FRUITLESS_LEASES * self.timings.vote_lease_ms:
+            del self.unsuccessful_since[candidate]
+        return False
 
 
 @dataclass
 class Candidate:
-    """One that may hold the office. `tick`, `give_up` and `leave` return words for the voters."""
+    """A controller that may become the leader.
 
-    me: int
-    life: int
+    `tick`, `give_up_candidacy` and `resign` return a message for all voters. `random_fraction` returns a number from 0
+    to below 1. All times are in ms by the controller's own clock.
+    """
+
+    controller_id: int
+    incarnation: int
     voters: tuple[int, ...]
-    terms: ElectionTimings
-    chance: Callable[[], float]
-    born: float
+    timings: ElectionTimings
+    random_fraction: Callable[[], float]
+    started_at: float
     round: int = 0
-    asked: dict[int, float] = field(default_factory=dict)  # round: when it was asked
-    votes: dict[int, float] = field(default_factory=dict)  # voter: until when its vote is surely good
-    top: int = 0  # what our words tell as such, and what votes have told
-    told: dict[int, int] = field(default_factory=dict)  # voter: the highest of our tops that it surely knows
-    known: int = 0
-    tops: dict[int, int] = field(default_factory=dict)  # round: the top that it told
-    since: float | None = None  # when the office that is held now began
-    standing: float | None = None  # since when it stands without the office
-    heard_at: float = 0.0  # when another was last heard to hold it
-    holder: int | None = None  # who that was, or ourselves
-    office: tuple[int, int] = (0, 0)  # its life, and the round in which it said so
-    next_at: float = 0.0
-    back_off: float = 0.0
+    requested_at: dict[int, float] = field(default_factory=dict)  # by round
+    votes_until: dict[int, float] = field(default_factory=dict)  # by voter: until when its vote is surely good
+    announced_token: int = 0  # what our requests announce as the highest fencing token
+    announced_tokens: dict[int, int] = field(default_factory=dict)  # the same by round
+    acknowledged_tokens: dict[int, int] = field(default_factory=dict)  # by voter: the highest of ours that it knows
+    highest_known_token: int = 0  # the highest that replies of voters named
+    leader_since: float | None = None  # when our present leadership began
+    candidate_since: float | None = None  # since when we ask for votes without leading
+    leader_heard_at: float = 0.0  # when another leader was last heard of
+    leader: int | None = None  # who that was, or ourselves
+    leader_epoch: int = 0  # the leader's incarnation
+    leader_round: int = 0  # the round in which it claimed the leadership
+    next_request_at: float = 0.0
+    backoff_until: float = 0.0
 
     def __post_init__(self) -> None:
-        self.heard_at = self.born
+        self.leader_heard_at = self.started_at
 
     @property
-    def needed(self) -> int:
+    def majority(self) -> int:
+        """How many votes make a leader."""
         return len(self.voters) // 2 + 1
 
     @property
-    def kept(self) -> int:
-        """The top that a majority knows: whoever comes into office after us will hear of it."""
-        told = sorted((self.told.get(v, 0) for v in self.voters), reverse=True)
-        return told[self.needed - 1]
-
-    def until(self) -> float:
-        """Till when a majority's votes are surely good: asked at every use, with the time of that instant."""
-        good = sorted(self.votes.values(), reverse=True)
-        return good[self.needed - 1] if len(good) >= self.needed else float("-inf")
-
-    def holds(self, now: float) -> bool:
-        held = now < self.until()
-        if not held:
-            self.since = None
-        elif self.since is None:
-            self.since, self.standing, self.holder = now, None, self.me
-            self.office, self.next_at = (self.life, self.round + 1), now  # said at once
-        return held
-
-    def voted(self, now: float, voter: int, word: VoteReply) -> None:
-        asked = self.asked.get(word.round)
-        if word.life != self.life or not word.given or asked is None or voter not in self.voters:
+    def max_token(self) -> int:
+        """The highest fencing token that a majority of voters knows: any later leader will learn of it."""
+        known = sorted((self.acknowledged_tokens.get(voter, 0) for voter in self.voters), reverse=True)
+        return known[self.majority - 1]
+
+    def leader_until(self) -> float:
+        """Until when a majority's votes are surely good; minus infinity without a majority."""
+        ends = sorted(self.votes_until.values(), reverse=True)
+        return ends[self.majority - 1] if len(ends) >= self.majority else float("-inf")
+
+    def is_leader(self, now: float) -> bool:
+        """Whether we lead at this instant: to be asked at each action, with the time of that instant."""
+        has_majority = now < self.leader_until()
+        if not has_majority:
+            self.leader_since = None
+        elif self.leader_since is None:
+            self._begin_leadership(now)
+        return has_majority
+
+    def _begin_leadership(self, now: float) -> None:
+        self.leader_since = now
+        self.candidate_since = None
+        self.leader = self.controller_id
+        self.leader_epoch = self.incarnation
+        self.leader_round = self.round + 1
+        self.next_request_at = now  # it is announced at once
+
+    def on_vote_reply(self, now: float, voter: int, reply: VoteReply) -> None:
+        """Count a vote, from the time of the request that it answers."""
+        requested_at = self.requested_at.get(reply.round)
+        if reply.incarnation != self.incarnation or not reply.is_granted or voter not in self.voters:
+            return
+        if requested_at is None:
+            return
+        self.is_leader(now)  # a leadership that ended while nobody asked begins anew: another may have led since
+        usable_until = requested_at + self.timings.usable_ms(self.timings.vote_lease_ms)
+        self.votes_until[voter] = max(self.votes_until.get(voter, usable_until), usable_until)
+        self.highest_known_token = max(self.highest_known_token, reply.max_token)
+        acknowledged = self.announced_tokens.get(reply.round, 0)
+        self.acknowledged_tokens[voter] = max(self.acknowledged_tokens.get(voter, 0), acknowledged)
+        self.is_leader(now)
+
+    def on_vote_request(self, now: float, sender: int, request: VoteRequest) -> None:
+        """Another controller asks for votes; if it leads, note that."""
+        if not request.is_leader:
             return
-        self.holds(now)  # an office that lapsed while nobody asked begins anew: another may have held it
-        good = asked + self.terms.mine(self.terms.office)
-        self.votes[voter] = max(self.votes.get(voter, good), good)
-        self.known = max(self.known, word.top)
-        self.told[voter] = max(self.told.get(voter, 0), self.tops.get(word.round, 0))
-        self.holds(now)
-
-    def said(self, now: float, sender: int, word: VoteRequest) -> None:
-        """Another stands, or holds the office."""
-        if word.holds:
-            if self.office[0] != word.life or self.office[1] < word.round:
-                self.office = (word.life, word.round)
-            self.heard_at, self.holder = now, sender
+        if self.leader_epoch != request.incarnation or self.leader_round < request.round:
+            self.leader_epoch = request.incarnation
+            self.leader_round = request.round
+        self.leader_heard_at = now
+        self.leader = sender
 
     def tick(self, now: float, rank: int) -> VoteRequest | VoteRelease | None:
-        """The word for all, if one is due. rank: how many able voters come before us."""
-        if self.me not in self.voters or now < self.next_at:
+        """The message for all voters, if one is due. `rank` is how many able voters come before us."""
+        if self.controller_id not in self.voters or now < self.next_request_at:
             return None
-        holds = self.holds(now)
-        self.next_at = now + self.terms.office / 4.0
-        self.asked = {r: t for r, t in self.asked.items() if now - t < self.terms.office}
-        if not holds:
-            quiet = now - self.heard_at
-            if quiet < self.terms.office * (1.0 + 0.5 * rank) or now < self.back_off:
-                self.standing = None
+        is_leader = self.is_leader(now)
+        self.next_request_at = now + self.timings.vote_lease_ms / HEARTBEATS_PER_VOTE
+        self.requested_at = {r: at for r, at in self.requested_at.items() if now - at < self.timings.vote_lease_ms}
+        if not is_leader:
+            if not self._may_stand(now, rank):
+                self.candidate_since = None
                 return None
-            self.standing = now if self.standing is None else self.standing
-            if now - self.standing > self.terms.office:
-                # Votes are split, or do not come back: let another try.
-                self.standing = None
-                self.back_off = now + self.terms.office * (1.0 + self.chance() * len(self.voters))
-                return self.give_up()
+            if self.candidate_since is None:
+                self.candidate_since = now
+            if now - self.candidate_since > self.timings.vote_lease_ms:
+                return self._back_off(now)
+        return self._next_vote_request(now, is_leader=is_leader)
+
+    def _may_stand(self, now: float, rank: int) -> bool:
+        """Whether no leader was heard of for long enough, and no backoff is left."""
+        quiet_ms = now - self.leader_heard_at
+        return quiet_ms >= self.timings.vote_lease_ms * (1.0 + PATIENCE_PER_RANK * rank) and now >= self.backoff_until
+
+    def _back_off(self, now: float) -> VoteRelease:
+        """Votes are split, or do not arrive: let another candidate try."""
+        self.candidate_since = None
+        backoff_leases = 1.0 + self.random_fraction() * len(self.voters)
+        self.backoff_until = now + self.timings.vote_lease_ms * backoff_leases
+        return self.give_up_candidacy()
+
+    def _next_vote_request(self, now: float, *, is_leader: bool) -> VoteRequest:
         self.round += 1
-        self.asked[self.round], self.tops[self.round] = now, self.top
-        self.tops = {r: top for r, top in self.tops.items() if r in self.asked}
-        return VoteRequest(self.life, self.round, holds, electorate(self.voters), self.top)
-
-    def give_up(self) -> VoteRelease:
-        """Votes that are still on their way count for nothing: who cast them is free to vote for another."""
-        self.votes.clear()
-        self.asked.clear()
-        self.since = None
-        return VoteRelease(self.life, self.round)
-
-    def leave(self) -> VoteRelease:
-        self.back_off = float("inf")
-        return self.give_up()
+        self.requested_at[self.round] = now
+        self.announced_tokens[self.round] = self.announced_token
+        self.announced_tokens = {r: token for r, token in self.announced_tokens.items() if r in self.requested_at}
+        digest = electorate_digest(self.voters)
+        return VoteRequest(self.incarnation, self.round, is_leader, digest, self.announced_token)
+
+    def give_up_candidacy(self) -> VoteRelease:
+        """Give back all votes, also those that are still on their way: who cast them may vote for another."""
+        self.votes_until.clear()
+        self.requested_at.clear()
+        self.leader_since = None
+        return VoteRelease(self.incarnation, self.round)
+
+    def resign(self) -> VoteRelease:
+        """Give back all votes and never stand again."""
+        self.backoff_until = float("inf")
+        return self.give_up_candidacy()
--- a/corallanding/membership/__init__.py
+++ b/corallanding/membership/__init__.py
@@ -1,22 +1,22 @@
-"""Who is a steward now. `core` is pure; `words` are what goes by datagram. See docs/budgets.md."""
+"""Which controllers are alive: SWIM with the local health of Lifeguard. The core has no input or output of its own.
 
+`core` decides, `messages` are the datagrams. See docs/budgets.md.
+"""
+
+from .config import MembershipConfig
 from .core import Membership
-from .messages import Ack, MembershipMessage, Ping, PingRequest, decode, encode
-from .table import ALIVE, DEAD, LEFT, SUSPECT, UNKNOWN, Action, MembershipConfig, MemberStateChanged, OutgoingMessage
+from .messages import Ack, MembershipMessage, MemberUpdate, Ping, PingRequest, decode, encode
+from .table import Action, MemberState, MemberStateChanged
 
 __all__ = [
-    "ALIVE",
-    "DEAD",
-    "LEFT",
-    "SUSPECT",
-    "UNKNOWN",
     "Ack",
     "Action",
+    "MemberState",
     "MemberStateChanged",
+    "MemberUpdate",
     "Membership",
     "MembershipConfig",
     "MembershipMessage",
-    "OutgoingMessage",
     "Ping",
     "PingRequest",
     "decode",
--- a/corallanding/membership/core.py
+++ b/corallanding/membership/core.py
@@ -1,245 +1,214 @@
-"""Membership by probing, suspicion and news that travels on probes (SWIM, with Lifeguard's own health). Sans-I/O.
+"""Membership by probes, suspicion and updates that travel on probes (SWIM, with the local health of Lifeguard).
 
-No view needs to be equal to another. What rests on this: who is asked first, and who is reckoned with. No rule and no
-budget rests on it: a view that is wrong costs time, never a right used twice.
+The views of two controllers need not be equal. They decide whom a controller asks first and with whom it reckons. No
+quota and no lease rests on them: a view that is wrong costs time, and never lets two use one right.
 """
 
 from __future__ import annotations
 
-import math
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
-
-from ..rate_limit import TokenBucket
-from .messages import NEWS_MOST, Ack, News, Ping, PingRequest
-from .table import (
-    ALIVE,
-    DEAD,
-    INCARNATIONS,
-    LEFT,
-    SUSPECT,
-    SUSPECTS_AT_ONCE,
-    UNKNOWN,
-    Action,
-    Member,
-    MembershipConfig,
-    MemberStateChanged,
-    OutgoingMessage,
-    Probe,
-)
-
-
-@dataclass
+
+from ..wire.peer_messages import OutgoingMessage
+from .config import MembershipConfig
+from .messages import Ack, AnyMessage, MemberUpdate, Ping, PingRequest
+from .table import CLAIMED_GONE, RECKONED_WITH, Action, IndirectProbe, MemberState, Probe
+from .view import MAX_INCARNATION, MembershipView
+
+MAX_SUSPECTS_PINGED = 4  # in one tick: of a cluster that is cut in two, half are suspects
+MAX_INDIRECT_PROBES = 64  # for other members at one time
+ANNOUNCEMENTS = 8  # members that are told of a start or a planned end; the others learn it from them
+GONE_PROBE_CHANCE = 0.25  # of a member that is gone, when its turn comes: two halves find each other again
+
+
 class Membership:
-    """me, others: numbers, as configured. chance: 0 <= x < 1. All calls return actions in order."""
-
-    me: int
-    others: Iterable[int]
-    life: int
-    terms: MembershipConfig
-    chance: Callable[[], float]
-    born: float
-    incarnation: int = 1
-    health: int = 0
-    refused: int = 0  # words that were nonsense, too many, or under our own number
-    twin: int = 0  # another process under our number was heard of so many times
-    seq: int = 0
-    probe: Probe | None = None
-    leaving: bool = False
-    table: dict[int, Member] = field(default_factory=dict)
-    order: list[int] = field(default_factory=list)
-    rumours: dict[int, int] = field(default_factory=dict)  # member: times its state still goes out
-    relayed: dict[int, tuple[int, int, float]] = field(default_factory=dict)  # our seq: (who asked, their seq, when)
-    next_at: float = 0.0
-    ticked: float = 0.0
-
-    def __post_init__(self) -> None:
-        self.table = {n: Member(TokenBucket(self.terms.words_per_s, 10.0, self.born)) for n in self.others}
-        self.table.pop(self.me, None)
-        self.next_at = self.ticked = self.born
-        self.rumours[self.me] = self.times
-
-    # ---- views -------------------------------------------------------------------------------------------
-
-    @property
-    def times(self) -> int:
-        return math.ceil(self.terms.spread * math.log2(len(self.table) + 2))
-
-    def alive(self) -> list[int]:
-        """Those reckoned with, ourselves among them: a suspect still is, for it may well answer."""
-        return sorted([self.me, *(n for n, m in self.table.items() if m.state in (ALIVE, SUSPECT))])
-
-    def state(self, member: int) -> int:
-        return (LEFT if self.leaving else ALIVE) if member == self.me else self.table[member].state
-
-    # ---- what comes in -----------------------------------------------------------------------------------
-
-    def heard(self, now: float, sender: int, word: Ping | Ack | PingRequest) -> list[Action]:
-        """A word of a peer, whose address was checked against its number by the socket's owner."""
-        peer = self.table.get(sender)
-        if peer is None or not 0 < word.incarnation < INCARNATIONS:
-            self.refused += 1
-            return []
-        if not peer.may.take(now):
-            self.refused += 1
+    """The membership protocol of one controller. All times are in ms by its clock.
+
+    `random_fraction` returns a number from 0 to below 1. Calls return actions in the order in which they are to be
+    done.
+    """
+
+    def __init__(
+        self,
+        controller_id: int,
+        peer_ids: Iterable[int],
+        process_incarnation: int,
+        config: MembershipConfig,
+        random_fraction: Callable[[], float],
+        started_at: float,
+    ) -> None:
+        self.controller_id = controller_id
+        self.process_incarnation = process_incarnation
+        self.config = config
+        self.random_fraction = random_fraction
+        self.view = MembershipView(controller_id, peer_ids, config, started_at)
+        self.members = self.view.members
+        self.rejected = 0  # messages that were nonsense, too many, or from unknown numbers
+        self.sequence = 0
+        self.probe: Probe | None = None
+        self.probe_order: list[int] = []
+        self.indirect_probes: dict[int, IndirectProbe] = {}  # by our sequence number
+        self.next_probe_at = started_at
+        self.last_tick_at = started_at
+
+    def alive_members(self) -> list[int]:
+        """The members that are reckoned with, this controller and suspects among them."""
+        return self.view.alive_members()
+
+    def state_of(self, number: int) -> MemberState:
+        """The state of a member, or of this controller."""
+        return self.view.state_of(number)
+
+    def on_message(self, now: float, sender: int, message: AnyMessage) -> list[Action]:
+        """Take a message of a peer, whose address the owner of the socket checked against its number."""
+        peer = self.members.get(sender)
+        if peer is None or not 0 < message.incarnation < MAX_INCARNATION or not peer.rate_limiter.try_take(now):
+            self.rejected += 1
             return []
-        out: list[Action] = []
-        fresh = peer.life != word.life
-        peer.life = word.life
-        if fresh and peer.state in (SUSPECT, DEAD, LEFT) and word.incarnation <= peer.incarnation:
-            # A new process that cannot know what was said of the one before it: told, it outbids that.
-            self.rumours[sender] = self.times
-        for number, state, incarnation in word.news:
-            out += self.told(now, number, state, incarnation)
-        out += self.told(now, sender, ALIVE, word.incarnation)
-        match word:
+        is_new_process = peer.process_incarnation != message.process_incarnation
+        peer.process_incarnation = message.process_incarnation
+        if is_new_process and peer.state in CLAIMED_GONE and message.incarnation <= peer.incarnation:
+            # A new process cannot know what was claimed of the one before it: told, it refutes that.
+            self.view.queue_update(sender)
+        actions: list[Action] = []
+        for member, state, incarnation in message.updates:
+            actions += self.view.apply_update(now, member, state, incarnation)
+        actions += self.view.apply_update(now, sender, MemberState.ALIVE, message.incarnation)
+        match message:
             case Ping():
-                if word.aim not in (-1, self.me):
-                    self.refused += 1
-                else:
-                    out.append(self.say(sender, Ack(word.seq, self.life, self.incarnation, self.news(sender))))
+                actions += self._on_ping(sender, message)
             case PingRequest():
-                if word.aim in self.table and len(self.relayed) < 64:
-                    self.seq += 1
-                    self.relayed[self.seq] = (sender, word.seq, now)
-                    out.append(self.say(word.aim, Ping(self.seq, self.life, self.incarnation, [], word.aim)))
+                actions += self._on_ping_request(now, sender, message)
             case Ack():
-                out += self.answered(now, sender, word)
-        return out
-
-    def answered(self, now: float, sender: int, word: Ack) -> list[Action]:
-        if self.probe and word.seq == self.probe.seq and self.probe.member in (sender, word.of):
-            if not self.probe.asked:
-                self.health = max(0, self.health - 1)
-            out = self.told(now, self.probe.member, ALIVE, self.table[self.probe.member].incarnation)
-            self.probe = None
-            return out
-        if asked := self.relayed.pop(word.seq, None):
-            to, seq, _ = asked
-            return [self.say(to, Ack(seq, self.life, self.incarnation, self.news(to), sender))]
-        return []
+                actions += self._on_ack(now, sender, message)
+        return actions
 
-    def told(self, now: float, number: int, state: int, incarnation: int) -> list[Action]:
-        """A claim on a member. The higher incarnation wins; of equal ones the worse state, but for a direct word,
-        which `heard` hands in as ALIVE at the sender's own incarnation and which ends no death of that incarnation."""
-        if not ALIVE <= state <= LEFT or not 0 < incarnation < INCARNATIONS:
-            return []
-        if number == self.me:
-            if incarnation > self.incarnation and state == ALIVE:
-                self.twin += 1  # said by one who was told so by another of our number, or by our own former life
-            if incarnation >= self.incarnation and (state != ALIVE or incarnation > self.incarnation):
-                if not (self.leaving and state == LEFT):
-                    self.incarnation = incarnation + 1
-                    self.health = min(self.terms.health_most, self.health + (state == SUSPECT))
-                    self.rumours[self.me] = self.times
-            return []
-        m = self.table.get(number)
-        if m is None or incarnation < m.incarnation:
-            return []
-        if incarnation == m.incarnation and state <= m.state:
-            return []
-        changed = state != m.state
-        m.incarnation = incarnation
-        self.rumours[number] = self.times
-        if not changed:
+    def _on_ping(self, sender: int, ping: Ping) -> list[Action]:
+        if ping.target not in (-1, self.controller_id):
+            self.rejected += 1
             return []
-        m.state = state
-        m.deadline = now + self.suspicion() if state == SUSPECT else math.inf
-        return [MemberStateChanged(number, state)]
+        return [self._ack(sender, ping.sequence)]
 
-    def suspicion(self) -> float:
-        size = max(1.0, math.log10(len(self.table) + 1))
-        return self.terms.suspicion * size * self.terms.period * (1 + self.health)
-
-    # ---- time --------------------------------------------------------------------------------------------
-
-    def tick(self, now: float) -> list[Action]:
-        """Call at least four times a timeout."""
-        out: list[Action] = []
-        gap, self.ticked = now - self.ticked, now
-        if gap > self.terms.period:
-            # We slept: what went unanswered meanwhile says nothing of others.
-            self.health = min(self.terms.health_most, self.health + 1)
+    def _on_ping_request(self, now: float, sender: int, request: PingRequest) -> list[Action]:
+        if request.target not in self.members or len(self.indirect_probes) >= MAX_INDIRECT_PROBES:
+            return []
+        self.sequence += 1
+        self.indirect_probes[self.sequence] = IndirectProbe(sender, request.sequence, now)
+        ping = Ping(self.sequence, self.process_incarnation, self.view.incarnation, [], request.target)
+        return [OutgoingMessage(request.target, ping)]
+
+    def _on_ack(self, now: float, sender: int, ack: Ack) -> list[Action]:
+        probe = self.probe
+        if probe and ack.sequence == probe.sequence and probe.member in (sender, ack.target):
+            if not probe.is_indirect:
+                self.view.raise_local_health()
             self.probe = None
-            for m in self.table.values():
-                m.deadline += gap
-        self.relayed = {s: r for s, r in self.relayed.items() if now - r[2] < self.terms.period}
-        for number, m in self.table.items():
-            if m.state == SUSPECT and now >= m.deadline:
-                out += self.told(now, number, DEAD, m.incarnation)
-            elif m.state == SUSPECT and now - m.nudged >= self.terms.timeout and len(out) < SUSPECTS_AT_ONCE:
-                # It may answer for itself: where words are lost, waiting for its turn would take it for dead.
-                m.nudged = now
-                self.seq += 1
-                out.append(self.say(number, Ping(self.seq, self.life, self.incarnation, self.news(number), number)))
-        if (p := self.probe) and not p.asked and now - p.begun >= self.terms.timeout * (1 + self.health):
-            p.asked = True
-            able = [n for n, m in self.table.items() if m.state == ALIVE and n != p.member]
-            for n in self.draw(able, self.terms.helpers):
-                out.append(self.say(n, PingRequest(p.seq, self.life, self.incarnation, self.news(n), p.member)))
-        if now >= self.next_at:
-            if self.probe:
-                out += self.missed(now, self.probe)
-            out += self.begin(now)
-            self.next_at = now + self.terms.period * (1 + self.health)
-        return out
-
-    def missed(self, now: float, p: Probe) -> list[Action]:
-        self.probe = None
-        m = self.table[p.member]
-        if m.state == ALIVE:
-            self.health = min(self.terms.health_most, self.health + 1)
-            return self.told(now, p.member, SUSPECT, max(1, m.incarnation))
+            return self.view.apply_update(now, probe.member, MemberState.ALIVE, self.members[probe.member].incarnation)
+        if indirect := self.indirect_probes.pop(ack.sequence, None):
+            return [self._ack(indirect.requester, indirect.sequence, target=sender)]
         return []
 
-    def begin(self, now: float) -> list[Action]:
-        """The next probe: round the members in an order drawn anew each time. Those gone are asked too, but four
-        times less often, so that two halves find together again."""
-        for _ in range(len(self.table) * 2):
-            if not self.order:
-                self.order = self.draw(list(self.table), len(self.table))
-            n = self.order.pop()
-            if self.table[n].state in (ALIVE, SUSPECT) or self.chance() < 0.25:
-                self.seq += 1
-                self.probe = Probe(n, self.seq, now)
-                return [self.say(n, Ping(self.seq, self.life, self.incarnation, self.news(n), n))]
+    def tick(self, now: float) -> list[Action]:
+        """The actions that are due; to be called at least four times in a probe timeout."""
+        self._check_for_pause(now)
+        interval_ms = self.config.probe_interval_ms
+        self.indirect_probes = {
+            sequence: probe for sequence, probe in self.indirect_probes.items() if now - probe.started_at < interval_ms
+        }
+        actions = self._check_suspects(now)
+        actions += self._probe_indirectly(now)
+        if now >= self.next_probe_at:
+            actions += self._end_probe(now)
+            actions += self._start_probe(now)
+            self.next_probe_at = now + interval_ms * (1 + self.view.local_health)
+        return actions
+
+    def _check_for_pause(self, now: float) -> None:
+        """If this process did not run for a while, what went unanswered meanwhile proves nothing against others."""
+        pause_ms = now - self.last_tick_at
+        self.last_tick_at = now
+        if pause_ms <= self.config.probe_interval_ms:
+            return
+        self.view.lower_local_health()
+        self.probe = None
+        for member in self.members.values():
+            member.suspicion_deadline += pause_ms
+
+    def _check_suspects(self, now: float) -> list[Action]:
+        """Take suspects for dead whose time is over, and ping the others: they may refute it in time."""
+        actions: list[Action] = []
+        for number, member in self.members.items():
+            if member.state != MemberState.SUSPECT:
+                continue
+            if now >= member.suspicion_deadline:
+                actions += self.view.apply_update(now, number, MemberState.DEAD, member.incarnation)
+            elif now - member.pinged_at >= self.config.probe_timeout_ms and len(actions) < MAX_SUSPECTS_PINGED:
+                member.pinged_at = now
+                self.sequence += 1
+                actions.append(self._ping(number, self.sequence))
+        return actions
+
+    def _probe_indirectly(self, now: float) -> list[Action]:
+        """Ask other members to probe the one that has not answered within the timeout."""
+        probe = self.probe
+        timeout_ms = self.config.probe_timeout_ms * (1 + self.view.local_health)
+        if probe is None or probe.is_indirect or now - probe.started_at < timeout_ms:
+            return []
+        probe.is_indirect = True
+        alive = [n for n, member in self.members.items() if member.state == MemberState.ALIVE and n != probe.member]
+        return [
+            OutgoingMessage(helper, PingRequest(probe.sequence, *self._header(helper), probe.member))
+            for helper in self._sample(alive, self.config.indirect_probe_count)
+        ]
+
+    def _end_probe(self, now: float) -> list[Action]:
+        """The turn of the present probe is over: a member that did not answer is a suspect."""
+        probe = self.probe
+        self.probe = None
+        if probe is None:
+            return []
+        member = self.members[probe.member]
+        if member.state != MemberState.ALIVE:
+            return []
+        self.view.lower_local_health()
+        return self.view.apply_update(now, probe.member, MemberState.SUSPECT, max(1, member.incarnation))
+
+    def _start_probe(self, now: float) -> list[Action]:
+        """Probe the next member, in an order that is drawn anew for each round; members that are gone less often."""
+        for _ in range(len(self.members) * 2):
+            if not self.probe_order:
+                self.probe_order = self._sample(list(self.members), len(self.members))
+            number = self.probe_order.pop()
+            if self.members[number].state in RECKONED_WITH or self.random_fraction() < GONE_PROBE_CHANCE:
+                self.sequence += 1
+                self.probe = Probe(number, self.sequence, now)
+                return [self._ping(number, self.sequence)]
         return []
 
-    def greet(self, now: float) -> list[Action]:
-        """At a start: a ping to a few, so that a new one is known after one exchange."""
-        some = self.draw(list(self.table), 8)
-        return [self.say(n, Ping(0, self.life, self.incarnation, self.news(n), n)) for n in some]
-
-    def leave(self, now: float) -> list[Action]:
-        """A planned end, said to a few; the rest hear of it from them."""
-        self.leaving = True
-        self.rumours[self.me] = self.times
-        some = self.draw([n for n, m in self.table.items() if m.state == ALIVE], 8)
-        return [self.say(n, Ack(0, self.life, self.incarnation, self.news(n))) for n in some]
-
-    # ---- helpers -----------------------------------------------------------------------------------------
-
-    def draw(self, among: list[int], count: int) -> list[int]:
-        rest, out = list(among), list[int]()
-        while rest and len(out) < count:
-            out.append(rest.pop(int(self.chance() * len(rest))))
-        return out
-
-    def news(self, to: int) -> list[News]:
-        """What was told least often; first what we hold against the one addressed, so that it can answer."""
-        out: list[News] = []
-        if (m := self.table.get(to)) and m.state in (SUSPECT, DEAD, LEFT):
-            out.append((to, m.state, m.incarnation))
-        for n in sorted(self.rumours, key=lambda n: -self.rumours[n])[: NEWS_MOST - 1]:
-            if n == self.me:
-                # Ourselves alive: said by the word itself to whom it goes, but others pass it on.
-                out.append((n, LEFT if self.leaving else ALIVE, self.incarnation))
-            elif n != to and self.table[n].state != UNKNOWN:
-                out.append((n, self.table[n].state, self.table[n].incarnation))
-            self.rumours[n] -= 1
-            if self.rumours[n] <= 0:
-                del self.rumours[n]
-        return out
-
-    def say(self, to: int, word: Ping | Ack | PingRequest) -> OutgoingMessage:
-        return OutgoingMessage(to, word)
+    def announce(self) -> list[Action]:
+        """Ping a few members at the start, so that this controller is known after one exchange."""
+        return [self._ping(number, 0) for number in self._sample(list(self.members), ANNOUNCEMENTS)]
+
+    def leave(self) -> list[Action]:
+        """Tell a few members of a planned end."""
+        self.view.is_leaving = True
+        self.view.queue_update(self.controller_id)
+        alive = [n for n, member in self.members.items() if member.state == MemberState.ALIVE]
+        return [self._ack(number, 0) for number in self._sample(alive, ANNOUNCEMENTS)]
+
+    def _sample(self, numbers: list[int], count: int) -> list[int]:
+        """Up to `count` of the numbers, in random order."""
+        rest = list(numbers)
+        drawn: list[int] = []
+        while rest and len(drawn) < count:
+            drawn.append(rest.pop(int(self.random_fraction() * len(rest))))
+        return drawn
+
+    def _header(self, receiver: int) -> tuple[int, int, list[MemberUpdate]]:
+        """The fields of a message behind its sequence number."""
+        return self.process_incarnation, self.view.incarnation, self.view.collect_updates(receiver)
+
+    def _ping(self, member: int, sequence: int) -> OutgoingMessage:
+        return OutgoingMessage(member, Ping(sequence, *self._header(member), member))
+
+    def _ack(self, receiver: int, sequence: int, target: int = -1) -> OutgoingMessage:
+        return OutgoingMessage(receiver, Ack(sequence, *self._header(receiver), target))
--- a/corallanding/membership/messages.py
+++ b/corallanding/membership/messages.py
@@ -1,56 +1,64 @@
-"""Words of the membership: msgpack arrays, small enough for one datagram between stewards."""
+"""Messages of the membership protocol between controllers. Their tags and the order of fields are frozen."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 import msgspec
 
-News = tuple[int, int, int]  # steward, state, incarnation
-NEWS_MOST = 12  # in one word: 12 of at most 13 bytes each, beside a head of at most 40
+from ..wire.peer_messages import MessageCodec
+
+MAX_UPDATES = 12  # in one message: of at most 13 bytes each, beside a header of at most 40
+
+
+class MemberUpdate(NamedTuple):
+    """A claim on a member's state (`MemberState`; a number that is none is ignored by who receives it)."""
+
+    member: int
+    state: int
+    incarnation: int
 
 
 class MembershipMessage(msgspec.Struct, frozen=True, array_like=True, tag_field="t"):
-    """seq: the prober's count. life: drawn anew by each process, so that two under one number are told apart."""
+    """Base of the messages.
+
+    `sequence` numbers the probes of the prober. `process_incarnation` is the random number that other messages between
+    controllers call incarnation: by it two processes under one number are told apart. `incarnation` is SWIM's: a member
+    raises its own to refute a suspicion.
+    """
 
-    seq: int
-    life: int
+    sequence: int
+    process_incarnation: int
     incarnation: int
-    news: list[News]
+    updates: list[MemberUpdate]
 
 
 class Ping(MembershipMessage, frozen=True, array_like=True, tag=1):
-    """For `aim` as the prober knows it: a word that was meant for another number is refused."""
+    """A probe of the member `target` as the prober knows it: one that reaches another number is rejected."""
 
-    aim: int = -1
+    target: int = -1
 
 
 class Ack(MembershipMessage, frozen=True, array_like=True, tag=2):
-    """The answer to a ping; `of`: the steward that was asked about, where the answer is passed on."""
+    """The answer to a ping. `target` is the member that answered, where a third passes the answer on."""
 
-    of: int = -1
+    target: int = -1
 
 
 class PingRequest(MembershipMessage, frozen=True, array_like=True, tag=3):
-    """To a third: ping `aim` for me."""
-
-    aim: int = -1
-
+    """Asks a third member to probe `target` (SWIM's ping-req)."""
 
-_decoder: msgspec.msgpack.Decoder[Ping | Ack | PingRequest] = msgspec.msgpack.Decoder(Ping | Ack | PingRequest)
+    target: int = -1
 
 
-def encode(word: Ping | Ack | PingRequest) -> bytes:
-    return msgspec.msgpack.encode(word)
+AnyMessage = Ping | Ack | PingRequest
 
 
-def decode(data: bytes) -> Ping | Ack | PingRequest | None:
-    """None for what is no word of ours, or a newer one's that we do not know."""
-    try:
-        word = _decoder.decode(data)
-    except (msgspec.DecodeError, msgspec.ValidationError):
-        return None
-    return word if sound(word) else None
+def is_valid(message: MembershipMessage) -> bool:
+    """Whether the values of a message are possible."""
+    return len(message.updates) <= MAX_UPDATES
 
 
-def sound(word: MembershipMessage) -> bool:
-    """Whether its fields can be meant."""
-    return len(word.news) <= NEWS_MOST
+_codec = MessageCodec[AnyMessage](AnyMessage, is_valid)
+encode = _codec.encode
+decode = _codec.decode
--- a/corallanding/membership/table.py
+++ b/corallanding/membership/table.py
@@ -1,43 +1,41 @@
-"""What is kept of members, and what the core hands out."""
+"""What is kept of each member, and the actions that the core returns."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
+from enum import IntEnum
+from typing import NamedTuple
 
 from ..rate_limit import TokenBucket
-from .messages import Ack, Ping, PingRequest
+from ..wire.peer_messages import OutgoingMessage
 
-UNKNOWN, ALIVE, SUSPECT, DEAD, LEFT = range(5)
-INCARNATIONS = 1 << 32  # above this a claim is nonsense: nobody refutes four thousand million times
-SUSPECTS_AT_ONCE = 4  # told in one tick: of a fleet that is cut in two, half are suspects
 
+class MemberState(IntEnum):
+    """The state of a member. The numbers are the wire; of equal incarnations the higher state wins."""
 
-@dataclass(frozen=True)
-class MembershipConfig:
-    """Times in ms. health_most: how many times slower a steward that fails itself may probe and suspect."""
+    UNKNOWN = 0
+    ALIVE = 1
+    SUSPECT = 2
+    DEAD = 3
+    LEFT = 4
 
-    period: float = 500.0
-    timeout: float = 200.0  # for an answer, before others are asked
-    helpers: int = 3  # others asked to probe
-    suspicion: float = 4.0  # periods, times log10 of the fleet from 10 on
-    health_most: int = 8
-    spread: float = 3.0  # each piece of news goes out so many times log2 of the fleet
-    words_per_s: float = 50.0  # taken from one peer; beyond it they are refused, counted
+    @property
+    def label(self) -> str:
+        """The state as logs and the status page show it."""
+        return self.name.lower()
 
 
-@dataclass(frozen=True)
-class OutgoingMessage:
-    to: int
-    word: Ping | Ack | PingRequest
+RECKONED_WITH = frozenset({MemberState.ALIVE, MemberState.SUSPECT})  # a suspect may well answer
+CLAIMED_GONE = frozenset({MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT})
 
 
 @dataclass(frozen=True)
 class MemberStateChanged:
-    """A member's state as seen here changed."""
+    """The state of a member, as seen by this controller, has changed."""
 
     member: int
-    state: int
+    state: MemberState
 
 
 Action = OutgoingMessage | MemberStateChanged
@@ -45,17 +43,29 @@
 
 @dataclass
 class Member:
-    may: TokenBucket  # words that it may still send
-    state: int = UNKNOWN
+    """What is known of another controller."""
+
+    rate_limiter: TokenBucket  # of the messages that it may send
+    state: MemberState = MemberState.UNKNOWN
     incarnation: int = 0
-    life: int = 0  # as it said itself
-    deadline: float = math.inf  # of a suspicion
-    nudged: float = 0.0  # when a suspect was last told that it is one
+    process_incarnation: int = 0
+    suspicion_deadline: float = math.inf  # when a suspect is dead
+    pinged_at: float = 0.0  # when a suspect was last pinged out of turn
 
 
 @dataclass
 class Probe:
+    """The probe that waits for an answer. `is_indirect` once other members were asked to probe."""
+
     member: int
-    seq: int
-    begun: float
-    asked: bool = False  # others were
+    sequence: int
+    started_at: float
+    is_indirect: bool = False
+
+
+class IndirectProbe(NamedTuple):
+    """A ping that another member asked for: who did, its sequence number, and when."""
+
+    requester: int
+    sequence: int
+    started_at: float
--- a/corallanding/quorum_records/core.py
+++ b/corallanding/quorum_records/core.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ..lease.election import OutgoingMessage
 from ..rate_limit import PeerRateLimiter
+from ..wire.peer_messages import OutgoingMessage
 from .limits import RecordLimits
 from .messages import Accept, AcceptReply, FileAnnouncement, FileAnnouncementReply, Prepare, PrepareReply, RecordMessage
 from .proposer import Proposer
@@ -109,13 +109,13 @@
             out += words
             words = []
             for s in here:
-                words += self.handle(now, self.me, s.word)
+                words += self.handle(now, self.me, s.message)
         unkept = self.replica.take_unsaved()
         return [*([Persist(unkept)] if unkept else []), *out]
 
     def on_message(self, now: float, sender: int, word: RecordMessage) -> list[Action]:
         """A word of a known steward."""
-        if not self.rate_limits.take(sender, now):
+        if not self.rate_limits.try_take(sender, now):
             self.rejected_count += 1
             return []
         return self.deliver(now, self.handle(now, sender, word))
@@ -158,7 +158,7 @@
         most = max(writes, word.write_count)
         if word.round > count or most > writes:
             opened = max(word.round, count)
-            self.peer_files[sender] = (opened, word.life if word.round > count else life, most)
+            self.peer_files[sender] = (opened, word.incarnation if word.round > count else life, most)
             self.replica.unsaved.peer_files[sender] = self.peer_files[sender]
-        other = 0 if word.round > count or life == word.life else count
-        return FileAnnouncementReply(word.life, other, self.replica.is_recovering or not self.has_replica, most)
+        other = 0 if word.round > count or life == word.incarnation else count
+        return FileAnnouncementReply(word.incarnation, other, self.replica.is_recovering or not self.has_replica, most)
--- a/corallanding/quorum_records/fleet.py
+++ b/corallanding/quorum_records/fleet.py
@@ -36,7 +36,7 @@
         words_per_s: float = 2_000.0,
     ) -> None:
         tasks = leases.tasks
-        self.task_numbers = {name: [tasks.number(name, n) for n in range(tasks.by_name[name].count)] for name in names}
+        self.task_numbers = {name: [tasks.number(name, n) for n in range(tasks.specs[name].count)] for name in names}
         self.groups_by_name = {
             name: tuple(group_of(tasks.label(n)) for n in rows) for name, rows in self.task_numbers.items()
         }
@@ -47,10 +47,10 @@
         )
         self.acceptance_rules: dict[int, Callable[[int, bool], bool]] = {}  # by group: what a keeper takes in
         self.records = QuorumRecords(
-            leases.me,
-            leases.others,
+            leases.controller_id,
+            leases.peer_ids,
             keepers,
-            leases.life,
+            leases.incarnation,
             terms,
             born,
             every,
@@ -62,7 +62,7 @@
             words_per_s,
         )
         self.group_leases = GroupLeases(leases, self.records, [n for rows in self.task_numbers.values() for n in rows])
-        self.queries = Queries(leases.me, leases.others, leases.life, self.records, asks)
+        self.queries = Queries(leases.controller_id, leases.peer_ids, leases.incarnation, self.records, asks)
 
     def may_accept(self, group: int, value: int, is_initial: bool) -> bool:
         """Whether the owner of the group lets a replica accept the value; groups without a rule accept any."""
@@ -82,7 +82,7 @@
         """A word of a known steward."""
         if not isinstance(word, Query | QueryReply):
             return self.in_send_order(now, self.records.on_message(now, sender, word))
-        if not self.records.rate_limits.take(sender, now):
+        if not self.records.rate_limits.try_take(sender, now):
             self.records.rejected_count += 1
             return []
         if isinstance(word, QueryReply):
--- a/corallanding/quorum_records/groups.py
+++ b/corallanding/quorum_records/groups.py
@@ -29,11 +29,11 @@
             writer = held.get(group)
             if writer and writer.superseded_by:
                 self.superseded_tokens[group] = writer.superseded_by
-                self.leases.holder.behind_of(writer.superseded_by)
+                self.leases.holder.on_action_rejected(writer.superseded_by)
                 self.records.release_group(group)
                 writer = None
             if not self.leases.holds(now, number):
                 if writer:
                     self.records.release_group(group)
-            elif writer is None and self.leases.holder.fence > self.superseded_tokens.get(group, 0):
-                self.records.acquire_group(group, self.leases.holder.fence)
+            elif writer is None and self.leases.holder.fencing_token > self.superseded_tokens.get(group, 0):
+                self.records.acquire_group(group, self.leases.holder.fencing_token)
--- a/corallanding/quorum_records/messages.py
+++ b/corallanding/quorum_records/messages.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..lease.messages import ControllerMessage
+from ..wire.peer_messages import ControllerMessage
 
 COPIED_MOST, PAGED_MOST = 8, 6  # rows of a word
 VALUE_MOST = (1 << 63) - 1
@@ -84,7 +84,7 @@
 
 def sound(word: ControllerMessage) -> bool:
     """Whether its fields can be meant."""
-    if not (0 <= word.life < 1 << 63 and 0 <= word.round < 1 << 53):
+    if not (0 <= word.incarnation < 1 << 63 and 0 <= word.round < 1 << 53):
         return False
     match word:
         case Accept():
--- a/corallanding/quorum_records/proposer.py
+++ b/corallanding/quorum_records/proposer.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ..lease.election import OutgoingMessage
+from ..wire.peer_messages import OutgoingMessage
 from .limits import RecordLimits
 from .messages import (
     ACCEPTED,
@@ -172,7 +172,7 @@
 
     def on_prepare_reply(self, now: float, keeper: int, word: PrepareReply) -> list[OutgoingMessage]:
         r = self.reads.get(keeper)
-        if r is None or word.life != self.incarnation or word.round != r.round or r.is_done or self.is_ready:
+        if r is None or word.incarnation != self.incarnation or word.round != r.round or r.is_done or self.is_ready:
             return []
         if word.status == SUPERSEDED:
             self.superseded_by = max(self.superseded_by, word.highest_token)
@@ -203,7 +203,7 @@
 
     def on_accept_reply(self, now: float, keeper: int, word: AcceptReply) -> None:
         o = self.in_flight.get(word.round)
-        if o is None or word.life != self.incarnation or keeper not in o.awaited_replicas:
+        if o is None or word.incarnation != self.incarnation or keeper not in o.awaited_replicas:
             return
         if word.status == SUPERSEDED:
             self.superseded_by = max(self.superseded_by, word.highest_token)
--- a/corallanding/quorum_records/queries.py
+++ b/corallanding/quorum_records/queries.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from ..lease.election import OutgoingMessage
+from ..wire.peer_messages import OutgoingMessage
 from .core import QuorumRecords
 from .messages import Query, QueryReply
 
@@ -125,9 +125,9 @@
 
     def on_reply(self, sender: int, word: QueryReply) -> None:
         a = self.pending.get(word.round)
-        if word.life == self.incarnation and a is not None and word.key != a.key:
+        if word.incarnation == self.incarnation and a is not None and word.key != a.key:
             self.rejected_count += 1
-        elif word.life == self.incarnation and a is not None:
+        elif word.incarnation == self.incarnation and a is not None:
             self.last_responders[a.group] = sender
             if word.result != NOT_NOW:
                 self.finish(word.round, word.result, word.value)
@@ -150,7 +150,7 @@
         if len(owed) >= 64 or len(self.waiting_askers) > self.limits.max_pending:
             self.rejected_count += 1
             return []
-        who = (sender, word.life, word.kind)
+        who = (sender, word.incarnation, word.kind)
         if word.round >= owed.get(who, (0, 0))[0]:
             owed[who] = (word.round, word.argument)
         return self.try_answer(now, word.group, word.key)
--- a/corallanding/quorum_records/replica.py
+++ b/corallanding/quorum_records/replica.py
@@ -97,7 +97,7 @@
                 self.put(word.group, key, value, (word.fencing_token, word.round), now - age)
         else:
             self.rejected_count += 1
-        return AcceptReply(word.life, word.round, word.group, what, self.highest_tokens.get(word.group, 0))
+        return AcceptReply(word.incarnation, word.round, word.group, what, self.highest_tokens.get(word.group, 0))
 
     def acceptance_status(self, word: Accept) -> int:
         if self.is_recovering:
@@ -145,7 +145,7 @@
         seen = self.highest_tokens.get(word.group, 0)
         if self.is_recovering or (word.fencing_token and word.fencing_token < seen):
             return PrepareReply(
-                word.life, word.round, word.group, RECOVERING if self.is_recovering else SUPERSEDED, seen
+                word.incarnation, word.round, word.group, RECOVERING if self.is_recovering else SUPERSEDED, seen
             )
         self.raise_token(word.group, word.fencing_token)
         rows = self.groups.get(word.group, {})
@@ -157,7 +157,7 @@
         if not more:
             self.sorted_keys.pop(word.group, None)
         return PrepareReply(
-            word.life, word.round, word.group, ACCEPTED, self.highest_tokens.get(word.group, 0), page, more
+            word.incarnation, word.round, word.group, ACCEPTED, self.highest_tokens.get(word.group, 0), page, more
         )
 
     def read_page(self, now: float, rows: dict[int, ReplicaRecord], keys: list[int], after: int) -> list[VersionedRow]:
--- a/corallanding/quorum_records/replica_recovery.py
+++ b/corallanding/quorum_records/replica_recovery.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from ..lease.election import OutgoingMessage
+from ..wire.peer_messages import OutgoingMessage
 from .limits import RecordLimits
 from .messages import RECOVERING, Accept, AcceptReply, FileAnnouncement, FileAnnouncementReply, Prepare, PrepareReply
 from .replica import Replica
@@ -113,7 +113,7 @@
         return OutgoingMessage(keeper, Prepare(self.incarnation, r.round, self.groups[r.group_index], 0, r.after_key))
 
     def is_recovery_reply(self, sender: int, word: PrepareReply) -> bool:
-        return word.life == self.incarnation and word.round > ANSWERS
+        return word.incarnation == self.incarnation and word.round > ANSWERS
 
     def on_prepare_reply(self, now: float, sender: int, word: PrepareReply) -> list[OutgoingMessage]:
         """The answer of another keeper to a fetch of ours."""
@@ -139,7 +139,7 @@
         return [self.prepare(now, sender, r)]
 
     def on_announcement_reply(self, now: float, sender: int, word: FileAnnouncementReply) -> list[OutgoingMessage]:
-        if word.life != self.incarnation or sender not in self.progress or self.is_ready:
+        if word.incarnation != self.incarnation or sender not in self.progress or self.is_ready:
             return []
         if word.round >= self.open_count or word.write_count > self.replica.write_count:
             if not self.replica.is_recovering:
--- a/corallanding/quota/__init__.py
+++ b/corallanding/quota/__init__.py
@@ -1,8 +1,8 @@
 """Budgets of the whole fleet of stewards, divided among them by demand. Pure. See docs/budgets.md."""
 
-from ..lease.election import OutgoingMessage
 from ..lease.messages import VoteRelease, VoteReply, VoteRequest
 from ..lease.voting import Candidate, Voter
+from ..wire.peer_messages import OutgoingMessage
 from .core import QuotaManager
 from .fair_share import share
 from .limits import Budget, QuotaLimits
--- a/corallanding/quota/core.py
+++ b/corallanding/quota/core.py
@@ -5,10 +5,11 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, replace
 
-from ..lease.election import LeaderElection, OutgoingMessage, VotedElection
+from ..lease.election import LeaderElection, VotedElection
 from ..lease.messages import VoteRelease, VoteReply, VoteRequest
 from ..lease.voting import Candidate, Voter
 from ..rate_limit import PeerRateLimiter
+from ..wire.peer_messages import OutgoingMessage
 from .limits import Budget, QuotaLimits
 from .messages import CapacityGrant, CapacityRequest, QuotaMessage
 from .quota_allocator import QuotaAllocator
@@ -90,12 +91,12 @@
 
     def is_allocating(self, now: float) -> bool:
         """Whether we divide at this instant. Each new holding of the office begins with empty books."""
-        term = self.election.term if self.election.holds(now) else None
+        term = self.election.term if self.election.is_leader(now) else None
         if term is None:
             self.allocator.started_at_ms = None
             return False
         if self.allocator.started_at_ms is None or self.allocator.started_at_ms < term[0]:
-            self.allocator.incarnation = self.election.identity
+            self.allocator.incarnation = self.election.epoch
             self.allocator.begin_term(now, term[1])
         return True
 
@@ -113,7 +114,7 @@
 
     def request_capacity(self, now: float) -> list[OutgoingMessage]:
         out: list[OutgoingMessage] = []
-        divider, identity, office = self.election.holder
+        divider, identity, office = self.election.leader
         for want in self.client.due_requests(now, identity, office):
             if divider is None:
                 self.requests_without_allocator += 1
@@ -123,13 +124,13 @@
                 self.client.on_grant(now, self.allocator.on_request(now, self.me, want))
         return out
 
-    def heard(self, now: float, sender: int, word: QuotaMessage) -> list[OutgoingMessage]:
+    def on_message(self, now: float, sender: int, word: QuotaMessage) -> list[OutgoingMessage]:
         """A word of a known steward."""
         if isinstance(word, VoteRequest | VoteReply | VoteRelease):
-            out = self.election.heard(now, sender, word)
+            out = self.election.on_message(now, sender, word)
             self.is_allocating(now)
             return out
-        if not self.allowances.take(sender, now):
+        if not self.allowances.try_take(sender, now):
             self.rejected_count += 1
             return []
         match word:
@@ -152,4 +153,4 @@
         self.client.is_leaving = True
         for a in self.client.accounts.values():
             a.requested_at_ms = float("-inf")
-        return [*self.request_capacity(now), *(() if self.has_shared_election else self.election.leave(now))]
+        return [*self.request_capacity(now), *(() if self.has_shared_election else self.election.resign(now))]
--- a/corallanding/quota/limits.py
+++ b/corallanding/quota/limits.py
@@ -48,4 +48,4 @@
     max_rows: int = 8  # in one word
 
     def grant_lifetime_ms(self, budget: Budget) -> float:
-        return budget.hold_ms * (1.0 + self.drift) + self.lease_ms
+        return budget.hold_ms * (1.0 + self.max_clock_drift) + self.lease_ms
--- a/corallanding/quota/messages.py
+++ b/corallanding/quota/messages.py
@@ -4,8 +4,9 @@
 
 import msgspec
 
-from ..lease.messages import ControllerMessage, ElectionMessage
-from ..lease.messages import sound as is_valid_lease_message
+from ..lease.messages import ElectionMessage
+from ..lease.messages import is_valid as is_valid_lease_message
+from ..wire.peer_messages import ControllerMessage
 
 # budget, subject, wanted, what a good grant holds, the most that may be in use, round of the grant that was taken up
 RequestRow = tuple[int, int, int, int, int, int]
@@ -47,7 +48,7 @@
 def sound(word: QuotaMessage) -> bool:
     """Whether its fields can be meant."""
     if isinstance(word, CapacityRequest):
-        return min(word.life, word.round) >= 0 and all(min(row) >= 0 for row in word.rows)
+        return min(word.incarnation, word.round) >= 0 and all(min(row) >= 0 for row in word.rows)
     if isinstance(word, CapacityGrant):
-        return min(word.life, word.round) >= 0 and all(row[2] >= 0 for row in word.rows)
+        return min(word.incarnation, word.round) >= 0 and all(row[2] >= 0 for row in word.rows)
     return is_valid_lease_message(word)
--- a/corallanding/quota/quota_allocator.py
+++ b/corallanding/quota/quota_allocator.py
@@ -55,9 +55,9 @@
         """now: an instant at which the office was held."""
         if word.allocator != self.incarnation or word.allocator_round < self.first_round:
             self.stale_count += 1
-            return CapacityGrant(word.life, word.round, [])
+            return CapacityGrant(word.incarnation, word.round, [])
         rows = [given for row in word.rows[:64] if (given := self.grant_row(now, sender, word, row))]
-        return CapacityGrant(word.life, word.round, rows)
+        return CapacityGrant(word.incarnation, word.round, rows)
 
     def grant_row(self, now: float, sender: int, word: CapacityRequest, row: RequestRow) -> GrantRow | None:
         number, subject, wanted, have, held, taken = row
@@ -73,14 +73,14 @@
                 self.rejected_count += 1
                 return None
             book = self.ledgers[key] = {}
-        me = (sender, word.life)
+        me = (sender, word.incarnation)
         if me not in book and sum(k[0] == sender for k in book) >= LIVES_MOST:
             self.drop_expired(now, book)
             if sum(k[0] == sender for k in book) >= LIVES_MOST:
                 self.rejected_count += 1
                 return None
         assert self.started_at_ms is not None
-        good, pool = self.limits.theirs(self.limits.grant_lifetime_ms(budget)), max(0, budget.shared_capacity)
+        good, pool = self.limits.expiry_ms(self.limits.grant_lifetime_ms(budget)), max(0, budget.shared_capacity)
         learning = now < self.started_at_ms + good
         if me not in book and learning:
             self.inherited[key] = min(pool, self.inherited.get(key, 0) + have)
--- a/corallanding/quota/quota_client.py
+++ b/corallanding/quota/quota_client.py
@@ -69,14 +69,14 @@
         return a
 
     def floor(self, now: float, budget: Budget) -> int:
-        return budget.floor if now >= self.created_at_ms + self.limits.theirs(budget.hold_ms) else 0
+        return budget.floor if now >= self.created_at_ms + self.limits.expiry_ms(budget.hold_ms) else 0
 
     def available(self, now: float, budget: Budget, subject: int = 0) -> int:
         """How many may be taken now. Looking is no wish: see `miss`."""
         a = self.account(now, budget, subject)
         if a is None:
             return 0
-        floor, end = self.floor(now, budget), now + self.limits.theirs(budget.hold_ms)
+        floor, end = self.floor(now, budget), now + self.limits.expiry_ms(budget.hold_ms)
         used = a.count(now, a.uses)
         if now >= a.expires_at_ms:
             return max(0, floor - used)
@@ -90,7 +90,7 @@
     def acquire(self, now: float, budget: Budget, subject: int = 0, n: int = 1) -> bool:
         """Whether n were taken; their use ends a span from now. Asked in the instant of the use."""
         a = self.account(now, budget, subject)
-        end = now + self.limits.theirs(budget.hold_ms)
+        end = now + self.limits.expiry_ms(budget.hold_ms)
         if a is not None and self.available(now, budget, subject) >= n:
             a.add(a.uses, end, n)
             return True
@@ -101,7 +101,7 @@
         """A wish that was not granted: it shows in what is asked for."""
         self.unmet_count += n
         if a := self.account(now, budget, subject):
-            a.add(a.unmet, now + self.limits.theirs(budget.hold_ms), n)
+            a.add(a.unmet, now + self.limits.expiry_ms(budget.hold_ms), n)
 
     def request_row(self, now: float, key: BudgetKey) -> RequestRow:
         a = self.accounts[key]
@@ -148,7 +148,7 @@
     def on_grant(self, now: float, word: CapacityGrant) -> bool:
         """A grant, good from when it was asked for. True if one was made smaller: the divider wants to hear of it."""
         asked = self.pending.get(word.round)
-        if word.life != self.incarnation or asked is None:
+        if word.incarnation != self.incarnation or asked is None:
             self.stale_count += 1
             return False
         smaller = False
@@ -163,5 +163,5 @@
             if amount < a.granted and now < a.expires_at_ms:
                 smaller, a.requested_at_ms = True, float("-inf")
             a.granted, a.round = amount, word.round
-            a.expires_at_ms = at + self.limits.mine(self.limits.grant_lifetime_ms(a.budget))
+            a.expires_at_ms = at + self.limits.usable_ms(self.limits.grant_lifetime_ms(a.budget))
         return smaller
--- a/corallanding/rate_limit.py
+++ b/corallanding/rate_limit.py
@@ -1,4 +1,4 @@
-"""How much one sender may say: a rate, and at most a second of it at once. Pure; times in ms."""
+"""Token buckets that bound how many messages one sender may deliver. No input or output; times in ms."""
 
 from __future__ import annotations
 
@@ -8,30 +8,34 @@
 
 @dataclass
 class TokenBucket:
-    """rate: a second. left: what it may say now, as of `at`.
+    """A token bucket that holds at most one second of its rate.
 
-    What is refused costs nothing, so that one that says too much still gets its rate through.
+    `tokens` is what was left at `updated_at_ms`. A message that is rejected costs nothing, so that a sender that sends
+    too much still gets its rate through.
     """
 
-    rate: float
-    left: float
-    at: float
+    rate_per_second: float
+    tokens: float
+    updated_at_ms: float
 
-    def take(self, now: float) -> bool:
-        self.left = min(self.rate, self.left + (now - self.at) / 1000.0 * self.rate)
-        self.at = now
-        if self.left < 1.0:
+    def try_take(self, now: float) -> bool:
+        """Take one token; False if there is none."""
+        gained = (now - self.updated_at_ms) / 1000.0 * self.rate_per_second
+        self.tokens = min(self.rate_per_second, self.tokens + gained)
+        self.updated_at_ms = now
+        if self.tokens < 1.0:
             return False
-        self.left -= 1.0
+        self.tokens -= 1.0
         return True
 
 
 class PeerRateLimiter:
-    """One for each of those that may speak, by number; nobody else may."""
+    """One token bucket for each of the controllers in `numbers`; any other sender is rejected."""
 
-    def __init__(self, numbers: Iterable[int], rate: float, now: float) -> None:
-        self.by = {n: TokenBucket(rate, rate, now) for n in numbers}
+    def __init__(self, numbers: Iterable[int], rate_per_second: float, now: float) -> None:
+        self.buckets = {number: TokenBucket(rate_per_second, rate_per_second, now) for number in numbers}
 
-    def take(self, sender: int, now: float) -> bool:
-        may = self.by.get(sender)
-        return may is not None and may.take(now)
+    def try_take(self, sender: int, now: float) -> bool:
+        """Whether one more message of this sender may be taken now; it is counted if so."""
+        bucket = self.buckets.get(sender)
+        return bucket is not None and bucket.try_take(now)
--- a/corallanding/scheduling/actions.py
+++ b/corallanding/scheduling/actions.py
@@ -6,7 +6,7 @@
 from enum import Enum, StrEnum, auto
 from typing import NamedTuple
 
-from ..lease.election import OutgoingMessage
+from ..wire.peer_messages import OutgoingMessage
 from .queue import Job
 
 
--- a/corallanding/scheduling/core.py
+++ b/corallanding/scheduling/core.py
@@ -10,8 +10,8 @@
 from collections import deque
 from collections.abc import Callable, Iterable, Sequence
 
-from ..lease.election import OutgoingMessage
 from ..rate_limit import PeerRateLimiter
+from ..wire.peer_messages import OutgoingMessage
 from .actions import (
     AdmissionResult,
     BlockedJob,
@@ -244,7 +244,7 @@
 
     def on_summary(self, now_ms: float, sender: int, summary: QueueSummary) -> None:
         """Take the summary of another controller, within the rate that it may send."""
-        if self.rate_limits.take(sender, now_ms):
+        if self.rate_limits.try_take(sender, now_ms):
             self.peer_queues.on_summary(now_ms, sender, summary)
         else:
             self.peer_queues.rejected_count += 1
--- a/corallanding/scheduling/messages.py
+++ b/corallanding/scheduling/messages.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ..lease.messages import ControllerMessage
+from ..wire.peer_messages import ControllerMessage
 
 MAX_ROWS = 10  # groups of jobs in one summary
 MAX_LEVELS = 12  # priorities in one summary: those of the first 2**11 jobs
@@ -64,7 +64,7 @@
 
 def is_valid(message: QueueSummary) -> bool:
     """Whether the fields of a message lie within what a correct controller sends."""
-    if not (0 <= message.life < INCARNATION_LIMIT and 0 <= message.round < ROUND_LIMIT):
+    if not (0 <= message.incarnation < INCARNATION_LIMIT and 0 <= message.round < ROUND_LIMIT):
         return False
     if not 0 <= message.job_count < COUNT_LIMIT:
         return False
--- a/corallanding/scheduling/peer_queues.py
+++ b/corallanding/scheduling/peer_queues.py
@@ -45,10 +45,10 @@
             self.rejected_count += 1
             return
         last = self.by_peer.get(sender)
-        if last is None or last.incarnation != summary.life or summary.round > last.round:
+        if last is None or last.incarnation != summary.incarnation or summary.round > last.round:
             self.by_peer[sender] = PeerQueue(
                 now_ms,
-                summary.life,
+                summary.incarnation,
                 summary.round,
                 list(summary.groups),
                 list(summary.priority_levels),
--- a/corallanding/version_pinning/core.py
+++ b/corallanding/version_pinning/core.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from ..lease.election import OutgoingMessage
 from ..quorum_records.core import Action
 from ..quorum_records.fleet import FleetRecords
 from ..quorum_records.limits import RecordLimits
 from ..quorum_records.queries import Queries, QueryResult
+from ..wire.peer_messages import OutgoingMessage
 from .limits import PinningLimits
 from .messages import PinningMessage, RegisterAnnouncement, RunCountQuery, RunCountReport
 from .releases import ReleaseCoordinator, ignore_change
--- a/corallanding/version_pinning/messages.py
+++ b/corallanding/version_pinning/messages.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ..lease.messages import ControllerMessage
+from ..wire.peer_messages import ControllerMessage
 
 MAX_COUNTED_SETS = 8  # release sets in one report of run counts
 
@@ -63,7 +63,7 @@
 
 def is_valid(message: ControllerMessage) -> bool:
     """Whether the fields of a message lie within what a correct controller sends."""
-    if not (0 <= message.life < INCARNATION_LIMIT and 0 <= message.round < ROUND_LIMIT):
+    if not (0 <= message.incarnation < INCARNATION_LIMIT and 0 <= message.round < ROUND_LIMIT):
         return False
     match message:
         case RegisterAnnouncement():
--- a/corallanding/version_pinning/releases.py
+++ b/corallanding/version_pinning/releases.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Collection, Mapping
 from dataclasses import dataclass, field
 
-from ..lease.election import OutgoingMessage
 from ..quorum_records.core import QuorumRecords
+from ..wire.peer_messages import OutgoingMessage
 from .limits import PinningLimits
 from .messages import MAX_COUNTED_SETS, RegisterAnnouncement, RunCount, RunCountQuery, RunCountReport
 from .release_register import ReleaseRegister, unpack_register
@@ -146,12 +146,12 @@
         record = self.records.replica.groups.get(self.group, {}).get(REGISTER_KEY)
         counts = sorted(self.records.replica.value_counts.items(), key=lambda count: (-count[1], count[0]))
         if record is None or not self.records.recovery.is_ready or len(counts) > MAX_COUNTED_SETS:
-            return RunCountReport(query.life, query.round)
-        return RunCountReport(query.life, query.round, record.value, [RunCount(*count) for count in counts])
+            return RunCountReport(query.incarnation, query.round)
+        return RunCountReport(query.incarnation, query.round, record.value, [RunCount(*count) for count in counts])
 
     def on_run_count_report(self, replica: int, report: RunCountReport) -> None:
         """Take the report of a replica, if it answers the query that is out."""
-        is_answer = report.life == self.incarnation and report.round == self.run_counts.round
+        is_answer = report.incarnation == self.incarnation and report.round == self.run_counts.round
         if is_answer and replica in self.records.replica_ids:
             self.run_counts.runs_by_replica[replica] = dict(report.run_counts)
             self.run_counts.register_by_replica[replica] = report.packed_register
