--- a/corallanding/version_pinning/workflow_runs.py
+++ b/corallanding/version_pinning/workflow_runs.py
@@ -91,7 +91,7 @@
         bucket %= self.limits.client_buckets
         rate = self.limits.begins_per_second
         limiter = self.client_rate_limits.setdefault(bucket, TokenBucket(rate, rate, now_ms))
-        return limiter.take(now_ms)
+        return limiter.try_take(now_ms)
 
     def on_write_denied(self, reason: int) -> Outcome | None:
         """A majority did not accept the record: with None the query is handled anew, in the set that is open now."""
--- a/tests/scheduling/support.py
+++ b/tests/scheduling/support.py
@@ -7,7 +7,7 @@
 from corallanding.lab.stewards.waits import QUOTA, TERMS, WaitWorld, bound_of
 from corallanding.lab.stewards.world import troubled
 
-BOUND = bound_of(TERMS, QUOTA.drift, 15_000.0)
+BOUND = bound_of(TERMS, QUOTA.max_clock_drift, 15_000.0)
 
 
 def play_world(seed: int, until: float = 30_000.0, **more: Any) -> WaitWorld:
--- a/tests/scheduling/test_simulated_faults.py
+++ b/tests/scheduling/test_simulated_faults.py
@@ -82,7 +82,7 @@
         for here, there, me in ((starved, other, 1), (other, starved, 2)):
             actions, messages = here.tick(float(now), [3 - me])
             for message in messages:
-                there.on_summary(float(now), me, message.word)
+                there.on_summary(float(now), me, message.message)
             gone = gone or next((now for x in actions if isinstance(x, Dispatch)), None)
     assert gone is not None
     assert 400 <= gone <= 700
--- a/tests/stored_samples.py
+++ b/tests/stored_samples.py
@@ -105,34 +105,56 @@
 SHARDS, OTHER_SHARDS = bytes(range(32)), bytes(range(100, 132))
 
 PEER_MESSAGES: dict[str, Any] = {
-    "membership ping": membership.Ping(seq=1, life=2, incarnation=3, news=[(4, 0, 5)], aim=6),
-    "membership ack": membership.Ack(seq=7, life=8, incarnation=9, news=[(1, 1, 2), (3, 2, 4)], of=5),
-    "membership indirect ping": membership.PingRequest(seq=10, life=11, incarnation=12, news=[], aim=13),
-    "lease candidacy": lease.VoteRequest(life=1, round=2, holds=True, electorate=3, top=4),
-    "lease vote": lease.VoteReply(life=5, round=6, given=True, top=7),
-    "lease votes not wanted": lease.VoteRelease(life=8, round=9),
+    "membership ping": membership.Ping(
+        sequence=1, process_incarnation=2, incarnation=3, updates=[membership.MemberUpdate(4, 0, 5)], target=6
+    ),
+    "membership ack": membership.Ack(
+        sequence=7,
+        process_incarnation=8,
+        incarnation=9,
+        updates=[membership.MemberUpdate(1, 1, 2), membership.MemberUpdate(3, 2, 4)],
+        target=5,
+    ),
+    "membership indirect ping": membership.PingRequest(
+        sequence=10, process_incarnation=11, incarnation=12, updates=[], target=13
+    ),
+    "lease candidacy": lease.VoteRequest(incarnation=1, round=2, is_leader=True, electorate_digest=3, max_token=4),
+    "lease vote": lease.VoteReply(incarnation=5, round=6, is_granted=True, max_token=7),
+    "lease votes not wanted": lease.VoteRelease(incarnation=8, round=9),
     "lease request": lease.LeaseRequest(
-        life=1, round=2, to=3, office=4, wanted=SHARDS, held=OTHER_SHARDS, taken=5, tasks=6, seen=7
+        incarnation=1,
+        round=2,
+        leader_epoch=3,
+        leader_round=4,
+        wanted_shards=SHARDS,
+        held_shards=OTHER_SHARDS,
+        applied_round=5,
+        tasks_digest=6,
+        highest_token=7,
     ),
-    "lease grant": lease.LeaseGrant(life=1, round=2, held=SHARDS, fence=3),
-    "lease act": lease.FencedAction(life=1, round=2, fence=3),
-    "lease seen": lease.ActionRejected(life=4, round=5, fence=6),
-    "quota request": quota.CapacityRequest(life=1, round=2, allocator=3, allocator_round=4, rows=[(5, 6, 7, 8, 9, 10)]),
-    "quota grant": quota.CapacityGrant(life=1, round=2, rows=[(3, 4, 5)]),
-    "record copy": once.Accept(life=1, round=2, group=3, fencing_token=4, is_initial=True, rows=[(5, 6, 7)]),
-    "record copied": once.AcceptReply(life=1, round=2, group=3, status=4, highest_token=5),
-    "record fetch": once.Prepare(life=1, round=2, group=3, fencing_token=4, after_key=5),
+    "lease grant": lease.LeaseGrant(incarnation=1, round=2, granted_shards=SHARDS, fencing_token=3),
+    "lease act": lease.FencedAction(incarnation=1, round=2, fencing_token=3),
+    "lease seen": lease.ActionRejected(incarnation=4, round=5, highest_token=6),
+    "quota request": quota.CapacityRequest(
+        incarnation=1, round=2, allocator=3, allocator_round=4, rows=[(5, 6, 7, 8, 9, 10)]
+    ),
+    "quota grant": quota.CapacityGrant(incarnation=1, round=2, rows=[(3, 4, 5)]),
+    "record copy": once.Accept(incarnation=1, round=2, group=3, fencing_token=4, is_initial=True, rows=[(5, 6, 7)]),
+    "record copied": once.AcceptReply(incarnation=1, round=2, group=3, status=4, highest_token=5),
+    "record fetch": once.Prepare(incarnation=1, round=2, group=3, fencing_token=4, after_key=5),
     "record page": once.PrepareReply(
-        life=1, round=2, group=3, status=4, highest_token=5, rows=[(6, 7, 8, 9, 10)], has_more=True
+        incarnation=1, round=2, group=3, status=4, highest_token=5, rows=[(6, 7, 8, 9, 10)], has_more=True
+    ),
+    "record heartbeat": once.FileAnnouncement(incarnation=1, round=2, write_count=3),
+    "record heartbeat answer": once.FileAnnouncementReply(incarnation=1, round=2, is_recovering=True, write_count=3),
+    "record question": once.Query(incarnation=1, round=2, group=3, key=4, kind=5, argument=6),
+    "record answer": once.QueryReply(incarnation=1, round=2, key=3, result=4, value=5),
+    "release register": pins.RegisterAnnouncement(incarnation=1, round=2, packed_register=3),
+    "release tally": pins.RunCountQuery(incarnation=1, round=2),
+    "release tallied": pins.RunCountReport(incarnation=1, round=2, packed_register=3, run_counts=[(4, 5)]),
+    "waiting jobs": waiting.QueueSummary(
+        incarnation=1, round=2, groups=[(3, 4, 5)], priority_levels=[6, 7], job_count=8
     ),
-    "record heartbeat": once.FileAnnouncement(life=1, round=2, write_count=3),
-    "record heartbeat answer": once.FileAnnouncementReply(life=1, round=2, is_recovering=True, write_count=3),
-    "record question": once.Query(life=1, round=2, group=3, key=4, kind=5, argument=6),
-    "record answer": once.QueryReply(life=1, round=2, key=3, result=4, value=5),
-    "release register": pins.RegisterAnnouncement(life=1, round=2, packed_register=3),
-    "release tally": pins.RunCountQuery(life=1, round=2),
-    "release tallied": pins.RunCountReport(life=1, round=2, packed_register=3, run_counts=[(4, 5)]),
-    "waiting jobs": waiting.QueueSummary(life=1, round=2, groups=[(3, 4, 5)], priority_levels=[6, 7], job_count=8),
 }
 
 FROM_FORWARDER: dict[str, Any] = {
--- a/tests/test_lease_small.py
+++ b/tests/test_lease_small.py
@@ -20,11 +20,11 @@
 from corallanding.lease.messages import LeaseGrant, LeaseRequest, VoteReply, VoteRequest
 from corallanding.lease.shard_allocator import ShardAllocator
 from corallanding.lease.tasks import TaskCatalog, TaskSpec
-from corallanding.lease.voting import Candidate, Voter, electorate
+from corallanding.lease.voting import Candidate, Voter, electorate_digest
 
 # A lease of three steps and an act of one and a half: a few steps see leases end, and acts that would outlast them.
-TERMS = LeaseTimings(lease=300.0, office=200.0, drift=0.0)
-TASKS = TaskCatalog({"sweep": TaskSpec("sweep", work=150.0)})
+TERMS = LeaseTimings(lease_ms=300.0, vote_lease_ms=200.0, max_clock_drift=0.0)
+TASKS = TaskCatalog({"sweep": TaskSpec("sweep", max_work_ms=150.0)})
 STEP = 100.0
 
 
@@ -33,8 +33,8 @@
 
     def __init__(self) -> None:
         self.now, self.lives = 0.0, 10
-        self.dealer = ShardAllocator(TERMS, TASKS, 9, kept=1 << 60)
-        self.dealer.begin(-1e6, 1, 1 << 20)
+        self.dealer = ShardAllocator(TERMS, TASKS, 9, max_token=1 << 60)
+        self.dealer.begin_term(-1e6, 1, 1 << 20)
         self.holders = [LeaseHolder(n + 1, TERMS, TASKS, -1e6) for n in range(2)]
         self.words: list[tuple[int, Any]] = []  # on their way: whose, what
         self.looks: list[tuple[int, int]] = []  # acts begun and not written: whose, fence
@@ -58,8 +58,8 @@
             case "time":
                 self.now += STEP
             case "ask":
-                self.holders[n].asked_at = float("-inf")
-                word = self.holders[n].ask(self.now, 9, 1)
+                self.holders[n].last_request_at = float("-inf")
+                word = self.holders[n].next_request(self.now, 9, 1)
                 if word is None:
                     return False
                 self.words.append((n, word))
@@ -68,24 +68,24 @@
                 if kind == "word":
                     del self.words[n]
                 if isinstance(word, LeaseRequest):
-                    deal = self.dealer.asked(self.now, who, word)
+                    deal = self.dealer.on_request(self.now, who, word)
                     if deal:
                         self.words.append((who, deal))
                     return deal is not None or kind == "word"
                 assert isinstance(word, LeaseGrant)
-                self.holders[who].dealt(self.now, word)
+                self.holders[who].on_grant(self.now, word)
             case "look":
                 h = self.holders[n]
-                fence = h.begin(self.now, 0)
+                fence = h.begin_action(self.now, 0)
                 if not fence:
                     return False
-                if any(end > self.now for who, end in self.ends.items() if who != (n, h.life)):
+                if any(end > self.now for who, end in self.ends.items() if who != (n, h.incarnation)):
                     self.wrong = "two act at one instant"
-                self.ends[n, h.life] = self.now + 150.0
+                self.ends[n, h.incarnation] = self.now + 150.0
                 self.looks.append((n, fence))
             case "write":
                 _, fence = self.looks.pop(n)
-                if self.place.takes(0, fence):
+                if self.place.accept(0, fence):
                     if fence < self.highest:
                         self.wrong = "an act behind a later one was taken"
                     self.highest = max(self.highest, fence)
@@ -96,13 +96,27 @@
 
     def key(self) -> str:
         """Two worlds of one key go on alike."""
-        book = [(w, x.round, x.wanted, x.at, x.fence, sorted(x.entries)) for w, x in sorted(self.dealer.book.items())]
+        book = [
+            (w, x.last_round, x.wanted_shards, x.requested_at, x.fencing_token, sorted(x.grants))
+            for w, x in sorted(self.dealer.leases.items())
+        ]
         holders = [
-            (h.life, h.bits, h.fence, h.until, h.taken, h.round, sorted(h.asked.items()), sorted(h.busy.items()))
+            (
+                h.incarnation,
+                h.shards,
+                h.fencing_token,
+                h.leased_until,
+                h.applied_round,
+                h.round,
+                sorted(h.requested_at.items()),
+                sorted(h.busy_until.items()),
+            )
             for h in self.holders
         ]
         ends = sorted((w, e) for w, e in self.ends.items() if e > self.now)
-        return repr((self.now, book, self.dealer.fence, holders, self.words, self.looks, ends, self.place.seen))
+        return repr(
+            (self.now, book, self.dealer.last_token, holders, self.words, self.looks, ends, self.place.highest_tokens)
+        )
 
 
 def explore(deep: int, start: Any) -> tuple[int, str]:
@@ -188,7 +202,7 @@
 
 # ---- the office -------------------------------------------------------------------------------------------------
 
-DRIFT = LeaseTimings(office=200.0, drift=0.1)
+DRIFT = LeaseTimings(vote_lease_ms=200.0, max_clock_drift=0.1)
 
 
 class Booth:
@@ -197,7 +211,7 @@
 
     def __init__(self) -> None:
         self.now, self.starts = 0.0, 0
-        self.voters = [Voter(DRIFT, -1e6, electorate((0, 1, 2))) for _ in range(3)]
+        self.voters = [Voter(DRIFT, -1e6, electorate_digest((0, 1, 2))) for _ in range(3)]
         self.candidates = [Candidate(n, n + 1, (0, 1, 2), DRIFT, lambda: 0.0, -1e6) for n in range(2)]
         self.stands: list[VoteRequest | None] = [None, None]
         self.votes: list[tuple[int, int, VoteReply]] = []
@@ -218,7 +232,7 @@
             case "time":
                 self.now += 55.0
             case "stand":
-                self.candidates[n].next_at = float("-inf")
+                self.candidates[n].next_request_at = float("-inf")
                 word = self.candidates[n].tick(self.clock(n), 0)
                 if not isinstance(word, VoteRequest):
                     return False
@@ -226,24 +240,34 @@
             case "ask":
                 word = self.stands[n]
                 assert word
-                vote = self.voters[v].asked(self.clock(v), n, word)
-                if not vote.given or len(self.votes) > 2:
+                vote = self.voters[v].on_vote_request(self.clock(v), n, word)
+                if not vote.is_granted or len(self.votes) > 2:
                     return False
                 self.votes.append((n, v, vote))
             case "vote":
                 to, voter, vote = self.votes.pop(n)
-                self.candidates[to].voted(self.clock(to), voter, vote)
+                self.candidates[to].on_vote_reply(self.clock(to), voter, vote)
             case "start":
                 self.starts += 1
-                self.voters[n] = Voter(DRIFT, self.clock(n), electorate((0, 1, 2)))
-        if all(c.holds(self.clock(k)) for k, c in enumerate(self.candidates)):
+                self.voters[n] = Voter(DRIFT, self.clock(n), electorate_digest((0, 1, 2)))
+        if all(c.is_leader(self.clock(k)) for k, c in enumerate(self.candidates)):
             self.wrong = "two hold the office"
         return True
 
     def key(self) -> str:
-        voters = [(v.born, v.to, v.until, v.round, sorted(v.idle.items())) for v in self.voters]
+        voters = [
+            (v.started_at, v.voted_for, v.voted_until, v.voted_round, sorted(v.unsuccessful_since.items()))
+            for v in self.voters
+        ]
         candidates = [
-            (c.round, sorted(c.asked.items()), sorted(c.votes.items()), c.since, c.standing, c.next_at)
+            (
+                c.round,
+                sorted(c.requested_at.items()),
+                sorted(c.votes_until.items()),
+                c.leader_since,
+                c.candidate_since,
+                c.next_request_at,
+            )
             for c in self.candidates
         ]
         return repr((self.now, voters, candidates, self.stands, self.votes, self.starts))
@@ -271,18 +295,18 @@
 
 
 def no_drift(m: pytest.MonkeyPatch) -> None:
-    m.setattr(LeaseTimings, "mine", lambda self, span: span)
-    m.setattr(LeaseTimings, "theirs", lambda self, span: span)
+    m.setattr(LeaseTimings, "usable_ms", lambda self, span: span)
+    m.setattr(LeaseTimings, "expiry_ms", lambda self, span: span)
 
 
 def starts_at_once(m: pytest.MonkeyPatch) -> None:
-    real = vote_module.Voter.asked
+    real = vote_module.Voter.on_vote_request
 
     def asked(self: Any, now: float, candidate: int, word: VoteRequest) -> VoteReply:
-        self.born = -1e12
+        self.started_at = -1e12
         return real(self, now, candidate, word)
 
-    m.setattr(vote_module.Voter, "asked", asked)
+    m.setattr(vote_module.Voter, "on_vote_request", asked)
 
 
 OFFICES: dict[Callable[..., None], Any] = {no_drift: ENDING, starts_at_once: ANEW, test_lease.half_is_enough: OFFICE}
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,22 +9,19 @@
 
 from corallanding.lab.stewards.world import Way, World
 from corallanding.membership import (
-    ALIVE,
-    DEAD,
-    LEFT,
-    SUSPECT,
     Ack,
     Membership,
     MembershipConfig,
+    MemberState,
     MemberStateChanged,
-    OutgoingMessage,
     Ping,
     PingRequest,
     decode,
     encode,
 )
-from corallanding.membership.messages import NEWS_MOST
+from corallanding.membership.messages import MAX_UPDATES
 from corallanding.quota import QuotaLimits
+from corallanding.wire.peer_messages import OutgoingMessage
 
 
 def world(seed: int, numbers: int, first: int | None = None) -> World:
@@ -32,7 +29,7 @@
 
 
 def views(w: World) -> dict[int, list[int]]:
-    return {n: p.members.alive() for n, p in w.processes.items()}
+    return {n: p.members.alive_members() for n, p in w.processes.items()}
 
 
 def until(w: World, wanted: Any, most: float) -> float:
@@ -54,7 +51,7 @@
     until(w, lambda v: all(x == rest for x in v.values()), 30_000.0)
     w.start(1)
     until(w, lambda v: all(x == everyone for x in v.values()), 20_000.0)
-    assert not any(p.members.twin > 3 for p in w.processes.values()), "a restart is no twin"
+    assert not any(p.members.view.duplicates_seen > 3 for p in w.processes.values()), "a restart is no twin"
 
 
 def test_a_third_of_all_datagrams_lost_kills_nobody() -> None:
@@ -62,7 +59,7 @@
     w.run(5_000.0)
     w.usual = Way(loss=0.3)
     w.run(65_000.0)
-    dead = [row for row in w.seen if row[3] == DEAD]
+    dead = [row for row in w.seen if row[3] == MemberState.DEAD]
     assert not dead, dead
 
 
@@ -75,7 +72,7 @@
     at = w.now
     w.wake(0)
     until(w, lambda v: all(len(x) == 5 for x in v.values()), 15_000.0)
-    assert not [row for row in w.seen if row[0] >= at and row[1] == 0 and row[3] == DEAD]
+    assert not [row for row in w.seen if row[0] >= at and row[1] == 0 and row[3] == MemberState.DEAD]
 
 
 def test_two_halves_find_together_again_and_one_way_is_not_two() -> None:
@@ -96,11 +93,11 @@
     w = world(4, 9)
     w.run(8_000.0)
     p = w.processes[3]
-    w.act(3, p.members.leave(p.clock(w.now)))
+    w.act(3, p.members.leave())
     w.kill(3)
     took = until(w, lambda v: all(3 not in x for x in v.values()), 5_000.0)
     assert took < 2_500.0
-    assert {row[3] for row in w.seen if row[2] == 3 and row[0] > 8_000.0} == {LEFT}
+    assert {row[3] for row in w.seen if row[2] == 3 and row[0] > 8_000.0} == {MemberState.LEFT}
 
 
 def members(others: int = 3) -> Membership:
@@ -109,41 +106,45 @@
 
 def test_nonsense_floods_and_strangers_cost_a_counted_refusal() -> None:
     m = members()
-    assert m.heard(0.0, 9, Ping(1, 5, 1, [])) == [] and m.refused == 1, "a number that nobody has"
-    assert m.heard(0.0, 1, Ping(1, 5, 0, [])) == [] and m.refused == 2, "an incarnation that cannot be"
-    assert m.heard(0.0, 1, Ping(1, 5, 1 << 40, [])) == []
-    assert m.refused == 3
-    assert not [a for a in m.heard(0.0, 1, Ping(1, 5, 1, [], aim=2)) if isinstance(a, OutgoingMessage)], (
+    assert m.on_message(0.0, 9, Ping(1, 5, 1, [])) == [] and m.rejected == 1, "a number that nobody has"
+    assert m.on_message(0.0, 1, Ping(1, 5, 0, [])) == [] and m.rejected == 2, "an incarnation that cannot be"
+    assert m.on_message(0.0, 1, Ping(1, 5, 1 << 40, [])) == []
+    assert m.rejected == 3
+    assert not [a for a in m.on_message(0.0, 1, Ping(1, 5, 1, [], target=2)) if isinstance(a, OutgoingMessage)], (
         "meant for another"
     )
-    before = m.refused
+    before = m.rejected
     for _ in range(1_000):
-        m.heard(1.0, 2, Ping(1, 5, 1, []))
-    assert m.refused - before > 900
-    assert m.state(2) == ALIVE
-    for word in (Ping(1, 2, 3, [(1, 2, 3)] * (NEWS_MOST + 1)), Ack(1, 2, 3, [])):
-        assert (decode(encode(word)) is None) == bool(word.news)
-    wide = PingRequest(2**32, 2**62, 2**32 - 1, [(65_535, 4, 2**32 - 1)] * NEWS_MOST, 65_535)
+        m.on_message(1.0, 2, Ping(1, 5, 1, []))
+    assert m.rejected - before > 900
+    assert m.state_of(2) == MemberState.ALIVE
+    for word in (Ping(1, 2, 3, [(1, 2, 3)] * (MAX_UPDATES + 1)), Ack(1, 2, 3, [])):
+        assert (decode(encode(word)) is None) == bool(word.updates)
+    wide = PingRequest(2**32, 2**62, 2**32 - 1, [(65_535, 4, 2**32 - 1)] * MAX_UPDATES, 65_535)
     assert len(encode(wide)) <= 255
 
 
 def test_a_lie_on_us_is_outbid_and_an_old_one_passed_over() -> None:
     m = members()
-    m.heard(0.0, 1, Ping(1, 5, 1, [(0, DEAD, 1)]))
-    assert m.incarnation == 2
-    m.heard(1.0, 1, Ping(2, 5, 1, [(0, SUSPECT, 1)]))
-    assert m.incarnation == 2, "that was answered already"
-    m.heard(2.0, 1, Ping(3, 5, 1, [(0, ALIVE, 9)]))
-    assert m.incarnation == 10 and m.twin == 1, "another process speaks under our number, or our former life did"
+    m.on_message(0.0, 1, Ping(1, 5, 1, [(0, MemberState.DEAD, 1)]))
+    assert m.view.incarnation == 2
+    m.on_message(1.0, 1, Ping(2, 5, 1, [(0, MemberState.SUSPECT, 1)]))
+    assert m.view.incarnation == 2, "that was answered already"
+    m.on_message(2.0, 1, Ping(3, 5, 1, [(0, MemberState.ALIVE, 9)]))
+    assert m.view.incarnation == 10 and m.view.duplicates_seen == 1, (
+        "another process speaks under our number, or our former life did"
+    )
 
 
 def test_late_news_of_a_former_incarnation_changes_nothing() -> None:
     m = members()
-    m.heard(0.0, 1, Ping(1, 5, 1, [(2, ALIVE, 7)]))
-    assert MemberStateChanged(2, SUSPECT) in m.heard(1.0, 1, Ping(2, 5, 1, [(2, SUSPECT, 7)]))
-    assert MemberStateChanged(2, ALIVE) in m.heard(2.0, 1, Ping(3, 5, 1, [(2, ALIVE, 8)]))
-    m.heard(3.0, 1, Ping(4, 5, 1, [(2, DEAD, 7), (2, SUSPECT, 6)]))
-    assert m.state(2) == ALIVE
+    m.on_message(0.0, 1, Ping(1, 5, 1, [(2, MemberState.ALIVE, 7)]))
+    assert MemberStateChanged(2, MemberState.SUSPECT) in m.on_message(
+        1.0, 1, Ping(2, 5, 1, [(2, MemberState.SUSPECT, 7)])
+    )
+    assert MemberStateChanged(2, MemberState.ALIVE) in m.on_message(2.0, 1, Ping(3, 5, 1, [(2, MemberState.ALIVE, 8)]))
+    m.on_message(3.0, 1, Ping(4, 5, 1, [(2, MemberState.DEAD, 7), (2, MemberState.SUSPECT, 6)]))
+    assert m.state_of(2) == MemberState.ALIVE
 
 
 def test_same_seed_same_words() -> None:
--- a/tests/test_mutation.py
+++ b/tests/test_mutation.py
@@ -23,7 +23,7 @@
 from corallanding.lab.stewards.world import World
 from corallanding.lab.uses import most
 from corallanding.lease.limits import LeaseTimings
-from corallanding.lease.messages import sound as sound_task
+from corallanding.lease.messages import is_valid as sound_task
 from corallanding.lease.tasks import TaskCatalog, TaskSpec
 from corallanding.membership.messages import Ack, Ping, PingRequest
 from corallanding.quorum_records.messages import sound as sound_record
@@ -34,7 +34,7 @@
 from corallanding.version_pinning.messages import PinningMessage
 from corallanding.version_pinning.messages import is_valid as sound_pin
 
-LEASE = LeaseTimings(lease=600.0, office=400.0)
+LEASE = LeaseTimings(lease_ms=600.0, vote_lease_ms=400.0)
 UNTIL = 5_000.0
 ODD: dict[type, tuple[Any, ...]] = {
     int: (0, -1, 1 << 40, 1 << 70),
@@ -95,16 +95,22 @@
         "late by a lease": late,
         "by another": lambda real, a, b, word: real(next(n for n in others if n not in (a, b)), b, word),
         "to another": lambda real, a, b, word: real(a, next(n for n in others if n not in (a, b)), word),
-        "of a former life": lambda real, a, b, word: real(a, b, msgspec.structs.replace(word, life=7)),
+        "of a former life": lambda real, a, b, word: real(a, b, of_former_process(word)),
     }
 
 
+def of_former_process(word: Any) -> Any:
+    """The word as another process under the same number would have sent it."""
+    field = "process_incarnation" if isinstance(word, Ping | Ack | PingRequest) else "incarnation"
+    return msgspec.structs.replace(word, **{field: 7})
+
+
 def tasks(seed: int) -> TaskWorld:
-    return TaskWorld(seed, 3, 3, TaskCatalog({"g": TaskSpec("g", 4, work=100.0)}), LEASE, acting=4)
+    return TaskWorld(seed, 3, 3, TaskCatalog({"g": TaskSpec("g", 4, max_work_ms=100.0)}), LEASE, acting=4)
 
 
 def budgets(seed: int) -> World:
-    terms = QuotaLimits(lease_ms=600.0, office=400.0)
+    terms = QuotaLimits(lease_ms=600.0, vote_lease_ms=400.0)
     return World(seed, 3, 3, {"moves": Budget("moves", 5, 1, 3, 300.0)}, terms, lambda t, n: [("moves", 0)] * 2)
 
 
@@ -144,8 +150,9 @@
     if isinstance(core, QuotaManager):
         allocator = core.allocator
         counted = core.rejected_count + allocator.unknown_count + allocator.stale_count + core.client.stale_count
-        return counted + core.election.refused
-    return core.refused + core.desk.refused + core.dealer.strangers + core.dealer.late + core.holder.stale
+        return counted + core.election.rejected
+    rejected_requests = core.allocator.mismatched_requests + core.allocator.stale_requests
+    return core.rejected + core.election.rejected + rejected_requests + core.holder.stale_grants
 
 
 def refused(w: Any) -> int:
@@ -153,7 +160,7 @@
     for fleet in getattr(w, "fleets", {}).values():
         total += fleet.records.rejected_count + fleet.records.replica.rejected_count + fleet.queries.rejected_count
     total += sum(x.peer_queues.rejected_count for x in getattr(w, "waits", {}).values())
-    return total + sum(p.members.refused for p in w.processes.values())
+    return total + sum(p.members.rejected for p in w.processes.values())
 
 
 def run(
@@ -182,7 +189,7 @@
         for at, word in chosen.sample(rows, min(sample, len(rows))):
             changes = list(ways(plain).items())
             for odd in fields(word):
-                good = len(odd.news) <= 12 if isinstance(odd, Ping | Ack | PingRequest) else sound(odd)
+                good = len(odd.updates) <= 12 if isinstance(odd, Ping | Ack | PingRequest) else sound(odd)
                 if not good:
                     table[kind, "a field", "refused"] += 1  # at the peers' door, before any core
                     continue
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -29,7 +29,7 @@
 )
 from corallanding.quota import quota_allocator as divider_module
 
-TIGHT = QuotaLimits(lease_ms=500.0, office=400.0)
+TIGHT = QuotaLimits(lease_ms=500.0, vote_lease_ms=400.0)
 WHOLES = {"moves": 7, "cold": 2}
 
 
@@ -109,9 +109,9 @@
 def test_one_that_says_too_much_gets_its_rate_through_and_no_more() -> None:
     q = QuotaManager(0, (1,), (0, 1), {}, TIGHT, 1, 0.0, random.Random(1).random, words_per_s=100.0)
     for k in range(4_000):  # twice the rate for twenty seconds, and the first second's worth at once
-        q.heard(5.0 * k, 1, CapacityGrant(1, k))
+        q.on_message(5.0 * k, 1, CapacityGrant(1, k))
     assert abs(q.rejected_count - (4_000 - 20 * 100 - 100)) <= 2
-    q.heard(20_000.0, 7, CapacityGrant(1, 1))
+    q.on_message(20_000.0, 7, CapacityGrant(1, 1))
     assert abs(q.rejected_count - 1_901) <= 2, "a number that nobody has"
 
 
@@ -135,7 +135,7 @@
     w.kill(divider)
     w.kill((divider + 1) % 5)
     w.run(12_000.0)
-    bound = TIGHT.theirs(TIGHT.grant_lifetime_ms(BUDGET5)) * 2 + TIGHT.office * 3
+    bound = TIGHT.expiry_ms(TIGHT.grant_lifetime_ms(BUDGET5)) * 2 + TIGHT.vote_lease_ms * 3
     after = [u for u in w.uses if u[0] > 6_000.0 + bound]
     row = most(after, {"moves": 7})[0]
     assert row["most"] == 7
@@ -267,17 +267,17 @@
 
     @staticmethod
     def voter(born: float) -> Any:
-        return vote_module.Voter(TIGHT, born, vote_module.electorate((0, 1, 2)))
+        return vote_module.Voter(TIGHT, born, vote_module.electorate_digest((0, 1, 2)))
 
     def stand(self, now: float, c: Any, voters: tuple[int, ...], answered: float | None = None) -> None:
         word = c.tick(now, 0)
         assert isinstance(word, VoteRequest)
-        votes = {v: self.voters[v].asked(now, c.me, word) for v in voters}
+        votes = {v: self.voters[v].on_vote_request(now, c.controller_id, word) for v in voters}
         for v, vote in votes.items():
-            c.voted(now if answered is None else answered, v, vote)
+            c.on_vote_reply(now if answered is None else answered, v, vote)
 
     def both(self, now: float) -> float:
-        return float(self.a.holds(now) and self.b.holds(now))
+        return float(self.a.is_leader(now) and self.b.is_leader(now))
 
 
 def a_voter_that_starts_anew() -> float:
@@ -299,13 +299,13 @@
     b = Booth()
     word = b.a.tick(0.0, 0)
     assert isinstance(word, VoteRequest)
-    votes = {v: b.voters[v].asked(0.0, 0, word) for v in (1, 2)}
-    quit = b.a.give_up()
+    votes = {v: b.voters[v].on_vote_request(0.0, 0, word) for v in (1, 2)}
+    quit = b.a.give_up_candidacy()
     for v in (1, 2):
-        b.voters[v].quit(0, quit)
+        b.voters[v].on_vote_release(0, quit)
     b.stand(10.0, b.b, (1, 2))
     for v, vote in votes.items():
-        b.a.voted(20.0, v, vote)
+        b.a.on_vote_reply(20.0, v, vote)
     return b.both(20.0)
 
 
@@ -342,7 +342,7 @@
 
 
 def margin_on_the_wrong_side(m: pytest.MonkeyPatch) -> None:
-    m.setattr(QuotaLimits, "mine", lambda self, span: span * 1.3)
+    m.setattr(QuotaLimits, "usable_ms", lambda self, span: span * 1.3)
 
 
 def lends_without_learning(m: pytest.MonkeyPatch) -> None:
@@ -357,7 +357,7 @@
 
     def grant_row(self: QuotaAllocator, now: float, sender: int, word: CapacityRequest, row: Any) -> Any:
         book = self.ledgers.get((row[0], row[1]), {})
-        for who in [w for w in book if w[0] == sender and w[1] != word.life]:
+        for who in [w for w in book if w[0] == sender and w[1] != word.incarnation]:
             del book[who]
         return real(self, now, sender, word, row)
 
@@ -369,13 +369,13 @@
 
 
 def votes_at_once(m: pytest.MonkeyPatch) -> None:
-    real = vote_module.Voter.asked
+    real = vote_module.Voter.on_vote_request
 
     def asked(self: Any, now: float, candidate: int, word: VoteRequest) -> VoteReply:
-        self.born = -1e12
+        self.started_at = -1e12
         return real(self, now, candidate, word)
 
-    m.setattr(vote_module.Voter, "asked", asked)
+    m.setattr(vote_module.Voter, "on_vote_request", asked)
 
 
 def answers_in_any_order(m: pytest.MonkeyPatch) -> None:
@@ -423,7 +423,10 @@
 
     def on_request(self: QuotaAllocator, now: float, sender: int, word: CapacityRequest) -> CapacityGrant:
         return real(
-            self, now, sender, CapacityRequest(word.life, word.round, self.incarnation, self.first_round, word.rows)
+            self,
+            now,
+            sender,
+            CapacityRequest(word.incarnation, word.round, self.incarnation, self.first_round, word.rows),
         )
 
     m.setattr(QuotaAllocator, "on_request", on_request)
@@ -433,14 +436,16 @@
     real = QuotaAllocator.grant_row
 
     def grant_row(self: QuotaAllocator, now: float, sender: int, word: CapacityRequest, row: Any) -> Any:
-        self.ledgers.get((row[0], row[1]), {}).pop((sender, word.life), None)  # as if it were heard of anew each time
+        self.ledgers.get((row[0], row[1]), {}).pop(
+            (sender, word.incarnation), None
+        )  # as if it were heard of anew each time
         return real(self, now, sender, word, row)
 
     m.setattr(QuotaAllocator, "grant_row", grant_row)
 
 
 def half_is_enough(m: pytest.MonkeyPatch) -> None:
-    m.setattr(vote_module.Candidate, "needed", property(lambda self: len(self.voters) // 2))
+    m.setattr(vote_module.Candidate, "majority", property(lambda self: len(self.voters) // 2))
 
 
 def office_kept_over_a_sleep(m: pytest.MonkeyPatch) -> None:
@@ -449,7 +454,7 @@
         "is_allocating",
         lambda self, now: (
             self.allocator.started_at_ms is not None
-            or (self.candidate.holds(now) and (self.allocator.begin_term(now) or True))
+            or (self.candidate.is_leader(now) and (self.allocator.begin_term(now) or True))
         ),
     )
 
@@ -460,21 +465,21 @@
 
 def votes_counted_after_a_quit(m: pytest.MonkeyPatch) -> None:
     def give_up(self: Any) -> Any:
-        self.votes.clear()
-        return vote_module.VoteRelease(self.life, self.round)
+        self.votes_until.clear()
+        return vote_module.VoteRelease(self.incarnation, self.round)
 
-    m.setattr(vote_module.Candidate, "give_up", give_up)
+    m.setattr(vote_module.Candidate, "give_up_candidacy", give_up)
 
 
 def an_office_votes_come_late_for(m: pytest.MonkeyPatch) -> None:
-    real = vote_module.Candidate.voted
+    real = vote_module.Candidate.on_vote_reply
 
     def voted(self: Any, now: float, voter: int, word: VoteReply) -> None:
         real(self, now, voter, word)
-        if word.given and word.life == self.life:
-            self.votes[voter] = now + self.terms.office  # from the answer, not from the question
+        if word.is_granted and word.incarnation == self.incarnation:
+            self.votes_until[voter] = now + self.timings.vote_lease_ms  # from the answer, not from the question
 
-    m.setattr(vote_module.Candidate, "voted", voted)
+    m.setattr(vote_module.Candidate, "on_vote_reply", voted)
 
 
 MISTAKES: list[Callable[[pytest.MonkeyPatch], None]] = [
--- a/tests/test_quota_small.py
+++ b/tests/test_quota_small.py
@@ -11,7 +11,7 @@
 from corallanding.quota import Budget, QuotaAllocator, QuotaClient, QuotaLimits
 
 # A grant of two steps and a use of one and a half: a few steps see grants end, and uses that would outlast them.
-TERMS = QuotaLimits(lease_ms=50.0, office=100.0, drift=0.0)
+TERMS = QuotaLimits(lease_ms=50.0, vote_lease_ms=100.0, max_clock_drift=0.0)
 BUDGET = Budget("moves", 2, 0, 2, 150.0)
 STEP = 100.0
 DEEP = 8
--- a/tests/version_pinning/test_fencing.py
+++ b/tests/version_pinning/test_fencing.py
@@ -26,14 +26,14 @@
         def deliver(messages: list[Any], receivers: set[int]) -> list[Any]:
             late = []
             for message in messages:
-                proposer = first if message.word.life == 1 else second
+                proposer = first if message.message.incarnation == 1 else second
                 if message.to not in receivers:
                     late.append(message)
-                elif isinstance(message.word, Accept):
-                    reply = replicas[message.to].on_accept(0.0, message.word)
+                elif isinstance(message.message, Accept):
+                    reply = replicas[message.to].on_accept(0.0, message.message)
                     proposer.on_accept_reply(0.0, message.to, reply)
                 else:
-                    reply = replicas[message.to].on_prepare(0.0, message.word)
+                    reply = replicas[message.to].on_prepare(0.0, message.message)
                     assert not proposer.on_prepare_reply(0.0, message.to, reply)
             return late
 
--- a/tests/version_pinning/test_retirement.py
+++ b/tests/version_pinning/test_retirement.py
@@ -27,7 +27,7 @@
         self.leases[0].held = {RUN_TASK}
         self.leases[1].held = {RELEASE_TASK}
         for lease in self.leases.values():
-            lease.holder.fence = 5 + lease.me
+            lease.holder.fencing_token = 5 + lease.controller_id
         self.pump(20)
 
     def pump(self, rounds: int) -> None:
