--- a/corallanding/controller/event_inbox.py
+++ b/corallanding/controller/event_inbox.py
@@ -51,7 +51,6 @@
 
     def timer_delay(self, now: float, timer: int) -> float | None:
         """How many milliseconds a timer that is due has to wait longer; None if it fires. For subclasses."""
-        return None
 
     def fire_due_timers(self, now: float) -> None:
         """Turn timers that are due into events."""
--- a/corallanding/controller/handover_driver.py
+++ b/corallanding/controller/handover_driver.py
@@ -98,14 +98,13 @@
             if instead is not None:
                 remaining = list(instead)
 
+    @abstractmethod
     async def on_message(self, message: PipeMessage) -> list[HandoverCommand]:
         """The other process has sent a message. Raises `PipeClosedError`."""
-        detail = message.detail.decode("utf-8", "replace")
-        return self.state_machine.on_message(now(), message.name, detail)
 
     async def on_peer_lost(self) -> list[HandoverCommand]:
         """The other process has closed its end of the pipe."""
-        return self.state_machine.on_peer_lost(now())
+        return self.state_machine.on_peer_lost()
 
     @abstractmethod
     async def perform(self, command: HandoverCommand) -> list[HandoverCommand] | None:
--- a/corallanding/controller/handover_receiver.py
+++ b/corallanding/controller/handover_receiver.py
@@ -88,7 +88,7 @@
     async def on_peer_lost(self) -> list[HandoverCommand]:
         """Wait for the end of the predecessor: its end of the pipe closes before its lock on the store does."""
         await self._wait_for_end(self.predecessor.process)
-        return self.state_machine.on_peer_lost(now())
+        return self.state_machine.on_peer_lost()
 
     async def perform(self, command: HandoverCommand) -> list[HandoverCommand] | None:
         """Carry out one command of the state machine."""
@@ -97,10 +97,10 @@
         except (StoreError, StateMismatchError, OSError) as error:
             self.failure = str(error)
             log.error("cannot take over", why=self.failure)
-            return self.state_machine.on_store_opened(now(), False)
+            return self.state_machine.on_store_opened(False)
         except PipeClosedError:
             # Once this process controls, the predecessor needs to know nothing more.
-            return None if command is HandoverCommand.SEND_TAKEN else self.state_machine.on_peer_lost(now())
+            return None if command is HandoverCommand.SEND_TAKEN else self.state_machine.on_peer_lost()
 
     async def _perform(self, command: HandoverCommand) -> list[HandoverCommand] | None:
         match command:
--- a/corallanding/controller/handover_sender.py
+++ b/corallanding/controller/handover_sender.py
@@ -14,7 +14,7 @@
 from ..snapshot.rankings import StoredRanking
 from ..store import StoreLockedError
 from ..telemetry import log
-from ..upgrade.pipe import HandoverPipe, PipeClosedError
+from ..upgrade.pipe import HandoverPipe, PipeClosedError, PipeMessage
 from ..upgrade.state_machine import HandoverCommand, HandoverMessage, Predecessor
 from .context import ExitCode
 from .handover_driver import HandoverSide, TerminationLock, now
@@ -92,6 +92,11 @@
             if self.pipe:
                 self.pipe.close()
 
+    async def on_message(self, message: PipeMessage) -> list[HandoverCommand]:
+        """The successor has sent a message."""
+        detail = message.detail.decode("utf-8", "replace")
+        return self.state_machine.on_message(now(), message.name, detail)
+
     async def perform(self, command: HandoverCommand) -> list[HandoverCommand] | None:
         """Carry out one command of the state machine."""
         try:
--- a/corallanding/upgrade/state_machine.py
+++ b/corallanding/upgrade/state_machine.py
@@ -109,7 +109,7 @@
         self.phase = Phase.OFFERED
         return [HandoverCommand.PAUSE, HandoverCommand.SEND_STATE]
 
-    def on_peer_lost(self, now: float) -> list[HandoverCommand]:
+    def on_peer_lost(self) -> list[HandoverCommand]:
         """The successor, or its end of the pipe, is gone."""
         return self.abort("the new process ended")
 
@@ -148,7 +148,7 @@
         self.deadline = now + self.timeout_ms
         return [HandoverCommand.SEND_READY]
 
-    def on_message(self, now: float, message: str, detail: str = "") -> list[HandoverCommand]:
+    def on_message(self, now: float, message: str) -> list[HandoverCommand]:
         """The predecessor has sent a message."""
         self.deadline = now + self.timeout_ms
         match self.phase, message:
@@ -168,7 +168,7 @@
         self.deadline = now + self.timeout_ms
         return [HandoverCommand.SEND_CHECKED]
 
-    def on_store_opened(self, now: float, ok: bool) -> list[HandoverCommand]:
+    def on_store_opened(self, ok: bool) -> list[HandoverCommand]:
         """The store was opened, or not: then the predecessor opens it again."""
         return [] if ok else self._fail()
 
@@ -176,7 +176,7 @@
         self.phase = Phase.OVER
         return [HandoverCommand.SEND_FAILED, HandoverCommand.EXIT]
 
-    def on_peer_lost(self, now: float) -> list[HandoverCommand]:
+    def on_peer_lost(self) -> list[HandoverCommand]:
         """The predecessor is gone: no other process is left to control."""
         match self.phase:
             case Phase.CHECKED:
@@ -191,7 +191,7 @@
         """Time has passed. A predecessor that stands still may wake up: it is killed first."""
         if self.phase not in (Phase.WAITING, Phase.CHECKED) or now < self.deadline:
             return []
-        return [HandoverCommand.END_OTHER, *self.on_peer_lost(now)]
+        return [HandoverCommand.END_OTHER, *self.on_peer_lost()]
 
     def on_lock_lost(self) -> list[HandoverCommand]:
         """The predecessor holds the termination lock, and carries on."""
--- /dev/null
+++ b/tests/controller/program.py
@@ -0,0 +1,56 @@
+"""The controller as a program of its own, whose log a test reads."""
+
+from __future__ import annotations
+
+import json
+import signal
+import subprocess
+import sys
+from pathlib import Path
+from typing import Any
+
+from sockets import until
+
+START_WITHIN_S = 15
+
+
+class ControllerProgram:
+    """Starts and kills the program with one configuration; what runs at the end of the `with` block is killed."""
+
+    def __init__(self, folder: Path, configuration: str) -> None:
+        self.path = folder / "s.hcl"
+        self.path.write_text(configuration)
+        self.log = folder / "log"
+        self.process: subprocess.Popen[bytes] | None = None
+
+    def __enter__(self) -> ControllerProgram:
+        return self
+
+    def __exit__(self, *error: object) -> None:
+        self.kill()
+
+    def entries(self, event: str = "") -> list[dict[str, Any]]:
+        """Log entries whose event begins so, of all starts."""
+        lines = self.log.read_text().splitlines() if self.log.exists() else []
+        entries = [json.loads(line) for line in lines if line.startswith("{")]
+        return [entry for entry in entries if entry["event"].startswith(event)]
+
+    def spawn(self) -> None:
+        """Start the program."""
+        command = [sys.executable, "-m", "corallanding.cli.main", "steward", "--config", str(self.path)]
+        with open(self.log, "ab") as log:
+            self.process = subprocess.Popen(command, stdout=log, stderr=log)
+
+    async def start(self, event: str = "ready") -> dict[str, Any]:
+        """Start the program, and wait for an entry of this start whose event begins so."""
+        before = len(self.entries(event))
+        self.spawn()
+        await until(lambda: len(self.entries(event)) > before, START_WITHIN_S)
+        return self.entries(event)[before]
+
+    def kill(self) -> None:
+        """Kill the process that runs, if any."""
+        if self.process:
+            self.process.send_signal(signal.SIGKILL)
+            self.process.wait()
+            self.process = None
--- /dev/null
+++ b/tests/controller/test_connection_limits.py
@@ -0,0 +1,110 @@
+"""Connections that abuse the controller are limited or closed, and delay no other proxy."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import time
+from pathlib import Path
+
+from sockets import CONFIG, Peer, Running, until
+
+from corallanding import interface as api
+from corallanding.wire import frames
+
+
+def test_connections_when_many_send_no_hello_then_the_oldest_are_closed(tmp_path: Path) -> None:
+    async def scene() -> None:
+        config = CONFIG.replace("hello_within_ms = 300", "hello_within_ms = 5000\n  strangers_most = 5")
+        async with Running(tmp_path, config=config) as running, asyncio.timeout(20):
+            silent = [await running.peer() for _ in range(40)]
+            one = await running.joined(1)
+            assert len(running.steward.connections.strangers) <= 5
+            assert len(running.steward.connections.links) <= 6
+            running.do(api.SetWeight(0, 10, 1.0))
+            assert (await one.until(frames.Orders)).lines == [(0, 10, 1.0)]
+            assert await silent[0].ended() == "no-hello"
+
+    asyncio.run(scene())
+
+
+def test_proxy_when_it_never_acks_then_closed(tmp_path: Path) -> None:
+    async def scene() -> None:
+        config = CONFIG.replace("silence_ms = 600", "silence_ms = 5000\n  ack_within_ms = 300")
+        async with Running(tmp_path, config=config) as running, asyncio.timeout(20):
+            good, bad = await running.joined(1), await running.joined(2)
+            running.do(api.SetWeight(0, 10, 1.0), api.PublishVersion(1))
+            for peer in (good, bad):
+                await peer.until(frames.Orders)
+            good.say(frames.Ack(1))
+            assert await bad.ended() == "no-acks"
+            assert 1 in running.steward.connections.forwarders
+            assert 2 not in running.steward.connections.forwarders
+
+    asyncio.run(scene())
+
+
+def test_proxy_when_it_floods_then_only_its_connection_is_closed(tmp_path: Path) -> None:
+    async def scene() -> None:
+        config = CONFIG.replace("frame_most_bytes = 4096", "frame_most_bytes = 4096\n  bytes_per_s = 20000")
+        async with Running(tmp_path, config=config) as running, asyncio.timeout(20):
+            good, bad = await running.joined(1), await running.joined(2)
+            report = frames.encode(frames.Sums(1000.0, [(10, 5, 0, 200.0)] * 200))
+            for _ in range(30):
+                bad.writer.write(report)
+            assert await bad.ended() == "protocol"
+            running.do(api.SetWeight(0, 10, 1.0))
+            assert (await good.until(frames.Orders)).lines == [(0, 10, 1.0)]
+
+    asyncio.run(scene())
+
+
+def test_reads_when_sent_in_a_loop_then_answered_at_growing_intervals(tmp_path: Path) -> None:
+    async def scene() -> None:
+        config = CONFIG.replace("beat_ms = 100", "beat_ms = 100\n  again_ms = 100\n  again_most_ms = 400")
+        async with Running(tmp_path, config=config) as running, asyncio.timeout(20):
+            bad = await running.joined(2)
+            begun = time.monotonic()
+            for number in range(2, 5):
+                while sum(isinstance(f, frames.Tables) for f in bad.got) < number:
+                    bad.say(frames.Read())
+                    data = await bad.reader.read(65536)
+                    assert data, "closed"
+                    bad.got += bad.frames.feed(data)
+            assert time.monotonic() - begun >= 0.1 + 0.2 + 0.4 - 0.02
+
+    asyncio.run(scene())
+
+
+def test_proxy_when_it_reads_slowly_then_closed_and_others_are_not_delayed(tmp_path: Path) -> None:
+    """Its orders wait in the channel, not in its socket's buffer, until its share is full; then it is cut off."""
+
+    async def scene() -> None:
+        config = CONFIG.replace("silence_ms = 600", "silence_ms = 10000")
+        config += "channel {\n  queue_most_lines = 60000\n  rate_lines_per_s = 10000000\n}\n"
+        async with Running(tmp_path, config=config) as running:
+            async with asyncio.timeout(25):
+                good = await running.joined(1)
+                sock = socket.socket()
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
+                sock.setblocking(False)
+                await asyncio.get_running_loop().sock_connect(sock, ("127.0.0.1", running.port))
+                bad = Peer(*await asyncio.open_connection(sock=sock, limit=16))
+                bad.hello(2)
+                await until(lambda: 2 in running.steward.engine.proxy_zones)
+                bad.reader._transport.pause_reading()  # type: ignore[attr-defined]
+                number = 0
+                while 2 in running.steward.engine.proxy_zones:
+                    number += 1
+                    running.do(
+                        *(api.SetWeight(s, 1000 + h, 1.0) for s in range(4) for h in range(2500)),
+                        api.PublishVersion(number),
+                    )
+                    order = await good.until(frames.Orders, lambda frame, number=number: frame.mark == number)
+                    good.say(frames.Ack(order.mark))
+                    good.got.clear()
+                assert number > 3
+                running.do(api.SetWeight(0, 9, 1.0), api.PublishVersion(number + 1))
+                await good.until(frames.Orders, lambda frame: frame.mark == number + 1)
+
+    asyncio.run(scene())
--- a/tests/test_engine.py
+++ b/tests/controller/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine: order of events, keep before send, what a joining forwarder is given, a store that fails."""
+"""The engine: order of events, writes before messages, frames for joining proxies, a store that fails."""
 
 from __future__ import annotations
 
@@ -6,18 +6,21 @@
 
 from corallanding import interface as api
 from corallanding.controller.engine import Engine
-from corallanding.controller.report_aggregation import UsageAggregator
 from corallanding.controller.step_outputs import Output, SendFrame, StoreWrites
 from corallanding.store import StoreContents
 from corallanding.wire import frames
 
-OPS = (api.RequestClass("quote", api.Idempotency.IDEMPOTENT, "all", 0, 1, 0, 1000, 3000),)
-SETTINGS = api.Settings(OPS, slice_count=4, proxy_count=2, report_interval_ms=1000.0, reports_per_second=2.0)
+REQUEST_CLASSES = (api.RequestClass("quote", api.Idempotency.IDEMPOTENT, "all", 0, 1, 0, 1000, 3000),)
 
 
-def make(settings: api.Settings = SETTINGS, life: StoreContents | None = None) -> tuple[Engine, Scripted]:
+SETTINGS = api.Settings(
+    REQUEST_CLASSES, slice_count=4, proxy_count=2, report_interval_ms=1000.0, reports_per_second=2.0
+)
+
+
+def make(settings: api.Settings = SETTINGS, stored: StoreContents | None = None) -> tuple[Engine, Scripted]:
     addresses = {h: f"127.0.0.1:{h}" for h in (10, 11, 12)}
-    engine = Engine(settings, 1, life or StoreContents(2), range(settings.slice_count), addresses, Scripted)
+    engine = Engine(settings, 1, stored or StoreContents(2), range(settings.slice_count), addresses, Scripted)
     assert isinstance(engine.assigner, Scripted)
     return engine, engine.assigner
 
@@ -32,11 +35,11 @@
     return writes, engine.publish(stored)
 
 
-def hello(f: int, **more: object) -> frames.Hello:
-    return frames.Hello(frames.VERSION, f, f"{f}-1", **more)  # type: ignore[arg-type]
+def hello(proxy: int, **more: object) -> frames.Hello:
+    return frames.Hello(frames.VERSION, proxy, f"{proxy}-1", **more)  # type: ignore[arg-type]
 
 
-def test_events_come_in_the_order_of_their_times_also_to_a_late_turn() -> None:
+def test_events_when_a_step_is_late_then_come_in_the_order_of_their_times() -> None:
     engine, module = make()
     module.todo = [api.StartTimer(50.0, 5), api.StartTimer(20.0, 6)]
     step(engine, 100.0)
@@ -53,10 +56,10 @@
     assert module.told == [api.TimerFired(9)]
 
 
-def test_one_message_carries_a_step_and_is_kept_first() -> None:
+def test_step_when_it_changes_tables_then_one_message_follows_its_writes() -> None:
     engine, module = make()
-    for f in (1, 2):
-        engine.on_proxy_joined(0.0, hello(f))
+    for proxy in (1, 2):
+        engine.on_proxy_joined(0.0, hello(proxy))
     module.todo = [api.SetWeight(0, 10, 1.0), api.SetWeight(1, 11, 1.0), api.PublishVersion(7)]
     writes = engine.decide(10.0)
     assert writes == StoreWrites(1, ((0, 10, 1.0), (1, 11, 1.0)))
@@ -74,7 +77,7 @@
     assert tables.tables == [(0, [(10, 1.0)]), (1, [(11, 1.0)]), (2, []), (3, [])]
 
 
-def test_orders_outside_the_charge_are_dropped_and_counted() -> None:
+def test_actions_when_the_slice_is_not_owned_then_dropped_and_counted() -> None:
     engine, module = make()
     engine.on_slice_lost(0.0, 3)
     module.todo = [api.SetWeight(3, 10, 1.0), api.SetAdmission(3, 0, 0.5, api.RetryMode.NEVER), api.ResetTable(3)]
@@ -88,7 +91,7 @@
     assert module.told[:2] == [api.SliceOwnershipChange(3, True), api.StoredWeight(3, 12, 1.0)]
 
 
-def test_a_failing_store_stops_no_order_and_gets_all_later() -> None:
+def test_store_when_it_fails_then_messages_go_out_and_it_gets_everything_later() -> None:
     engine, module = make()
     engine.on_proxy_joined(0.0, hello(1))
     module.todo = [api.SetWeight(0, 10, 1.0)]
@@ -107,9 +110,9 @@
     assert engine.unsaved_resets == set()
 
 
-def test_a_forwarder_gives_back_what_the_store_had_not_kept() -> None:
-    life = StoreContents(5, message_number=3, tables={0: {10: 1.0}, 1: {10: 1.0}})
-    engine, module = make(life=life)
+def test_recall_when_the_store_lags_behind_a_proxy_then_its_tables_are_taken_over() -> None:
+    stored = StoreContents(5, message_number=3, tables={0: {10: 1.0}, 1: {10: 1.0}})
+    engine, module = make(stored=stored)
     engine.recall_until = 1000.0
     assert not engine.needs_recall(0.0, hello(1, life=4, seq=3)), "as new as the store"
     assert not engine.needs_recall(0.0, hello(1, life=3, seq=9)), "of an older life"
@@ -124,10 +127,10 @@
     assert not engine.needs_recall(2000.0, hello(1, life=4, seq=99)), "long after the start"
 
 
-def test_without_slices_each_forwarder_gets_its_own_tables() -> None:
-    engine, module = make(api.Settings(OPS, slice_count=0, proxy_count=3))
-    for f in (1, 2, 3):
-        engine.on_proxy_joined(0.0, hello(f))
+def test_messages_when_the_site_has_no_slices_then_each_proxy_gets_its_own_tables() -> None:
+    engine, module = make(api.Settings(REQUEST_CLASSES, slice_count=0, proxy_count=3))
+    for proxy in (1, 2, 3):
+        engine.on_proxy_joined(0.0, hello(proxy))
     module.todo = [
         api.SetWeight(5, 10, 1.0),
         api.SetWeight(6, 11, 1.0),
@@ -145,27 +148,5 @@
     _, out = step(engine, 20.0)
     assert {s.proxies for s in out if isinstance(s, SendFrame)} == {(2,), (1, 3)}
     [tables] = read(engine.on_proxy_joined(30.0, hello(1)))
-    assert isinstance(tables, frames.Tables) and tables.tables == [], "a binding ends with the stream"
-
-
-def test_sums_add_up_and_come_oldest_first_at_the_intake_s_pace() -> None:
-    gather = UsageAggregator(SETTINGS)
-    for now, host in ((0.0, 10), (100.0, 11), (200.0, 12)):
-        gather.add(now, 1, 0, frames.Sums(500.0, hosts=[(host, 4, 1, 20.0)]), {10, 11, 12}, set())
-    odd = frames.Sums(500.0, hosts=[(10, 2, 0, 50.0), (99, 1, 0, 1.0), (11, 1, 2, 1.0)])
-    gather.add(300.0, 2, 0, odd, {10, 11}, set())
-    assert gather.dropped_rows == 2, "an unknown host, and more errors than tries"
-    assert gather.take_due(300.0) == []
-    first = gather.take_due(1000.0)
-    assert [(e.host, e.attempts, e.failed, e.latency_ms) for e in first if isinstance(e, api.HostUsageReport)] == [
-        (10, 6, 1, 32.0),
-        (11, 4, 1, 20.0),
-    ]
-    assert [e.host for e in gather.take_due(1500.0) if isinstance(e, api.HostUsageReport)] == [12]
-
-
-def test_sums_are_bounded() -> None:
-    gather = UsageAggregator(SETTINGS, max_keys=2)
-    gather.add(0.0, 1, 0, frames.Sums(500.0, slices=[(s, 0, 1, 0) for s in range(4)]), set(), set(range(4)))
-    assert len(gather.tallies) == 2
-    assert gather.dropped_rows == 2
+    assert isinstance(tables, frames.Tables)
+    assert tables.tables == [], "an assignment ends with the connection"
