--- a/corallanding/controller/handover_receiver.py
+++ b/corallanding/controller/handover_receiver.py
@@ -76,7 +76,7 @@
         try:
             self.rankings = msgspec.msgpack.decode(body, type=list[StoredRanking])
         except msgspec.DecodeError as error:
-            log.warning("marks not used; they are worked out anew", why=str(error))
+            log.warning("rankings not used; they are computed again", why=str(error))
 
     async def _receive_sockets(self) -> list[int]:
         loop = asyncio.get_running_loop()
@@ -128,7 +128,7 @@
             self.state = snapshots.unpack(self.packed_state, HandoverState)
             self.check(self.state)
         except (snapshots.SnapshotError, StateMismatchError) as error:
-            log.warning("state not used; forwarders will join anew", why=str(error))
+            log.warning("state not used; proxies will join again", why=str(error))
             self.state = None
 
     async def _end_predecessor(self) -> list[HandoverCommand] | None:
@@ -156,7 +156,7 @@
         try:
             await asyncio.wait_for(ended.wait(), self.state_machine.timeout_ms / 1000.0)
         except TimeoutError:
-            log.error("the process before this one has closed its pipe and does not end", process=process)
+            log.error("the predecessor has closed its pipe and does not end", process=process)
         finally:
             loop.remove_reader(handle)
             os.close(handle)
--- a/corallanding/controller/handover_sender.py
+++ b/corallanding/controller/handover_sender.py
@@ -106,7 +106,7 @@
         except (PipeClosedError, OSError) as error:
             return self.state_machine.abort(f"{command.value}: {error}")
         except StoreLockedError as error:
-            log.error("the store is not to be had again", why=str(error))
+            log.error("the store is locked by another controller", why=str(error))
             self.source.request_stop(ExitCode.STORE)
         return None
 
--- a/corallanding/controller/proxy_protocol.py
+++ b/corallanding/controller/proxy_protocol.py
@@ -97,7 +97,7 @@
         try:
             received = self.link.receive(self.owner.clock(), data)
         except LinkFault as error:
-            self.owner.rate_limited_log.warn("link fault", proxy=self.proxy, code=error.code, why=str(error))
+            self.owner.rate_limited_log.warn("link protocol error", proxy=self.proxy, code=error.code, why=str(error))
             self.close(error.code, str(error))
             return
         for frame in received:
--- a/tests/upgrade/test_handover_failures.py
+++ b/tests/upgrade/test_handover_failures.py
@@ -141,7 +141,7 @@
                 answer = await s.upgrade()
             if fault == "settings":
                 assert answer.startswith("ok: handed over")
-                assert s.entries("state not used; forwarders will join anew")
+                assert s.entries("state not used; proxies will join again")
                 await until(lambda: all(f.links == 2 for f in s.forwarders))
             else:
                 assert answer.startswith("failed: the new process ended")
