--- a/bench/measured.py
+++ b/bench/measured.py
@@ -67,11 +67,11 @@
 class MeasuredConnections(ProxyConnections):
     """Times each acknowledgement."""
 
-    def frame(self, link: ProxyConnection, frame: frames.Frame) -> None:
+    def on_frame(self, link: ProxyConnection, frame: frames.Frame) -> None:
         """Take a frame, and note how long an acknowledged version was out."""
         if isinstance(frame, frames.Ack) and link.is_joined and link.link.acks:
             HISTOGRAMS.acks.record_value(max(1, int((self.clock() - link.link.acks[0][1]) * 1000.0)))
-        super().frame(link, frame)
+        super().on_frame(link, frame)
 
 
 class Measured(Controller):
--- a/corallanding/controller/handover_state.py
+++ b/corallanding/controller/handover_state.py
@@ -99,19 +99,14 @@
         proxy_zones=list(engine.proxy_zones.items()),
         leaving_hosts=sorted(engine.publisher.leaving_hosts),
         usage_due_at=engine.usage_due_at,
-        usage_tallies=[
-            (*key, tally.since, tally.total, tally.failed, tally.latency_sum_ms)
-            for key, tally in engine.usage.tallies.items()
-        ],
+        usage_tallies=_stored_usage(engine),
         usage_pace=(engine.usage.available_reports, engine.usage.replenished_at),
         channel=capture_channel(channel),
         connections=connections,
         join_histories=[
-            (proxy, history.last_admitted_at, history.interval_ms) for proxy, history in joins.histories.items()
-        ],
-        waiting_joins=[
-            (proxy, at, sequence) for at, sequence, proxy in sorted(joins.queue) if joins.admissible_at.get(proxy) == at
+            (proxy, joined.last_admitted_at, joined.interval_ms) for proxy, joined in joins.histories.items()
         ],
+        waiting_joins=_stored_waiting_joins(joins),
         join_pace=(joins.tokens, joins.replenished_at),
         host_list_version=host_list.version,
         host_entries=[StoredHostEntry.of(entry) for entry in host_list.entries],
@@ -128,6 +123,20 @@
     return [(table, list(weights.items())) for table, weights in tables.items()]
 
 
+def _stored_usage(engine: Engine) -> list[tuple[str, int, int, float, int, int, float]]:
+    return [
+        (*key, tally.since, tally.total, tally.failed, tally.latency_sum_ms)
+        for key, tally in engine.usage.tallies.items()
+    ]
+
+
+def _stored_waiting_joins(joins: JoinAdmission) -> list[tuple[int, float, int]]:
+    """Proxies that wait, without those that have cancelled."""
+    return [
+        (proxy, at, sequence) for at, sequence, proxy in sorted(joins.queue) if joins.admissible_at.get(proxy) == at
+    ]
+
+
 def restore_handover(
     engine: Engine,
     state: HandoverState,
--- a/corallanding/controller/proxy_connections.py
+++ b/corallanding/controller/proxy_connections.py
@@ -66,12 +66,12 @@
         self.metrics = context.metrics
         self.rate_limited_log = context.rate_limited_log
         self.links = registry.links
-        self.forwarders = registry.proxies
-        self.strangers = registry.unidentified
+        self.proxies = registry.proxies
+        self.unidentified = registry.unidentified
 
     # ---- what a link asks of its owner (`proxy_protocol.ConnectionOwner`) ----------------------------------------
 
-    def frame(self, link: ProxyConnection, frame: frames.Frame) -> None:
+    def on_frame(self, link: ProxyConnection, frame: frames.Frame) -> None:
         """Take a frame that a proxy sent."""
         now = self._context.clock()
         match frame:
@@ -94,14 +94,14 @@
                 self._peers.cluster.on_proxy_frame(link.proxy, frame)
         self._request_step()
 
-    def takes(self, link: ProxyConnection, takes: bool) -> None:
+    def on_writable(self, link: ProxyConnection, *, is_writable: bool) -> None:
         """Note that a proxy's socket takes no more for now, or takes more again."""
         if link.is_joined and self.registry.proxies.get(link.proxy) is link:
-            self._channel.block(link.proxy, not takes)
-            if takes:
+            self._channel.block(link.proxy, not is_writable)
+            if is_writable:
                 self._proxy_channel.pump()
 
-    def gone(self, link: ProxyConnection) -> None:
+    def on_closed(self, link: ProxyConnection) -> None:
         """A link is over: its proxy has left, unless a later link has taken its place."""
         proxy = link.proxy
         if not self.registry.remove(link):
--- a/corallanding/controller/proxy_protocol.py
+++ b/corallanding/controller/proxy_protocol.py
@@ -31,20 +31,20 @@
     rate_limited_log: RateLimitedLogger
     metrics: Metrics
     links: dict[ProxyConnection, None]
-    forwarders: dict[int, ProxyConnection]
-    strangers: dict[ProxyConnection, None]
+    proxies: dict[int, ProxyConnection]
+    unidentified: dict[ProxyConnection, None]  # no hello yet
 
     @property
     def clock(self) -> Callable[[], float]:
         """The controller's clock, ms."""
 
-    def frame(self, link: ProxyConnection, frame: frames.Frame) -> None:
+    def on_frame(self, link: ProxyConnection, frame: frames.Frame) -> None:
         """A frame has come."""
 
-    def takes(self, link: ProxyConnection, takes: bool) -> None:
+    def on_writable(self, link: ProxyConnection, *, is_writable: bool) -> None:
         """The socket takes no more for now, or takes more again."""
 
-    def gone(self, link: ProxyConnection) -> None:
+    def on_closed(self, link: ProxyConnection) -> None:
         """The connection is closed."""
 
 
@@ -83,12 +83,12 @@
             return
         owner.links[self] = None
         if self.inherited:
-            owner.forwarders[self.proxy] = self
+            owner.proxies[self.proxy] = self
             return
-        owner.strangers[self] = None
-        if len(owner.strangers) > limits.strangers_most:
+        owner.unidentified[self] = None
+        if len(owner.unidentified) > limits.strangers_most:
             # A proxy sends its hello at once: silent connections must not take the places of those that come.
-            next(iter(owner.strangers)).close("no-hello", "others wait for the place")
+            next(iter(owner.unidentified)).close("no-hello", "others wait for the place")
 
     def data_received(self, data: bytes) -> None:
         """Called by asyncio."""
@@ -102,7 +102,7 @@
             return
         for frame in received:
             if not self.is_closed:
-                self.owner.frame(self, frame)
+                self.owner.on_frame(self, frame)
 
     @property
     def unsent_bytes(self) -> int:
@@ -123,13 +123,13 @@
     def pause_writing(self) -> None:
         """Called by asyncio when the buffer is full: later frames wait in the channel, where urgent ones overtake."""
         self.is_write_paused = True
-        self.owner.takes(self, False)
+        self.owner.on_writable(self, is_writable=False)
 
     def resume_writing(self) -> None:
         """Called by asyncio when the buffer has room again."""
         self.is_write_paused = False
         if not self.is_closed:
-            self.owner.takes(self, True)
+            self.owner.on_writable(self, is_writable=True)
 
     def close(self, code: str, text: str = "") -> None:
         """Close the connection, with a last frame that says why if the other side still reads."""
@@ -144,11 +144,11 @@
                 self.transport.write(frames.encode(frames.Bye(code, text[:MAX_REASON_CHARACTERS])))
                 self.transport.close()
                 asyncio.get_running_loop().call_later(ABORT_AFTER_S, self.transport.abort)
-        self.owner.gone(self)
+        self.owner.on_closed(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Called by asyncio."""
         if not self.is_closed:
             self.is_closed = True
             self.owner.metrics.links_closed.labels("broken" if exc else "closed").inc()
-            self.owner.gone(self)
+            self.owner.on_closed(self)
--- a/tests/controller/test_acceptor.py
+++ b/tests/controller/test_acceptor.py
@@ -83,7 +83,7 @@
             is_over = True
             for task in tasks:
                 task.cancel()
-            assert 1 in running.steward.connections.forwarders
+            assert 1 in running.steward.connections.proxies
             assert running.steward.network.listener.accepted_count < 29 * 0.5 * 200 + 200
 
     asyncio.run(scene())
--- a/tests/controller/test_connection_limits.py
+++ b/tests/controller/test_connection_limits.py
@@ -19,7 +19,7 @@
         async with Running(tmp_path, config=config) as running, asyncio.timeout(20):
             silent = [await running.peer() for _ in range(40)]
             one = await running.joined(1)
-            assert len(running.steward.connections.strangers) <= 5
+            assert len(running.steward.connections.unidentified) <= 5
             assert len(running.steward.connections.links) <= 6
             running.do(api.SetWeight(0, 10, 1.0))
             assert (await one.until(frames.Orders)).lines == [(0, 10, 1.0)]
@@ -38,8 +38,8 @@
                 await peer.until(frames.Orders)
             good.say(frames.Ack(1))
             assert await bad.ended() == "no-acks"
-            assert 1 in running.steward.connections.forwarders
-            assert 2 not in running.steward.connections.forwarders
+            assert 1 in running.steward.connections.proxies
+            assert 2 not in running.steward.connections.proxies
 
     asyncio.run(scene())
 
--- a/tests/controller/test_proxy_connections.py
+++ b/tests/controller/test_proxy_connections.py
@@ -120,10 +120,10 @@
             for _ in range(400):
                 r.do(*[api.SetWeight(k % 4, h, 1.0) for k in range(4) for h in range(100, 600)])
                 await asyncio.sleep(0.004)
-                if 1 not in r.steward.connections.forwarders:
+                if 1 not in r.steward.connections.proxies:
                     break
-            assert 1 not in r.steward.connections.forwarders
-            assert 2 in r.steward.connections.forwarders
+            assert 1 not in r.steward.connections.proxies
+            assert 2 in r.steward.connections.proxies
             assert 'reason="not-reading"} 1.0' in r.steward.metrics.exposition().decode()
             keep.cancel()
             reading.cancel()
