--- a/corallanding/assignment/evacuation.py
+++ b/corallanding/assignment/evacuation.py
@@ -43,6 +43,7 @@
             self._reassign(slice_)
 
     def _urgency(self, slice_: Slice) -> tuple[bool, float, int]:
+        """Sort key: slices of leaving hosts first, then the busiest; ids break ties."""
         return (
             not slice_.owner or not self.host_health.is_leaving(slice_.owner),
             -slice_.requests_per_second,
--- a/corallanding/assignment/migration.py
+++ b/corallanding/assignment/migration.py
@@ -82,7 +82,7 @@
             return
         is_new = is_far_over and (destination.is_warming_up or not destination.load)
         score_to_beat = incumbent_score * (1.0 if is_new else incumbent_factor)
-        if self.placement.score(slice_, destination) > score_to_beat and self.placement.passes_gate(
-            slice_, destination
-        ):
+        if self.placement.score(slice_, destination) <= score_to_beat:
+            return
+        if self.placement.passes_gate(slice_, destination):
             self.placement.assign_owner(slice_, destination, holds_previous=True)
