--- a/tests/controller/test_acceptor.py
+++ b/tests/controller/test_acceptor.py
@@ -84,6 +84,8 @@
             for task in tasks:
                 task.cancel()
             assert 1 in running.steward.connections.proxies
-            assert running.steward.network.listener.accepted_count < 29 * 0.5 * 200 + 200
+            listener = running.steward.network.listener
+            assert listener
+            assert listener.accepted_count < 29 * 0.5 * 200 + 200
 
     asyncio.run(scene())
