--- a/corallanding/assignment/state.py
+++ b/corallanding/assignment/state.py
@@ -76,8 +76,8 @@
 class Slice:
     """A slice that this controller decides on, compared by identity.
 
-    `weights` is the table of the slice: as the store held it, changed by the actions given out since. It lists the owner, its replicas
-    and the previous owner once `Publication.write_table` could publish the difference.
+    `weights` is the table of the slice: as the store held it, changed by the actions given out since. It lists the
+    owner, its replicas and the previous owner once `Publication.write_table` could publish the difference.
     """
 
     id: int
