--- a/bench/registry.py
+++ b/bench/registry.py
@@ -278,7 +278,7 @@
 
     def on_progress(self, header: Any) -> None: ...
 
-    def on_changes(self, header: Any, rows: list[Any], fragment: bool) -> None:
+    def on_changes(self, header: Any, rows: list[Any], *, is_fragment: bool) -> None:
         self.rows += len(rows)
 
     def on_cancelled(self, header: Any, compacted: int, why: str) -> None: ...
--- a/corallanding/controller/registry_slices.py
+++ b/corallanding/controller/registry_slices.py
@@ -107,19 +107,12 @@
     def _make_table_store(
         self, block: RegistryBlock, base: str, slices: range, holder: SliceListener, chance: random.Random
     ) -> TableStore:
-        from ..registry.slice_ownership import OwnershipTimings
-        from ..registry.table_store import TableStore
+        from ..registry.controller_lease import OwnershipTimings
+        from ..registry.table_store import TableStore, TableStoreConfig
         from ..registry.watch_messages import WatchLimits
 
         limits = WatchLimits(block.wait_ms, block.wait_most_ms, block.reads_per_min, block.page)
-        return TableStore(
-            self._dial_registry(block, self.on_failure),
-            base,
-            self._context.config.steward.number,
-            slices,
-            holder,
-            self._context.clock,
-            chance.random,
-            OwnershipTimings(block.lease_ms),
-            limits,
-        )
+        controller = self._context.config.steward.number
+        config = TableStoreConfig(base, controller, slices, OwnershipTimings(block.lease_ms), limits)
+        connect = self._dial_registry(block, self.on_failure)
+        return TableStore(config, connect, holder, self._context.clock, chance.random)
--- a/corallanding/lab/fleet/registry.py
+++ b/corallanding/lab/fleet/registry.py
@@ -1,7 +1,7 @@
 """The stand-in registry without its sockets: the etcd client's own calls, answered by the stand-in's own handlers.
 
 What gRPC does between them is here: the way there and back, deadlines, aborts by their code, streams that end. A
-message is handed over as it is; its bytes are tested on sockets (`tests/test_registry.py`).
+message is handed over as it is; its bytes are tested on sockets (`tests/registry/test_source.py`).
 """
 
 from __future__ import annotations
--- a/corallanding/lease/registry_election.py
+++ b/corallanding/lease/registry_election.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 from typing import Protocol
 
 from ..wire.peer_messages import OutgoingMessage
@@ -22,7 +22,11 @@
     """What is asked of the ownership that the registry grants (`registry.slice_ownership`)."""
 
     fencing_tokens: dict[int, int]  # by number: the create revision under which we own it
-    observed_owners: dict[int, tuple[int, int]]  # by number: the owner and its create revision, as observed
+
+    @property
+    def observed_owners(self) -> Mapping[int, tuple[int, int]]:
+        """By number: the owner and its create revision, as observed."""
+        ...
 
     def has_valid_lease(self, now: float) -> bool:
         """Whether our lease in the registry is surely good at this instant."""
--- a/corallanding/registry/__init__.py
+++ b/corallanding/registry/__init__.py
@@ -1,5 +1,6 @@
-"""A replicated key-value registry as the source of hosts and the keeper of charge and tables.
+"""A client of a replicated key-value registry: hosts are read from it, and slices and their tables are leased in it.
 
-Pure: `sync` (a view that follows a prefix through breaks and compactions), `charge` (who holds which slice). I/O:
-`etcd` (the etcd v3 API), `consul` (blocking reads by index), `source` (hosts out of either).
+Without I/O: `watch_state` (keeps a copy of a prefix true over disconnections and compactions) and `slice_ownership`
+(which controller owns which slice). With I/O: `etcd` (the etcd v3 API), `consul` (blocking queries), `watcher`,
+`table_store` and `source`.
 """
--- a/corallanding/registry/etcd.py
+++ b/corallanding/registry/etcd.py
@@ -1,6 +1,7 @@
-"""The etcd v3 API as a connection for `sync`: Range by pages, Watch with fragments and progress, tokens, TLS.
+"""A connection by the etcd v3 API: Range by pages, Watch with fragments and progress, leases, tokens, TLS.
 
-grpcio carries it, the messages are aetcd's. This module is imported only where such a registry is configured.
+grpcio carries the calls, and the messages are aetcd's. This module is imported only where such a registry is
+configured.
 """
 
 from __future__ import annotations
@@ -14,123 +15,174 @@
 import grpc.aio
 from aetcd.rpc import kv_pb2, rpc_pb2, rpc_pb2_grpc
 
-from .connection import WatchListener
+from .connection import ListedPage, WatchListener
 from .errors import CompactedError, RegistryUnavailableError
 from .watch_messages import KeyValue, ResponseHeader
 
+MAX_ERROR_CHARACTERS = 200
+MAX_BYTE = 255
+MS_PER_SECOND = 1000.0
+MAX_MESSAGE_BYTES = 64 << 20
+CHANNEL_OPTIONS: tuple[tuple[str, Any], ...] = (
+    ("grpc.keepalive_time_ms", 10_000),  # etcd by default ends a connection that pings more often than every 5 s
+    ("grpc.keepalive_timeout_ms", 3_000),
+    ("grpc.http2.max_pings_without_data", 0),
+    ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
+    ("grpc.initial_reconnect_backoff_ms", 100),
+    ("grpc.max_reconnect_backoff_ms", 1_000),
+)
+
 
 @dataclass(frozen=True)
 class TlsConfig:
-    """PEM files: the registry's CA, and a client certificate with its key where it asks for one."""
+    """PEM data: the registry's CA, and a client certificate with its key where the registry asks for one.
+
+    server_name: the name to expect in the registry's certificate, if not its address.
+    """
 
     ca: bytes
     certificate: bytes | None = None
     key: bytes | None = None
-    name: str | None = None  # the name to expect in the registry's certificate, if not its address
+    server_name: str | None = None
 
 
 def prefix_end(prefix: bytes) -> bytes:
     """The first key after all keys with this prefix."""
-    for at in range(len(prefix) - 1, -1, -1):
-        if prefix[at] < 255:
-            return prefix[:at] + bytes([prefix[at] + 1])
+    for position in range(len(prefix) - 1, -1, -1):
+        if prefix[position] < MAX_BYTE:
+            return prefix[:position] + bytes([prefix[position] + 1])
     return b"\0"
 
 
-def unavailable_error(fault: grpc.aio.AioRpcError) -> RegistryUnavailableError:
-    return RegistryUnavailableError(f"{fault.code().name}: {fault.details()}"[:200])
+def unavailable_error(error: grpc.aio.AioRpcError) -> RegistryUnavailableError:
+    """The error of a failed call, with gRPC's status code and the registry's text."""
+    return RegistryUnavailableError(f"{error.code().name}: {error.details()}"[:MAX_ERROR_CHARACTERS])
+
+
+def response_header(header: Any) -> ResponseHeader:
+    """The header of an answer."""
+    return ResponseHeader(header.cluster_id, header.revision)
+
 
+def key_value_of_event(event: Any) -> KeyValue:
+    """The key that an event of a watch concerns, as of its revision."""
+    is_deletion = event.type == kv_pb2.Event.DELETE
+    return KeyValue(event.kv.key, None if is_deletion else event.kv.value, event.kv.mod_revision)
 
-def response_header(h: Any) -> ResponseHeader:
-    return ResponseHeader(h.cluster_id, h.revision)
+
+def report_watch_response(response: Any, listener: WatchListener) -> bool:
+    """Report one answer of a watch; false if it was the last."""
+    header = response_header(response.header)
+    if response.canceled:
+        listener.on_cancelled(header, response.compact_revision, response.cancel_reason)
+        return False
+    if response.created:
+        listener.on_created(header)
+    elif response.events or response.fragment:
+        changes = [key_value_of_event(event) for event in response.events]
+        listener.on_changes(header, changes, is_fragment=response.fragment)
+    else:
+        listener.on_progress(header)
+    return True
 
 
 class EtcdConnection:
-    """One connection. timeout: ms for a call; token: sent as the registry's auth token if given."""
-
-    def __init__(self, address: str, timeout: float, tls: TlsConfig | None = None, token: str = "") -> None:
-        # Pings more often than every 5 s are an offence to etcd as it comes: it would end the connection.
-        options: list[tuple[str, Any]] = [
-            ("grpc.keepalive_time_ms", 10_000),
-            ("grpc.keepalive_timeout_ms", 3_000),
-            ("grpc.http2.max_pings_without_data", 0),
-            ("grpc.max_receive_message_length", 64 << 20),
-            ("grpc.initial_reconnect_backoff_ms", 100),
-            ("grpc.max_reconnect_backoff_ms", 1_000),
-        ]
+    """One connection. timeout_ms: for a call. token: etcd's authentication token, if it asks for one."""
+
+    def __init__(self, address: str, timeout_ms: float, tls: TlsConfig | None = None, token: str = "") -> None:
+        options = list(CHANNEL_OPTIONS)
         if tls:
             credentials = grpc.ssl_channel_credentials(tls.ca, tls.key, tls.certificate)
-            options += [("grpc.ssl_target_name_override", tls.name)] if tls.name else []
+            if tls.server_name:
+                options.append(("grpc.ssl_target_name_override", tls.server_name))
             self.channel = grpc.aio.secure_channel(address, credentials, options)
         else:
             self.channel = grpc.aio.insecure_channel(address, options)
-        self.timeout_seconds, self.is_closed = timeout / 1000.0, False
+        self.timeout_seconds = timeout_ms / MS_PER_SECOND
+        self.is_closed = False
         self.metadata = (("token", token),) if token else ()
-        # A member that has lost its leader would keep a watch open and silent for ever: asked so, it ends it.
+        # A member that has lost its leader would keep a watch open and silent; asked so, it ends the watch.
         self.watch_metadata = (*self.metadata, ("hasleader", "true"))
         self.kv_stub = rpc_pb2_grpc.KVStub(self.channel)
         self.watch_stub = rpc_pb2_grpc.WatchStub(self.channel)
         self.lease_stub = rpc_pb2_grpc.LeaseStub(self.channel)
 
     async def call(self, method: Any, request: Any) -> Any:
+        """Send one request and return its answer. Raises `RegistryUnavailableError` and `CompactedError`."""
         try:
             return await method(request, timeout=self.timeout_seconds, metadata=self.metadata)
-        except grpc.aio.AioRpcError as fault:
-            if fault.code() is grpc.StatusCode.OUT_OF_RANGE:
-                raise CompactedError(fault.details() or "") from None
-            raise unavailable_error(fault) from None
+        except grpc.aio.AioRpcError as error:
+            if error.code() is grpc.StatusCode.OUT_OF_RANGE:
+                raise CompactedError(error.details() or "") from None
+            raise unavailable_error(error) from None
         except asyncio.CancelledError:
-            # A watch that broke closes the channel under calls of others: gRPC tells them as if they were cancelled,
-            # and a writer would end as a task that somebody stopped.
+            # Closing the channel under a call (after its watch was lost) looks to the caller as if its own task were
+            # cancelled.
             task = asyncio.current_task()
             if self.is_closed and task and not task.cancelling():
                 raise RegistryUnavailableError("the connection was given up in the middle") from None
             raise
 
-    async def list_page(
-        self, prefix: bytes, after: bytes, revision: int, most: int
-    ) -> tuple[ResponseHeader, list[KeyValue], bool]:
-        """Up to `most` rows of the prefix after a key, at a revision (0: now)."""
-        first = after + b"\0" if after else prefix
-        request = rpc_pb2.RangeRequest(key=first, range_end=prefix_end(prefix), limit=most, revision=revision)
-        r = await self.call(self.kv_stub.Range, request)
-        return response_header(r.header), [KeyValue(x.key, x.value, x.mod_revision) for x in r.kvs], r.more
-
-    async def watch(self, prefix: bytes, revision: int, told: WatchListener) -> None:
-        """Watches until the registry ends it. Raises `RegistryUnavailableError` when the way breaks."""
-        create = rpc_pb2.WatchCreateRequest(
+    async def list_page(self, prefix: bytes, after_key: bytes, revision: int, max_keys: int) -> ListedPage:
+        """Read up to `max_keys` keys of the prefix after a key, at a revision (0: the present one).
+
+        Raises `RegistryUnavailableError`, and `CompactedError` if the revision is compacted away.
+        """
+        first_key = after_key + b"\0" if after_key else prefix
+        request = rpc_pb2.RangeRequest(key=first_key, range_end=prefix_end(prefix), limit=max_keys, revision=revision)
+        response = await self.call(self.kv_stub.Range, request)
+        key_values = [KeyValue(found.key, found.value, found.mod_revision) for found in response.kvs]
+        return ListedPage(response_header(response.header), key_values, response.more)
+
+    async def watch(self, prefix: bytes, revision: int, listener: WatchListener) -> None:
+        """Report the changes of the prefix from a revision on, until the registry ends the watch.
+
+        Raises `RegistryUnavailableError` if the connection is lost.
+        """
+        create_request = rpc_pb2.WatchCreateRequest(
             key=prefix, range_end=prefix_end(prefix), start_revision=revision, progress_notify=True, fragment=True
         )
-        stop = asyncio.Event()
+        finished = asyncio.Event()
 
-        async def asks() -> AsyncIterator[Any]:
-            yield rpc_pb2.WatchRequest(create_request=create)
-            await stop.wait()  # an open request side keeps the watch
+        async def requests() -> AsyncIterator[Any]:
+            yield rpc_pb2.WatchRequest(create_request=create_request)
+            await finished.wait()  # the watch lives while its stream of requests is open
 
-        stream = self.watch_stub.Watch(asks(), metadata=self.watch_metadata)
+        stream = self.watch_stub.Watch(requests(), metadata=self.watch_metadata)
         try:
-            async for r in stream:
-                header = response_header(r.header)
-                if r.canceled:
-                    told.on_cancelled(header, r.compact_revision, r.cancel_reason)
+            async for response in stream:
+                if not report_watch_response(response, listener):
                     return
-                if r.created:
-                    told.on_created(header)
-                elif r.events or r.fragment:
-                    rows = [
-                        KeyValue(e.kv.key, None if e.type == kv_pb2.Event.DELETE else e.kv.value, e.kv.mod_revision)
-                        for e in r.events
-                    ]
-                    told.on_changes(header, rows, r.fragment)
-                else:
-                    told.on_progress(header)
             raise RegistryUnavailableError("the watch ended")
-        except grpc.aio.AioRpcError as fault:
-            raise unavailable_error(fault) from None
+        except grpc.aio.AioRpcError as error:
+            raise unavailable_error(error) from None
+        finally:
+            finished.set()
+            stream.cancel()
+
+    async def grant_lease(self, ttl_ms: float) -> int:
+        """Request a lease, in whole seconds of at least one, and return its id. Raises `RegistryUnavailableError`."""
+        request = rpc_pb2.LeaseGrantRequest(TTL=max(1, round(ttl_ms / MS_PER_SECOND)))
+        response = await self.call(self.lease_stub.LeaseGrant, request)
+        return int(response.ID)
+
+    async def keep_lease_alive(self, lease_id: int) -> float:
+        """Renew a lease and return its time in ms, 0 if it has ended. Raises `RegistryUnavailableError`."""
+
+        async def requests() -> AsyncIterator[Any]:
+            yield rpc_pb2.LeaseKeepAliveRequest(ID=lease_id)
+
+        stream = self.lease_stub.LeaseKeepAlive(requests(), timeout=self.timeout_seconds, metadata=self.metadata)
+        try:
+            async for response in stream:
+                return float(response.TTL) * MS_PER_SECOND
+            raise RegistryUnavailableError("no answer to a keep-alive")
+        except grpc.aio.AioRpcError as error:
+            raise unavailable_error(error) from None
         finally:
-            stop.set()
             stream.cancel()
 
     async def close(self) -> None:
+        """Close the channel. Calls in flight fail with `RegistryUnavailableError`."""
         self.is_closed = True
         await self.channel.close()
--- a/corallanding/registry/ownership_actions.py
+++ b/corallanding/registry/ownership_actions.py
@@ -1,31 +1,43 @@
-"""What slice ownership asks of the registry and reports to the controller."""
+"""What slice ownership requests of the registry and reports to the controller."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import StrEnum
+
+
+class MemberState(StrEnum):
+    """What a controller says of itself; the values are stored in the registry."""
+
+    ACTIVE = "here"
+    LEAVING = "leaving"
 
 
 @dataclass(frozen=True)
 class GrantLease:
+    """Request a new lease."""
+
     ttl_ms: float
 
 
 @dataclass(frozen=True)
 class KeepAlive:
+    """Renew the lease."""
+
     lease_id: int
 
 
 @dataclass(frozen=True)
 class AnnounceMember:
-    """Put members/<me>."""
+    """Put this controller's member key, bound to the lease."""
 
     lease_id: int
-    is_leaving: bool
+    state: MemberState
 
 
 @dataclass(frozen=True)
 class ClaimSlice:
-    """Put charge/<slice> = me under `lease` if it does not exist."""
+    """Put the slice's ownership key, bound to the lease, if the key does not exist."""
 
     slice: int
     lease_id: int
@@ -33,7 +45,7 @@
 
 @dataclass(frozen=True)
 class ReleaseSlice:
-    """Delete charge/<slice> if its create revision is `fence`."""
+    """Delete the slice's ownership key if its create revision is the fencing token."""
 
     slice: int
     fencing_token: int
@@ -41,7 +53,7 @@
 
 @dataclass(frozen=True)
 class OwnershipChange:
-    """To the engine: the slice is held from now on, with this fence; or not any more."""
+    """Report: this controller owns the slice from now on, under the fencing token; or no longer owns it."""
 
     slice: int
     is_owned: bool
--- a/corallanding/registry/slice_ownership.py
+++ b/corallanding/registry/slice_ownership.py
@@ -1,10 +1,10 @@
-"""Which steward holds which slices, by leases and compare-and-swap in the registry. Sans-I/O.
+"""Which controller owns which slices, by leases and compare-and-swap in the registry. No I/O.
 
-Keys under the prefix: `members/<steward>` (alive, or "leaving"), both kinds bound to the steward's lease, and
-`charge/<slice>`, whose value is the holder and whose create revision is the fence of that holding. A slice is
-claimed only where its key does not exist; a table is written only in a transaction that compares its charge
-key's create revision. So a steward that slept past its lease and wakes up cannot write, whatever it believes;
-and by its own clock it stops speaking for a slice before the registry can give it away.
+Each live controller has a member key, and each owned slice an ownership key whose value is its owner; both are bound to
+the owner's lease. The create revision of an ownership key is the fencing token of that ownership. A slice is claimed
+only if its key does not exist, and a table is written only in a transaction that compares the create revision. So a
+controller that was suspended past the end of its lease cannot write. By its own clock it stops acting for a slice
+before the registry can give the slice to another.
 """
 
 from __future__ import annotations
@@ -12,217 +12,222 @@
 import hashlib
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
+from .controller_lease import ControllerLease, OwnershipTimings
 from .ownership_actions import (
     AnnounceMember,
     ClaimSlice,
-    GrantLease,
-    KeepAlive,
+    MemberState,
     OwnershipAction,
     OwnershipChange,
     ReleaseSlice,
 )
 
+SCORE_BYTES = 8
 
-@dataclass(frozen=True)
-class OwnershipTimings:
-    """Times in ms. margin: a steward stops this share of the lease before the registry may end it."""
 
-    lease_ttl_ms: float = 5_000.0
-    safety_margin: float = 0.25
-    max_pending_claims: int = 64  # in flight at once
-    settle_ms: float = 500.0  # members must have been the same for so long before slices are handed over
+class SliceOwner(NamedTuple):
+    """A slice's ownership key as observed."""
+
+    controller: int
+    create_revision: int
 
 
-def preferred_owner(slice: int, members: Iterable[int]) -> int | None:
-    """Whom a slice should belong to among live stewards: the top of a rendezvous, the same for all that ask."""
+def preferred_owner(slice_id: int, members: Iterable[int]) -> int | None:
+    """The controller with the highest rendezvous score for the slice: the same at every controller that computes it."""
 
-    def mark(steward: int) -> tuple[bytes, int]:
-        return hashlib.blake2b(f"{slice}:{steward}".encode(), digest_size=8).digest(), steward
+    def score(controller: int) -> tuple[bytes, int]:
+        digest = hashlib.blake2b(f"{slice_id}:{controller}".encode(), digest_size=SCORE_BYTES).digest()
+        return digest, controller
 
-    return max(members, key=mark, default=None)
+    return max(members, key=score, default=None)
 
 
 @dataclass
 class SliceOwnership:
-    """me, slices: this steward and the numbers that there are. All calls return actions, in order."""
+    """The slices that `controller` owns of `slices`. Methods that return actions return them in order.
+
+    fencing_tokens: of the slices that are owned. own_state: our own member key as the watch shows it, None if it is not
+    there.
+    """
 
     controller: int
     slices: range
     timings: OwnershipTimings
-    lease_id: int = 0
-    lease_valid_until_ms: float = 0.0  # by our clock: the lease cannot have ended before
-    lease_requested_at_ms: float = -1.0  # when the keep-alive or grant in flight was sent; -1: none
-    members: dict[int, bool] = field(default_factory=dict)  # steward: leaving
+    lease: ControllerLease = field(init=False)
+    members: dict[int, MemberState] = field(default_factory=dict)
     members_changed_at_ms: float = 0.0
-    fencing_tokens: dict[int, int] = field(default_factory=dict)  # slice: fence
-    observed_owners: dict[int, tuple[int, int]] = field(
-        default_factory=dict
-    )  # slice: (holder, create revision), as seen
+    fencing_tokens: dict[int, int] = field(default_factory=dict)
+    observed_owners: dict[int, SliceOwner] = field(default_factory=dict)
     pending_claims: set[int] = field(default_factory=set)
     pending_releases: set[int] = field(default_factory=set)
     is_leaving: bool = False
     is_connected: bool = False
-    is_observed_leaving: bool | None = (
-        None  # our own member key as the watch shows it: leaving or not; None: it is not there
-    )
-    announced_at_ms: float = 0.0  # when it was last put
-
-    # ---- the lease -------------------------------------------------------------------------------------
-
-    def on_lease_granted(self, now: float, lease: int) -> list[OwnershipAction]:
-        """A lease is ours; it counts from when it was asked for, not from when the answer came."""
-        self.lease_id, self.lease_valid_until_ms, self.lease_requested_at_ms, self.announced_at_ms = (
-            lease,
-            self.lease_requested_at_ms + self.timings.lease_ttl_ms,
-            -1.0,
-            now,
-        )
-        return [AnnounceMember(lease, self.is_leaving)]
-
-    def on_lease_renewed(self, now: float, ttl: float) -> list[OwnershipAction]:
-        """The answer to a keep-alive. ttl 0: the registry has ended the lease."""
-        if ttl <= 0:
-            self.lease_requested_at_ms = -1.0
+    own_state: MemberState | None = None
+    announced_at_ms: float = 0.0
+
+    def __post_init__(self) -> None:
+        self.lease = ControllerLease(self.timings)
+
+    # ---- the lease ---------------------------------------------------------------------------------------------------
+
+    def on_lease_granted(self, now: float, lease_id: int) -> list[OwnershipAction]:
+        """Take a new lease, and announce this controller under it."""
+        self.lease.on_granted(lease_id)
+        return [self._announce(now)]
+
+    def on_lease_renewed(self, ttl_ms: float) -> list[OwnershipAction]:
+        """Take the answer to a keep-alive; a `ttl_ms` of 0 says that the registry has ended the lease."""
+        if ttl_ms <= 0:
+            self.lease.on_request_lost()
             return self.on_lease_lost()
-        if self.lease_requested_at_ms >= 0:
-            self.lease_valid_until_ms, self.lease_requested_at_ms = (
-                max(self.lease_valid_until_ms, self.lease_requested_at_ms + min(ttl, self.timings.lease_ttl_ms)),
-                -1.0,
-            )
+        self.lease.on_renewed(ttl_ms)
         return []
 
     def on_lease_lost(self) -> list[OwnershipAction]:
-        """The lease is over: nothing is held. A new one is asked for at the next tick."""
-        gone: list[OwnershipAction] = [OwnershipChange(s, False) for s in sorted(self.fencing_tokens)]
-        self.lease_id, self.fencing_tokens, self.pending_claims, self.pending_releases = 0, {}, set(), set()
-        return gone
+        """Own nothing any more. A new lease is requested at the next tick."""
+        lost: list[OwnershipAction] = [OwnershipChange(slice_id, False) for slice_id in sorted(self.fencing_tokens)]
+        self.lease.id = 0
+        self.fencing_tokens = {}
+        self.pending_claims = set()
+        self.pending_releases = set()
+        return lost
 
     def has_valid_lease(self, now: float) -> bool:
-        """Whether what is held is surely still ours: by our own clock, with a margin. Asked before every write."""
-        return (
-            bool(self.lease_id)
-            and now < self.lease_valid_until_ms - self.timings.safety_margin * self.timings.lease_ttl_ms
-        )
-
-    def on_connection_change(self, up: bool) -> None:
-        """A keep-alive that was out when the way broke will not be answered."""
-        self.is_connected, self.lease_requested_at_ms = up, -1.0
+        """Whether what is owned is certainly still ours, by our own clock and with a margin; asked before a write."""
+        return self.lease.is_valid(now)
+
+    def on_connection_change(self, *, is_connected: bool) -> None:
+        """Note that the watch is up or lost. Requests in flight on a lost connection have no answer."""
+        self.is_connected = is_connected
+        self.lease.on_request_lost()
         self.pending_claims.clear()
         self.pending_releases.clear()
 
-    # ---- what the watch says ---------------------------------------------------------------------------
+    # ---- what the watch shows ----------------------------------------------------------------------------------------
 
-    def on_member_observed(self, now: float, steward: int, alive: bool, leaving: bool = False) -> None:
-        if steward == self.controller:
-            self.is_observed_leaving = leaving if alive else None
-        before = dict(self.members)
-        if alive:
-            self.members[steward] = leaving
-        else:
-            self.members.pop(steward, None)
-        if self.members != before:
-            self.members_changed_at_ms = now
-
-    def on_owner_observed(self, now: float, slice: int, steward: int | None, create: int) -> list[OwnershipAction]:
-        """A charge key as the watch shows it now; None: it does not exist."""
-        if steward is None:
-            self.observed_owners.pop(slice, None)
+    def on_member_observed(self, now: float, controller: int, state: MemberState | None) -> None:
+        """Take a member key as it is now; None if it does not exist."""
+        if controller == self.controller:
+            self.own_state = state
+        if self.members.get(controller) is state:
+            return
+        if state is None:
+            del self.members[controller]
         else:
-            self.observed_owners[slice] = (steward, create)
-        fence = self.fencing_tokens.get(slice)
-        if fence is not None and (steward != self.controller or create > fence):
-            # Ended behind our back (the lease ran out, or an operator deleted it).
-            del self.fencing_tokens[slice]
-            self.pending_releases.discard(slice)
-            return [OwnershipChange(slice, False)]
-        return []
-
-    # ---- answers to transactions -----------------------------------------------------------------------
-
-    def on_claim_result(self, now: float, slice: int, lease: int, fence: int) -> list[OwnershipAction]:
-        """A claim's answer: `fence` is the create revision, 0 if another had the key."""
-        self.pending_claims.discard(slice)
-        if not fence or lease != self.lease_id or not self.has_valid_lease(now):
-            return []  # too late to be sure of: the key goes with its lease, or is released below
-        self.fencing_tokens[slice] = fence
-        self.observed_owners[slice] = (self.controller, fence)
-        return [OwnershipChange(slice, True, fence)]
-
-    def on_released(self, slice: int) -> list[OwnershipAction]:
-        self.pending_releases.discard(slice)
-        return []
+            self.members[controller] = state
+        self.members_changed_at_ms = now
 
-    # ---- time ------------------------------------------------------------------------------------------
+    def on_owner_observed(self, slice_id: int, controller: int | None, create_revision: int) -> list[OwnershipAction]:
+        """Take an ownership key as it is now; the controller is None if the key does not exist."""
+        if controller is None:
+            self.observed_owners.pop(slice_id, None)
+        else:
+            self.observed_owners[slice_id] = SliceOwner(controller, create_revision)
+        token = self.fencing_tokens.get(slice_id)
+        if token is None or (controller == self.controller and create_revision <= token):
+            return []
+        # The lease ran out before we knew, or an operator deleted the key.
+        del self.fencing_tokens[slice_id]
+        self.pending_releases.discard(slice_id)
+        return [OwnershipChange(slice_id, False)]
+
+    # ---- results of transactions -------------------------------------------------------------------------------------
+
+    def on_claim_result(self, now: float, slice_id: int, lease_id: int, fencing_token: int) -> list[OwnershipAction]:
+        """Take the answer to a claim. The fencing token is the key's create revision; 0 if another owns the slice."""
+        self.pending_claims.discard(slice_id)
+        if not fencing_token or lease_id != self.lease.id or not self.has_valid_lease(now):
+            return []  # too late to be certain: the key goes with its lease, or is released at a later tick
+        self.fencing_tokens[slice_id] = fencing_token
+        self.observed_owners[slice_id] = SliceOwner(self.controller, fencing_token)
+        return [OwnershipChange(slice_id, True, fencing_token)]
+
+    def on_claim_failed(self, slice_id: int) -> None:
+        """Note that a claim has no answer: it is made again, or released if the watch shows that it was carried out."""
+        self.pending_claims.discard(slice_id)
+
+    def on_release_finished(self, slice_id: int) -> None:
+        """Note that a release has its answer, or has none: it is sent again while the watch shows the key as ours."""
+        self.pending_releases.discard(slice_id)
+
+    # ---- time --------------------------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> list[OwnershipAction]:
-        """Call often (a tenth of the lease). Keeps the lease, claims what is free and ours, hands over the rest."""
-        out: list[OwnershipAction] = []
-        if self.lease_id and now >= self.lease_valid_until_ms:
-            out += self.on_lease_lost()
+        """Keep the lease, claim slices that are free and ours, hand over others; called many times in a lease."""
+        actions: list[OwnershipAction] = []
+        if self.lease.is_expired(now):
+            actions += self.on_lease_lost()
         if not self.is_connected:
-            return out  # cut off: nothing new is taken; what is held stands while the lease surely does
-        if self.lease_requested_at_ms < 0:
-            if not self.lease_id:
-                self.lease_requested_at_ms = now
-                out.append(GrantLease(self.timings.lease_ttl_ms))
-            elif now > self.lease_valid_until_ms - self.timings.lease_ttl_ms * (1 - self.timings.safety_margin):
-                self.lease_requested_at_ms = now
-                out.append(KeepAlive(self.lease_id))
-        elif now - self.lease_requested_at_ms > self.timings.lease_ttl_ms * self.timings.safety_margin:
-            self.lease_requested_at_ms = -1.0  # that answer is late: ask again, counting from now
+            return actions  # nothing new is claimed; what is owned stays so while the lease is certainly valid
+        actions += self.lease.next_requests(now)
         if not self.has_valid_lease(now):
-            return out
-        if (
-            self.is_observed_leaving is not self.is_leaving
-            and now - self.announced_at_ms > self.timings.lease_ttl_ms * self.timings.safety_margin
-        ):
-            # The registry lost it (its leader fell): unannounced, a steward gets nothing, or never gets rid of it.
-            self.announced_at_ms = now
-            out.append(AnnounceMember(self.lease_id, self.is_leaving))
-        out += self.rebalance(now)
-        return out
-
-    def rebalance(self, now: float) -> list[OwnershipAction]:
-        out: list[OwnershipAction] = []
-        able = [m for m, leaving in self.members.items() if not leaving]
-        settled = now - self.members_changed_at_ms >= self.timings.settle_ms
-        for s in self.slices:
-            should = preferred_owner(s, able)
-            if s in self.fencing_tokens:
-                if (
-                    should is not None
-                    and should != self.controller
-                    and (settled or self.is_leaving)
-                    and s not in self.pending_releases
-                ):
-                    # Planned: told to the engine first, so that nothing is written after the key is gone.
-                    self.pending_releases.add(s)
-                    fence = self.fencing_tokens.pop(s)
-                    out += [OwnershipChange(s, False), ReleaseSlice(s, fence)]
-            elif (holder := self.observed_owners.get(s)) and holder[0] == self.controller:
-                if s not in self.pending_releases and s not in self.pending_claims:
-                    # A claim whose answer was lost or came too late is not ours to use; a release that a falling
-                    # leader lost would keep the slice from everybody for as long as the lease is kept.
-                    self.pending_releases.add(s)
-                    out.append(ReleaseSlice(s, holder[1]))
-            elif (
-                should == self.controller
-                and s not in self.pending_claims
-                and len(self.pending_claims) < self.timings.max_pending_claims
-            ):
-                if holder is None:
-                    self.pending_claims.add(s)
-                    out.append(ClaimSlice(s, self.lease_id))
-        return out
+            return actions
+        if self.own_state is not self._announced_state and now - self.announced_at_ms > self.timings.margin_ms:
+            # The registry lost the announcement when its leader changed. Unannounced, a controller is given no slices,
+            # or cannot pass them on.
+            actions.append(self._announce(now))
+        return actions + self._rebalance(now)
 
     def start_leaving(self, now: float) -> list[OwnershipAction]:
-        """Planned end: announce it; slices go over as others are there to take them."""
-        self.is_leaving, self.announced_at_ms = True, now
-        self.members[self.controller] = True
-        return [AnnounceMember(self.lease_id, True)] if self.lease_id else []
+        """Begin a planned end: announce it, so that slices are handed over as others are there to take them."""
+        self.is_leaving = True
+        self.members[self.controller] = MemberState.LEAVING
+        announcement = self._announce(now)
+        return [announcement] if self.lease.id else []
 
     @property
     def is_drained(self) -> bool:
-        ours = any(holder == self.controller for holder, _ in self.observed_owners.values())
-        return not self.fencing_tokens and not self.pending_releases and not ours
+        """Whether nothing is owned, nor shown as ours by the watch."""
+        is_observed = any(owner.controller == self.controller for owner in self.observed_owners.values())
+        return not self.fencing_tokens and not self.pending_releases and not is_observed
+
+    @property
+    def _announced_state(self) -> MemberState:
+        return MemberState.LEAVING if self.is_leaving else MemberState.ACTIVE
+
+    def _announce(self, now: float) -> AnnounceMember:
+        self.announced_at_ms = now
+        return AnnounceMember(self.lease.id, self._announced_state)
+
+    def _rebalance(self, now: float) -> list[OwnershipAction]:
+        actions: list[OwnershipAction] = []
+        candidates = [controller for controller, state in self.members.items() if state is MemberState.ACTIVE]
+        may_hand_over = self.is_leaving or now - self.members_changed_at_ms >= self.timings.settle_ms
+        for slice_id in self.slices:
+            preferred = preferred_owner(slice_id, candidates)
+            observed = self.observed_owners.get(slice_id)
+            if slice_id in self.fencing_tokens:
+                if may_hand_over and preferred not in (None, self.controller):
+                    actions += self._hand_over(slice_id)
+            elif observed and observed.controller == self.controller:
+                actions += self._release_unconfirmed(slice_id, observed.create_revision)
+            elif observed is None and preferred == self.controller:
+                actions += self._claim(slice_id)
+        return actions
+
+    def _hand_over(self, slice_id: int) -> list[OwnershipAction]:
+        """Give an owned slice up; the controller stops before the key is deleted, so that nothing is written after."""
+        if slice_id in self.pending_releases:
+            return []
+        self.pending_releases.add(slice_id)
+        token = self.fencing_tokens.pop(slice_id)
+        return [OwnershipChange(slice_id, False), ReleaseSlice(slice_id, token)]
+
+    def _release_unconfirmed(self, slice_id: int, create_revision: int) -> list[OwnershipAction]:
+        """Delete a key of ours that we do not act on.
+
+        The answer to its claim was lost or came too late, or its release was lost when the registry's leader changed:
+        the slice would be nobody's for as long as the lease is kept.
+        """
+        if slice_id in self.pending_releases or slice_id in self.pending_claims:
+            return []
+        self.pending_releases.add(slice_id)
+        return [ReleaseSlice(slice_id, create_revision)]
+
+    def _claim(self, slice_id: int) -> list[OwnershipAction]:
+        if slice_id in self.pending_claims or len(self.pending_claims) >= self.timings.max_pending_claims:
+            return []
+        self.pending_claims.add(slice_id)
+        return [ClaimSlice(slice_id, self.lease.id)]
--- a/corallanding/registry/source.py
+++ b/corallanding/registry/source.py
@@ -1,21 +1,20 @@
-"""Hosts out of a registry: drives `sync` over a connection, and tells the steward rows as a roster does.
+"""Hosts from a registry: watches a prefix, and reports rows to the controller as an endpoint list does.
 
-A key is the prefix and the host's number; its value the JSON of a roster's row (`docs/protocol.md`), whose `host`
-may be left out. The first list of a life is told whole, every later step as changes, a full read's too.
+A key is the prefix and the host's number; its value is the JSON of a row (`docs/protocol.md`), whose `host` may be left
+out. The first list after a start is reported as a whole, and each later step as changes, those of a full read too.
 """
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass
-from itertools import count
-from pathlib import Path
+from itertools import cycle
 from typing import TYPE_CHECKING, Any
 
 import msgspec
 
 from .connection import RegistryConnection
+from .credentials import CredentialFiles
 from .watch_messages import KeyValue, ViewChange, WatchLimits
 from .watch_state import WatchState
 from .watcher import Watcher
@@ -25,146 +24,136 @@
     from ..endpoints.source import EndpointListener
     from .etcd import EtcdConnection
 
+MAX_HOST_DIGITS = 10
+MIN_CONSUL_READS_PER_MINUTE = 6_000.0  # each change is a read there; the registry's own blocking bounds them
 
-def host_row(prefix: bytes, row: KeyValue) -> dict[str, Any] | None:
-    """A registry's row as a roster's; None if its key names no host. What cannot be read names its host all the same,
-    so that the view holds that one entry at its last good state and reports it."""
-    name = row.key[len(prefix) :]
-    if not name.isdigit() or len(name) > 10:
+EtcdConnector = Callable[[], "EtcdConnection"]
+
+
+def host_row(prefix: bytes, key_value: KeyValue) -> dict[str, Any] | None:
+    """A key as a row of an endpoint list; None if it names no host.
+
+    A value that cannot be read still names its host, so that the endpoint list keeps the last good entry and reports
+    it.
+    """
+    name = key_value.key[len(prefix) :]
+    if not name.isdigit() or len(name) > MAX_HOST_DIGITS:
         return None
     host = int(name)
-    if row.value is None:
+    if key_value.value is None:
         return {"host": host, "state": "removed"}
     try:
-        found = msgspec.json.decode(row.value)
+        row = msgspec.json.decode(key_value.value)
     except (msgspec.DecodeError, UnicodeDecodeError):
-        found = None
-    if not isinstance(found, dict) or found.get("host", host) != host:
+        row = None
+    if not isinstance(row, dict) or row.get("host", host) != host:
         return {"host": host, "state": "unreadable"}
-    return {**found, "host": host}
+    return {**row, "host": host}
 
 
 class RegistrySource:
-    """dial(): a new connection. clock: ms. listener: the steward, told rows and failures."""
+    """An `EndpointSource`. connect: opens a new connection. clock: ms. random: as of `WatchState`."""
 
     def __init__(
         self,
-        dial: Callable[[], RegistryConnection],
+        connect: Callable[[], RegistryConnection],
         prefix: str,
         listener: EndpointListener,
         clock: Callable[[], float],
-        chance: Callable[[], float],
+        random: Callable[[], float],
         limits: WatchLimits,
     ) -> None:
-        self.prefix, self.listener = prefix.encode(), listener
-        self.state = WatchState(limits, chance)
-        self.watcher = Watcher(dial, self.prefix, self.state, clock, self.tell, listener.on_source_failure, self.whole)
+        self.prefix = prefix.encode()
+        self.listener = listener
+        self.state = WatchState(limits, random)
+        self.watcher = Watcher(connect, self.prefix, self.state, clock, self)
         self.task: asyncio.Task[None] | None = None
-        self.is_listed = False  # the first whole list of this life
+        self.is_listed = False  # whether the first whole list since the start was reported
 
     def start(self) -> None:
+        """Begin to watch."""
         self.task = asyncio.get_running_loop().create_task(self.watcher.run())
 
     def follow(self, on: bool) -> None:
-        """A registry is always followed."""
+        """Do nothing: a registry is always watched."""
 
     def fetch(self) -> None:
-        """What the registry has is known already."""
+        """Do nothing: what the registry has is known already."""
 
     def stop(self) -> None:
+        """End the watch."""
         if self.task:
             self.task.cancel()
 
-    def rows(self, rows: Iterable[KeyValue]) -> list[dict[str, Any]]:
-        return [r for r in (host_row(self.prefix, row) for row in rows) if r]
+    # ---- what the watcher reports (`watcher.ViewListener`) -----------------------------------------------------------
 
-    def whole(self) -> None:
-        """The view is whole: told as a list once a life, however little differs."""
+    def on_watching(self) -> None:
+        """The view is complete: report it as a list, once, however little differs."""
         if not self.is_listed:
             self.is_listed = True
-            self.listener.on_host_rows(True, self.state.revision, self.rows(self.state.view.values()))
-
-    def tell(self, d: ViewChange) -> None:
-        if self.is_listed and (rows := self.rows(d.changes)):
-            self.listener.on_host_rows(False, d.revision, rows)
-
-
-def read_optional(path: str | None) -> bytes | None:
-    return Path(path).read_bytes() if path else None
+            self.listener.on_host_rows(True, self.state.revision, self._rows(self.state.view.values()))
 
+    def on_view_change(self, change: ViewChange) -> None:
+        """Report changes, once there was a list."""
+        if self.is_listed and (rows := self._rows(change.changes)):
+            self.listener.on_host_rows(False, change.revision, rows)
 
-@dataclass(frozen=True)
-class Credentials:
-    """What the registry asks of us, as the files hold it. Raises OSError if one of them cannot be read."""
+    def on_watch_failure(self, text: str) -> None:
+        """Pass the text on."""
+        self.listener.on_source_failure(text)
 
-    token: str
-    ca: bytes | None
-    certificate: bytes | None
-    key: bytes | None
+    def on_disconnected(self) -> None:
+        """The list stands."""
 
-    @classmethod
-    def read(cls, c: RegistryBlock) -> Credentials:
-        token = (read_optional(c.token_file) or b"").decode("ascii", "replace").strip()
-        return cls(token, read_optional(c.ca_file), read_optional(c.certificate_file), read_optional(c.key_file))
+    def _rows(self, key_values: Iterable[KeyValue]) -> list[dict[str, Any]]:
+        return [row for row in (host_row(self.prefix, key_value) for key_value in key_values) if row]
 
 
-class CredentialFiles:
-    """The papers, read anew for every connection, so that new tokens and certificates need no restart.
+def etcd_connector(block: RegistryBlock, on_failure: Callable[[str], None]) -> EtcdConnector:
+    """What opens connections as configured, to each member in turn. Raises OSError if a file cannot be read."""
+    from .etcd import EtcdConnection, TlsConfig
 
-    Guards against files that are away or half written while they are replaced: the last good ones stand, and that is
-    said. Could harm where a token was withdrawn by deleting its file: the registry refuses that one by itself.
-    """
+    files = CredentialFiles(block, on_failure)
+    members = cycle([block.address, *block.others])
 
-    def __init__(self, c: RegistryBlock, said: Callable[[str], None]) -> None:
-        self.block, self.said, self.good = c, said, Credentials.read(c)
+    def connect() -> EtcdConnection:
+        credentials = files.read()
+        tls = None
+        if credentials.ca:
+            tls = TlsConfig(credentials.ca, credentials.certificate, credentials.key, block.server_name)
+        return EtcdConnection(next(members), block.timeout_ms, tls, credentials.token)
 
-    def __call__(self) -> Credentials:
-        try:
-            self.good = Credentials.read(self.block)
-        except OSError as fault:
-            self.said(f"registry: {fault.filename}: {fault.strerror}; the token and certificates read before stand")
-        return self.good
+    return connect
 
 
-def etcd_connector(c: RegistryBlock, said: Callable[[str], None]) -> Callable[[], EtcdConnection]:
-    """New connections as configured, to each member in turn. Raises OSError if one of the files cannot be read."""
-    from .etcd import EtcdConnection, TlsConfig
+def consul_connector(block: RegistryBlock, on_failure: Callable[[str], None]) -> Callable[[], RegistryConnection]:
+    """What returns the one connection to Consul, with the token as it is now. Raises OSError as above."""
+    from .consul import ConsulConnection
 
-    files, turn = CredentialFiles(c, said), count()
-    members = [c.address, *c.others]
+    files = CredentialFiles(block, on_failure)
+    connection = ConsulConnection(block.address, block.timeout_ms, block.block_ms, files.last_good.token)
 
-    def dial() -> EtcdConnection:
-        p = files()
-        tls = TlsConfig(p.ca, p.certificate, p.key, c.server_name) if p.ca else None
-        return EtcdConnection(members[next(turn) % len(members)], c.timeout_ms, tls, p.token)
+    def connect() -> RegistryConnection:
+        connection.token = files.read().token
+        return connection  # the same each time: it keeps index and epoch
 
-    return dial
+    return connect
 
 
 def make_source(
-    c: RegistryBlock,
+    block: RegistryBlock,
     listener: EndpointListener,
     clock: Callable[[], float],
-    chance: Callable[[], float],
-    dial_registry: Callable[[RegistryBlock, Callable[[str], None]], Callable[[], EtcdConnection]] | None = None,
+    random: Callable[[], float],
+    dial_registry: Callable[[RegistryBlock, Callable[[str], None]], EtcdConnector] = etcd_connector,
 ) -> RegistrySource:
     """The source that a configuration names. Raises OSError if one of its files cannot be read."""
-
-    rate = c.reads_per_min
-    dial: Callable[[], RegistryConnection]
-    if c.kind == "consul":
-        from .consul import ConsulConnection
-
-        rate = max(rate, 6_000.0)  # every change is a read there: bounded by the registry's own blocking
-        files = CredentialFiles(c, listener.on_source_failure)
-        consul = ConsulConnection(
-            c.address, c.timeout_ms, c.block_ms, files.good.token
-        )  # it keeps index and epoch over breaks
-
-        def dial() -> RegistryConnection:
-            consul.token = files().token
-            return consul
+    max_reads_per_minute = block.reads_per_min
+    connect: Callable[[], RegistryConnection]
+    if block.kind == "consul":
+        max_reads_per_minute = max(max_reads_per_minute, MIN_CONSUL_READS_PER_MINUTE)
+        connect = consul_connector(block, listener.on_source_failure)
     else:
-        dial = (dial_registry or etcd_connector)(c, listener.on_source_failure)
-    limits = WatchLimits(c.wait_ms, c.wait_most_ms, rate, c.page)
-    return RegistrySource(dial, c.prefix, listener, clock, chance, limits)
+        connect = dial_registry(block, listener.on_source_failure)
+    limits = WatchLimits(block.wait_ms, block.wait_most_ms, max_reads_per_minute, block.page)
+    return RegistrySource(connect, block.prefix, listener, clock, random, limits)
--- a/corallanding/registry/table_store.py
+++ b/corallanding/registry/table_store.py
@@ -1,40 +1,42 @@
-"""The charge of slices and their tables in an etcd v3 registry: carries out what `charge` decides.
+"""The ownership of slices and their tables in an etcd v3 registry: carries out what `slice_ownership` decides.
 
-Keys under `base`: who/members/<steward>, who/charge/<slice>, tables/<slice> (JSON: host to weight). One watch, on
-`who/`; a table is written in a transaction that compares the fence of its slice, many slices a transaction up to the
-registry's limits.
+One watch shows members and owners. A table is written in a transaction that compares the fencing token of its slice.
 """
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Coroutine
+from dataclasses import dataclass
 from typing import Any, Protocol
 
 import msgspec
-from aetcd.rpc import rpc_pb2
 
+from .controller_lease import OwnershipTimings
 from .errors import FencedError, RegistryUnavailableError
-from .etcd import EtcdConnection, unavailable_error
+from .etcd import EtcdConnection
 from .ownership_actions import (
     AnnounceMember,
     ClaimSlice,
     GrantLease,
     KeepAlive,
+    MemberState,
     OwnershipAction,
     OwnershipChange,
     ReleaseSlice,
 )
-from .slice_ownership import OwnershipTimings, SliceOwnership
-from .watch_messages import ViewChange, WatchLimits
+from .ownership_requests import OwnershipRequests, RegistryKeys, Tables, batches, write_batch
+from .slice_ownership import SliceOwnership
+from .watch_messages import KeyValue, ViewChange, WatchLimits
 from .watch_state import WatchState
 from .watcher import Watcher
 
-OPERATIONS_MOST = 100  # of one transaction; the registry's usual limit is 128
-BYTES_MOST = 1_000_000  # of one transaction; the registry's usual limit is 1.5 MiB
+TICKS_PER_LEASE = 20
+MS_PER_SECOND = 1000.0
 
+RegistryRequest = GrantLease | KeepAlive | AnnounceMember | ClaimSlice | ReleaseSlice
 
-REQUEST_NAMES: dict[type, str] = {  # as texts of failures name them
+REQUEST_NAMES: dict[type, str] = {  # in the texts of failures
     GrantLease: "grantlease",
     KeepAlive: "keepalive",
     AnnounceMember: "announce",
@@ -44,240 +46,197 @@
 
 
 class SliceListener(Protocol):
-    """The steward's side: told what it holds."""
+    """The controller, which is notified of the slices that it owns."""
 
-    def on_slice_granted(self, slice: int, lines: dict[int, float]) -> None: ...
+    def on_slice_granted(self, slice_id: int, weights: dict[int, float]) -> None:
+        """A slice is owned from now on; `weights` is its table as stored, host to weight."""
 
-    def on_slice_revoked(self, slice: int) -> None: ...
+    def on_slice_revoked(self, slice_id: int) -> None:
+        """A slice is not owned any more."""
 
-    def on_failure(self, read_optional: str) -> None: ...
+    def on_failure(self, text: str) -> None:
+        """Something that operators should know."""
+
+
+@dataclass(frozen=True)
+class TableStoreConfig:
+    """Which slices are shared under which keys, as which controller, and the bounds of it."""
+
+    base: str
+    controller: int
+    slices: range
+    timings: OwnershipTimings
+    watch_limits: WatchLimits
 
 
 class TableStore:
-    """dial: a new connection; clock: ms. Nothing is written without a lease."""
+    """Leases slices and writes their tables. connect: opens a new connection. clock: ms. random: as of `WatchState`."""
 
     def __init__(
         self,
-        dial: Callable[[], EtcdConnection],
-        base: str,
-        me: int,
-        slices: range,
-        holder: SliceListener,
+        config: TableStoreConfig,
+        connect: Callable[[], EtcdConnection],
+        listener: SliceListener,
         clock: Callable[[], float],
-        chance: Callable[[], float],
-        terms: OwnershipTimings,
-        limits: WatchLimits,
+        random: Callable[[], float],
     ) -> None:
-        self.base, self.listener, self.clock = base.encode(), holder, clock
-        self.watched_prefix = self.base + b"who/"
-        self.ownership = SliceOwnership(me, slices, terms)
-        self.watcher = Watcher(
-            dial,
-            self.watched_prefix,
-            WatchState(limits, chance),
-            clock,
-            self.on_view_change,
-            holder.on_failure,
-            lambda: self.ownership.on_connection_change(True),
-            lambda: self.ownership.on_connection_change(False),
-        )
-        self.claimed_tables: dict[int, bytes] = {}  # tables that came with claims, until the slice is given
-        self.tasks: set[asyncio.Task[Any]] = set()
+        self.listener = listener
+        self.clock = clock
+        self.keys = RegistryKeys(config.base.encode())
+        self.ownership = SliceOwnership(config.controller, config.slices, config.timings)
+        state = WatchState(config.watch_limits, random)
+        self.watcher = Watcher(connect, self.keys.watched_prefix, state, clock, self)
+        self.claimed_tables: dict[int, bytes] = {}  # tables that came with claims, until the slice is granted
+        self.tasks: set[asyncio.Task[None]] = set()
 
     @property
     def connection(self) -> EtcdConnection | None:
+        """The present connection, if there is one."""
         return self.watcher.connection
 
+    @property
+    def is_drained(self) -> bool:
+        """Whether no slice is owned, nor shown as ours by the watch."""
+        return self.ownership.is_drained
+
     def start(self) -> None:
-        self.spawn(self.watcher.run())
-        self.spawn(self.run())
+        """Begin to watch, and to claim slices."""
+        self._spawn(self.watcher.run())
+        self._spawn(self._run_ticks())
 
-    def spawn(self, work: Any) -> None:
-        task = asyncio.get_running_loop().create_task(work)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+    def start_leaving(self) -> None:
+        """Begin a planned end; `is_drained` says when the slices are handed over."""
+        self._perform(self.ownership.start_leaving(self.clock()))
 
     async def stop(self) -> None:
-        """At once: leases run out by themselves. Call `leave` first, and wait for `empty`, for a planned end."""
+        """End at once; leases expire by themselves. For a planned end call `start_leaving` before."""
         tasks = list(self.tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def start_leaving(self) -> None:
-        self.perform(self.ownership.start_leaving(self.clock()))
+    async def write(self, tables: Tables) -> None:
+        """Write whole tables, in batches that are each written all or not at all; a batch may be written again.
 
-    @property
-    def is_drained(self) -> bool:
-        return self.ownership.is_drained
+        Raises `FencedError` with the slices that are not ours, and `RegistryUnavailableError` if it is not known
+        whether the last batch was written.
+        """
+        if not self.ownership.has_valid_lease(self.clock()):
+            raise FencedError(sorted(tables))
+        for batch in batches(tables):
+            await write_batch(self.connection, self.keys, self.ownership, batch, tables)
+
+    # ---- what the watcher reports (`watcher.ViewListener`) -----------------------------------------------------------
+
+    def on_watching(self) -> None:
+        """Claims may be made."""
+        self.ownership.on_connection_change(is_connected=True)
+
+    def on_disconnected(self) -> None:
+        """No claims are made."""
+        self.ownership.on_connection_change(is_connected=False)
 
-    # ---- what charge decides ---------------------------------------------------------------------------
+    def on_watch_failure(self, text: str) -> None:
+        """Pass the text on."""
+        self.listener.on_failure(text)
 
-    async def run(self) -> None:
+    def on_view_change(self, change: ViewChange) -> None:
+        """Take the member and ownership keys that changed."""
+        now = self.clock()
+        for key_value in change.changes:
+            name = key_value.key[len(self.keys.watched_prefix) :].decode("ascii", "replace")
+            kind, _, number = name.partition("/")
+            if not number.isdigit():
+                continue
+            if kind == "members":
+                self._on_member(now, int(number), key_value.value)
+            elif kind == "charge":
+                self._on_owner(int(number), key_value)
+
+    def _on_member(self, now: float, controller: int, value: bytes | None) -> None:
+        state = None
+        if value is not None:
+            state = MemberState.LEAVING if value == MemberState.LEAVING.encode() else MemberState.ACTIVE
+        self.ownership.on_member_observed(now, controller, state)
+
+    def _on_owner(self, slice_id: int, key_value: KeyValue) -> None:
+        text = key_value.value.decode("ascii", "replace") if key_value.value is not None else ""
+        owner = int(text) if text.isdigit() else None
+        # An ownership key is put once and deleted: its revision is its create revision.
+        self._perform(self.ownership.on_owner_observed(slice_id, owner, key_value.revision))
+
+    # ---- what slice ownership decides --------------------------------------------------------------------------------
+
+    async def _run_ticks(self) -> None:
+        interval_seconds = self.ownership.timings.lease_ttl_ms / TICKS_PER_LEASE / MS_PER_SECOND
         while True:
-            self.perform(self.ownership.tick(self.clock()))
-            await asyncio.sleep(self.ownership.timings.lease_ttl_ms / 20_000.0)
-
-    def perform(self, actions: list[OwnershipAction]) -> None:
-        for a in actions:
-            if isinstance(a, OwnershipChange):
-                if a.is_owned:
-                    self.give(a.slice, a.fencing_token)
-                else:
-                    self.listener.on_slice_revoked(a.slice)
+            self._perform(self.ownership.tick(self.clock()))
+            await asyncio.sleep(interval_seconds)
+
+    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(work)
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
+
+    def _perform(self, actions: list[OwnershipAction]) -> None:
+        for action in actions:
+            if not isinstance(action, OwnershipChange):
+                self._spawn(self._send(action))
+            elif action.is_owned:
+                self._grant(action.slice, action.fencing_token)
             else:
-                self.spawn(self.send(a))
+                self.listener.on_slice_revoked(action.slice)
 
-    def give(self, slice: int, fence: int) -> None:
-        """A slice is ours: its table came with the answer to the claim."""
-        value = self.claimed_tables.pop(slice, b"")
+    def _grant(self, slice_id: int, fencing_token: int) -> None:
+        """Notify the controller of a slice, with the table that came with the answer to the claim."""
+        stored = self.claimed_tables.pop(slice_id, b"")
         try:
-            rows = msgspec.json.decode(value, type=dict[int, float]) if value else {}
-        except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-            self.listener.on_failure(f"table of slice {slice} cannot be read, taken as empty: {fault}")
-            rows = {}
-        if self.ownership.fencing_tokens.get(slice) == fence:
-            self.listener.on_slice_granted(slice, rows)
-
-    def key(self, kind: str, number: int) -> bytes:
-        return self.base + f"{kind}/{number}".encode()
-
-    async def send(self, a: OwnershipAction) -> None:
-        conn, c = self.connection, self.ownership
-        if conn is None:
+            weights = msgspec.json.decode(stored, type=dict[int, float]) if stored else {}
+        except (msgspec.DecodeError, UnicodeDecodeError) as error:
+            self.listener.on_failure(f"table of slice {slice_id} cannot be read, taken as empty: {error}")
+            weights = {}
+        if self.ownership.fencing_tokens.get(slice_id) == fencing_token:
+            self.listener.on_slice_granted(slice_id, weights)
+
+    async def _send(self, request: RegistryRequest) -> None:
+        """Send one request, and take its answer or note that there is none."""
+        connection = self.connection
+        if connection is None:
             return
         try:
-            match a:
-                case GrantLease(ttl):
-                    ask = rpc_pb2.LeaseGrantRequest(TTL=max(1, round(ttl / 1000.0)))
-                    granted = await conn.call(conn.lease_stub.LeaseGrant, ask)
-                    self.perform(c.on_lease_granted(self.clock(), granted.ID))
-                case KeepAlive(lease):
-                    self.perform(c.on_lease_renewed(self.clock(), await self.keep_alive(conn, lease)))
-                case AnnounceMember(lease, leaving):
-                    value = b"leaving" if leaving else b"here"
-                    put = rpc_pb2.PutRequest(key=self.key("who/members", c.controller), value=value, lease=lease)
-                    await conn.call(conn.kv_stub.Put, put)
-                case ClaimSlice(slice, lease):
-                    self.perform(c.on_claim_result(self.clock(), slice, lease, await self.claim(conn, slice, lease)))
-                case ReleaseSlice(slice, fence):
-                    key = self.key("who/charge", slice)
-                    await conn.call(
-                        conn.kv_stub.Txn,
-                        rpc_pb2.TxnRequest(
-                            compare=[self.same(key, fence)],
-                            success=[rpc_pb2.RequestOp(request_delete_range=rpc_pb2.DeleteRangeRequest(key=key))],
-                        ),
-                    )
-                    self.perform(c.on_released(slice))
-        except RegistryUnavailableError as fault:
-            self.listener.on_failure(f"{REQUEST_NAMES[type(a)]}: {fault}")
-            if isinstance(a, ClaimSlice):
-                c.pending_claims.discard(a.slice)
-            elif isinstance(a, ReleaseSlice):
-                c.pending_releases.discard(a.slice)
-            elif isinstance(a, GrantLease | KeepAlive):
-                c.lease_requested_at_ms = -1.0
-
-    async def keep_alive(self, conn: EtcdConnection, lease: int) -> float:
-        """The lease's time as the registry answers, ms; 0 if it is over."""
-        import grpc.aio
-
-        async def one() -> Any:
-            yield rpc_pb2.LeaseKeepAliveRequest(ID=lease)
-
-        stream = conn.lease_stub.LeaseKeepAlive(one(), timeout=conn.timeout_seconds, metadata=conn.metadata)
-        try:
-            async for answer in stream:
-                return float(answer.TTL) * 1000.0
-            raise RegistryUnavailableError("no answer to a keep-alive")
-        except grpc.aio.AioRpcError as fault:
-            raise unavailable_error(fault) from None
-        finally:
-            stream.cancel()
-
-    async def claim(self, conn: EtcdConnection, slice: int, lease: int) -> int:
-        """The create revision of the charge key that is ours now; 0 if another has it.
-
-        The table is read in the same transaction: nobody writes it between the claim and the reading.
-        """
-        key = self.key("who/charge", slice)
-        put = rpc_pb2.PutRequest(key=key, value=str(self.ownership.controller).encode(), lease=lease)
-        table = rpc_pb2.RangeRequest(key=self.key("tables", slice))
-        answer = await conn.call(
-            conn.kv_stub.Txn,
-            rpc_pb2.TxnRequest(
-                compare=[self.same(key, 0)],
-                success=[rpc_pb2.RequestOp(request_put=put), rpc_pb2.RequestOp(request_range=table)],
-            ),
-        )
-        if not answer.succeeded:
-            return 0
-        kvs = answer.responses[1].response_range.kvs
-        self.claimed_tables[slice] = kvs[0].value if kvs else b""
-        return int(answer.header.revision)
-
-    def same(self, key: bytes, create: int) -> Any:
-        return rpc_pb2.Compare(
-            result=rpc_pb2.Compare.EQUAL, target=rpc_pb2.Compare.CREATE, key=key, create_revision=create
-        )
-
-    # ---- tables ----------------------------------------------------------------------------------------
-
-    async def write(self, tables: Mapping[int, Mapping[int, float]]) -> None:
-        """Keep whole tables (slice: {host: weight}), in batches, each all or nothing; resumable: a batch that was
-        written may be written again. Raises `FencedError`, and `RegistryUnavailableError` if it is not known
-        whether the last batch was written."""
-        if not self.ownership.has_valid_lease(self.clock()):
-            raise FencedError(sorted(tables))
-        batch: list[int] = []
-        size = 0
-        for slice in sorted(tables):
-            cost = 64 + 32 * len(tables[slice])
-            if batch and (len(batch) >= OPERATIONS_MOST or size + cost > BYTES_MOST):
-                await self.write_batch(batch, tables)
-                batch, size = [], 0
-            batch.append(slice)
-            size += cost
-        if batch:
-            await self.write_batch(batch, tables)
-
-    async def write_batch(self, slices: list[int], tables: Mapping[int, Mapping[int, float]]) -> None:
-        conn, held = self.connection, self.ownership.fencing_tokens
-        if gone := [s for s in slices if s not in held]:
-            raise FencedError(gone)
-        if conn is None:
-            raise RegistryUnavailableError("the registry is not reached")
-        answer = await conn.call(
-            conn.kv_stub.Txn,
-            rpc_pb2.TxnRequest(
-                compare=[self.same(self.key("who/charge", s), held[s]) for s in slices],
-                success=[
-                    rpc_pb2.RequestOp(
-                        request_put=rpc_pb2.PutRequest(
-                            key=self.key("tables", s),
-                            value=msgspec.json.encode(dict(tables[s])),
-                        )
-                    )
-                    for s in slices
-                ],
-            ),
-        )
-        if not answer.succeeded:
-            raise FencedError(slices)
-
-    # ---- the watch -------------------------------------------------------------------------------------
-
-    def on_view_change(self, d: ViewChange) -> None:
-        now = self.clock()
-        for row in d.changes:
-            kind, _, name = row.key[len(self.watched_prefix) :].decode("ascii", "replace").partition("/")
-            if not name.isdigit():
-                continue
-            if kind == "members":
-                self.ownership.on_member_observed(now, int(name), row.value is not None, row.value == b"leaving")
-            elif kind == "charge":
-                value = row.value.decode("ascii", "replace") if row.value is not None else ""
-                holder = int(value) if value.isdigit() else None
-                # A charge key is put once and deleted: its revision is its create revision.
-                self.perform(self.ownership.on_owner_observed(now, int(name), holder, row.revision))
+            await self._send_on(connection, request)
+        except RegistryUnavailableError as error:
+            self.listener.on_failure(f"{REQUEST_NAMES[type(request)]}: {error}")
+            self._on_request_failed(request)
+
+    async def _send_on(self, connection: EtcdConnection, request: RegistryRequest) -> None:
+        ownership = self.ownership
+        requests = OwnershipRequests(connection, self.keys, ownership.controller)
+        match request:
+            case GrantLease(ttl_ms):
+                granted_id = await connection.grant_lease(ttl_ms)
+                self._perform(ownership.on_lease_granted(self.clock(), granted_id))
+            case KeepAlive(lease_id):
+                renewed_ttl_ms = await connection.keep_lease_alive(lease_id)
+                self._perform(ownership.on_lease_renewed(renewed_ttl_ms))
+            case AnnounceMember(lease_id, state):
+                await requests.announce(lease_id, state)
+            case ClaimSlice(slice_id, lease_id):
+                claim = await requests.claim(slice_id, lease_id)
+                if claim.fencing_token:
+                    self.claimed_tables[slice_id] = claim.stored_table
+                self._perform(ownership.on_claim_result(self.clock(), slice_id, lease_id, claim.fencing_token))
+            case ReleaseSlice(slice_id, fencing_token):
+                await requests.release(slice_id, fencing_token)
+                ownership.on_release_finished(slice_id)
+
+    def _on_request_failed(self, request: RegistryRequest) -> None:
+        match request:
+            case ClaimSlice(slice_id):
+                self.ownership.on_claim_failed(slice_id)
+            case ReleaseSlice(slice_id):
+                self.ownership.on_release_finished(slice_id)
+            case GrantLease() | KeepAlive():
+                self.ownership.lease.on_request_lost()
+            case AnnounceMember():
+                pass  # announced again while the watch does not show it
--- a/corallanding/registry/watch_messages.py
+++ b/corallanding/registry/watch_messages.py
@@ -1,15 +1,24 @@
-"""What the state of a watch is told, what it asks of the registry, and what it reports to its owner."""
+"""The messages of a watch: what the registry answers, what is requested of it, and what is reported to the owner."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import StrEnum
 
 Key = bytes
 
 
+class WatchPhase(StrEnum):
+    """What a watch is waiting for."""
+
+    DISCONNECTED = "disconnected"
+    LISTING = "listing"
+    WATCHING = "watching"
+
+
 @dataclass(frozen=True)
 class ResponseHeader:
-    """Every answer's: which cluster, and its revision when it answered."""
+    """What every answer says of its sender: the cluster, and the revision at which it answered."""
 
     cluster_id: int
     revision: int
@@ -17,19 +26,19 @@
 
 @dataclass(frozen=True)
 class KeyValue:
-    """One key as of `revision`; value None: deleted."""
+    """One key as of `revision`; a value of None says that it was deleted."""
 
     key: Key
     value: bytes | None
     revision: int
 
 
-# ---- asked of the registry ---------------------------------------------------------------------------------
+# ---- requested of the registry -------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True)
 class ListPage:
-    """Read a page of the prefix: keys from `after` on (exclusive, b"" is the start), at `revision` (0: now)."""
+    """Read a page of the prefix: keys after `after_key` (b"": from the first one), at `revision` (0: the present)."""
 
     after_key: Key = b""
     revision: int = 0
@@ -44,18 +53,18 @@
 
 @dataclass(frozen=True)
 class Disconnect:
-    """Give up the connection; `wait` ms, then connect again."""
+    """Close the connection, and open another after `retry_after_ms`."""
 
     retry_after_ms: float
     reason: str
 
 
-# ---- told to the owner -------------------------------------------------------------------------------------
+# ---- reported to the owner -----------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True)
 class ViewChange:
-    """What changed, as one step. whole: by a full read, whose difference this is; else of one revision."""
+    """What changed in one step: in one revision or, with `is_full_read`, since the view before a full read."""
 
     changes: tuple[KeyValue, ...]
     revision: int
@@ -64,15 +73,18 @@
 
 @dataclass(frozen=True)
 class LogMessage:
+    """Something that operators should know."""
+
     text: str
 
 
-WatchAction = ListPage | StartWatch | Disconnect | ViewChange | LogMessage
+WatchRequest = ListPage | StartWatch | Disconnect
+WatchAction = WatchRequest | ViewChange | LogMessage
 
 
 @dataclass(frozen=True)
 class WatchLimits:
-    """wait, wait_most: ms between tries, doubling, jittered. reads_per_min: full reads. page: keys a page."""
+    """Bounds of a watch. The backoff between connections doubles from the minimum to the maximum, with jitter."""
 
     min_backoff_ms: float = 100.0
     max_backoff_ms: float = 10_000.0
--- a/corallanding/registry/watch_state.py
+++ b/corallanding/registry/watch_state.py
@@ -1,8 +1,9 @@
-"""Following one prefix of a registry: read it at a revision, watch from the next, through breaks and compactions.
+"""Keeps a copy of one prefix of a registry: list it at a revision, then watch from the next one. No I/O.
 
-Sans-I/O: what the registry says goes in, what is to be asked and what changed comes out. Every change is handed
-out once, in the order of revisions, and a view is never set back: an answer from the past is refused, and asked
-for again. Only a registry of another cluster id (restored from a backup) is started over with, and that is said.
+Answers of the registry go in; requests to it and changes of the copy come out. Every change is reported once, in the
+order of revisions, over disconnections and compactions. The copy never goes back: an answer of an older revision is
+refused and requested again. Only a registry with another cluster id (one restored from a backup) is listed anew, which
+is logged.
 """
 
 from __future__ import annotations
@@ -21,19 +22,28 @@
     ViewChange,
     WatchAction,
     WatchLimits,
+    WatchPhase,
 )
 
+MAX_BACKOFF_DOUBLINGS = 20
+MIN_JITTER = 0.1  # the smallest fraction of a backoff that is waited
+MS_PER_MINUTE = 60_000.0
+
 
 @dataclass
 class WatchState:
-    """chance(): a number in [0, 1), from the owner's seed, to spread those that come back at once."""
+    """The copy (`view`) as of `revision`, up to which all changes were reported.
+
+    random: returns numbers in [0, 1), by which reconnections of many clients are spread. read_tokens: how many full
+    reads may begin now (a token bucket). listed, listed_revision: the pages of a full read so far.
+    """
 
     limits: WatchLimits
     random: Callable[[], float]
     view: dict[Key, KeyValue] = field(default_factory=dict)
-    revision: int = 0  # all changes up to here were handed out
+    revision: int = 0
     cluster_id: int = 0
-    phase: str = "down"  # "down", "listing" or "watching"
+    phase: WatchPhase = WatchPhase.DISCONNECTED
     failed_attempts: int = 0
     listed: dict[Key, KeyValue] = field(default_factory=dict)
     listed_revision: int = 0
@@ -42,157 +52,183 @@
     read_tokens_at_ms: float = 0.0
 
     def __post_init__(self) -> None:
-        self.read_tokens = max(1.0, self.limits.max_full_reads_per_minute / 2)
+        self.read_tokens = self._max_read_tokens
 
-    # ---- connection ------------------------------------------------------------------------------------
+    # ---- the connection ----------------------------------------------------------------------------------------------
 
     def on_connected(self, now: float) -> list[WatchAction]:
-        """A way to the registry is there: go on where it broke, or read all."""
+        """Begin on a new connection: watch from where the last one ended, or list everything."""
         self.fragments = []
         if self.revision:
-            self.phase = "watching"
+            self.phase = WatchPhase.WATCHING
             return [StartWatch(self.revision + 1)]
-        return self.start_listing(now)
+        return self._start_listing(now)
 
-    def on_disconnected(self, now: float, why: str) -> list[WatchAction]:
-        """The way is gone, or was given up. Nothing of a half-read page or fragment is used."""
-        self.phase, self.listed, self.fragments = "down", {}, []
-        # Full jitter: fifty that lost the same registry must not come back together.
-        most = min(self.limits.max_backoff_ms, self.limits.min_backoff_ms * 2 ** min(self.failed_attempts, 20))
+    def on_disconnected(self, reason: str) -> list[WatchAction]:
+        """Note that the connection is lost or given up. Incomplete listings and fragments are discarded."""
+        self.phase = WatchPhase.DISCONNECTED
+        self.listed = {}
+        self.fragments = []
+        doublings = min(self.failed_attempts, MAX_BACKOFF_DOUBLINGS)
+        backoff_ms = min(self.limits.max_backoff_ms, self.limits.min_backoff_ms * 2**doublings)
         self.failed_attempts += 1
-        return [Disconnect(most * (0.1 + 0.9 * self.random()), why)]
-
-    def start_listing(self, now: float) -> list[WatchAction]:
-        """A full read, if the budget allows it now; else later."""
-        rate = self.limits.max_full_reads_per_minute / 60_000.0
-        self.read_tokens = min(
-            max(1.0, self.limits.max_full_reads_per_minute / 2),
-            self.read_tokens + (now - self.read_tokens_at_ms) * rate,
-        )
-        self.read_tokens_at_ms = now
-        if self.read_tokens < 1.0:
-            self.phase = "down"
-            return [Disconnect((1.0 - self.read_tokens) / rate, "full reads are bounded")]
-        self.read_tokens -= 1.0
-        self.phase, self.listed, self.listed_revision = "listing", {}, 0
-        return [ListPage()]
+        jitter = MIN_JITTER + (1.0 - MIN_JITTER) * self.random()
+        return [Disconnect(backoff_ms * jitter, reason)]
 
-    def check_cluster(self, now: float, header: ResponseHeader) -> list[WatchAction] | None:
-        """Checks who answers. None: go on. Else what to do instead of using the answer."""
-        if not self.cluster_id:
-            self.cluster_id = header.cluster_id
-        if header.cluster_id != self.cluster_id:
-            say = LogMessage(f"another cluster ({header.cluster_id:x} after {self.cluster_id:x}): starting over")
-            self.cluster_id, self.revision = header.cluster_id, 0
-            self.phase, self.fragments = "listing", []
-            return [say, *self.start_listing(now)]
-        return None
-
-    # ---- a full read -----------------------------------------------------------------------------------
-
-    def on_page(self, now: float, header: ResponseHeader, rows: Sequence[KeyValue], more: bool) -> list[WatchAction]:
-        """A page of a full read has come."""
-        if self.phase != "listing":
+    # ---- a full read -------------------------------------------------------------------------------------------------
+
+    def on_page(
+        self, now: float, header: ResponseHeader, page: Sequence[KeyValue], *, has_more: bool
+    ) -> list[WatchAction]:
+        """Take a page of a full read."""
+        if self.phase is not WatchPhase.LISTING:
             return []
-        if instead := self.check_cluster(now, header):
-            return instead
+        if restart := self._check_cluster(now, header):
+            return restart
         if header.revision < max(self.revision, self.listed_revision):
-            # A member that lags behind: what it says would undo what is known.
-            return self.on_disconnected(now, f"answer of revision {header.revision}, {self.revision} is known")
+            # A member that lags behind: its answer would undo changes that are known.
+            return self.on_disconnected(f"answer of revision {header.revision}, {self.revision} is known")
         if not self.listed_revision:
-            self.listed_revision = header.revision  # all pages are read at the first one's revision
-        for row in rows:
-            self.listed[row.key] = row
+            self.listed_revision = header.revision  # all pages are read at the revision of the first one
+        for key_value in page:
+            self.listed[key_value.key] = key_value
         if len(self.listed) > self.limits.max_keys:
-            return self.on_disconnected(now, f"more than {self.limits.max_keys} keys")
-        if more and rows:
-            return [ListPage(rows[-1].key, self.listed_revision)]
-        self.failed_attempts = 0
-        new, self.listed = self.listed, {}
-        at = self.listed_revision
-        changed = [r for r in new.values() if self.view.get(r.key) != r]
-        changed += [KeyValue(k, None, at) for k in self.view if k not in new]
-        self.view, self.revision, self.phase = new, at, "watching"
-        delta = [ViewChange(tuple(sorted(changed, key=lambda r: (r.revision, r.key))), at, True)] if changed else []
-        return [*delta, StartWatch(at + 1)]
+            return self._too_many_keys()
+        if has_more and page:
+            return [ListPage(page[-1].key, self.listed_revision)]
+        return self._finish_listing()
 
     def on_page_compacted(self, now: float) -> list[WatchAction]:
-        """The revision that a page was asked at is compacted away meanwhile: read again from the start."""
-        return self.start_listing(now) if self.phase == "listing" else []
+        """Begin the full read again: the revision of its first page was compacted away."""
+        return self._start_listing(now) if self.phase is WatchPhase.LISTING else []
 
-    # ---- a watch ---------------------------------------------------------------------------------------
+    # ---- a watch -----------------------------------------------------------------------------------------------------
+
+    def on_watch_created(self, now: float, header: ResponseHeader) -> list[WatchAction]:
+        """Note that the registry serves the watch. A member that lags behind may: it sends nothing of the past."""
+        if self.phase is not WatchPhase.WATCHING:
+            return []
+        return self._check_cluster(now, header)
 
     def on_changes(
-        self, now: float, header: ResponseHeader, rows: Sequence[KeyValue], fragment: bool = False
+        self, now: float, header: ResponseHeader, changes: Sequence[KeyValue], *, is_fragment: bool = False
     ) -> list[WatchAction]:
-        """Changes have come, in order; `fragment`: more of the same answer follow."""
-        if self.phase != "watching":
+        """Take changes, in order. is_fragment: more changes of the same answer follow."""
+        if self.phase is not WatchPhase.WATCHING:
             return []
-        if instead := self.check_cluster(now, header):
-            return instead
+        if restart := self._check_cluster(now, header):
+            return restart
         self.failed_attempts = 0
-        self.fragments += rows
-        if fragment:
-            if len(self.fragments) > self.limits.max_fragmented_changes:
-                return self.on_disconnected(
-                    now, f"more than {self.limits.max_fragmented_changes} changes in one answer"
-                )
-            return []
-        rows, self.fragments = self.fragments, []
-        out: list[WatchAction] = []
-        at = 0
-        for row in rows:
-            if row.revision < at:
-                return [*out, *self.on_disconnected(now, f"revision {row.revision} after {at}: out of order")]
-            at = row.revision
-        steps: dict[int, dict[Key, KeyValue]] = {}
-        for row in rows:
-            if row.revision > self.revision:  # else it was handed out before the way broke
-                steps.setdefault(row.revision, {})[row.key] = row
-        for revision, changed in steps.items():
-            real = []
-            for row in changed.values():
-                if row.value is not None:
-                    self.view[row.key] = row
-                    real.append(row)
-                elif self.view.pop(row.key, None):
-                    real.append(row)
-            self.revision = revision
-            if len(self.view) > self.limits.max_keys:
-                return [*out, *self.on_disconnected(now, f"more than {self.limits.max_keys} keys")]
-            if real:
-                out.append(ViewChange(tuple(real), revision, False))
-        return out
+        self.fragments += changes
+        if not is_fragment:
+            complete = self.fragments
+            self.fragments = []
+            return self._apply(complete)
+        if len(self.fragments) > self.limits.max_fragmented_changes:
+            return self.on_disconnected(f"more than {self.limits.max_fragmented_changes} changes in one answer")
+        return []
 
     def on_progress(self, now: float, header: ResponseHeader) -> list[WatchAction]:
-        """All changes up to the header's revision were sent: a resume may begin after it."""
-        if self.phase != "watching":
+        """Note that all changes up to the header's revision were sent: a later watch may begin after it."""
+        if self.phase is not WatchPhase.WATCHING:
             return []
-        if instead := self.check_cluster(now, header):
-            return instead
+        if restart := self._check_cluster(now, header):
+            return restart
         self.failed_attempts = 0
         if not self.fragments and header.revision > self.revision:
             self.revision = header.revision
         return []
 
-    def on_watch_created(self, now: float, header: ResponseHeader) -> list[WatchAction]:
-        """The watch stands. A member that has not even our revision will send nothing of the past: it may stay."""
-        if self.phase != "watching":
-            return []
-        return self.check_cluster(now, header) or []
-
     def on_watch_cancelled(
-        self, now: float, header: ResponseHeader | None, compacted: int, why: str
+        self, now: float, header: ResponseHeader | None, compact_revision: int, reason: str
     ) -> list[WatchAction]:
-        """The registry ended the watch. compacted: the oldest revision that it still has, 0 if that is not why."""
-        if self.phase != "watching":
+        """Note that the registry ended the watch. compact_revision: the oldest one it has, 0 if that is not why."""
+        if self.phase is not WatchPhase.WATCHING:
             return []
         self.fragments = []
-        if header and (instead := self.check_cluster(now, header)):
-            return instead
-        if compacted > self.revision:
-            return [
-                LogMessage(f"revision {self.revision} is compacted away ({compacted}): full read"),
-                *self.start_listing(now),
-            ]
-        return self.on_disconnected(now, f"watch cancelled: {why}")
+        if header and (restart := self._check_cluster(now, header)):
+            return restart
+        if compact_revision > self.revision:
+            message = LogMessage(f"revision {self.revision} is compacted away ({compact_revision}): full read")
+            return [message, *self._start_listing(now)]
+        return self.on_disconnected(f"watch cancelled: {reason}")
+
+    # ---- steps -------------------------------------------------------------------------------------------------------
+
+    @property
+    def _max_read_tokens(self) -> float:
+        return max(1.0, self.limits.max_full_reads_per_minute / 2)
+
+    def _start_listing(self, now: float) -> list[WatchAction]:
+        """Begin a full read, or wait until the bound on full reads allows it."""
+        tokens_per_ms = self.limits.max_full_reads_per_minute / MS_PER_MINUTE
+        refilled = self.read_tokens + (now - self.read_tokens_at_ms) * tokens_per_ms
+        self.read_tokens = min(self._max_read_tokens, refilled)
+        self.read_tokens_at_ms = now
+        if self.read_tokens < 1.0:
+            self.phase = WatchPhase.DISCONNECTED
+            return [Disconnect((1.0 - self.read_tokens) / tokens_per_ms, "full reads are bounded")]
+        self.read_tokens -= 1.0
+        self.phase = WatchPhase.LISTING
+        self.listed = {}
+        self.listed_revision = 0
+        return [ListPage()]
+
+    def _check_cluster(self, now: float, header: ResponseHeader) -> list[WatchAction]:
+        """Nothing if the known cluster answered; else what to do instead of using the answer."""
+        if not self.cluster_id:
+            self.cluster_id = header.cluster_id
+        if header.cluster_id == self.cluster_id:
+            return []
+        message = LogMessage(f"another cluster ({header.cluster_id:x} after {self.cluster_id:x}): starting over")
+        self.cluster_id = header.cluster_id
+        self.revision = 0
+        self.phase = WatchPhase.LISTING
+        self.fragments = []
+        return [message, *self._start_listing(now)]
+
+    def _finish_listing(self) -> list[WatchAction]:
+        """Replace the view by what was listed, report the difference, and watch from there."""
+        self.failed_attempts = 0
+        view = self.listed
+        revision = self.listed_revision
+        changes = [key_value for key_value in view.values() if self.view.get(key_value.key) != key_value]
+        changes += [KeyValue(key, None, revision) for key in self.view if key not in view]
+        changes.sort(key=lambda change: (change.revision, change.key))
+        self.listed = {}
+        self.view = view
+        self.revision = revision
+        self.phase = WatchPhase.WATCHING
+        start = StartWatch(revision + 1)
+        return [ViewChange(tuple(changes), revision, is_full_read=True), start] if changes else [start]
+
+    def _apply(self, changes: list[KeyValue]) -> list[WatchAction]:
+        """Apply the changes of a whole answer, and report them revision by revision."""
+        previous = 0
+        for change in changes:
+            if change.revision < previous:
+                return self.on_disconnected(f"revision {change.revision} after {previous}: out of order")
+            previous = change.revision
+        by_revision: dict[int, dict[Key, KeyValue]] = {}
+        for change in changes:
+            if change.revision > self.revision:  # older ones were reported before the connection was lost
+                by_revision.setdefault(change.revision, {})[change.key] = change
+        actions: list[WatchAction] = []
+        for revision, changes_by_key in by_revision.items():
+            effective = tuple(change for change in changes_by_key.values() if self._store(change))
+            self.revision = revision
+            if len(self.view) > self.limits.max_keys:
+                return [*actions, *self._too_many_keys()]
+            if effective:
+                actions.append(ViewChange(effective, revision, is_full_read=False))
+        return actions
+
+    def _store(self, change: KeyValue) -> bool:
+        """Put one change into the view; false if it deletes a key that is not there."""
+        if change.value is None:
+            return self.view.pop(change.key, None) is not None
+        self.view[change.key] = change
+        return True
+
+    def _too_many_keys(self) -> list[WatchAction]:
+        return self.on_disconnected(f"more than {self.limits.max_keys} keys")
--- a/corallanding/registry/watcher.py
+++ b/corallanding/registry/watcher.py
@@ -1,11 +1,12 @@
-"""Drives `sync` over connections: asks what it wants asked, hands on what it tells. No decision here."""
+"""Runs a `WatchState` over connections: sends its requests, and reports what it says. No decisions are made here."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
-from typing import Generic, TypeVar
+from typing import Generic, Protocol, TypeVar
 
+from ..errors import CorallandingError
 from .connection import RegistryConnection
 from .errors import CompactedError, RegistryUnavailableError
 from .watch_messages import (
@@ -17,104 +18,139 @@
     StartWatch,
     ViewChange,
     WatchAction,
+    WatchRequest,
 )
 from .watch_state import WatchState
 
+MS_PER_SECOND = 1000.0
+
 ConnectionT = TypeVar("ConnectionT", bound=RegistryConnection)
 
 
-class WatchInterrupted(Exception):
-    """The watch has told something that ends it: what to ask instead."""
+class ViewListener(Protocol):
+    """The owner of a watched prefix."""
+
+    def on_watching(self) -> None:
+        """The view is complete, and watched from here on."""
+
+    def on_view_change(self, change: ViewChange) -> None:
+        """Something changed; every change is reported once, in order."""
+
+    def on_watch_failure(self, text: str) -> None:
+        """Something that operators should know."""
+
+    def on_disconnected(self) -> None:
+        """The connection is lost."""
+
 
-    def __init__(self, then: ListPage | StartWatch | Disconnect) -> None:
+class WatchInterruptedError(CorallandingError):
+    """A report of the watch calls for another request, which ends the watch."""
+
+    def __init__(self, next_request: WatchRequest) -> None:
         super().__init__()
-        self.next_request = then
+        self.next_request = next_request
 
 
-class Watcher(Generic[ConnectionT]):
-    """dial(): a new connection; clock: ms. delta: every change, in order. said: what staff should know.
+class MissingRequestError(CorallandingError):
+    """The state says nothing of what to do next: a mistake in it."""
 
-    up(): the view is whole now, and followed; down(): the way is gone.
-    """
+
+class Watcher(Generic[ConnectionT]):
+    """Keeps one prefix watched. connect: opens a new connection. clock: ms."""
 
     def __init__(
         self,
-        dial: Callable[[], ConnectionT],
+        connect: Callable[[], ConnectionT],
         prefix: bytes,
-        sync: WatchState,
+        state: WatchState,
         clock: Callable[[], float],
-        delta: Callable[[ViewChange], None],
-        said: Callable[[str], None],
-        up: Callable[[], None],
-        down: Callable[[], None] = lambda: None,
+        listener: ViewListener,
     ) -> None:
-        self.connect, self.prefix, self.state, self.clock = dial, prefix, sync, clock
-        self.on_change, self.on_failure, self.on_watching, self.on_disconnected = delta, said, up, down
+        self.connect = connect
+        self.prefix = prefix
+        self.state = state
+        self.clock = clock
+        self.listener = listener
         self.connection: ConnectionT | None = None
 
     async def run(self) -> None:
-        """Until it is cancelled."""
+        """Watch, over one connection after another, until cancelled."""
         while True:
-            self.connection = conn = self.connect()
+            connection = self.connect()
+            self.connection = connection
             try:
-                then = self.perform(self.state.on_connected(self.clock()))
-                while not isinstance(then, Disconnect):
-                    then = await self.send(conn, then)
+                disconnect = await self._serve(connection)
             finally:
                 self.connection = None
-                await conn.close()
-            self.on_disconnected()
-            self.on_failure(f"registry: {then.reason}")
-            await asyncio.sleep(then.retry_after_ms / 1000.0)
+                await connection.close()
+            self.listener.on_disconnected()
+            self.listener.on_watch_failure(f"registry: {disconnect.reason}")
+            await asyncio.sleep(disconnect.retry_after_ms / MS_PER_SECOND)
 
-    async def send(self, conn: ConnectionT, what: ListPage | StartWatch) -> ListPage | StartWatch | Disconnect:
-        sync = self.state
-        try:
-            if isinstance(what, ListPage):
-                header, rows, more = await conn.list_page(
-                    self.prefix, what.after_key, what.revision, sync.limits.page_size
-                )
-                return self.perform(sync.on_page(self.clock(), header, rows, more))
-            await conn.watch(self.prefix, what.revision, self)
-            return self.perform(sync.on_disconnected(self.clock(), "the watch ended"))
-        except WatchInterrupted as s:
-            return s.next_request
-        except CompactedError:
-            return self.perform(sync.on_page_compacted(self.clock()))
-        except RegistryUnavailableError as fault:
-            return self.perform(sync.on_disconnected(self.clock(), str(fault)))
-
-    def perform(self, actions: list[WatchAction]) -> ListPage | StartWatch | Disconnect:
-        """Tell what is to be told; what is to be asked next."""
-        then: ListPage | StartWatch | Disconnect | None = None
-        for a in actions:
-            if isinstance(a, LogMessage):
-                self.on_failure(f"registry: {a.text}")
-            elif isinstance(a, ViewChange):
-                self.on_change(a)
-            else:
-                then = a
-        assert then is not None
-        if isinstance(then, StartWatch):
-            self.on_watching()
-        return then
-
-    # ---- what a watch tells ----------------------------------------------------------------------------
-
-    def perform_watch_actions(self, actions: list[WatchAction]) -> None:
-        for k, a in enumerate(actions):
-            if not isinstance(a, ViewChange):
-                raise WatchInterrupted(self.perform(actions[k:]))
-            self.on_change(a)
+    # ---- what a watch reports (`connection.WatchListener`) -----------------------------------------------------------
 
     def on_created(self, header: ResponseHeader) -> None:
-        self.perform_watch_actions(self.state.on_watch_created(self.clock(), header))
+        """The registry serves the watch."""
+        self._perform_watch_actions(self.state.on_watch_created(self.clock(), header))
 
-    def on_changes(self, header: ResponseHeader, rows: list[KeyValue], fragment: bool) -> None:
-        self.perform_watch_actions(self.state.on_changes(self.clock(), header, rows, fragment))
+    def on_changes(self, header: ResponseHeader, changes: list[KeyValue], *, is_fragment: bool) -> None:
+        """Changes, in order."""
+        actions = self.state.on_changes(self.clock(), header, changes, is_fragment=is_fragment)
+        self._perform_watch_actions(actions)
 
     def on_progress(self, header: ResponseHeader) -> None:
-        self.perform_watch_actions(self.state.on_progress(self.clock(), header))
+        """All changes up to the header's revision were sent."""
+        self._perform_watch_actions(self.state.on_progress(self.clock(), header))
+
+    def on_cancelled(self, header: ResponseHeader | None, compact_revision: int, reason: str) -> None:
+        """The registry ended the watch."""
+        self._perform_watch_actions(self.state.on_watch_cancelled(self.clock(), header, compact_revision, reason))
 
-    def on_cancelled(self, header: ResponseHeader | None, compacted: int, why: str) -> None:
-        self.perform_watch_actions(self.state.on_watch_cancelled(self.clock(), header, compacted, why))
+    # ---- steps -------------------------------------------------------------------------------------------------------
+
+    async def _serve(self, connection: ConnectionT) -> Disconnect:
+        request = self._perform(self.state.on_connected(self.clock()))
+        while not isinstance(request, Disconnect):
+            request = await self._send(connection, request)
+        return request
+
+    async def _send(self, connection: ConnectionT, request: ListPage | StartWatch) -> WatchRequest:
+        """Send one request and return the next one."""
+        state = self.state
+        try:
+            if isinstance(request, ListPage):
+                page_size = state.limits.page_size
+                page = await connection.list_page(self.prefix, request.after_key, request.revision, page_size)
+                actions = state.on_page(self.clock(), page.header, page.key_values, has_more=page.has_more)
+                return self._perform(actions)
+            await connection.watch(self.prefix, request.revision, self)
+            return self._perform(state.on_disconnected("the watch ended"))
+        except WatchInterruptedError as interruption:
+            return interruption.next_request
+        except CompactedError:
+            return self._perform(state.on_page_compacted(self.clock()))
+        except RegistryUnavailableError as error:
+            return self._perform(state.on_disconnected(str(error)))
+
+    def _perform(self, actions: list[WatchAction]) -> WatchRequest:
+        """Report what is to be reported, and return what is to be requested next."""
+        request: WatchRequest | None = None
+        for action in actions:
+            if isinstance(action, LogMessage):
+                self.listener.on_watch_failure(f"registry: {action.text}")
+            elif isinstance(action, ViewChange):
+                self.listener.on_view_change(action)
+            else:
+                request = action
+        if request is None:
+            raise MissingRequestError("no request follows")
+        if isinstance(request, StartWatch):
+            self.listener.on_watching()
+        return request
+
+    def _perform_watch_actions(self, actions: list[WatchAction]) -> None:
+        """Report changes; anything else ends the watch."""
+        for position, action in enumerate(actions):
+            if not isinstance(action, ViewChange):
+                raise WatchInterruptedError(self._perform(actions[position:]))
+            self.listener.on_view_change(action)
--- /dev/null
+++ b/tests/registry/test_shared_slices.py
@@ -0,0 +1,133 @@
+"""Two whole controllers share slices through the stand-in registry; what their proxies received is compared."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from pathlib import Path
+from typing import Any
+
+from sockets import CONFIG, Peer, Running, until
+
+from corallanding.assignment import Assigner
+from corallanding.lab.registry import Registry
+from corallanding.wire import frames
+
+BLOCK = """registry {
+  address = "127.0.0.1:%d"
+  wait_ms = 20
+  charge = true
+  lease_ms = 1000
+}
+probe {
+  allowed = false
+}
+"""
+SLICES = 8
+
+
+class ProxyTables:
+    """A proxy's end of one controller's connection: its tables, in the order in which they came."""
+
+    def __init__(self) -> None:
+        self.tables: dict[int, dict[int, float]] = {}
+        self.withdrawn: set[int] = set()
+
+    async def listen(self, peer: Peer) -> None:
+        seen = 0
+        while True:
+            data = await peer.reader.read(65536)
+            if not data:
+                return
+            peer.got += peer.frames.feed(data)
+            for frame in peer.got[seen:]:
+                seen += 1
+                self.take(peer, frame)
+
+    def take(self, peer: Peer, frame: Any) -> None:
+        if isinstance(frame, frames.Tables):
+            for slice_id, lines in frame.tables:
+                self.tables[slice_id] = dict(lines)
+                self.withdrawn.discard(slice_id)
+        elif isinstance(frame, frames.Orders):
+            self.apply(frame)
+            if frame.mark >= 0:
+                peer.say(frames.Ack(frame.mark))
+        elif isinstance(frame, frames.Beat):
+            peer.say(frames.Beat(1.0))
+
+    def apply(self, orders: Any) -> None:
+        for slice_id, host, weight in orders.lines:
+            assert slice_id not in self.withdrawn, f"slice {slice_id} was withdrawn, and set again"
+            table = self.tables.setdefault(slice_id, {})
+            table[host] = weight
+            if not weight:
+                del table[host]
+        for slice_id in orders.withdrawn:
+            self.tables.pop(slice_id, None)
+            self.withdrawn.add(slice_id)
+
+
+def are_complete(proxies: list[ProxyTables], among: set[int]) -> bool:
+    """Whether every slice has a table from exactly one controller, and all of `among` sent some."""
+    slices = [slice_id for number in among for slice_id, lines in proxies[number].tables.items() if lines]
+    return sorted(slices) == list(range(SLICES)) and all(proxies[number].tables for number in among)
+
+
+def make_controller(tmp_path: Path, registry: Registry, number: int) -> Running:
+    directory = tmp_path / str(number)
+    directory.mkdir()
+    text = CONFIG.replace('roster {\n  address = "127.0.0.1:1"\n}\n', BLOCK % registry.port)
+    text = text.replace("steward {", f"steward {{\n  number = {number}\n  stewards = 2")
+    text = text.replace("count = 4", f"count = {SLICES}").replace("%", "%%").replace('"%%s"', '"%s"')
+    return Running(directory, decider=Assigner, config=text)
+
+
+async def check_registry_outage(registry: Registry, controllers: list[Running], proxies: list[ProxyTables]) -> None:
+    """The registry is gone for less than a lease: tables stand, and a drain that is known still goes out."""
+    await registry.stop()
+    drain = {"host": 0, "state": "draining", "address": "127.0.0.1:9000"}
+    controllers[0].steward.host_sources.on_host_rows(False, 10_000, [drain])
+    first = proxies[0].tables
+    concerned = {slice_id for slice_id, table in first.items() if set(table) == {0}}
+    await until(lambda: all(0 not in first.get(slice_id, {}) for slice_id in concerned), 3)
+    assert all(first.get(slice_id) for slice_id in concerned) or not concerned
+    await registry.start()
+    await until(lambda: are_complete(proxies, {0, 1}), 20)
+
+
+async def share_and_hand_over(tmp_path: Path) -> None:
+    registry = Registry()
+    await registry.start()
+    for host in range(4):
+        await registry.put(f"/corallanding/hosts/{host}", {"address": f"127.0.0.1:{9000 + host}", "state": "up"})
+    controllers = [make_controller(tmp_path, registry, number) for number in (0, 1)]
+    proxies = [ProxyTables(), ProxyTables()]
+    tasks = []
+    async with controllers[0], controllers[1]:
+        for controller, proxy in zip(controllers, proxies, strict=True):
+            peer = await controller.peer()
+            peer.hello(1)
+            tasks.append(asyncio.create_task(proxy.listen(peer)))
+        await until(lambda: are_complete(proxies, {0, 1}), 15)
+        stored = {key: json.loads(found.value) for key, found in registry.store.keys.items() if b"tables/" in key}
+        assert len(stored) == SLICES, "tables are stored in the registry"
+        before = {slice_id: dict(table) for proxy in proxies for slice_id, table in proxy.tables.items()}
+        await check_registry_outage(registry, controllers, proxies)
+
+        # A planned end: all slices go to the other, with their tables.
+        await controllers[0].steward.retire()
+        await until(lambda: are_complete(proxies, {1}), 15)
+        unchanged = sum(proxies[1].tables[slice_id] == before[slice_id] for slice_id in range(SLICES))
+        assert unchanged >= SLICES // 2, "a slice is handed over with its table, not assigned anew"
+    for task in tasks:
+        task.cancel()
+    await registry.stop()
+
+
+def test_controllers_when_the_registry_fails_or_one_leaves_then_every_slice_keeps_its_table(tmp_path: Path) -> None:
+    async def bounded() -> None:
+        async with asyncio.timeout(60):
+            await share_and_hand_over(tmp_path)
+
+    asyncio.run(bounded())
--- a/tests/store/test_conformance.py
+++ b/tests/store/test_conformance.py
@@ -16,9 +16,9 @@
 from sockets import until
 
 from corallanding.lab.registry import Registry
+from corallanding.registry.controller_lease import OwnershipTimings
 from corallanding.registry.etcd import EtcdConnection
-from corallanding.registry.slice_ownership import OwnershipTimings
-from corallanding.registry.table_store import TableStore
+from corallanding.registry.table_store import TableStore, TableStoreConfig
 from corallanding.registry.watch_messages import WatchLimits
 from corallanding.store import SqliteStore
 
@@ -92,16 +92,19 @@
                 task.cancel()
         seat = Seat()
         me = len(self.keepers)
-        keeper = TableStore(
-            lambda: EtcdConnection(f"127.0.0.1:{self.registry.port}", 400.0),
+        config = TableStoreConfig(
             "/t/",
             me,
             range(4),
+            OwnershipTimings(lease_ttl_ms=1000.0, settle_ms=50.0),
+            WatchLimits(min_backoff_ms=20.0, max_backoff_ms=100.0, max_full_reads_per_minute=600.0),
+        )
+        keeper = TableStore(
+            config,
+            lambda: EtcdConnection(f"127.0.0.1:{self.registry.port}", 400.0),
             seat,
             lambda: time.monotonic() * 1000.0,
             random.Random(me).random,
-            OwnershipTimings(lease_ttl_ms=1000.0, settle_ms=50.0),
-            WatchLimits(min_backoff_ms=20.0, max_backoff_ms=100.0, max_full_reads_per_minute=600.0),
         )
         self.keepers.append(keeper)
         keeper.start()
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -33,7 +33,8 @@
 from corallanding.lease.shard_allocator import ShardAllocator
 from corallanding.lease.shard_plan import plan_shards
 from corallanding.lease.tasks import SHARDS, TaskCatalog, TaskSpec, pack, shard_list, unpack
-from corallanding.registry.slice_ownership import OwnershipTimings, SliceOwnership
+from corallanding.registry.controller_lease import OwnershipTimings
+from corallanding.registry.slice_ownership import SliceOwnership
 
 TIGHT = LeaseTimings(lease_ms=600.0, vote_lease_ms=400.0)
 LONG = LeaseTimings(lease_ms=1_500.0, vote_lease_ms=300.0)  # leases that outlast the office under which they were dealt
@@ -213,8 +214,8 @@
     assert not desk.is_leader(0.0)
     assert desk.term is None
     assert desk.leader == (None, 0, 0)
-    ownership.on_connection_change(True)
-    ownership.lease_requested_at_ms = 0.0
+    ownership.on_connection_change(is_connected=True)
+    ownership.lease.requested_at_ms = 0.0
     ownership.on_lease_granted(10.0, 5)
     ownership.on_claim_result(20.0, 0, 5, 41)
     assert desk.is_leader(30.0)
@@ -224,7 +225,7 @@
     before = desk.max_token
     assert not desk.is_leader(760.0) and desk.term is None, "a margin before the registry could end it"
     ownership.on_lease_lost()
-    ownership.lease_requested_at_ms = 2_000.0
+    ownership.lease.requested_at_ms = 2_000.0
     ownership.on_lease_granted(2_010.0, 6)
     ownership.on_claim_result(2_020.0, 0, 6, 58)
     assert desk.is_leader(2_030.0) and desk.first_token(1e15) > before, "whatever the wall clock says"
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -65,7 +65,6 @@
         "lab/registry.py",
         "lab/runner.py",
         "load_reports/load_estimator.py",
-        "registry/table_store.py",
     }
 )
 
