--- a/corallanding/controller/quota_service.py
+++ b/corallanding/controller/quota_service.py
@@ -24,7 +24,9 @@
     budgets = {}
     for name, block in config.budget.items():
         span_ms = RATE_SPAN_MS if block.unit == "per_s" else block.span_ms or config.rules.cold_ms
-        budgets[name] = quota.Budget(name, block.whole, block.floor, config.max_controllers, span_ms, block.per)
+        budgets[name] = quota.Budget(
+            name, block.whole, block.floor, config.max_controllers, span_ms, quota.BudgetScope(block.per)
+        )
     return budgets
 
 
@@ -64,7 +66,7 @@
     @staticmethod
     def is_valid(message: Any) -> bool:
         """Whether the fields of a message lie within what a correct controller sends."""
-        return messages.sound(message)
+        return messages.is_valid(message)
 
     def on_tick(self, tick: Tick) -> None:
         """Send what is due, and log a change of this controller's leadership."""
@@ -129,7 +131,7 @@
             granted[name] += core.client.floor(now, account.budget) + (
                 account.granted if now < account.expires_at_ms else 0
             )
-            in_use[name] += account.count(now, account.uses)
+            in_use[name] += account.uses.count(now)
         for name in core.budgets:
             self.context.metrics.quota_granted.labels(name).set(granted[name])
             self.context.metrics.quota_in_use.labels(name).set(in_use[name])
@@ -137,7 +139,7 @@
     def reload(self, config: ControllerConfig) -> None:
         """Take new sizes of budgets; nothing else of them may change while the controller runs."""
         sizes = {name: budget.capacity for name, budget in configured_quotas(config).items()}
-        self.core.resize(self.context.clock(), sizes)
+        self.core.resize(sizes)
 
     def leave(self) -> list[OutgoingMessage]:
         """Give back what is granted and not in use."""
--- a/corallanding/lab/stewards/figures.py
+++ b/corallanding/lab/stewards/figures.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from ...quota import Budget, QuotaLimits
+from ...quota import Budget, BudgetScope, QuotaLimits
 from ..uses import most
 from .world import World, troubled
 
@@ -20,7 +20,7 @@
     """floors: the share of each whole that is in fixed parts; 0: all is divided by demand, 1: nothing is."""
     found = (
         Budget("moves", max(WHOLE, stewards), 0, stewards, SPAN),
-        Budget("cold", max(12, stewards), 0, stewards, 3_000.0, "host"),
+        Budget("cold", max(12, stewards), 0, stewards, 3_000.0, BudgetScope.HOST),
     )
     return {b.name: replace(b, floor=int(b.capacity * floors / stewards)) for b in found}
 
@@ -94,7 +94,7 @@
         else:
             w.start(stewards)
             held = w.processes[stewards].quota.client
-            took = until(w, lambda: any(a.uses for a in held.accounts.values()))  # noqa: B023
+            took = until(w, lambda: any(a.uses.buckets for a in held.accounts.values()))  # noqa: B023
             out.append(Change("first right of a newcomer", took))
             continue
         begun = w.now
--- a/corallanding/quota/fair_share.py
+++ b/corallanding/quota/fair_share.py
@@ -1,26 +1,29 @@
-"""Whole rights among those who want them: as even as can be, nobody more than it wants."""
+"""Max-min fair division of whole units among those that want them."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
 
-def share(pool: int, wants: Mapping[int, int], turn: int = 0) -> dict[int, int]:
-    """Max-min fair. turn: where the units that are left over begin to be given out, so that they do not always go to
-    the same; the sum is min(pool, sum of wants)."""
-    out = dict.fromkeys(wants, 0)
-    rest = max(0, pool)
-    hungry = sorted(who for who, want in wants.items() if want > 0)
-    while rest and hungry:
-        each = rest // len(hungry)
-        if not each:
-            first = turn % len(hungry)
-            for who in (hungry[first:] + hungry[:first])[:rest]:
-                out[who] += 1
+def share(pool: int, wants: Mapping[int, int], rotation: int = 0) -> dict[int, int]:
+    """Divide `pool` units max-min fairly; nobody gets more than it wants.
+
+    rotation: whose turn it is to get one of the units that cannot be divided evenly. The shares add up to the pool or,
+    if that is less, to the sum of the wants.
+    """
+    shares = dict.fromkeys(wants, 0)
+    remaining = max(0, pool)
+    unsatisfied = sorted(client for client, wanted in wants.items() if wanted > 0)
+    while remaining and unsatisfied:
+        even_part = remaining // len(unsatisfied)
+        if not even_part:
+            first = rotation % len(unsatisfied)
+            for client in (unsatisfied[first:] + unsatisfied[:first])[:remaining]:
+                shares[client] += 1
             break
-        for who in hungry:
-            part = min(each, wants[who] - out[who])
-            out[who] += part
-            rest -= part
-        hungry = [who for who in hungry if out[who] < wants[who]]
-    return out
+        for client in unsatisfied:
+            part = min(even_part, wants[client] - shares[client])
+            shares[client] += part
+            remaining -= part
+        unsatisfied = [client for client in unsatisfied if shares[client] < wants[client]]
+    return shares
--- a/corallanding/quota/messages.py
+++ b/corallanding/quota/messages.py
@@ -1,54 +1,65 @@
-"""Words between stewards on budgets: msgpack arrays, each within one datagram."""
+"""Messages on quotas between controllers: msgpack arrays, each within one datagram."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 import msgspec
 
 from ..lease.messages import ElectionMessage
 from ..lease.messages import is_valid as is_valid_lease_message
-from ..wire.peer_messages import ControllerMessage
+from ..wire.peer_messages import ControllerMessage, MessageCodec
+
+
+class RequestRow(NamedTuple):
+    """What a client requests of one budget, or of one host of a budget."""
+
+    budget_id: int
+    subject: int
+    wanted: int
+    granted: int  # by a grant that has not expired
+    in_use: int  # at most, beyond the floor
+    grant_round: int  # of the last grant that the client took
+
 
-# budget, subject, wanted, what a good grant holds, the most that may be in use, round of the grant that was taken up
-RequestRow = tuple[int, int, int, int, int, int]
-GrantRow = tuple[int, int, int]  # budget, subject, amount
+class GrantRow(NamedTuple):
+    """What a client is granted of one budget, or of one host of a budget."""
+
+    budget_id: int
+    subject: int
+    amount: int
 
 
 class CapacityRequest(ControllerMessage, frozen=True, array_like=True, tag=14):
-    """to, office: life and round of the last word by which that divider said that it holds the office. So it knows that
-    what a row says was so in its own term, and that no former divider can have lent it to another since."""
+    """A client asks the allocator for capacity.
+
+    allocator, allocator_round: incarnation and round of the last message in which that allocator said that it leads.
+    They tell the allocator that each row was so in its own term, and that no predecessor can have granted it since.
+    """
 
     allocator: int = 0
     allocator_round: int = 0
-    rows: list[RequestRow] = []
+    rows: list[RequestRow] = msgspec.field(default_factory=list)
 
 
 class CapacityGrant(ControllerMessage, frozen=True, array_like=True, tag=15):
-    """The answer to the want of that life and round."""
+    """The answer to the capacity request of that incarnation and round."""
 
-    rows: list[GrantRow] = []
+    rows: list[GrantRow] = msgspec.field(default_factory=list)
 
 
 QuotaMessage = ElectionMessage | CapacityRequest | CapacityGrant
-_decoder: msgspec.msgpack.Decoder[QuotaMessage] = msgspec.msgpack.Decoder(QuotaMessage)
-
-
-def encode(word: QuotaMessage) -> bytes:
-    return msgspec.msgpack.encode(word)
 
 
-def decode(data: bytes) -> QuotaMessage | None:
-    """None for what is no word of ours, or a newer one's that we do not know."""
-    try:
-        word = _decoder.decode(data)
-    except (msgspec.DecodeError, msgspec.ValidationError):
-        return None
-    return word if sound(word) else None
+def is_valid(message: QuotaMessage) -> bool:
+    """Whether every field lies within its bounds."""
+    if isinstance(message, CapacityRequest):
+        return min(message.incarnation, message.round) >= 0 and all(min(row) >= 0 for row in message.rows)
+    if isinstance(message, CapacityGrant):
+        return min(message.incarnation, message.round) >= 0 and all(row.amount >= 0 for row in message.rows)
+    return is_valid_lease_message(message)
 
 
-def sound(word: QuotaMessage) -> bool:
-    """Whether its fields can be meant."""
-    if isinstance(word, CapacityRequest):
-        return min(word.incarnation, word.round) >= 0 and all(min(row) >= 0 for row in word.rows)
-    if isinstance(word, CapacityGrant):
-        return min(word.incarnation, word.round) >= 0 and all(row[2] >= 0 for row in word.rows)
-    return is_valid_lease_message(word)
+_codec: MessageCodec[QuotaMessage] = MessageCodec(QuotaMessage, is_valid)
+encode = _codec.encode
+decode = _codec.decode
--- a/tests/controller/test_quota_service.py
+++ b/tests/controller/test_quota_service.py
@@ -41,9 +41,7 @@
             controller.reload()
             account = quota.core.client.account(controller.clock(), quota.core.budgets["probes"], 9)
             assert account
-            await until(
-                lambda: quota.may_begin("probes", 9, True) and account.count(controller.clock(), account.uses) == 3
-            )
+            await until(lambda: quota.may_begin("probes", 9, True) and account.uses.count(controller.clock()) == 3)
             assert not quota.may_begin("probes", 9, True)
             before = controller.metrics.dropped_peer_datagrams._value.get()
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown:
--- /dev/null
+++ b/tests/quota/orders.py
@@ -0,0 +1,125 @@
+"""Single orders of events that once were, or could be, dangerous. Each returns for how long the capacity was exceeded,
+or 1 if there were two leaders."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from corallanding.quota import VoteRequest
+from tests.quota.support import VOTERS, Exchange, Vote, every
+
+
+def grant_that_arrives_late() -> float:
+    exchange = Exchange()
+    grant = exchange.answer(1.0, 0, exchange.request(0.0, 0))
+    exchange.clients[0].on_grant(500.0, grant)
+    for now in every(20, 500, 1_400):
+        exchange.use(now, 0)
+        exchange.exchange(now, 1)
+        exchange.use(now, 1)
+    return exchange.ms_over_capacity()
+
+
+def use_that_would_outlast_its_grant() -> float:
+    exchange = Exchange()
+    exchange.clients[0].on_grant(1.0, exchange.answer(0.0, 0, exchange.request(0.0, 0)))
+    exchange.use(700.0, 0)
+    for now in every(20, 820, 1_000):
+        exchange.exchange(now, 1)
+        exchange.use(now, 1)
+    return exchange.ms_over_capacity()
+
+
+def older_grant_after_a_newer() -> float:
+    exchange = Exchange()
+    late = exchange.answer(1.0, 0, exchange.request(0.0, 0))
+    exchange.answer(2.0, 1, exchange.request(2.0, 1))
+    exchange.clients[0].on_grant(4.0, exchange.answer(3.0, 0, exchange.request(3.0, 0)))
+    exchange.answer(6.0, 0, exchange.request(5.0, 0))  # reports that the second grant was taken
+    for now in every(20, 10, 400):
+        exchange.exchange(now, 1)
+        exchange.use(now, 1)
+    exchange.clients[0].on_grant(400.0, late)
+    exchange.use(400.0, 0)
+    return exchange.ms_over_capacity()
+
+
+def renewal_of_an_expired_grant() -> float:
+    exchange = Exchange()
+    exchange.clients[0].on_grant(1.0, exchange.answer(0.0, 0, exchange.request(0.0, 0)))
+    late = exchange.request(780.0, 0)
+    exchange.clients[1].on_grant(830.0, exchange.answer(829.0, 1, exchange.request(828.0, 1)))
+    exchange.elect(831.0)
+    grant = exchange.answer(840.0, 0, late)
+    exchange.clients[0].on_grant(845.0, grant)
+    exchange.use(850.0, 0)
+    exchange.use(850.0, 1)
+    return exchange.ms_over_capacity()
+
+
+def allocator_that_continues_from_reports() -> float:
+    """It grants what is reported anew before its predecessor's other grants have expired, and no more than that."""
+    exchange = Exchange()
+    exchange.clients[0].on_grant(1.0, exchange.answer(0.0, 0, exchange.request(0.0, 0, 3)))
+    lost = exchange.answer(3.0, 1, exchange.request(2.0, 1))  # to a client of which the new allocator does not hear
+    exchange.clients[1].on_grant(4.0, lost)
+    exchange.elect(5.0)
+    exchange.use(6.0, 1)
+    for now in every(10, 10, 300):
+        exchange.exchange(now, 0)
+        exchange.use(now, 0)
+    assert {use[0] < 300.0 for use in exchange.uses} == {True}
+    return exchange.ms_over_capacity()
+
+
+def grant_made_smaller_while_in_use() -> float:
+    exchange = Exchange()
+    exchange.clients[0].on_grant(1.0, exchange.answer(0.0, 0, exchange.request(0.0, 0)))
+    exchange.use(200.0, 0)
+    for now in every(10, 210, 1_000):
+        exchange.exchange(now, 1)
+        exchange.use(now, 1)
+        exchange.exchange(now, 0)
+    return exchange.ms_over_capacity()
+
+
+def voter_that_restarts() -> float:
+    vote = Vote()
+    vote.stand(0.0, vote.first, (0, 2))
+    vote.voters[2] = vote.new_voter(100.0)
+    vote.stand(110.0, vote.second, (1, 2))
+    return vote.two_leaders(120.0)
+
+
+def votes_that_arrive_late() -> float:
+    vote = Vote()
+    vote.stand(0.0, vote.first, VOTERS, answered_at=350.0)
+    vote.stand(415.0, vote.second, VOTERS)
+    return vote.two_leaders(420.0)
+
+
+def votes_after_a_release() -> float:
+    vote = Vote()
+    request = vote.first.tick(0.0, 0)
+    assert isinstance(request, VoteRequest)
+    votes = {number: vote.voters[number].on_vote_request(0.0, 0, request) for number in (1, 2)}
+    release = vote.first.give_up_candidacy()
+    for number in (1, 2):
+        vote.voters[number].on_vote_release(0, release)
+    vote.stand(10.0, vote.second, (1, 2))
+    for number, answer in votes.items():
+        vote.first.on_vote_reply(20.0, number, answer)
+    return vote.two_leaders(20.0)
+
+
+ORDERS: list[Callable[[], float]] = [
+    grant_that_arrives_late,
+    use_that_would_outlast_its_grant,
+    older_grant_after_a_newer,
+    renewal_of_an_expired_grant,
+    allocator_that_continues_from_reports,
+    grant_made_smaller_while_in_use,
+    voter_that_restarts,
+    votes_that_arrive_late,
+    votes_after_a_release,
+]
--- a/tests/test_mutation.py
+++ b/tests/test_mutation.py
@@ -29,7 +29,7 @@
 from corallanding.quorum_records.messages import sound as sound_record
 from corallanding.quota import Budget, QuotaLimits, QuotaManager
 from corallanding.quota.messages import CapacityGrant, CapacityRequest
-from corallanding.quota.messages import sound as sound_quota
+from corallanding.quota.messages import is_valid as is_valid_quota_message
 from corallanding.scheduling.messages import is_valid as sound_line
 from corallanding.version_pinning.messages import PinningMessage
 from corallanding.version_pinning.messages import is_valid as sound_pin
@@ -56,7 +56,8 @@
                 yield msgspec.structs.replace(word, **{name: other})
         for at in range(len(value[0]) if isinstance(value, list) and value and isinstance(value[0], tuple) else 0):
             for other in (0, -1, 1 << 40, 1 << 70):
-                row = (*value[0][:at], other, *value[0][at + 1 :])
+                cells = (*value[0][:at], other, *value[0][at + 1 :])
+                row = value[0]._make(cells) if hasattr(value[0], "_make") else cells
                 yield msgspec.structs.replace(word, **{name: [row, *value[1:]]})
 
 
@@ -209,7 +210,10 @@
 
 WORLDS: dict[str, tuple[Callable[[int], Any], Callable[[Any], bool]]] = {
     "lease": (tasks, sound_task),
-    "quota": (budgets, lambda w: sound_quota(w) if isinstance(w, CapacityRequest | CapacityGrant) else sound_task(w)),
+    "quota": (
+        budgets,
+        lambda w: is_valid_quota_message(w) if isinstance(w, CapacityRequest | CapacityGrant) else sound_task(w),
+    ),
     "runs": (runs, lambda w: sound_pin(w) if isinstance(w, PinningMessage) else sound_record(w)),
     "waiting": (waits, sound_line),
 }
