--- a/corallanding/controller/task_service.py
+++ b/corallanding/controller/task_service.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import random
 from typing import Any, ClassVar
 
 from ..config import ControllerConfig
@@ -49,16 +48,12 @@
             barred_leases=block.turn_leases,
         )
         self.core = TaskLeases(
-            election.controller_id,
-            election.peer_ids,
-            (),
+            election,
             configured_tasks(config),
             terms,
-            election.incarnation,
             context.clock(),
-            random.random,
+            is_election_shared=True,
             max_messages_per_second=budgets.words_per_s,
-            election=election,
         )
         self.core.holder.on_change = self.on_task_change
         self.heartbeat_ms = {name: one.beat_ms for name, one in [*config.task.items(), *config.task_group.items()]}
--- a/corallanding/lab/stewards/tasks.py
+++ b/corallanding/lab/stewards/tasks.py
@@ -7,6 +7,7 @@
 from typing import Any
 
 from ...lease.core import TaskLeases
+from ...lease.election import VotedElection
 from ...lease.fenced_resource import FencedResource
 from ...lease.limits import LeaseTimings
 from ...lease.tasks import TaskCatalog
@@ -40,7 +41,9 @@
         super().__init__(seed, numbers, voters, {}, terms, lambda t, n: [], first)  # type: ignore[arg-type]
 
     def core(self, n: int, others: tuple[int, ...], life: int, born: float, chance: Callable[[], float]) -> Any:
-        return TaskLeases(n, others, self.voters, self.tasks, self.task_terms, life, born, chance, self.wall(self.now))
+        election = VotedElection(n, others, self.voters, self.task_terms, life, born, chance)
+        wall = self.wall(self.now)
+        return TaskLeases(election, self.tasks, self.task_terms, born, is_election_shared=False, wall_clock_ms=wall)
 
     def tick(self, n: int, p: Process) -> None:
         p.quota.wall_clock_ms = self.wall(self.now)
--- a/corallanding/lease/core.py
+++ b/corallanding/lease/core.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 from typing import Any
 
 from ..rate_limit import PeerRateLimiter
 from ..wire.peer_messages import OutgoingMessage
-from .election import LeaderElection, VotedElection
+from .election import LeaderElection
 from .fenced_resource import FencedResource
 from .lease_holder import LeaseHolder
 from .limits import LeaseTimings
@@ -32,33 +32,29 @@
     """The task leases of one controller, without input or output of its own. All times are in ms by its clock.
 
     The owner sets `wall_clock_ms` before each tick: a new leader's fencing tokens begin there, or above all that it has
-    heard of, so that they rise through a restart of all controllers. `election` is given where others rest on it too:
-    whoever made it then ticks it and hands it its messages.
+    heard of, so that they rise through a restart of all controllers. An election that others rest on too is shared:
+    whoever made it ticks it and hands it its messages.
     """
 
     def __init__(
         self,
-        controller_id: int,
-        peer_ids: tuple[int, ...],
-        voters: tuple[int, ...],
+        election: LeaderElection,
         tasks: TaskCatalog,
         timings: LeaseTimings,
-        incarnation: int,
         started_at: float,
-        random_fraction: Callable[[], float],
+        *,
+        is_election_shared: bool,
         wall_clock_ms: float = 0.0,
         max_messages_per_second: float = 200.0,
-        election: LeaderElection | None = None,
     ) -> None:
-        self.controller_id = controller_id
+        peer_ids, incarnation = election.peer_ids, election.incarnation
+        self.controller_id = election.controller_id
         self.peer_ids = peer_ids
-        self.tasks = tasks
         self.incarnation = incarnation
+        self.tasks = tasks
         self.wall_clock_ms = wall_clock_ms
-        self.is_election_shared = election is not None
-        self.election: LeaderElection = election or VotedElection(
-            controller_id, peer_ids, voters, timings, incarnation, started_at, random_fraction, max_messages_per_second
-        )
+        self.election = election
+        self.is_election_shared = is_election_shared
         self.rate_limiter = PeerRateLimiter(peer_ids, max_messages_per_second, started_at)
         self.holder = LeaseHolder(incarnation, timings, tasks, started_at)
         self.allocator = ShardAllocator(timings, tasks, incarnation)
--- a/corallanding/lease/registry_election.py
+++ b/corallanding/lease/registry_election.py
@@ -73,7 +73,7 @@
             return Leader(controller, revision, revision)
         return Leader(None, 0, 0)
 
-    def first_token(self, wall_clock_ms: float) -> int:
+    def first_token(self, _wall_clock_ms: float) -> int:
         """The fencing token above which a new leader begins."""
         return self.revision << REVISION_SHIFT
 
@@ -85,15 +85,15 @@
     def reserve_tokens(self, max_token: int) -> None:
         """Nothing is to be reserved: all tokens of the next term are above those of this one."""
 
-    def tick(self, now: float, alive: Iterable[int]) -> list[OutgoingMessage]:
+    def tick(self, _now: float, _alive: Iterable[int]) -> list[OutgoingMessage]:
         """No messages: the registry is asked by its own client."""
         return []
 
-    def on_message(self, now: float, sender: int, message: ElectionMessage) -> list[OutgoingMessage]:
+    def on_message(self, _now: float, _sender: int, _message: ElectionMessage) -> list[OutgoingMessage]:
         """Reject the message: nobody votes here."""
         self.rejected += 1
         return []
 
-    def resign(self, now: float) -> list[OutgoingMessage]:
+    def resign(self, _now: float) -> list[OutgoingMessage]:
         """Nothing is sent: the registry's client gives the key back."""
         return []
--- /dev/null
+++ b/tests/lease/test_messages.py
@@ -0,0 +1,51 @@
+"""Messages of the election and of leases: size, and rejection of values that cannot be; the digest of tasks."""
+
+from __future__ import annotations
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from corallanding.lease.messages import (
+    SHARD_SET_BYTES,
+    FencedAction,
+    LeaseGrant,
+    LeaseRequest,
+    VoteReply,
+    VoteRequest,
+    decode,
+    encode,
+)
+from corallanding.lease.tasks import TaskCatalog, TaskSpec, pack, unpack
+
+
+@given(st.binary(max_size=96))
+def test_bytes_when_they_are_nonsense_then_are_no_message(data: bytes) -> None:
+    message = decode(data)
+    assert message is None or decode(encode(message)) == message
+
+
+def test_messages_when_encoded_then_fit_a_datagram_and_odd_values_are_rejected() -> None:
+    big = 2**62
+    request = LeaseRequest(
+        big, 2**40, big, 2**40, b"\xff" * SHARD_SET_BYTES, b"\xff" * SHARD_SET_BYTES, 2**40, 2**32 - 1, big
+    )
+    assert len(encode(request)) <= 250
+    assert decode(encode(request)) == request
+    for odd in (
+        LeaseRequest(1, 1, 0, 0, b"x", b"x"),
+        LeaseGrant(1, 1, b"\0" * (SHARD_SET_BYTES - 1), 1),
+        FencedAction(1, 1, 0),
+        VoteRequest(-1, 1),
+        VoteReply(1, -1),
+        LeaseGrant(1, 1, b"\0" * SHARD_SET_BYTES, 1 << 63),
+    ):
+        assert decode(encode(odd)) is None, odd
+    assert unpack(pack(1 << 255 | 5)) == 1 << 255 | 5
+
+
+def test_digest_of_tasks_when_computed_then_is_what_earlier_versions_computed() -> None:
+    specs = {
+        "ledger": TaskSpec("ledger", 7, max_work_ms=100.0, max_idle_ms=250.0),
+        "upgrade": TaskSpec("upgrade", max_work_ms=200.0, is_always_wanted=False),
+    }
+    assert TaskCatalog(specs).digest == 2637530144
