--- a/corallanding/controller/task_service.py
+++ b/corallanding/controller/task_service.py
@@ -7,6 +7,7 @@
 from ..config import ControllerConfig
 from ..lease import messages
 from ..lease.core import TaskLeases
+from ..lease.lease_holder import LeaseChange
 from ..lease.limits import LeaseTimings
 from ..lease.messages import ActionRejected, FencedAction, LeaseGrant, LeaseRequest
 from ..lease.tasks import TaskCatalog, TaskSpec
@@ -67,9 +68,9 @@
         """Whether the fields of a message lie within what a correct controller sends."""
         return messages.is_valid(message)
 
-    def on_task_change(self, change: str, shard: int) -> None:
+    def on_task_change(self, change: LeaseChange, shard: int) -> None:
         """A shard was taken up, given up or lost; it is logged with the others of this tick."""
-        self.changes.setdefault((self.core.tasks.spec(shard).name, change), []).append(shard)
+        self.changes.setdefault((self.core.tasks.spec(shard).name, change.value), []).append(shard)
 
     def log_changes(self) -> None:
         """Log one line for each task or group that changed hands since the last, not one for each of its shards."""
