--- a/corallanding/controller/host_sources.py
+++ b/corallanding/controller/host_sources.py
@@ -9,7 +9,7 @@
 from .. import interface as api
 from ..config.sources import RegistryBlock
 from ..endpoints.endpoint_list import EndpointList
-from ..endpoints.source import EndpointSource, LineJsonSource
+from ..endpoints.source import EndpointSource, LineJsonSource, LineJsonSourceConfig
 from ..errors import ConfigurationError
 from ..store import StoreError
 from .context import Context
@@ -57,10 +57,8 @@
         roster = config.roster
         if roster.address is None:
             raise ConfigurationError("roster.address is not set")
-        self._source = LineJsonSource(
+        source_config = LineJsonSourceConfig(
             roster.address,
-            self,
-            self._known_version,
             roster.mode == "on_request",
             roster.line_most_bytes,
             roster.wait_ms,
@@ -68,6 +66,7 @@
             roster.timeout_ms,
             config.steward.seed,
         )
+        self._source = LineJsonSource(source_config, self, self._known_version)
 
     def start(self, *, is_restored: bool) -> None:
         """Begin to receive. is_restored: the assigner goes on from a state in which it followed the list."""
--- a/corallanding/endpoints/__init__.py
+++ b/corallanding/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Sources of the list of hosts: the view of it (`view`, pure) and the line-JSON source (`source`)."""
+"""Lists of hosts: the endpoint list (`endpoint_list`, no I/O) and its source in lines of JSON (`source`)."""
--- a/corallanding/endpoints/endpoint_list.py
+++ b/corallanding/endpoints/endpoint_list.py
@@ -1,8 +1,8 @@
-"""What a roster says, as the module's `HostListUpdate` events. Pure: rows and times in, events out.
+"""The list of hosts, kept from the rows of a source, as `HostListUpdate` events. No I/O: rows in, events out.
 
-A row names a host by its number: `{"host", "address", "zone", "kind", "cell", "state", "weight", "started"}`,
-`started` in milliseconds of the wall clock, absent or 0 for "long ago". A row that does not parse is held at
-its last good state and reported; the others count.
+A row names a host by its number: `{"host", "address", "zone", "kind", "cell", "state", "weight", "started"}`, `started`
+in milliseconds of the wall clock, absent or 0 for "long ago". A host whose row does not parse keeps its last good
+entry, and the row is reported; the other rows count.
 """
 
 from __future__ import annotations
@@ -15,18 +15,24 @@
 import msgspec
 
 from .. import interface as api
+from ..errors import ProtocolError
 
-STATES = ("up", "draining", "removed")
+MAX_NAME_CHARACTERS = 40  # of a value from outside, in the text of an error
+MAX_PORT = 65535
+HOST_STATES = tuple(state.value for state in api.HostState)
 
 
-class InvalidRowError(Exception):
-    """One entry of a list that cannot be used; it names the entry and the field."""
+class InvalidRowError(ProtocolError):
+    """One row of a list that cannot be used; the text names the host and the field."""
 
 
-Versions = Annotated[list[Annotated[int, msgspec.Meta(ge=1, le=2**20)]], msgspec.Meta(max_length=16)]
+ReleaseVersions = Annotated[list[Annotated[int, msgspec.Meta(ge=1, le=2**20)]], msgspec.Meta(max_length=16)]
+"""The versions of one request class that a host serves."""
 
 
 class EndpointRow(msgspec.Struct, forbid_unknown_fields=False):
+    """One row as it arrives; the names of its fields are the wire's. versions: those that the host serves, by class."""
+
     host: Annotated[int, msgspec.Meta(ge=0, le=2**32 - 1)]
     address: str = ""
     zone: Annotated[int, msgspec.Meta(ge=0, le=65535)] = 0
@@ -35,13 +41,13 @@
     state: str = "up"
     weight: Annotated[float, msgspec.Meta(gt=0.0, le=1e9)] = 1.0
     started: Annotated[float, msgspec.Meta(ge=0.0, le=1e15)] = 0.0
-    versions: Annotated[dict[str, Versions], msgspec.Meta(max_length=64)] = {}  # by operation: those that it serves
+    versions: Annotated[dict[str, ReleaseVersions], msgspec.Meta(max_length=64)] = {}
 
 
 def parse_loopback_address(address: str) -> tuple[str, int]:
-    """ "127.0.0.1:7000" or "[::1]:7000" as host and port. Raises ValueError on anything but loopback."""
-    name, mark, port = address.rpartition(":")
-    if not mark or not port.isdigit() or not 0 <= int(port) <= 65535:
+    """Read "127.0.0.1:7000" or "[::1]:7000" as host and port. Raises ValueError on anything but loopback."""
+    name, colon, port = address.rpartition(":")
+    if not colon or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
         raise ValueError(f"{address!r} is no ADDRESS:PORT")
     try:
         ip = ipaddress.ip_address(name.strip("[]"))
@@ -53,24 +59,31 @@
 
 
 def parse_row(raw: Any) -> EndpointRow:
+    """Read one decoded row. Raises `InvalidRowError`."""
     try:
         row = msgspec.convert(raw, EndpointRow)
-    except msgspec.ValidationError as fault:
+    except msgspec.ValidationError as error:
         name = raw.get("host", "?") if isinstance(raw, dict) else raw
-        raise InvalidRowError(f"entry of host {str(name)[:40]}: {fault}") from None
-    if row.state not in STATES:
-        raise InvalidRowError(f"entry of host {row.host}: state {row.state[:40]!r} is not one of {', '.join(STATES)}")
-    if row.state != "removed":
+        raise InvalidRowError(f"entry of host {str(name)[:MAX_NAME_CHARACTERS]}: {error}") from None
+    if row.state not in HOST_STATES:
+        state = row.state[:MAX_NAME_CHARACTERS]
+        raise InvalidRowError(f"entry of host {row.host}: state {state!r} is not one of {', '.join(HOST_STATES)}")
+    if row.state != api.HostState.REMOVED:
         try:
             parse_loopback_address(row.address)
-        except ValueError as fault:
-            raise InvalidRowError(f"entry of host {row.host}: address: {fault}") from None
+        except ValueError as error:
+            raise InvalidRowError(f"entry of host {row.host}: address: {error}") from None
     return row
 
 
 @dataclass
 class EndpointList:
-    """The list as last held. `hosts_most` bounds it: rows beyond are refused by name."""
+    """The list as last received; rows of further hosts than `max_hosts` are rejected.
+
+    process_starts_ms: by host, on the wall clock of the source. first_seen_starts: by host and process start, that
+    start on this controller's clock. rejected_rows: what the last call had to leave out, and why. served_versions: of
+    hosts that say which release versions they serve, by request class.
+    """
 
     max_hosts: int = 10_000
     version: int = 0
@@ -78,80 +91,95 @@
     addresses: dict[int, str] = field(default_factory=dict)
     process_starts_ms: dict[int, float] = field(default_factory=dict)
     first_seen_starts: dict[tuple[int, float], float] = field(default_factory=dict)
-    rejected_rows: list[str] = field(default_factory=list)  # what the last call had to leave out, and why
-    hosts_ever_listed: set[int] = field(default_factory=set)  # every host that was ever listed
-    served_versions: dict[int, dict[str, list[int]]] = field(default_factory=dict)  # of hosts that say which they serve
+    rejected_rows: list[str] = field(default_factory=list)
+    hosts_ever_listed: set[int] = field(default_factory=set)
+    served_versions: dict[int, dict[str, list[int]]] = field(default_factory=dict)
 
-    def online_since(self, now: float, wall: float, host: int, started: float) -> float:
-        """A process start on the steward's clock: fixed when first heard, since clocks drift and step.
+    def online_since(self, now: float, wall_ms: float, host: int, started_ms: float) -> float:
+        """A process start on the controller's clock, fixed when first received, since clocks drift and step.
 
-        Guards against a wall-clock step turning a standing process into a new one, and a roster whose clock
-        runs ahead; would take a start that is restated by a second as a second start.
+        Guards against a step of a wall clock that turns a running process into a new one, and against a source whose
+        clock runs ahead; would take a start that is restated by a second as a second start.
         """
-        if started <= 0:
+        if started_ms <= 0:
             return 0.0
-        key = (host, started)
+        key = (host, started_ms)
         if key not in self.first_seen_starts:
-            for old in [k for k in self.first_seen_starts if k[0] == host]:
+            for old in [seen for seen in self.first_seen_starts if seen[0] == host]:
                 del self.first_seen_starts[old]
-            self.first_seen_starts[key] = max(0.0, min(now, now - (wall - started)))
+            self.first_seen_starts[key] = max(0.0, min(now, now - (wall_ms - started_ms)))
         return self.first_seen_starts[key]
 
     def restore(
         self,
         now: float,
-        wall: float,
+        wall_ms: float,
         version: int,
         entries: Sequence[api.HostEntry],
         addresses: dict[int, str],
-        starts: dict[int, float],
+        process_starts_ms: dict[int, float],
     ) -> api.HostListUpdate:
-        """The saved list, as the first event of a life."""
-        rows = []
-        for e in entries:
-            since = self.online_since(now, wall, e.host, starts.get(e.host, 0.0))
-            rows.append(api.HostEntry(e.host, e.zone, e.kind, e.cell, e.state, e.weight, since))
-        self.version, self.entries = version, {e.host: e for e in rows}
-        self.addresses, self.process_starts_ms = dict(addresses), dict(starts)
+        """Take the saved list, as the first event after a start."""
+        restored = []
+        for saved in entries:
+            since = self.online_since(now, wall_ms, saved.host, process_starts_ms.get(saved.host, 0.0))
+            restored.append(
+                api.HostEntry(saved.host, saved.zone, saved.kind, saved.cell, saved.state, saved.weight, since)
+            )
+        self.version = version
+        self.entries = {entry.host: entry for entry in restored}
+        self.addresses = dict(addresses)
+        self.process_starts_ms = dict(process_starts_ms)
         self.hosts_ever_listed |= set(self.entries)
-        return api.HostListUpdate(api.HostListKind.SAVED, version, tuple(rows))
+        return api.HostListUpdate(api.HostListKind.SAVED, version, tuple(restored))
 
-    def apply(self, now: float, wall: float, full: bool, version: int, rows: Sequence[Any]) -> api.HostListUpdate:
-        """One list or one set of changes. A full list takes out whom it does not name."""
-        self.rejected_rows, entries = [], {}
-        held: set[int] = set()
+    def apply(self, now: float, wall_ms: float, full: bool, version: int, rows: Sequence[Any]) -> api.HostListUpdate:
+        """Take one list or one set of changes. A full list removes the hosts that it does not name."""
+        self.rejected_rows = []
+        self.version = version
+        entries: dict[int, api.HostEntry] = {}
+        invalid_hosts: set[int] = set()
         for raw in rows:
             try:
-                row = parse_row(raw)
-            except InvalidRowError as fault:
-                self.rejected_rows.append(str(fault))
+                entry = self._take_row(now, wall_ms, parse_row(raw))
+            except InvalidRowError as error:
+                self.rejected_rows.append(str(error))
                 host = raw.get("host") if isinstance(raw, dict) else None
                 if isinstance(host, int):
-                    held.add(host)
-                continue
-            if row.host not in self.hosts_ever_listed and len(self.hosts_ever_listed) >= self.max_hosts:
-                self.rejected_rows.append(f"entry of host {row.host}: more than {self.max_hosts} hosts")
-                continue
-            since = self.online_since(now, wall, row.host, row.started)
-            state = api.HostState(row.state)
-            entries[row.host] = api.HostEntry(row.host, row.zone, row.kind, row.cell, state, row.weight, since)
-            self.hosts_ever_listed.add(row.host)
-            self.process_starts_ms[row.host] = row.started
-            if row.address:
-                self.addresses[row.host] = row.address
-            if row.versions or row.host in self.served_versions:
-                self.served_versions[row.host] = row.versions
-        self.version = version
-        if full:
-            # A host whose entry is damaged is not gone: its last good state stands.
-            for host in held:
-                if host in self.entries:
-                    entries.setdefault(host, self.entries[host])
-            self.entries = {h: e for h, e in entries.items() if e.state != "removed"}
-            return api.HostListUpdate(api.HostListKind.FULL, version, tuple(self.entries.values()))
+                    invalid_hosts.add(host)
+            else:
+                if entry:
+                    entries[entry.host] = entry
+        return self._replace(entries, invalid_hosts) if full else self._update(entries)
+
+    def _take_row(self, now: float, wall_ms: float, row: EndpointRow) -> api.HostEntry | None:
+        """Note what a row says, and return its entry; None if there are too many hosts."""
+        if row.host not in self.hosts_ever_listed and len(self.hosts_ever_listed) >= self.max_hosts:
+            self.rejected_rows.append(f"entry of host {row.host}: more than {self.max_hosts} hosts")
+            return None
+        since = self.online_since(now, wall_ms, row.host, row.started)
+        self.hosts_ever_listed.add(row.host)
+        self.process_starts_ms[row.host] = row.started
+        if row.address:
+            self.addresses[row.host] = row.address
+        if row.versions or row.host in self.served_versions:
+            self.served_versions[row.host] = row.versions
+        state = api.HostState(row.state)
+        return api.HostEntry(row.host, row.zone, row.kind, row.cell, state, row.weight, since)
+
+    def _replace(self, entries: dict[int, api.HostEntry], invalid_hosts: set[int]) -> api.HostListUpdate:
+        """Take a full list. A host whose row is damaged is not gone: its last good entry stands."""
+        for host in invalid_hosts:
+            if host in self.entries:
+                entries.setdefault(host, self.entries[host])
+        self.entries = {host: entry for host, entry in entries.items() if entry.state != api.HostState.REMOVED}
+        return api.HostListUpdate(api.HostListKind.FULL, self.version, tuple(self.entries.values()))
+
+    def _update(self, entries: dict[int, api.HostEntry]) -> api.HostListUpdate:
+        """Take a set of changes."""
         for host, entry in entries.items():
-            if entry.state == "removed":
+            if entry.state == api.HostState.REMOVED:
                 self.entries.pop(host, None)
             else:
                 self.entries[host] = entry
-        return api.HostListUpdate(api.HostListKind.CHANGES, version, tuple(entries.values()))
+        return api.HostListUpdate(api.HostListKind.CHANGES, self.version, tuple(entries.values()))
