--- a/corallanding/scheduling/messages.py
+++ b/corallanding/scheduling/messages.py
@@ -7,15 +7,13 @@
 
 import msgspec
 
-from ..wire.peer_messages import ControllerMessage
+from ..wire.peer_messages import ControllerMessage, has_valid_header
 
 MAX_ROWS = 10  # groups of jobs in one summary
 MAX_LEVELS = 12  # priorities in one summary: those of the first 2**11 jobs
 LEVELS_PER_PRIORITY = 1_000.0  # priorities are sent in thousandths
 LEVEL_RANKS = tuple(2**exponent - 1 for exponent in range(MAX_LEVELS))  # of the jobs whose priorities are sent
 
-INCARNATION_LIMIT = 1 << 63
-ROUND_LIMIT = 1 << 53
 GROUP_LIMIT = 1 << 12
 COUNT_LIMIT = 1 << 40
 WAITED_LIMIT_MS = 1 << 40
@@ -64,7 +62,7 @@
 
 def is_valid(message: QueueSummary) -> bool:
     """Whether the fields of a message lie within what a correct controller sends."""
-    if not (0 <= message.incarnation < INCARNATION_LIMIT and 0 <= message.round < ROUND_LIMIT):
+    if not has_valid_header(message):
         return False
     if not 0 <= message.job_count < COUNT_LIMIT:
         return False
--- a/corallanding/version_pinning/messages.py
+++ b/corallanding/version_pinning/messages.py
@@ -7,12 +7,10 @@
 
 import msgspec
 
-from ..wire.peer_messages import ControllerMessage
+from ..wire.peer_messages import ControllerMessage, has_valid_header
 
 MAX_COUNTED_SETS = 8  # release sets in one report of run counts
 
-INCARNATION_LIMIT = 1 << 63
-ROUND_LIMIT = 1 << 53
 REGISTER_LIMIT = 1 << 63
 SET_VALUE_LIMIT = 1 << 21  # a set with the flag of an ended run
 RUN_COUNT_LIMIT = 1 << 32
@@ -63,7 +61,7 @@
 
 def is_valid(message: ControllerMessage) -> bool:
     """Whether the fields of a message lie within what a correct controller sends."""
-    if not (0 <= message.incarnation < INCARNATION_LIMIT and 0 <= message.round < ROUND_LIMIT):
+    if not has_valid_header(message):
         return False
     match message:
         case RegisterAnnouncement():
