--- a/bench/fanout.py
+++ b/bench/fanout.py
@@ -35,26 +35,26 @@
 class Raw(asyncio.Protocol):
     def __init__(self, fleet: Links, number: int) -> None:
         self.fleet, self.number = fleet, number
-        self.reader = frames.Reader(frames.to_forwarder, 64 << 20)
+        self.reader = frames.FrameReader(frames.proxy_decoder, 64 << 20)
         self.held = False
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
         self.held = False
-        transport.write(frames.encode(frames.Hello(frames.VERSION, self.number, f"{self.number}")))
+        transport.write(frames.encode(frames.Hello(frames.PROTOCOL_VERSION, self.number, f"{self.number}")))
 
     def data_received(self, data: bytes) -> None:
         now, log = time.monotonic(), self.fleet.log
         for f in self.reader.feed(data):
-            if isinstance(f, frames.Tables) and not f.given:
+            if isinstance(f, frames.Tables) and not f.only_slices:
                 self.held = True
                 log.append((now, self.number, -1, 0))
             elif isinstance(f, frames.Orders):
                 gone = {h for _, h, w in f.lines if w <= 0} | {h for h, on in f.cordons if on}
                 cost = len(f.lines) + len(f.cordons) + len(f.levels) + 1
                 log += [(now, self.number, h, cost) for h in gone]
-                if f.mark >= 0:
-                    self.transport.write(frames.encode(frames.Ack(f.mark)))
+                if f.version >= 0:
+                    self.transport.write(frames.encode(frames.Ack(f.version)))
 
     def connection_lost(self, exc: Exception | None) -> None:
         log = self.fleet.log
@@ -108,7 +108,7 @@
                     continue
                 met = [(int(h), 5, 0, 250.0) for h in set(r.integers(0, self.hosts, 20))]
                 came = [(int(s), 0, 5, 0) for s in set(r.integers(0, self.slices, 20))]
-                link.transport.write(frames.encode(frames.Sums(1000.0, met, came)))
+                link.transport.write(frames.encode(frames.UsageReport(1000.0, met, came)))
         self.over = True
         Path(out).write_text(json.dumps(self.log))
 
@@ -124,12 +124,12 @@
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=64)
                 if kind:
-                    writer.write(frames.encode(frames.Hello(frames.VERSION, first + k, f"h{k}")))
+                    writer.write(frames.encode(frames.Hello(frames.PROTOCOL_VERSION, first + k, f"h{k}")))
                 while kind != 1 and loop.time() < end:
                     if kind == 2:
                         writer.write(frames.encode(frames.Ack(int(loop.time() * 1000) % 65536)))
                     elif kind:
-                        writer.write(frames.encode(frames.Beat()))
+                        writer.write(frames.encode(frames.Heartbeat()))
                     data = await reader.read(1 if kind == 4 else 1 << 16)
                     if not data:
                         break
--- a/bench/link.py
+++ b/bench/link.py
@@ -57,7 +57,7 @@
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        self.reader = frames.Reader(frames.to_steward, 1 << 20)
+        self.reader = frames.FrameReader(frames.controller_decoder, 1 << 20)
         Bare.links.append(self)
         if len(Bare.links) == FORWARDERS:
             self.next()
--- a/bench/load_reports.py
+++ b/bench/load_reports.py
@@ -292,8 +292,8 @@
         steward.host_sources.on_host_rows(True, 1, rows)
         where = steward.network.servers[0].sockets[0].getsockname()[:2]
         reader, writer = await asyncio.open_connection(*where)
-        writer.write(frames.encode(frames.Hello(frames.VERSION, 1, "1")))
-        told, weights = frames.Reader(frames.to_forwarder, 16 << 20), dict[int, float]()
+        writer.write(frames.encode(frames.Hello(frames.PROTOCOL_VERSION, 1, "1")))
+        told, weights = frames.FrameReader(frames.proxy_decoder, 16 << 20), dict[int, float]()
 
         async def listen() -> None:
             while data := await reader.read(65536):
--- a/bench/measured.py
+++ b/bench/measured.py
@@ -69,8 +69,8 @@
 
     def on_frame(self, link: ProxyConnection, frame: frames.Frame) -> None:
         """Take a frame, and note how long an acknowledged version was out."""
-        if isinstance(frame, frames.Ack) and link.is_joined and link.link.acks:
-            HISTOGRAMS.acks.record_value(max(1, int((self.clock() - link.link.acks[0][1]) * 1000.0)))
+        if isinstance(frame, frames.Ack) and link.is_joined and link.link.acked:
+            HISTOGRAMS.acks.record_value(max(1, int((self.clock() - link.link.acked[0][1]) * 1000.0)))
         super().on_frame(link, frame)
 
 
@@ -86,7 +86,7 @@
     def begin(self) -> None:
         """Begin a phase."""
         HISTOGRAMS.begin()
-        self.channel.most = self.channel.waiting
+        self.channel.max_queued_lines = self.channel.queued_lines
         self.cpu, self.begun = time.process_time(), time.monotonic()
 
     def phase(self) -> None:
@@ -98,7 +98,7 @@
                 "turn_ms": figures(HISTOGRAMS.turns),
                 "late_ms": figures(HISTOGRAMS.late),
                 "ack_ms": figures(HISTOGRAMS.acks),
-                "most_lines_waiting": self.channel.most,
+                "most_lines_waiting": self.channel.max_queued_lines,
                 "resident_mib": round(resident_mib(), 1),
                 "cpu_share": round((time.process_time() - self.cpu) / spent, 3),
                 "intake": dict(feed.counts) if feed else {},
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -43,14 +43,14 @@
         for f in self.reader.feed(data):
             if isinstance(f, frames.Tables):
                 rows = {t: {h for h, _ in lines} for t, lines in f.tables}
-                self.tables = {**self.tables, **rows} if f.given else rows
+                self.tables = {**self.tables, **rows} if f.only_slices else rows
                 self.at = time.monotonic()
                 self.level = min([a for _, _, a, _ in f.levels], default=1.0)
             elif isinstance(f, frames.Orders):
                 for _, _, amount, _ in f.levels:
                     self.level = amount
-                if f.mark >= 0:
-                    self.transport.write(frames.encode(frames.Ack(f.mark)))
+                if f.version >= 0:
+                    self.transport.write(frames.encode(frames.Ack(f.version)))
 
 
 async def play(snapshot: bool) -> dict[str, Any]:
@@ -93,7 +93,7 @@
                 for link in links:
                     hosts = [(h, 8, 2, 2500.0) for h in range(HOSTS)]
                     came = [(s, 0, 2, 1) for s in range(SLICES)]
-                    link.transport.write(frames.encode(frames.Sums(500.0, hosts, came)))
+                    link.transport.write(frames.encode(frames.UsageReport(500.0, hosts, came)))
                 await asyncio.sleep(0.5)
             before.append(links[0].level)
             for link in links:
--- a/bench/registry.py
+++ b/bench/registry.py
@@ -51,24 +51,24 @@
     def data_received(self, data: bytes) -> None:
         for f in self.reader.feed(data):
             if isinstance(f, frames.Tables):
-                if not f.given:
+                if not f.only_slices:
                     for t in list(self.tables):
                         self.lines(t, set())
                 for t, rows in f.tables:
                     self.lines(t, {h for h, _ in rows})
             elif isinstance(f, frames.Orders):
-                for t in f.withdrawn:
+                for t in f.withdrawn_slices:
                     self.lines(t, set())
                 for t, h, w in f.lines:
                     row = set(self.tables.get(t, ()))
                     (row.add if w > 0 else row.discard)(h)
                     self.lines(t, row)
-                if f.mark >= 0:
-                    self.transport.write(frames.encode(frames.Ack(f.mark)))
+                if f.version >= 0:
+                    self.transport.write(frames.encode(frames.Ack(f.version)))
 
     def beat(self) -> None:
         if not self.transport.is_closing():
-            self.transport.write(frames.encode(frames.Beat(1.0)))
+            self.transport.write(frames.encode(frames.Heartbeat(1.0)))
 
 
 def host(n: int, state: str = "up") -> dict[str, Any]:
--- a/bench/turns.py
+++ b/bench/turns.py
@@ -71,26 +71,26 @@
 
     def __init__(self, number: int, chance: np.random.Generator) -> None:
         self.number, self.chance = number, chance
-        self.reader = frames.Reader(frames.to_forwarder, 16 << 20)
+        self.reader = frames.FrameReader(frames.proxy_decoder, 16 << 20)
         self.tables: dict[int, set[int]] = {}
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        transport.write(frames.encode(frames.Hello(frames.VERSION, self.number, f"{self.number}")))
+        transport.write(frames.encode(frames.Hello(frames.PROTOCOL_VERSION, self.number, f"{self.number}")))
 
     def data_received(self, data: bytes) -> None:
         for f in self.reader.feed(data):
             if isinstance(f, frames.Tables):
                 rows = {t: {h for h, _ in lines} for t, lines in f.tables}
-                self.tables = {**self.tables, **rows} if f.given else rows
+                self.tables = {**self.tables, **rows} if f.only_slices else rows
             elif isinstance(f, frames.Orders):
-                for t in f.withdrawn:
+                for t in f.withdrawn_slices:
                     self.tables.pop(t, None)
                 for t, h, w in f.lines:
                     row = self.tables.setdefault(t, set())
                     (row.add if w > 0 else row.discard)(h)
-                if f.mark >= 0:
-                    self.transport.write(frames.encode(frames.Ack(f.mark)))
+                if f.version >= 0:
+                    self.transport.write(frames.encode(frames.Ack(f.version)))
 
     def report(self) -> None:
         if self.transport.is_closing():
@@ -98,7 +98,7 @@
         met = sorted({h for row in self.tables.values() for h in row})
         hosts = [(h, 5, 0, float(self.chance.uniform(200, 300))) for h in met]
         slices = [(s, o, int(self.chance.poisson(2)), 0) for s in self.tables for o in (0, 1)]
-        self.transport.write(frames.encode(frames.Sums(500.0, hosts, slices)))
+        self.transport.write(frames.encode(frames.UsageReport(500.0, hosts, slices)))
 
 
 async def listed(hosts: int, started: float = 0.0) -> Roster:
--- a/corallanding/channel/__init__.py
+++ b/corallanding/channel/__init__.py
@@ -1,5 +1,6 @@
-"""The way from the steward to its forwarders: paced, counted, capped (`core`)."""
+"""The paced, bounded queue of messages from a controller to its proxies."""
 
-from .core import Channel, Limits, Overrun
+from .channel import Channel
+from .limits import ChannelLimits, QueueFullError
 
-__all__ = ["Channel", "Limits", "Overrun"]
+__all__ = ["Channel", "ChannelLimits", "QueueFullError"]
--- a/corallanding/channel/merge.py
+++ b/corallanding/channel/merge.py
@@ -1,88 +1,143 @@
-"""What an urgent order takes along when it overtakes orders that still wait. Pure.
+"""Merges an urgent order with what it must take along when it overtakes orders that still wait. Pure.
 
-Orders of one forwarder are changes on changes: a later one that is applied first must leave every table as if it had
-come in its turn, and no table may be without a host in between. So it takes along what the waiting ones say of the
-tables that it touches, and they lose it.
+The orders for one proxy are changes that build on one another. One that is applied early must leave every table as if
+it had been applied in its turn, and no table may be without a host in between. It therefore takes along what the
+waiting orders say of the tables that it touches, and they lose it.
 """
 
 from __future__ import annotations
 
 from collections.abc import Sequence
+from typing import NamedTuple
 
 import msgspec
 
 from ..wire.frames import Orders
 
+Line = tuple[int, int]
+"""Table and host of a line."""
 
-def plain(o: Orders | None) -> bool:
-    """Whether an order may be overtaken, or overtake: lines, levels, cordons and addresses only. Tables read anew,
-    slices withdrawn, emptied tables and forwarders put on other tables keep their place."""
-    return o is not None and not (o.resets or o.points or o.withdrawn)
 
+class Merged(NamedTuple):
+    """Result of `merge_ahead`.
 
-def cost(o: Orders) -> int:
-    """Lines of an order, its mark included."""
-    emptied, changed = len(o.resets) + len(o.withdrawn), len(o.lines) + len(o.levels) + len(o.cordons) + len(o.points)
-    return emptied + changed + (o.mark >= 0)
+    ahead: the urgent order with what it takes along. remaining: what is left of each waiting order, oldest first; None
+    where nothing is.
+    """
+
+    ahead: Orders
+    remaining: list[Orders | None]
 
 
-def empty(o: Orders) -> bool:
-    return not (o.lines or o.levels or o.cordons or o.addresses)
+def is_overtakable(orders: Orders | None) -> bool:
+    """Whether an order may overtake others or be overtaken.
+
+    That holds for lines, levels, cordons and addresses. Orders that reset tables, withdraw slices or assign tables to
+    proxies keep their place.
+    """
+    return orders is not None and not (orders.reset_tables or orders.assigned_tables or orders.withdrawn_slices)
 
 
-def overtake(urgent: Orders, waiting: Sequence[Orders], base: int) -> tuple[Orders, list[Orders | None]]:
-    """(the urgent order with what it takes along, what is left of each waiting one, oldest first; None: nothing).
+def cost_lines(orders: Orders) -> int:
+    """What an order costs in the channel: its lines, with one for the version to acknowledge."""
+    emptied = len(orders.reset_tables) + len(orders.withdrawn_slices)
+    changed = len(orders.lines) + len(orders.levels) + len(orders.cordons) + len(orders.assigned_tables)
+    return emptied + changed + (orders.version >= 0)
 
-    The last of those that are left carries the urgent one's mark: its ack says that all are applied. If none is left
-    the urgent one keeps it. Sequence numbers never fall at any forwarder: from `base` on, the highest that is the next
-    of one of them (a forwarder that joined lately waits for the newer ones only).
+
+def merge_ahead(urgent: Orders, waiting: Sequence[Orders], base_seq: int) -> Merged:
+    """Take along with the urgent order what it needs of the waiting ones.
+
+    waiting: at least one, oldest first. The last of those that remain carries the version of the urgent one, so that
+    its acknowledgement says that all are applied; if none remains, the urgent one keeps it. The sequence numbers that a
+    proxy receives never decrease: they start at `base_seq`, the highest number that comes next at one of the proxies
+    (one that joined lately waits for the newer orders only).
     """
-    cordons = {h: on for o in waiting for h, on in o.cordons}
+    cordons = {host: is_cordoned for orders in waiting for host, is_cordoned in orders.cordons}
     cordons.update(urgent.cordons)
-    # A cordon shuts a host out of every table at once, and a table's next host may stand in any waiting line.
-    all_tables = any(cordons.values())
-    tables = {t for t, _, _ in urgent.lines}
-    levels = {(t, bits) for t, bits, _, _ in urgent.levels}
-    lines = {(t, h): w for o in waiting for t, h, w in o.lines if all_tables or t in tables}
-    # An address goes along with its lines, the newest that waits, and leaves all that wait: not even a forwarder that
-    # joined after some of them may be given an older one than it has.
-    along = {h for _, h in lines}
-    addresses = {h: a for o in waiting for h, a in o.addresses.items() if h in along}
-    lines.update({(t, h): w for t, h, w in urgent.lines})
-    addresses.update(urgent.addresses)
-    left: list[Orders | None] = []
-    for o in waiting:
-        rest = msgspec.structs.replace(
-            o,
-            lines=[row for row in o.lines if row[:2] not in lines],
-            cordons=[],
-            levels=[row for row in o.levels if row[:2] not in levels],
-            addresses={h: a for h, a in o.addresses.items() if h not in addresses},
-        )
-        left.append(None if empty(rest) else rest)
-    last = None
-    if any(left):
-        # The newest stands wherever any does: it carries the mark, and stays for that even if nothing is left of it.
-        newest = waiting[-1]
-        bare = msgspec.structs.replace(newest, lines=[], levels=[], cordons=[], addresses={})
-        last = left[-1] = left[-1] or bare
-    rows = sorted(((t, h, w) for (t, h), w in lines.items()), key=lambda row: row[2] <= 0)  # the new ones first
-    numbers = [base, *(max(base, o.seq) for o in waiting[1:]), urgent.seq]
+    lines = _lines_to_take(urgent, waiting, takes_all_tables=any(cordons.values()))
+    addresses = _addresses_to_take(urgent, waiting, {host for _, host in lines})
+    lines.update({(table, host): weight for table, host, weight in urgent.lines})
+    remaining = _remaining(urgent, waiting, lines, addresses)
+    last = _keep_newest(waiting[-1], remaining)
+    base_seqs = [base_seq, *(max(base_seq, orders.seq) for orders in waiting[1:])]
+    rows = [(table, host, weight) for (table, host), weight in lines.items()]
+    rows.sort(key=lambda row: row[2] <= 0)  # new lines first, so that no table is empty in between
     ahead = msgspec.structs.replace(
         urgent,
-        seq=numbers[0] if last else urgent.seq,
-        mark=-1 if last else urgent.mark,
+        seq=base_seqs[0] if last else urgent.seq,
+        version=-1 if last else urgent.version,
         lines=rows,
         cordons=list(cordons.items()),
         addresses=addresses,
     )
-    out: list[Orders | None] = []
-    for part, number in zip(left, numbers[1:], strict=True):
-        if part is None:
-            out.append(None)
-        elif part is last:
-            mark = urgent.mark if urgent.mark >= 0 else part.mark
-            out.append(msgspec.structs.replace(part, seq=urgent.seq, mark=mark))
+    return Merged(ahead, _renumbered(remaining, [*base_seqs[1:], urgent.seq], urgent, last))
+
+
+def _lines_to_take(urgent: Orders, waiting: Sequence[Orders], *, takes_all_tables: bool) -> dict[Line, float]:
+    """Lines of waiting orders in the tables that the urgent one touches.
+
+    A cordon shuts a host out of every table at once, and any waiting line may hold the next host of a table: with a
+    cordon all lines are taken.
+    """
+    tables = {table for table, _, _ in urgent.lines}
+    return {
+        (table, host): weight
+        for orders in waiting
+        for table, host, weight in orders.lines
+        if takes_all_tables or table in tables
+    }
+
+
+def _addresses_to_take(urgent: Orders, waiting: Sequence[Orders], hosts: set[int]) -> dict[int, str]:
+    """The newest addresses of hosts whose lines are taken, and those of the urgent order.
+
+    They leave every waiting order: a proxy that joined after some of these must not get an address older than its own.
+    """
+    addresses = {host: address for orders in waiting for host, address in orders.addresses.items() if host in hosts}
+    addresses.update(urgent.addresses)
+    return addresses
+
+
+def _remaining(
+    urgent: Orders, waiting: Sequence[Orders], lines: dict[Line, float], addresses: dict[int, str]
+) -> list[Orders | None]:
+    """What is left of each waiting order without `lines`, `addresses`, cordons and the levels that `urgent` sets."""
+    levels = {(table, request_classes) for table, request_classes, _, _ in urgent.levels}
+    remaining: list[Orders | None] = []
+    for orders in waiting:
+        rest = msgspec.structs.replace(
+            orders,
+            lines=[row for row in orders.lines if row[:2] not in lines],
+            cordons=[],
+            levels=[row for row in orders.levels if row[:2] not in levels],
+            addresses={host: address for host, address in orders.addresses.items() if host not in addresses},
+        )
+        is_empty = not (rest.lines or rest.levels or rest.addresses)
+        remaining.append(None if is_empty else rest)
+    return remaining
+
+
+def _keep_newest(newest: Orders, remaining: list[Orders | None]) -> Orders | None:
+    """Keep the newest order if any remains, even empty, to carry the version: it waits wherever one of them does."""
+    if not any(remaining):
+        return None
+    kept = remaining[-1] or msgspec.structs.replace(newest, lines=[], levels=[], cordons=[], addresses={})
+    remaining[-1] = kept
+    return kept
+
+
+def _renumbered(
+    remaining: list[Orders | None], seqs: list[int], urgent: Orders, last: Orders | None
+) -> list[Orders | None]:
+    """The remaining orders with new sequence numbers; the last one with the version of the urgent order."""
+    renumbered: list[Orders | None] = []
+    for orders, seq in zip(remaining, seqs, strict=True):
+        if orders is None:
+            renumbered.append(None)
+        elif orders is last:
+            version = urgent.version if urgent.version >= 0 else orders.version
+            renumbered.append(msgspec.structs.replace(orders, seq=urgent.seq, version=version))
         else:
-            out.append(msgspec.structs.replace(part, seq=number))
-    return ahead, out
+            renumbered.append(msgspec.structs.replace(orders, seq=seq))
+    return renumbered
--- a/corallanding/controller/channel_state.py
+++ b/corallanding/controller/channel_state.py
@@ -9,7 +9,8 @@
 
 import msgspec
 
-from ..channel.core import Channel, Message, Port
+from ..channel import Channel
+from ..channel.proxy_queue import Message, ProxyQueue
 from ..wire.frames import Orders
 
 
@@ -19,18 +20,18 @@
     frame: bytes
     cost_lines: int
     version: int
-    submitted_at: float
+    submitted_at_ms: float
     orders: Orders | None
 
 
-class PortState(msgspec.Struct, array_like=True):
+class ProxyQueueState(msgspec.Struct, array_like=True):
     """What waits in the channel for one proxy; messages are named by their place in `ChannelState.messages`."""
 
     proxy: int
     urgent_messages: list[int]
     ordinary_messages: list[int]
-    turns: int
-    sent_at: list[float]
+    released: int
+    sent_at_ms: list[float]
     is_blocked: bool
 
 
@@ -38,57 +39,60 @@
     """The channel to the proxies."""
 
     messages: list[MessageState] = msgspec.field(name="messages")
-    ports: list[PortState] = msgspec.field(name="ports")
-    turns: tuple[list[int], list[int]] = msgspec.field(name="turns")  # proxies in the order of their turns
-    free_at: float = msgspec.field(name="free_at")
+    queues: list[ProxyQueueState] = msgspec.field(name="ports")
+    schedules: tuple[list[int], list[int]] = msgspec.field(name="turns")  # proxies in the order in which they send
+    free_at_ms: float = msgspec.field(name="free_at")
     max_waiting_lines: float = msgspec.field(name="most")
 
 
 def capture_channel(channel: Channel) -> ChannelState:
     """The channel as values."""
     places: dict[Message, int] = {}
-    ports = []
-    for port in channel.ports.values():
-        urgent = [places.setdefault(message, len(places)) for message in port.urgent]
-        ordinary = [places.setdefault(message, len(places)) for message in port.plain]
-        ports.append(PortState(port.forwarder, urgent, ordinary, port.turns, list(port.sent), port.blocked))
-    urgent_turns, ordinary_turns = (
-        [port.forwarder for port in turns if channel.ports.get(port.forwarder) is port] for turns in channel.turns
+    rows = []
+    for queue in channel.queues.values():
+        urgent = [places.setdefault(message, len(places)) for message in queue.urgent]
+        ordinary = [places.setdefault(message, len(places)) for message in queue.ordinary]
+        sent_at_ms = list(queue.sent_at_ms)
+        rows.append(ProxyQueueState(queue.proxy, urgent, ordinary, queue.released, sent_at_ms, queue.is_blocked))
+    urgent_schedule, ordinary_schedule = (
+        [queue.proxy for queue in schedule if channel.queues.get(queue.proxy) is queue]
+        for schedule in channel.schedules
     )
-    messages = [MessageState(m.frame, m.lines, m.mark, m.at, m.orders) for m in places]
-    return ChannelState(messages, ports, (urgent_turns, ordinary_turns), channel.free_at, channel.most)
+    messages = [MessageState(m.frame, m.cost_lines, m.version, m.submitted_at_ms, m.orders) for m in places]
+    schedules = (urgent_schedule, ordinary_schedule)
+    return ChannelState(messages, rows, schedules, channel.free_at_ms, channel.max_queued_lines)
 
 
 def restore_channel(channel: Channel, state: ChannelState) -> None:
-    """Fill a new channel. Ports that waited for a socket or for the cap are looked at at once."""
-    messages = [Message(m.frame, m.cost_lines, m.version, m.submitted_at, m.orders) for m in state.messages]
-    channel.ports = {}
-    channel.ready = deque()
-    for row in state.ports:
-        port = _restore_port(channel, row, messages)
-        channel.ports[port.forwarder] = port
-        if port.turns and not port.blocked:
-            channel.ready.append(port)
-    channel.waiting = sum(port.lines for port in channel.ports.values())
-    urgent_turns, ordinary_turns = state.turns
-    channel.turns = (
-        deque(channel.ports[proxy] for proxy in urgent_turns),
-        deque(channel.ports[proxy] for proxy in ordinary_turns),
+    """Fill a new channel. Queues that waited for a socket, or for the bound on messages, are checked at once."""
+    messages = [Message(m.frame, m.cost_lines, m.version, m.submitted_at_ms, m.orders) for m in state.messages]
+    channel.queues = {}
+    channel.writable_queues = deque()
+    for row in state.queues:
+        queue = _restore_queue(channel, row, messages)
+        channel.queues[queue.proxy] = queue
+        if queue.released and not queue.is_blocked:
+            channel.writable_queues.append(queue)
+    channel.queued_lines = sum(queue.queued_lines for queue in channel.queues.values())
+    urgent_schedule, ordinary_schedule = state.schedules
+    channel.schedules = (
+        deque(channel.queues[proxy] for proxy in urgent_schedule),
+        deque(channel.queues[proxy] for proxy in ordinary_schedule),
     )
-    channel.free_at = state.free_at
-    channel.most = state.max_waiting_lines
+    channel.free_at_ms = state.free_at_ms
+    channel.max_queued_lines = state.max_waiting_lines
 
 
-def _restore_port(channel: Channel, state: PortState, messages: list[Message]) -> Port:
-    port = Port(
+def _restore_queue(channel: Channel, state: ProxyQueueState, messages: list[Message]) -> ProxyQueue:
+    queue = ProxyQueue(
         state.proxy,
         deque(messages[place] for place in state.urgent_messages),
         deque(messages[place] for place in state.ordinary_messages),
     )
-    port.turns = state.turns
-    port.sent = deque(state.sent_at)
-    port.blocked = state.is_blocked
-    for message in (*port.urgent, *port.plain):
-        message.left += 1
-        port.lines += channel.cost(message)
-    return port
+    queue.released = state.released
+    queue.sent_at_ms = deque(state.sent_at_ms)
+    queue.is_blocked = state.is_blocked
+    for message in (*queue.urgent, *queue.ordinary):
+        message.queue_count += 1
+        queue.queued_lines += channel.cost(message)
+    return queue
--- a/corallanding/controller/cluster.py
+++ b/corallanding/controller/cluster.py
@@ -21,7 +21,7 @@
 from ..membership.messages import Ack, Ping, PingRequest
 from ..membership.messages import is_valid as is_valid_membership_message
 from ..telemetry import Metrics, RateLimitedLogger, log
-from ..wire.frames import Enter, Unwait, Wait
+from ..wire.frames import JobSubmission, JobWithdrawal, RunQuery
 from ..wire.peer_messages import OutgoingMessage
 from .cluster_service import ClusterService, ServiceContext, Tick
 from .fleet_view import FleetView
@@ -117,11 +117,11 @@
                 self.pinning = PinningService(
                     config, config.pins, context, self.records, fleet_view, self._may_use_cold_host
                 )
-                self.frame_handlers[Enter] = self.pinning.on_proxy_frame
+                self.frame_handlers[RunQuery] = self.pinning.on_proxy_frame
         if self.quota and any(operation.waits for operation in config.operation.values()):
             self.scheduling = SchedulingService(config, context, self.quota, self.records, self.pinning, fleet_view)
-            self.frame_handlers[Wait] = self.scheduling.on_proxy_frame
-            self.frame_handlers[Unwait] = self.scheduling.on_proxy_frame
+            self.frame_handlers[JobSubmission] = self.scheduling.on_proxy_frame
+            self.frame_handlers[JobWithdrawal] = self.scheduling.on_proxy_frame
         # Services that rest on records come before them, and records after the tasks.
         made = (self.quota, self.tasks, self.pinning, self.scheduling, self.records)
         self.services: list[ClusterService] = [service for service in made if service]
--- a/corallanding/controller/connection_state.py
+++ b/corallanding/controller/connection_state.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ..wire.frames import Hello
-from ..wire.link import Link
+from ..wire.link_state import LinkState
 
 
 class ConnectionState(msgspec.Struct, array_like=True):
@@ -31,33 +31,33 @@
 
 
 def capture_connection(
-    link: Link, *, is_joined: bool, is_write_paused: bool, heartbeat_sent_at: float
+    link: LinkState, *, is_joined: bool, is_write_paused: bool, heartbeat_sent_at: float
 ) -> ConnectionState:
     """A connection as values."""
     return ConnectionState(
-        began_at=link.now,
+        began_at=link.opened_at_ms,
         hello=link.hello,
         is_joined=is_joined,
         is_write_paused=is_write_paused,
-        last_received_at=link.heard,
-        unacked_versions=list(link.marks),
-        is_recalled=link.recalled,
-        frame_allowance=link.allowance,
-        byte_allowance=link.flow,
-        replenished_at=link.counted,
-        partial_frame=bytes(link.reader.held),
+        last_received_at=link.last_received_at_ms,
+        unacked_versions=list(link.unacked_versions),
+        is_recalled=link.is_recalled,
+        frame_allowance=link.frame_allowance,
+        byte_allowance=link.byte_allowance,
+        replenished_at=link.replenished_at_ms,
+        partial_frame=bytes(link.reader.buffer),
         heartbeat_sent_at=heartbeat_sent_at,
     )
 
 
-def restore_connection(link: Link, state: ConnectionState) -> None:
+def restore_connection(link: LinkState, state: ConnectionState) -> None:
     """Let a new link go on where the handed over one was."""
-    link.now = state.began_at
+    link.opened_at_ms = state.began_at
     link.hello = state.hello
-    link.heard = state.last_received_at
-    link.marks = deque((version, at) for version, at in state.unacked_versions)
-    link.recalled = state.is_recalled
-    link.allowance = state.frame_allowance
-    link.flow = state.byte_allowance
-    link.counted = state.replenished_at
-    link.reader.held = bytearray(state.partial_frame)
+    link.last_received_at_ms = state.last_received_at
+    link.unacked_versions = deque((version, at) for version, at in state.unacked_versions)
+    link.is_recalled = state.is_recalled
+    link.frame_allowance = state.frame_allowance
+    link.byte_allowance = state.byte_allowance
+    link.replenished_at_ms = state.replenished_at
+    link.reader.buffer = bytearray(state.partial_frame)
--- a/corallanding/controller/event_intake.py
+++ b/corallanding/controller/event_intake.py
@@ -90,11 +90,11 @@
 
     def on_proxy_joined(self, now: float, hello: frames.Hello) -> bytes:
         """A proxy has joined. Returns the frame with all its tables, to be sent before everything else."""
-        proxy = hello.forwarder
+        proxy = hello.proxy
         if proxy in self.proxy_zones:
             self.on_proxy_left(now, proxy)
         self.proxy_zones[proxy] = hello.zone
-        self.add_event(now, api.ProxyJoined(proxy, hello.zone, hello.rate, hello.fresh))
+        self.add_event(now, api.ProxyJoined(proxy, hello.zone, hello.requests_per_second, hello.is_fresh))
         return self.publisher.tables_frame(proxy, self.owned_slices)
 
     def on_proxy_left(self, now: float, proxy: int) -> None:
@@ -103,7 +103,7 @@
             self.published.assignments.pop(proxy, None)
             self.add_event(now, api.ProxyLeft(proxy))
 
-    def on_usage_report(self, now: float, proxy: int, report: frames.Sums) -> None:
+    def on_usage_report(self, now: float, proxy: int, report: frames.UsageReport) -> None:
         """Add up what a joined proxy reports."""
         if proxy in self.proxy_zones:
             zone = self.proxy_zones[proxy]
@@ -115,12 +115,12 @@
         Guards against a store that stopped writing before the process died. May bring back entries of hosts that have
         left since; the assigner takes those out by its host list, as after any start.
         """
-        is_former = hello.life == self.start_number - 1
+        is_former = hello.start_number == self.start_number - 1
         return now <= self.recall_until and is_former and hello.seq > self.recalled_seq
 
-    def on_recalled_tables(self, now: float, recalled: frames.Held) -> list[int]:
+    def on_recalled_tables(self, now: float, recalled: frames.HeldTables) -> list[int]:
         """Take over the tables that a proxy holds from before this start. Returns the slices that changed."""
-        is_former = recalled.life == self.start_number - 1
+        is_former = recalled.start_number == self.start_number - 1
         if not is_former or recalled.seq <= self.recalled_seq or now > self.recall_until:
             return []
         self.recalled_seq = recalled.seq
--- a/corallanding/controller/fleet_view.py
+++ b/corallanding/controller/fleet_view.py
@@ -81,7 +81,7 @@
         found = []
         for number, connection in self.controller.forwarders.items():
             hello = connection.link.hello
-            if connection.is_joined and not connection.is_closed and hello and hello.parts & part:
+            if connection.is_joined and not connection.is_closed and hello and hello.features & part:
                 found.append(number)
         return found
 
--- a/corallanding/controller/handover_state.py
+++ b/corallanding/controller/handover_state.py
@@ -14,7 +14,7 @@
 
 from .. import interface as api
 from ..assignment import Assigner
-from ..channel.core import Channel
+from ..channel import Channel
 from ..load_reports.state import FeedState
 from ..snapshot.assigner_state import StoredHostEntry
 from .channel_state import ChannelState, capture_channel, restore_channel
--- a/corallanding/controller/link_monitor.py
+++ b/corallanding/controller/link_monitor.py
@@ -66,7 +66,7 @@
 
     def _check_links(self, now: float) -> None:
         beat_ms = self._context.config.forwarders.beat_ms
-        beat = frames.encode(frames.Beat(now))
+        beat = frames.encode(frames.Heartbeat(now))
         for link in list(self._registry.links):
             if why := link.link.overdue(now):
                 self._context.rate_limited_log.warn("link closed", proxy=link.proxy, why=why)
--- a/corallanding/controller/pinning_service.py
+++ b/corallanding/controller/pinning_service.py
@@ -111,12 +111,12 @@
 
     # ---- queries of proxies --------------------------------------------------------------------------------
 
-    def on_proxy_frame(self, proxy: int, frame: frames.Enter) -> None:
+    def on_proxy_frame(self, proxy: int, frame: frames.RunQuery) -> None:
         """A proxy asks for the release set of a run, or says that the run has ended."""
         client = frame.client or str(proxy)
         now = self.context.clock()
-        number = self.core.request_run(now, record_key_of(frame.run), client, has_ended=frame.ended)
-        self.pending[number] = PendingRun(proxy, frame.ask, frame.run)
+        number = self.core.request_run(now, record_key_of(frame.run), client, has_ended=frame.is_ended)
+        self.pending[number] = PendingRun(proxy, frame.query, frame.run)
         self.records.schedule_queries()
 
     def on_answers(self) -> None:
@@ -135,7 +135,7 @@
         event, now = JournalEvent.RUN_ANSWERED, ActionJournal.now()
         self.records.journal.write(event, now, asking.me, asking.incarnation, pending.run, answer, number)
         rows = self._version_rows(versions) if versions else []
-        frame = frames.Pinned(pending.query, answer, number, rows, self.register_version)
+        frame = frames.RunVersions(pending.query, answer, number, rows, self.register_version)
         self.fleet_view.reply(pending.proxy, frame)
 
     def _version_rows(self, versions: ReleaseSet) -> list[tuple[int, int]]:
@@ -195,10 +195,10 @@
             if self.rows.get(number) != new or alive_sets != self.alive_sets:
                 self.fleet_view.publish(self._routes_frame(number, new, alive_sets), max(1, len(new)), proxies)
 
-    def _routes_frame(self, number: int, rows: list[Route], alive_sets: tuple[int, ...]) -> frames.Routes:
+    def _routes_frame(self, number: int, rows: list[Route], alive_sets: tuple[int, ...]) -> frames.RunRoutes:
         named = {host for row in rows for host, _ in row[3]}
         addresses = self.fleet_view.addresses(named)
-        return frames.Routes(number, list(rows), addresses, list(alive_sets), self.register_version)
+        return frames.RunRoutes(number, list(rows), addresses, list(alive_sets), self.register_version)
 
     @property
     def register_version(self) -> int:
--- a/corallanding/controller/proxy_admission.py
+++ b/corallanding/controller/proxy_admission.py
@@ -78,13 +78,13 @@
             return
         now = self._context.clock()
         link.is_joined = True
-        link.link.marks.clear()
+        link.link.unacked_versions.clear()
         self._channel.join(link.proxy)
-        self._channel.block(link.proxy, link.is_write_paused)
+        self._channel.set_blocked(link.proxy, is_blocked=link.is_write_paused)
         link.send(self._engine.on_proxy_joined(now, hello))
         self._context.metrics.table_reads.inc()
         self._context.metrics.proxies.set(len(self._engine.proxy_zones))
-        log.info("proxy joined", proxy=link.proxy, zone=hello.zone, fresh=hello.fresh)
+        log.info("proxy joined", proxy=link.proxy, zone=hello.zone, fresh=hello.is_fresh)
         if self._peers.cluster:
             self._peers.cluster.on_proxy_joined(link.proxy)
         self._request_step()
@@ -100,18 +100,18 @@
         if hello.zone >= len(config.zones):
             link.close("malformed", f"zone {hello.zone}: there are {len(config.zones)}")
             return
-        if hello.forwarder >= config.forwarders.most:
-            link.close("full", f"forwarder {hello.forwarder}: numbers end at {config.forwarders.most - 1}")
+        if hello.proxy >= config.forwarders.most:
+            link.close("full", f"forwarder {hello.proxy}: numbers end at {config.forwarders.most - 1}")
             return
-        former = self._registry.proxies.get(hello.forwarder)
+        former = self._registry.proxies.get(hello.proxy)
         if former and former.link.hello and former.link.hello.session != hello.session:
             # Two processes under one number: the one at work stays; silence takes it away soon enough.
-            self._context.rate_limited_log.warn("proxy number in use", proxy=hello.forwarder)
+            self._context.rate_limited_log.warn("proxy number in use", proxy=hello.proxy)
             link.close("number-in-use", "another process holds this number")
             return
         if former:
             former.close("superseded", "the same forwarder joined again")
-        self._registry.proxies[hello.forwarder] = link
+        self._registry.proxies[hello.proxy] = link
         self._registry.unidentified.pop(link, None)
         self.request(link)
 
@@ -120,15 +120,15 @@
         if not self._engine.needs_recall(self._context.clock(), hello):
             self.join(link)
             return
-        link.link.recalled = True
-        link.send(frames.encode(frames.Recall()))
+        link.link.is_recalled = True
+        link.send(frames.encode(frames.HeldTablesRequest()))
         delay = self._context.config.forwarders.beat_ms / 1000.0
         asyncio.get_running_loop().call_later(delay, self.join, link)
 
     def _greet(self, link: ProxyConnection) -> None:
         config = self._context.config
         welcome = frames.Welcome(
-            frames.VERSION,
+            frames.PROTOCOL_VERSION,
             config.steward.number,
             self._engine.start_number,
             config.forwarders.beat_ms,
--- a/corallanding/controller/proxy_channel.py
+++ b/corallanding/controller/proxy_channel.py
@@ -4,7 +4,8 @@
 
 import asyncio
 
-from ..channel import Channel, Overrun
+from ..channel import Channel, QueueFullError
+from ..channel.proxy_queue import Message
 from .context import Context
 from .link_registry import LinkRegistry
 from .step_outputs import NO_VERSION, SendFrame
@@ -29,17 +30,10 @@
     def queue(self, now: float, message: SendFrame) -> None:
         """Put a message into the channel. Links whose queue is full are closed: their proxies read the tables anew."""
         try:
-            self._channel.submit(
-                now,
-                message.frame,
-                message.cost_lines,
-                message.version,
-                message.proxies,
-                message.orders,
-                message.is_urgent,
-            )
-        except Overrun as overrun:
-            for proxy in overrun.forwarders:
+            queued = Message(message.frame, message.cost_lines, message.version, now, message.orders)
+            self._channel.submit(queued, message.proxies, is_urgent=message.is_urgent)
+        except QueueFullError as error:
+            for proxy in error.proxies:
                 if link := self._registry.proxies.get(proxy):
                     self._context.rate_limited_log.warn("link cut off", proxy=proxy, why="the channel is full")
                     link.close("overrun", "the channel is full: read the store")
@@ -52,7 +46,7 @@
         self._send_due(now)
         self._publish_metrics()
         self.pause()
-        next_at = self._channel.next_at(now)
+        next_at = self._channel.next_due_at(now)
         if next_at is not None and self._context.lifecycle.is_running:
             delay = max(MIN_PUMP_DELAY_S, (next_at - now) / 1000.0)
             self._timer = asyncio.get_running_loop().call_later(delay, self.pump)
@@ -64,11 +58,11 @@
             self._timer = None
 
     def _send_due(self, now: float) -> None:
-        for proxy, message in self._channel.due(now):
+        for proxy, message in self._channel.take_due(now):
             link = self._registry.proxies.get(proxy)
             if link is None:
                 continue
-            if message.mark >= 0 and not link.link.marked(message.at, message.mark):
+            if message.version >= 0 and not link.link.add_unacked(message.submitted_at_ms, message.version):
                 link.close("no-acks", "too many marks are not acked")
                 continue
             link.send(message.frame)
@@ -76,11 +70,11 @@
     def _publish_metrics(self) -> None:
         metrics = self._context.metrics
         channel = self._channel
-        metrics.channel_queued_lines.set(channel.waiting)
-        metrics.channel_max_queued_lines.set(channel.most)
+        metrics.channel_queued_lines.set(channel.queued_lines)
+        metrics.channel_max_queued_lines.set(channel.max_queued_lines)
         metrics.lines_sent.inc(channel.lines_sent)
         metrics.messages_sent.inc(channel.messages_sent)
-        metrics.orders_overtaken.inc(channel.overtaken)
+        metrics.orders_overtaken.inc(channel.messages_overtaken)
         channel.lines_sent = 0
         channel.messages_sent = 0
-        channel.overtaken = 0
+        channel.messages_overtaken = 0
--- a/corallanding/controller/proxy_connections.py
+++ b/corallanding/controller/proxy_connections.py
@@ -11,7 +11,7 @@
 from ..config import ControllerConfig
 from ..telemetry import log
 from ..wire import frames
-from ..wire.link import Limits
+from ..wire.link_state import LinkLimits
 from .connection_state import ConnectionState
 from .context import Context
 from .engine import Engine
@@ -23,17 +23,17 @@
 from .proxy_protocol import ProxyConnection
 
 
-def link_limits(config: ControllerConfig) -> Limits:
+def link_limits(config: ControllerConfig) -> LinkLimits:
     """The limits of one connection, as configured."""
     proxies = config.forwarders
-    return Limits(
+    return LinkLimits(
         proxies.frame_most_bytes,
         proxies.hello_within_ms,
         proxies.silence_ms,
         proxies.frames_per_s,
-        buffer_most=proxies.buffer_most_bytes,
-        bytes_per_s=proxies.bytes_per_s,
-        ack_within=proxies.ack_within_ms,
+        max_buffer_bytes=proxies.buffer_most_bytes,
+        bytes_per_second=proxies.bytes_per_s,
+        ack_timeout_ms=proxies.ack_within_ms,
     )
 
 
@@ -79,16 +79,16 @@
                 self.proxy_admission.on_hello(link, frame)
             case frames.Ack() if link.is_joined:
                 self._on_ack(now, link)
-            case frames.Sums() if link.is_joined:
+            case frames.UsageReport() if link.is_joined:
                 self._engine.on_usage_report(now, link.proxy, frame)
-            case frames.Read():
+            case frames.TablesRequest():
                 link.is_joined = False
                 self.proxy_admission.request(link)
-            case frames.Held():
+            case frames.HeldTables():
                 if changed := self._engine.on_recalled_tables(now, frame):
                     log.warning("tables recalled", proxy=link.proxy, seq=frame.seq, slices=len(changed))
                 self.proxy_admission.join(link)
-            case frames.Bye():
+            case frames.Goodbye():
                 link.close("bye")
             case _ if link.is_joined and self._peers.cluster:
                 self._peers.cluster.on_proxy_frame(link.proxy, frame)
@@ -97,7 +97,7 @@
     def on_writable(self, link: ProxyConnection, *, is_writable: bool) -> None:
         """Note that a proxy's socket takes no more for now, or takes more again."""
         if link.is_joined and self.registry.proxies.get(link.proxy) is link:
-            self._channel.block(link.proxy, not is_writable)
+            self._channel.set_blocked(link.proxy, is_blocked=not is_writable)
             if is_writable:
                 self._proxy_channel.pump()
 
@@ -117,7 +117,7 @@
 
     def _on_ack(self, now: float, link: ProxyConnection) -> None:
         # The link has checked it and knows since when the version was out.
-        version, sent_at = link.link.acks.popleft()
+        version, sent_at = link.link.acked.popleft()
         self._engine.add_event(now, api.VersionAcked(link.proxy, version, now - sent_at))
         self._context.metrics.ack_seconds.observe((now - sent_at) / 1000.0)
 
@@ -139,7 +139,7 @@
             self._channel.leave(proxy)
             self._engine.on_proxy_left(now, proxy)
         for proxy in self.registry.proxies:
-            self._channel.block(proxy, False)  # nothing of ours waits in their sockets
+            self._channel.set_blocked(proxy, is_blocked=False)  # nothing of ours waits in their sockets
             if self._peers.cluster:
                 self._peers.cluster.on_proxy_joined(proxy)
 
@@ -173,7 +173,7 @@
         self.proxy_admission.admission.rate_per_second = config.forwarders.reads_per_s
         for link in self.registry.links:
             link.link.limits = self.limits
-            link.link.reader.most = self.limits.frame_most
+            link.link.reader.max_frame_bytes = self.limits.max_frame_bytes
 
     def stop(self) -> None:
         """End every connection with a reason."""
--- a/corallanding/controller/proxy_protocol.py
+++ b/corallanding/controller/proxy_protocol.py
@@ -1,4 +1,4 @@
-"""A proxy's connection on a socket: a thin asyncio protocol around `wire.link.Link`."""
+"""A proxy's connection on a socket: a thin asyncio protocol around `wire.link_state.LinkState`."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from typing import TYPE_CHECKING, Protocol, cast
 
 from ..wire import frames
-from ..wire.frames import LinkFault
-from ..wire.link import Link
+from ..wire.errors import LinkError
+from ..wire.link_state import LinkState
 from .connection_state import restore_connection
 
 if TYPE_CHECKING:
     from ..config import ControllerConfig
     from ..telemetry import Metrics, RateLimitedLogger
-    from ..wire.link import Limits
+    from ..wire.link_state import LinkLimits
     from .connection_state import ConnectionState
 
 NO_PROXY = -1  # in place of a number, before the hello
@@ -27,7 +27,7 @@
     """What a connection needs of the controller that it belongs to."""
 
     config: ControllerConfig
-    limits: Limits
+    limits: LinkLimits
     rate_limited_log: RateLimitedLogger
     metrics: Metrics
     links: dict[ProxyConnection, None]
@@ -57,7 +57,7 @@
     def __init__(self, owner: ConnectionOwner, inherited: ConnectionState | None = None) -> None:
         self.owner = owner
         self.inherited = inherited
-        self.link = Link(owner.limits, owner.clock())
+        self.link = LinkState(owner.limits, owner.clock())
         self.is_joined = False
         self.is_closed = False
         self.is_write_paused = False
@@ -71,7 +71,7 @@
     @property
     def proxy(self) -> int:
         """The number of the proxy; `NO_PROXY` before its hello."""
-        return self.link.hello.forwarder if self.link.hello else NO_PROXY
+        return self.link.hello.proxy if self.link.hello else NO_PROXY
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by asyncio. Connections beyond the limits are closed, the oldest without a hello first."""
@@ -96,7 +96,7 @@
             return
         try:
             received = self.link.receive(self.owner.clock(), data)
-        except LinkFault as error:
+        except LinkError as error:
             self.owner.rate_limited_log.warn("link protocol error", proxy=self.proxy, code=error.code, why=str(error))
             self.close(error.code, str(error))
             return
@@ -114,7 +114,7 @@
         if self.is_closed or self.transport is None:
             return False
         self.transport.write(data)
-        if self.transport.get_write_buffer_size() > self.owner.limits.buffer_most:
+        if self.transport.get_write_buffer_size() > self.owner.limits.max_buffer_bytes:
             self.owner.rate_limited_log.warn("link cut off", proxy=self.proxy, why="it does not read")
             self.close("not-reading", "")
             return False
@@ -141,7 +141,7 @@
             if code in ABORTED_CODES:
                 self.transport.abort()
             else:
-                self.transport.write(frames.encode(frames.Bye(code, text[:MAX_REASON_CHARACTERS])))
+                self.transport.write(frames.encode(frames.Goodbye(code, text[:MAX_REASON_CHARACTERS])))
                 self.transport.close()
                 asyncio.get_running_loop().call_later(ABORT_AFTER_S, self.transport.abort)
         self.owner.on_closed(self)
--- a/corallanding/controller/publisher.py
+++ b/corallanding/controller/publisher.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from .. import interface as api
-from ..channel.merge import cost
+from ..channel.merge import cost_lines
 from ..wire import frames
 from .step_outputs import NO_VERSION, SendFrame
 
@@ -143,14 +143,14 @@
         self.message_number += 1
         tables = self.published.tables
         rows = [(slice_number, sorted(tables.get(slice_number, {}).items())) for slice_number in slices]
-        frame = frames.Tables(self.message_number, rows, addresses=self._addresses_of(rows), given=slices)
+        frame = frames.Tables(self.message_number, rows, addresses=self._addresses_of(rows), only_slices=slices)
         cost_lines = sum(1 + len(entries) for _, entries in rows)
         return SendFrame(frames.encode(frame), cost_lines, NO_VERSION, proxies)
 
     def lost_slices_message(self, slices: list[int], proxies: tuple[int, ...]) -> SendFrame:
         """Tells proxies that this controller no longer decides on some slices."""
         self.message_number += 1
-        return self._orders_message(frames.Orders(self.message_number, withdrawn=slices), proxies)
+        return self._orders_message(frames.Orders(self.message_number, withdrawn_slices=slices), proxies)
 
     def addresses_message(self, hosts: Sequence[int], proxies: tuple[int, ...]) -> SendFrame | None:
         """Tells proxies the new addresses of hosts; None if no table names them, or no proxy has joined."""
@@ -216,8 +216,8 @@
     def _orders_message(self, orders: frames.Orders, proxies: tuple[int, ...]) -> SendFrame:
         return SendFrame(
             frames.encode(orders),
-            cost(orders),
-            orders.mark,
+            cost_lines(orders),
+            orders.version,
             proxies,
             orders,
             is_urgent(orders.lines, orders.cordons, self.leaving_hosts),
--- a/corallanding/controller/report_aggregation.py
+++ b/corallanding/controller/report_aggregation.py
@@ -10,7 +10,7 @@
 from enum import StrEnum
 
 from .. import interface as api
-from ..wire.frames import Sums
+from ..wire.frames import UsageReport
 
 MAX_KEYS = 100_000
 MIN_PERIOD_SHARE = 0.9  # of the report interval that a total must cover before it is handed on
@@ -56,7 +56,7 @@
         self.dropped_rows = 0  # beyond `max_keys`, or of hosts, slices or request classes that do not exist
 
     def add(
-        self, now: float, proxy: int, zone: int, report: Sums, hosts: Container[int], slices: Container[int]
+        self, now: float, proxy: int, zone: int, report: UsageReport, hosts: Container[int], slices: Container[int]
     ) -> None:
         """Add one proxy's report. Rows on unknown hosts, slices or request classes are counted and dropped."""
         self._add_hosts(now, zone, report, hosts)
@@ -66,23 +66,23 @@
         for slice_number, request_class, requests, unanswered in report.slices:
             if slice_number not in slices or request_class >= request_classes or unanswered > requests:
                 self.dropped_rows += 1
-            elif tally := self._tally(now, (slice_kind, slice_number, request_class), report.span):
+            elif tally := self._tally(now, (slice_kind, slice_number, request_class), report.span_ms):
                 tally.total += requests
                 tally.failed += unanswered
-        for request_class, requests, unanswered in report.own:
+        for request_class, requests, unanswered in report.request_classes:
             if request_class >= request_classes or unanswered > requests:
                 self.dropped_rows += 1
-            elif tally := self._tally(now, (proxy_kind, proxy, request_class), report.span):
+            elif tally := self._tally(now, (proxy_kind, proxy, request_class), report.span_ms):
                 tally.total += requests
                 tally.failed += unanswered
 
-    def _add_hosts(self, now: float, zone: int, report: Sums, hosts: Container[int]) -> None:
+    def _add_hosts(self, now: float, zone: int, report: UsageReport, hosts: Container[int]) -> None:
         kind = UsageKind.HOST
         zone_count = self.settings.zone_count
         for host, attempts, failed, latency_ms in report.hosts:
             if host not in hosts or failed > attempts or zone >= zone_count:
                 self.dropped_rows += 1
-            elif tally := self._tally(now, (kind, zone, host), report.span):
+            elif tally := self._tally(now, (kind, zone, host), report.span_ms):
                 tally.total += attempts
                 tally.failed += failed
                 tally.latency_sum_ms += latency_ms * (attempts - failed)
--- a/corallanding/controller/resources.py
+++ b/corallanding/controller/resources.py
@@ -6,8 +6,7 @@
 from dataclasses import dataclass
 
 from .. import interface as api
-from ..channel import Channel
-from ..channel import Limits as ChannelLimits
+from ..channel import Channel, ChannelLimits
 from ..config import ControllerConfig
 from ..endpoints.endpoint_list import EndpointList
 from ..store import Store
--- a/corallanding/controller/scheduling_service.py
+++ b/corallanding/controller/scheduling_service.py
@@ -101,12 +101,12 @@
         """A proxy is gone: it hands its jobs to another controller, with their ages."""
         self.core.on_proxy_left(proxy)
 
-    def on_proxy_frame(self, proxy: int, frame: frames.Wait | frames.Unwait) -> None:
+    def on_proxy_frame(self, proxy: int, frame: frames.JobSubmission | frames.JobWithdrawal) -> None:
         """A proxy hands in a job, or takes one back."""
         now = self.context.clock()
-        if isinstance(frame, frames.Unwait):
-            job = self.core.remove(proxy, frame.ticket, is_abandoned=frame.ended)
-            if job and job.has_claim and frame.ended:
+        if isinstance(frame, frames.JobWithdrawal):
+            job = self.core.remove(proxy, frame.ticket, is_abandoned=frame.is_abandoned)
+            if job and job.has_claim and frame.is_abandoned:
                 self._give_back(now, job)
             return
         match self.sessions.admit(now, proxy, frame):
@@ -117,18 +117,18 @@
             case Admission.DELAYED:
                 pass
 
-    def _take_in(self, proxy: int, frame: frames.Wait, *, received_at: float) -> None:
+    def _take_in(self, proxy: int, frame: frames.JobSubmission, *, received_at: float) -> None:
         """Queue a job. received_at: when it was handed in, ms; it may have been delayed here since."""
         now = self.context.clock()
-        kind = self.kind_of_class.get(frame.operation)
+        kind = self.kind_of_class.get(frame.request_class)
         if kind is None:
             self._reply(proxy, frame.ticket, JobAnswer.DOES_NOT_WAIT, 0.0)
             return
-        waited_ms = min(frame.waited + now - received_at, self.sessions.age_ms(now, proxy))
-        key = record_key_of(f"job {frame.fingerprint}") if frame.fingerprint and self.queries else 0
+        waited_ms = min(frame.waited_ms + now - received_at, self.sessions.age_ms(now, proxy))
+        key = record_key_of(f"job {frame.idempotency_key}") if frame.idempotency_key and self.queries else 0
         is_new = (proxy, frame.ticket) not in self.core.tickets
         job, rejection, max_wait_ms = self.core.admit(
-            now, self.alive, proxy, frame.ticket, kind, waited_ms, key, frame.set
+            now, self.alive, proxy, frame.ticket, kind, waited_ms, key, frame.release_set
         )
         self._reply(proxy, frame.ticket, rejection or JobAnswer.WAITING, max_wait_ms)
         if rejection is not None:
@@ -144,7 +144,7 @@
             self._idempotency().query_age(now, job)
 
     def _reply(self, proxy: int, ticket: int, what: str, max_wait_ms: float) -> None:
-        self.fleet_view.reply(proxy, frames.Waits(ticket, what, round(max_wait_ms, 1)))
+        self.fleet_view.reply(proxy, frames.JobAdmission(ticket, what, round(max_wait_ms, 1)))
 
     def _count(self, kind: int, end: str) -> None:
         self.context.metrics.jobs.labels(self.names[kind], end).inc()
@@ -182,7 +182,7 @@
             self._give_back(now, job)
         elif outcome is ClaimOutcome.DUPLICATE:
             self._count(job.job_class, JobEnd.DUPLICATE)
-            self.fleet_view.reply(job.proxy, frames.Go(job.ticket, JobOrder.DROP_DUPLICATE))
+            self.fleet_view.reply(job.proxy, frames.JobRelease(job.ticket, JobOrder.DROP_DUPLICATE))
         elif (job.proxy, job.ticket) in self.core.tickets:
             # Queued again, or set aside: it could not go while the query was pending.
             blocked_ms = 0.0 if outcome is ClaimOutcome.GRANTED else self.core.limits.blocked_ms
@@ -225,7 +225,7 @@
         job = action.job
         self._count(job.job_class, JobEnd.RELEASED)
         self.journal.on_released(job, action.effective_priority, action.observed_peers)
-        self.fleet_view.reply(job.proxy, frames.Go(job.ticket, JobOrder.SEND))
+        self.fleet_view.reply(job.proxy, frames.JobRelease(job.ticket, JobOrder.SEND))
 
     def on_message(self, sender: int, message: messages.QueueSummary) -> None:
         """Take what waits at another controller."""
--- a/corallanding/controller/sessions.py
+++ b/corallanding/controller/sessions.py
@@ -26,7 +26,7 @@
     """A job that was handed in before the age of its process was known. received_at: ms."""
 
     received_at: float
-    frame: frames.Wait
+    frame: frames.JobSubmission
 
 
 class ReleasedJobs(NamedTuple):
@@ -72,7 +72,7 @@
             self.queries[query] = (proxy, name)
             self.records.schedule_queries()
 
-    def admit(self, now: float, proxy: int, frame: frames.Wait) -> Admission:
+    def admit(self, now: float, proxy: int, frame: frames.JobSubmission) -> Admission:
         """Whether the job may be queued now; if it is delayed it is stored here."""
         session = self.by_proxy.get(proxy)
         if session is None:
--- a/corallanding/lab/fleet/emulate.py
+++ b/corallanding/lab/fleet/emulate.py
@@ -216,7 +216,7 @@
             await asyncio.sleep(0.25)
             if self.machines[0].alive:
                 steward = self.stewards[0]
-                point = {"t": (trace.clock() - self.begun) / 1000.0, "waiting": float(steward.channel.waiting)}
+                point = {"t": (trace.clock() - self.begun) / 1000.0, "waiting": float(steward.channel.queued_lines)}
                 point["life"] = self.polled_life()
                 if feed := steward.load_weights.feed:
                     point |= {**feed.counts, **feed.worth.counts.by_name()}
--- a/corallanding/lab/holdings.py
+++ b/corallanding/lab/holdings.py
@@ -35,7 +35,7 @@
         """Tables as they stand. True for `joined` comes from a frame that replaces all."""
         said = self.said[k]
         rows = {t: dict(lines) for t, lines in frame.tables}
-        if not frame.given:
+        if not frame.only_slices:
             for t in [t for t, at in self.owner.items() if at == k and t not in rows]:
                 del self.owner[t]  # not its any more: the lines stand until another's come
             said.cordons = set(frame.cordons)
@@ -48,9 +48,9 @@
     def orders(self, k: int, frame: frames.Orders) -> None:
         """In the order of the fields."""
         said = self.said[k]
-        for table in frame.resets:
+        for table in frame.reset_tables:
             self.tables[table] = {}
-        for table in frame.withdrawn:
+        for table in frame.withdrawn_slices:
             if self.owner.get(table) == k:
                 del self.owner[table]
         self.addresses.update(frame.addresses)
--- a/corallanding/lab/host.py
+++ b/corallanding/lab/host.py
@@ -33,7 +33,7 @@
     """Invocations as frames, probes as HTTP, on one port: no frame is as long as "GET " says."""
 
     def __init__(self, host: Host) -> None:
-        self.host, self.reader = host, frames.Reader(at_host, 1 << 16)
+        self.host, self.reader = host, frames.FrameReader(at_host, 1 << 16)
         self.first, self.mode = b"", ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/corallanding/lab/host_link.py
+++ b/corallanding/lab/host_link.py
@@ -57,7 +57,7 @@
 class HostConn(asyncio.Protocol):
     def __init__(self, forwarder: Forwarder, host: int, zone: int) -> None:
         self.forwarder, self.host, self.zone = forwarder, host, zone
-        self.reader = frames.Reader(at_forwarder, 1 << 16)
+        self.reader = frames.FrameReader(at_forwarder, 1 << 16)
         self.transport: asyncio.Transport | None = None
         self.waiting: list[bytes] = []
         self.out: dict[tuple[int, int, int], Try] = {}
--- a/corallanding/lab/pinned.py
+++ b/corallanding/lab/pinned.py
@@ -50,7 +50,7 @@
             return
         count, number = len(f.links.to), next(self.numbers)
         for step in range(count):
-            if f.links.send((k + step) % count, frames.Enter(number, run, "lab")):
+            if f.links.send((k + step) % count, frames.RunQuery(number, run, "lab")):
                 k = (k + step) % count
                 break
         self.asked[number] = run
@@ -60,40 +60,41 @@
         if (run := self.asked.pop(number, None)) is not None:
             self.ask(run, k + 1)
 
-    def told(self, k: int, frame: frames.Pinned | frames.Routes) -> None:
-        if frame.set and frame.register < self.register and frame.set not in self.alive:
-            self.forwarder.witness.saw("behind", type(frame).__name__, frame.set, frame.register, self.register, k)
-            if isinstance(frame, frames.Pinned) and (run := self.asked.pop(frame.ask, None)) is not None:
+    def told(self, k: int, frame: frames.RunVersions | frames.RunRoutes) -> None:
+        if frame.release_set and frame.register_version < self.register and frame.release_set not in self.alive:
+            kind = "Pinned" if isinstance(frame, frames.RunVersions) else "Routes"
+            self.forwarder.witness.saw("behind", kind, frame.release_set, frame.register_version, self.register, k)
+            if isinstance(frame, frames.RunVersions) and (run := self.asked.pop(frame.query, None)) is not None:
                 self.ask(run, k + 1)
             return
-        if isinstance(frame, frames.Routes):
-            if frame.register >= self.register:
-                for number in self.alive.difference(frame.alive):
-                    self.forwarder.witness.saw("retired", number, frame.register)
-                self.register, self.alive = frame.register, set(frame.alive)
-            self.routes[k, frame.set] = {(s, o): (v, lines, wait) for s, o, v, lines, wait in frame.rows}
-            for at, number in [key for key in self.routes if key[0] == k and key[1] not in frame.alive]:
+        if isinstance(frame, frames.RunRoutes):
+            if frame.register_version >= self.register:
+                for number in self.alive.difference(frame.live_sets):
+                    self.forwarder.witness.saw("retired", number, frame.register_version)
+                self.register, self.alive = frame.register_version, set(frame.live_sets)
+            self.routes[k, frame.release_set] = {(s, o): (v, lines, wait) for s, o, v, lines, wait in frame.rows}
+            for at, number in [key for key in self.routes if key[0] == k and key[1] not in frame.live_sets]:
                 del self.routes[at, number]
             self.forwarder.held.addresses.update(frame.addresses)
             self.forwarder.unpark()
             return
-        run = self.asked.pop(frame.ask, None)
+        run = self.asked.pop(frame.query, None)
         if run is None:
             return
-        if frame.what == "not-now":
+        if frame.outcome == "not-now":
             asyncio.get_running_loop().call_later(0.1, self.ask, run, k + 1)
             return
         waiting = self.waiting.pop(run, [])
-        if frame.what == "pinned":
-            self.pins[run] = (frame.set, dict(frame.versions), clock() + GOOD)
+        if frame.outcome == "pinned":
+            self.pins[run] = (frame.release_set, dict(frame.versions), clock() + GOOD)
             while len(self.pins) > RUNS_MOST:
                 self.pins.popitem(last=False)
-        self.forwarder.witness.saw("pin", run, frame.what, frame.set, k)
+        self.forwarder.witness.saw("pin", run, frame.outcome, frame.release_set, k)
         for t in [t for t in waiting if not t.ended]:
-            if frame.what == "pinned":
+            if frame.outcome == "pinned":
                 self.go(t)
             else:
-                self.forwarder.end(t, frame.what)
+                self.forwarder.end(t, frame.outcome)
 
     def go(self, t: Try) -> None:
         t.set = self.pins[t.run][0]
--- a/corallanding/lab/steward_link.py
+++ b/corallanding/lab/steward_link.py
@@ -20,7 +20,7 @@
 
     def __init__(self, forwarder: Forwarder, k: int) -> None:
         self.k = k
-        self.forwarder, self.reader = forwarder, frames.Reader(frames.to_forwarder, 16 << 20)
+        self.forwarder, self.reader = forwarder, frames.FrameReader(frames.proxy_decoder, 16 << 20)
         self.transport: asyncio.Transport | None = None
         self.heard = clock()
         self.coming: deque[tuple[float, Any]] = deque()
@@ -32,7 +32,15 @@
         f = self.forwarder
         said = f.held.said[self.k]
         hello = frames.Hello(
-            frames.VERSION, f.number, f.session, f.zone, f.rate, not f.held.tables, said.life, said.seq, f.parts
+            frames.PROTOCOL_VERSION,
+            f.number,
+            f.session,
+            f.zone,
+            f.rate,
+            not f.held.tables,
+            said.life,
+            said.seq,
+            f.parts,
         )
         self.send(hello)
 
@@ -121,7 +129,7 @@
                 beat = clock()
                 for link in self.to:
                     if link and f.held.said[link.k].joined:
-                        link.send(frames.Beat(beat))
+                        link.send(frames.Heartbeat(beat))
             if clock() - f.sums.counted >= self.report_every:
                 f.sums.send()
 
@@ -132,25 +140,30 @@
         k, said = link.k, f.held.said[link.k]
         match frame:
             case frames.Welcome():
-                said.next_life = frame.life
-                self.beat, self.silence, self.report_every = frame.beat, frame.silence, frame.report_every
+                said.next_life = frame.start_number
+                self.beat, self.silence, self.report_every = (
+                    frame.heartbeat_interval_ms,
+                    frame.silence_timeout_ms,
+                    frame.report_interval_ms,
+                )
                 if said.joined:
-                    said.life = frame.life  # another process of the steward goes on: what we hold is of its life
+                    # Another process of the steward goes on: what we hold is of its life.
+                    said.life = frame.start_number
                     f.waits.lost(k)  # and it knows nothing of what waits
             case frames.Tables():
                 f.held.whole(k, frame)
-                if not frame.given:
+                if not frame.only_slices:
                     f.witness.saw("joined", said.life, k)
-                self.applied(link, frame.seq, frame.mark)
+                self.applied(link, frame.seq, frame.version)
             case frames.Orders():
                 f.held.orders(k, frame)
-                self.applied(link, frame.seq, frame.mark)
-            case frames.Recall():
+                self.applied(link, frame.seq, frame.version)
+            case frames.HeldTablesRequest():
                 held = [(t, list(lines.items())) for t, lines in f.held.tables.items()]
-                link.send(frames.Held(said.life, said.seq, held))
-            case frames.Pinned() | frames.Routes():
+                link.send(frames.HeldTables(said.life, said.seq, held))
+            case frames.RunVersions() | frames.RunRoutes():
                 f.pinned.told(k, frame)
-            case frames.Waits() | frames.Go():
+            case frames.JobAdmission() | frames.JobRelease():
                 f.waits.told(k, frame)
 
     def applied(self, link: Steward, seq: int, mark: int) -> None:
--- a/corallanding/lab/sums.py
+++ b/corallanding/lab/sums.py
@@ -57,4 +57,4 @@
                 (h, int(n), int(bad), good / max(n - bad, 1)) for (k, h), (n, bad, good) in met.items() if k == link.k
             ]
             slices = [(s, o, n, bad) for (s, o), (n, bad) in came.items() if f.held.owner.get(s, 0) == link.k]
-            asyncio.get_running_loop().call_later(late / 1000.0, link.send, frames.Sums(span, hosts, slices))
+            asyncio.get_running_loop().call_later(late / 1000.0, link.send, frames.UsageReport(span, hosts, slices))
--- a/corallanding/lab/waits.py
+++ b/corallanding/lab/waits.py
@@ -58,12 +58,12 @@
             asyncio.get_running_loop().call_later(0.2, self.hand, job)
             return
         job.at = up[(job.number + f.number) % len(up)]
-        f.links.send(job.at, frames.Wait(job.number, job.operation, waited, job.fingerprint, job.set))
+        f.links.send(job.at, frames.JobSubmission(job.number, job.operation, waited, job.fingerprint, job.set))
         asyncio.get_running_loop().call_later(1.5, self.unanswered, job, job.at)
 
     def unanswered(self, job: Job, k: int) -> None:
         if self.jobs.get(job.number) is job and job.at == k and not job.taken:
-            self.forwarder.links.send(k, frames.Unwait(job.number))
+            self.forwarder.links.send(k, frames.JobWithdrawal(job.number))
             job.at = -1
             self.hand(job)
 
@@ -75,29 +75,29 @@
             job.at, job.taken = -1, False
             asyncio.get_running_loop().call_later(0.05, self.hand, job)
 
-    def told(self, k: int, frame: frames.Waits | frames.Go) -> None:
+    def told(self, k: int, frame: frames.JobAdmission | frames.JobRelease) -> None:
         job = self.jobs.get(frame.ticket)
         if job is None or job.at != k:
             return
         f = self.forwarder
-        if isinstance(frame, frames.Go):
-            f.witness.saw("went" if frame.what == "go" else "twin", job.number, k)
+        if isinstance(frame, frames.JobRelease):
+            f.witness.saw("went" if frame.outcome == "go" else "twin", job.number, k)
             del self.jobs[job.number]
-            if frame.what == "go":
+            if frame.outcome == "go":
                 f.invoke(job.send())
             else:
                 job.done("twin")
-        elif frame.what == "waiting":
+        elif frame.outcome == "waiting":
             if not job.taken:
                 job.taken = True
-                f.witness.saw("held", job.number, k, frame.longest)
-        elif frame.what == "not-now":
+                f.witness.saw("held", job.number, k, frame.max_wait_ms)
+        elif frame.outcome == "not-now":
             job.at = -1
             asyncio.get_running_loop().call_later(0.2, self.hand, job)
         else:
-            f.witness.saw("not-taken", job.number, frame.what)
+            f.witness.saw("not-taken", job.number, frame.outcome)
             del self.jobs[job.number]
-            job.done(frame.what)
+            job.done(frame.outcome)
 
     def end(self) -> None:
         """The process dies: bodies are gone with it."""
--- a/corallanding/wire/__init__.py
+++ b/corallanding/wire/__init__.py
@@ -1,1 +1,2 @@
-"""The forwarder link, without sockets: frames (`frames`) and the steward's side of a link (`link`)."""
+"""The protocol between controllers and proxies, without sockets: frames (`frames`) and the state of a link
+(`link_state`)."""
--- a/corallanding/wire/codec.py
+++ b/corallanding/wire/codec.py
@@ -1,55 +1,80 @@
-"""What all frames are made of: their base, their fields' bounds, and the ways in which a peer can break the
-protocol."""
+"""Encoding of frames: four bytes of length (big-endian, of what follows), then one MessagePack array.
+
+The first item of the array names the kind of frame. All limits are arguments.
+"""
 
 from __future__ import annotations
 
-from typing import Annotated
+from typing import Annotated, Any
 
 import msgspec
 
-VERSION = 1
-HEAD = 4  # bytes of length before each frame
-
-
-class LinkFault(Exception):
-    """A peer broke the protocol: its link is closed with `code` and `text`, nothing else is disturbed."""
-
-    code = "protocol"
-
-
-class Malformed(LinkFault):
-    """Bytes that are no frame, or a frame with a field that the protocol does not allow."""
-
-    code = "malformed"
-
+from .errors import MalformedFrameError, OversizedFrameError
 
-class Oversized(LinkFault):
-    """A length above the limit that the settings allow for one frame."""
+PROTOCOL_VERSION = 1
 
-    code = "oversized"
+LENGTH_BYTES = 4
+"""Size of the length that precedes each frame."""
 
-
-class OutOfPlace(LinkFault):
-    """A frame of a known kind at a moment, or from a side, that does not send it."""
-
-    code = "out-of-place"
-
-
-class UnknownVersion(LinkFault):
-    """A hello of a version that this side does not speak."""
-
-    code = "unknown-version"
+MAX_ERROR_TEXT_CHARS = 180
 
 
 class Frame(msgspec.Struct, array_like=True, forbid_unknown_fields=False, gc=False):
-    """Base of all frames. Fields may be added at the end of a kind; older peers pass over them."""
-
-
-Natural = msgspec.Meta(ge=0, le=2**32 - 1)
-Positive = msgspec.Meta(ge=0.0, le=1e12)
+    """Base of all frames. Fields may be added at the end of a kind; older peers ignore them."""
 
 
-Number = Annotated[int, Natural]
-Amount = Annotated[float, Positive]
+Number = Annotated[int, msgspec.Meta(ge=0, le=2**32 - 1)]
+SequenceNumber = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
+ShortNumber = Annotated[int, msgspec.Meta(ge=0, le=65535)]
+Amount = Annotated[float, msgspec.Meta(ge=0.0, le=1e12)]
 Text = Annotated[str, msgspec.Meta(max_length=200)]
-Lines = list[tuple[int, float]]
+HostWeights = list[tuple[int, float]]
+"""The lines of one table: host and weight."""
+
+_encoder = msgspec.msgpack.Encoder()
+
+
+def encode(frame: Frame) -> bytes:
+    """Return the frame with its length before it."""
+    body = _encoder.encode(frame)
+    return len(body).to_bytes(LENGTH_BYTES, "big") + body
+
+
+class FrameReader:
+    """Decodes a stream of bytes into frames.
+
+    Holds at most one frame of `max_frame_bytes`, and what one read brought beyond it.
+    """
+
+    def __init__(self, decoder: msgspec.msgpack.Decoder[Any], max_frame_bytes: int) -> None:
+        self.decoder = decoder
+        self.max_frame_bytes = max_frame_bytes
+        self.buffer = bytearray()
+
+    def feed(self, data: bytes) -> list[Any]:
+        """Return the frames that `data` completes, in order.
+
+        Raises `OversizedFrameError` or `MalformedFrameError`; the reader must not be used after that.
+        """
+        self.buffer += data
+        frames: list[Any] = []
+        start = 0
+        size = len(self.buffer)
+        while size - start >= LENGTH_BYTES:
+            body_start = start + LENGTH_BYTES
+            length = int.from_bytes(self.buffer[start:body_start], "big")
+            if length > self.max_frame_bytes:
+                # Checked before the body has come: a length alone must not make this side buffer a gigabyte.
+                raise OversizedFrameError(f"a frame of {length} bytes; {self.max_frame_bytes} are allowed")
+            if size - body_start < length:
+                break
+            frames.append(self._decode(bytes(self.buffer[body_start : body_start + length])))
+            start = body_start + length
+        del self.buffer[:start]
+        return frames
+
+    def _decode(self, body: bytes) -> Any:
+        try:
+            return self.decoder.decode(body)
+        except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+            raise MalformedFrameError(str(error)[:MAX_ERROR_TEXT_CHARS]) from None
--- a/corallanding/wire/frames.py
+++ b/corallanding/wire/frames.py
@@ -1,7 +1,7 @@
-"""Frames of the forwarder link: length-prefixed MessagePack. `docs/protocol.md` is the page for strangers.
+"""Frames between a proxy and a controller. `docs/protocol.md` describes the protocol for others.
 
-A frame is four bytes of length (big-endian, of what follows) and one MessagePack array whose first item
-names the kind. Times are milliseconds, hosts and slices the steward's numbers. All limits are arguments.
+Times are milliseconds; hosts, slices and request classes are the controller's numbers. The order of the fields and the
+tags are the wire; names of classes and fields are not.
 """
 
 from __future__ import annotations
@@ -11,209 +11,212 @@
 import msgspec
 
 from .codec import (
-    HEAD,
-    VERSION,
+    LENGTH_BYTES,
+    PROTOCOL_VERSION,
     Amount,
     Frame,
-    Lines,
-    LinkFault,
-    Malformed,
+    FrameReader,
+    HostWeights,
     Number,
-    OutOfPlace,
-    Oversized,
+    SequenceNumber,
+    ShortNumber,
     Text,
-    UnknownVersion,
+    encode,
 )
-from .peer_frames import Enter, Go, Pinned, Routes, Unwait, Wait, Waits
+from .errors import LinkError, MalformedFrameError, OversizedFrameError, UnexpectedFrameError, UnsupportedVersionError
+from .job_frames import JobAdmission, JobRelease, JobSubmission, JobWithdrawal
+from .run_frames import RunQuery, RunRoutes, RunVersions
 
 __all__ = [
-    "HEAD",
-    "VERSION",
+    "LENGTH_BYTES",
+    "PROTOCOL_VERSION",
     "Ack",
-    "Beat",
-    "Bye",
-    "Enter",
     "Frame",
-    "Go",
-    "Held",
+    "FrameReader",
+    "Goodbye",
+    "Heartbeat",
+    "HeldTables",
+    "HeldTablesRequest",
     "Hello",
-    "LinkFault",
-    "Malformed",
+    "JobAdmission",
+    "JobRelease",
+    "JobSubmission",
+    "JobWithdrawal",
+    "LevelRow",
+    "LinkError",
+    "MalformedFrameError",
     "Orders",
-    "OutOfPlace",
-    "Oversized",
-    "Pinned",
-    "Read",
-    "Reader",
-    "Recall",
-    "Routes",
-    "Sums",
+    "OversizedFrameError",
+    "RunQuery",
+    "RunRoutes",
+    "RunVersions",
     "Tables",
-    "UnknownVersion",
-    "Unwait",
-    "Wait",
-    "Waits",
+    "TablesRequest",
+    "UnexpectedFrameError",
+    "UnsupportedVersionError",
+    "UsageReport",
     "Welcome",
+    "controller_decoder",
     "encode",
+    "proxy_decoder",
 ]
 
-# ---- from a forwarder --------------------------------------------------------------------------------
+# ---- from a proxy --------------------------------------------------------------------------------------------
 
 
 class Hello(Frame, tag="hello"):
-    """First frame of a link. `session` names the forwarder's process; `fresh`: it holds no table of ours.
-    `life` and `seq`: the newest of this steward's messages that it applied, as they stood in it."""
+    """First frame of a link.
+
+    session: names the proxy's process. is_fresh: it holds no table of this controller. start_number, seq: of the newest
+    message of this controller that it applied. features: what else it supports: 1 workflow runs, 2 jobs that may wait.
+    """
 
     version: int
-    forwarder: Annotated[int, msgspec.Meta(ge=0, le=65535)]
+    proxy: ShortNumber
     session: Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
-    zone: Annotated[int, msgspec.Meta(ge=0, le=65535)] = 0
-    rate: Amount = 0.0
-    fresh: bool = True
-    life: Number = 0
-    seq: Annotated[int, msgspec.Meta(ge=0, le=2**53)] = 0
-    parts: Number = 0  # what else it speaks: 1 runs, 2 work that may wait
+    zone: ShortNumber = 0
+    requests_per_second: Amount = 0.0
+    is_fresh: bool = True
+    start_number: Number = 0
+    seq: SequenceNumber = 0
+    features: Number = 0
 
 
 class Ack(Frame, tag="ack"):
-    """The message that carried mark `number`, and all before it, are applied."""
+    """The message that carried this version, and all before it, are applied."""
 
-    number: Annotated[int, msgspec.Meta(ge=0, le=65535)]
+    version: ShortNumber
 
 
-class Sums(Frame, tag="sums"):
-    """What the forwarder met over the last `span` ms.
+class UsageReport(Frame, tag="sums"):
+    """What the proxy counted over the last `span_ms`.
 
-    hosts: [host, tries, errored, mean latency of the good ones]; slices: [slice, operation, invocations,
-    unanswered]; own (sites without slices): [operation, invocations, unanswered].
+    hosts: [host, attempts, failed, mean latency in ms of the successful ones]; slices: [slice, request class, requests,
+    unanswered]; request_classes (sites without slices): [request class, requests, unanswered].
     """
 
-    span: Annotated[float, msgspec.Meta(gt=0.0, le=1e9)]
-    hosts: list[tuple[Number, Number, Number, Amount]] = []
-    slices: list[tuple[Number, Number, Number, Number]] = []
-    own: list[tuple[Number, Number, Number]] = []
+    span_ms: Annotated[float, msgspec.Meta(gt=0.0, le=1e9)]
+    hosts: list[tuple[Number, Number, Number, Amount]] = msgspec.field(default_factory=list)
+    slices: list[tuple[Number, Number, Number, Number]] = msgspec.field(default_factory=list)
+    request_classes: list[tuple[Number, Number, Number]] = msgspec.field(default_factory=list)
 
 
-class Held(Frame, tag="held"):
-    """Answers a recall: the tables as the forwarder holds them, of message `seq` of life `life`."""
+class HeldTables(Frame, tag="held"):
+    """Answers a `HeldTablesRequest`: the tables as the proxy holds them, as of message `seq` of that start."""
 
-    life: Number
-    seq: Annotated[int, msgspec.Meta(ge=0, le=2**53)]
+    start_number: Number
+    seq: SequenceNumber
     tables: list[tuple[Number, list[tuple[Number, Amount]]]]
 
 
-class Read(Frame, tag="read"):
-    """Asks for the tables anew, as at joining."""
+class TablesRequest(Frame, tag="read"):
+    """Asks for all tables again, as after joining."""
 
 
-class Beat(Frame, tag="beat"):
-    """Sign of life, from either side. `at` is given back as it came in the answer of the forwarder."""
+class Heartbeat(Frame, tag="beat"):
+    """Sign of life, from either side. The answer of the proxy repeats `sent_at_ms`."""
 
-    at: float = 0.0
+    sent_at_ms: float = 0.0
 
 
-# ---- from the steward --------------------------------------------------------------------------------
+# ---- from the controller -------------------------------------------------------------------------------------
 
 
 class Welcome(Frame, tag="welcome"):
-    """Answers a hello: the steward's number, its life, and the pace that the forwarder keeps."""
+    """Answers a hello: the controller's number, its start number, and the intervals that the proxy keeps."""
 
     version: int
-    steward: int
-    life: int
-    beat: float
-    silence: float
-    report_every: float
-    slices: int
+    controller: int
+    start_number: int
+    heartbeat_interval_ms: float
+    silence_timeout_ms: float
+    report_interval_ms: float
+    slice_count: int
 
 
-LevelRow = tuple[int, int, float, int]  # table (65535: all), operations' bits (0: all), amount, retry
+LevelRow = tuple[int, int, float, int]
+"""Admission level: table (65535: all), bits of the request classes (0: all), amount, retry."""
 
 
 class Tables(Frame, tag="tables"):
-    """The store as it stands: replaces all that the forwarder holds from this steward, cordons included.
+    """The tables as stored: replaces all that the proxy holds from this controller, cordons included.
 
-    tables: [table, [[host, weight], ...]] for each table in the steward's charge; a table not named is not in
-    its charge. addresses: host to "ip:port" for every host named. given: if not empty, only these slices are
-    replaced, and the rest of what the forwarder holds stands.
+    tables: [table, [[host, weight], ...]] for each table that this controller owns; it owns no others. addresses: host
+    to "ip:port" for every host named. assigned_tables (sites without slices): table, bits of the request classes.
+    only_slices: if not empty, only these slices are replaced, and the proxy keeps the rest.
     """
 
     seq: int
-    tables: list[tuple[int, Lines]]
-    levels: list[LevelRow] = []
-    cordons: list[int] = []
-    addresses: dict[int, str] = {}
-    points: list[tuple[int, int]] = []  # sites without slices: table, operations' bits
-    given: list[int] = []
-    mark: int = -1
+    tables: list[tuple[int, HostWeights]]
+    levels: list[LevelRow] = msgspec.field(default_factory=list)
+    cordons: list[int] = msgspec.field(default_factory=list)
+    addresses: dict[int, str] = msgspec.field(default_factory=dict)
+    assigned_tables: list[tuple[int, int]] = msgspec.field(default_factory=list)
+    only_slices: list[int] = msgspec.field(default_factory=list)
+    version: int = -1
 
 
 class Orders(Frame, tag="orders"):
-    """What one step ordered: one message a forwarder. Applied in the order of the fields.
+    """Changes of the tables that one decision step ordered: one message a proxy, applied in the order of the fields.
 
-    lines: [table, host, weight], weight 0 takes the line away. resets: tables emptied first. mark: -1 or the
-    number to be acked. addresses: "ip:port" of every host that a line names with a weight above 0.
+    version: -1, or the number to acknowledge. reset_tables: emptied first. lines: [table, host, weight]; weight 0
+    removes the line. addresses: "ip:port" of every host that a line names with a weight above 0. withdrawn_slices: no
+    longer owned by this controller.
     """
 
     seq: int
-    mark: int = -1
-    resets: list[int] = []
-    lines: list[tuple[int, int, float]] = []
-    levels: list[LevelRow] = []
-    cordons: list[tuple[int, bool]] = []
-    points: list[tuple[int, int]] = []
-    addresses: dict[int, str] = {}
-    withdrawn: list[int] = []  # slices that left this steward's charge
+    version: int = -1
+    reset_tables: list[int] = msgspec.field(default_factory=list)
+    lines: list[tuple[int, int, float]] = msgspec.field(default_factory=list)
+    levels: list[LevelRow] = msgspec.field(default_factory=list)
+    cordons: list[tuple[int, bool]] = msgspec.field(default_factory=list)
+    assigned_tables: list[tuple[int, int]] = msgspec.field(default_factory=list)
+    addresses: dict[int, str] = msgspec.field(default_factory=dict)
+    withdrawn_slices: list[int] = msgspec.field(default_factory=list)
 
 
-class Recall(Frame, tag="recall"):
-    """Comes between welcome and tables: asks a forwarder for the tables that it holds, which are newer than what
-    the store gave back. Answered by `Held` at once."""
+class HeldTablesRequest(Frame, tag="recall"):
+    """Comes between welcome and tables: asks a proxy for the tables that it holds, which are newer than what the store
+    returned. Answered by `HeldTables` at once."""
 
 
-class Bye(Frame, tag="bye"):
+class Goodbye(Frame, tag="bye"):
     """The last frame of a link, from either side: why it is closed."""
 
     code: Text
     text: Text = ""
 
 
-FromForwarder = Hello | Ack | Sums | Held | Read | Beat | Bye | Enter | Wait | Unwait
-FromSteward = Welcome | Tables | Orders | Recall | Beat | Bye | Pinned | Routes | Waits | Go
-
-_encoder = msgspec.msgpack.Encoder()
-to_steward: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(FromForwarder)
-to_forwarder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(FromSteward)
-
-
-def encode(frame: Frame) -> bytes:
-    """One frame with its length before it."""
-    body = _encoder.encode(frame)
-    return len(body).to_bytes(HEAD, "big") + body
-
-
-class Reader:
-    """Bytes in, frames out. Holds at most one frame of `most` bytes and what one read brought beyond it."""
-
-    def __init__(self, decoder: msgspec.msgpack.Decoder[Any], most: int) -> None:
-        self.decoder, self.most, self.held = decoder, most, bytearray()
-
-    def feed(self, data: bytes) -> list[Any]:
-        """Frames completed by `data`, in order. Raises `Oversized` or `Malformed`; the link is then over."""
-        self.held += data
-        frames, at, size = [], 0, len(self.held)
-        while size - at >= HEAD:
-            length = int.from_bytes(self.held[at : at + HEAD], "big")
-            if length > self.most:
-                # Before the body is there: a length alone must not make the steward hold a gigabyte.
-                raise Oversized(f"a frame of {length} bytes; {self.most} are allowed")
-            if size - at - HEAD < length:
-                break
-            body = bytes(self.held[at + HEAD : at + HEAD + length])
-            try:
-                frames.append(self.decoder.decode(body))
-            except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-                raise Malformed(str(fault)[:180]) from None
-            at += HEAD + length
-        del self.held[:at]
-        return frames
+ProxyFrame = (
+    Hello
+    | Ack
+    | UsageReport
+    | HeldTables
+    | TablesRequest
+    | Heartbeat
+    | Goodbye
+    | RunQuery
+    | JobSubmission
+    | JobWithdrawal
+)
+"""What a proxy sends."""
+
+ControllerFrame = (
+    Welcome
+    | Tables
+    | Orders
+    | HeldTablesRequest
+    | Heartbeat
+    | Goodbye
+    | RunVersions
+    | RunRoutes
+    | JobAdmission
+    | JobRelease
+)
+"""What a controller sends."""
+
+controller_decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(ProxyFrame)
+"""Decodes at a controller what proxies send."""
+
+proxy_decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(ControllerFrame)
+"""Decodes at a proxy what controllers send."""
--- /dev/null
+++ b/corallanding/wire/link_state.py
@@ -0,0 +1,137 @@
+"""The controller's side of a link to one proxy: which frame may come when, acknowledgements, limits and timeouts.
+
+Pure: no socket and no clock. Times are milliseconds. A proxy that breaks the protocol is reported by a `LinkError`.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from dataclasses import dataclass, field
+
+from . import frames
+from .codec import FrameReader
+from .errors import LinkError, UnexpectedFrameError, UnsupportedVersionError
+from .frames import Ack, Goodbye, HeldTables, Hello
+
+BURST_SECONDS = 2.0
+"""Frames and bytes that may come at once, in seconds of the permitted rate."""
+
+
+@dataclass(frozen=True)
+class LinkLimits:
+    """Bounds of a link."""
+
+    max_frame_bytes: int = 1 << 20
+    hello_timeout_ms: float = 2_000.0
+    silence_timeout_ms: float = 3_000.0
+    frames_per_second: float = 400.0
+    max_unacked_versions: int = 4_096
+    max_buffer_bytes: int = 4 << 20
+    bytes_per_second: float = 4e6
+    ack_timeout_ms: float = 15_000.0
+
+
+@dataclass
+class LinkState:
+    """The state of one connection.
+
+    hello: None until the proxy has sent it. goodbye_code: why the proxy closes the link, empty while it does not.
+    acked: versions that the last bytes acknowledged, with the times at which they were sent. unacked_versions: the
+    same for versions that are not acknowledged. is_recalled: a `HeldTablesRequest` is not answered yet.
+    """
+
+    limits: LinkLimits
+    opened_at_ms: float
+    hello: Hello | None = None
+    last_received_at_ms: float = 0.0
+    goodbye_code: str = ""
+    acked: deque[tuple[int, float]] = field(default_factory=deque)
+    reader: FrameReader = field(init=False)
+    unacked_versions: deque[tuple[int, float]] = field(default_factory=deque)
+    is_recalled: bool = False
+    frame_allowance: float = field(init=False)
+    byte_allowance: float = field(init=False)
+    replenished_at_ms: float = field(init=False)
+
+    def __post_init__(self) -> None:
+        self.reader = FrameReader(frames.controller_decoder, self.limits.max_frame_bytes)
+        self.last_received_at_ms = self.opened_at_ms
+        self.replenished_at_ms = self.opened_at_ms
+        self.frame_allowance = self.limits.frames_per_second * BURST_SECONDS
+        self.byte_allowance = self.limits.bytes_per_second * BURST_SECONDS
+
+    def receive(self, now: float, data: bytes) -> list[frames.Frame]:
+        """Return the frames that `data` completes. Raises a `LinkError` at the first that the protocol does not allow.
+
+        Guards against a proxy that sends nothing, floods, acknowledges what was not sent, or sends a frame out of
+        order. A proxy that wakes from a long pause with more frames than the burst is cut off too.
+        """
+        received: list[frames.Frame] = self.reader.feed(data)
+        self.acked.clear()
+        self._charge(now, len(received), len(data))
+        if received:
+            self.last_received_at_ms = now
+        for frame in received:
+            self._on_frame(frame)
+        return received
+
+    def _charge(self, now: float, frame_count: int, byte_count: int) -> None:
+        """Take what came from the allowances, which are replenished at the permitted rates."""
+        frame_rate = self.limits.frames_per_second
+        byte_rate = self.limits.bytes_per_second
+        elapsed_s = (now - self.replenished_at_ms) / 1000.0
+        frame_allowance = min(frame_rate * BURST_SECONDS, self.frame_allowance + elapsed_s * frame_rate)
+        byte_allowance = min(byte_rate * BURST_SECONDS, self.byte_allowance + elapsed_s * byte_rate)
+        self.frame_allowance = frame_allowance - frame_count
+        self.byte_allowance = byte_allowance - byte_count
+        self.replenished_at_ms = now
+        if self.frame_allowance < 0:
+            raise LinkError(f"more than {frame_rate:g} frames a second")
+        if self.byte_allowance < 0:
+            raise LinkError(f"more than {byte_rate:g} bytes a second")
+
+    def _on_frame(self, frame: frames.Frame) -> None:
+        match frame:
+            case Hello():
+                self._on_hello(frame)
+            case Goodbye():
+                self.goodbye_code = frame.code
+            case _ if not self.hello:
+                raise UnexpectedFrameError(f"{frame.__struct_config__.tag} before hello")
+            case Ack():
+                self._on_ack(frame.version)
+            case HeldTables():
+                if not self.is_recalled:
+                    raise UnexpectedFrameError("held without a recall")
+                self.is_recalled = False
+
+    def _on_hello(self, hello: Hello) -> None:
+        if self.hello:
+            raise UnexpectedFrameError("a second hello on one link")
+        if hello.version != frames.PROTOCOL_VERSION:
+            raise UnsupportedVersionError(f"version {hello.version}; this side speaks {frames.PROTOCOL_VERSION}")
+        self.hello = hello
+
+    def _on_ack(self, version: int) -> None:
+        """An ack names the newest version applied; those before it on this link count as applied."""
+        if not any(version == sent for sent, _ in self.unacked_versions):
+            raise UnexpectedFrameError(f"ack of mark {version}, which is not out on this link")
+        while True:
+            sent, sent_at_ms = self.unacked_versions.popleft()
+            if sent == version:
+                self.acked.append((version, sent_at_ms))
+                return
+
+    def add_unacked(self, now: float, version: int) -> bool:
+        """Note that a version is sent. False if too many are not acknowledged: the link must then be closed."""
+        self.unacked_versions.append((version, now))
+        return len(self.unacked_versions) <= self.limits.max_unacked_versions
+
+    def overdue(self, now: float) -> str:
+        """Why the link must be closed by now: no hello, no acknowledgement, or silence. Empty if it need not."""
+        if not self.hello:
+            return "no hello" if now - self.opened_at_ms > self.limits.hello_timeout_ms else ""
+        if self.unacked_versions and now - self.unacked_versions[0][1] > self.limits.ack_timeout_ms:
+            # It sends heartbeats but applies nothing: migrations that wait for its acks are held up for all proxies.
+            return "no acks"
+        return "silent" if now - self.last_received_at_ms > self.limits.silence_timeout_ms else ""
--- a/tests/controller/support.py
+++ b/tests/controller/support.py
@@ -27,5 +27,5 @@
     """Keep connections alive until cancelled."""
     while True:
         for peer in peers:
-            peer.say(frames.Beat(1.0))
+            peer.say(frames.Heartbeat(1.0))
         await asyncio.sleep(0.05)
--- a/tests/controller/test_connection_limits.py
+++ b/tests/controller/test_connection_limits.py
@@ -49,7 +49,7 @@
         config = CONFIG.replace("frame_most_bytes = 4096", "frame_most_bytes = 4096\n  bytes_per_s = 20000")
         async with Running(tmp_path, config=config) as running, asyncio.timeout(20):
             good, bad = await running.joined(1), await running.joined(2)
-            report = frames.encode(frames.Sums(1000.0, [(10, 5, 0, 200.0)] * 200))
+            report = frames.encode(frames.UsageReport(1000.0, [(10, 5, 0, 200.0)] * 200))
             for _ in range(30):
                 bad.writer.write(report)
             assert await bad.ended() == "protocol"
@@ -67,7 +67,7 @@
             begun = time.monotonic()
             for number in range(2, 5):
                 while sum(isinstance(f, frames.Tables) for f in bad.got) < number:
-                    bad.say(frames.Read())
+                    bad.say(frames.TablesRequest())
                     data = await bad.reader.read(65536)
                     assert data, "closed"
                     bad.got += bad.frames.feed(data)
@@ -101,7 +101,7 @@
                         api.PublishVersion(number),
                     )
                     order = await good.until(frames.Orders, lambda frame, number=number: frame.mark == number)
-                    good.say(frames.Ack(order.mark))
+                    good.say(frames.Ack(order.version))
                     good.got.clear()
                 assert number > 3
                 running.do(api.SetWeight(0, 9, 1.0), api.PublishVersion(number + 1))
--- a/tests/controller/test_engine.py
+++ b/tests/controller/test_engine.py
@@ -26,7 +26,7 @@
 
 
 def read(data: bytes) -> list[frames.Frame]:
-    return frames.Reader(frames.to_forwarder, 1 << 20).feed(data)
+    return frames.FrameReader(frames.proxy_decoder, 1 << 20).feed(data)
 
 
 def step(engine: Engine, now: float, stored: bool = True) -> tuple[StoreWrites, list[Output]]:
@@ -36,7 +36,7 @@
 
 
 def hello(proxy: int, **more: object) -> frames.Hello:
-    return frames.Hello(frames.VERSION, proxy, f"{proxy}-1", **more)  # type: ignore[arg-type]
+    return frames.Hello(frames.PROTOCOL_VERSION, proxy, f"{proxy}-1", **more)  # type: ignore[arg-type]
 
 
 def test_events_when_a_step_is_late_then_come_in_the_order_of_their_times() -> None:
@@ -69,7 +69,7 @@
     assert (send.cost_lines, send.version) == (3, 7)
     [order] = read(send.frame)
     assert isinstance(order, frames.Orders)
-    assert order.mark == 7
+    assert order.version == 7
     assert order.addresses == {10: "127.0.0.1:10", 11: "127.0.0.1:11"}
     [tables] = read(engine.on_proxy_joined(20.0, hello(3)))
     assert isinstance(tables, frames.Tables)
@@ -114,17 +114,19 @@
     stored = StoreContents(5, message_number=3, tables={0: {10: 1.0}, 1: {10: 1.0}})
     engine, module = make(stored=stored)
     engine.recall_until = 1000.0
-    assert not engine.needs_recall(0.0, hello(1, life=4, seq=3)), "as new as the store"
-    assert not engine.needs_recall(0.0, hello(1, life=3, seq=9)), "of an older life"
-    assert engine.needs_recall(0.0, hello(1, life=4, seq=9))
-    held = frames.Held(4, 9, [(0, [(11, 1.0)]), (1, [(10, 1.0)]), (2, [(77, 1.0)]), (9, [(10, 1.0)])])
+    assert not engine.needs_recall(0.0, hello(1, start_number=4, seq=3)), "as new as the store"
+    assert not engine.needs_recall(0.0, hello(1, start_number=3, seq=9)), "of an older life"
+    assert engine.needs_recall(0.0, hello(1, start_number=4, seq=9))
+    held = frames.HeldTables(4, 9, [(0, [(11, 1.0)]), (1, [(10, 1.0)]), (2, [(77, 1.0)]), (9, [(10, 1.0)])])
     assert engine.on_recalled_tables(1.0, held) == [0], "1 is as kept, host 77 is unknown, 9 is not in its charge"
     writes, _ = step(engine, 2.0)
     assert writes.resets == (0,)
     assert writes.entries == ((0, 11, 1.0),)
     assert module.told[:2] == [api.SliceOwnershipChange(0, True), api.StoredWeight(0, 11, 1.0)]
-    assert engine.on_recalled_tables(3.0, frames.Held(4, 8, [(0, [(12, 1.0)])])) == [], "older than what was recalled"
-    assert not engine.needs_recall(2000.0, hello(1, life=4, seq=99)), "long after the start"
+    assert engine.on_recalled_tables(3.0, frames.HeldTables(4, 8, [(0, [(12, 1.0)])])) == [], (
+        "older than what was recalled"
+    )
+    assert not engine.needs_recall(2000.0, hello(1, start_number=4, seq=99)), "long after the start"
 
 
 def test_messages_when_the_site_has_no_slices_then_each_proxy_gets_its_own_tables() -> None:
@@ -143,7 +145,7 @@
     order = got[1,]
     assert isinstance(order, frames.Orders)
     assert order.lines == [(5, 10, 1.0)]
-    assert order.points == [(5, 0)]
+    assert order.assigned_tables == [(5, 0)]
     module.todo = [api.SetWeight(6, 11, 0.0), api.PublishVersion(1, to_all_proxies=True)]
     _, out = step(engine, 20.0)
     assert {s.proxies for s in out if isinstance(s, SendFrame)} == {(2,), (1, 3)}
--- a/tests/controller/test_handover_state.py
+++ b/tests/controller/test_handover_state.py
@@ -9,7 +9,8 @@
 
 from corallanding import interface as api
 from corallanding.assignment import Assigner
-from corallanding.channel import Channel, Limits
+from corallanding.channel import Channel, ChannelLimits
+from corallanding.channel.proxy_queue import Message
 from corallanding.controller.connection_state import ConnectionState, capture_connection, restore_connection
 from corallanding.controller.engine import Engine
 from corallanding.controller.handover_state import (
@@ -25,8 +26,7 @@
 from corallanding.snapshot import file
 from corallanding.store.api import StoreContents
 from corallanding.wire import frames
-from corallanding.wire.link import Limits as LinkLimits
-from corallanding.wire.link import Link
+from corallanding.wire.link_state import LinkLimits, LinkState
 
 REQUEST_CLASS = api.RequestClass("quote", api.Idempotency.IDEMPOTENT, "all", 5000, 3, 0.1, 1200, 3000)
 
@@ -43,7 +43,7 @@
 )
 
 
-LIMITS = Limits(400.0, 8.0, 900.0, 14, 4000.0)
+LIMITS = ChannelLimits(400.0, 8.0, 900.0, 14, 4000.0)
 
 
 ADDRESSES = {h: f"127.0.0.1:{9000 + h}" for h in range(6)}
@@ -72,11 +72,12 @@
         self.engine.decide(now)
         for out in self.engine.publish(rng.random() < 0.9):
             if isinstance(out, SendFrame):
-                self.channel.submit(now, out.frame, out.cost_lines, out.version, out.proxies, out.orders, out.is_urgent)
+                message = Message(out.frame, out.cost_lines, out.version, now, out.orders)
+                self.channel.submit(message, out.proxies, is_urgent=out.is_urgent)
             else:
                 self.log.append(out)
-        for proxy, message in self.channel.due(now):
-            self.log.append((proxy, message.mark, message.frame))
+        for proxy, message in self.channel.take_due(now):
+            self.log.append((proxy, message.version, message.frame))
 
     def draw_connections(self, now: float, rng: random.Random) -> None:
         """Proxies ask for their tables, and sockets are blocked or not."""
@@ -84,7 +85,7 @@
             if rng.random() < 0.05:
                 self.joins.request(now, proxy)
             if rng.random() < 0.1:
-                self.channel.block(proxy, rng.random() < 0.5)
+                self.channel.set_blocked(proxy, is_blocked=rng.random() < 0.5)
         for proxy in self.joins.admit_due(now):
             self.join(now, proxy)
 
@@ -99,7 +100,7 @@
             proxy = rng.randrange(4)
             hosts = [(host, 9, rng.choice((0, 0, 9)), 300.0) for host in range(6)]
             slices = [(slice_number, 0, rng.randrange(20), 0) for slice_number in range(12)]
-            engine.on_usage_report(now, proxy, frames.Sums(1000.0, hosts, slices))
+            engine.on_usage_report(now, proxy, frames.UsageReport(1000.0, hosts, slices))
         if rng.random() < 0.4:
             assert isinstance(engine.assigner, Assigner)
             proxy = rng.randrange(4)
@@ -135,14 +136,14 @@
             ]
             old.log = []
             assert isinstance(old.engine.assigner, Assigner)
-            is_waiting = old.channel.waiting > 0
+            is_waiting = old.channel.queued_lines > 0
             is_unacked = any(old.engine.assigner.pending_versions.unacked_by_proxy.values())
         if step >= at:
             new_one.turn(now, random.Random(f"{at}:{step}"))
         old.turn(now, random.Random(f"{at}:{step}"))
     assert old.log == new_one.log
     assert len(old.log) > 20
-    assert old.channel.waiting == new_one.channel.waiting
+    assert old.channel.queued_lines == new_one.channel.queued_lines
     assert old.engine.published == new_one.engine.published
     assert is_waiting or is_unacked or at < 20, "nothing was on its way: no test"
 
@@ -161,18 +162,18 @@
 
 
 def test_connection_when_handed_over_then_keeps_partial_frame_and_unacked_versions() -> None:
-    old, new = Link(LinkLimits(), 0.0), Link(LinkLimits(), 50.0)
+    old, new = LinkState(LinkLimits(), 0.0), LinkState(LinkLimits(), 50.0)
     data = frames.encode(frames.Hello(1, 7, "s")) + frames.encode(frames.Ack(4)) + frames.encode(frames.Ack(5))
     old.receive(1.0, data[:-3][: len(frames.encode(frames.Hello(1, 7, "s")))])
-    old.marked(2.0, 4)
-    old.marked(3.0, 5)
+    old.add_unacked(2.0, 4)
+    old.add_unacked(3.0, 5)
     cut = len(frames.encode(frames.Hello(1, 7, "s"))) + 2
     assert old.receive(4.0, data[cut - 2 : cut]) == []
     state = capture_connection(old, is_joined=True, is_write_paused=False, heartbeat_sent_at=9.0)
     restore_connection(new, file.unpack(file.pack(state), ConnectionState))
     got = new.receive(5.0, data[cut:])
-    assert [f.number for f in got if isinstance(f, frames.Ack)] == [4, 5]
-    assert not new.marks
-    assert [m for m, _ in new.acks] == [4, 5]
+    assert [f.version for f in got if isinstance(f, frames.Ack)] == [4, 5]
+    assert not new.unacked_versions
+    assert [m for m, _ in new.acked] == [4, 5]
     assert new.hello
-    assert new.hello.forwarder == 7
+    assert new.hello.proxy == 7
--- a/tests/controller/test_operation.py
+++ b/tests/controller/test_operation.py
@@ -56,7 +56,7 @@
             r.path.write_text(text.replace("frame_most_bytes = 4096", "frame_most_bytes = 9999").split("door {")[0])
             r.steward.reload()  # the door is gone from the file: that needs a restart, and harms nothing
             assert r.steward.context.config.door is not None
-            assert r.steward.connections.limits.frame_most == 9999
+            assert r.steward.connections.limits.max_frame_bytes == 9999
             assert r.steward.context.settings.report_interval_ms == 1000.0
         said = capsys.readouterr().err
         assert "reload refused; the old configuration stands" in said
--- a/tests/controller/test_persistence.py
+++ b/tests/controller/test_persistence.py
@@ -38,9 +38,9 @@
         lock.execute("rollback")
         async with Running(tmp_path) as r:
             peer = await r.peer()
-            peer.hello(1, fresh=False, life=1, seq=2)
-            await peer.until(frames.Recall)
-            peer.say(frames.Held(1, 2, [(0, [(11, 1.0)])]))
+            peer.hello(1, is_fresh=False, start_number=1, seq=2)
+            await peer.until(frames.HeldTablesRequest)
+            peer.say(frames.HeldTables(1, 2, [(0, [(11, 1.0)])]))
             tables = await peer.until(frames.Tables)
             assert tables.tables[0] == (0, [(11, 1.0)])
             await until(
--- a/tests/controller/test_proxy_connections.py
+++ b/tests/controller/test_proxy_connections.py
@@ -23,7 +23,7 @@
             for peer in (one, two):
                 order = await peer.until(frames.Orders)
                 assert order.lines == [(0, 10, 1.0)]
-                assert order.mark == 5
+                assert order.version == 5
                 assert order.addresses == {10: "127.0.0.1:10"}
             two.say(frames.Ack(5))
             await until(lambda: any(isinstance(e, api.VersionAcked) for e in r.module.told))
@@ -41,12 +41,12 @@
     [
         (b"\xff" * 64, "oversized"),
         (b"\x00\x00\x00\x05hello", "malformed"),
-        (frames.encode(frames.Beat()), "out-of-place"),
+        (frames.encode(frames.Heartbeat()), "out-of-place"),
         (frames.encode(frames.Hello(77, 1, "x")), "unknown-version"),
         (frames.encode(frames.Hello(1, 1, "x", zone=9)), "malformed"),
         (frames.encode(frames.Hello(1, 60000, "x")), "full"),
         (frames.encode(frames.Hello(1, 1, "x")) + frames.encode(frames.Ack(3)), "out-of-place"),
-        (frames.encode(frames.Hello(1, 1, "x")) + frames.encode(frames.Held(1, 1, [])), "out-of-place"),
+        (frames.encode(frames.Hello(1, 1, "x")) + frames.encode(frames.HeldTables(1, 1, [])), "out-of-place"),
         (b"", "no-hello"),
     ],
 )
@@ -94,7 +94,7 @@
             new = await r.joined(1)  # the same process on a new connection: the old one is over
             old.say(frames.Ack(5))
             assert await old.ended() == "superseded"
-            new.say(frames.Beat(1.0))
+            new.say(frames.Heartbeat(1.0))
             await asyncio.sleep(0.05)
             assert not [e for e in r.module.told if isinstance(e, api.VersionAcked)]
             new.say(frames.Ack(5))  # and the mark of the old connection is not out on the new one
@@ -143,8 +143,8 @@
                 r.do(*[api.SetWeight(k % 4, h, 1.0) for h in range(20)])
                 await asyncio.sleep(0.02)
             assert await one.ended() == "overrun"
-            assert r.steward.channel.most <= 60
-            assert r.steward.channel.waiting == 0
+            assert r.steward.channel.max_queued_lines <= 60
+            assert r.steward.channel.queued_lines == 0
 
     play(scene())
 
--- a/tests/controller/test_report_aggregation.py
+++ b/tests/controller/test_report_aggregation.py
@@ -17,8 +17,8 @@
 def test_reports_when_added_up_then_handed_on_oldest_first_at_the_rate() -> None:
     aggregator = UsageAggregator(SETTINGS)
     for now, host in ((0.0, 10), (100.0, 11), (200.0, 12)):
-        aggregator.add(now, 1, 0, frames.Sums(500.0, hosts=[(host, 4, 1, 20.0)]), {10, 11, 12}, set())
-    invalid = frames.Sums(500.0, hosts=[(10, 2, 0, 50.0), (99, 1, 0, 1.0), (11, 1, 2, 1.0)])
+        aggregator.add(now, 1, 0, frames.UsageReport(500.0, hosts=[(host, 4, 1, 20.0)]), {10, 11, 12}, set())
+    invalid = frames.UsageReport(500.0, hosts=[(10, 2, 0, 50.0), (99, 1, 0, 1.0), (11, 1, 2, 1.0)])
     aggregator.add(300.0, 2, 0, invalid, {10, 11}, set())
     assert aggregator.dropped_rows == 2, "an unknown host, and more errors than tries"
     assert aggregator.take_due(300.0) == []
@@ -32,6 +32,6 @@
 
 def test_reports_when_there_are_too_many_keys_then_dropped_and_counted() -> None:
     aggregator = UsageAggregator(SETTINGS, max_keys=2)
-    aggregator.add(0.0, 1, 0, frames.Sums(500.0, slices=[(s, 0, 1, 0) for s in range(4)]), set(), set(range(4)))
+    aggregator.add(0.0, 1, 0, frames.UsageReport(500.0, slices=[(s, 0, 1, 0) for s in range(4)]), set(), set(range(4)))
     assert len(aggregator.tallies) == 2
     assert aggregator.dropped_rows == 2
--- a/tests/controller/test_restart.py
+++ b/tests/controller/test_restart.py
@@ -45,10 +45,10 @@
 async def read_again(peer: Peer) -> frames.Tables | None:
     """Read all tables once more; None if they do not come in time."""
     # Reads in a row wait longer each time, on a busy machine longer than a silent connection may last.
-    peer.say(frames.Read())
+    peer.say(frames.TablesRequest())
     before = sum(isinstance(frame, frames.Tables) for frame in peer.got)
     for _ in range(MAX_ATTEMPTS):
-        peer.say(frames.Beat())
+        peer.say(frames.Heartbeat())
         with contextlib.suppress(TimeoutError):
             await peer.until(type(None), within=0.1)
         found = [frame for frame in peer.got if isinstance(frame, frames.Tables)]
@@ -72,8 +72,8 @@
     """Acknowledge the messages that came, up to one that reduces admission; whether one does."""
     for frame in peer.got:
         if isinstance(frame, frames.Orders):
-            if frame.mark >= 0:
-                peer.say(frames.Ack(frame.mark))
+            if frame.version >= 0:
+                peer.say(frames.Ack(frame.version))
             if any(amount < 0.9 for _, _, amount, _ in frame.levels):
                 return True
     peer.got = [frame for frame in peer.got if not isinstance(frame, frames.Orders)]
@@ -85,7 +85,7 @@
     hosts = [(host, 40, 10, 2500.0) for host in range(HOST_COUNT)]
     slices = [(slice_number, 0, 40, 10) for slice_number in range(SLICE_COUNT)]
     for _ in range(MAX_ATTEMPTS):
-        peer.say(frames.Sums(1000.0, hosts, slices))
+        peer.say(frames.UsageReport(1000.0, hosts, slices))
         if ack_and_find_reduced_admission(peer):
             return
         with contextlib.suppress(TimeoutError):
--- a/tests/controller/test_sessions.py
+++ b/tests/controller/test_sessions.py
@@ -31,7 +31,7 @@
     return Sessions(stand_in, stand_in)
 
 
-def job(ticket: int) -> frames.Wait:
+def job(ticket: int) -> frames.JobSubmission:
     made: Any = SimpleNamespace(ticket=ticket)
     return made
 
--- a/tests/registry/test_shared_slices.py
+++ b/tests/registry/test_shared_slices.py
@@ -51,10 +51,10 @@
                 self.withdrawn.discard(slice_id)
         elif isinstance(frame, frames.Orders):
             self.apply(frame)
-            if frame.mark >= 0:
-                peer.say(frames.Ack(frame.mark))
-        elif isinstance(frame, frames.Beat):
-            peer.say(frames.Beat(1.0))
+            if frame.version >= 0:
+                peer.say(frames.Ack(frame.version))
+        elif isinstance(frame, frames.Heartbeat):
+            peer.say(frames.Heartbeat(1.0))
 
     def apply(self, orders: Any) -> None:
         for slice_id, host, weight in orders.lines:
@@ -63,7 +63,7 @@
             table[host] = weight
             if not weight:
                 del table[host]
-        for slice_id in orders.withdrawn:
+        for slice_id in orders.withdrawn_slices:
             self.tables.pop(slice_id, None)
             self.withdrawn.add(slice_id)
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -72,7 +72,7 @@
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
-        self.frames = frames.Reader(frames.to_forwarder, 16 << 20)
+        self.frames = frames.FrameReader(frames.proxy_decoder, 16 << 20)
         self.got: list[Any] = []
         self.closed = False
 
@@ -80,7 +80,7 @@
         self.writer.write(b"".join(frames.encode(f) for f in said))
 
     def hello(self, f: int, session: str = "", **more: Any) -> None:
-        self.say(frames.Hello(frames.VERSION, f, session or f"{f}-1", **more))
+        self.say(frames.Hello(frames.PROTOCOL_VERSION, f, session or f"{f}-1", **more))
 
     async def until(self, kind: type, wanted: Callable[[Any], bool] = lambda f: True, within: float = 5.0) -> Any:
         """The next frame of a kind; everything that came stands in `got`."""
@@ -101,7 +101,7 @@
         """Waits for the end of the link; the code of the last word."""
         with contextlib.suppress(EOFError, ConnectionError):
             await self.until(type(None), within=within)
-        return next((f.code for f in reversed(self.got) if isinstance(f, frames.Bye)), "none")
+        return next((f.code for f in reversed(self.got) if isinstance(f, frames.Goodbye)), "none")
 
 
 class Running:
--- a/tests/stored_samples.py
+++ b/tests/stored_samples.py
@@ -11,8 +11,8 @@
 
 from corallanding import interface as api
 from corallanding.assignment import Assigner
-from corallanding.channel import Channel
-from corallanding.channel import Limits as ChannelLimits
+from corallanding.channel import Channel, ChannelLimits
+from corallanding.channel.proxy_queue import Message
 from corallanding.controller.connection_state import ConnectionState, capture_connection
 from corallanding.controller.engine import Engine
 from corallanding.controller.handover_state import HandoverExtras, HandoverState, HostListState, capture_handover
@@ -29,8 +29,7 @@
 from corallanding.store.api import StoreContents
 from corallanding.version_pinning import messages as pins
 from corallanding.wire import frames
-from corallanding.wire.link import Limits as LinkLimits
-from corallanding.wire.link import Link
+from corallanding.wire.link_state import LinkLimits, LinkState
 
 HOSTS, SLICES, FORWARDERS = 6, 12, 4
 START = 1e9
@@ -159,51 +158,73 @@
 
 FROM_FORWARDER: dict[str, Any] = {
     "hello": frames.Hello(
-        version=1, forwarder=2, session="session", zone=3, rate=4.5, fresh=False, life=6, seq=7, parts=3
+        version=1,
+        proxy=2,
+        session="session",
+        zone=3,
+        requests_per_second=4.5,
+        is_fresh=False,
+        start_number=6,
+        seq=7,
+        features=3,
     ),
-    "ack": frames.Ack(number=9),
-    "sums": frames.Sums(span=1000.0, hosts=[(1, 2, 1, 3.5)], slices=[(4, 0, 5, 1)], own=[(0, 6, 2)]),
-    "held": frames.Held(life=1, seq=2, tables=[(3, [(4, 0.5)])]),
-    "read": frames.Read(),
-    "beat": frames.Beat(at=1.5),
-    "bye": frames.Bye(code="code", text="text"),
-    "enter": frames.Enter(ask=1, run="run", client="client", ended=True),
-    "wait": frames.Wait(ticket=1, operation=2, waited=3.5, fingerprint="key", set=4),
-    "unwait": frames.Unwait(ticket=1, ended=True),
+    "ack": frames.Ack(version=9),
+    "sums": frames.UsageReport(
+        span_ms=1000.0, hosts=[(1, 2, 1, 3.5)], slices=[(4, 0, 5, 1)], request_classes=[(0, 6, 2)]
+    ),
+    "held": frames.HeldTables(start_number=1, seq=2, tables=[(3, [(4, 0.5)])]),
+    "read": frames.TablesRequest(),
+    "beat": frames.Heartbeat(sent_at_ms=1.5),
+    "bye": frames.Goodbye(code="code", text="text"),
+    "enter": frames.RunQuery(query=1, run="run", client="client", is_ended=True),
+    "wait": frames.JobSubmission(ticket=1, request_class=2, waited_ms=3.5, idempotency_key="key", release_set=4),
+    "unwait": frames.JobWithdrawal(ticket=1, is_abandoned=True),
 }
 
 FROM_STEWARD: dict[str, Any] = {
-    "welcome": frames.Welcome(version=1, steward=2, life=3, beat=4.5, silence=5.5, report_every=6.5, slices=7),
+    "welcome": frames.Welcome(
+        version=1,
+        controller=2,
+        start_number=3,
+        heartbeat_interval_ms=4.5,
+        silence_timeout_ms=5.5,
+        report_interval_ms=6.5,
+        slice_count=7,
+    ),
     "tables": frames.Tables(
         seq=1,
         tables=[(2, [(3, 0.5)])],
         levels=[(4, 5, 0.25, 1)],
         cordons=[6],
         addresses={3: "127.0.0.1:9003"},
-        points=[(7, 8)],
-        given=[9],
-        mark=10,
+        assigned_tables=[(7, 8)],
+        only_slices=[9],
+        version=10,
     ),
     "orders": frames.Orders(
         seq=1,
-        mark=2,
-        resets=[3],
+        version=2,
+        reset_tables=[3],
         lines=[(4, 5, 0.5)],
         levels=[(6, 7, 0.25, 2)],
         cordons=[(8, True)],
-        points=[(9, 10)],
+        assigned_tables=[(9, 10)],
         addresses={5: "127.0.0.1:9005"},
-        withdrawn=[11],
+        withdrawn_slices=[11],
     ),
-    "recall": frames.Recall(),
-    "beat": frames.Beat(at=2.5),
-    "bye": frames.Bye(code="code"),
-    "pinned": frames.Pinned(ask=1, what="pinned", set=2, versions=[(3, 4)], register=5),
-    "routes": frames.Routes(
-        set=1, rows=[(2, 3, 4, [(5, 0.5)], 6.5)], addresses={5: "127.0.0.1:9005"}, alive=[7], register=8
+    "recall": frames.HeldTablesRequest(),
+    "beat": frames.Heartbeat(sent_at_ms=2.5),
+    "bye": frames.Goodbye(code="code"),
+    "pinned": frames.RunVersions(query=1, outcome="pinned", release_set=2, versions=[(3, 4)], register_version=5),
+    "routes": frames.RunRoutes(
+        release_set=1,
+        rows=[(2, 3, 4, [(5, 0.5)], 6.5)],
+        addresses={5: "127.0.0.1:9005"},
+        live_sets=[7],
+        register_version=8,
     ),
-    "waits": frames.Waits(ticket=1, what="waiting", longest=2.5),
-    "go": frames.Go(ticket=1, what="go"),
+    "waits": frames.JobAdmission(ticket=1, outcome="waiting", max_wait_ms=2.5),
+    "go": frames.JobRelease(ticket=1, outcome="go"),
 }
 
 FEED = FeedState(
@@ -264,7 +285,7 @@
             if chance.random() < 0.05:
                 self.joins.request(self.now, forwarder)
             if chance.random() < 0.1:
-                self.channel.block(forwarder, chance.random() < 0.5)
+                self.channel.set_blocked(forwarder, is_blocked=chance.random() < 0.5)
         for forwarder in self.joins.admit_due(self.now):
             self.join(forwarder)
         if chance.random() < 0.15:
@@ -273,25 +294,18 @@
         if chance.random() < 0.5:
             met = [(host, 9, 9 if host == 3 else chance.choice((0, 0, 9)), 900.0) for host in range(HOSTS)]
             came = [(slice, 0, chance.randrange(20), 0) for slice in range(SLICES)]
-            engine.on_usage_report(self.now, chance.randrange(FORWARDERS), frames.Sums(1000.0, met, came))
+            engine.on_usage_report(self.now, chance.randrange(FORWARDERS), frames.UsageReport(1000.0, met, came))
         if chance.random() < 0.4:
             engine.add_event(self.now, api.VersionAcked(chance.randrange(FORWARDERS), number // 8, 5.0))
         engine.decide(self.now)
         self.steps.append(engine.last_step)
         for output in engine.publish(chance.random() < 0.9):
             if isinstance(output, SendFrame):
-                self.channel.submit(
-                    self.now,
-                    output.frame,
-                    output.cost_lines,
-                    output.version,
-                    output.proxies,
-                    output.orders,
-                    output.is_urgent,
-                )
+                message = Message(output.frame, output.cost_lines, output.version, self.now, output.orders)
+                self.channel.submit(message, output.proxies, is_urgent=output.is_urgent)
             else:
                 self.said.append(f"output {[*vars(output).values()]}")
-        for forwarder, message in self.channel.due(self.now):
+        for forwarder, message in self.channel.take_due(self.now):
             self.said.append(f"{forwarder} {message.frame.hex()}")
 
     def turns(self, first: int, last: int) -> None:
@@ -315,11 +329,11 @@
 
 def links() -> list[ConnectionState]:
     """Two links: one with half a frame and marks that are out, one that has said no more than hello."""
-    busy, idle = Link(LinkLimits(), START), Link(LinkLimits(), START + 1.0)
-    beat = frames.encode(frames.Beat(3.5))
+    busy, idle = LinkState(LinkLimits(), START), LinkState(LinkLimits(), START + 1.0)
+    beat = frames.encode(frames.Heartbeat(3.5))
     busy.receive(START + 2.0, frames.encode(frames.Hello(1, 1, "one", 0, 9.5, True, 4, 5, 3)) + beat[:6])
-    busy.marked(START + 3.0, 40)
-    busy.marked(START + 4.0, 41)
+    busy.add_unacked(START + 3.0, 40)
+    busy.add_unacked(START + 4.0, 41)
     idle.receive(START + 5.0, frames.encode(frames.Hello(1, 2, "two")))
     return [
         capture_connection(busy, is_joined=True, is_write_paused=False, heartbeat_sent_at=START + 6.0),
@@ -335,7 +349,9 @@
     engine.publisher.leaving_hosts = {5}
     for _, event in EVENTS:
         engine.add_event(rig.now, event)
-    engine.usage.add(rig.now, 1, 0, frames.Sums(900.0, [(1, 9, 1, 8.0)], [(2, 0, 7, 2)], [(0, 6, 3)]), ADDRESSES, {2})
+    engine.usage.add(
+        rig.now, 1, 0, frames.UsageReport(900.0, [(1, 9, 1, 8.0)], [(2, 0, 7, 2)], [(0, 6, 3)]), ADDRESSES, {2}
+    )
     rig.joins.request(rig.now, 1)
     rig.joins.request(rig.now, 2)
     host_list = HostListState(12, list(ENTRIES), dict(ADDRESSES), dict(STARTED), [0, 1, 5])
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -59,8 +59,7 @@
 from corallanding.upgrade.pipe import HandoverPipe
 from corallanding.upgrade.state_machine import PROTOCOL, HandoverCommand, Predecessor, Successor
 from corallanding.wire import frames
-from corallanding.wire.link import Limits as LinkLimits
-from corallanding.wire.link import Link
+from corallanding.wire.link_state import LinkLimits, LinkState
 
 FIXTURES = Path(__file__).parent / "fixtures" / "before-rename"
 SNAPSHOT_HEAD = 34  # bytes before the body
@@ -400,15 +399,15 @@
     assert handed.load_reports == samples.FEED
     assert [row.entry() for row in handed.host_entries] == list(samples.ENTRIES)
     assert handed.connections == samples.links()
-    busy, idle = Link(LinkLimits(), 0.0), Link(LinkLimits(), 0.0)
+    busy, idle = LinkState(LinkLimits(), 0.0), LinkState(LinkLimits(), 0.0)
     restore_connection(busy, handed.connections[0])
     restore_connection(idle, handed.connections[1])
     at = samples.START + 6.0
     again = capture_connection(busy, is_joined=True, is_write_paused=False, heartbeat_sent_at=at)
     assert again == handed.connections[0]
-    assert busy.receive(samples.START + 9.0, frames.encode(frames.Beat(3.5))[6:]) == [frames.Beat(3.5)]
-    assert [number for number, _ in busy.marks] == [40, 41]
-    assert not idle.marks
+    assert busy.receive(samples.START + 9.0, frames.encode(frames.Heartbeat(3.5))[6:]) == [frames.Heartbeat(3.5)]
+    assert [number for number, _ in busy.unacked_versions] == [40, 41]
+    assert not idle.unacked_versions
     assert idle.hello == frames.Hello(1, 2, "two")
     rig = samples.Rig(2)
     restore_channel(rig.channel, handed.channel)
@@ -428,23 +427,23 @@
         frame_allowance=799.0,
         byte_allowance=7999963.0,
         replenished_at=1e9 + 2.0,
-        partial_frame=frames.encode(frames.Beat(3.5))[:6],
+        partial_frame=frames.encode(frames.Heartbeat(3.5))[:6],
         heartbeat_sent_at=1e9 + 6.0,
     )
     raw = plain(handover_words()["state"])["channel"]
     frame, lines, mark, at, orders = raw["messages"][0]
     message = handed.channel.messages[0]
-    assert (message.frame, message.cost_lines, message.version, message.submitted_at) == (frame, lines, mark, at)
+    assert (message.frame, message.cost_lines, message.version, message.submitted_at_ms) == (frame, lines, mark, at)
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(message.orders)) == orders
     forwarder, urgent, ordinary, turns, sent, blocked = raw["ports"][0]
-    port = handed.channel.ports[0]
-    assert (port.proxy, port.urgent_messages, port.ordinary_messages, port.turns) == (
+    port = handed.channel.queues[0]
+    assert (port.proxy, port.urgent_messages, port.ordinary_messages, port.released) == (
         forwarder,
         urgent,
         ordinary,
         turns,
     )
-    assert (port.sent_at, port.is_blocked) == (sent, blocked)
+    assert (port.sent_at_ms, port.is_blocked) == (sent, blocked)
 
 
 def test_the_words_of_both_processes_of_a_handover() -> None:
@@ -523,12 +522,12 @@
 @pytest.mark.parametrize("side", ["from_forwarder", "from_steward"])
 def test_frames_are_as_before(side: str) -> None:
     messages = samples.FROM_FORWARDER if side == "from_forwarder" else samples.FROM_STEWARD
-    decoder = frames.to_steward if side == "from_forwarder" else frames.to_forwarder
-    union = frames.FromForwarder if side == "from_forwarder" else frames.FromSteward
+    decoder = frames.controller_decoder if side == "from_forwarder" else frames.proxy_decoder
+    union = frames.ProxyFrame if side == "from_forwarder" else frames.ControllerFrame
     assert {type(frame) for frame in messages.values()} == set(union.__args__)
     assert {name: frames.encode(frame).hex() for name, frame in messages.items()} == FROZEN_FRAMES[side]
     for name, frame in messages.items():
-        assert frames.Reader(decoder, 1 << 16).feed(bytes.fromhex(FROZEN_FRAMES[side][name])) == [frame]
+        assert frames.FrameReader(decoder, 1 << 16).feed(bytes.fromhex(FROZEN_FRAMES[side][name])) == [frame]
 
 
 def test_requests_to_a_registry_are_named_by_frozen_texts() -> None:
@@ -548,8 +547,8 @@
 @pytest.mark.parametrize("name", [name for name in samples.FROM_FORWARDER if name not in ("hello", "bye")])
 def test_a_frame_before_hello_is_named_by_its_tag(name: str) -> None:
     """The text goes to the peer, in the last frame of the link."""
-    link = Link(LinkLimits(), 0.0)
-    with pytest.raises(frames.OutOfPlace, match=f"^{name} before hello$"):
+    link = LinkState(LinkLimits(), 0.0)
+    with pytest.raises(frames.UnexpectedFrameError, match=f"^{name} before hello$"):
         link.receive(1.0, frames.encode(samples.FROM_FORWARDER[name]))
 
 
--- a/tests/upgrade/support.py
+++ b/tests/upgrade/support.py
@@ -48,8 +48,8 @@
             self.held_back = None
             beats = asyncio.create_task(self.beat(writer))
             try:
-                writer.write(frames.encode(frames.Hello(frames.VERSION, self.number, f"s{self.number}")))
-                frames_in = frames.Reader(frames.to_forwarder, 1 << 24)
+                writer.write(frames.encode(frames.Hello(frames.PROTOCOL_VERSION, self.number, f"s{self.number}")))
+                frames_in = frames.FrameReader(frames.proxy_decoder, 1 << 24)
                 while data := await reader.read(1 << 16):
                     for f in frames_in.feed(data):
                         self.on_frame(f, writer)
@@ -66,7 +66,7 @@
         while True:
             await asyncio.sleep(0.1)
             # A frame in two halves: one may stand in the old process's buffer when it hands over.
-            data = frames.encode(frames.Beat(1.0))
+            data = frames.encode(frames.Heartbeat(1.0))
             writer.write(data[:5])
             self.held_back = b""
             await asyncio.sleep(0.01)
@@ -75,9 +75,9 @@
 
     def on_frame(self, f: Any, writer: asyncio.StreamWriter) -> None:
         if isinstance(f, frames.Welcome):
-            self.start_numbers.append(f.life)
+            self.start_numbers.append(f.start_number)
         elif isinstance(f, frames.Tables):
-            self.links += not f.given
+            self.links += not f.only_slices
             self.tables = {t: {h for h, _ in rows} for t, rows in f.tables}
             self.seqs = [f.seq]
         elif isinstance(f, frames.Orders):
@@ -86,8 +86,8 @@
             self.seqs.append(f.seq)
             for t, h, w in f.lines:
                 (self.tables.setdefault(t, set()).add if w > 0 else self.tables[t].discard)(h)
-            if f.mark >= 0:
-                ack = frames.encode(frames.Ack(f.mark))
+            if f.version >= 0:
+                ack = frames.encode(frames.Ack(f.version))
                 if self.held_back is None:
                     writer.write(ack)
                 else:
