--- a/tests/controller/test_acceptor.py
+++ b/tests/controller/test_acceptor.py
@@ -77,7 +77,7 @@
             tasks = [asyncio.create_task(hostile(client)) for client in range(8)]
             for number in range(1, 30):
                 running.do(api.SetWeight(0, number, 1.0), api.PublishVersion(number))
-                await good.until(frames.Orders, lambda frame, number=number: frame.mark == number)
+                await good.until(frames.Orders, lambda frame, number=number: frame.version == number)
                 good.say(frames.Ack(number))
                 await asyncio.sleep(0.03)
             is_over = True
--- a/tests/controller/test_connection_limits.py
+++ b/tests/controller/test_connection_limits.py
@@ -100,11 +100,11 @@
                         *(api.SetWeight(s, 1000 + h, 1.0) for s in range(4) for h in range(2500)),
                         api.PublishVersion(number),
                     )
-                    order = await good.until(frames.Orders, lambda frame, number=number: frame.mark == number)
+                    order = await good.until(frames.Orders, lambda frame, number=number: frame.version == number)
                     good.say(frames.Ack(order.version))
                     good.got.clear()
                 assert number > 3
                 running.do(api.SetWeight(0, 9, 1.0), api.PublishVersion(number + 1))
-                await good.until(frames.Orders, lambda frame: frame.mark == number + 1)
+                await good.until(frames.Orders, lambda frame: frame.version == number + 1)
 
     asyncio.run(scene())
--- a/tests/controller/test_overload.py
+++ b/tests/controller/test_overload.py
@@ -81,7 +81,7 @@
             for number in range(10):
                 peer.say(frames.Heartbeat())
                 running.do(api.SetWeight(0, 10 + number, 1.0), api.Cordon(number, True), api.PublishVersion(number + 1))
-                order = await peer.until(frames.Orders, lambda frame, number=number: frame.mark == number + 1)
+                order = await peer.until(frames.Orders, lambda frame, number=number: frame.version == number + 1)
                 assert order.cordons == [(number, True)]
                 peer.say(frames.Ack(number + 1))
             took = time.monotonic() - begun
--- /dev/null
+++ b/tests/wire/support.py
@@ -0,0 +1,8 @@
+"""What the tests of the protocol share: a hello."""
+
+from __future__ import annotations
+
+from corallanding.wire import frames
+from corallanding.wire.frames import Hello
+
+HELLO = Hello(frames.PROTOCOL_VERSION, 3, "3-1", 1, 12.5, is_fresh=True)
