--- a/corallanding/controller/record_service.py
+++ b/corallanding/controller/record_service.py
@@ -98,7 +98,7 @@
     @staticmethod
     def is_valid(message: Any) -> bool:
         """Whether the fields of a message lie within what a correct controller sends."""
-        return messages.sound(message)
+        return messages.is_valid(message)
 
     def carry_out(self, actions: list[Action]) -> None:
         """Write what is to be on disk first, then send; if it cannot be written, nothing is sent."""
--- a/corallanding/controller/record_store.py
+++ b/corallanding/controller/record_store.py
@@ -13,6 +13,7 @@
 from typing import NamedTuple
 
 from ..quorum_records.replica import Replica, UnsavedChanges
+from ..quorum_records.stored_rows import Ballot, PeerFile
 from .recovery import boot_id
 
 TABLES = """
@@ -81,23 +82,23 @@
     def _read_clocks(self) -> ClockReadings:
         return ClockReadings(self.clock(), time.monotonic() * 1000.0, time.time() * 1000.0)
 
-    def load(self, replica: Replica) -> dict[int, tuple[int, int, int]]:
+    def load(self, replica: Replica) -> dict[int, PeerFile]:
         """Put all that is stored into the replica.
 
-        Returns, by controller, what was heard of the others' files: opening number, incarnation, count of writes.
+        Returns what was heard of the others' files, by number of the controller.
         """
         db = self._open_database()
         now = self._read_clocks()
         for group, key, value, token, number, started_at, wall in db.execute("select * from record"):
             age_ms = max(0.0, now.since_boot - started_at if self.is_same_boot else now.wall - wall)
-            replica.put(group, key, value, (token, number), now.own - age_ms)
+            replica.put(group, key, value, Ballot(token, number), now.own - age_ms)
         for group, token in db.execute("select * from seen"):
             replica.raise_token(group, token)
         replica.take_unsaved()
         replica.write_count = max(replica.write_count - 1, self.writes)
         if not self.is_same_boot:
             self._move_to_this_boot(db, now)
-        return {number: (opened, life, writes) for number, opened, life, writes in db.execute("select * from peer")}
+        return {number: PeerFile(*known) for number, *known in db.execute("select * from peer")}
 
     def _move_to_this_boot(self, db: sqlite3.Connection, now: ClockReadings) -> None:
         """Restate the times of all records on the clock since this boot, in one transaction."""
--- a/corallanding/lab/stewards/runs.py
+++ b/corallanding/lab/stewards/runs.py
@@ -15,6 +15,7 @@
 from ...quorum_records.fleet import FleetRecords
 from ...quorum_records.queries import QueryLimits, QueryResult
 from ...quorum_records.replica import Replica, UnsavedChanges
+from ...quorum_records.stored_rows import Ballot, PeerFile
 from ...version_pinning.core import (
     RELEASE_TASK,
     RUNS_TASK_GROUP,
@@ -39,7 +40,7 @@
 
     rows: dict[tuple[int, int], tuple[int, int, int, float]] = field(default_factory=dict)
     seen: dict[int, int] = field(default_factory=dict)
-    peers: dict[int, tuple[int, int, int]] = field(default_factory=dict)
+    peers: dict[int, PeerFile] = field(default_factory=dict)
     opened: int = 0
     writes: int = 0
     blank: bool = True
@@ -58,7 +59,7 @@
 
     def load(self, shelf: Replica, local: Callable[[float], float]) -> None:
         for (group, key), (value, fence, number, born) in self.rows.items():
-            shelf.put(group, key, value, (fence, number), local(born))
+            shelf.put(group, key, value, Ballot(fence, number), local(born))
         shelf.highest_tokens.update(self.seen)
         shelf.take_unsaved()
         shelf.write_count = self.writes
--- a/corallanding/quorum_records/__init__.py
+++ b/corallanding/quorum_records/__init__.py
@@ -1,2 +1,1 @@
-"""Records that are written once: kept by a majority of stewards, written by the holder of their group. Pure. See
-docs/pins.md."""
+"""Write-once records on a quorum of replicas, written by the lease holder of their group. No I/O. See docs/pins.md."""
--- a/corallanding/quorum_records/core.py
+++ b/corallanding/quorum_records/core.py
@@ -1,24 +1,39 @@
-"""Records that are written once, as one steward lives them: its shelf if it is a keeper, the groups that it holds, and
-where it heard that others are held. Sans-I/O: `Keep` stands before every word that rests on it."""
+"""Quorum records of one controller: its replica if it has one, the groups that it holds, and where others are held.
+
+Persist before you send: `Persist` stands before every message that rests on it.
+"""
 
 from __future__ import annotations
 
 import itertools
 from collections.abc import Iterable
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from ..rate_limit import PeerRateLimiter
 from ..wire.peer_messages import OutgoingMessage
 from .limits import RecordLimits
-from .messages import Accept, AcceptReply, FileAnnouncement, FileAnnouncementReply, Prepare, PrepareReply, RecordMessage
+from .messages import (
+    Accept,
+    AcceptReply,
+    FileAnnouncement,
+    FileAnnouncementReply,
+    Prepare,
+    PrepareReply,
+    RecordMessage,
+)
 from .proposer import Proposer
 from .replica import AcceptRule, Replica, UnsavedChanges, accept_any
 from .replica_recovery import ReplicaRecovery
+from .stored_rows import PeerFile
+
+SWEEP_INTERVAL_MS = 1_000.0
+NO_FILE = PeerFile(0, 0, 0)
 
 
 @dataclass(frozen=True)
 class Persist:
-    """To be on disk before anything that follows is said."""
+    """Write these changes to disk before any action that follows is carried out."""
 
     changes: UnsavedChanges
 
@@ -26,139 +41,173 @@
 Action = OutgoingMessage | Persist
 
 
+class GroupHolder(NamedTuple):
+    """Who was last known to hold a group."""
+
+    fencing_token: int
+    controller: int
+
+
 class QuorumRecords:
-    """me, others, keepers: numbers. life: drawn at the start. opened: how often this steward's file was opened, 0 for
-    one that keeps nothing; blank: the file was new. groups: all that there may be;
-    counted: those whose values are tallied; lasting: those whose records have no end.
+    """The quorum records of one controller. All times in ms by its clock.
 
-    A keeper counts only once it has heard from others that no later life of its own file is known (`CatchUp`).
+    me, others, replica_ids: numbers of controllers; replica_ids are those with a replica. incarnation: drawn at the
+    start. groups: all that there may be. open_count: how often this controller's file was opened, 0 if it has no
+    replica. is_recovering: the file is new. accepts, counted_groups, permanent_groups: as in `Replica`.
+
+    A replica counts only once enough others know of no later opening of its file (`ReplicaRecovery`).
     """
 
     def __init__(
         self,
         me: int,
         others: tuple[int, ...],
-        keepers: tuple[int, ...],
-        life: int,
-        terms: RecordLimits,
-        born: float,
+        replica_ids: tuple[int, ...],
+        incarnation: int,
+        limits: RecordLimits,
+        created_at_ms: float,
         groups: Iterable[int],
-        opened: int,
-        blank: bool,
-        may: AcceptRule = accept_any,
-        counted: Iterable[int] = (),
-        lasting: Iterable[int] = (),
-        words_per_s: float = 2_000.0,
+        open_count: int,
+        is_recovering: bool,
+        accepts: AcceptRule = accept_any,
+        counted_groups: Iterable[int] = (),
+        permanent_groups: Iterable[int] = (),
+        messages_per_second: float = 2_000.0,
     ) -> None:
-        self.me, self.others, self.replica_ids, self.incarnation, self.limits = me, others, keepers, life, terms
+        self.me = me
+        self.others = others
+        self.replica_ids = replica_ids
+        self.incarnation = incarnation
+        self.limits = limits
         self.groups = frozenset(groups)
-        self.replica = Replica(terms, may, frozenset(counted), frozenset(lasting))
-        self.replica.is_recovering = blank
-        self.recovery = ReplicaRecovery(me, others, keepers, life, terms, self.groups, opened, self.replica)
-        self.proposers: dict[int, Proposer] = {}
+        self.replica = Replica(limits, accepts, frozenset(counted_groups), frozenset(permanent_groups))
+        self.replica.is_recovering = is_recovering
+        self.recovery = ReplicaRecovery(me, replica_ids, incarnation, limits, self.groups, open_count, self.replica)
+        self.proposers: dict[int, Proposer] = {}  # of the groups that this controller holds
         self.rounds = itertools.count(1)
-        self.holders: dict[int, tuple[int, int]] = {}  # group: the highest fence heard, and whose
-        self.peer_files: dict[
-            int, tuple[int, int, int]
-        ] = {}  # keeper: most openings heard of, in which life; most writes
-        self.rate_limits = PeerRateLimiter(others, words_per_s, born)
+        self.holders: dict[int, GroupHolder] = {}
+        self.peer_files: dict[int, PeerFile] = {}  # what is known of other replicas' files
+        self.rate_limits = PeerRateLimiter(others, messages_per_second, created_at_ms)
         self.rejected_count = 0
-        self.swept_at_ms = born
+        self.swept_at_ms = created_at_ms
 
     @property
     def has_replica(self) -> bool:
+        """Whether this controller has a replica."""
         return self.me in self.replica_ids
 
     def holder_of(self, group: int) -> int | None:
-        """Who was last heard to hold it."""
-        return self.holders.get(group, (0, None))[1]
+        """The controller that was last known to hold the group."""
+        holder = self.holders.get(group)
+        return holder.controller if holder else None
 
     # ---- groups --------------------------------------------------------------------------------------------
 
-    def acquire_group(self, group: int, fence: int) -> None:
-        """The group is ours from here on; what a majority has of it is read first."""
+    def acquire_group(self, group: int, fencing_token: int) -> None:
+        """Become the group's proposer: what a quorum has of it is read first."""
         self.proposers[group] = Proposer(
-            self.incarnation, group, self.replica_ids, self.limits, fence, self.rounds.__next__
+            self.incarnation, group, self.replica_ids, self.limits, fencing_token, self.rounds.__next__
         )
 
     def release_group(self, group: int) -> None:
+        """Stop being the group's proposer."""
         self.proposers.pop(group, None)
 
-    # ---- the core ------------------------------------------------------------------------------------------
+    # ---- time and messages ---------------------------------------------------------------------------------
 
     def tick(self, now: float) -> list[Action]:
-        """Call every 50 ms or so, and after writes that are to go at once."""
-        out: list[OutgoingMessage] = []
+        """Actions that are due; called every 50 ms or so, and after writes that are to be sent at once."""
+        messages: list[OutgoingMessage] = []
         if self.has_replica:
-            out += self.recovery.tick(now)
-        for writer in self.proposers.values():
-            out += writer.tick(now)
-        if now - self.swept_at_ms > 1_000.0:
+            messages += self.recovery.tick(now)
+        for proposer in self.proposers.values():
+            messages += proposer.tick(now)
+        if now - self.swept_at_ms > SWEEP_INTERVAL_MS:
             self.swept_at_ms = now
-            self.replica.sweep(now)
-            for writer in [w for w in self.proposers.values() if w.group not in self.replica.permanent_groups]:
-                for key in [k for k, e in writer.records.items() if now - e.created_at_ms > self.limits.retention_ms]:
-                    writer.forget(key)
-        return self.deliver(now, out)
-
-    def deliver(self, now: float, words: list[OutgoingMessage]) -> list[Action]:
-        """Words to ourselves are answered here; what the shelf took in is kept before any word goes out."""
-        out: list[OutgoingMessage] = []
-        while words:
-            here, words = [s for s in words if s.to == self.me], [s for s in words if s.to != self.me]
-            out += words
-            words = []
-            for s in here:
-                words += self.handle(now, self.me, s.message)
-        unkept = self.replica.take_unsaved()
-        return [*([Persist(unkept)] if unkept else []), *out]
-
-    def on_message(self, now: float, sender: int, word: RecordMessage) -> list[Action]:
-        """A word of a known steward."""
+            self._sweep(now)
+        return self.deliver(now, messages)
+
+    def _sweep(self, now: float) -> None:
+        """Drop records over their time from the replica and from proposers."""
+        self.replica.sweep(now)
+        for proposer in self.proposers.values():
+            if proposer.group in self.replica.permanent_groups:
+                continue
+            for key, record in list(proposer.records.items()):
+                if now - record.created_at_ms > self.limits.retention_ms:
+                    proposer.forget(key)
+
+    def deliver(self, now: float, messages: list[OutgoingMessage]) -> list[Action]:
+        """Answer messages to this controller itself; what the replica accepted is persisted before the rest is sent."""
+        outgoing: list[OutgoingMessage] = []
+        while messages:
+            outgoing += [message for message in messages if message.to != self.me]
+            own = [message for message in messages if message.to == self.me]
+            messages = [answer for message in own for answer in self.handle(now, self.me, message.message)]
+        changes = self.replica.take_unsaved()
+        return [Persist(changes), *outgoing] if changes else [*outgoing]
+
+    def on_message(self, now: float, sender: int, message: RecordMessage) -> list[Action]:
+        """Take a message of a known controller."""
         if not self.rate_limits.try_take(sender, now):
             self.rejected_count += 1
             return []
-        return self.deliver(now, self.handle(now, sender, word))
-
-    def handle(self, now: float, sender: int, word: RecordMessage) -> list[OutgoingMessage]:
-        match word:
-            case Accept() | Prepare():
-                if word.group not in self.groups or not self.has_replica:
-                    self.rejected_count += 1
-                    return []
-                if word.fencing_token:
-                    self.note_holder(word.group, word.fencing_token, sender)
-                answer = self.recovery.reply_to(now, word)
-                return [OutgoingMessage(sender, answer)] if answer else []
-            case AcceptReply():
-                if (w := self.proposers.get(word.group)) and sender in self.replica_ids:
-                    w.on_accept_reply(now, sender, word)
-            case PrepareReply():
-                if sender not in self.replica_ids:
-                    return []
-                if self.recovery.is_recovery_reply(sender, word):
-                    return self.recovery.on_prepare_reply(now, sender, word)
-                if w := self.proposers.get(word.group):
-                    return w.on_prepare_reply(now, sender, word)
-            case FileAnnouncement():
-                if sender in self.replica_ids:
-                    return [OutgoingMessage(sender, self.announcement_reply(sender, word))]
-            case FileAnnouncementReply():
-                return self.recovery.on_announcement_reply(now, sender, word)
+        return self.deliver(now, self.handle(now, sender, message))
+
+    def handle(self, now: float, sender: int, message: RecordMessage) -> list[OutgoingMessage]:
+        """Take a message that is within its sender's rate, and return the answers."""
+        if isinstance(message, Accept | Prepare):
+            return self._on_proposer_message(now, sender, message)
+        if isinstance(message, FileAnnouncementReply):
+            return self.recovery.on_announcement_reply(now, sender, message)
+        if sender not in self.replica_ids:
+            return []
+        if isinstance(message, FileAnnouncement):
+            return [OutgoingMessage(sender, self.announcement_reply(sender, message))]
+        if isinstance(message, PrepareReply) and self.recovery.is_recovery_reply(message):
+            return self.recovery.on_prepare_reply(now, sender, message)
+        return self._on_replica_message(now, sender, message)
+
+    def _on_proposer_message(self, now: float, sender: int, message: Accept | Prepare) -> list[OutgoingMessage]:
+        if message.group not in self.groups or not self.has_replica:
+            self.rejected_count += 1
+            return []
+        if message.fencing_token:
+            self.note_holder(message.group, message.fencing_token, sender)
+        answer = self.recovery.reply_to(now, message)
+        return [OutgoingMessage(sender, answer)] if answer else []
+
+    def _on_replica_message(
+        self, now: float, sender: int, message: AcceptReply | PrepareReply
+    ) -> list[OutgoingMessage]:
+        """Hand an answer to the proposer of its group."""
+        proposer = self.proposers.get(message.group)
+        if proposer is None:
+            return []
+        if isinstance(message, PrepareReply):
+            return proposer.on_prepare_reply(now, sender, message)
+        proposer.on_accept_reply(now, sender, message)
         return []
 
-    def note_holder(self, group: int, fence: int, sender: int) -> None:
-        if fence >= self.holders.get(group, (0, None))[0]:
-            self.holders[group] = (fence, sender)
-
-    def announcement_reply(self, sender: int, word: FileAnnouncement) -> FileAnnouncementReply:
-        """What we know of its file. An opening of another life with as high a number was made of the same contents, and
-        so was one of a file with fewer writes."""
-        count, life, writes = self.peer_files.get(sender, (0, 0, 0))
-        most = max(writes, word.write_count)
-        if word.round > count or most > writes:
-            opened = max(word.round, count)
-            self.peer_files[sender] = (opened, word.incarnation if word.round > count else life, most)
+    def note_holder(self, group: int, fencing_token: int, controller: int) -> None:
+        """Remember who holds a group, unless one with a higher fencing token is known."""
+        known = self.holders.get(group)
+        if known is None or fencing_token >= known.fencing_token:
+            self.holders[group] = GroupHolder(fencing_token, controller)
+
+    def announcement_reply(self, sender: int, message: FileAnnouncement) -> FileAnnouncementReply:
+        """What is known of the sender's file, noted as announced.
+
+        An opening by another incarnation that counts as high was made of the same contents; so was one of a file with
+        fewer writes than are known.
+        """
+        open_count, incarnation, known_writes = self.peer_files.get(sender, NO_FILE)
+        write_count = max(known_writes, message.write_count)
+        is_later = message.round > open_count
+        if is_later or write_count > known_writes:
+            opener = message.incarnation if is_later else incarnation
+            self.peer_files[sender] = PeerFile(max(message.round, open_count), opener, write_count)
             self.replica.unsaved.peer_files[sender] = self.peer_files[sender]
-        other = 0 if word.round > count or life == word.incarnation else count
-        return FileAnnouncementReply(word.incarnation, other, self.replica.is_recovering or not self.has_replica, most)
+        other_opening = 0 if is_later or incarnation == message.incarnation else open_count
+        remembers_nothing = self.replica.is_recovering or not self.has_replica
+        return FileAnnouncementReply(message.incarnation, other_opening, remembers_nothing, write_count)
--- a/corallanding/quorum_records/fleet.py
+++ b/corallanding/quorum_records/fleet.py
@@ -1,9 +1,8 @@
-"""Records as one steward of a fleet lives them: which groups it holds, questions on them, and what goes out in which
-order. Sans-I/O."""
+"""Quorum records together with task leases and queries, and the order in which their actions are carried out."""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
 from ..lease.core import TaskLeases
@@ -15,54 +14,59 @@
 
 
 class FleetRecords:
-    """names: groups of tasks (or tasks) that stand for groups of records. counted, lasting: names, as in `Records`.
+    """The records of one controller, whose groups follow its task leases.
 
-    Whoever rests on them asks by `asking`, and hands what it has to say through `after`: what keepers decided meanwhile
-    is told with it, and what must be on disk stands first.
+    names: task groups (or tasks) of which each task stands for a group of records; counted, permanent: those of them
+    whose values are counted, and whose records are never deleted. Other arguments: as in `QuorumRecords`.
+
+    Services that rest on records ask by `queries`, and hand their own actions through `in_send_order`.
     """
 
     def __init__(
         self,
         leases: TaskLeases,
-        keepers: tuple[int, ...],
-        terms: RecordLimits,
-        asks: QueryLimits,
-        born: float,
-        opened: int,
-        blank: bool,
+        replica_ids: tuple[int, ...],
+        limits: RecordLimits,
+        query_limits: QueryLimits,
+        created_at_ms: float,
+        open_count: int,
+        is_recovering: bool,
         names: tuple[str, ...],
         counted: tuple[str, ...] = (),
-        lasting: tuple[str, ...] = (),
-        words_per_s: float = 2_000.0,
+        permanent: tuple[str, ...] = (),
+        messages_per_second: float = 2_000.0,
     ) -> None:
         tasks = leases.tasks
-        self.task_numbers = {name: [tasks.number(name, n) for n in range(tasks.specs[name].count)] for name in names}
+        self.task_numbers = {
+            name: [tasks.number(name, index) for index in range(tasks.specs[name].count)] for name in names
+        }
         self.groups_by_name = {
-            name: tuple(group_of(tasks.label(n)) for n in rows) for name, rows in self.task_numbers.items()
+            name: tuple(group_of(tasks.label(number)) for number in numbers)
+            for name, numbers in self.task_numbers.items()
         }
-        every = [g for rows in self.groups_by_name.values() for g in rows]
-        some, more = (
-            [g for name in counted for g in self.groups_by_name[name]],
-            [g for name in lasting for g in self.groups_by_name[name]],
-        )
-        self.acceptance_rules: dict[int, Callable[[int, bool], bool]] = {}  # by group: what a keeper takes in
+        self.acceptance_rules: dict[int, Callable[[int, bool], bool]] = {}  # by group; see `may_accept`
         self.records = QuorumRecords(
             leases.controller_id,
             leases.peer_ids,
-            keepers,
+            replica_ids,
             leases.incarnation,
-            terms,
-            born,
-            every,
-            opened,
-            blank,
+            limits,
+            created_at_ms,
+            self._groups_of(names),
+            open_count,
+            is_recovering,
             self.may_accept,
-            some,
-            more,
-            words_per_s,
+            self._groups_of(counted),
+            self._groups_of(permanent),
+            messages_per_second,
         )
-        self.group_leases = GroupLeases(leases, self.records, [n for rows in self.task_numbers.values() for n in rows])
-        self.queries = Queries(leases.controller_id, leases.peer_ids, leases.incarnation, self.records, asks)
+        every_task = [number for numbers in self.task_numbers.values() for number in numbers]
+        self.group_leases = GroupLeases(leases, self.records, every_task)
+        self.queries = Queries(leases.controller_id, leases.peer_ids, leases.incarnation, self.records, query_limits)
+
+    def _groups_of(self, names: Iterable[str]) -> list[int]:
+        """All groups of these task groups."""
+        return [group for name in names for group in self.groups_by_name[name]]
 
     def may_accept(self, group: int, value: int, is_initial: bool) -> bool:
         """Whether the owner of the group lets a replica accept the value; groups without a rule accept any."""
@@ -70,45 +74,47 @@
         return rule is None or rule(value, is_initial)
 
     def tick(self, now: float, actions: list[Action] | None = None) -> list[Action]:
-        """Call after each tick of the leases; actions: of those who rest on us."""
+        """Actions that are due, and those of services that rest on records; called after each tick of the leases."""
         self.group_leases.sync(now)
         return self.in_send_order(now, [*(actions or []), *self.queries.tick(now), *self.records.tick(now)])
 
     def send_new_queries(self, now: float) -> list[Action]:
-        """What was just asked goes out at once."""
+        """Queries that were submitted since the last tick."""
         return self.in_send_order(now, list(self.queries.send_new(now)))
 
-    def on_message(self, now: float, sender: int, word: RecordMessage | Query | QueryReply) -> list[Action]:
-        """A word of a known steward."""
-        if not isinstance(word, Query | QueryReply):
-            return self.in_send_order(now, self.records.on_message(now, sender, word))
+    def on_message(self, now: float, sender: int, message: RecordMessage | Query | QueryReply) -> list[Action]:
+        """Take a message of a known controller."""
+        if not isinstance(message, Query | QueryReply):
+            return self.in_send_order(now, self.records.on_message(now, sender, message))
         if not self.records.rate_limits.try_take(sender, now):
             self.records.rejected_count += 1
             return []
-        if isinstance(word, QueryReply):
-            self.queries.on_reply(sender, word)
+        if isinstance(message, QueryReply):
+            self.queries.on_reply(sender, message)
             return []
-        return self.in_send_order(now, list(self.queries.on_query(now, sender, word)))
+        return self.in_send_order(now, list(self.queries.on_query(now, sender, message)))
 
     def flush(self, now: float) -> list[Action]:
-        """Copies of what has just begun go at once, not at the next tick."""
-        out: list[Action] = []
-        for writer in self.records.proposers.values():
-            if writer.is_ready and writer.write_queue:
-                out += self.records.deliver(now, writer.tick(now))
-        return out
+        """Accept messages of writes that have just begun: they are sent at once, not at the next tick."""
+        actions: list[Action] = []
+        for proposer in self.records.proposers.values():
+            if proposer.is_ready and proposer.write_queue:
+                actions += self.records.deliver(now, proposer.tick(now))
+        return actions
 
     def in_send_order(self, now: float, actions: list[Action]) -> list[Action]:
-        out = [*actions, *self.queries.on_decisions(now), *self.flush(now), *self.queries.on_decisions(now)]
-        return [*[a for a in out if isinstance(a, Persist)], *[a for a in out if not isinstance(a, Persist)]]
+        """These actions and all that they let happen now; what is to be persisted stands before every message."""
+        all_actions = [*actions, *self.queries.on_decisions(now), *self.flush(now), *self.queries.on_decisions(now)]
+        first = [action for action in all_actions if isinstance(action, Persist)]
+        return [*first, *(action for action in all_actions if not isinstance(action, Persist))]
 
     def status(self) -> Mapping[str, Any]:
-        """What the door shows."""
-        shelf = self.records.replica
+        """What the status page shows."""
+        replica = self.records.replica
         return {
-            "records": shelf.record_count,
+            "records": replica.record_count,
             "counts": self.records.recovery.is_ready,
-            "blank": shelf.is_recovering,
+            "blank": replica.is_recovering,
             "waits_for": self.records.recovery.awaited_replicas(),
             "groups_held": len(self.records.proposers),
             "questions": len(self.queries.pending),
--- a/corallanding/quorum_records/groups.py
+++ b/corallanding/quorum_records/groups.py
@@ -1,4 +1,4 @@
-"""Which groups of records a steward holds, by its tasks of the fleet. Pure."""
+"""Which groups of records a controller holds, by its task leases."""
 
 from __future__ import annotations
 
@@ -10,30 +10,36 @@
 
 
 def group_of(label: str) -> int:
-    """A group's number, by its task's name: numbers of tasks change when a task is added, records stay."""
+    """The number of a group, by the name of its task: numbers of tasks change when a task is added, groups stay."""
     return zlib.crc32(label.encode())
 
 
 class GroupLeases:
-    """tasks: numbers of the tasks that stand for a group each."""
+    """Makes a controller the proposer of the groups whose tasks it holds. tasks: their numbers, one for each group."""
 
     def __init__(self, leases: TaskLeases, records: QuorumRecords, tasks: Iterable[int]) -> None:
-        self.leases, self.records = leases, records
+        self.leases = leases
+        self.records = records
         self.group_by_task = {number: group_of(leases.tasks.label(number)) for number in tasks}
-        self.superseded_tokens: dict[int, int] = {}  # group: the fence that its keepers have seen
+        self.superseded_tokens: dict[int, int] = {}  # by group: the fencing token by which we were rejected
 
     def sync(self, now: float) -> None:
-        """Call after each tick of the leases. One that was refused behind a fence waits until it has a higher one."""
-        held = self.records.proposers
-        for number, group in self.group_by_task.items():
-            writer = held.get(group)
-            if writer and writer.superseded_by:
-                self.superseded_tokens[group] = writer.superseded_by
-                self.leases.holder.on_action_rejected(writer.superseded_by)
-                self.records.release_group(group)
-                writer = None
-            if not self.leases.holds(now, number):
-                if writer:
+        """Take up and release groups; called after each tick of the leases.
+
+        A group whose replicas know a higher fencing token is taken up again once the lease has a higher one than that.
+        """
+        for task, group in self.group_by_task.items():
+            self._release_if_superseded(group)
+            is_held = group in self.records.proposers
+            if not self.leases.holds(now, task):
+                if is_held:
                     self.records.release_group(group)
-            elif writer is None and self.leases.holder.fencing_token > self.superseded_tokens.get(group, 0):
+            elif not is_held and self.leases.holder.fencing_token > self.superseded_tokens.get(group, 0):
                 self.records.acquire_group(group, self.leases.holder.fencing_token)
+
+    def _release_if_superseded(self, group: int) -> None:
+        proposer = self.records.proposers.get(group)
+        if proposer and proposer.superseded_by:
+            self.superseded_tokens[group] = proposer.superseded_by
+            self.leases.holder.on_action_rejected(proposer.superseded_by)
+            self.records.release_group(group)
--- a/corallanding/quorum_records/limits.py
+++ b/corallanding/quorum_records/limits.py
@@ -1,4 +1,4 @@
-"""Bounds and times of records that are written once."""
+"""Bounds and timings of quorum records."""
 
 from __future__ import annotations
 
@@ -7,14 +7,18 @@
 
 @dataclass(frozen=True)
 class RecordLimits:
-    """ms. keep: for how long a record is kept from its beginning on; live: for how long it is tallied. most: records
-    that one keeper holds. again: until an unanswered word is said once more. writes_most: of one group that may be
-    under way at once."""
+    """Bounds and timings of the records of one group set.
+
+    retention_ms: for how long a record is kept from its creation on. counted_ms: for how long its value is counted.
+    max_records: records of one replica. retry_ms: until an unanswered message is sent again. max_writes: writes of one
+    group in progress. announce_interval_ms: between two announcements of a replica's file. max_pages_read: pages of one
+    group that a proposer reads from one replica.
+    """
 
     retention_ms: float = 3_600_000.0
     counted_ms: float = 1_800_000.0
     max_records: int = 200_000
     retry_ms: float = 150.0
     max_writes: int = 512
-    announce_interval_ms: float = 500.0  # between two words that say how far a keeper's file was written
-    max_pages_read: int = 4_096  # pages of one group that one keeper is asked for
+    announce_interval_ms: float = 500.0
+    max_pages_read: int = 4_096
--- a/corallanding/quorum_records/messages.py
+++ b/corallanding/quorum_records/messages.py
@@ -1,37 +1,83 @@
-"""Words between stewards on records that are written once: msgpack arrays, each within one datagram."""
+"""Messages on quorum records between controllers: msgpack arrays, each within one datagram."""
 
 from __future__ import annotations
 
-from ..wire.peer_messages import ControllerMessage
+from enum import IntEnum
+from typing import NamedTuple
 
-COPIED_MOST, PAGED_MOST = 8, 6  # rows of a word
-VALUE_MOST = (1 << 63) - 1
-ACCEPTED, SUPERSEDED, FULL, CLOSED, RECOVERING = range(5)  # what a keeper says
+import msgspec
 
-RecordRow = tuple[int, int, int]  # key, value, age in ms
-VersionedRow = tuple[int, int, int, int, int]  # the same, and under which fence and in which round it was written
+from ..wire.peer_messages import ControllerMessage, has_valid_header
+
+MAX_ACCEPT_ROWS = 8  # of one message
+MAX_PREPARE_ROWS = 6
+MAX_VALUE = (1 << 63) - 1
+
+# Bounds of fields, exclusive.
+MAX_TOKEN = 1 << 63
+MAX_KEY = 1 << 63
+MAX_GROUP = 1 << 32
+MAX_ROUND = 1 << 53
+MAX_AGE_MS = 1 << 50
+MAX_WRITE_COUNT = 1 << 62
+MAX_KIND = 16
+MAX_RESULT = 16
+
+
+class ReplicaStatus(IntEnum):
+    """What a replica answers. The numbers are on the wire."""
+
+    ACCEPTED = 0
+    SUPERSEDED = 1  # it has promised a higher fencing token
+    FULL = 2
+    CLOSED = 3  # the value may not be begun any more
+    RECOVERING = 4  # it has lost what it promised, and does not count yet
+
+
+class RecordRow(NamedTuple):
+    """One record, as a proposer sends it."""
+
+    key: int
+    value: int
+    age_ms: int
+
+
+class VersionedRow(NamedTuple):
+    """One record, as a replica has it, with the ballot under which it was written."""
+
+    key: int
+    value: int
+    age_ms: int
+    fencing_token: int
+    round: int
 
 
 class Accept(ControllerMessage, frozen=True, array_like=True, tag=30):
-    """The holder of a group to a keeper: keep these. first: they are beginnings, nobody was told of them yet."""
+    """A proposer to a replica: store these records.
+
+    is_initial: the records are new, and nobody was told of them.
+    """
 
     group: int = 0
     fencing_token: int = 0
     is_initial: bool = False
-    rows: list[RecordRow] = []
+    rows: list[RecordRow] = msgspec.field(default_factory=list)
 
 
 class AcceptReply(ControllerMessage, frozen=True, array_like=True, tag=31):
-    """The answer to the copy of that life and round. seen: the highest fence that the keeper has seen in that group."""
+    """The answer to `Accept`. highest_token: the highest fencing token that the replica has seen in the group."""
 
     group: int = 0
-    status: int = ACCEPTED
+    status: int = ReplicaStatus.ACCEPTED
     highest_token: int = 0
 
 
 class Prepare(ControllerMessage, frozen=True, array_like=True, tag=32):
-    """A new holder to a keeper: what do you have of the group, with keys above `after`? From here on nothing is kept
-    that comes under a lower fence. fence 0: asked by a keeper that has lost its own, and promises nothing."""
+    """A new proposer to a replica: which records of the group, with keys above `after_key`, have you stored?
+
+    The replica promises to accept nothing under a lower fencing token from here on. Token 0 is of a replica that
+    recovers, and asks for no promise.
+    """
 
     group: int = 0
     fencing_token: int = 0
@@ -39,31 +85,34 @@
 
 
 class PrepareReply(ControllerMessage, frozen=True, array_like=True, tag=33):
-    """The answer to the fetch of that life and round."""
+    """The answer to `Prepare`: one page of records in the order of keys."""
 
     group: int = 0
-    status: int = ACCEPTED
+    status: int = ReplicaStatus.ACCEPTED
     highest_token: int = 0
-    rows: list[VersionedRow] = []
+    rows: list[VersionedRow] = msgspec.field(default_factory=list)
     has_more: bool = False
 
 
 class FileAnnouncement(ControllerMessage, frozen=True, array_like=True, tag=34):
-    """A keeper, now and then: `round` counts the openings of its file, `writes` what was ever written to it."""
+    """A replica, now and then: `round` counts the openings of its file, `write_count` all writes to it."""
 
     write_count: int = 0
 
 
 class FileAnnouncementReply(ControllerMessage, frozen=True, array_like=True, tag=35):
-    """The answer to `Here` of that life: of how many openings we know that another life of that keeper had, and of how
-    many writes to its file. blank: we remember nothing."""
+    """The answer to `FileAnnouncement`: what the sender knows of that replica's file.
+
+    round: openings of it by another incarnation, 0 if there is none to tell of. write_count: the most writes heard of.
+    is_recovering: the sender remembers nothing.
+    """
 
     is_recovering: bool = False
     write_count: int = 0
 
 
 class Query(ControllerMessage, frozen=True, array_like=True, tag=36):
-    """A steward to the holder of a record's group. kind, more: what is asked, by the group's subject."""
+    """A controller to the holder of a record's group. The owner of the group defines `kind` and `argument`."""
 
     group: int = 0
     key: int = 0
@@ -72,7 +121,7 @@
 
 
 class QueryReply(ControllerMessage, frozen=True, array_like=True, tag=37):
-    """The answer to the question of that life and round. key: on what, so that none is taken for another's."""
+    """The answer to `Query`. It repeats the key, so that no answer is taken for another's."""
 
     key: int = 0
     result: int = 0
@@ -82,35 +131,48 @@
 RecordMessage = Accept | AcceptReply | Prepare | PrepareReply | FileAnnouncement | FileAnnouncementReply
 
 
-def sound(word: ControllerMessage) -> bool:
-    """Whether its fields can be meant."""
-    if not (0 <= word.incarnation < 1 << 63 and 0 <= word.round < 1 << 53):
+def is_valid(message: ControllerMessage) -> bool:
+    """Whether every field lies within its bounds."""
+    if not has_valid_header(message):
         return False
-    match word:
-        case Accept():
-            good = 0 < word.fencing_token < 1 << 63 and 0 < len(word.rows) <= COPIED_MOST
-            return good and 0 <= word.group < 1 << 32 and all(map(sound_row, word.rows))
-        case AcceptReply():
-            return 0 <= word.highest_token < 1 << 63 and ACCEPTED <= word.status <= RECOVERING
-        case Prepare():
-            return 0 <= word.fencing_token < 1 << 63 and 0 <= word.group < 1 << 32 and -1 <= word.after_key < 1 << 63
-        case PrepareReply():
-            good = (
-                0 <= word.highest_token < 1 << 63
-                and ACCEPTED <= word.status <= RECOVERING
-                and len(word.rows) <= PAGED_MOST
-            )
-            return good and all(sound_row(r[:3]) and 0 < r[3] < 1 << 63 and 0 <= r[4] < 1 << 53 for r in word.rows)
+    match message:
+        case Accept() | AcceptReply() | Prepare() | PrepareReply():
+            return _is_valid_replication(message)
         case FileAnnouncement() | FileAnnouncementReply():
-            return 0 <= word.write_count < 1 << 62
+            return 0 <= message.write_count < MAX_WRITE_COUNT
         case Query():
-            good = 0 <= word.group < 1 << 32 and 0 < word.key < 1 << 63
-            return good and 0 <= word.kind < 16 and 0 <= word.argument < 1 << 63
+            is_known = 0 <= message.group < MAX_GROUP and 0 < message.key < MAX_KEY
+            return is_known and 0 <= message.kind < MAX_KIND and 0 <= message.argument <= MAX_VALUE
         case QueryReply():
-            return 0 < word.key < 1 << 63 and 0 <= word.result < 16 and 0 <= word.value < 1 << 63
+            is_known = 0 < message.key < MAX_KEY
+            return is_known and 0 <= message.result < MAX_RESULT and 0 <= message.value <= MAX_VALUE
     return True
 
 
-def sound_row(row: RecordRow) -> bool:
-    key, value, age = row
-    return 0 <= key < 1 << 63 and 0 < value <= VALUE_MOST and 0 <= age < 1 << 50
+def _is_valid_replication(message: Accept | AcceptReply | Prepare | PrepareReply) -> bool:
+    match message:
+        case Accept():
+            is_addressed = 0 < message.fencing_token < MAX_TOKEN and 0 <= message.group < MAX_GROUP
+            return is_addressed and 0 < len(message.rows) <= MAX_ACCEPT_ROWS and all(map(_is_valid_row, message.rows))
+        case AcceptReply():
+            return 0 <= message.highest_token < MAX_TOKEN and _is_valid_status(message.status)
+        case Prepare():
+            is_addressed = 0 <= message.fencing_token < MAX_TOKEN and 0 <= message.group < MAX_GROUP
+            return is_addressed and -1 <= message.after_key < MAX_KEY
+        case PrepareReply():
+            is_answer = 0 <= message.highest_token < MAX_TOKEN and _is_valid_status(message.status)
+            has_valid_rows = len(message.rows) <= MAX_PREPARE_ROWS and all(map(_is_valid_versioned, message.rows))
+            return is_answer and has_valid_rows
+
+
+def _is_valid_status(status: int) -> bool:
+    return ReplicaStatus.ACCEPTED <= status <= ReplicaStatus.RECOVERING
+
+
+def _is_valid_row(row: RecordRow) -> bool:
+    return 0 <= row.key < MAX_KEY and 0 < row.value <= MAX_VALUE and 0 <= row.age_ms < MAX_AGE_MS
+
+
+def _is_valid_versioned(row: VersionedRow) -> bool:
+    is_valid_record = _is_valid_row(RecordRow(row.key, row.value, row.age_ms))
+    return is_valid_record and 0 < row.fencing_token < MAX_TOKEN and 0 <= row.round < MAX_ROUND
--- a/corallanding/scheduling/idempotency.py
+++ b/corallanding/scheduling/idempotency.py
@@ -8,7 +8,7 @@
 
 from enum import IntEnum
 
-from ..quorum_records.messages import FULL as RECORDS_FULL
+from ..quorum_records.messages import ReplicaStatus
 from ..quorum_records.proposer import ProposedRecord, Proposer
 from ..quorum_records.queries import Outcome, Queries
 from .actions import ClaimOutcome
@@ -82,17 +82,17 @@
             return None
         if kind == KeyQuery.RELEASE:
             if record.value == argument:
-                proposer.write(now_ms, key, NO_OWNER, record.created_at_ms, first=False)
-            return KeyStatus.UNCLAIMED, NO_VALUE
+                proposer.write(now_ms, key, NO_OWNER, record.created_at_ms, is_initial=False)
+            return Outcome(KeyStatus.UNCLAIMED, NO_VALUE)
         if kind == KeyQuery.AGE:
             status = KeyStatus.UNCLAIMED if record.value == NO_OWNER else KeyStatus.DUPLICATE
-            return status, int(now_ms - record.created_at_ms)
+            return Outcome(status, int(now_ms - record.created_at_ms))
         return self._claim(now_ms, proposer, key, record, argument)
 
     def _begin(self, now_ms: float, proposer: Proposer, key: int, kind: int, argument: int) -> Outcome | None:
         """Begin to write the record of a new key; there is nothing to release yet."""
         if kind == KeyQuery.RELEASE:
-            return KeyStatus.UNCLAIMED, NO_VALUE
+            return Outcome(KeyStatus.UNCLAIMED, NO_VALUE)
         if kind == KeyQuery.AGE:
             proposer.write(now_ms, key, NO_OWNER, now_ms - argument)
         else:
@@ -101,14 +101,14 @@
 
     def _claim(self, now_ms: float, proposer: Proposer, key: int, record: ProposedRecord, owner: int) -> Outcome | None:
         if record.value == NO_OWNER:
-            proposer.write(now_ms, key, owner, record.created_at_ms, first=False)
+            proposer.write(now_ms, key, owner, record.created_at_ms, is_initial=False)
             return None
         status = KeyStatus.GRANTED if record.value == owner else KeyStatus.DUPLICATE
-        return status, NO_VALUE
+        return Outcome(status, NO_VALUE)
 
     def on_write_denied(self, reason: int) -> Outcome | None:
         """A majority did not accept the record: with None the query is handled anew."""
-        return (KeyStatus.FULL, NO_VALUE) if reason == RECORDS_FULL else None
+        return Outcome(KeyStatus.FULL, NO_VALUE) if reason == ReplicaStatus.FULL else None
 
 
 def claim_outcome(status: int) -> ClaimOutcome:
--- a/corallanding/version_pinning/releases.py
+++ b/corallanding/version_pinning/releases.py
@@ -104,7 +104,7 @@
             self.on_change(decision.reason)
             self.obstacle = ""
             self.run_counts = RunCounts()
-            proposer.write(now_ms, REGISTER_KEY, decision.register.pack(), record.created_at_ms, first=False)
+            proposer.write(now_ms, REGISTER_KEY, decision.register.pack(), record.created_at_ms, is_initial=False)
         return messages
 
     def _report_obstacle(self, obstacle: str) -> None:
--- a/corallanding/version_pinning/workflow_runs.py
+++ b/corallanding/version_pinning/workflow_runs.py
@@ -5,7 +5,7 @@
 import zlib
 from collections.abc import Callable
 
-from ..quorum_records.messages import FULL as RECORDS_FULL
+from ..quorum_records.messages import ReplicaStatus
 from ..quorum_records.queries import Outcome, Queries
 from ..rate_limit import TokenBucket
 from .limits import PinningLimits
@@ -58,16 +58,16 @@
         record = proposer.get(key)
         if record is None:
             if kind == RunQueryKind.END:
-                return RunStatus.OVER, NO_SET
+                return Outcome(RunStatus.OVER, NO_SET)
             return self._begin(now_ms, group, key, bucket)
         if record.value & ENDED_FLAG or self._is_expired(now_ms, record.created_at_ms):
-            return RunStatus.OVER, NO_SET
+            return Outcome(RunStatus.OVER, NO_SET)
         if not proposer.confirm(now_ms, key):
             return None
         if kind == RunQueryKind.END:
-            proposer.write(now_ms, key, record.value | ENDED_FLAG, record.created_at_ms, first=False)
-            return RunStatus.OVER, NO_SET
-        return RunStatus.PINNED, record.value
+            proposer.write(now_ms, key, record.value | ENDED_FLAG, record.created_at_ms, is_initial=False)
+            return Outcome(RunStatus.OVER, NO_SET)
+        return Outcome(RunStatus.PINNED, record.value)
 
     def _is_expired(self, now_ms: float, begun_at_ms: float) -> bool:
         return now_ms - begun_at_ms > self.limits.max_run_ms * (1.0 - self.limits.max_clock_drift)
@@ -79,7 +79,7 @@
             return None
         if not self._take_permit(now_ms, bucket):
             self.rejected_count += 1
-            return RunStatus.REJECTED, NO_SET
+            return Outcome(RunStatus.REJECTED, NO_SET)
         capacities = [self.capacity_of_set(number) for number in register.open_sets]
         release_set = choose_set(key, register.open_sets, capacities)
         if self.records.proposers[group].write(now_ms, key, release_set, now_ms):
@@ -95,7 +95,7 @@
 
     def on_write_denied(self, reason: int) -> Outcome | None:
         """A majority did not accept the record: with None the query is handled anew, in the set that is open now."""
-        if reason != RECORDS_FULL:
+        if reason != ReplicaStatus.FULL:
             return None
         self.rejected_count += 1
-        return RunStatus.REJECTED, NO_SET
+        return Outcome(RunStatus.REJECTED, NO_SET)
--- a/tests/test_mutation.py
+++ b/tests/test_mutation.py
@@ -26,7 +26,7 @@
 from corallanding.lease.messages import is_valid as sound_task
 from corallanding.lease.tasks import TaskCatalog, TaskSpec
 from corallanding.membership.messages import Ack, Ping, PingRequest
-from corallanding.quorum_records.messages import sound as sound_record
+from corallanding.quorum_records.messages import is_valid as is_valid_record_message
 from corallanding.quota import Budget, QuotaLimits, QuotaManager
 from corallanding.quota.messages import CapacityGrant, CapacityRequest
 from corallanding.quota.messages import is_valid as is_valid_quota_message
@@ -214,7 +214,7 @@
         budgets,
         lambda w: is_valid_quota_message(w) if isinstance(w, CapacityRequest | CapacityGrant) else sound_task(w),
     ),
-    "runs": (runs, lambda w: sound_pin(w) if isinstance(w, PinningMessage) else sound_record(w)),
+    "runs": (runs, lambda w: sound_pin(w) if isinstance(w, PinningMessage) else is_valid_record_message(w)),
     "waiting": (waits, sound_line),
 }
 
