--- a/bench/load_reports.py
+++ b/bench/load_reports.py
@@ -32,7 +32,7 @@
 from corallanding.lab.scenario import Fault, load_scenario
 from corallanding.lab.scenario_text import scenario_hcl
 from corallanding.lab.trace import read
-from corallanding.load_reports.envelope import NO_ECHO, Head, pack
+from corallanding.load_reports.envelope import NO_NONCE, ReportHeader, encode_binary
 from corallanding.telemetry import configure
 from corallanding.wire import frames
 
@@ -62,8 +62,10 @@
         for _ in range(max(0, min(1000, int(per_s * spent) - n))):
             sender = n % senders
             up = time.monotonic() * 1000.0
-            head = Head(sender % HOSTS, sender // HOSTS, 0, n + 1 + int(begun * 1e6), up, time.time() * 1000.0, NO_ECHO)
-            out.sendto(pack(head, texts[n % 8], KEY), ("127.0.0.1", port))
+            head = ReportHeader(
+                sender % HOSTS, sender // HOSTS, 0, n + 1 + int(begun * 1e6), up, time.time() * 1000.0, NO_NONCE
+            )
+            out.sendto(encode_binary(head, texts[n % 8], KEY), ("127.0.0.1", port))
             n += 1
         time.sleep(0.001)
     sent.value = n
@@ -310,9 +312,9 @@
                     continue
                 n += 1
                 up = time.monotonic() * 1000.0
-                head = Head(h, 0, 0, n, up, time.time() * 1000.0, NO_ECHO)
+                head = ReportHeader(h, 0, 0, n, up, time.time() * 1000.0, NO_NONCE)
                 load = 3.0 if h == 9 else 0.5 + 0.001 * (n % 9)
-                out.sendto(pack(head, body(load, False), KEY), ("127.0.0.1", port))
+                out.sendto(encode_binary(head, body(load, False), KEY), ("127.0.0.1", port))
             if not fell and weights.get(9, 1.0) <= 0.6:
                 fell = time.monotonic()
             elif fell and weights[9] == 1.0:
--- a/bench/measured.py
+++ b/bench/measured.py
@@ -101,8 +101,8 @@
                 "most_lines_waiting": self.channel.max_queued_lines,
                 "resident_mib": round(resident_mib(), 1),
                 "cpu_share": round((time.process_time() - self.cpu) / spent, 3),
-                "intake": dict(feed.counts) if feed else {},
-                "worth": dict(vars(feed.worth.counts)) if feed else {},
+                "intake": dict(feed.intake_counts) if feed else {},
+                "worth": dict(vars(feed.estimator.counts)) if feed else {},
             }
         )
         self.begin()
--- a/corallanding/controller/factories.py
+++ b/corallanding/controller/factories.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from ..config.sources import RegistryBlock
-from ..load_reports.feed import Feed
+from ..load_reports.feed import LoadReportFeed
 from .acceptor import Listener
 from .decision_loop import DecisionLoop
 from .proxy_connections import ProxyConnections
@@ -48,6 +48,6 @@
 
     listener: ListenerFactory = Listener
     dial_registry: Callable[[RegistryBlock, Callable[[str], None]], Callable[[], Any]] = dial_etcd
-    feed: type[Feed] = Feed
+    feed: type[LoadReportFeed] = LoadReportFeed
     decision_loop: type[DecisionLoop] = DecisionLoop
     proxy_connections: type[ProxyConnections] = ProxyConnections
--- a/corallanding/controller/load_weights.py
+++ b/corallanding/controller/load_weights.py
@@ -11,10 +11,10 @@
 from .. import interface as api
 from ..config.sources import LoadReportsBlock
 from ..endpoints.endpoint_list import EndpointList
-from ..load_reports.feed import Feed
-from ..load_reports.load_estimator import Policy
+from ..load_reports.feed import LoadReportFeed
+from ..load_reports.host_load import EstimatorPolicy
 from ..load_reports.state import FeedState
-from ..load_reports.weights import changes, weigh
+from ..load_reports.weights import apply_factors, factor_changes
 from ..telemetry import log
 from .clock import ORIGIN_MS
 from .context import Context
@@ -35,9 +35,9 @@
 NOT_OUTCOMES = ("senders", "waiting")  # counts of the feed that do not say what became of a report
 
 
-def feed_policy(block: LoadReportsBlock) -> Policy:
+def feed_policy(block: LoadReportsBlock) -> EstimatorPolicy:
     """How reports become factors, as configured."""
-    return Policy(
+    return EstimatorPolicy(
         block.half_life_ms,
         block.expiry_ms,
         block.window_ms,
@@ -49,7 +49,7 @@
         block.reporting_least,
         block.changes_most,
         block.stuck_after_ms,
-        processes_most=block.processes_most,
+        max_processes=block.processes_most,
     )
 
 
@@ -71,7 +71,7 @@
         context: Context,
         engine: Engine,
         view: EndpointList,
-        feed_type: type[Feed],
+        feed_type: type[LoadReportFeed],
         request_step: Callable[[], None],
     ) -> None:
         self._context = context
@@ -79,7 +79,7 @@
         self._view = view
         self._feed_type = feed_type
         self._request_step = request_step
-        self.feed: Feed | None = None
+        self.feed: LoadReportFeed | None = None
         self.factors: dict[int, float] = {}
         self.has_host_list = False
 
@@ -116,9 +116,9 @@
         self.has_host_list = True
         if self.feed is None:
             return event
-        self.feed.listed(self._view.entries, self._view.process_starts_ms, self._context.settings.warm_up_ms)
-        self.factors = self.feed.worth.factors()
-        return weigh(event, self.factors)
+        self.feed.set_hosts(self._view.entries, self._view.process_starts_ms, self._context.settings.warm_up_ms)
+        self.factors = self.feed.estimator.factors()
+        return apply_factors(event, self.factors)
 
     def on_step(self, step: DecisionStep) -> None:
         """Let the feed compare what hosts report with what proxies saw."""
@@ -126,31 +126,31 @@
             return
         for event in step.events:
             if isinstance(event, api.HostUsageReport):
-                self.feed.worth.seen(event.host, event.attempts, event.failed, event.latency_ms)
+                self.feed.estimator.on_usage(event.host, event.attempts, event.failed, event.latency_ms)
 
     def publish_metrics(self) -> None:
         """Set the metrics of load reports."""
         if self.feed is None:
             return
         metrics = self._context.metrics
-        for outcome, count in {**self.feed.counts, **self.feed.worth.counts.by_name()}.items():
+        for outcome, count in {**self.feed.intake_counts, **self.feed.estimator.counts.by_name()}.items():
             if outcome not in NOT_OUTCOMES:
                 metrics.load_reports.labels(outcome).set(count)
-        metrics.load_report_senders.set(self.feed.counts.get("senders", 0))
+        metrics.load_report_senders.set(self.feed.intake_counts.get("senders", 0))
 
     def capture(self) -> tuple[FeedState | None, socket.socket | None]:
         """The state of the feed and its end of the intake's socket, for a handover; None where there is no feed."""
-        return self.feed.handed() if self.feed else (None, None)
+        return self.feed.capture() if self.feed else (None, None)
 
     def pause(self) -> None:
         """Take no reports for now."""
         if self.feed:
-            self.feed.hold()
+            self.feed.pause()
 
     def resume(self, *, is_stale: bool) -> None:
         """Take reports again. is_stale: another process may have read from the intake meanwhile."""
         if self.feed:
-            self.feed.resume(is_stale)
+            self.feed.resume(is_stale=is_stale)
 
     def stop(self) -> None:
         """End the feed and its intake."""
@@ -162,8 +162,8 @@
         if self.feed is None or not self.has_host_list:
             return  # before the first list of this process the assigner would take the change for that list
         before = self.factors
-        self._set_factors(self.feed.worth.factors())
-        event = changes(self._view.entries, self._view.version, before, self.factors)
+        self._set_factors(self.feed.estimator.factors())
+        event = factor_changes(self._view.entries, self._view.version, before, self.factors)
         if event:
             log.info("load factors", factors={str(host): round(factor, 3) for host, factor in self.factors.items()})
             self._engine.add_event(self._context.clock(), event)
--- a/corallanding/lab/fleet/emulate.py
+++ b/corallanding/lab/fleet/emulate.py
@@ -219,7 +219,7 @@
                 point = {"t": (trace.clock() - self.begun) / 1000.0, "waiting": float(steward.channel.queued_lines)}
                 point["life"] = self.polled_life()
                 if feed := steward.load_weights.feed:
-                    point |= {**feed.counts, **feed.worth.counts.by_name()}
+                    point |= {**feed.intake_counts, **feed.estimator.counts.by_name()}
                     point["load_factors_below_one"] = float(len(steward.load_weights.factors))
                 self.polls.append(point)
 
--- a/corallanding/lab/fleet/steward.py
+++ b/corallanding/lab/fleet/steward.py
@@ -14,8 +14,9 @@
 from ...controller.event_inbox import Decider
 from ...controller.factories import Factories
 from ...endpoints.endpoint_list import parse_loopback_address
-from ...load_reports.feed import Feed
-from ...load_reports.intake import Datagrams, Intake, attend
+from ...load_reports.feed import LoadReportFeed
+from ...load_reports.intake import LoadReportIntake, serve
+from ...load_reports.receivers import DatagramReceiver
 from ...load_reports.state import FeedState
 from ...store import StoreContents, StoreError, StoreLockedError, TableEntry
 from .loop import Machine, Server, SimLoop, Stream
@@ -93,35 +94,35 @@
         self.server.close()
 
 
-class SimIntake(Intake):
+class SimIntake(LoadReportIntake):
     def kernel_drops(self) -> int:
         return 0
 
 
-class SimFeed(Feed):
+class SimFeed(LoadReportFeed):
     """The steward's end of an intake that is a machine of its own."""
 
     @property
     def loop(self) -> SimLoop:
         return cast(SimLoop, asyncio.get_running_loop())
 
-    async def keep(self, handed: FeedState | None, sock: Any) -> None:
-        while not self.stopped:
+    async def keep_intake(self, state: FeedState | None, intake_socket: Any) -> None:
+        while not self.is_stopped:
             machine = Machine()
             near, far = self.loop.pair(machine.inside())
             near.begin(self)
             machine.start(self.loop, self.intake(far, machine))
-            self.say(["hosts", self.hosts])
-            await self.until_gone()
-            if not self.stopped:
+            self.send(["hosts", self.hosts])
+            await self.wait_disconnected()
+            if not self.is_stopped:
                 await asyncio.sleep(0.2)
 
     async def intake(self, far: Stream, machine: Machine) -> None:
-        intake = SimIntake(self.conf, lambda: self.loop.now * 1000.0)
-        host, port = parse_loopback_address(self.conf["listen"])
+        intake = SimIntake(self.settings, lambda: self.loop.now * 1000.0)
+        host, port = parse_loopback_address(self.settings["listen"])
         far.begin(intake)
-        udp, _ = await self.loop.create_datagram_endpoint(lambda: Datagrams(intake), (host, port))
-        await attend(intake, host, port)
+        udp, _ = await self.loop.create_datagram_endpoint(lambda: DatagramReceiver(intake), (host, port))
+        await serve(intake, host, port)
         udp.close()
         machine.kill()
 
--- a/corallanding/lab/reporter.py
+++ b/corallanding/lab/reporter.py
@@ -16,7 +16,7 @@
 
 import numpy as np
 
-from ..load_reports.envelope import NO_ECHO, Head, pack, pack_json
+from ..load_reports.envelope import NO_NONCE, ReportHeader, encode_binary, encode_json
 from .host import Host
 from .trace import clock, wall
 
@@ -51,7 +51,7 @@
     """One a host: sends its processes' reports, hears the steward's ticks."""
 
     def __init__(self) -> None:
-        self.echo = NO_ECHO
+        self.echo = NO_NONCE
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
@@ -101,8 +101,8 @@
         if way.skew:
             skew = self.skews.setdefault(h.number, float(self.chance.uniform(-way.skew, way.skew)))
         up = clock() - h.since if h.started else clock() + 1e7
-        echo = self.sockets[h.number].echo if self.conf.echo and not way.late else NO_ECHO
-        head = Head(
+        echo = self.sockets[h.number].echo if self.conf.echo and not way.late else NO_NONCE
+        head = ReportHeader(
             h.number,
             process,
             round(h.started),
@@ -113,7 +113,7 @@
         )
         json_form = self.conf.form == "json"
         data = body(load if way.says is None else way.says, json_form)
-        packet = pack_json(head, data, self.key) if json_form else pack(head, data, self.key)
+        packet = encode_json(head, data, self.key) if json_form else encode_binary(head, data, self.key)
         if self.conf.form == "stream":
             await self.stream(h.number, packet)
         else:
@@ -181,8 +181,8 @@
     for sent in itertools.count():
         spent, at = yield packet
         host = numbers[sent % len(numbers)]
-        head = Head(host, sent % 7, hosts.get(host, 0), sent + 1, spent + 1e7, at)
-        packet = pack(head, text, key if sent % 2 else None)
+        head = ReportHeader(host, sent % 7, hosts.get(host, 0), sent + 1, spent + 1e7, at)
+        packet = encode_binary(head, text, key if sent % 2 else None)
 
 
 if __name__ == "__main__":
--- a/corallanding/lab/scenario.py
+++ b/corallanding/lab/scenario.py
@@ -15,7 +15,8 @@
 from ..config.sources import HealthCheckBlock, LoadReportsBlock
 from ..config.tasks import TaskBlock, TaskGroupBlock, TasksBlock
 from ..config.version_pinning import PinsBlock, RecordsBlock, ReleaseBlock, check_pinning
-from ..load_reports import load_estimator, load_shedding
+from ..load_reports.host_load import ReportCounts
+from ..load_reports.load_shedding import SheddingCounts
 
 PEER_FAULTS = (
     "peer_cut",
@@ -65,7 +66,7 @@
     *PEER_FAULTS,
 )
 REPORT_FAULTS = tuple(kind for kind in KINDS if kind.startswith("report_"))
-REPORT_ENDS = {"forged", *load_shedding.Counts().by_name(), *load_estimator.Counts().by_name()}
+REPORT_ENDS = {"forged", *SheddingCounts().by_name(), *ReportCounts().by_name()}
 
 
 class HostKind(Block):
--- a/corallanding/load_reports/feed.py
+++ b/corallanding/load_reports/feed.py
@@ -1,193 +1,249 @@
-"""Load reports in the steward: keeps the intake process, feeds `worth`, and says when factors change."""
+"""The controller's end of load reports: runs the intake process, and feeds its reports to the estimator."""
 
 from __future__ import annotations
 
 import asyncio
-import json
 import os
 import signal
 import socket
-import sys
 from collections.abc import Callable
 from contextlib import suppress
 from typing import Any, cast
 
 from .. import interface as api
-from .envelope import Head, Load
-from .framing import pack, unpack
-from .load_estimator import Policy, Worth
-from .state import FeedState, digest, hand, take
-
-
-class Feed(asyncio.Protocol):
-    """clock: the steward's, in ms; wall: ms of the wall clock; zero: the steward's time of monotonic 0.
-
-    `changed()` is called when `worth.factors()` did; `counts` holds the intake's newest counts.
+from .envelope import ReportHeader
+from .framing import decode_messages, encode_message
+from .host_load import EstimatorPolicy
+from .intake_process import spawn_intake
+from .load_estimator import ListedStart, LoadEstimator
+from .orca import ReportedLoad
+from .state import FeedState, capture_state, restore_state, settings_digest
+
+MIN_RESTART_DELAY_MS = 100.0
+MAX_RESTART_DELAY_MS = 10_000.0
+UPDATES_PER_WINDOW = 4
+NONCES_PER_HALF_LIFE = 8
+NONCE_BYTES = 8
+
+
+class LoadReportFeed(asyncio.Protocol):
+    """Keeps an intake process, and an estimator that its reports go to.
+
+    clock: the controller's, in ms; wall_ms: the wall clock; monotonic_zero_ms: the controller's time of monotonic 0.
+    on_factors_changed: called when `estimator.factors()` changed. intake_counts: the newest counts of the intake.
+    process_id: of the intake, 0 while there is none.
     """
 
     def __init__(
         self,
-        conf: dict[str, Any],
-        policy: Policy,
+        settings: dict[str, Any],
+        policy: EstimatorPolicy,
         clock: Callable[[], float],
-        wall: Callable[[], float],
-        zero: float,
-        changed: Callable[[], None],
+        wall_ms: Callable[[], float],
+        monotonic_zero_ms: float,
+        on_factors_changed: Callable[[], None],
         log: Any,
-        restart_most: float = 10_000.0,
     ) -> None:
-        self.conf, self.clock, self.wall, self.zero, self.changed, self.log = conf, clock, wall, zero, changed, log
-        self.worth, self.counts, self.restart_most = Worth(policy), dict[str, int](), restart_most
+        self.settings = settings
+        self.estimator = LoadEstimator(policy)
+        self.intake_counts: dict[str, int] = {}
         self.hosts: list[int] = []
-        self.pid = 0  # of the intake
-        self.ended: asyncio.Future[None] | None = None  # of an intake that is no child of ours
+        self.process_id = 0
+        self.port = 0
         self.transport: asyncio.Transport | None = None
-        self.held, self.stopped, self.restarts, self.port = bytearray(), False, 0, 0
-        self.carried = b""  # the part of a message that the process before this one had read
-        self.task: asyncio.Task[None] | None = None
-        self.timers: dict[str, asyncio.TimerHandle] = {}
-
-    def start(self, handed: FeedState | None = None, sock: socket.socket | None = None) -> None:
-        """handed, sock: what the process before this one knew, and its end of the intake's socket, which is taken if
-        the settings of the intake are the same; else the old one's end ends it, and another begins."""
-        if handed:
-            take(self.worth, handed)
-        same = handed is not None and handed.intake == digest(self.conf)
-        if not same and sock:
-            sock.close()
-        self.task = asyncio.get_running_loop().create_task(self.keep(handed if same else None, sock if same else None))
-        self.turn()
-        self.tick()
-
-    async def keep(self, handed: FeedState | None, sock: socket.socket | None) -> None:
-        """Runs the intake, and again if it dies, with a growing, capped wait. Without it reports only age."""
-        loop = asyncio.get_running_loop()
-        while not self.stopped:
-            begun = self.clock()
-            if handed and sock:
-                self.pid, self.port, self.carried = handed.process, handed.port, handed.held
-                self.counts = dict(handed.reported)
-                sock.setblocking(False)
-                await loop.create_connection(lambda: self, sock=sock)
-                handed = sock = None
-                await self.until_gone()
+        self.is_stopped = False
+        self._clock = clock
+        self._wall_ms = wall_ms
+        self._monotonic_zero_ms = monotonic_zero_ms
+        self._on_factors_changed = on_factors_changed
+        self._log = log
+        self._restart_count = 0
+        self._buffer = bytearray()
+        self._inherited_bytes = b""  # the part of a message that the process before this one had read
+        self._connection_ended: asyncio.Future[None] | None = None  # of an intake that is no child of this process
+        self._task: asyncio.Task[None] | None = None
+        self._update_timer: asyncio.TimerHandle | None = None
+        self._nonce_timer: asyncio.TimerHandle | None = None
+
+    def start(self, state: FeedState | None = None, intake_socket: socket.socket | None = None) -> None:
+        """Start, with what the process before this one handed over: its state, and its end of the intake's socket.
+
+        The intake is kept if its settings are the same; otherwise closing the socket ends it, and another is started.
+        """
+        if state:
+            restore_state(self.estimator, state)
+        has_same_settings = state is not None and state.intake_digest == settings_digest(self.settings)
+        if not has_same_settings:
+            state = None
+            if intake_socket:
+                intake_socket.close()
+                intake_socket = None
+        self._task = asyncio.get_running_loop().create_task(self.keep_intake(state, intake_socket))
+        self._update()
+        self._send_nonce()
+
+    async def keep_intake(self, state: FeedState | None, intake_socket: socket.socket | None) -> None:
+        """Run the intake, and again with backoff if it ends. Without it the reports only age."""
+        while not self.is_stopped:
+            started_at_ms = self._clock()
+            if state and intake_socket:
+                await self._run_inherited(state, intake_socket)
+                state = None
+                intake_socket = None
                 code: int | None = None
             else:
-                process, ours = await self.spawn()
-                await loop.create_connection(lambda: self, sock=ours)
-                self.pid = process.pid
-                self.say(["hosts", self.hosts])
-                code = await process.wait()
-            self.pid = 0
-            if self.stopped:
+                code = await self._run_new()
+            self.process_id = 0
+            if self.is_stopped:
                 return
-            self.restarts = 0 if self.clock() - begun > self.restart_most else self.restarts + 1
-            wait = min(self.restart_most, 100.0 * 2 ** min(self.restarts, 10))
-            self.log.error("intake of load reports ended", code=code, again_in_ms=wait)
-            await asyncio.sleep(wait / 1000.0)
-
-    async def spawn(self) -> tuple[asyncio.subprocess.Process, socket.socket]:
-        ours, theirs = socket.socketpair()
-        theirs.set_inheritable(True)
-        command = ["-m", "corallanding.load_reports.intake", str(theirs.fileno()), json.dumps(self.conf)]
-        env = {**os.environ, "PYTHONPATH": os.pathsep.join(p for p in sys.path if p)}
-        process = await asyncio.create_subprocess_exec(sys.executable, *command, pass_fds=[theirs.fileno()], env=env)
-        theirs.close()
-        ours.setblocking(False)
-        return process, ours
-
-    async def until_gone(self) -> None:
-        """An intake that is no child of ours has ended when its end of the socket closes."""
-        self.ended = asyncio.get_running_loop().create_future()
+            ran_long = self._clock() - started_at_ms > MAX_RESTART_DELAY_MS
+            self._restart_count = 0 if ran_long else self._restart_count + 1
+            delay_ms = min(MAX_RESTART_DELAY_MS, MIN_RESTART_DELAY_MS * 2 ** min(self._restart_count, 10))
+            self._log.error("load report intake ended", code=code, retry_after_ms=delay_ms)
+            await asyncio.sleep(delay_ms / 1000.0)
+
+    async def _run_inherited(self, state: FeedState, intake_socket: socket.socket) -> None:
+        """Go on with the intake of the process before this one until it ends."""
+        self.process_id = state.process_id
+        self.port = state.port
+        self._inherited_bytes = state.partial_message
+        self.intake_counts = dict(state.intake_counts)
+        intake_socket.setblocking(False)
+        await asyncio.get_running_loop().create_connection(lambda: self, sock=intake_socket)
+        await self.wait_disconnected()
+
+    async def _run_new(self) -> int:
+        """Start an intake and wait until it ends; return its exit code."""
+        process, ours = await spawn_intake(self.settings)
+        await asyncio.get_running_loop().create_connection(lambda: self, sock=ours)
+        self.process_id = process.pid
+        self.send(["hosts", self.hosts])
+        return await process.wait()
+
+    async def wait_disconnected(self) -> None:
+        """Wait until the intake closes its end of the socket: so ends one that is no child of this process."""
+        self._connection_ended = asyncio.get_running_loop().create_future()
         if self.transport:
-            await self.ended
+            await self._connection_ended
+
+    # ---- messages --------------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport, self.held, self.carried = cast(asyncio.Transport, transport), bytearray(self.carried), b""
+        """Begin with the part of a message that was handed over."""
+        self.transport = cast(asyncio.Transport, transport)
+        self._buffer = bytearray(self._inherited_bytes)
+        self._inherited_bytes = b""
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Note that the intake is gone."""
         self.transport = None
-        if self.ended and not self.ended.done():
-            self.ended.set_result(None)
+        if self._connection_ended and not self._connection_ended.done():
+            self._connection_ended.set_result(None)
 
-    def say(self, item: Any) -> None:
+    def send(self, message: list[Any]) -> None:
+        """Send a message to the intake, if it is there."""
         if self.transport and not self.transport.is_closing():
-            self.transport.write(pack(item))
+            self.transport.write(encode_message(message))
 
     def data_received(self, data: bytes) -> None:
-        self.held += data
-        for kind, value in unpack(self.held):
+        """Take the intake's messages."""
+        self._buffer += data
+        for kind, value in decode_messages(self._buffer):
             if kind == "reports":
-                wall = self.wall()
-                for mono, host, process, started, seq, uptime, at, echo, utilization, rps, eps in value:
-                    head = Head(host, process, started, seq, uptime, at, echo)
-                    self.worth.report(self.zero + mono, wall, head, Load(utilization, rps, eps))
+                self._on_reports(value)
             elif kind == "counts":
-                self.counts = value
+                self.intake_counts = value
             elif kind == "ready":
                 self.port = value
-                self.log.info("load reports", port=value)
-
-    def listed(self, entries: dict[int, api.HostEntry], starts: dict[int, float], cold: float) -> None:
-        """The list as it stands: who may report, and since when each process runs."""
-        rows = {
-            h: (e.online_since, round(starts.get(h, 0.0)), e.online_since + cold if e.online_since else 0.0)
-            for h, e in entries.items()
+                self._log.info("load reports ready", port=value)
+
+    def _on_reports(self, rows: list[Any]) -> None:
+        """Take rows of reports; `intake.report_row` has their form."""
+        wall_ms = self._wall_ms()
+        for arrived_ms, host, process, started, seq, uptime, sent_at, nonce, utilization, rps, eps in rows:
+            header = ReportHeader(host, process, started, seq, uptime, sent_at, nonce)
+            load = ReportedLoad(utilization, rps, eps)
+            self.estimator.on_report(self._monotonic_zero_ms + arrived_ms, wall_ms, header, load)
+
+    def set_hosts(self, entries: dict[int, api.HostEntry], starts_ms: dict[int, float], warm_up_ms: float) -> None:
+        """Set the host list. starts_ms: when each process started, on the wall clock."""
+        starts = {
+            host: ListedStart(
+                entry.online_since,
+                round(starts_ms.get(host, 0.0)),
+                entry.online_since + warm_up_ms if entry.online_since else 0.0,
+            )
+            for host, entry in entries.items()
         }
-        self.worth.listed(rows)
-        hosts = sorted(rows)
+        self.estimator.set_hosts(starts)
+        hosts = sorted(starts)
         if hosts != self.hosts:
             self.hosts = hosts
-            self.say(["hosts", hosts])
-
-    def turn(self) -> None:
-        loop, worth = asyncio.get_running_loop(), self.worth
-        if worth.turn(self.clock()):
-            self.changed()
-        self.timers["turn"] = loop.call_later(worth.policy.window / 4000.0, self.turn)
-
-    def tick(self) -> None:
-        """A new tick, so that what echoes it shows its age. Unforeseeable: it cannot be echoed in advance."""
-        nonce = os.urandom(8)
-        self.worth.tick(self.clock(), nonce)
-        self.say(["tick", nonce])
-        wait = self.worth.policy.half_life / 8000.0
-        self.timers["tick"] = asyncio.get_running_loop().call_later(wait, self.tick)
+            self.send(["hosts", hosts])
+
+    def _update(self) -> None:
+        if self.estimator.update(self._clock()):
+            self._on_factors_changed()
+        delay_ms = self.estimator.policy.window_ms / UPDATES_PER_WINDOW
+        self._update_timer = asyncio.get_running_loop().call_later(delay_ms / 1000.0, self._update)
+
+    def _send_nonce(self) -> None:
+        """Issue a nonce, whose echo proves the age of a report. It is random: nobody can echo it in advance."""
+        nonce = os.urandom(NONCE_BYTES)
+        self.estimator.add_nonce(self._clock(), nonce)
+        self.send(["tick", nonce])
+        delay_ms = self.estimator.policy.half_life_ms / NONCES_PER_HALF_LIFE
+        self._nonce_timer = asyncio.get_running_loop().call_later(delay_ms / 1000.0, self._send_nonce)
 
     # ---- handover --------------------------------------------------------------------------------------
 
-    def hold(self) -> None:
-        """Read nothing and say nothing: the socket may be another process's."""
-        for timer in self.timers.values():
-            timer.cancel()
+    def pause(self) -> None:
+        """Read and send nothing: the socket may be another process's."""
+        self._cancel_timers()
         if self.transport:
             self.transport.pause_reading()
 
-    def handed(self) -> tuple[FeedState, socket.socket | None]:
-        """Between `hold` and `resume`."""
-        sock = self.transport.get_extra_info("socket") if self.transport else None
-        return hand(self.worth, digest(self.conf), self.pid, self.port, bytes(self.held), self.counts), sock
-
-    def resume(self, heard: bool) -> None:
-        """heard: another process may have read of the intake's words. What comes next may begin in the middle of
-        one, so that the intake is ended and another begins."""
-        if self.transport and heard:
-            self.end()
+    def capture(self) -> tuple[FeedState, socket.socket | None]:
+        """Return the state and the end of the intake's socket, between `pause` and `resume`."""
+        intake_socket = self.transport.get_extra_info("socket") if self.transport else None
+        state = capture_state(
+            self.estimator,
+            settings_digest(self.settings),
+            self.process_id,
+            self.port,
+            bytes(self._buffer),
+            self.intake_counts,
+        )
+        return state, intake_socket
+
+    def resume(self, *, is_stale: bool) -> None:
+        """Go on after `pause`.
+
+        is_stale: another process may have read from the intake, so that what comes next may begin in the middle of a
+        message. The intake is then ended, and another one started.
+        """
+        if self.transport and is_stale:
+            self._end_intake()
         elif self.transport:
             self.transport.resume_reading()
-        self.turn()
-        self.tick()
+        self._update()
+        self._send_nonce()
 
-    def end(self) -> None:
-        """While its socket is open the process is there, and its number is no other's."""
-        if self.transport and self.pid:
+    def stop(self) -> None:
+        """End the intake, for good."""
+        self.is_stopped = True
+        self._cancel_timers()
+        self._end_intake()
+
+    def _cancel_timers(self) -> None:
+        for timer in (self._update_timer, self._nonce_timer):
+            if timer:
+                timer.cancel()
+
+    def _end_intake(self) -> None:
+        """End the intake process. While its socket is open the process exists, and its id is no other process's."""
+        if self.transport and self.process_id:
             with suppress(ProcessLookupError):
-                os.kill(self.pid, signal.SIGTERM)
+                os.kill(self.process_id, signal.SIGTERM)
         if self.transport:
             self.transport.abort()
-
-    def stop(self) -> None:
-        self.stopped = True
-        for timer in self.timers.values():
-            timer.cancel()
-        self.end()
--- a/corallanding/load_reports/framing.py
+++ b/corallanding/load_reports/framing.py
@@ -1,4 +1,4 @@
-"""Messages between the steward and its intake process: four bytes of length, then MessagePack. Pure."""
+"""Messages between the controller and its intake process: four bytes of length, then MessagePack. Pure."""
 
 from __future__ import annotations
 
@@ -7,15 +7,24 @@
 
 import msgspec
 
+LENGTH_BYTES = 4
 
-def pack(item: Any) -> bytes:
-    body = msgspec.msgpack.encode(item)
-    return len(body).to_bytes(4, "big") + body
 
+def encode_message(message: Any) -> bytes:
+    """Return the message with its length before it."""
+    body = msgspec.msgpack.encode(message)
+    return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
-def unpack(held: bytearray) -> Iterator[Any]:
-    """The whole messages in `held`, which keeps the rest. Both ends are ours: nothing is bounded or checked here."""
-    while len(held) >= 4 and len(held) >= 4 + (size := int.from_bytes(held[:4], "big")):
-        body = bytes(held[4 : 4 + size])
-        del held[: 4 + size]
+
+def decode_messages(buffer: bytearray) -> Iterator[Any]:
+    """Take the complete messages out of `buffer`, which keeps the rest.
+
+    Both ends are this project's: nothing is bounded or checked here.
+    """
+    while len(buffer) >= LENGTH_BYTES:
+        end = LENGTH_BYTES + int.from_bytes(buffer[:LENGTH_BYTES], "big")
+        if len(buffer) < end:
+            return
+        body = bytes(buffer[LENGTH_BYTES:end])
+        del buffer[:end]
         yield msgspec.msgpack.decode(body)
--- a/corallanding/load_reports/intake.py
+++ b/corallanding/load_reports/intake.py
@@ -1,8 +1,8 @@
-"""The intake process: `python -m corallanding.load_reports.intake FD SETTINGS`. Reads datagrams and streams.
+"""The intake process: `python -m corallanding.load_reports.intake FD SETTINGS`. Receives datagrams and streams.
 
-A process of its own, so that a flood takes its core and never the steward's turn. It checks and parses at most
-`reports_per_s`, the fair choice of `triage`; what it hands on goes to the steward by the socket FD, and what it
-shed is counted by reason. What the kernel dropped unread shows in /proc and is counted too.
+It is a process of its own, so that a flood of reports takes its core and never the controller's. It checks and parses
+at most `reports_per_s`, as `load_shedding` selects them; what it reads goes to the controller by the socket FD, and
+what it rejects is counted by reason. What the kernel dropped unread is taken from /proc and counted too.
 """
 
 from __future__ import annotations
@@ -14,206 +14,187 @@
 import sys
 import time
 from collections.abc import Callable
-from pathlib import Path
 from typing import Any, cast
 
 import uvloop
 
 from ..endpoints.endpoint_list import parse_loopback_address
-from .envelope import MOST, BadReport, Head, Load, genuine, read, sender
-from .framing import pack, unpack
-from .load_shedding import Triage
-
-TICK = b"oT"
-
-
-def now() -> float:
-    """Milliseconds on the machine's monotonic clock, the same for all its processes."""
+from .envelope import ReportHeader, is_authentic, read_report, read_sender
+from .errors import InvalidReportError
+from .framing import decode_messages, encode_message
+from .kernel_drops import count_kernel_drops
+from .load_shedding import LoadShedder
+from .orca import ReportedLoad
+from .receivers import DatagramReceiver, StreamReceiver
+
+NONCE_PREFIX = b"oT"
+MAX_UNSENT_COUNTS_BYTES = 1 << 16
+COUNTS_INTERVAL_S = 0.5
+STREAM_BACKLOG = 512
+NICE_INCREMENT = 5
+"""On a small machine the controller takes precedence."""
+
+
+def monotonic_ms() -> float:
+    """Return the machine's monotonic clock, the same for all its processes."""
     return time.monotonic() * 1000.0
 
 
-def row_of(arrived: float, head: Head, load: Load) -> tuple[Any, ...]:
-    """A report as it goes to the steward, whose process may be of another version: the order is frozen."""
-    who = (head.host, head.process, head.started, head.seq)
-    when = (head.uptime, head.at, head.echo)
-    return (arrived, *who, *when, load.utilization, load.rps, load.eps)
-
-
-class Datagrams(asyncio.DatagramProtocol):
-    def __init__(self, intake: Intake) -> None:
-        self.intake = intake
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.intake.udp = cast(asyncio.DatagramTransport, transport)
-
-    def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.intake.came(data, addr)
-
-    def error_received(self, exc: Exception) -> None:
-        """A sender that is gone refuses its tick: nothing to do."""
-
-
-class Stream(asyncio.Protocol):
-    """Reports with two bytes of length before each. A stream that is too loud is read more slowly."""
-
-    def __init__(self, intake: Intake) -> None:
-        self.intake, self.held = intake, bytearray()
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
-        if len(self.intake.streams) >= self.intake.conf["streams_most"]:
-            self.intake.refused += 1
-            self.transport.abort()
-            return
-        self.intake.streams.add(self)
-
-    def data_received(self, data: bytes) -> None:
-        self.held += data
-        waits = True
-        while len(self.held) >= 2:
-            length = int.from_bytes(self.held[:2], "big")
-            if length > MOST:
-                self.intake.triage.counts.bad += 1
-                self.transport.abort()
-                return
-            if len(self.held) < 2 + length:
-                break
-            waits = self.intake.came(bytes(self.held[2 : 2 + length]), self)
-            del self.held[: 2 + length]
-        if not waits:
-            self.transport.pause_reading()
-            asyncio.get_running_loop().call_later(1.0 / self.intake.conf["sender_rate"], self.resume)
-
-    def resume(self) -> None:
-        if not self.transport.is_closing():
-            self.transport.resume_reading()
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.intake.streams.discard(self)
-
-
-class Intake(asyncio.Protocol):
-    """conf: listen, sender_rate, sender_burst, processes_most, reports_per_s, tick_ms, streams_most, key (hex)."""
-
-    def __init__(self, conf: dict[str, Any], clock: Callable[[], float] = now) -> None:
-        self.conf, self.clock = conf, clock
-        self.triage = Triage(conf["sender_rate"], conf["sender_burst"], conf["processes_most"])
-        self.key = bytes.fromhex(conf["key"]) if conf["key"] else None
-        self.udp: asyncio.DatagramTransport | None = None
-        self.streams: set[Stream] = set()
-        self.tick, self.refused, self.held = b"", 0, bytearray()
-        self.allowance = 0.0
-        self.forged = self.bad_body = 0
-        self.over = asyncio.get_running_loop().create_future()
+def report_row(arrived_at_ms: float, header: ReportHeader, load: ReportedLoad) -> tuple[Any, ...]:
+    """Return a report as it goes to the controller, which may be of another version: the order is frozen."""
+    sender = (header.host, header.process, header.process_started_ms, header.seq)
+    times = (header.uptime_ms, header.sent_at_ms, header.echoed_nonce)
+    return (arrived_at_ms, *sender, *times, load.utilization, load.rps_fractional, load.eps)
+
+
+class LoadReportIntake(asyncio.Protocol):
+    """Selects, checks and parses reports, and passes them on by its connection to the controller.
+
+    settings: listen, sender_rate, sender_burst, processes_most, reports_per_s, tick_ms, streams_most, key (hex);
+    the names are those of the command line's JSON. ended: done when the controller is gone.
+    """
+
+    def __init__(self, settings: dict[str, Any], clock: Callable[[], float] = monotonic_ms) -> None:
+        self.settings = settings
+        self.shedder = LoadShedder(settings["sender_rate"], settings["sender_burst"], settings["processes_most"])
+        self.datagrams: asyncio.DatagramTransport | None = None
+        self.streams: set[StreamReceiver] = set()
+        self.refused_streams = 0
+        self.ended = asyncio.get_running_loop().create_future()
+        self._clock = clock
+        self._key = bytes.fromhex(settings["key"]) if settings["key"] else None
+        self._controller: asyncio.Transport | None = None
+        self._buffer = bytearray()
+        self._nonce = b""
+        self._allowance = 0.0
+        self._forged = 0
+        self._invalid_bodies = 0
 
     # ---- reports ---------------------------------------------------------------------------------------
 
-    def came(self, data: bytes, whence: Any) -> bool:
+    def on_report(self, data: bytes, source: Any) -> bool:
+        """Take a report; false if it was rejected. source: the address of a datagram, or the stream."""
         try:
-            who = sender(data)
-        except BadReport:
-            self.triage.counts.came += 1
-            self.triage.counts.bad += 1
+            sender = read_sender(data)
+        except InvalidReportError:
+            self.shedder.counts.arrived += 1
+            self.shedder.counts.invalid += 1
             return False
-        if self.key and not genuine(data, self.key):
-            self.triage.counts.came += 1
-            self.forged += 1  # before triage: a forger must not take the slot of whom it claims to be
+        if self._key and not is_authentic(data, self._key):
+            self.shedder.counts.arrived += 1
+            self._forged += 1  # before load shedding: a forger must not take the slot of the host that it names
             return False
-        return self.triage.come(self.clock(), who, (data, whence))
-
-    def turn(self) -> None:
-        """A tick's share of the budget: check, parse, hand on, and answer with the steward's tick."""
-        if self.over.done():
-            return  # the loop runs on for a moment after the steward's death, and its socket takes no more
-        tick, rate = self.conf["tick_ms"], self.conf["reports_per_s"]
-        asyncio.get_running_loop().call_later(tick / 1000.0, self.turn)
-        self.allowance = min(rate * tick / 1000.0 + 1.0, self.allowance + rate * tick / 1000.0)
+        return self.shedder.offer(self._clock(), sender, (data, source))
+
+    def process_waiting(self) -> None:
+        """Check, parse and pass on as many reports as the rate permits in one interval, again and again."""
+        if self.ended.done():
+            return  # the loop runs on for a moment after the controller's death, and its socket takes no more
+        interval_ms = self.settings["tick_ms"]
+        permitted = self.settings["reports_per_s"] * interval_ms / 1000.0
+        asyncio.get_running_loop().call_later(interval_ms / 1000.0, self.process_waiting)
+        self._allowance = min(permitted + 1.0, self._allowance + permitted)
+        # Hold back while the controller does not read: the newest report of each sender waits in its slot.
+        if self._unsent_bytes() > 0:
+            return
         rows = []
-        # Hold back while the steward does not read: the newest of each sender waits in its slot.
-        if self.steward.get_write_buffer_size() == 0:
-            for arrived, (data, whence) in self.triage.turn(int(self.allowance)):
-                self.allowance -= 1.0
-                try:
-                    head, load = read(data, None)
-                except BadReport:
-                    self.bad_body += 1
-                    continue
-                rows.append(row_of(arrived, head, load))
-                if self.tick and isinstance(whence, tuple) and self.udp:
-                    self.udp.sendto(TICK + self.tick, whence)
-                elif self.tick and isinstance(whence, Stream) and not whence.transport.is_closing():
-                    if whence.transport.get_write_buffer_size() < 1024:
-                        whence.transport.write(TICK + self.tick)
+        for arrived_at_ms, (data, source) in self.shedder.take(int(self._allowance)):
+            self._allowance -= 1.0
+            try:
+                header, load = read_report(data, None)
+            except InvalidReportError:
+                self._invalid_bodies += 1
+                continue
+            rows.append(report_row(arrived_at_ms, header, load))
+            self._answer(source)
         if rows:
-            self.say(["reports", rows])
+            self.send(["reports", rows])
 
-    def tell_counts(self) -> None:
-        if self.over.done():
+    def _answer(self, source: Any) -> None:
+        """Send the newest nonce to the sender of a report."""
+        if not self._nonce:
             return
-        asyncio.get_running_loop().call_later(0.5, self.tell_counts)
-        counts = self.triage.counts.by_name()
-        counts.update(forged=self.forged, body=self.bad_body, kernel=self.kernel_drops(), refused=self.refused)
-        counts.update(senders=len(self.triage.slots), waiting=len(self.triage.waiting))
-        if self.steward.get_write_buffer_size() < 1 << 16:
-            self.say(["counts", counts])
+        message = NONCE_PREFIX + self._nonce
+        if isinstance(source, StreamReceiver):
+            source.send_nonce(message)
+        elif isinstance(source, tuple) and self.datagrams:
+            self.datagrams.sendto(message, source)
+
+    def send_counts(self) -> None:
+        """Send to the controller what became of all reports, again and again."""
+        if self.ended.done():
+            return
+        asyncio.get_running_loop().call_later(COUNTS_INTERVAL_S, self.send_counts)
+        counts = self.shedder.counts.by_name()
+        counts.update(
+            forged=self._forged,
+            body=self._invalid_bodies,
+            kernel=self.kernel_drops(),
+            refused=self.refused_streams,
+            senders=len(self.shedder.slots),
+            waiting=len(self.shedder.waiting),
+        )
+        if self._unsent_bytes() < MAX_UNSENT_COUNTS_BYTES:
+            self.send(["counts", counts])
 
     def kernel_drops(self) -> int:
-        """Datagrams that the kernel dropped on our socket, from /proc; 0 where there is no such file."""
-        try:
-            inode = str(os.fstat(self.udp.get_extra_info("socket").fileno()).st_ino) if self.udp else ""
-            for name in ("udp", "udp6"):
-                for line in Path(f"/proc/self/net/{name}").read_text().splitlines()[1:]:
-                    fields = line.split()
-                    if fields[9] == inode:
-                        return int(fields[-1])
-        except (OSError, IndexError, ValueError):
-            pass
-        return 0
-
-    # ---- the steward -----------------------------------------------------------------------------------
+        """Return the number of datagrams that the kernel dropped."""
+        return count_kernel_drops(self.datagrams)
+
+    # ---- the controller --------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.steward = cast(asyncio.Transport, transport)
+        """Take the connection to the controller."""
+        self._controller = cast(asyncio.Transport, transport)
 
-    def say(self, item: Any) -> None:
-        self.steward.write(pack(item))
+    def _unsent_bytes(self) -> int:
+        return self._controller.get_write_buffer_size() if self._controller else 0
+
+    def send(self, message: list[Any]) -> None:
+        """Send a message to the controller."""
+        if self._controller:
+            self._controller.write(encode_message(message))
 
     def data_received(self, data: bytes) -> None:
-        self.held += data
-        for kind, value in unpack(self.held):
+        """Take the controller's messages."""
+        self._buffer += data
+        for kind, value in decode_messages(self._buffer):
             if kind == "hosts":
-                self.triage.listed(value)
+                self.shedder.set_hosts(value)
             elif kind == "tick":
-                self.tick = value
+                self._nonce = value
 
-    def connection_lost(self, exc: Exception | None) -> None:
-        if not self.over.done():
-            self.over.set_result(None)  # the steward is gone: so is this
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """End with the controller."""
+        if not self.ended.done():
+            self.ended.set_result(None)
 
 
-async def main(fd: int, conf: dict[str, Any]) -> None:
+async def main(fd: int, settings: dict[str, Any]) -> None:
+    """Run the intake until its controller is gone. fd: its end of the socket."""
     loop = asyncio.get_running_loop()
-    intake = Intake(conf)
+    intake = LoadReportIntake(settings)
     await loop.create_connection(lambda: intake, sock=socket.socket(fileno=fd))
-    host, port = parse_loopback_address(conf["listen"])
+    host, port = parse_loopback_address(settings["listen"])
     udp = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_DGRAM)
-    udp.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, conf["buffer_bytes"])
+    udp.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, settings["buffer_bytes"])
     udp.bind((host, port))
     udp.setblocking(False)
-    await loop.create_datagram_endpoint(lambda: Datagrams(intake), sock=udp)
-    await attend(intake, host, udp.getsockname()[1])
+    await loop.create_datagram_endpoint(lambda: DatagramReceiver(intake), sock=udp)
+    await serve(intake, host, udp.getsockname()[1])
 
 
-async def attend(intake: Intake, host: str, port: int) -> None:
-    """From the moment at which datagrams are heard until the steward is gone."""
-    server = await asyncio.get_running_loop().create_server(lambda: Stream(intake), host, port, backlog=512)
-    intake.say(["ready", port])
-    intake.turn()
-    intake.tell_counts()
-    await intake.over
+async def serve(intake: LoadReportIntake, host: str, port: int) -> None:
+    """Listen for streams and process reports, until the controller is gone. Datagrams are received already."""
+    loop = asyncio.get_running_loop()
+    server = await loop.create_server(lambda: StreamReceiver(intake), host, port, backlog=STREAM_BACKLOG)
+    intake.send(["ready", port])
+    intake.process_waiting()
+    intake.send_counts()
+    await intake.ended
     server.close()
 
 
 if __name__ == "__main__":
-    os.nice(5)  # on a small machine the steward goes first
+    os.nice(NICE_INCREMENT)
     uvloop.run(main(int(sys.argv[1]), json.loads(sys.argv[2])))
--- /dev/null
+++ b/corallanding/load_reports/intake_process.py
@@ -0,0 +1,24 @@
+"""Starts the intake process."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import socket
+import sys
+from typing import Any
+
+INTAKE_MODULE = "corallanding.load_reports.intake"
+
+
+async def spawn_intake(settings: dict[str, Any]) -> tuple[asyncio.subprocess.Process, socket.socket]:
+    """Start an intake with these settings; return its process and this side's end of its socket."""
+    ours, theirs = socket.socketpair()
+    theirs.set_inheritable(True)
+    command = ["-m", INTAKE_MODULE, str(theirs.fileno()), json.dumps(settings)]
+    env = {**os.environ, "PYTHONPATH": os.pathsep.join(path for path in sys.path if path)}
+    process = await asyncio.create_subprocess_exec(sys.executable, *command, pass_fds=[theirs.fileno()], env=env)
+    theirs.close()
+    ours.setblocking(False)
+    return process, ours
--- a/corallanding/load_reports/state.py
+++ b/corallanding/load_reports/state.py
@@ -1,6 +1,6 @@
-"""What a steward knows by load reports, as values: it goes to the steward's next process beside the intake's socket.
+"""What a controller knows by load reports, as values: handed to its successor process beside the intake's socket.
 
-Pure. Times stand on the steward's clock, which goes on.
+Pure. Times are on the controller's clock, which continues.
 """
 
 from __future__ import annotations
@@ -11,34 +11,54 @@
 
 import msgspec
 
-from .load_estimator import Counts, HostLoad, Worth
+from .host_load import HostLoad, ReportCounts
+from .load_estimator import LoadEstimator
 
 
 class FeedState(msgspec.Struct):
-    """intake: digest of the settings that its process was started with. held: a message that has come in part."""
+    """The state of the feed. intake_digest: of the settings that the intake was started with."""
 
-    intake: str = msgspec.field(name="intake")
-    process: int = msgspec.field(name="process")
+    intake_digest: str = msgspec.field(name="intake")
+    process_id: int = msgspec.field(name="process")
     port: int = msgspec.field(name="port")
-    held: bytes = msgspec.field(name="held")
+    partial_message: bytes = msgspec.field(name="held")
     hosts: dict[int, HostLoad] = msgspec.field(name="hosts")
-    ticks: list[tuple[bytes, float]] = msgspec.field(name="ticks")
-    counts: Counts = msgspec.field(name="counts")
-    turned_at: float = msgspec.field(name="turned_at")
-    reported: dict[str, int] = msgspec.field(name="reported")  # the intake's own counts
+    nonces: list[tuple[bytes, float]] = msgspec.field(name="ticks")
+    counts: ReportCounts = msgspec.field(name="counts")
+    updated_at_ms: float = msgspec.field(name="turned_at")
+    intake_counts: dict[str, int] = msgspec.field(name="reported")
 
 
-def digest(conf: dict[str, Any]) -> str:
-    """Of an intake's settings, its key among them, which itself goes nowhere."""
-    return hashlib.sha256(json.dumps(conf, sort_keys=True).encode()).hexdigest()
+def settings_digest(settings: dict[str, Any]) -> str:
+    """Return a digest of an intake's settings, its key included; the key itself is not handed over."""
+    return hashlib.sha256(json.dumps(settings, sort_keys=True).encode()).hexdigest()
 
 
-def hand(worth: Worth, intake: str, process: int, port: int, held: bytes, reported: dict[str, int]) -> FeedState:
+def capture_state(
+    estimator: LoadEstimator,
+    intake_digest: str,
+    process_id: int,
+    port: int,
+    partial_message: bytes,
+    intake_counts: dict[str, int],
+) -> FeedState:
+    """Return the state of the feed and of its estimator."""
     return FeedState(
-        intake, process, port, held, worth.hosts, list(worth.ticks.items()), worth.counts, worth.turned_at, reported
+        intake_digest,
+        process_id,
+        port,
+        partial_message,
+        estimator.hosts,
+        list(estimator.nonces.items()),
+        estimator.counts,
+        estimator.updated_at_ms,
+        intake_counts,
     )
 
 
-def take(worth: Worth, s: FeedState) -> None:
-    worth.hosts, worth.ticks = dict(s.hosts), dict(s.ticks)
-    worth.counts, worth.turned_at = s.counts, s.turned_at
+def restore_state(estimator: LoadEstimator, state: FeedState) -> None:
+    """Let a new estimator continue where the captured one was."""
+    estimator.hosts = dict(state.hosts)
+    estimator.nonces = dict(state.nonces)
+    estimator.counts = state.counts
+    estimator.updated_at_ms = state.updated_at_ms
--- /dev/null
+++ b/tests/load_reports/test_report_age.py
@@ -0,0 +1,117 @@
+"""How old a report is taken to be, and how much it counts."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from corallanding.load_reports.envelope import ReportHeader
+from corallanding.load_reports.host_load import influence
+from corallanding.load_reports.load_estimator import ListedStart, LoadEstimator
+from corallanding.load_reports.orca import ReportedLoad
+from tests.load_reports.support import POLICY, STARTED, Fleet
+
+
+def test_report_when_an_hour_old_then_it_counts_for_nothing() -> None:
+    fleet = Fleet(3)
+    assert not fleet.report(0, 5.0, late=3_600_000.0, uptime_ms=1_000.0)
+    assert fleet.estimator.counts.doubtful == 1, "no echo, start and clock both disagree"
+    nonce = fleet.add_nonce()
+    assert fleet.report(1, 0.5, nonce)
+    fleet.now += 3_600_000.0
+    assert not fleet.report(1, 0.5, uptime_ms=fleet.now - 3_600_000.0 + 50.0)
+    assert fleet.estimator.counts.expired == 1
+    assert not fleet.report(1, 0.5, nonce, seq=1), "a replay"
+    assert fleet.estimator.counts.repeated == 1, "a replay"
+    assert not fleet.report(2, 0.5, nonce, uptime_ms=5.0), "an old nonce proves nothing"
+    assert fleet.estimator.counts.doubtful == 2, "an old nonce proves nothing"
+
+
+def test_report_when_its_clock_is_off_then_an_echoed_nonce_proves_its_age() -> None:
+    fleet = Fleet(2)
+    for k, skew in enumerate((-300_000.0, 300_000.0)):
+        assert fleet.report(k, 0.5, fleet.add_nonce(), uptime_ms=fleet.now + skew + 1e6)
+    assert fleet.report(1, 0.6, uptime_ms=fleet.now + 300_000.0 + 1e6), "once shown, its own clock carries on"
+
+
+def test_report_when_of_a_former_process_then_it_counts_for_nothing() -> None:
+    fleet = Fleet(1)
+    fleet.report(0, 0.9, fleet.add_nonce())
+    fleet.estimator.set_hosts({0: ListedStart(fleet.now, STARTED + 5000, fleet.now)})
+    assert fleet.estimator.reported(fleet.now, fleet.estimator.hosts[0])[1] == 0.0
+    assert not fleet.report(0, 0.9, fleet.add_nonce())
+    assert fleet.estimator.counts.former == 1
+    assert not fleet.report(0, 0.9, fleet.add_nonce(), process_started_ms=STARTED + 9000)
+    assert fleet.estimator.counts.former == 2
+    assert fleet.report(0, 0.9, fleet.add_nonce(), process_started_ms=STARTED + 5000)
+    assert not fleet.report(5, 0.9)
+    assert fleet.estimator.counts.unlisted == 1
+
+
+def test_host_when_it_repeats_one_value_then_its_influence_ends() -> None:
+    fleet = Fleet(2)
+    policy = POLICY
+    for _ in range(4 * 70):
+        fleet.now += 250.0
+        fleet.report(0, 0.9, fleet.add_nonce())
+    age = fleet.estimator.hosts[0].processes[0].age_ms(fleet.now, policy)
+    assert age == pytest.approx(70_000.0 - 250.0 - policy.constant_after_ms)
+    assert fleet.estimator.reported(fleet.now, fleet.estimator.hosts[0])[1] == 0.0
+    fleet.report(0, 0.91, fleet.add_nonce())
+    assert fleet.estimator.reported(fleet.now, fleet.estimator.hosts[0])[1] == 1.0
+
+
+def test_host_when_some_of_its_processes_are_silent_then_confidence_falls() -> None:
+    fleet = Fleet(1)
+    for process in range(3):
+        fleet.report(0, 0.6, fleet.add_nonce(), process=process)
+    assert not fleet.report(0, 0.6, fleet.add_nonce(), process=9)
+    assert fleet.estimator.counts.crowded == 1
+    host = fleet.estimator.hosts[0]
+    assert fleet.estimator.reported(fleet.now, host) == (0.6, 1.0)
+    fleet.now += 6000.0
+    fleet.report(0, 0.9, fleet.add_nonce(), process=0)
+    assert fleet.estimator.reported(fleet.now, host) == (0.9, pytest.approx(1 / 3))
+
+
+@given(st.floats(0, 1e5), st.floats(0, 1e5))
+def test_influence_when_age_grows_then_it_never_grows(a: float, b: float) -> None:
+    assert influence(max(a, b), POLICY) <= influence(min(a, b), POLICY) <= 1.0
+    assert influence(POLICY.expiry_ms, POLICY) == 0.0
+
+
+REPORTS = st.lists(
+    st.tuples(
+        st.integers(0, 1),
+        st.integers(0, 1),
+        st.integers(0, 6),
+        st.sampled_from([0.2, 0.5, 0.9]),
+        st.floats(0, 3000),
+        st.booleans(),
+    ),
+    min_size=2,
+    max_size=10,
+    unique_by=lambda r: (r[0], r[1], r[2]),
+)
+
+
+@given(REPORTS, st.randoms(use_true_random=False), st.floats(0, 4000))
+@settings(max_examples=300, deadline=None)
+def test_reports_when_in_any_order_then_the_result_is_the_same(rows: list, rng: Any, later: float) -> None:
+    """Numbers grow with a process's own clock, as they must; ways and delays are any."""
+    results = []
+    for shuffled in (rows, rng.sample(rows, len(rows))):
+        estimator = LoadEstimator(POLICY)
+        estimator.set_hosts(dict.fromkeys((0, 1), ListedStart(0.0, STARTED, 0.0)))
+        estimator.add_nonce(100_000.0, b"tick-one")
+        for host, process, seq, load, delay, echo in shuffled:
+            uptime = 5_000.0 + seq * 100.0
+            head = ReportHeader(host, process, STARTED, seq, uptime, 0.0, b"tick-one" if echo else b"\0" * 8)
+            estimator.on_report(100_200.0 + seq * 100.0 + delay, 1e13, head, ReportedLoad(load))
+        now = 104_000.0 + later
+        results.append([estimator.reported(now, estimator.hosts[h]) for h in (0, 1)])
+    for a, b in zip(*results, strict=True):
+        assert a == pytest.approx(b)
--- a/tests/stored_samples.py
+++ b/tests/stored_samples.py
@@ -20,7 +20,7 @@
 from corallanding.controller.recovery import ControllerState, capture_state
 from corallanding.controller.step_outputs import SendFrame
 from corallanding.lease import messages as lease
-from corallanding.load_reports.load_estimator import Counts, HostLoad, Process
+from corallanding.load_reports.host_load import HostLoad, ProcessLoad, ReportCounts
 from corallanding.load_reports.state import FeedState
 from corallanding.membership import messages as membership
 from corallanding.quorum_records import messages as once
@@ -233,11 +233,13 @@
     9400,
     b"\x00\x00",
     {
-        2: HostLoad(1.0, 2, 3.0, {4: Process(5, 6, 0.5, 7.0, 8.0, 9.0, 10.0, 11.0, 12.0)}, -0.25, 1, 13.0, 14.0, 15.0),
+        2: HostLoad(
+            1.0, 2, 3.0, {4: ProcessLoad(5, 6, 0.5, 7.0, 8.0, 9.0, 10.0, 11.0, 12.0)}, -0.25, 1, 13.0, 14.0, 15.0
+        ),
         3: HostLoad(),
     },
     [(b"\x01" * 8, 16.0)],
-    Counts(1, 2, 3, 4, 5, 6, 7),
+    ReportCounts(1, 2, 3, 4, 5, 6, 7),
     17.0,
     {"came": 18, "bad": 19},
 )
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -40,12 +40,12 @@
 from corallanding.controller.record_store import RecordStore
 from corallanding.controller.recovery import ControllerState, check_state, restore
 from corallanding.interface import stored_names
-from corallanding.load_reports.envelope import Head, Load
-from corallanding.load_reports.framing import pack as pack_intake
-from corallanding.load_reports.framing import unpack as unpack_intake
-from corallanding.load_reports.intake import row_of
-from corallanding.load_reports.load_shedding import Counts as TriageCounts
-from corallanding.load_reports.state import digest as intake_digest
+from corallanding.load_reports.envelope import ReportHeader
+from corallanding.load_reports.framing import decode_messages, encode_message
+from corallanding.load_reports.intake import report_row
+from corallanding.load_reports.load_shedding import SheddingCounts
+from corallanding.load_reports.orca import ReportedLoad
+from corallanding.load_reports.state import settings_digest
 from corallanding.quorum_records.limits import RecordLimits
 from corallanding.quorum_records.messages import Prepare
 from corallanding.quorum_records.replica import Replica, UnsavedChanges
@@ -498,10 +498,10 @@
 
 def test_an_intake_goes_on_under_a_new_process() -> None:
     """It outlives the process that started it; its settings are the same if their digest is."""
-    assert pack_intake(["tick", b"12345678"]).hex() == "0000001092a47469636bc4083132333435363738"
-    assert list(unpack_intake(bytearray.fromhex("0000000a92a57265616479cd24b8"))) == [["ready", 9400]]
+    assert encode_message(["tick", b"12345678"]).hex() == "0000001092a47469636bc4083132333435363738"
+    assert list(decode_messages(bytearray.fromhex("0000000a92a57265616479cd24b8"))) == [["ready", 9400]]
     conf = {"listen": "127.0.0.1:0", "key": "", "tick_ms": 10.0}
-    assert intake_digest(conf) == "4d62e2fa3d56263163a12caabd32e1bace8e8a96ca20af873bffb250f927e6eb"
+    assert settings_digest(conf) == "4d62e2fa3d56263163a12caabd32e1bace8e8a96ca20af873bffb250f927e6eb"
 
 
 FROZEN_PEER_MESSAGES: dict[str, str] = json.loads((FIXTURES / "peer_messages.json").read_text())
@@ -604,10 +604,10 @@
         *(("counted", 1), ("unlisted", 2), ("former", 3), ("repeated", 4), ("expired", 5), ("doubtful", 6)),
         ("crowded", 7),
     ]
-    assert TriageCounts(1, 2, 3, 4, 5, 6, 7).by_name() == {
+    assert SheddingCounts(1, 2, 3, 4, 5, 6, 7).by_name() == {
         **{"came": 1, "taken": 2, "unknown": 3, "processes": 4, "bad": 5, "loud": 6, "replaced": 7}
     }
-    row = row_of(0.5, Head(1, 2, 3, 4, 5.5, 6.5, b"12345678"), Load(7.5, 8.5, 9.5))
+    row = report_row(0.5, ReportHeader(1, 2, 3, 4, 5.5, 6.5, b"12345678"), ReportedLoad(7.5, 8.5, 9.5))
     assert row == (0.5, 1, 2, 3, 4, 5.5, 6.5, b"12345678", 7.5, 8.5, 9.5)
 
 
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -64,7 +64,6 @@
         "lab/forwarder.py",
         "lab/registry.py",
         "lab/runner.py",
-        "load_reports/load_estimator.py",
     }
 )
 
--- a/tests/upgrade/test_load_report_handover.py
+++ b/tests/upgrade/test_load_report_handover.py
@@ -14,7 +14,7 @@
 from sockets import until
 from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
 
-from corallanding.load_reports.envelope import Head, pack
+from corallanding.load_reports.envelope import ReportHeader, encode_binary
 from tests.upgrade.support import HOSTS, Scene, play
 
 pytestmark = pytest.mark.processes
@@ -55,8 +55,8 @@
             free.bind(("127.0.0.1", 0))
             peer_port = free.getsockname()[1]
         async with Scene(tmp_path, more=REPORTS, peers=(peer_port, peer.getsockname()[1])) as s:
-            await until(lambda: s.entries("load reports"), 10)
-            port = s.entries("load reports")[0]["port"]
+            await until(lambda: s.entries("load reports ready"), 10)
+            port = s.entries("load reports ready")[0]["port"]
             echo, ticks = [b"\0" * 8], set[bytes]()
             udp, _ = await asyncio.get_running_loop().create_datagram_endpoint(
                 lambda: Echo(echo, ticks), remote_addr=("127.0.0.1", port)
@@ -67,8 +67,8 @@
                     for h in range(HOSTS):
                         up = time.monotonic() * 1000.0
                         load = OrcaLoadReport(application_utilization=2.0 if h == 4 else 0.6 + 0.01 * (seq % 2))
-                        head = Head(h, 0, 0, seq, up, 5.0, echo[0])
-                        udp.sendto(pack(head, load.SerializeToString()))
+                        head = ReportHeader(h, 0, 0, seq, up, 5.0, echo[0])
+                        udp.sendto(encode_binary(head, load.SerializeToString()))
                     await asyncio.sleep(0.05)
 
             sending = asyncio.create_task(report())
@@ -84,14 +84,14 @@
                 peer.sendto(msgspec.msgpack.encode([2, b"word"]), ("127.0.0.1", peer_port))
                 peer.sendto(msgspec.msgpack.encode([7, b"a stranger's"]), ("127.0.0.1", peer_port))
             assert children(s.process.pid, "reports.intake") == intake
-            assert len(s.entries("load reports")) == 1
+            assert len(s.entries("load reports ready")) == 1
             assert all("4" in w["factors"] for w in s.entries("load factors")[1:]), "what was learnt stands"
             page = await s.page("/metrics")
             assert f"report_senders {HOSTS}.0" in page
             assert "peer_messages_dropped_total 1.0" in page
             s.path.write_text(s.path.read_text().replace("tick_ms = 10", "tick_ms = 11"))
             assert (await s.upgrade()).startswith("ok: handed over")
-            await until(lambda: len(s.entries("load reports")) == 2, 10)
+            await until(lambda: len(s.entries("load reports ready")) == 2, 10)
             assert children(s.process.pid, "reports.intake") != intake, "other settings of it begin another"
             await s.drains(5)
             sending.cancel()
