--- a/corallanding/controller/__init__.py
+++ b/corallanding/controller/__init__.py
@@ -0,0 +1,1 @@
+"""The controller process: engine, connections, persistence, handover, and services over the cores."""
--- a/corallanding/controller/decision_loop.py
+++ b/corallanding/controller/decision_loop.py
@@ -53,7 +53,7 @@
         self._engine.is_store_backing_off = begun < self._persistence.retry_at_ms
         try:
             writes = self._engine.decide(begun)
-        except Exception:
+        except Exception:  # noqa: BLE001 - whatever the assigner raises ends the controller, with its own exit code
             # An assigner that fails has no state to go on from: a new process starts from the store.
             log.exception("the assigner failed")
             self._context.lifecycle.request_stop(ExitCode.MODULE)
--- a/corallanding/controller/persistence.py
+++ b/corallanding/controller/persistence.py
@@ -98,7 +98,7 @@
             is_stored = True
         except TimeoutError:
             self._on_registry_failure("no answer in time")
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - the client library raises many kinds; each counts as a failed write
             if isinstance(error, FencedError):
                 engine.on_writes_fenced()
                 log.warning("fenced", why=str(error))
--- a/corallanding/controller/registry_slices.py
+++ b/corallanding/controller/registry_slices.py
@@ -24,11 +24,11 @@
     def __init__(self, on_failure: Callable[[str], None]) -> None:
         self.on_failure = on_failure
 
-    def on_slice_granted(self, slice_id: int, weights: dict[int, float]) -> None:
+    def on_slice_granted(self, slice_id: int, weights: dict[int, float]) -> None:  # noqa: ARG002 - one key only
         """The lease was granted."""
         log.info("leadership", is_held=True)
 
-    def on_slice_revoked(self, slice_id: int) -> None:
+    def on_slice_revoked(self, slice_id: int) -> None:  # noqa: ARG002 - one key only
         """The lease was lost."""
         log.info("leadership", is_held=False)
 
