--- a/corallanding/channel/merge.py
+++ b/corallanding/channel/merge.py
@@ -122,9 +122,9 @@
     """Keep the newest order if any remains, even empty, to carry the version: it waits wherever one of them does."""
     if not any(remaining):
         return None
-    kept = remaining[-1] or msgspec.structs.replace(newest, lines=[], levels=[], cordons=[], addresses={})
-    remaining[-1] = kept
-    return kept
+    carrier = remaining[-1] or msgspec.structs.replace(newest, lines=[], levels=[], cordons=[], addresses={})
+    remaining[-1] = carrier
+    return carrier
 
 
 def _renumbered(
--- a/corallanding/wire/link_state.py
+++ b/corallanding/wire/link_state.py
@@ -68,14 +68,14 @@
         """
         received: list[frames.Frame] = self.reader.feed(data)
         self.acked.clear()
-        self._charge(now, len(received), len(data))
+        self._spend_allowances(now, len(received), len(data))
         if received:
             self.last_received_at_ms = now
         for frame in received:
             self._on_frame(frame)
         return received
 
-    def _charge(self, now: float, frame_count: int, byte_count: int) -> None:
+    def _spend_allowances(self, now: float, frame_count: int, byte_count: int) -> None:
         """Take what came from the allowances, which are replenished at the permitted rates."""
         frame_rate = self.limits.frames_per_second
         byte_rate = self.limits.bytes_per_second
--- a/tests/load_reports/test_envelope.py
+++ b/tests/load_reports/test_envelope.py
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("key", [None, KEY])
 def test_report_when_in_any_form_then_it_reads_the_same(key: bytes | None) -> None:
-    want = (HEADER_1, ReportedLoad(0.7, 12.5, 0.5))
+    expected = (HEADER_1, ReportedLoad(0.7, 12.5, 0.5))
     snake = b'{"cpu_utilization": 0.4, "application_utilization": 0.7, "rps_fractional": 12.5, "eps": 0.5}'
     camel = b'{"cpuUtilization": 0.4, "applicationUtilization": 0.7, "rpsFractional": 12.5, "eps": 0.5}'
     for data in (
@@ -36,14 +36,13 @@
         encode_json(HEADER_1, snake, key),
         encode_json(HEADER_1, camel, key),
     ):
-        assert read_report(data, key) == want
+        assert read_report(data, key) == expected
         assert read_sender(data) == (7, 3)
 
 
 def test_report_when_without_application_utilization_then_cpu_and_old_rps_count() -> None:
-    assert read_report(encode_binary(HEADER_1, orca(cpu_utilization=0.4, rps=9)), None)[1] == ReportedLoad(
-        0.4, 9.0, 0.0
-    )
+    data = encode_binary(HEADER_1, orca(cpu_utilization=0.4, rps=9))
+    assert read_report(data, None).load == ReportedLoad(0.4, 9.0, 0.0)
 
 
 def test_report_when_forged_or_out_of_bounds_then_the_error_says_why() -> None:
@@ -55,18 +54,18 @@
             read_report(data, KEY)
     assert is_authentic(signed, KEY)
     assert is_authentic(encode_json(HEADER_1, b"{}", KEY), KEY)
-    for k in (5, 10, 20, 30, len(signed) - 3):  # any byte that is changed
-        bent = bytearray(signed)
-        bent[k] ^= 1
+    for position in (5, 10, 20, 30, len(signed) - 3):  # any byte that is changed
+        changed = bytearray(signed)
+        changed[position] ^= 1
         with pytest.raises(InvalidReportError):
-            read_report(bytes(bent), KEY)
-    for fields, said in (
+            read_report(bytes(changed), KEY)
+    for fields, text in (
         ({"cpu_utilization": -0.1}, "cpu_utilization -0.1 is not within 0 and 100"),
         ({"application_utilization": math.nan}, "application_utilization nan"),
         ({"eps": math.inf}, "eps inf"),
         ({"cpu_utilization": 1e9}, "cpu_utilization 1e[+]09"),
     ):
-        with pytest.raises(InvalidReportError, match=said):
+        with pytest.raises(InvalidReportError, match=text):
             read_report(encode_binary(HEADER_1, orca(**fields)), None)
     with pytest.raises(InvalidReportError, match="uptime"):
         read_report(encode_binary(ReportHeader(1, 1, 1, 1, math.nan, 0.0), b""), None)
@@ -75,22 +74,22 @@
 @given(st.binary(max_size=200) | st.binary(max_size=100).map(lambda b: b"oL\x01\x00" + b))
 @settings(max_examples=400, deadline=None)
 def test_bytes_when_arbitrary_then_they_are_a_report_or_an_error(data: bytes) -> None:
-    for work in (read_sender, lambda d: read_report(d, None), lambda d: read_report(d, KEY)):
+    for read in (read_sender, lambda data: read_report(data, None), lambda data: read_report(data, KEY)):
         try:
-            work(data)
+            read(data)
         except InvalidReportError:
             continue
 
 
 def test_header_when_encoded_then_it_is_as_the_page_says() -> None:
-    """Byte for byte: what docs/reports.md tells strangers."""
+    """Byte for byte: as docs/reports.md describes it for others."""
     raw = encode_binary(HEADER_1, b"")
     assert raw[:4] == b"oL\x01\x00"
     assert HEADER.size == 50
     assert len(raw) == 50
     assert raw[4:10] == bytes([0, 0, 0, 7, 0, 3])
     assert raw[-8:] == b"12345678"
-    told = json.loads(encode_json(HEADER_1, b'{"eps": 1}'))
-    assert told["orca"] == {"eps": 1}
-    assert told["seq"] == 9
-    assert msgspec.json.encode(told)
+    as_json = json.loads(encode_json(HEADER_1, b'{"eps": 1}'))
+    assert as_json["orca"] == {"eps": 1}
+    assert as_json["seq"] == 9
+    assert msgspec.json.encode(as_json)
--- a/tests/load_reports/test_estimator_states.py
+++ b/tests/load_reports/test_estimator_states.py
@@ -6,11 +6,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from corallanding.load_reports.envelope import ReportHeader
+from corallanding.load_reports.envelope import NO_NONCE, ReportHeader
 from corallanding.load_reports.host_load import EstimatorPolicy
 from corallanding.load_reports.load_estimator import ListedStart, LoadEstimator
 from corallanding.load_reports.orca import ReportedLoad
-from tests.load_reports.support import STARTED
+from tests.load_reports.support import STARTED_MS
 
 
 class Senders(RuleBasedStateMachine):
@@ -21,21 +21,25 @@
         self.policy = EstimatorPolicy(
             half_life_ms=1000.0, expiry_ms=4000.0, window_ms=1000.0, min_reporting_share=0.2, max_lowered_share=0.2
         )
-        self.estimator, self.now, self.seq, self.nonce = LoadEstimator(self.policy), 1e6, 0, b"\0" * 8
-        self.started = dict.fromkeys(range(6), STARTED)
-        self.proof: dict[int, float] = {}  # host: when a report of it could last be known to be fresh
-        self.listed()
-        self.before: dict[int, int] = {}
-
-    def listed(self) -> None:
-        self.estimator.set_hosts({h: ListedStart(0.0, s, 0.0) for h, s in self.started.items()})
+        self.estimator = LoadEstimator(self.policy)
+        self.now = 1e6
+        self.seq = 0
+        self.nonce = NO_NONCE
+        self.started_ms = dict.fromkeys(range(6), STARTED_MS)
+        self.proven_at_ms: dict[int, float] = {}  # when a report of a host could last be known to be fresh
+        self.set_hosts()
+
+    def set_hosts(self) -> None:
+        self.estimator.set_hosts(
+            {host: ListedStart(0.0, started_ms, 0.0) for host, started_ms in self.started_ms.items()}
+        )
 
     @rule(ms=st.floats(1, 3000))
     def wait(self, ms: float) -> None:
         self.now += ms
 
     @rule()
-    def tick(self) -> None:
+    def issue_nonce(self) -> None:
         self.seq += 1
         self.nonce = self.seq.to_bytes(8, "big")
         self.estimator.add_nonce(self.now, self.nonce)
@@ -43,58 +47,60 @@
     @rule(
         hosts=st.sets(st.integers(0, 5)),
         load=st.sampled_from([0.0, 0.3, 0.6, 3.0, 50.0]),
-        echo=st.booleans(),
-        off=st.sampled_from([0.0, 0.0, -60.0, 5_000.0, -3.6e6, 3.6e6]),
-        old=st.booleans(),
+        echoes=st.booleans(),
+        clock_error_ms=st.sampled_from([0.0, 0.0, -60.0, 5_000.0, -3.6e6, 3.6e6]),
+        is_former=st.booleans(),
     )
-    def report(self, hosts: set[int], load: float, echo: bool, off: float, old: bool) -> None:
-        for h in hosts:
+    def report(self, hosts: set[int], load: float, echoes: bool, clock_error_ms: float, is_former: bool) -> None:
+        for host in hosts:
             self.seq += 1
-            started = self.started[h] - (1000 if old else 0)
-            uptime = max(0.0, self.now + off)
-            head = ReportHeader(h, 0, started, self.seq, uptime, 0.0, self.nonce if echo else b"\0" * 8)
-            self.estimator.on_report(self.now, 1e14, head, ReportedLoad(load))
-            if not old:
-                self.proof[h] = self.now
-
-    @rule(h=st.integers(0, 5))
-    def restart(self, h: int) -> None:
-        self.started[h] += 10_000
-        self.proof.pop(h, None)
-        self.listed()
-
-    @rule(h=st.integers(0, 5), tries=st.integers(0, 50), wait=st.floats(1, 2000))
-    def seen(self, h: int, tries: int, wait: float) -> None:
-        self.estimator.on_usage(h, tries, tries // 3, wait)
+            started_ms = self.started_ms[host] - (1000 if is_former else 0)
+            uptime_ms = max(0.0, self.now + clock_error_ms)
+            nonce = self.nonce if echoes else NO_NONCE
+            header = ReportHeader(host, 0, started_ms, self.seq, uptime_ms, 0.0, nonce)
+            self.estimator.on_report(self.now, 1e14, header, ReportedLoad(load))
+            if not is_former:
+                self.proven_at_ms[host] = self.now
+
+    @rule(host=st.integers(0, 5))
+    def restart(self, host: int) -> None:
+        self.started_ms[host] += 10_000
+        self.proven_at_ms.pop(host, None)
+        self.set_hosts()
+
+    @rule(host=st.integers(0, 5), attempts=st.integers(0, 50), latency_ms=st.floats(1, 2000))
+    def use(self, host: int, attempts: int, latency_ms: float) -> None:
+        self.estimator.on_usage(host, attempts, attempts // 3, latency_ms)
 
     @rule()
-    def turn(self) -> None:
-        before = {h: x.level for h, x in self.estimator.hosts.items()}
+    def update(self) -> None:
+        before = {number: host.level for number, host in self.estimator.hosts.items()}
         self.estimator.update(self.now)
         lowered = 0
-        for h, x in self.estimator.hosts.items():
-            assert x.level == 0 or abs(x.level - before[h]) <= 1
-            lowered += x.level > before[h]
+        for number, host in self.estimator.hosts.items():
+            assert host.level == 0 or abs(host.level - before[number]) <= 1
+            lowered += host.level > before[number]
         assert lowered <= max(1, 0.2 * 6)
 
     @invariant()
     def bounded(self) -> None:
-        for h in range(6):
-            assert self.policy.min_factor <= self.estimator.factor(h) <= 1.0
+        for host in range(6):
+            assert self.policy.min_factor <= self.estimator.factor(host) <= 1.0
 
     @invariant()
-    def nothing_of_the_silent(self) -> None:
-        for h, x in self.estimator.hosts.items():
-            if self.now - self.proof.get(h, -1e9) > self.policy.expiry_ms:
-                assert self.estimator.reported(self.now, x)[1] == 0.0
+    def silent_hosts_have_no_influence(self) -> None:
+        for number, host in self.estimator.hosts.items():
+            if self.now - self.proven_at_ms.get(number, -1e9) > self.policy.expiry_ms:
+                assert self.estimator.reported(self.now, host).confidence == 0.0
 
     @precondition(lambda self: self.estimator.hosts)
     @invariant()
-    def ages(self) -> None:
-        for x in self.estimator.hosts.values():
-            later = [self.estimator.reported(self.now + t, x)[1] for t in (0.0, 10.0, 500.0, 3999.0, 4000.0, 1e6)]
-            assert later == sorted(later, reverse=True)
-            assert later[-1] == 0.0
+    def confidence_falls_with_age(self) -> None:
+        for host in self.estimator.hosts.values():
+            times = (self.now + later_ms for later_ms in (0.0, 10.0, 500.0, 3999.0, 4000.0, 1e6))
+            confidences = [self.estimator.reported(now, host).confidence for now in times]
+            assert confidences == sorted(confidences, reverse=True)
+            assert confidences[-1] == 0.0
 
 
 Senders.TestCase.settings = settings(max_examples=80, stateful_step_count=40, deadline=None)
--- a/tests/load_reports/test_factors.py
+++ b/tests/load_reports/test_factors.py
@@ -18,13 +18,15 @@
 
 def test_host_when_slow_then_it_is_lowered_step_by_step_and_gets_its_weight_back() -> None:
     fleet = Fleet(10)
-    seen = []
+    factors = []
     for _ in range(8):
         fleet.run(1, dict.fromkeys(range(9), 0.5) | {9: 1.0})
-        seen.append(round(fleet.estimator.factor(9), 3))
-    assert seen[-1] == 0.5
-    assert seen == sorted(seen, reverse=True)
-    assert all(b / a > 0.84 - 1e-3 for a, b in zip([1.0, *seen], seen, strict=False)), "a step a window"
+        factors.append(round(fleet.estimator.factor(9), 3))
+    assert factors[-1] == 0.5
+    assert factors == sorted(factors, reverse=True)
+    assert all(factor / before > 0.84 - 1e-3 for before, factor in zip([1.0, *factors], factors, strict=False)), (
+        "a step a window"
+    )
     fleet.run(12, dict.fromkeys(range(10), 0.5))
     assert fleet.estimator.factors() == {9: 0.5}, "at the fleet's load it stays: that is what the weight is for"
     fleet.run(12, dict.fromkeys(range(9), 0.5) | {9: 0.2})
@@ -33,7 +35,7 @@
 
 def test_factors_when_the_fleet_is_idle_or_evenly_loaded_then_nothing_changes() -> None:
     fleet = Fleet(10)
-    fleet.run(20, {h: 0.05 + 0.03 * h for h in range(10)})  # all under busy_from
+    fleet.run(20, {h: 0.05 + 0.03 * h for h in range(10)})  # all under min_busy_utilization
     fleet.run(20, {h: 0.8 + 0.01 * (h % 3) for h in range(10)})
     assert fleet.estimator.factors() == {}
 
@@ -41,7 +43,7 @@
 def test_host_when_it_reports_idle_then_nothing_herds_onto_it() -> None:
     fleet = Fleet(6)
     fleet.run(20, dict.fromkeys(range(5), 0.7) | {5: 0.0})
-    assert fleet.estimator.factors() == {}, "an idle word raises nobody over the list"
+    assert fleet.estimator.factors() == {}, "a report of no load raises no weight over the list's"
 
 
 def test_factors_when_too_few_hosts_report_then_nothing_changes() -> None:
@@ -60,11 +62,11 @@
 
 def test_host_when_busy_but_quick_for_proxies_then_it_is_half_believed() -> None:
     factors = []
-    for wait in (50.0, 400.0):
+    for latency_ms in (50.0, 400.0):
         fleet = Fleet(10)
         for _ in range(3):
-            for h in range(10):
-                fleet.estimator.on_usage(h, 40, 0, wait if h == 9 else 200.0)
+            for host in range(10):
+                fleet.estimator.on_usage(host, 40, 0, latency_ms if host == 9 else 200.0)
             fleet.run(1, dict.fromkeys(range(9), 0.5) | {9: 2.0})
         factors.append(fleet.estimator.factor(9))
     assert factors[0] > factors[1]
--- a/tests/load_reports/test_feed.py
+++ b/tests/load_reports/test_feed.py
@@ -15,7 +15,7 @@
 from sockets import CONFIG, Running, until
 
 from corallanding import interface as api
-from corallanding.load_reports.envelope import ReportHeader, encode_binary
+from corallanding.load_reports.envelope import NO_NONCE, ReportHeader, encode_binary
 from corallanding.load_reports.intake import LoadReportIntake
 from tests.load_reports.support import KEY, orca
 
@@ -38,15 +38,39 @@
     """Keeps the newest nonce that the intake sent."""
 
     def __init__(self) -> None:
-        self.echo = b"\0" * 8
+        self.nonce = NO_NONCE
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.echo = data[2:10]
+        self.nonce = data[2:10]
+
+
+def listed_weights(running: Running) -> dict[int, float]:
+    """Weights as the assigner got them."""
+    weights: dict[int, float] = {}
+    for event in running.module.told:
+        if isinstance(event, api.HostListUpdate):
+            weights.update({entry.host: entry.weight for entry in event.entries})
+    return weights
+
+
+def send_round(udp: asyncio.DatagramTransport, writer: asyncio.StreamWriter, nonce: bytes) -> None:
+    """Send a report of each host, one by a stream; one of a host that is not listed, forged ones and garbage."""
+    for host in (0, 1, 2, 3, 4, 77):
+        uptime_ms = time.monotonic() * 1000.0
+        header = ReportHeader(host, 0, 0, int(uptime_ms * 10), uptime_ms, 5.0, nonce)
+        utilization = 3.0 if host == 4 else 0.5 + 0.01 * (uptime_ms % 2)
+        data = encode_binary(header, orca(application_utilization=utilization), KEY)
+        if host == 2:
+            writer.write(len(data).to_bytes(2, "big") + data)
+        else:
+            udp.sendto(data)
+        udp.sendto(data[:-1])
+        udp.sendto(b"rubbish")
 
 
 def test_reports_when_they_arrive_then_weights_change_until_they_stop(tmp_path: Path) -> None:
     (tmp_path / "key").write_bytes(KEY + b"\n")
-    rows = [{"host": h, "address": "127.0.0.1:9", "state": "up", "started": 0.0, "weight": 2.0} for h in range(5)]
+    rows = [{"host": host, "address": "127.0.0.1:9", "state": "up", "started": 0.0, "weight": 2.0} for host in range(5)]
 
     async def scene() -> None:
         async with Running(tmp_path, BLOCK.format(key=tmp_path / "key"), config=CONFIG) as running:
@@ -59,43 +83,23 @@
             running.steward.host_sources.on_host_rows(True, 1, rows)
             await until(lambda: feed.transport and feed.hosts == [0, 1, 2, 3, 4])
 
-            def weights() -> dict[int, float]:
-                seen: dict[int, float] = {}
-                for e in running.module.told:
-                    if isinstance(e, api.HostListUpdate):
-                        seen.update({x.host: x.weight for x in e.entries})
-                return seen
-
-            async def report(seconds: float, done: Any = lambda: False) -> None:
-                end = time.monotonic() + seconds
-                while time.monotonic() < end and not done():
-                    for h in (0, 1, 2, 3, 4, 77):
-                        up = time.monotonic() * 1000.0
-                        head = ReportHeader(h, 0, 0, int(up * 10), up, 5.0, receiver.echo)
-                        data = encode_binary(
-                            head, orca(application_utilization=3.0 if h == 4 else 0.5 + 0.01 * (up % 2)), KEY
-                        )
-                        if h == 2:
-                            writer.write(len(data).to_bytes(2, "big") + data)
-                        else:
-                            udp.sendto(data)
-                        udp.sendto(data[:-1])
-                        udp.sendto(b"rubbish")
-                    await asyncio.sleep(0.03)
-
-            await report(15, lambda: weights().get(4) == 1.0)
-            assert weights() == {0: 2.0, 1: 2.0, 2: 2.0, 3: 2.0, 4: 1.0}, "half of its listed weight, the others whole"
+            deadline = time.monotonic() + 15.0
+            while time.monotonic() < deadline and listed_weights(running).get(4) != 1.0:
+                send_round(udp, writer, receiver.nonce)
+                await asyncio.sleep(0.03)
+            weights = {0: 2.0, 1: 2.0, 2: 2.0, 3: 2.0, 4: 1.0}
+            assert listed_weights(running) == weights, "half of its listed weight, the others in full"
             await until(lambda: feed.intake_counts.get("forged"))
             assert feed.intake_counts["unknown"] > 0
             assert feed.intake_counts["bad"] > 0
             assert feed.intake_counts["senders"] == 5
             stopped = time.monotonic()
-            await until(lambda: weights()[4] == 2.0)
+            await until(lambda: listed_weights(running)[4] == 2.0)
             assert time.monotonic() - stopped < 5.0
-            # The intake dies: it comes back, and the steward has not stopped.
-            old = feed.process_id
-            os.kill(old, signal.SIGKILL)
-            await until(lambda: feed.process_id not in (0, old) and feed.transport)
+            # The intake dies: it is started again, and the controller has not stopped.
+            killed = feed.process_id
+            os.kill(killed, signal.SIGKILL)
+            await until(lambda: feed.process_id not in (0, killed) and feed.transport)
             udp.close()
             writer.close()
 
@@ -103,18 +107,23 @@
 
 
 def test_intake_when_its_controller_is_gone_then_it_sends_nothing_more() -> None:
-    """Reports still wait when the steward dies: its socket is closed, the loop has a few passes left."""
+    """Reports still wait when the controller dies: its socket is closed, the loop runs on for a moment."""
 
     async def scene() -> None:
-        conf = {"sender_rate": 10.0, "sender_burst": 10, "processes_most": 2, "reports_per_s": 1000, "tick_ms": 1000}
-        intake = LoadReportIntake({**conf, "key": ""})
+        settings = {
+            "sender_rate": 10.0,
+            "sender_burst": 10,
+            "processes_most": 2,
+            "reports_per_s": 1000,
+            "tick_ms": 1000,
+        }
+        intake = LoadReportIntake({**settings, "key": ""})
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
         await asyncio.get_running_loop().create_connection(lambda: intake, sock=ours)
         intake.shedder.set_hosts([1])
-        assert intake.on_report(
-            encode_binary(ReportHeader(1, 0, 0, 1, 1.0, 5.0), orca(application_utilization=0.5)), None
-        )
+        report = encode_binary(ReportHeader(1, 0, 0, 1, 1.0, 5.0), orca(application_utilization=0.5))
+        assert intake.on_report(report, None)
         theirs.close()
         await intake.ended
         await asyncio.sleep(0.05)
