--- a/tests/assignment/test_any_settings.py
+++ b/tests/assignment/test_any_settings.py
@@ -8,7 +8,7 @@
 import msgspec
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_platform_state import SETTINGS, TOP
+from platform_samples import CONFIG_FILE, CONFIG_SETTINGS
 
 from corallanding import interface as api
 from corallanding.assignment import Assigner
@@ -73,7 +73,7 @@
 def read(site: Any) -> Config | None:
     """The platform's configuration of a site; none if it is refused, in one line that names the settings."""
     try:
-        return parse(msgspec.json.encode({**TOP, "known": None, "settings": site}))
+        return parse(msgspec.json.encode({**CONFIG_FILE, "known": None, "settings": site}))
     except InvalidConfigError as error:
         check_refusal(str(error))
         return None
@@ -183,10 +183,10 @@
     request_classes: list[str], zones: list[str]
 ) -> None:
     site = {
-        **SETTINGS,
+        **CONFIG_SETTINGS,
         "zones": zones,
         "kinds": ["m2"],
-        "classes": [{**SETTINGS["classes"][0], "name": name} for name in request_classes],
+        "classes": [{**CONFIG_SETTINGS["classes"][0], "name": name} for name in request_classes],
     }
     config = read(site)
     assert config
--- a/tests/discovery/support.py
+++ b/tests/discovery/support.py
@@ -6,7 +6,10 @@
 
 from forced_order import FOR_EVER, Side, Stand
 
+from corallanding import interface as api
+from corallanding.discovery.host_list import HostListView, ListAnswer
 from corallanding.discovery.long_poll import DiscoveryClient
+from corallanding.host_names import name
 
 
 class Listed:
@@ -44,3 +47,13 @@
 
 def poll(index: int, wait: float = FOR_EVER) -> str:
     return f"/v1/servers?index={index}&wait={wait:.0f}"
+
+
+def apply_list(view: HostListView, is_complete: bool, *rows: Any, version: int = 1) -> api.HostListUpdate | None:
+    """Let the view take an answer with these rows."""
+    return view.apply(ListAnswer(version, is_complete, list(rows)))
+
+
+def listed_states(view: HostListView) -> dict[str, str]:
+    """Names and states of the hosts in the view."""
+    return {name(host): entry.state for host, entry in view.entries.items()}
--- /dev/null
+++ b/tests/discovery/test_host_list.py
@@ -0,0 +1,74 @@
+"""The view of the host list: lists, changes, entries that cannot be used."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+from platform_samples import KINDS, ZONES, list_entry
+
+from corallanding import interface as api
+from corallanding.discovery.host_list import MAX_DEPARTED_HOSTS, HostListView, InvalidAnswerError
+from corallanding.host_names import name, number
+from tests.discovery.support import apply_list, listed_states
+
+
+def test_view_when_lists_and_changes_come_then_it_holds_the_latest() -> None:
+    view = HostListView(ZONES, KINDS)
+    first = apply_list(view, True, list_entry("s-1"), list_entry("s-2", born_ms=1_700_000_000_000, site="b"))
+    assert first == api.HostListUpdate(
+        api.HostListKind.FULL,
+        1,
+        (
+            api.HostEntry(number("s-1"), 0, 0, 3, "up", 1.0, 0.0),
+            api.HostEntry(number("s-2"), 1, 0, 3, "up", 1.0, 1_700_000_000_000.0),
+        ),
+    )
+    assert apply_list(view, False, version=2) is None
+    assert view.version == 2
+    change = apply_list(
+        view, False, list_entry("s-1", "terminating"), {"host": "s-2", "health": "terminated"}, version=3
+    )
+    assert change
+    assert change.kind is api.HostListKind.CHANGES
+    assert [e.state for e in change.entries] == ["draining", "removed"]
+    assert listed_states(view) == {"s-1": "draining"}
+    assert number("s-2") in view.addresses  # a report on it may still be under way
+    whole = apply_list(view, True, list_entry("s-3"))
+    assert whole
+    assert [name(e.host) for e in whole.entries] == ["s-3"]
+
+
+@pytest.mark.parametrize(
+    "bad",
+    [
+        list_entry("s-1", "asleep"),
+        list_entry("s-1", site="z"),
+        list_entry("s-1", **{"class": "m9"}),
+        list_entry("s-1", share=0),
+        list_entry("s-1", block="x"),
+        list_entry("s-1", born_ms=-1),
+        {"host": "s-1"},
+    ],
+)
+def test_entry_when_damaged_then_its_last_good_state_stays_and_it_is_reported(bad: dict[str, Any]) -> None:
+    view = HostListView(ZONES, KINDS)
+    apply_list(view, True, list_entry("s-1"), list_entry("s-2"))
+    apply_list(view, True, bad, list_entry("s-2", "terminating"), 7, {"host": 5}, version=2)
+    assert listed_states(view) == {"s-1": "up", "s-2": "draining"}
+    assert len(view.rejected_entries) == 3
+    assert "s-1" in view.rejected_entries[0]
+
+
+def test_answer_when_invalid_then_it_is_rejected() -> None:
+    for body in (b"", b"{", b"[]", b'{"seq":"x","whole":true,"hosts":[]}', b"\xff"):
+        with pytest.raises(InvalidAnswerError):
+            HostListView(ZONES, KINDS).decode(body)
+
+
+def test_view_when_thousands_of_hosts_are_replaced_then_it_stays_small() -> None:
+    view = HostListView(ZONES, KINDS)
+    for n in range(5_000):
+        apply_list(view, False, list_entry(f"s-{n}"), list_entry(f"s-{n - 30}", "terminated"), version=n)
+    assert len(view.entries) == 30
+    assert len(view.addresses) <= 30 + MAX_DEPARTED_HOSTS >= len(view.departed)
--- /dev/null
+++ b/tests/host_names/test_host_names.py
@@ -0,0 +1,14 @@
+"""Host names as numbers."""
+
+from __future__ import annotations
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from corallanding.host_names import name, number
+
+
+@given(st.text(min_size=1, max_size=16), st.text(min_size=1, max_size=16))
+def test_number_when_computed_from_names_then_it_is_one_to_one(one: str, two: str) -> None:
+    assert name(number(one)) == one
+    assert (number(one) == number(two)) == (one == two)
--- a/tests/platform/support.py
+++ b/tests/platform/support.py
@@ -11,8 +11,7 @@
 
 import msgspec
 from forced_order import Address, Side, Stand, turns, until
-from platform_samples import attach, entry, owner
-from test_platform_state import TOP, row
+from platform_samples import CONFIG_FILE, attach, entry, list_entry, owner
 
 from corallanding.platform import service as node
 from corallanding.platform.config import read
@@ -28,7 +27,10 @@
 
     def __init__(self, path: Path, relay: Stand, agent: Stand) -> None:
         self.path, self.relay, self.agent = path, relay, agent
-        self.config = {**TOP, "known": {"seq": 1, "whole": True, "hosts": [row("s-1"), row("s-2")]}}
+        self.config = {
+            **CONFIG_FILE,
+            "known": {"seq": 1, "whole": True, "hosts": [list_entry("s-1"), list_entry("s-2")]},
+        }
         self.write(discovery=text(agent.where), store={"address": text(relay.where)})
         # A listening port of 0 is none that a file may name.
         self.service = node.PlatformController(replace(read(str(path)), listen=("127.0.0.1", 0)), str(path))
@@ -67,7 +69,7 @@
 
     async def calling(self) -> dict[str, Any]:
         """A drain is listed: the call that tells it, which stays open."""
-        body = msgspec.json.encode({"seq": 2, "whole": False, "hosts": [row("s-1", "terminating")]})
+        body = msgspec.json.encode({"seq": 2, "whole": False, "hosts": [list_entry("s-1", "terminating")]})
         self.poll.answer(body)
         said: dict[str, Any] = {"params": {"ops": []}}
         while not any(o.get("endpoint") == "s-1" for o in said["params"]["ops"]):
--- a/tests/platform/test_mutated_messages.py
+++ b/tests/platform/test_mutated_messages.py
@@ -9,8 +9,7 @@
 
 import msgspec
 import pytest
-from platform_samples import HOSTS, KINDS, SETTINGS, ZONES, attach, entry, owner
-from test_platform_state import row
+from platform_samples import HOSTS, KINDS, SETTINGS, ZONES, attach, entry, list_entry, owner
 
 from corallanding import interface as api
 from corallanding.discovery.host_list import HostListView, InvalidAnswerError
@@ -126,9 +125,14 @@
 
 # ---- lists -----------------------------------------------------------------------------------------------
 
+STARTED_MS = 1_700_000_000_000
 LISTS: list[dict[str, Any]] = [
-    {"seq": 1, "whole": True, "hosts": [row("s-1"), row("s-2"), row("s-3", site="b")]},
-    {"seq": 2, "whole": False, "hosts": [row("s-2", "terminating"), row("s-4", born_ms=1_700_000_000_000)]},
+    {"seq": 1, "whole": True, "hosts": [list_entry("s-1"), list_entry("s-2"), list_entry("s-3", site="b")]},
+    {
+        "seq": 2,
+        "whole": False,
+        "hosts": [list_entry("s-2", "terminating"), list_entry("s-4", born_ms=1_700_000_000_000)],
+    },
     {"seq": 3, "whole": False, "hosts": [{"host": "s-2", "health": "terminated"}]},
 ]
 
--- a/tests/platform/test_program.py
+++ b/tests/platform/test_program.py
@@ -13,9 +13,8 @@
 from typing import Any
 
 import pytest
-from platform_samples import slice_report
+from platform_samples import CONFIG_FILE, list_entry, slice_report
 from platform_standins import LONG, Agent, Hosts, Process, Relay, free, until
-from test_platform_state import TOP, row
 
 from corallanding.resp import encode
 
@@ -39,7 +38,7 @@
         return all(lines and set(lines) <= up for lines in self.relay.tables.values())
 
     def row(self, host: str, health: str = "in_service") -> dict[str, Any]:
-        return row(host, health, dial=self.dial)
+        return list_entry(host, health, dial=self.dial)
 
 
 def day(tmp_path: Path, scene: Callable[[Day], Awaitable[None]], command: list[str] | None = None) -> None:
@@ -48,12 +47,12 @@
     async def play() -> None:
         relay, hosts = Relay(), Hosts()
         dial = await hosts.open()
-        rows = [row(f"s-{n}", dial=dial) for n in range(6)]
+        rows = [list_entry(f"s-{n}", dial=dial) for n in range(6)]
         agent = Agent(rows)
         relay.tables = {n: {f"s-{n % 6}": 1.0} for n in range(12)}
         relay.proxies = {0, 1}
         config = {
-            **TOP,
+            **CONFIG_FILE,
             "listen": free(),
             "discovery": await agent.open(),
             "store": {"address": await relay.open()},
--- a/tests/platform/test_start.py
+++ b/tests/platform/test_start.py
@@ -10,9 +10,8 @@
 import msgspec
 import pytest
 from forced_order import Side, Stand, play, until
-from platform_samples import attach, owner
+from platform_samples import CONFIG_FILE, attach, owner
 from platform_standins import Process, free
-from test_platform_state import TOP
 
 from corallanding.collector.session import HEARTBEAT_ANSWER, REJECT
 from corallanding.platform import service as node
@@ -74,9 +73,14 @@
 def test_reload_when_signalled_during_the_start_then_the_new_configuration_is_used(tmp_path: Path) -> None:
     async def scene() -> None:
         async with Stand() as relay, Stand() as agent, Stand() as new_relay, Stand() as new_agent:
-            steward = Reading({**TOP, "listen": "127.0.0.1:1"}, tmp_path / "config.json")
+            steward = Reading({**CONFIG_FILE, "listen": "127.0.0.1:1"}, tmp_path / "config.json")
             pipe = await steward.begin()
-            old = {**TOP, "listen": free(), "discovery": text(agent.where), "store": {"address": text(relay.where)}}
+            old = {
+                **CONFIG_FILE,
+                "listen": free(),
+                "discovery": text(agent.where),
+                "store": {"address": text(relay.where)},
+            }
             new = {**old, "discovery": text(new_agent.where), "store": {"address": text(new_relay.where)}}
             (tmp_path / "new.json").write_bytes(msgspec.json.encode(new))
             os.replace(tmp_path / "new.json", steward.path)
@@ -96,7 +100,7 @@
 @pytest.mark.parametrize("sign", [signal.SIGTERM, signal.SIGINT])
 def test_stop_when_signalled_at_the_start_then_it_ends_at_once(tmp_path: Path, sign: signal.Signals) -> None:
     async def scene() -> None:
-        steward = Reading(dict(TOP), tmp_path / "config.json")
+        steward = Reading(dict(CONFIG_FILE), tmp_path / "config.json")
         pipe = await steward.begin()
         steward.signal(sign)
         code, log = await steward.end()
--- a/tests/platform/test_stop_and_reload.py
+++ b/tests/platform/test_stop_and_reload.py
@@ -8,8 +8,7 @@
 import msgspec
 import pytest
 from forced_order import FOR_EVER, Dials, Side, Stand, nobody, play, turns, until
-from platform_samples import attach, entry, owner
-from test_platform_state import row
+from platform_samples import attach, entry, list_entry, owner
 
 from corallanding import interface as api
 from corallanding.resp import encode
@@ -153,7 +152,7 @@
             dials, empty = Dials(), await nobody()
             moved(it, agent=empty)
             await until(lambda: dials.over.get(empty))
-            it.poll.answer(msgspec.json.encode({"seq": 2, "whole": False, "hosts": [row("s-1", "terminating")]}))
+            it.poll.answer(msgspec.json.encode({"seq": 2, "whole": False, "hosts": [list_entry("s-1", "terminating")]}))
             assert "index=2" in await it.poll.question()
             moved(it, relay=empty)
             await until(lambda: dials.over[empty] >= 3)
--- a/tests/platform_samples.py
+++ b/tests/platform_samples.py
@@ -1,7 +1,11 @@
-"""What tests of the platform's front share: settings, names, small builders."""
+"""Samples for tests of the platform: settings, configuration, names, and builders of messages."""
 
 from __future__ import annotations
 
+from typing import Any
+
+import msgspec
+
 from corallanding import interface as api
 from corallanding.collector.reports import NameTables, ReportIntake
 from corallanding.collector.session import CollectorSession
@@ -42,8 +46,6 @@
 
 def told(news: RelayView, s: InitialState, *rows: tuple[str, dict[str, object]]) -> None:
     """Lines of what stands on a new connection."""
-    import msgspec
-
     for method, params in rows:
         news.add_initial(
             s, parse_notification(msgspec.json.encode({"jsonrpc": "2.0", "method": method, "params": params}))
@@ -60,3 +62,45 @@
 
 def entry(shard: int, host: int, w: float = 1.0) -> tuple[str, dict[str, object]]:
     return ("entry", {"shard": shard, "endpoint": f"s-{host}", "w": w})
+
+
+def list_entry(host: str, health: str = "in_service", **other: Any) -> dict[str, Any]:
+    """A row of a host list as discovery sends it."""
+    fields = {"host": host, "dial": "127.0.0.1:8081", "site": "a", "class": "m2", "block": 3, "health": health}
+    return {**fields, "share": 1.0, "born_ms": 0, **other}
+
+
+CONFIG_SETTINGS: dict[str, Any] = {
+    "zones": ["a", "north b"],
+    "kinds": ["m2"],
+    "zone": 1,
+    "balancers": 2,
+    "discovery": "pushed",
+    "period": 2000,
+    "classes": [
+        {"name": "lookup", "idempotency": "repeatable", "aim": 1200000, "giveUp": 3000000, "worth": 3.0},
+        {"name": "claim", "idempotency": "once", "aim": 1500000, "giveUp": 5000000},
+    ],
+    "familyInfo": {
+        "keyRanges": 127,
+        "proxies": 150,
+        "writeClasses": [False, True],
+        "soleOwner": False,
+        "reportEvery": 500000,
+        "channelRate": 11500.0,
+    },
+    "limits": {"mayProbe": True, "dialTimeout": 300000},
+    "rules": {"drainGrace": 3000000},
+    "loadReport": {"fields": []},
+}
+
+CONFIG_FILE: dict[str, Any] = {
+    "name": "n3",
+    "listen": "127.0.0.4:8081",
+    "discovery": "127.2.0.1:8500",
+    "seed": "8c1f30d27a5be964",
+    "limits": {"cores": 0.5, "memory_mb": 64, "sockets": 256},
+    "store": {"address": "127.2.0.2:6400"},
+    "known": {"seq": 41, "whole": True, "hosts": [list_entry("s-1")]},
+    "settings": CONFIG_SETTINGS,
+}
