--- a/bench/one_fleet.py
+++ b/bench/one_fleet.py
@@ -24,8 +24,8 @@
 from corallanding.lab.stewards.waits import QUOTA, TERMS, WaitWorld, bound_of
 from corallanding.lab.stewards.walk import Walk
 from corallanding.lab.stewards.world import troubled
-from corallanding.quorum_records.core import Persist
-from corallanding.quorum_records.fleet import FleetRecords
+from corallanding.quorum_records.core import Persist, ReplicaFile
+from corallanding.quorum_records.fleet import FleetRecords, RecordTaskGroups
 from corallanding.quorum_records.queries import QueryLimits
 from corallanding.scheduling.actions import Dispatch
 from corallanding.scheduling.core import Scheduler
@@ -137,11 +137,8 @@
             bounds,
             QueryLimits(),
             now,
-            1,
-            True,
-            (RUNS_TASK_GROUP, RELEASE_TASK),
-            (RUNS_TASK_GROUP,),
-            (RELEASE_TASK,),
+            ReplicaFile(1, True),
+            RecordTaskGroups((RUNS_TASK_GROUP, RELEASE_TASK), (RUNS_TASK_GROUP,), (RELEASE_TASK,)),
         )  # type: ignore[arg-type]
         pins = build_version_pinning(fleet, terms, SETS, 1, lambda s: 1.0)
 
--- a/corallanding/controller/record_service.py
+++ b/corallanding/controller/record_service.py
@@ -11,8 +11,8 @@
 from ..config.version_pinning import RecordsBlock
 from ..lease.core import TaskLeases
 from ..quorum_records import messages
-from ..quorum_records.core import Action, Persist
-from ..quorum_records.fleet import FleetRecords
+from ..quorum_records.core import Action, Persist, ReplicaFile
+from ..quorum_records.fleet import FleetRecords, RecordTaskGroups
 from ..quorum_records.limits import RecordLimits
 from ..quorum_records.messages import (
     Accept,
@@ -80,11 +80,8 @@
             groups.terms,
             QueryLimits(block.answer_within_ms, block.again_ms, block.questions_most),
             context.clock(),
-            self.store.opening_number,
-            self.store.is_blank,
-            groups.names,
-            groups.counted,
-            groups.lasting,
+            ReplicaFile(self.store.opening_number, self.store.is_blank),
+            RecordTaskGroups(groups.names, groups.counted, groups.lasting),
             block.words_per_s,
         )
         self.fleet.records.peer_files.update(self.store.load(self.fleet.records.replica))
--- a/corallanding/lab/stewards/runs.py
+++ b/corallanding/lab/stewards/runs.py
@@ -11,8 +11,8 @@
 
 from ...lease.limits import LeaseTimings
 from ...lease.tasks import TaskCatalog, TaskSpec
-from ...quorum_records.core import Persist
-from ...quorum_records.fleet import FleetRecords
+from ...quorum_records.core import Persist, ReplicaFile
+from ...quorum_records.fleet import FleetRecords, RecordTaskGroups
 from ...quorum_records.queries import QueryLimits, QueryResult
 from ...quorum_records.replica import Replica, UnsavedChanges
 from ...quorum_records.stored_rows import Ballot, PeerFile
@@ -112,11 +112,8 @@
             run_record_limits(self.pin_terms, retry_ms=ASKS.retry_ms),
             ASKS,
             born,
-            disk.opened,
-            disk.blank,
-            (RUNS_TASK_GROUP, RELEASE_TASK),
-            (RUNS_TASK_GROUP,),
-            (RELEASE_TASK,),
+            ReplicaFile(disk.opened, disk.blank),
+            RecordTaskGroups((RUNS_TASK_GROUP, RELEASE_TASK), (RUNS_TASK_GROUP,), (RELEASE_TASK,)),
         )
         pins = build_version_pinning(fleet, self.pin_terms, SETS, self.goal, lambda s: self.strong[s])
         pins.records.peer_files.update(disk.peers)
--- a/corallanding/lab/stewards/walk.py
+++ b/corallanding/lab/stewards/walk.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from ...lease.tasks import TaskCatalog, TaskSpec
-from ...quorum_records.core import Persist
-from ...quorum_records.fleet import FleetRecords
+from ...quorum_records.core import Persist, ReplicaFile
+from ...quorum_records.fleet import FleetRecords, RecordTaskGroups
 from ...quorum_records.queries import QueryLimits
 from ...version_pinning.core import (
     RELEASE_TASK,
@@ -85,11 +85,8 @@
             run_record_limits(TERMS, retry_ms=ASKS.retry_ms),
             ASKS,
             self.now,
-            disk.opened,
-            disk.blank,
-            (RUNS_TASK_GROUP, RELEASE_TASK),
-            (RUNS_TASK_GROUP,),
-            (RELEASE_TASK,),
+            ReplicaFile(disk.opened, disk.blank),
+            RecordTaskGroups((RUNS_TASK_GROUP, RELEASE_TASK), (RUNS_TASK_GROUP,), (RELEASE_TASK,)),
             1e9,
         )
         pins = self.pins[n] = build_version_pinning(fleet, TERMS, SETS, self.goal, lambda s: 1.0)
--- a/corallanding/quorum_records/core.py
+++ b/corallanding/quorum_records/core.py
@@ -6,7 +6,6 @@
 from __future__ import annotations
 
 import itertools
-from collections.abc import Iterable
 from dataclasses import dataclass
 from typing import NamedTuple
 
@@ -28,6 +27,7 @@
 from .stored_rows import PeerFile
 
 SWEEP_INTERVAL_MS = 1_000.0
+DEFAULT_MESSAGES_PER_SECOND = 2_000.0  # that are taken of one peer
 NO_FILE = PeerFile(0, 0, 0)
 
 
@@ -48,46 +48,76 @@
     controller: int
 
 
+@dataclass(frozen=True)
+class RecordPeers:
+    """The controllers that share quorum records, as one of them sees them.
+
+    me: its number. others: numbers of the other controllers. replica_ids: numbers of those with a replica.
+    incarnation: drawn when this controller started.
+    """
+
+    me: int
+    others: tuple[int, ...]
+    replica_ids: tuple[int, ...]
+    incarnation: int
+
+
+@dataclass(frozen=True)
+class ReplicaFile:
+    """The state in which a controller found the file of its replica when it started.
+
+    open_count: how often the file was opened, this time included; 0 if the controller has no replica. is_recovering:
+    the file is new, so that the replica reads back its records from the others.
+    """
+
+    open_count: int
+    is_recovering: bool
+
+
+@dataclass(frozen=True)
+class GroupRules:
+    """The groups of records that there may be, and what a replica does with their records.
+
+    accepts, counted_groups, permanent_groups: as in `Replica`.
+    """
+
+    groups: frozenset[int]
+    accepts: AcceptRule = accept_any
+    counted_groups: frozenset[int] = frozenset()
+    permanent_groups: frozenset[int] = frozenset()
+
+
 class QuorumRecords:
     """The quorum records of one controller. All times in ms by its clock.
 
-    me, others, replica_ids: numbers of controllers; replica_ids are those with a replica. incarnation: drawn at the
-    start. groups: all that there may be. open_count: how often this controller's file was opened, 0 if it has no
-    replica. is_recovering: the file is new. accepts, counted_groups, permanent_groups: as in `Replica`.
-
     A replica counts only once enough others know of no later opening of its file (`ReplicaRecovery`).
     """
 
     def __init__(
         self,
-        me: int,
-        others: tuple[int, ...],
-        replica_ids: tuple[int, ...],
-        incarnation: int,
+        peers: RecordPeers,
         limits: RecordLimits,
         created_at_ms: float,
-        groups: Iterable[int],
-        open_count: int,
-        is_recovering: bool,
-        accepts: AcceptRule = accept_any,
-        counted_groups: Iterable[int] = (),
-        permanent_groups: Iterable[int] = (),
-        messages_per_second: float = 2_000.0,
+        rules: GroupRules,
+        file: ReplicaFile,
+        messages_per_second: float = DEFAULT_MESSAGES_PER_SECOND,
     ) -> None:
-        self.me = me
-        self.others = others
-        self.replica_ids = replica_ids
-        self.incarnation = incarnation
+        self.me = peers.me
+        self.others = peers.others
+        self.replica_ids = peers.replica_ids
+        self.incarnation = peers.incarnation
         self.limits = limits
-        self.groups = frozenset(groups)
-        self.replica = Replica(limits, accepts, frozenset(counted_groups), frozenset(permanent_groups))
-        self.replica.is_recovering = is_recovering
-        self.recovery = ReplicaRecovery(me, replica_ids, incarnation, limits, self.groups, open_count, self.replica)
+        self.groups = rules.groups
+        self.replica = Replica(limits, rules.accepts, rules.counted_groups, rules.permanent_groups)
+        self.replica.is_recovering = file.is_recovering
+        self.recovery = ReplicaRecovery(
+            peers.me, peers.replica_ids, peers.incarnation, limits, self.groups, file.open_count, self.replica
+        )
         self.proposers: dict[int, Proposer] = {}  # of the groups that this controller holds
         self.rounds = itertools.count(1)
         self.holders: dict[int, GroupHolder] = {}
         self.peer_files: dict[int, PeerFile] = {}  # what is known of other replicas' files
-        self.rate_limits = PeerRateLimiter(others, messages_per_second, created_at_ms)
+        self.rate_limits = PeerRateLimiter(peers.others, messages_per_second, created_at_ms)
         self.rejected_count = 0
         self.swept_at_ms = created_at_ms
 
--- a/corallanding/quorum_records/fleet.py
+++ b/corallanding/quorum_records/fleet.py
@@ -3,21 +3,41 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping
+from dataclasses import dataclass
 from typing import Any
 
 from ..lease.core import TaskLeases
-from .core import Action, Persist, QuorumRecords
+from .core import (
+    DEFAULT_MESSAGES_PER_SECOND,
+    Action,
+    GroupRules,
+    Persist,
+    QuorumRecords,
+    RecordPeers,
+    ReplicaFile,
+)
 from .groups import GroupLeases, group_of
 from .limits import RecordLimits
 from .messages import Query, QueryReply, RecordMessage
 from .queries import Queries, QueryLimits
 
 
+@dataclass(frozen=True)
+class RecordTaskGroups:
+    """The task groups (or tasks) of which each task stands for a group of records.
+
+    counted: those whose values are counted. permanent: those whose records are never deleted.
+    """
+
+    names: tuple[str, ...]
+    counted: tuple[str, ...] = ()
+    permanent: tuple[str, ...] = ()
+
+
 class FleetRecords:
     """The records of one controller, whose groups follow its task leases.
 
-    names: task groups (or tasks) of which each task stands for a group of records; counted, permanent: those of them
-    whose values are counted, and whose records are never deleted. Other arguments: as in `QuorumRecords`.
+    replica_ids: numbers of the controllers with a replica. Other arguments: as in `QuorumRecords`.
 
     Services that rest on records ask by `queries`, and hand their own actions through `in_send_order`.
     """
@@ -29,16 +49,13 @@
         limits: RecordLimits,
         query_limits: QueryLimits,
         created_at_ms: float,
-        open_count: int,
-        is_recovering: bool,
-        names: tuple[str, ...],
-        counted: tuple[str, ...] = (),
-        permanent: tuple[str, ...] = (),
-        messages_per_second: float = 2_000.0,
+        file: ReplicaFile,
+        task_groups: RecordTaskGroups,
+        messages_per_second: float = DEFAULT_MESSAGES_PER_SECOND,
     ) -> None:
         tasks = leases.tasks
         self.task_numbers = {
-            name: [tasks.number(name, index) for index in range(tasks.specs[name].count)] for name in names
+            name: [tasks.number(name, index) for index in range(tasks.specs[name].count)] for name in task_groups.names
         }
         self.groups_by_name = {
             name: tuple(group_of(tasks.label(number)) for number in numbers)
@@ -46,27 +63,29 @@
         }
         self.acceptance_rules: dict[int, Callable[[int, bool], bool]] = {}  # by group; see `may_accept`
         self.records = QuorumRecords(
-            leases.controller_id,
-            leases.peer_ids,
-            replica_ids,
-            leases.incarnation,
+            RecordPeers(leases.controller_id, leases.peer_ids, replica_ids, leases.incarnation),
             limits,
             created_at_ms,
-            self._groups_of(names),
-            open_count,
-            is_recovering,
-            self.may_accept,
-            self._groups_of(counted),
-            self._groups_of(permanent),
+            self._rules_of(task_groups),
+            file,
             messages_per_second,
         )
         every_task = [number for numbers in self.task_numbers.values() for number in numbers]
         self.group_leases = GroupLeases(leases, self.records, every_task)
         self.queries = Queries(leases.controller_id, leases.peer_ids, leases.incarnation, self.records, query_limits)
 
-    def _groups_of(self, names: Iterable[str]) -> list[int]:
+    def _rules_of(self, task_groups: RecordTaskGroups) -> GroupRules:
+        """The rules of the groups of records for which the tasks stand."""
+        return GroupRules(
+            self._groups_of(task_groups.names),
+            self.may_accept,
+            self._groups_of(task_groups.counted),
+            self._groups_of(task_groups.permanent),
+        )
+
+    def _groups_of(self, names: Iterable[str]) -> frozenset[int]:
         """All groups of these task groups."""
-        return [group for name in names for group in self.groups_by_name[name]]
+        return frozenset(group for name in names for group in self.groups_by_name[name])
 
     def may_accept(self, group: int, value: int, is_initial: bool) -> bool:
         """Whether the owner of the group lets a replica accept the value; groups without a rule accept any."""
--- a/tests/scheduling/test_idempotency.py
+++ b/tests/scheduling/test_idempotency.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from corallanding.quorum_records.core import QuorumRecords
+from corallanding.quorum_records.core import GroupRules, QuorumRecords, RecordPeers, ReplicaFile
 from corallanding.quorum_records.limits import RecordLimits
 from corallanding.quorum_records.queries import Queries, QueryLimits
 from corallanding.scheduling.idempotency import IdempotencyRecords, KeyQuery, KeyStatus
@@ -11,7 +11,9 @@
 
 def make_records() -> IdempotencyRecords:
     """Records of a controller that is alone and holds their group."""
-    quorum_records = QuorumRecords(1, (), (1,), 9, RecordLimits(), 0.0, [5], 1, True)
+    quorum_records = QuorumRecords(
+        RecordPeers(1, (), (1,), 9), RecordLimits(), 0.0, GroupRules(frozenset({5})), ReplicaFile(1, is_recovering=True)
+    )
     records = IdempotencyRecords(Queries(1, (), 9, quorum_records, QueryLimits()), (5,))
     quorum_records.tick(0.0)
     quorum_records.acquire_group(5, 1)
