--- a/corallanding/connection.py
+++ b/corallanding/connection.py
@@ -16,9 +16,15 @@
 """Host and port."""
 
 READ_GRACE_SECONDS = 0.005  # after a timeout, for data that the event loop has received and not delivered yet
+MIN_BACKOFF_MS = 20.0  # of the shortest pause between attempts, other than none
 MAX_TIMEOUT_FACTOR = 4.0  # to which the time limit of an attempt grows at most
 
 
+def next_backoff_ms(backoff_ms: float, max_backoff_ms: float) -> float:
+    """The backoff that follows `backoff_ms`: twice as long, within `MIN_BACKOFF_MS` and `max_backoff_ms`."""
+    return min(max_backoff_ms, max(MIN_BACKOFF_MS, backoff_ms * 2.0))
+
+
 class OutboundConnection(asyncio.Protocol):
     """A connection to `address`.
 
--- a/corallanding/discovery/long_poll.py
+++ b/corallanding/discovery/long_poll.py
@@ -6,11 +6,10 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ..connection import Address, Connector, ReadTimeout
+from ..connection import Address, Connector, ReadTimeout, next_backoff_ms
 from .http_connection import HttpConnection
 
 UNCHANGED_PAUSE_SECONDS = 0.02  # after an answer that came early with nothing new
-MIN_BACKOFF_MS = 20.0
 
 
 class HostListReceiver(Protocol):
@@ -198,7 +197,7 @@
             self.is_fetch_due = True
         self.finish_request()
         self.pause(self.backoff_ms / 1000.0)
-        self.backoff_ms = min(self.max_backoff_ms, max(MIN_BACKOFF_MS, self.backoff_ms * 2.0))
+        self.backoff_ms = next_backoff_ms(self.backoff_ms, self.max_backoff_ms)
         self.on_warning(f"discovery: {reason}")
         if self.on_request:
             # One report for each call that failed; the assigner asks again as it sees fit.
--- a/corallanding/lease/shard_allocator.py
+++ b/corallanding/lease/shard_allocator.py
@@ -11,6 +11,7 @@
 
 from .limits import TOKEN_SALT_BITS, LeaseTimings
 from .messages import LeaseGrant, LeaseRequest
+from .process_key import ProcessKey
 from .shard_plan import plan_shards
 from .tasks import TaskCatalog, pack, shard_list, unpack
 
@@ -28,13 +29,6 @@
     ends_at: float
 
 
-class ProcessKey(NamedTuple):
-    """One process of a controller."""
-
-    controller: int
-    incarnation: int
-
-
 @dataclass
 class ProcessLeases:
     """What one process may hold: every grant that has not ended."""
--- a/corallanding/lease/voting.py
+++ b/corallanding/lease/voting.py
@@ -10,10 +10,10 @@
 import zlib
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
-from typing import NamedTuple
 
 from .limits import ElectionTimings
 from .messages import VoteRelease, VoteReply, VoteRequest
+from .process_key import ProcessKey
 
 HEARTBEATS_PER_VOTE = 4.0  # vote requests that are sent while one vote is good
 PATIENCE_PER_RANK = 0.5  # vote leases that a candidate waits longer for each able voter before it
@@ -26,13 +26,6 @@
     return zlib.crc32(",".join(str(voter) for voter in sorted(voters)).encode())
 
 
-class CandidateKey(NamedTuple):
-    """One process of a candidate."""
-
-    controller: int
-    incarnation: int
-
-
 @dataclass
 class Voter:
     """One voter. `started_at` is when this process started, in ms by its own clock."""
@@ -40,7 +33,7 @@
     timings: ElectionTimings
     started_at: float
     electorate_digest: int
-    voted_for: CandidateKey | None = None
+    voted_for: ProcessKey | None = None
     voted_until: float = 0.0
     voted_round: int = -1  # the last round that was voted for
     unsuccessful_since: dict[int, float] = field(default_factory=dict)  # by candidate that has votes and does not lead
@@ -49,7 +42,7 @@
 
     def on_vote_request(self, now: float, candidate: int, request: VoteRequest) -> VoteReply:
         """Grant the vote, or refuse it."""
-        key = CandidateKey(candidate, request.incarnation)
+        key = ProcessKey(candidate, request.incarnation)
         if request.electorate_digest != self.electorate_digest:
             self.rejected += 1
             return VoteReply(request.incarnation, request.round, False)
@@ -67,7 +60,7 @@
             self.voted_until = 0.0
             self.voted_round = release.round
 
-    def _is_free_for(self, now: float, key: CandidateKey, request: VoteRequest) -> bool:
+    def _is_free_for(self, now: float, key: ProcessKey, request: VoteRequest) -> bool:
         """Whether no earlier vote, also of a former process, keeps us from voting for this request."""
         if now < self.started_at + self.timings.expiry_ms(self.timings.vote_lease_ms):
             return False
--- a/corallanding/relay/subscription_connection.py
+++ b/corallanding/relay/subscription_connection.py
@@ -7,14 +7,13 @@
 from dataclasses import dataclass
 
 from .. import interface as api
-from ..connection import Address, Connector, ReadTimeout
+from ..connection import Address, Connector, ReadTimeout, next_backoff_ms
 from .notifications import InvalidNotificationError, Notification, parse_notification
 from .orders import TableOrder
 from .subscription import InitialState, RelayView
 from .watch_connection import WatchConnection
 
 WATCH_REQUEST = b'{"jsonrpc":"2.0","id":1,"method":"relay.watch"}\n'
-MIN_BACKOFF_MS = 20.0
 MAX_BACKOFF_MS = 500.0
 SILENCE_CHECKS = 4.0  # within one silence timeout
 MAX_ENTRIES_WAIT = 5.0  # times the quiet period, that a slice waits for its entries at most
@@ -101,7 +100,7 @@
         is_on_its_way = self.candidate or self.connector.is_connecting or self.reconnect_timer
         if is_wanted and not is_on_its_way and not self.is_closed:
             self.reconnect_timer = self.loop.call_later(self.backoff_ms / 1000.0, self.connect_now)
-            self.backoff_ms = min(MAX_BACKOFF_MS, max(MIN_BACKOFF_MS, self.backoff_ms * 2.0))
+            self.backoff_ms = next_backoff_ms(self.backoff_ms, MAX_BACKOFF_MS)
 
     def connect_now(self) -> None:
         """Connect at the end of the backoff."""
