--- a/corallanding/controller/link_monitor.py
+++ b/corallanding/controller/link_monitor.py
@@ -6,6 +6,7 @@
 
 from ..telemetry import log
 from ..wire import frames
+from .close_codes import CloseCode
 from .context import Context
 from .engine import Engine
 from .host_sources import HostSources
@@ -70,7 +71,7 @@
         for link in list(self._registry.links):
             if why := link.link.overdue(now):
                 self._context.rate_limited_log.warn("link closed", proxy=link.proxy, why=why)
-                link.close(why.replace(" ", "-"), why)
+                link.close(CloseCode(why.replace(" ", "-")), why)
             elif link.is_joined and now - link.heartbeat_sent_at >= beat_ms:
                 link.heartbeat_sent_at = now
                 link.send(beat)
--- a/corallanding/controller/pause_control.py
+++ b/corallanding/controller/pause_control.py
@@ -4,6 +4,7 @@
 
 import asyncio
 
+from .close_codes import CloseCode
 from .context import Context, ProcessState
 from .engine import Engine
 from .load_weights import LoadWeights
@@ -76,4 +77,4 @@
                 break
             await asyncio.sleep(FLUSH_POLL_S)
         for link in unsent:
-            link.close("not-reading", "")
+            link.close(CloseCode.NOT_READING, "")
--- a/corallanding/controller/proxy_admission.py
+++ b/corallanding/controller/proxy_admission.py
@@ -8,6 +8,7 @@
 from ..channel import Channel
 from ..telemetry import log
 from ..wire import frames
+from .close_codes import CloseCode
 from .context import Context
 from .engine import Engine
 from .join_admission import JoinAdmission
@@ -98,19 +99,19 @@
         """Take the first frame of a connection: which proxy it is of. A connection that cannot be is closed."""
         config = self._context.config
         if hello.zone >= len(config.zones):
-            link.close("malformed", f"zone {hello.zone}: there are {len(config.zones)}")
+            link.close(CloseCode.MALFORMED, f"zone {hello.zone}: there are {len(config.zones)}")
             return
         if hello.proxy >= config.forwarders.most:
-            link.close("full", f"forwarder {hello.proxy}: numbers end at {config.forwarders.most - 1}")
+            link.close(CloseCode.FULL, f"forwarder {hello.proxy}: numbers end at {config.forwarders.most - 1}")
             return
         former = self._registry.proxies.get(hello.proxy)
         if former and former.link.hello and former.link.hello.session != hello.session:
             # Two processes under one number: the one at work stays; silence takes it away soon enough.
             self._context.rate_limited_log.warn("proxy number in use", proxy=hello.proxy)
-            link.close("number-in-use", "another process holds this number")
+            link.close(CloseCode.NUMBER_IN_USE, "another process holds this number")
             return
         if former:
-            former.close("superseded", "the same forwarder joined again")
+            former.close(CloseCode.SUPERSEDED, "the same forwarder joined again")
         self._registry.proxies[hello.proxy] = link
         self._registry.unidentified.pop(link, None)
         self.request(link)
--- a/corallanding/controller/proxy_channel.py
+++ b/corallanding/controller/proxy_channel.py
@@ -6,6 +6,7 @@
 
 from ..channel import Channel, QueueFullError
 from ..channel.proxy_queue import Message
+from .close_codes import CloseCode
 from .context import Context
 from .link_registry import LinkRegistry
 from .step_outputs import NO_VERSION, SendFrame
@@ -36,7 +37,7 @@
             for proxy in error.proxies:
                 if link := self._registry.proxies.get(proxy):
                     self._context.rate_limited_log.warn("link cut off", proxy=proxy, why="the channel is full")
-                    link.close("overrun", "the channel is full: read the store")
+                    link.close(CloseCode.OVERRUN, "the channel is full: read the store")
 
     def pump(self) -> None:
         """Send what the channel lets go by now, and come again when it lets go more."""
@@ -63,7 +64,7 @@
             if link is None:
                 continue
             if message.version >= 0 and not link.link.add_unacked(message.submitted_at_ms, message.version):
-                link.close("no-acks", "too many marks are not acked")
+                link.close(CloseCode.NO_ACKS, "too many marks are not acked")
                 continue
             link.send(message.frame)
 
--- a/corallanding/controller/proxy_connections.py
+++ b/corallanding/controller/proxy_connections.py
@@ -12,6 +12,7 @@
 from ..telemetry import log
 from ..wire import frames
 from ..wire.link_state import LinkLimits
+from .close_codes import CloseCode
 from .connection_state import ConnectionState
 from .context import Context
 from .engine import Engine
@@ -89,7 +90,7 @@
                     log.warning("tables recalled", proxy=link.proxy, seq=frame.seq, slices=len(changed))
                 self.proxy_admission.join(link)
             case frames.Goodbye():
-                link.close("bye")
+                link.close(CloseCode.BYE)
             case _ if link.is_joined and self._peers.cluster:
                 self._peers.cluster.on_proxy_frame(link.proxy, frame)
         self._request_step()
@@ -178,5 +179,5 @@
     def stop(self) -> None:
         """End every connection with a reason."""
         for link in list(self.registry.links):
-            link.close("stopping")
+            link.close(CloseCode.STOPPING)
         self.pause()
--- a/corallanding/controller/proxy_protocol.py
+++ b/corallanding/controller/proxy_protocol.py
@@ -9,6 +9,7 @@
 from ..wire import frames
 from ..wire.errors import LinkError
 from ..wire.link_state import LinkState
+from .close_codes import CloseCode
 from .connection_state import restore_connection
 
 if TYPE_CHECKING:
@@ -20,7 +21,7 @@
 NO_PROXY = -1  # in place of a number, before the hello
 MAX_REASON_CHARACTERS = 200
 ABORT_AFTER_S = 1.0  # a peer that does not read its last frame must not keep the descriptor
-ABORTED_CODES = ("not-reading", "silent")  # closed without a last frame: the peer would not read it
+ABORTED_CODES = (CloseCode.NOT_READING, CloseCode.SILENT)  # closed without a last frame: the peer would not read it
 
 
 class ConnectionOwner(Protocol):
@@ -79,7 +80,7 @@
         owner = self.owner
         limits = owner.config.forwarders
         if len(owner.links) >= limits.most + limits.strangers_most:
-            self.close("full", "too many links")
+            self.close(CloseCode.FULL, "too many links")
             return
         owner.links[self] = None
         if self.inherited:
@@ -88,7 +89,7 @@
         owner.unidentified[self] = None
         if len(owner.unidentified) > limits.strangers_most:
             # A proxy sends its hello at once: silent connections must not take the places of those that come.
-            next(iter(owner.unidentified)).close("no-hello", "others wait for the place")
+            next(iter(owner.unidentified)).close(CloseCode.NO_HELLO, "others wait for the place")
 
     def data_received(self, data: bytes) -> None:
         """Called by asyncio."""
@@ -98,7 +99,7 @@
             received = self.link.receive(self.owner.clock(), data)
         except LinkError as error:
             self.owner.rate_limited_log.warn("link protocol error", proxy=self.proxy, code=error.code, why=str(error))
-            self.close(error.code, str(error))
+            self.close(CloseCode(error.code), str(error))
             return
         for frame in received:
             if not self.is_closed:
@@ -116,7 +117,7 @@
         self.transport.write(data)
         if self.transport.get_write_buffer_size() > self.owner.limits.max_buffer_bytes:
             self.owner.rate_limited_log.warn("link cut off", proxy=self.proxy, why="it does not read")
-            self.close("not-reading", "")
+            self.close(CloseCode.NOT_READING, "")
             return False
         return True
 
@@ -131,7 +132,7 @@
         if not self.is_closed:
             self.owner.on_writable(self, is_writable=True)
 
-    def close(self, code: str, text: str = "") -> None:
+    def close(self, code: CloseCode, text: str = "") -> None:
         """Close the connection, with a last frame that says why if the other side still reads."""
         if self.is_closed:
             return
@@ -150,5 +151,5 @@
         """Called by asyncio."""
         if not self.is_closed:
             self.is_closed = True
-            self.owner.metrics.links_closed.labels("broken" if exc else "closed").inc()
+            self.owner.metrics.links_closed.labels(CloseCode.BROKEN if exc else CloseCode.CLOSED).inc()
             self.owner.on_closed(self)
--- /dev/null
+++ b/tests/controller/test_close_codes.py
@@ -0,0 +1,69 @@
+"""The codes with which proxies' connections are closed: they are on the wire and label a metric."""
+
+from __future__ import annotations
+
+import pytest
+from prometheus_client import CollectorRegistry, Counter, generate_latest
+
+from corallanding.controller.close_codes import CloseCode
+from corallanding.wire import frames
+from corallanding.wire.errors import (
+    LinkError,
+    MalformedFrameError,
+    OversizedFrameError,
+    UnexpectedFrameError,
+    UnsupportedVersionError,
+)
+from corallanding.wire.link_state import LinkLimits, LinkState
+
+
+def test_close_codes_when_read_then_their_values_are_those_on_the_wire() -> None:
+    assert {code.value for code in CloseCode} == {
+        "protocol",
+        "malformed",
+        "oversized",
+        "out-of-place",
+        "unknown-version",
+        "full",
+        "number-in-use",
+        "superseded",
+        "no-hello",
+        "no-acks",
+        "overrun",
+        "not-reading",
+        "silent",
+        "bye",
+        "stopping",
+        "closed",
+        "broken",
+    }
+
+
+def test_link_errors_when_listed_then_each_has_a_close_code() -> None:
+    errors = [LinkError, *LinkError.__subclasses__()]
+    assert {MalformedFrameError, OversizedFrameError, UnexpectedFrameError, UnsupportedVersionError} < set(errors)
+    assert {error.code for error in errors} <= set(CloseCode)
+    assert not [error for error in LinkError.__subclasses__() if error.__subclasses__()]
+
+
+def test_overdue_links_when_named_then_each_reason_has_a_close_code() -> None:
+    limits = LinkLimits()
+    reasons = [LinkState(limits, 0.0).overdue(limits.hello_timeout_ms + 1.0)]
+    link = LinkState(limits, 0.0)
+    link.hello = frames.Hello(1, 1, "x")
+    reasons.append(link.overdue(limits.silence_timeout_ms + 1.0))
+    assert link.add_unacked(0.0, 1)
+    reasons.append(link.overdue(limits.ack_timeout_ms + 1.0))
+    assert [CloseCode(reason.replace(" ", "-")) for reason in reasons] == [
+        CloseCode.NO_HELLO,
+        CloseCode.SILENT,
+        CloseCode.NO_ACKS,
+    ]
+
+
+@pytest.mark.parametrize("code", list(CloseCode))
+def test_close_code_when_sent_and_counted_then_it_is_its_plain_text(code: CloseCode) -> None:
+    assert frames.encode(frames.Goodbye(code, "why")) == frames.encode(frames.Goodbye(code.value, "why"))
+    registry = CollectorRegistry()
+    Counter("closed", "Closed", ["reason"], registry=registry).labels(code).inc()
+    assert f'closed_total{{reason="{code.value}"}} 1.0'.encode() in generate_latest(registry)
