--- a/tests/upgrade/support.py
+++ b/tests/upgrade/support.py
@@ -73,25 +73,33 @@
             writer.write(data[5:] + self.held_back)
             self.held_back = None
 
-    def on_frame(self, f: Any, writer: asyncio.StreamWriter) -> None:
-        if isinstance(f, frames.Welcome):
-            self.start_numbers.append(f.start_number)
-        elif isinstance(f, frames.Tables):
-            self.links += not f.only_slices
-            self.tables = {t: {h for h, _ in rows} for t, rows in f.tables}
-            self.seqs = [f.seq]
-        elif isinstance(f, frames.Orders):
-            self.orders += 1
-            assert f.seq >= self.seqs[-1], "an order of an older number"
-            self.seqs.append(f.seq)
-            for t, h, w in f.lines:
-                (self.tables.setdefault(t, set()).add if w > 0 else self.tables[t].discard)(h)
-            if f.version >= 0:
-                ack = frames.encode(frames.Ack(f.version))
-                if self.held_back is None:
-                    writer.write(ack)
-                else:
-                    self.held_back += ack  # not into the middle of a beat
+    def on_frame(self, frame: Any, writer: asyncio.StreamWriter) -> None:
+        """Take in a frame of the controller."""
+        if isinstance(frame, frames.Welcome):
+            self.start_numbers.append(frame.start_number)
+        elif isinstance(frame, frames.Tables):
+            self.links += not frame.only_slices
+            self.tables = {table: {host for host, _ in rows} for table, rows in frame.tables}
+            self.seqs = [frame.seq]
+        elif isinstance(frame, frames.Orders):
+            self.on_orders(frame, writer)
+
+    def on_orders(self, orders: frames.Orders, writer: asyncio.StreamWriter) -> None:
+        """Apply changes, and acknowledge their version."""
+        self.orders += 1
+        assert orders.seq >= self.seqs[-1], "a message with an older number"
+        self.seqs.append(orders.seq)
+        for table, host, weight in orders.lines:
+            if weight > 0:
+                self.tables.setdefault(table, set()).add(host)
+            else:
+                self.tables[table].discard(host)
+        if orders.version >= 0:
+            ack = frames.encode(frames.Ack(orders.version))
+            if self.held_back is None:
+                writer.write(ack)
+            else:
+                self.held_back += ack  # not into the middle of a heartbeat
 
     def sorted_tables(self) -> list[tuple[int, list[int]]]:
         return [(t, sorted(row)) for t, row in sorted(self.tables.items())]
--- a/tests/upgrade/test_handover_failures.py
+++ b/tests/upgrade/test_handover_failures.py
@@ -26,38 +26,38 @@
     open the store; the old one may not be able to open it again, and goes on without."""
 
     async def scene() -> None:
-        async with Scene(tmp_path, more="record {\n}\n") as s:
-            words = [sys.executable, "-m", "corallanding.cli.main", "steward", "--config", str(s.path)]
+        async with Scene(tmp_path, more="record {\n}\n") as running:
+            command = [sys.executable, "-m", "corallanding.cli.main", "steward", "--config", str(running.path)]
             if whose == "new":
-                answer = await s.upgrade("sh", "-c", 'ulimit -f 0; exec "$@"', "sh", *words)
+                answer = await running.upgrade("sh", "-c", 'ulimit -f 0; exec "$@"', "sh", *command)
             else:
-                most = resource.prlimit(s.process.pid, resource.RLIMIT_FSIZE)
-                resource.prlimit(s.process.pid, resource.RLIMIT_FSIZE, (0, most[1]))
-                answer = await s.upgrade()
+                limits = resource.prlimit(running.process.pid, resource.RLIMIT_FSIZE)
+                resource.prlimit(running.process.pid, resource.RLIMIT_FSIZE, (0, limits[1]))
+                answer = await running.upgrade()
             assert answer.startswith("failed: "), answer
             assert "s.db" in answer, answer
-            await s.drains(1)
-            assert s.running() == 1
-            assert await s.is_healthy() == (whose == "new")
+            await running.drains(1)
+            assert running.running() == 1
+            assert await running.is_healthy() == (whose == "new")
             if whose == "both":
-                assert (await s.upgrade()).startswith("failed: ")
-                await s.drains(2)
-                assert s.running() == 1
-                resource.prlimit(s.process.pid, resource.RLIMIT_FSIZE, most)
-                await until(lambda: s.entries("the store is open again"), 5)
-                assert s.entries("log lines lost")[0]["lost"] > 0
-                await s.drains(3)
-                assert await s.is_healthy()
-            assert (await s.upgrade()).startswith("ok: handed over")
-            await s.drains(4)
-            await until(lambda: s.running() == 1)
+                assert (await running.upgrade()).startswith("failed: ")
+                await running.drains(2)
+                assert running.running() == 1
+                resource.prlimit(running.process.pid, resource.RLIMIT_FSIZE, limits)
+                await until(lambda: running.entries("the store is open again"), 5)
+                assert running.entries("log lines lost")[0]["lost"] > 0
+                await running.drains(3)
+                assert await running.is_healthy()
+            assert (await running.upgrade()).startswith("ok: handed over")
+            await running.drains(4)
+            await until(lambda: running.running() == 1)
             # What the store holds in the end is what forwarders hold.
-            os.killpg(s.process.pid, signal.SIGKILL)
-            kept = SqliteStore(tmp_path / "s.db")
+            os.killpg(running.process.pid, signal.SIGKILL)
+            store = SqliteStore(tmp_path / "s.db")
             await asyncio.sleep(0.1)
-            tables = kept.open().tables
-            kept.close()
-            assert {t: set(rows) for t, rows in tables.items()} == s.forwarders[0].tables
+            tables = store.open().tables
+            store.close()
+            assert {t: set(rows) for t, rows in tables.items()} == running.forwarders[0].tables
 
     play(scene())
 
@@ -84,12 +84,12 @@
     async def one(halt: str, gate: asyncio.Semaphore) -> None:
         folder = tmp_path / halt.replace(":", "-").replace(" ", "-")
         folder.mkdir()
-        async with gate, Scene(folder, halt) as s:
-            answer = await s.upgrade()
-            await s.drains(1)
-            await s.drains(2)
-            await until(lambda: s.running() == 1, 8.0)
-            links = max(f.links for f in s.forwarders)
+        async with gate, Scene(folder, halt) as running:
+            answer = await running.upgrade()
+            await running.drains(1)
+            await running.drains(2)
+            await until(lambda: running.running() == 1, 8.0)
+            links = max(f.links for f in running.forwarders)
             rows[halt] = f"{answer.split(':')[0] or 'cut off'}; links joined anew: {links - 1}"
 
     async def all_of_them() -> None:
@@ -128,29 +128,29 @@
 @pytest.mark.parametrize("fault", ["configuration", "program", "settings"])
 def test_handover_when_the_new_process_cannot_start_then_the_old_one_goes_on(tmp_path: Path, fault: str) -> None:
     async def scene() -> None:
-        async with Scene(tmp_path) as s:
-            good = s.path.read_text()
+        async with Scene(tmp_path) as running:
+            good = running.path.read_text()
             if fault == "configuration":
-                s.path.write_text(good + "nonsense {\n}\n")
-                answer = await s.upgrade()
+                running.path.write_text(good + "nonsense {\n}\n")
+                answer = await running.upgrade()
             elif fault == "program":
-                answer = await s.upgrade(sys.executable, "-c", "import sys; sys.exit(9)")
+                answer = await running.upgrade(sys.executable, "-c", "import sys; sys.exit(9)")
             else:
                 # Not a fault: other settings share no state. The listeners go over, forwarders join anew.
-                s.path.write_text(good.replace("every_ms", "every_ms") + "reports {\n  every_ms = 700\n}\n")
-                answer = await s.upgrade()
+                running.path.write_text(good.replace("every_ms", "every_ms") + "reports {\n  every_ms = 700\n}\n")
+                answer = await running.upgrade()
             if fault == "settings":
                 assert answer.startswith("ok: handed over")
-                assert s.entries("state not used; proxies will join again")
-                await until(lambda: all(f.links == 2 for f in s.forwarders))
+                assert running.entries("state not used; proxies will join again")
+                await until(lambda: all(f.links == 2 for f in running.forwarders))
             else:
                 assert answer.startswith("failed: the new process ended")
-                assert [f.links for f in s.forwarders] == [1, 1]
-            await s.drains(1)
-            s.path.write_text(good)
+                assert [f.links for f in running.forwarders] == [1, 1]
+            await running.drains(1)
+            running.path.write_text(good)
             if fault != "settings":
-                assert (await s.upgrade()).startswith("ok: handed over")
-                await s.drains(2)
-                assert [f.links for f in s.forwarders] == [1, 1]
+                assert (await running.upgrade()).startswith("ok: handed over")
+                await running.drains(2)
+                assert [f.links for f in running.forwarders] == [1, 1]
 
     play(scene())
--- a/tests/upgrade/test_load_report_handover.py
+++ b/tests/upgrade/test_load_report_handover.py
@@ -54,9 +54,9 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
             free.bind(("127.0.0.1", 0))
             peer_port = free.getsockname()[1]
-        async with Scene(tmp_path, more=REPORTS, peers=(peer_port, peer.getsockname()[1])) as s:
-            await until(lambda: s.entries("load reports ready"), 10)
-            port = s.entries("load reports ready")[0]["port"]
+        async with Scene(tmp_path, more=REPORTS, peers=(peer_port, peer.getsockname()[1])) as running:
+            await until(lambda: running.entries("load reports ready"), 10)
+            port = running.entries("load reports ready")[0]["port"]
             echo, ticks = [b"\0" * 8], set[bytes]()
             udp, _ = await asyncio.get_running_loop().create_datagram_endpoint(
                 lambda: Echo(echo, ticks), remote_addr=("127.0.0.1", port)
@@ -72,28 +72,28 @@
                     await asyncio.sleep(0.05)
 
             sending = asyncio.create_task(report())
-            await until(lambda: any("4" in w["factors"] for w in s.entries("load factors")), 20)
-            intake = children(s.process.pid, "reports.intake")
+            await until(lambda: any("4" in w["factors"] for w in running.entries("load factors")), 20)
+            intake = children(running.process.pid, "reports.intake")
             assert len(intake) == 1
             for n in range(2):
-                assert (await s.upgrade()).startswith("ok: handed over")
+                assert (await running.upgrade()).startswith("ok: handed over")
                 seen = set(ticks)
                 await until(lambda seen=seen: len(ticks - seen) >= 4, 5)
-                await s.drains(n)
-                s.roster.put(n, state="up")
+                await running.drains(n)
+                running.roster.put(n, state="up")
                 peer.sendto(msgspec.msgpack.encode([2, b"word"]), ("127.0.0.1", peer_port))
                 peer.sendto(msgspec.msgpack.encode([7, b"a stranger's"]), ("127.0.0.1", peer_port))
-            assert children(s.process.pid, "reports.intake") == intake
-            assert len(s.entries("load reports ready")) == 1
-            assert all("4" in w["factors"] for w in s.entries("load factors")[1:]), "what was learnt stands"
-            page = await s.page("/metrics")
+            assert children(running.process.pid, "reports.intake") == intake
+            assert len(running.entries("load reports ready")) == 1
+            assert all("4" in w["factors"] for w in running.entries("load factors")[1:]), "what was learnt stands"
+            page = await running.page("/metrics")
             assert f"report_senders {HOSTS}.0" in page
             assert "peer_messages_dropped_total 1.0" in page
-            s.path.write_text(s.path.read_text().replace("tick_ms = 10", "tick_ms = 11"))
-            assert (await s.upgrade()).startswith("ok: handed over")
-            await until(lambda: len(s.entries("load reports ready")) == 2, 10)
-            assert children(s.process.pid, "reports.intake") != intake, "other settings of it begin another"
-            await s.drains(5)
+            running.path.write_text(running.path.read_text().replace("tick_ms = 10", "tick_ms = 11"))
+            assert (await running.upgrade()).startswith("ok: handed over")
+            await until(lambda: len(running.entries("load reports ready")) == 2, 10)
+            assert children(running.process.pid, "reports.intake") != intake, "other settings of it begin another"
+            await running.drains(5)
             sending.cancel()
             udp.close()
         peer.close()
