--- a/corallanding/controller/record_store.py
+++ b/corallanding/controller/record_store.py
@@ -5,7 +5,6 @@
 
 from __future__ import annotations
 
-import fcntl
 import os
 import sqlite3
 import time
@@ -14,6 +13,7 @@
 
 from ..quorum_records.replica import Replica, UnsavedChanges
 from ..quorum_records.stored_rows import Ballot, PeerFile
+from ..store.database_file import lock_database, open_database
 from .recovery import boot_id
 
 TABLES = """
@@ -24,7 +24,6 @@
 create table if not exists peer (number integer primary key, opened integer not null, life integer not null,
   writes integer not null);
 """
-BUSY_TIMEOUT_S = 0.02  # that a write waits for another process's lock on the file
 NO_DESCRIPTOR = -1  # in place of the lock file's descriptor once it is closed
 
 
@@ -47,21 +46,18 @@
     def __init__(self, path: str, clock: Callable[[], float]) -> None:
         self.path = path
         self.clock = clock
-        self.lock_descriptor = os.open(f"{path}.lock", os.O_RDWR | os.O_CREAT, 0o600)
+        self.lock_descriptor = NO_DESCRIPTOR
         self.db: sqlite3.Connection | None = None
         try:
-            fcntl.flock(self.lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            self.db = sqlite3.connect(path, isolation_level=None, timeout=BUSY_TIMEOUT_S)
-            self._prepare(self.db)
+            self.lock_descriptor = lock_database(path)
+            self.db = open_database(path, TABLES)
+            self._begin_opening(self.db)
         except (BlockingIOError, sqlite3.Error, ValueError) as error:
             self.close()
             raise OSError(f"{path}: {error}") from None
 
-    def _prepare(self, db: sqlite3.Connection) -> None:
-        """Create the tables where they are missing, read the metadata and count this opening."""
-        db.execute("pragma journal_mode=wal")
-        db.execute("pragma synchronous=normal")
-        db.executescript(TABLES)
+    def _begin_opening(self, db: sqlite3.Connection) -> None:
+        """Read the metadata and count this opening."""
         metadata = dict(db.execute("select key, value from meta"))
         # `born` is on the clock since boot; after another boot the age is taken from the wall clock.
         self.is_same_boot = metadata.get("boot", "") == boot_id()
--- /dev/null
+++ b/corallanding/store/database_file.py
@@ -0,0 +1,45 @@
+"""SQLite files that one process holds at a time: their lock, and how they are opened."""
+
+from __future__ import annotations
+
+import fcntl
+import os
+import sqlite3
+from pathlib import Path
+
+BUSY_TIMEOUT_SECONDS = 0.02  # a locked file is given up after that, rather than hold the event loop
+
+
+def lock_database(path: str | Path) -> int:
+    """Take the lock beside the file at `path`, and return its descriptor: the lock is held until that is closed.
+
+    Raises `BlockingIOError` while another process holds it, `OSError` if the lock file cannot be used.
+    """
+    descriptor = os.open(f"{path}.lock", os.O_RDWR | os.O_CREAT, 0o600)
+    try:
+        fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+    except BaseException:
+        os.close(descriptor)
+        raise
+    return descriptor
+
+
+def open_database(
+    path: str | Path, tables: str, *, sync: str = "normal", is_thread_bound: bool = True
+) -> sqlite3.Connection:
+    """Open the file in WAL mode, and create those of its tables that are missing.
+
+    tables: an SQL script. sync: "normal" (transactions survive a killed process) or "full" (also a lost machine).
+    is_thread_bound: only this thread may use the connection. Raises `sqlite3.Error` if the file cannot be used.
+    """
+    connection = sqlite3.connect(
+        path, isolation_level=None, timeout=BUSY_TIMEOUT_SECONDS, check_same_thread=is_thread_bound
+    )
+    try:
+        connection.execute("pragma journal_mode=wal")
+        connection.execute(f"pragma synchronous={sync}")
+        connection.executescript(tables)
+    except BaseException:
+        connection.close()
+        raise
+    return connection
--- a/corallanding/store/sqlite.py
+++ b/corallanding/store/sqlite.py
@@ -7,7 +7,6 @@
 
 from __future__ import annotations
 
-import fcntl
 import json
 import os
 import sqlite3
@@ -18,9 +17,9 @@
 
 from ..interface import HostEntry, stored_names
 from .api import StoreContents, StoreError, StoreLockedError, TableEntry
+from .database_file import lock_database, open_database
 
 SCHEMA_VERSION = 1
-BUSY_TIMEOUT_SECONDS = 0.02  # a locked file is given up after that, rather than hold the event loop
 CREATE_TABLES = """
 create table if not exists meta (key text primary key, value text not null) without rowid;
 create table if not exists line (tbl integer, host integer, weight real not null, primary key (tbl, host))
@@ -78,7 +77,7 @@
         """
         try:
             self._lock()
-            self.connection = self._connect()
+            self.connection = open_database(self.path, CREATE_TABLES, sync=self.sync, is_thread_bound=False)
             return self._begin_start()
         except sqlite3.Error as error:
             self.close()
@@ -89,22 +88,12 @@
 
     def _lock(self) -> None:
         try:
-            self.lock_fd = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT, 0o600)
-            fcntl.flock(self.lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            self.lock_fd = lock_database(self.path)
         except BlockingIOError:
             raise StoreLockedError(f"{self.path}: another steward holds this store") from None
         except OSError as error:
             raise StoreError(f"{self.path}: {error.strerror}") from None
 
-    def _connect(self) -> sqlite3.Connection:
-        connection = sqlite3.connect(
-            self.path, isolation_level=None, timeout=BUSY_TIMEOUT_SECONDS, check_same_thread=False
-        )
-        connection.execute("pragma journal_mode=wal")
-        connection.execute(f"pragma synchronous={self.sync}")
-        connection.executescript(CREATE_TABLES)
-        return connection
-
     def _begin_start(self) -> StoreContents:
         """Raise the start number, and read what the former start left."""
         schema = int(self.read_meta(SCHEMA_KEY) or SCHEMA_VERSION)
