--- a/corallanding/controller/record_groups.py
+++ b/corallanding/controller/record_groups.py
@@ -8,6 +8,7 @@
 from ..config.scheduling import JOBS
 from ..config.version_pinning import RecordsBlock
 from ..lease.tasks import TaskCatalog
+from ..quorum_records.fleet import RecordTaskGroups
 from ..quorum_records.limits import RecordLimits
 from ..version_pinning.core import RELEASE_TASK, RUNS_TASK_GROUP, run_record_limits
 from .pinning_service import pinning_limits
@@ -21,8 +22,10 @@
     candidates = (RUNS_TASK_GROUP, RELEASE_TASK, JOBS) if config.pins else (JOBS,)
     names = tuple(name for name in candidates if name in tasks.specs)
     if config.pins:
-        return RecordGroups(voters, names, _terms(config, block), counted=(RUNS_TASK_GROUP,), lasting=(RELEASE_TASK,))
-    return RecordGroups(voters, names, _terms(config, block), counted=(), lasting=())
+        task_groups = RecordTaskGroups(names, counted=(RUNS_TASK_GROUP,), permanent=(RELEASE_TASK,))
+    else:
+        task_groups = RecordTaskGroups(names)
+    return RecordGroups(voters, _terms(config, block), task_groups)
 
 
 def _terms(config: ControllerConfig, block: RecordsBlock) -> RecordLimits:
--- a/corallanding/controller/record_service.py
+++ b/corallanding/controller/record_service.py
@@ -41,16 +41,11 @@
 
 @dataclass(frozen=True)
 class RecordGroups:
-    """Which task groups have records. voters: the controllers that keep replicas.
-
-    counted: groups whose values are tallied; lasting: groups whose records do not expire.
-    """
+    """Which task groups have records, and within which limits. voters: the controllers that keep replicas."""
 
     voters: tuple[int, ...]
-    names: tuple[str, ...]
     terms: RecordLimits
-    counted: tuple[str, ...]
-    lasting: tuple[str, ...]
+    task_groups: RecordTaskGroups
 
 
 class RecordService(ClusterService):
@@ -81,7 +76,7 @@
             QueryLimits(block.answer_within_ms, block.again_ms, block.questions_most),
             context.clock(),
             ReplicaFile(self.store.opening_number, self.store.is_blank),
-            RecordTaskGroups(groups.names, groups.counted, groups.lasting),
+            groups.task_groups,
             block.words_per_s,
         )
         self.fleet.records.peer_files.update(self.store.load(self.fleet.records.replica))
