--- a/corallanding/snapshot/stored_values.py
+++ b/corallanding/snapshot/stored_values.py
@@ -1,13 +1,13 @@
-"""Events, actions and settings as maps under their stored names, and back.
+"""Events, actions and settings under their stored names, and back.
 
 `interface.stored_names` has the names. What comes back is validated by the types of the class.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from operator import attrgetter
-from typing import Any, NamedTuple, TypeVar
+from functools import cache
+from types import GenericAlias
+from typing import Any, TypeVar
 
 import msgspec
 
@@ -16,46 +16,22 @@
 T = TypeVar("T")
 
 
-def _no_values(_: Any) -> tuple[Any, ...]:
-    return ()
-
-
-def _values_of(attributes: tuple[str, ...]) -> Callable[[Any], tuple[Any, ...]]:
-    """Reads all of `attributes` at once. (`attrgetter` gives a bare value for a single one, and refuses none.)"""
-    if not attributes:
-        return _no_values
-    if len(attributes) > 1:
-        return attrgetter(*attributes)
-    only = attrgetter(attributes[0])
-    return lambda item: (only(item),)
-
-
-class Reader(NamedTuple):
-    """How objects of one class are stored: names, what reads their values, and which hold sequences of what class."""
-
-    names: tuple[str, ...]
-    values_of: Callable[[Any], tuple[Any, ...]]
-    items: dict[str, type]
-
-
-def readers() -> dict[type, Reader]:
-    """A reader for each class that is stored."""
-    return {
-        kind: Reader(tuple(fields), _values_of(tuple(fields.values())), stored_names.ITEMS.get(kind, {}))
-        for kind, fields in stored_names.FIELDS.items()
-    }
-
-
-_READERS = readers()
+@cache
+def stored_class(kind: type) -> type[msgspec.Struct]:
+    """The class that holds the fields of a `kind` for an encoder, which writes them under their stored names."""
+    fields = stored_names.FIELDS[kind]
+    items = stored_names.ITEMS.get(kind, {})
+    lists = {name: GenericAlias(list, (stored_class(inner),)) for name, inner in items.items()}
+    return msgspec.defstruct(
+        kind.__name__,
+        [(attribute, lists.get(name, Any)) for name, attribute in fields.items()],
+        rename={attribute: name for name, attribute in fields.items()},
+    )
 
 
-def to_stored(item: Any) -> dict[str, Any]:
-    """The fields of an event, action or settings object under their stored names, in the order of the table."""
-    names, values_of, items = _READERS[type(item)]
-    stored = dict(zip(names, values_of(item), strict=True))
-    for name in items:
-        stored[name] = [to_stored(inner) for inner in stored[name]]
-    return stored
+def to_stored(item: Any) -> msgspec.Struct:
+    """An event, action or settings object as an encoder writes it: its stored names, in the order of the table."""
+    return msgspec.convert(item, stored_class(item.__class__), from_attributes=True)
 
 
 def from_stored(raw: Any, kind: type[T]) -> T:
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -665,7 +665,6 @@
     items = {EndpointList: {"entries": Row}}
     monkeypatch.setattr(stored_names, "FIELDS", fields_of)
     monkeypatch.setattr(stored_names, "ITEMS", items)
-    monkeypatch.setattr(stored_values, "_READERS", stored_values.readers())
     value, stored = EndpointList((Row(1, 2),), 3), {"entries": [{"host": 1, "zone": 2}], "version": 3}
-    assert stored_values.to_stored(value) == stored
+    assert msgspec.json.decode(msgspec.json.encode(stored_values.to_stored(value))) == stored
     assert stored_values.from_stored(stored, EndpointList) == value
