--- a/corallanding/lease/core.py
+++ b/corallanding/lease/core.py
@@ -60,7 +60,6 @@
         self.allocator = ShardAllocator(timings, tasks, incarnation)
         self.fenced_resource = FencedResource(tasks.count)
         self.rejected = 0  # messages of unknown senders, too many, or of unknown tasks
-        self.requests_without_leader = 0
 
     def holds(self, now: float, task: int) -> bool:
         """Whether this controller holds the task at this instant."""
@@ -121,7 +120,6 @@
         if request is None:
             return []
         if leader.controller is None:
-            self.requests_without_leader += 1
             return []
         if leader.controller != self.controller_id:
             return [OutgoingMessage(leader.controller, request)]
--- a/corallanding/quota/core.py
+++ b/corallanding/quota/core.py
@@ -34,7 +34,6 @@
     incarnation: int
     created_at_ms: float
     chance: Callable[[], float]
-    requests_without_allocator: int = 0  # requests dropped because no leader was known
     rejected_count: int = 0  # messages of unknown senders, or beyond a sender's rate
     words_per_s: float = 200.0  # taken from one sender
     shared_election: LeaderElection | None = None
@@ -113,8 +112,8 @@
         leader, epoch, first_round = self.election.leader
         for request in self.client.due_requests(now, epoch, first_round):
             if leader is None:
-                self.requests_without_allocator += 1
-            elif leader != self.me:
+                continue  # the client asks again
+            if leader != self.me:
                 messages.append(OutgoingMessage(leader, request))
             elif self.is_allocating(now):
                 self.client.on_grant(now, self.allocator.on_request(now, self.me, request))
--- a/corallanding/quota/quota_client.py
+++ b/corallanding/quota/quota_client.py
@@ -60,9 +60,7 @@
     accounts: dict[BudgetKey, Account] = field(default_factory=dict)
     round: int = 0
     pending: dict[int, PendingRequest] = field(default_factory=dict)  # by round
-    unmet_count: int = 0  # units that were refused
     stale_count: int = 0  # grants that came too late, or that nothing asked for
-    accounts_rejected: int = 0
     is_leaving: bool = False
 
     # ---- acquiring -----------------------------------------------------------------------------------------
@@ -73,7 +71,6 @@
         account = self.accounts.get(key)
         if account is None:
             if len(self.accounts) >= self.limits.max_accounts:
-                self.accounts_rejected += 1
                 return None
             account = Account(budget, self.round)
             self.accounts[key] = account
@@ -111,7 +108,6 @@
 
     def record_unmet(self, now: float, budget: Budget, subject: int = 0, count: int = 1) -> None:
         """Count demand that could not be met, so that the next request asks for it."""
-        self.unmet_count += count
         if account := self.account(now, budget, subject):
             account.unmet.add(now + self.limits.expiry_ms(budget.hold_ms), count)
 
--- a/corallanding/version_pinning/releases.py
+++ b/corallanding/version_pinning/releases.py
@@ -60,7 +60,6 @@
         self.register: ReleaseRegister | None = None
         self.run_counts = RunCounts()
         self.announced_at_ms = float("-inf")
-        self.retired_count = 0
         self.obstacle = ""  # what stands in the way of the wanted release, as last passed to `on_change`
 
     def accepted_register(self) -> ReleaseRegister | None:
@@ -100,7 +99,6 @@
         if decision.register is None:
             self._report_obstacle(decision.reason)
         else:
-            self.retired_count += len(decision.register.live_sets) < len(register.live_sets)
             self.on_change(decision.reason)
             self.obstacle = ""
             self.run_counts = RunCounts()
--- a/corallanding/version_pinning/workflow_runs.py
+++ b/corallanding/version_pinning/workflow_runs.py
@@ -39,7 +39,6 @@
         self.capacity_of_set = capacity_of_set
         self.records = queries.records
         self.client_rate_limits: dict[int, TokenBucket] = {}
-        self.begun_count = 0
         self.rejected_count = 0
         queries.register(groups, self.on_query, self.on_write_denied)
 
@@ -82,8 +81,7 @@
             return Outcome(RunStatus.REJECTED, NO_SET)
         capacities = [self.capacity_of_set(number) for number in register.open_sets]
         release_set = choose_set(key, register.open_sets, capacities)
-        if self.records.proposers[group].write(now_ms, key, release_set, now_ms):
-            self.begun_count += 1
+        self.records.proposers[group].write(now_ms, key, release_set, now_ms)
         return None
 
     def _take_permit(self, now_ms: float, bucket: int) -> bool:
--- a/corallanding/wire/link_state.py
+++ b/corallanding/wire/link_state.py
@@ -35,16 +35,15 @@
 class LinkState:
     """The state of one connection.
 
-    hello: None until the proxy has sent it. goodbye_code: why the proxy closes the link, empty while it does not.
-    acked: versions that the last bytes acknowledged, with the times at which they were sent. unacked_versions: the
-    same for versions that are not acknowledged. is_recalled: a `HeldTablesRequest` is not answered yet.
+    hello: None until the proxy has sent it. acked: versions that the last bytes acknowledged, with the times at which
+    they were sent. unacked_versions: the same for versions that are not acknowledged. is_recalled: a
+    `HeldTablesRequest` is not answered yet.
     """
 
     limits: LinkLimits
     opened_at_ms: float
     hello: Hello | None = None
     last_received_at_ms: float = 0.0
-    goodbye_code: str = ""
     acked: deque[tuple[int, float]] = field(default_factory=deque)
     reader: FrameReader = field(init=False)
     unacked_versions: deque[tuple[int, float]] = field(default_factory=deque)
@@ -95,7 +94,7 @@
             case Hello():
                 self._on_hello(frame)
             case Goodbye():
-                self.goodbye_code = frame.code
+                pass  # the proxy closes the connection itself
             case _ if not self.hello:
                 raise UnexpectedFrameError(f"{frame.__struct_config__.tag} before hello")
             case Ack():
