--- a/tests/discovery/support.py
+++ b/tests/discovery/support.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from typing import Any, NamedTuple
 
 from forced_order import FOR_EVER, Side, Stand
 
@@ -13,7 +15,7 @@
 
 
 class Listed:
-    """An agent's listener. raises: how often it fails first."""
+    """A receiver of lists. raises: how often it fails first."""
 
     def __init__(self, raises: int = 0) -> None:
         self.version, self.bodies, self.failures, self.raises = 0, list[bytes](), list[str](), raises
@@ -31,7 +33,7 @@
         self.failures.append(why)
 
 
-def agent(stand: Stand, listener: Listed, **more: Any) -> DiscoveryClient:
+def discovery_client(stand: Stand, listener: Listed, **more: Any) -> DiscoveryClient:
     return DiscoveryClient(
         stand.where,
         listener,
@@ -49,6 +51,27 @@
     return f"/v1/servers?index={index}&wait={wait:.0f}"
 
 
+class PollingClient(NamedTuple):
+    """A client whose first poll has come and is not answered yet. side: the end of its connection that has the poll."""
+
+    stand: Stand
+    listener: Listed
+    client: DiscoveryClient
+    side: Side
+
+
+@asynccontextmanager
+async def polling_client(**more: Any) -> AsyncIterator[PollingClient]:
+    """Start a client and let its first poll come; it is stopped at the end."""
+    listener = Listed()
+    async with Stand() as stand:
+        client = discovery_client(stand, listener, **more)
+        client.start()
+        side = await asked(stand, poll(0, more.get("poll_wait_ms", FOR_EVER)))
+        yield PollingClient(stand, listener, client, side)
+        client.stop()
+
+
 def apply_list(view: HostListView, is_complete: bool, *rows: Any, version: int = 1) -> api.HostListUpdate | None:
     """Let the view take an answer with these rows."""
     return view.apply(ListAnswer(version, is_complete, list(rows)))
--- a/tests/discovery/test_answers.py
+++ b/tests/discovery/test_answers.py
@@ -6,10 +6,10 @@
 from typing import Any
 
 import pytest
-from forced_order import FOR_EVER, Side, Stand, busy, play, turns, until
+from forced_order import FOR_EVER, Side, busy, play, turns, until
 
 from corallanding.discovery.long_poll import UNCHANGED_PAUSE_SECONDS
-from tests.discovery.support import Listed, agent, asked, poll
+from tests.discovery.support import asked, poll, polling_client
 
 
 def half(side: Side) -> None:
@@ -19,35 +19,25 @@
 @pytest.mark.parametrize("said", [lambda side: None, half, lambda side: side.say(b"HTTP/1.1 200 OK\r\nCont")])
 def test_request_when_no_complete_answer_comes_then_it_is_sent_on_a_new_connection(said: Any) -> None:
     async def scene() -> None:
-        listener = Listed()
-        async with Stand() as stand:
-            a = agent(stand, listener, poll_wait_ms=0.0, answer_timeout_ms=30.0)
-            a.start()
-            side = await asked(stand, poll(0, 0))
+        async with polling_client(poll_wait_ms=0.0, answer_timeout_ms=30.0) as (stand, listener, client, side):
             said(side)
             again = await asked(stand, poll(0, 0))
             await side.gone()
-            a.answer_timeout_ms = FOR_EVER
+            client.answer_timeout_ms = FOR_EVER
             side.say(b"456789")
             again.answer(b"7")
             await until(lambda: listener.version == 7)
             assert listener.bodies == [b"7"]
-            a.stop()
 
     play(scene)
 
 
 def test_answer_when_received_as_its_timeout_passes_then_it_is_used() -> None:
     async def scene() -> None:
-        listener = Listed()
-        async with Stand() as stand:
-            a = agent(stand, listener, poll_wait_ms=0.0, answer_timeout_ms=100.0)
-            a.start()
-            side = await asked(stand, poll(0, 0))
+        async with polling_client(poll_wait_ms=0.0, answer_timeout_ms=100.0) as (_, _, client, side):
             busy(lambda: side.now(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n7"), 0.2)
             assert await side.question() == poll(7, 0)
-            assert a.poll_count == 2
-            a.stop()
+            assert client.poll_count == 2
 
     play(scene)
 
@@ -55,16 +45,11 @@
 @pytest.mark.parametrize("head", [b"Content-Length: 1\r\n", b"Content-Length: 1\r\nConnection: close\r\n"])
 def test_answer_when_the_connection_closes_right_after_then_it_is_used(head: bytes) -> None:
     async def scene() -> None:
-        listener = Listed()
-        async with Stand() as stand:
-            a = agent(stand, listener)
-            a.start()
-            side = await asked(stand, poll(0))
+        async with polling_client() as (stand, listener, _, side):
             side.answer(b"7", head)
             side.close()
             await asked(stand, poll(7))
             assert listener.bodies == [b"7"]
-            a.stop()
 
     play(scene)
 
@@ -72,35 +57,25 @@
 @pytest.mark.parametrize(("end", "bodies"), [(Side.close, [b"17"]), (Side.reset, [])])
 def test_body_when_it_has_no_length_then_it_ends_with_the_connection(end: Any, bodies: list[bytes]) -> None:
     async def scene() -> None:
-        listener = Listed()
-        async with Stand() as stand:
-            a = agent(stand, listener)
-            a.start()
-            side = await asked(stand, poll(0))
+        async with polling_client() as (stand, listener, client, side):
             side.say(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n1")
             await turns()
             side.say(b"7")
-            await until(lambda: a.connection is None or bytes(a.connection.body) == b"17")
+            await until(lambda: client.connection is None or bytes(client.connection.body) == b"17")
             end(side)
             await asked(stand, poll(17 if bodies else 0))
             assert listener.bodies == bodies
-            a.stop()
 
     play(scene)
 
 
 def test_answer_when_cut_by_the_end_of_the_connection_then_it_is_not_used() -> None:
     async def scene() -> None:
-        listener = Listed()
-        async with Stand() as stand:
-            a = agent(stand, listener)
-            a.start()
-            side = await asked(stand, poll(0))
+        async with polling_client() as (stand, listener, _, side):
             half(side)
             side.close()
             await asked(stand, poll(0))
             assert not listener.bodies
-            a.stop()
 
     play(scene)
 
@@ -108,24 +83,19 @@
 @pytest.mark.parametrize("one_write", [True, False])
 def test_answer_when_unrequested_then_it_does_not_count_for_the_next_request(one_write: bool) -> None:
     async def scene() -> None:
-        listener = Listed()
-        async with Stand() as stand:
-            a = agent(stand, listener)
-            a.start()
-            side = await asked(stand, poll(0))
+        async with polling_client() as (stand, listener, client, side):
             answers = [b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + body for body in (b"7", b"3")]
             if one_write:
                 side.say(*answers)
             else:
-                a.watch(False)  # no question is open when it comes
+                client.watch(False)  # no question is open when it comes
                 side.say(answers[0])
                 await until(lambda: listener.version == 7)
                 side.say(answers[1])
                 await side.gone()
-                a.watch(True)
+                client.watch(True)
             await asked(stand, poll(7))
             assert listener.bodies == [b"7"]
-            a.stop()
 
     play(scene)
 
@@ -142,30 +112,22 @@
 )
 def test_answer_when_invalid_then_it_is_logged_and_requested_again(raw: bytes) -> None:
     async def scene() -> None:
-        listener, said = Listed(), list[str]()
-        async with Stand() as stand:
-            a = agent(stand, listener)
-            a.on_warning = said.append
-            a.start()
-            side = await asked(stand, poll(0))
+        said = list[str]()
+        async with polling_client() as (stand, listener, client, side):
+            client.on_warning = said.append
             side.say(raw)
             if b"503" not in raw:
                 side = await stand.next()
             assert await side.question() == poll(0)
             assert said
             assert not listener.bodies
-            a.stop()
 
     play(scene)
 
 
 def test_client_when_polls_are_not_held_then_requests_are_paced() -> None:
     async def scene() -> None:
-        listener = Listed()
-        async with Stand() as stand:
-            a = agent(stand, listener)
-            a.start()
-            side = await asked(stand, poll(0))
+        async with polling_client() as (_, listener, client, side):
             begun = asyncio.get_running_loop().time()
             for _ in range(5):
                 side.answer(b"0")
@@ -175,26 +137,21 @@
             )  # the clock is of whole milliseconds
             side.answer(b"1")  # news is no reason to rest
             await until(lambda: listener.version == 1)
-            assert a.retry_timer is None
-            a.stop()
+            assert client.retry_timer is None
 
     play(scene)
 
 
 def test_answer_when_it_never_ends_then_the_connection_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
-        listener, said = Listed(), list[str]()
-        async with Stand() as stand:
-            a = agent(stand, listener)
-            a.on_warning = said.append
-            a.start()
-            side = await asked(stand, poll(0))
+        said = list[str]()
+        async with polling_client() as (stand, _, client, side):
+            client.on_warning = said.append
             side.say(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"10000\r\n" + b"7" * 65_536 + b"\r\n")
             while not said:
                 side.say(b"10000\r\n" + b"7" * 65_536 + b"\r\n")
                 await asyncio.sleep(0)
             assert "over" in said[0]
             await asked(stand, poll(0))
-            a.stop()
 
     play(scene)
--- a/tests/relay/support.py
+++ b/tests/relay/support.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from typing import Any, NamedTuple
 
 from forced_order import FOR_EVER, Address, Side, Stand, clock, until
 from platform_samples import HOSTS, SETTINGS, ZONES
@@ -30,6 +32,24 @@
         self.link.send_next()
 
 
+class OpenCall(NamedTuple):
+    """A caller whose first order is on its way. side: the end of its connection where the call will come."""
+
+    stand: Stand
+    caller: Caller
+    side: Side
+
+
+@asynccontextmanager
+async def open_call(**more: Any) -> AsyncIterator[OpenCall]:
+    """Order slice 1 on a new connection, which is closed at the end."""
+    async with Stand() as stand:
+        caller = Caller(stand.where, **more)
+        caller.order(1)
+        yield OpenCall(stand, caller, await stand.next())
+        caller.link.close()
+
+
 async def called(side: Side, *slices: int) -> int:
     """The next call is on these slices; its id."""
     said = await side.line()
--- a/tests/relay/test_call_connection.py
+++ b/tests/relay/test_call_connection.py
@@ -21,9 +21,9 @@
     async def scene() -> None:
         dials = Dials()
         async with Stand() as stand:
-            c = Caller(stand.where)
+            caller = Caller(stand.where)
             dials.late(stand.where)
-            c.order(1)
+            caller.order(1)
             side = await stand.next()
             end(side)
             await side.gone()
@@ -31,8 +31,8 @@
             dials.let(stand.where)
             again = await stand.next()
             again.say(taken(await called(again, 1)))
-            await until(lambda: c.stood)
-            c.link.close()
+            await until(lambda: caller.stood)
+            caller.link.close()
 
     play(scene)
 
@@ -41,14 +41,14 @@
     async def scene() -> None:
         dials = Dials()
         async with Stand() as stand:
-            c = Caller(stand.where)
+            caller = Caller(stand.where)
             dials.early(stand.where)
-            c.order(1)
+            caller.order(1)
             await until(lambda: dials.count.get(stand.where))
-            c.link.close()
+            caller.link.close()
             dials.let(stand.where)
             await turns()
-            assert c.link.connection is None
+            assert caller.link.connection is None
             for side in stand.sides:
                 await side.gone()
 
@@ -59,15 +59,15 @@
     async def scene() -> None:
         dials = Dials()
         async with Stand() as old, Stand() as new:
-            c = Caller(old.where)
+            caller = Caller(old.where)
             dials.early(old.where)
-            c.order(1)
+            caller.order(1)
             await until(lambda: dials.count.get(old.where))
-            c.link.set_address(new.where)
+            caller.link.set_address(new.where)
             side = await new.next()
             side.say(taken(await called(side, 1)))
-            await until(lambda: c.stood)
-            c.link.close()
+            await until(lambda: caller.stood)
+            caller.link.close()
 
     play(scene)
 
@@ -75,20 +75,20 @@
 def test_call_when_the_address_changes_then_it_ends_at_the_old_one() -> None:
     async def scene() -> None:
         async with Stand() as old, Stand() as new:
-            c = Caller(old.where)
-            c.order(1)
+            caller = Caller(old.where)
+            caller.order(1)
             side = await old.next()
             call_id = await called(side, 1)
-            c.link.set_address(new.where)
-            c.order(2)
+            caller.link.set_address(new.where)
+            caller.order(2)
             await turns()
             assert new.came.empty()
             side.say(taken(call_id))
             fresh = await new.next()
             fresh.say(taken(await called(fresh, 2)))
             await side.gone()
-            await until(lambda: len(c.stood) == 2)
-            c.link.close()
+            await until(lambda: len(caller.stood) == 2)
+            caller.link.close()
 
     play(scene)
 
@@ -96,18 +96,18 @@
 def test_finish_when_a_call_is_in_flight_then_no_other_begins() -> None:
     async def scene() -> None:
         async with Stand() as stand:
-            c = Caller(stand.where)
-            c.order(1)
+            caller = Caller(stand.where)
+            caller.order(1)
             side = await stand.next()
             call_id = await called(side, 1)
-            c.order(2)
-            c.link.finish()
-            c.order(3)
-            assert not c.link.finished.is_set()
+            caller.order(2)
+            caller.link.finish()
+            caller.order(3)
+            assert not caller.link.finished.is_set()
             side.say(taken(call_id))
-            await c.link.finished.wait()
-            assert c.stood == [api.SetWeight(1, A, 1.0)]
-            c.link.close()
+            await caller.link.finished.wait()
+            assert caller.stood == [api.SetWeight(1, A, 1.0)]
+            caller.link.close()
             assert await side.reader.read() == b"", "not a byte after it"
 
     play(scene)
@@ -116,12 +116,12 @@
 def test_finish_when_no_answer_comes_then_it_waits_for_the_timeout_only() -> None:
     async def scene() -> None:
         async with Stand() as stand:
-            c = Caller(stand.where, answer_timeout_ms=30.0)
-            c.order(1)
+            caller = Caller(stand.where, answer_timeout_ms=30.0)
+            caller.order(1)
             await called(await stand.next(), 1)
-            c.link.finish()
-            await c.link.finished.wait()
-            c.link.close()
+            caller.link.finish()
+            await caller.link.finished.wait()
+            caller.link.close()
 
     play(scene)
 
