--- a/corallanding/controller/active_recording.py
+++ b/corallanding/controller/active_recording.py
@@ -4,12 +4,12 @@
 
 from ..telemetry import log
 from .context import Context
+from .event_inbox import DecisionStep
 from .recorder import Recorder
-from .step_observer import DecisionStep
 
 
 class ActiveRecording:
-    """StoreWrites every step to a file, until the file is full; does nothing if no recording was asked for."""
+    """Writes every step to a file, until the file is full; does nothing if no recording was asked for."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
--- a/corallanding/controller/decision_loop.py
+++ b/corallanding/controller/decision_loop.py
@@ -13,7 +13,7 @@
 from .output_dispatch import OutputDispatcher
 from .persistence import TablePersistence
 from .proxy_channel import ProxyChannel
-from .step_observer import DecisionStep, StepObserver
+from .step_observer import StepObserver
 from .step_timer import StepTimer
 
 SCORES_PER_SLOT = 2_000  # rendezvous scores computed ahead at a time between steps: a millisecond or two
@@ -75,19 +75,18 @@
             self._writing.cancel()
 
     def _notify_observers(self) -> None:
-        if self._engine.last_step is None:
+        step = self._engine.last_step
+        if step is None:
             return
-        now, events, actions = self._engine.last_step
-        if events or actions:
-            step = DecisionStep(now, events, actions)
+        if step.events or step.actions:
             for observer in self._observers:
                 observer.on_step(step)
         if self._engine.overload.is_overloaded:
             return  # detail that can wait
         metrics = self._context.metrics
-        for kind, count in Counter(NAMES[type(event)] for event in events).items():
+        for kind, count in Counter(NAMES[type(event)] for event in step.events).items():
             metrics.events.labels(kind).inc(count)
-        for kind, count in Counter(NAMES[type(action)] for action in actions).items():
+        for kind, count in Counter(NAMES[type(action)] for action in step.actions).items():
             metrics.actions.labels(kind).inc(count)
 
     async def _write_then_finish(self, begun: float) -> None:
--- a/corallanding/controller/event_inbox.py
+++ b/corallanding/controller/event_inbox.py
@@ -20,7 +20,7 @@
 
 
 class DecisionStep(NamedTuple):
-    """One decision step as it was run, for recordings."""
+    """The events of one step and the actions that the assigner answered them with. now: ms of the clock."""
 
     now: float
     events: list[api.Event]
--- a/corallanding/controller/load_weights.py
+++ b/corallanding/controller/load_weights.py
@@ -19,8 +19,8 @@
 from .clock import ORIGIN_MS
 from .context import Context
 from .engine import Engine
+from .event_inbox import DecisionStep
 from .inherited_sockets import InheritedSockets
-from .step_observer import DecisionStep
 
 INTAKE_SETTINGS = (
     "listen",
--- a/corallanding/controller/persistence.py
+++ b/corallanding/controller/persistence.py
@@ -18,7 +18,7 @@
 
 
 class TablePersistence:
-    """StoreWrites what a decision step changed.
+    """Writes what a decision step changed.
 
     error_count, error_text: of writes that failed since the last that did not. retry_at_ms: no write before.
     is_released: the store was closed for a handover. request_step: asks for a decision step. on_reopened: called when
--- a/corallanding/controller/snapshot_keeper.py
+++ b/corallanding/controller/snapshot_keeper.py
@@ -11,9 +11,9 @@
 from . import recorder
 from .context import Context
 from .engine import Engine
+from .event_inbox import DecisionStep
 from .recorder import Recorder, RecordingError
 from .recovery import ControllerState, StateMismatchError, Step, boot_id, capture_state, check_state, restore
-from .step_observer import DecisionStep
 
 ALL_LOGS = 2**63  # a number above that of every log
 
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -34,6 +34,7 @@
 from corallanding.controller.connection_state import ConnectionState, capture_connection, restore_connection
 from corallanding.controller.crash_loop import StartHistory
 from corallanding.controller.decision_loop import DecisionLoop
+from corallanding.controller.event_inbox import DecisionStep
 from corallanding.controller.handover_driver import TerminationLock
 from corallanding.controller.handover_sender import successor_command
 from corallanding.controller.handover_state import HandoverState, restore_handover
@@ -571,7 +572,7 @@
     engine = SimpleNamespace(
         decide=lambda now: SimpleNamespace(entries=(), resets=()),
         publish=lambda is_stored: [],
-        last_step=(0.0, events, actions),
+        last_step=DecisionStep(0.0, events, actions),
         overload=SimpleNamespace(is_overloaded=False, on_step=lambda now, spent: None),
         unsaved_tables=(),
         usage=SimpleNamespace(dropped_rows=0),
