--- a/corallanding/discovery/__init__.py
+++ b/corallanding/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's discovery service: its answers as events (`host_list`, pure), and long polls (`long_poll`)."""
+"""Client of the platform's discovery service: answers as events (`host_list`, no I/O), long polls (`long_poll`)."""
--- a/corallanding/discovery/host_list.py
+++ b/corallanding/discovery/host_list.py
@@ -1,7 +1,7 @@
-"""Answers of the platform's discovery service as `HostListUpdate` events. Pure: bodies of answers in, events out.
+"""Answers of the platform's discovery service as `HostListUpdate` events. No I/O: answer bodies in, events out.
 
-An entry that cannot be used is kept at its last good state and reported; the others count. Process starts come in Unix
-milliseconds, which is the clock of the platform controller; 0 means long ago.
+A host whose entry is invalid keeps its last valid entry, and the invalid one is reported; the other entries are
+applied. Process start times are Unix milliseconds, the clock of the platform controller; 0 means long ago.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
     "terminated": api.HostState.REMOVED,
 }
 MAX_HOSTS = 10_000
-MAX_DEPARTED_HOSTS = 256  # whose addresses are still kept: a report or a health check may be under way
+MAX_REMOVED_HOSTS = 256  # addresses kept, for reports and health checks still in progress
 MAX_QUOTED = 40  # characters of a rejected value in an error
 
 
 class InvalidAnswerError(ProtocolError):
-    """An answer, or an entry of one, that cannot be used. The list in force stays."""
+    """An answer, or an entry of one, is invalid. The current list stays in use."""
 
 
 class ListEntry(msgspec.Struct):
-    """One host in an answer; the field names on the wire stand in quotes."""
+    """One host in an answer. `name` is the field name on the wire where it differs."""
 
     host: str
     health: str
@@ -45,7 +45,7 @@
 
 
 class ListAnswer(msgspec.Struct):
-    """A list, or changes of it; the field names on the wire stand in quotes."""
+    """A complete list, or changes to it. `name` is the field name on the wire where it differs."""
 
     version: int = msgspec.field(name="seq")
     is_complete: bool = msgspec.field(name="whole")
@@ -62,9 +62,9 @@
 class HostListView:
     """The host list as last received.
 
-    `zones` and `kinds` map names to numbers; `max_hosts` bounds the list. `addresses` has the address of every known
-    host, also of the last `MAX_DEPARTED_HOSTS` that left. `rejected_entries` says which entries of the last answer were
-    left out, and why.
+    `zones` and `kinds` map names to numbers; `max_hosts` limits the list. `addresses` has the address of every known
+    host, and of the last `MAX_REMOVED_HOSTS` removed ones. `rejected_entries` describes the entries of the last answer
+    that were rejected, with the reason.
     """
 
     def __init__(self, zones: dict[str, int], kinds: dict[str, int], max_hosts: int = MAX_HOSTS) -> None:
@@ -74,7 +74,7 @@
         self.version = 0
         self.entries: dict[int, api.HostEntry] = {}
         self.addresses: dict[int, str] = {}
-        self.departed: dict[int, None] = {}  # the oldest first
+        self.removed_hosts: dict[int, None] = {}  # hosts whose addresses are kept, oldest first
         self.rejected_entries: list[str] = []
 
     def decode(self, body: bytes) -> ListAnswer:
@@ -85,7 +85,7 @@
             raise InvalidAnswerError(str(error)) from None
 
     def parse_entry(self, raw: Any) -> ListedHost:
-        """Parse one entry. Raises InvalidAnswerError, which names the host and the field."""
+        """Parse one entry. Raises InvalidAnswerError, whose message names the host and the field."""
         try:
             entry = msgspec.convert(raw, ListEntry)
             host = number(entry.host)
@@ -107,7 +107,7 @@
         )
 
     def _check_names(self, entry: ListEntry) -> None:
-        """Raise InvalidAnswerError on an unknown name; zone and kind of a host that is gone do not matter."""
+        """Raise InvalidAnswerError on an unknown name; zone and kind of a removed host are not checked."""
         known_names: list[tuple[str, str, Container[str]]] = [("health", entry.health, HOST_STATES)]
         if entry.health != "terminated":
             known_names += [("site", entry.zone, self.zones), ("class", entry.kind, self.kinds)]
@@ -116,9 +116,10 @@
                 raise InvalidAnswerError(f"entry of host {entry.host}: {field}={value[:MAX_QUOTED]!r} is unknown")
 
     def last_good_entry(self, raw: Any) -> api.HostEntry | None:
-        """Return the host of an entry that cannot be used, at its last good state; None for one that is not known.
+        """Return the last valid entry of the host that an invalid entry names; None if the host is unknown.
 
-        If the damaged entry says that the host leaves, that is believed: no drain waits for an entry to be corrected.
+        A draining or removed state in the invalid entry is applied, so that no drain is delayed until the entry is
+        corrected.
         """
         fields = raw if isinstance(raw, dict) else {}
         name = fields.get("host")
@@ -134,14 +135,14 @@
         return entry
 
     def apply(self, answer: ListAnswer, kind: api.HostListKind | None = None) -> api.HostListUpdate | None:
-        """Take an answer and return the event; None if nothing has changed.
+        """Apply an answer and return the event; None if nothing has changed.
 
-        `kind` is given where the answer does not say it: for the list that was saved before the start.
+        `kind` replaces the kind stated in the answer, for the list that was saved before the start.
         """
         if kind is None:
             kind = api.HostListKind.FULL if answer.is_complete else api.HostListKind.CHANGES
-        kept_hosts: set[int] = set()  # of entries that cannot be used
-        entries = self._usable_entries(answer.hosts, kept_hosts)
+        kept_hosts: set[int] = set()  # known hosts whose entries are invalid
+        entries = self._valid_entries(answer.hosts, kept_hosts)
         self.version = answer.version
         hosts_before = set(self.entries)
         if kind is api.HostListKind.CHANGES:
@@ -152,12 +153,12 @@
             kept = {host: self.entries[host] for host in kept_hosts if host in self.entries}
             self.entries = {**kept, **entries}
         self.entries = {host: entry for host, entry in self.entries.items() if entry.state != api.HostState.REMOVED}
-        self.forget_departed(hosts_before | set(entries))
+        self.limit_removed_hosts(hosts_before | set(entries))
         listed = entries if kind is api.HostListKind.CHANGES else self.entries
         return api.HostListUpdate(kind, answer.version, tuple(listed.values()))
 
-    def _usable_entries(self, rows: list[Any], kept_hosts: set[int]) -> dict[int, api.HostEntry]:
-        """Parse the rows of an answer; adds to `kept_hosts` the known hosts whose rows cannot be used."""
+    def _valid_entries(self, rows: list[Any], kept_hosts: set[int]) -> dict[int, api.HostEntry]:
+        """Return the valid entries of an answer by host; add known hosts with invalid rows to `kept_hosts`."""
         self.rejected_entries = []
         entries: dict[int, api.HostEntry] = {}
         for raw in rows:
@@ -179,13 +180,13 @@
             self.addresses.setdefault(entry.host, "")
         return entries
 
-    def forget_departed(self, hosts: set[int]) -> None:
-        """Keep the addresses of the last few of `hosts` that left: new ids come for as long as the controller runs."""
+    def limit_removed_hosts(self, hosts: set[int]) -> None:
+        """Limit the kept addresses of removed `hosts`, since new host ids appear as long as the controller runs."""
         for host in self.entries:
-            self.departed.pop(host, None)
+            self.removed_hosts.pop(host, None)
         for host in sorted(hosts - set(self.entries)):
-            self.departed[host] = None
-        while len(self.departed) > MAX_DEPARTED_HOSTS:
-            oldest = next(iter(self.departed))
-            del self.departed[oldest]
+            self.removed_hosts[host] = None
+        while len(self.removed_hosts) > MAX_REMOVED_HOSTS:
+            oldest = next(iter(self.removed_hosts))
+            del self.removed_hosts[oldest]
             self.addresses.pop(oldest, None)
--- a/corallanding/discovery/http_connection.py
+++ b/corallanding/discovery/http_connection.py
@@ -16,9 +16,9 @@
 class HttpConnection(OutboundConnection):
     """Sends requests and reports their answers.
 
-    `on_answer(connection, body, error)` is called with the answer to the open request; `error` is empty if it can be
-    used. An answer that no request is open for ends the connection: what follows it would be taken for the next one's.
-    The `on_` methods up to `on_message_complete` are the parser's.
+    `on_answer(connection, body, error)` is called with the answer to the open request; `error` is empty on success. An
+    unrequested answer closes the connection, since it would be mistaken for the answer to the next request.
+    `on_message_begin`, `on_header`, `on_body` and `on_message_complete` are callbacks of the HTTP parser.
     """
 
     def __init__(
@@ -31,51 +31,51 @@
         self.has_open_request = False
         self.has_complete_answer = False
         self.keeps_alive = True
-        self.ends_with_connection = False  # the body has no length
+        self.ends_with_connection = False  # the answer has no length and ends when the connection closes
         self.parser = httptools.HttpResponseParser(self)
         self.body = bytearray()
 
     def request(self, path: str) -> None:
-        """Send a request."""
+        """Send a GET request for `path`."""
         self.has_open_request = True
         self.body.clear()
         self.transport.write(f"GET {path} HTTP/1.1\r\nHost: {self.host_header}\r\n\r\n".encode())
 
     def on_message_begin(self) -> None:
-        """Reject an answer that was not asked for."""
+        """Close the connection on an unrequested answer."""
         if not self.has_open_request or self.has_complete_answer:
-            self.fail("an answer to no question")
+            self.fail("unrequested answer")
         self.ends_with_connection = True
 
     def on_header(self, name: bytes, _: bytes) -> None:
-        """Note whether the body has a length."""
+        """Record whether the header gives the length of the body."""
         if name.lower() in (b"content-length", b"transfer-encoding"):
             self.ends_with_connection = False
 
     def on_body(self, body: bytes) -> None:
-        """Collect the body, within its limit."""
+        """Collect the body, up to `MAX_ANSWER_BYTES`."""
         if self.has_complete_answer:
-            return  # of an answer that was not asked for
+            return  # the body of an unrequested answer
         self.body += body
         if len(self.body) > MAX_ANSWER_BYTES:
-            self.fail(f"an answer of over {MAX_ANSWER_BYTES} bytes")
+            self.fail(f"answer of over {MAX_ANSWER_BYTES} bytes")
 
     def on_message_complete(self) -> None:
-        """Note the end of an answer; it is delivered once all received data is parsed."""
+        """Record the end of an answer; it is delivered once all received data is parsed."""
         self.has_complete_answer = True
         self.keeps_alive = self.parser.should_keep_alive()
 
     def data_received(self, data: bytes) -> None:
-        """Parse received data and deliver an answer that is complete."""
+        """Parse received data and deliver a complete answer."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self.fail(f"no HTTP: {error}")
+            self.fail(f"invalid HTTP: {error}")
         if self.has_complete_answer and self.has_open_request and self.is_open:
             self.deliver_answer()
 
     def deliver_answer(self) -> None:
-        """Report the answer; a connection that is not kept alive is discarded before."""
+        """Report the answer, after discarding a connection that is not kept alive."""
         status = self.parser.get_status_code()
         body = bytes(self.body)
         self.has_open_request = False
@@ -85,7 +85,7 @@
         self.on_answer(self, body, "" if status == HTTPStatus.OK else f"status {status}")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Deliver a body without a length, which in HTTP/1.1 ends with its connection; then report the loss."""
+        """Deliver a body without a length, which in HTTP/1.1 ends with its connection, then report the loss."""
         is_clean_end = exc is None and not self.close_reason
         if self.is_open and self.has_open_request and self.ends_with_connection and is_clean_end:
             self.keeps_alive = False
--- a/corallanding/discovery/long_poll.py
+++ b/corallanding/discovery/long_poll.py
@@ -1,4 +1,4 @@
-"""Long polls of the platform's discovery service, one after the other on one connection."""
+"""Client of the platform's discovery service: long polls, one at a time on one connection."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 from ..connection import Address, Connector, ReadTimeout, next_backoff_ms
 from .http_connection import HttpConnection
 
-UNCHANGED_PAUSE_SECONDS = 0.02  # after an answer that came early with nothing new
+UNCHANGED_PAUSE_SECONDS = 0.02  # after an answer without changes before the end of the poll
 
 
 class HostListReceiver(Protocol):
-    """Where the answers go."""
+    """Receives the answers of the discovery service."""
 
     @property
     def version(self) -> int:
-        """The version of the list that is in force."""
+        """The version of the current list."""
         ...
 
     def on_list(self, body: bytes) -> bool:
-        """Take an answer; false if it cannot be parsed."""
+        """Process an answer; return False if it cannot be parsed."""
         ...
 
     def on_list_failed(self, reason: str) -> None:
-        """Learn that a request failed; called only for lists on request."""
+        """Handle a failed request; called only by a client with `on_request`."""
         ...
 
 
 class DiscoveryClient:
     """Keeps one request open at the discovery service. Times are in ms.
 
-    `poll_wait_ms` is how long the service may hold a poll; it is short, since a connection that fell silent shows only
-    by the end of a poll. `answer_timeout_ms` is allowed beyond it. With `on_request` nothing is requested until `watch`
-    or `fetch`, and a failure is reported to the receiver. The pause after failures doubles up to `max_backoff_ms`.
+    `poll_wait_ms` is how long the service may hold a poll; it is short, since a silent connection is detected only at
+    the end of a poll. An answer may take `answer_timeout_ms` longer. With `on_request` nothing is requested until
+    `watch` or `fetch`, and each failure is reported to the receiver. The backoff doubles up to `max_backoff_ms`.
     """
 
     def __init__(
@@ -63,24 +63,24 @@
         self.is_watching = not on_request
         self.is_fetch_due = False  # the full list is to be requested
         self.is_stopped = True
-        # Of the open request:
+        # The open request:
         self.is_full_request = False
-        self.requested_at = 0.0  # s, on the loop's clock
+        self.requested_at = 0.0  # seconds on the event loop's clock
         self.requested_version = 0
         self.request_timeout: ReadTimeout | None = None
-        # After a failure:
+        # Retries:
         self.retry_timer: asyncio.TimerHandle | None = None
-        self.backoff_ms = 0.0  # of the next pause
+        self.backoff_ms = 0.0  # delay after the next failure
         self.poll_count = 0
         self.on_warning: Callable[[str], None] = lambda _: None
 
     def start(self) -> None:
-        """Begin to request lists."""
+        """Start requesting lists."""
         self.is_stopped = False
         self.request_next()
 
     def watch(self, is_watching: bool) -> None:
-        """Keep polling for changes, or stop doing so."""
+        """Start or stop polling for changes."""
         self.is_watching = is_watching
         self.request_next()
 
@@ -90,14 +90,14 @@
         self.request_next()
 
     def set_address(self, address: Address) -> None:
-        """Move to another address: the old connection is used until the new one is established."""
+        """Connect to another address; the old connection is used until the new one is established."""
         if address != self.address:
             self.address = address
             if not self.is_stopped:
                 self.connector.connect(address)
 
     def stop(self) -> None:
-        """End the request, the pause and the connection."""
+        """Cancel the open request and the retry timer, and close the connection."""
         self.is_stopped = True
         self.connector.cancel()
         self.finish_request()
@@ -109,9 +109,9 @@
             self.connection = None
 
     def request_next(self) -> None:
-        """Send a request, if one is wanted and none is open or paused."""
-        is_wanted = self.is_watching or self.is_fetch_due
-        if self.is_stopped or self.request_timeout or self.retry_timer or not is_wanted:
+        """Send a request, if one is needed, none is open and no retry is scheduled."""
+        is_needed = self.is_watching or self.is_fetch_due
+        if self.is_stopped or self.request_timeout or self.retry_timer or not is_needed:
             return
         is_connected = self.connection is not None and self.connection.address == self.address
         if not is_connected and not self.connector.is_connecting:
@@ -134,10 +134,10 @@
             timeout_ms = self.answer_timeout_ms + self.poll_wait_ms
         self.request_timeout = ReadTimeout(self.loop, timeout_ms, self.on_request_timeout)
 
-    # ---- what becomes of a connection or a request ----------------------------------------------------------
+    # ---- outcomes of connections and requests ---------------------------------------------------------------
 
     def on_connected(self, connection: HttpConnection) -> None:
-        """Replace the old connection; a request that was open there is sent here."""
+        """Replace the old connection; a request that was open on it is sent again on the new one."""
         if self.connection:
             self.connection.discard()
         self.connection = connection
@@ -148,37 +148,37 @@
             self.request_next()
 
     def on_connect_failed(self, reason: str) -> None:
-        """Pause, unless an old connection goes on; then the next poll connects again."""
+        """Schedule a retry, unless an old connection is in use; in that case the next poll connects again."""
         if self.connection is None:
             self.on_failure(reason)
 
     def on_request_timeout(self) -> None:
-        """Give up a connection on which no answer came."""
+        """Discard a connection on which no answer arrived in time."""
         if self.connection:
             self.connection.discard()
         self.connection = None
-        self.on_failure("no answer in time")
+        self.on_failure("no answer within the timeout")
 
     def on_connection_lost(self, connection: HttpConnection) -> None:
-        """Fail the open request, if any."""
+        """Handle the loss of the connection as a failure of the open request, if any."""
         self.connection = None
         if self.request_timeout:
-            self.on_failure(connection.close_reason or "the connection broke")
+            self.on_failure(connection.close_reason or "connection lost")
 
     def on_answer(self, connection: HttpConnection, body: bytes, error: str) -> None:
-        """Hand an answer to the receiver and send the next request."""
+        """Pass an answer to the receiver and send the next request."""
         if not connection.is_open:
             self.connection = None
         if error:
             self.on_failure(error)
         elif not self.receiver.on_list(body):
-            self.on_failure("an answer that cannot be read")
+            self.on_failure("invalid answer")
         else:
             self.backoff_ms = 0.0
             self.finish_request()
             if self._is_answer_early_and_unchanged():
-                # A service that does not hold polls would be asked without end.
-                self.pause(UNCHANGED_PAUSE_SECONDS)
+                # A service that does not hold polls would otherwise be polled in a tight loop.
+                self.schedule_retry(UNCHANGED_PAUSE_SECONDS)
             self.request_next()
 
     def _is_answer_early_and_unchanged(self) -> bool:
@@ -186,32 +186,32 @@
         return self.receiver.version == self.requested_version and elapsed_ms < self.poll_wait_ms / 2.0
 
     def finish_request(self) -> None:
-        """Forget the open request."""
+        """Mark the open request as finished."""
         if self.request_timeout:
             self.request_timeout.cancel()
             self.request_timeout = None
 
     def on_failure(self, reason: str) -> None:
-        """Pause after a request that failed, or could not be sent."""
+        """Back off after a request that failed or could not be sent, and log a warning."""
         if self.request_timeout is not None and self.is_full_request:
             self.is_fetch_due = True
         self.finish_request()
-        self.pause(self.backoff_ms / 1000.0)
+        self.schedule_retry(self.backoff_ms / 1000.0)
         self.backoff_ms = next_backoff_ms(self.backoff_ms, self.max_backoff_ms)
         self.on_warning(f"discovery: {reason}")
         if self.on_request:
-            # One report for each call that failed; the assigner asks again as it sees fit.
+            # One report for each failed `watch` or `fetch`; the assigner decides whether to request again.
             self.is_watching = False
             self.is_fetch_due = False
             self.receiver.on_list_failed(reason)
 
-    def pause(self, seconds: float) -> None:
-        """Send nothing for a while; replaces a pause that is running."""
+    def schedule_retry(self, seconds: float) -> None:
+        """Delay the next request by `seconds`; replaces a scheduled retry."""
         if self.retry_timer:
             self.retry_timer.cancel()
-        self.retry_timer = self.loop.call_later(seconds, self.on_pause_over)
+        self.retry_timer = self.loop.call_later(seconds, self.on_retry_due)
 
-    def on_pause_over(self) -> None:
-        """Go on after a pause."""
+    def on_retry_due(self) -> None:
+        """Send the next request after a delay."""
         self.retry_timer = None
         self.request_next()
--- a/corallanding/endpoints/__init__.py
+++ b/corallanding/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Lists of hosts: the endpoint list (`endpoint_list`, no I/O) and its source in lines of JSON (`source`)."""
+"""The list of hosts (`endpoint_list`, no I/O) and its source, a stream of JSON lines (`source`)."""
--- a/corallanding/endpoints/endpoint_list.py
+++ b/corallanding/endpoints/endpoint_list.py
@@ -1,8 +1,8 @@
-"""The list of hosts, kept from the rows of a source, as `HostListUpdate` events. No I/O: rows in, events out.
+"""The list of hosts, built from the rows of a source, as `HostListUpdate` events. No I/O: rows in, events out.
 
-A row names a host by its number: `{"host", "address", "zone", "kind", "cell", "state", "weight", "started"}`, `started`
-in milliseconds of the wall clock, absent or 0 for "long ago". A host whose row does not parse keeps its last good
-entry, and the row is reported; the other rows count.
+A row has the fields `{"host", "address", "zone", "kind", "cell", "state", "weight", "started"}`: `host` is a number,
+`started` is in milliseconds of the wall clock, absent or 0 for "long ago". A host whose row is invalid keeps its last
+valid entry, and the row is reported; the other rows are applied.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 from .. import interface as api
 from ..errors import ProtocolError
 
-MAX_NAME_CHARACTERS = 40  # of a value from outside, in the text of an error
+MAX_NAME_CHARACTERS = 40  # longest part of a received value in an error message
 MAX_PORT = 65535
 HOST_STATES = tuple(state.value for state in api.HostState)
 
 
 class InvalidRowError(ProtocolError):
-    """One row of a list that cannot be used; the text names the host and the field."""
+    """One row of a list is invalid; the message names the host and the field."""
 
 
 ReleaseVersions = Annotated[list[Annotated[int, msgspec.Meta(ge=1, le=2**20)]], msgspec.Meta(max_length=16)]
-"""The versions of one request class that a host serves."""
+"""The release versions of one request class that a host serves."""
 
 
 class EndpointRow(msgspec.Struct, forbid_unknown_fields=False):
-    """One row as it arrives; the names of its fields are the wire's. versions: those that the host serves, by class."""
+    """One row as received; field names are those on the wire. versions: release versions served, by request class."""
 
     host: Annotated[int, msgspec.Meta(ge=0, le=2**32 - 1)]
     address: str = ""
@@ -45,7 +45,7 @@
 
 
 def parse_loopback_address(address: str) -> tuple[str, int]:
-    """Read "127.0.0.1:7000" or "[::1]:7000" as host and port. Raises ValueError on anything but loopback."""
+    """Return host and port of "127.0.0.1:7000" or "[::1]:7000". Raises ValueError on any but a loopback address."""
     name, colon, port = address.rpartition(":")
     if not colon or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
         raise ValueError(f"{address!r} is no ADDRESS:PORT")
@@ -59,7 +59,7 @@
 
 
 def parse_row(raw: Any) -> EndpointRow:
-    """Read one decoded row. Raises `InvalidRowError`."""
+    """Return one decoded row, validated. Raises `InvalidRowError`."""
     try:
         row = msgspec.convert(raw, EndpointRow)
     except msgspec.ValidationError as error:
@@ -78,11 +78,11 @@
 
 @dataclass
 class EndpointList:
-    """The list as last received; rows of further hosts than `max_hosts` are rejected.
+    """The list as last received; rows of new hosts beyond `max_hosts` are rejected.
 
-    process_starts_ms: by host, on the wall clock of the source. first_seen_starts: by host and process start, that
-    start on this controller's clock. rejected_rows: what the last call had to leave out, and why. served_versions: of
-    hosts that say which release versions they serve, by request class.
+    process_starts_ms: process start by host, in ms on the wall clock of the source. first_seen_starts: process start on
+    this controller's clock, by host and start on the source's clock. rejected_rows: descriptions of the rows that the
+    last call rejected. served_versions: release versions by request class, for hosts that report them.
     """
 
     max_hosts: int = 10_000
@@ -96,10 +96,10 @@
     served_versions: dict[int, dict[str, list[int]]] = field(default_factory=dict)
 
     def online_since(self, now: float, wall_ms: float, host: int, started_ms: float) -> float:
-        """A process start on the controller's clock, fixed when first received, since clocks drift and step.
+        """Return a process start on the controller's clock, fixed when first received, since clocks drift and step.
 
-        Guards against a step of a wall clock that turns a running process into a new one, and against a source whose
-        clock runs ahead; would take a start that is restated by a second as a second start.
+        Prevents a step of a wall clock from making a running process look like a new one, and limits the start to `now`
+        if the clock of the source runs ahead. A start that the source corrects by a second counts as a new start.
         """
         if started_ms <= 0:
             return 0.0
@@ -119,7 +119,7 @@
         addresses: dict[int, str],
         process_starts_ms: dict[int, float],
     ) -> api.HostListUpdate:
-        """Take the saved list, as the first event after a start."""
+        """Load the saved list; return the first event after a start of the controller."""
         restored = []
         for saved in entries:
             since = self.online_since(now, wall_ms, saved.host, process_starts_ms.get(saved.host, 0.0))
@@ -134,7 +134,7 @@
         return api.HostListUpdate(api.HostListKind.SAVED, version, tuple(restored))
 
     def apply(self, now: float, wall_ms: float, full: bool, version: int, rows: Sequence[Any]) -> api.HostListUpdate:
-        """Take one list or one set of changes. A full list removes the hosts that it does not name."""
+        """Apply a full list or a set of changes. A full list removes the hosts that it does not name."""
         self.rejected_rows = []
         self.version = version
         entries: dict[int, api.HostEntry] = {}
@@ -153,7 +153,7 @@
         return self._replace(entries, invalid_hosts) if full else self._update(entries)
 
     def _take_row(self, now: float, wall_ms: float, row: EndpointRow) -> api.HostEntry | None:
-        """Note what a row says, and return its entry; None if there are too many hosts."""
+        """Store the data of a row, and return its entry; None if there are too many hosts."""
         if row.host not in self.hosts_ever_listed and len(self.hosts_ever_listed) >= self.max_hosts:
             self.rejected_rows.append(f"entry of host {row.host}: more than {self.max_hosts} hosts")
             return None
@@ -168,7 +168,7 @@
         return api.HostEntry(row.host, row.zone, row.kind, row.cell, state, row.weight, since)
 
     def _replace(self, entries: dict[int, api.HostEntry], invalid_hosts: set[int]) -> api.HostListUpdate:
-        """Take a full list. A host whose row is damaged is not gone: its last good entry stands."""
+        """Apply a full list. A host whose row is invalid keeps its last valid entry and is not removed."""
         for host in invalid_hosts:
             if host in self.entries:
                 entries.setdefault(host, self.entries[host])
@@ -176,7 +176,7 @@
         return api.HostListUpdate(api.HostListKind.FULL, self.version, tuple(self.entries.values()))
 
     def _update(self, entries: dict[int, api.HostEntry]) -> api.HostListUpdate:
-        """Take a set of changes."""
+        """Apply a set of changes."""
         for host, entry in entries.items():
             if entry.state == api.HostState.REMOVED:
                 self.entries.pop(host, None)
--- a/corallanding/endpoints/source.py
+++ b/corallanding/endpoints/source.py
@@ -1,7 +1,7 @@
-"""The endpoint list over one connection, as lines of JSON. `docs/protocol.md` has the format.
+"""The host list received over one connection, as lines of JSON. `docs/protocol.md` describes the format.
 
-A pushed list comes by itself; one on request comes after `{"ask": "follow"}` or `{"ask": "fetch"}`. The source
-reconnects with backoff and jitter, and names the version that it has, so that nothing is missed.
+The server pushes the list, or sends it after `{"ask": "follow"}` or `{"ask": "fetch"}`. The source reconnects with
+backoff and jitter, and sends the version that it has, so that no change is missed.
 """
 
 from __future__ import annotations
@@ -20,40 +20,40 @@
 
 MS_PER_SECOND = 1000.0
 MAX_BACKOFF_DOUBLINGS = 10
-MIN_JITTER = 0.5  # the smallest fraction of a backoff that is waited
+MIN_JITTER = 0.5  # lower bound of the random factor on a backoff
 MAX_FORM_CHARACTERS = 40
 FULL = "full"
 CHANGES = "changes"
 
 
 class EndpointListener(Protocol):
-    """The controller, which is notified of what a source receives."""
+    """Receives the host rows and failures of a source; implemented by the controller."""
 
     def on_host_rows(self, full: bool, version: int, rows: list[Any]) -> None:
-        """Rows of a full list, or of changes."""
+        """Process the rows of a full list, or of changes to it."""
 
     def on_source_failure(self, why: str) -> None:
-        """The source cannot be reached, or what it sent cannot be read."""
+        """Handle a source that cannot be reached, or whose data is invalid."""
 
 
 class EndpointSource(Protocol):
-    """A registry of hosts; one class implements this for each kind of registry."""
+    """A source of the host list; each kind of registry has its own implementation."""
 
     def start(self) -> None:
-        """Connect, and keep connected."""
+        """Connect, and reconnect after each loss."""
 
     def follow(self, on: bool) -> None:
-        """Receive every change from here on, or no longer."""
+        """Subscribe to changes, or unsubscribe."""
 
     def fetch(self) -> None:
         """Request the list once."""
 
     def stop(self) -> None:
-        """Disconnect for good."""
+        """Disconnect and do not reconnect."""
 
 
 class RequestKind(StrEnum):
-    """What a source can be asked for; the values are the wire's."""
+    """The kinds of requests; the values are those on the wire."""
 
     FOLLOW = "follow"
     FETCH = "fetch"
@@ -61,16 +61,16 @@
 
 
 class ListRequest(msgspec.Struct):
-    """A request; the names of its fields are the wire's. after: the version that is known, 0 for a full list."""
+    """A request; field names are those on the wire. after: the known version, 0 to request a full list."""
 
     ask: str
     after: int
 
 
 class ListLine(msgspec.Struct):
-    """One line as it arrives; the names of its fields are the wire's.
+    """One line as received; field names are those on the wire.
 
-    form: "full" or "changes". after: the version that changes build on.
+    form: "full" or "changes". after: the version to which the changes apply.
     """
 
     form: str
@@ -80,27 +80,27 @@
 
 
 class ListLineError(ProtocolError):
-    """A line of the source cannot be read."""
+    """A line from the source is invalid."""
 
 
 line_decoder = msgspec.json.Decoder(ListLine)
 
 
 def parse_line(line: bytes) -> ListLine:
-    """Read one line. Raises `ListLineError`."""
+    """Return one line, decoded and validated. Raises `ListLineError`."""
     try:
         parsed = line_decoder.decode(line)
     except msgspec.DecodeError as error:
-        raise ListLineError(f"a line of the roster cannot be read: {error}") from None
+        raise ListLineError(f"a line of the host list cannot be read: {error}") from None
     if parsed.form not in (FULL, CHANGES):
         form = parsed.form[:MAX_FORM_CHARACTERS]
-        raise ListLineError(f"a line of the roster cannot be read: form {form!r} is not full or changes")
+        raise ListLineError(f"a line of the host list cannot be read: form {form!r} is neither full nor changes")
     return parsed
 
 
 @dataclass(frozen=True)
 class LineJsonSourceConfig:
-    """Where the list comes from, and the bounds of it. is_on_request: the list comes only after a request."""
+    """Address and limits of a source. is_on_request: the server sends the list only after a request."""
 
     address: str
     is_on_request: bool = False
@@ -112,7 +112,7 @@
 
 
 class LineJsonSource(asyncio.Protocol):
-    """An `EndpointSource` at one address. known_version: the version that the listener has."""
+    """An `EndpointSource` at one address. known_version: returns the list version that the listener has."""
 
     def __init__(
         self, config: LineJsonSourceConfig, listener: EndpointListener, known_version: Callable[[], int]
@@ -127,21 +127,21 @@
         self._failed_attempts = 0
         self._is_stopped = False
         self._is_following = not config.is_on_request
-        self._has_list = False  # whether a list was received since the start
+        self._has_list = False  # a list was received since the start
         self._answer_timer: asyncio.TimerHandle | None = None
         self._reconnect_timer: asyncio.TimerHandle | None = None
         self._connecting: asyncio.Task[None] | None = None
 
-    # ---- what the controller asks for (`EndpointSource`) -------------------------------------------------------------
+    # ---- `EndpointSource` --------------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Connect, and keep connected."""
+        """Connect, and reconnect after each loss."""
         is_connecting = self._connecting is not None and not self._connecting.done()
         if not self._is_stopped and self._transport is None and not is_connecting:
             self._connecting = asyncio.get_running_loop().create_task(self._connect())
 
     def follow(self, on: bool) -> None:
-        """Receive every change from here on, or no longer."""
+        """Subscribe to changes, or unsubscribe."""
         self._is_following = on
         self._request(RequestKind.FOLLOW if on else RequestKind.STOP)
 
@@ -150,7 +150,7 @@
         self._request(RequestKind.FETCH)
 
     def stop(self) -> None:
-        """Disconnect for good."""
+        """Disconnect and do not reconnect."""
         self._is_stopped = True
         for timer in (self._answer_timer, self._reconnect_timer):
             if timer:
@@ -158,17 +158,17 @@
         if self._transport:
             self._transport.abort()
 
-    # ---- the connection (`asyncio.Protocol`) -------------------------------------------------------------------------
+    # ---- `asyncio.Protocol` ------------------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin on a new connection."""
+        """Initialize a new connection, and subscribe on it if changes are followed."""
         self._transport = cast(asyncio.Transport, transport)
         self._received = bytearray()
         if self._is_following:
             self._request(RequestKind.FOLLOW)
 
     def data_received(self, data: bytes) -> None:
-        """Take complete lines; a line that grows too long ends the connection."""
+        """Process complete lines; a line over `max_line_bytes` closes the connection."""
         self._received += data
         while (end := self._received.find(b"\n")) >= 0:
             line = bytes(self._received[:end])
@@ -180,16 +180,16 @@
             else:
                 self._on_line(parsed)
         if len(self._received) > self.config.max_line_bytes and self._transport:
-            self.listener.on_source_failure(f"a line of the roster is over {self.config.max_line_bytes} bytes")
+            self.listener.on_source_failure(f"a line of the host list is over {self.config.max_line_bytes} bytes")
             self._transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Reconnect, unless stopped."""
         self._transport = None
         if not self._is_stopped:
-            self._on_disconnected(f"roster connection broke: {exc or 'closed'}")
+            self._on_disconnected(f"host list connection lost: {exc or 'closed'}")
 
-    # ---- steps -------------------------------------------------------------------------------------------------------
+    # ---- internals ---------------------------------------------------------------------------------------------------
 
     async def _connect(self) -> None:
         loop = asyncio.get_running_loop()
@@ -197,16 +197,16 @@
         try:
             await asyncio.wait_for(loop.create_connection(lambda: self, *self._address), timeout_seconds)
         except (OSError, TimeoutError) as error:
-            self._on_disconnected(f"roster not reached: {error or 'timed out'}")
+            self._on_disconnected(f"host list source not reached: {error or 'timed out'}")
 
     def _request(self, kind: RequestKind) -> None:
         if self._transport:
-            # The first list after a start is requested in full: what was saved may be out of date.
+            # The first list after a start is requested in full, since the saved one may be out of date.
             after = self.known_version() if self._has_list else 0
             self._transport.write(msgspec.json.encode(ListRequest(kind.value, after)) + b"\n")
             self._await_answer()
         elif self.config.is_on_request:
-            self.listener.on_source_failure("roster not connected")
+            self.listener.on_source_failure("host list source not connected")
             self.start()
 
     def _await_answer(self) -> None:
@@ -228,13 +228,13 @@
         self._cancel_answer_timer()
         self._failed_attempts = 0
         if line.form == CHANGES and line.after is not None and line.after != self.known_version():
-            self._request(RequestKind.FETCH)  # changes in between are missing: the full list has them
+            self._request(RequestKind.FETCH)  # the full list contains the changes that were missed
             return
         self._has_list = True
         self.listener.on_host_rows(line.form == FULL, line.version, line.hosts)
 
     def _on_disconnected(self, reason: str) -> None:
-        """Report a lost connection, and reconnect after a backoff."""
+        """Report a lost or failed connection, and reconnect after a backoff."""
         self._cancel_answer_timer()
         if self._is_stopped:
             return
--- a/corallanding/relay/__init__.py
+++ b/corallanding/relay/__init__.py
@@ -1,5 +1,5 @@
-"""The platform's relay: table orders go out as calls, and a watch says what is in force.
+"""Client of the platform's relay: sends table orders as calls, and receives the current state through a watch.
 
-`orders`, `channel`, `pending_calls` and `subscription` are pure; `line_protocol`, `call_connection` and
-`subscription_connection` hold the sockets.
+`orders`, `channel`, `pending_calls` and `subscription` do no I/O; `line_protocol`, `call_connection` and
+`subscription_connection` own the sockets.
 """
--- a/corallanding/relay/call.py
+++ b/corallanding/relay/call.py
@@ -1,4 +1,4 @@
-"""One call to the relay: the orders that it holds, as a line of JSON-RPC. Pure."""
+"""One call to the relay: a batch of orders, encoded as one line of JSON-RPC. No I/O."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 from .orders import Order, SliceOrder, call_position, encode
 
-MAX_CALL_BYTES = 60_000  # of orders in one call
+MAX_CALL_BYTES = 60_000  # encoded orders in one call
 CALL_HEAD = b'{"jsonrpc":"2.0","id":%d,"method":"relay.apply","params":{"ops":['
 CALL_TAIL = b"]}}\n"
 
 
 class CallAnswer(msgspec.Struct):
-    """A JSON-RPC answer; any of its fields may be of any type."""
+    """A JSON-RPC response. Its fields are not validated here and may have any type."""
 
     id: Any = None
     result: Any = None
@@ -27,26 +27,29 @@
 class Call:
     """A call in flight.
 
-    `line` is what is sent, `orders` what it holds, in its order. `void_slices` were taken from this controller since:
-    orders on them no longer count, whatever becomes of the call.
+    `line` is the encoded request and `orders` are its orders, in the same order. `revoked_slices` were taken from this
+    controller after the call was built: their orders are ignored, whatever the outcome of the call.
     """
 
     id: int
     line: bytes
     orders: list[Order]
-    void_slices: set[int] = field(default_factory=set)
+    revoked_slices: set[int] = field(default_factory=set)
 
     def valid_orders(self, orders: list[Order]) -> list[Order]:
-        """Return those of `orders` that still count."""
-        return [order for order in orders if not (isinstance(order, SliceOrder) and order.slice in self.void_slices)]
+        """Return `orders` without those on slices that were taken from this controller."""
+        return [order for order in orders if not (isinstance(order, SliceOrder) and order.slice in self.revoked_slices)]
 
 
 def build_call(call_id: int, waiting: Iterable[Order], request_classes: list[str]) -> Call:
-    """Put as many waiting orders as fit into one call; a version, last of all, goes with the last part only."""
+    """Build a call from as many waiting orders as fit into `MAX_CALL_BYTES`.
+
+    Versions sort last, so a version is sent only with the last of several calls.
+    """
     size_bytes = 0
     orders: list[Order] = []
     encoded: list[bytes] = []
-    for order in sorted(waiting, key=call_position):  # stable within a kind
+    for order in sorted(waiting, key=call_position):  # the sort is stable within a kind
         operation = encode(order, request_classes)
         if orders and size_bytes + len(operation) + 1 > MAX_CALL_BYTES:
             break
--- a/corallanding/relay/call_connection.py
+++ b/corallanding/relay/call_connection.py
@@ -1,4 +1,4 @@
-"""The connection for calls. What calls hold, and what answers mean: `pending_calls`."""
+"""The connection that sends calls to the relay. `pending_calls` builds the calls and interprets the answers."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class CallConnection:
-    """Carries out `calls`, one after the other. Times in ms.
+    """Sends `calls` one at a time. Times are in ms.
 
-    `on_confirmed` takes the orders that the relay confirmed. After `answer_timeout_ms` an answer never comes. A
-    connection that was idle for over `max_idle_ms` is not used for a call, since the relay may be closing it just then.
+    `on_confirmed` receives the orders that the relay confirmed. No answer is expected after `answer_timeout_ms`. A
+    connection that was idle for over `max_idle_ms` is not reused, since the relay may be closing it at that moment.
     """
 
     def __init__(
@@ -43,13 +43,13 @@
         )
         self.connection: LineConnection | None = None
         self.last_used_ms = 0.0
-        self.send_timer: asyncio.TimerHandle | None = None  # until the next call may be sent
-        self.answer_timeout: ReadTimeout | None = None  # of the call in flight
-        self.is_finishing = False  # no call begins any more
-        self.finished = asyncio.Event()  # none is in flight, and none will be
+        self.send_timer: asyncio.TimerHandle | None = None  # runs until the next call may be sent
+        self.answer_timeout: ReadTimeout | None = None  # set while a call is in flight
+        self.is_finishing = False  # no further call is sent
+        self.finished = asyncio.Event()  # set once no call is in flight and none will be sent
 
     def send_next(self) -> None:
-        """Send the next call, now or when it may be sent."""
+        """Send the next call now, or schedule it for the time from which it may be sent."""
         if self.calls.in_flight or self.connector.is_connecting or self.is_finishing:
             return
         self.cancel_send_timer()
@@ -68,7 +68,7 @@
             self.send(connection, now_ms)
 
     def cancel_send_timer(self) -> None:
-        """Stop waiting for the time of the next call."""
+        """Cancel the scheduled sending of the next call."""
         if self.send_timer:
             self.send_timer.cancel()
             self.send_timer = None
@@ -81,19 +81,19 @@
             self.answer_timeout = ReadTimeout(self.loop, self.answer_timeout_ms, self.on_outcome_unknown)
 
     def on_connected(self, connection: LineConnection) -> None:
-        """Use a new connection in place of the old one."""
+        """Replace the old connection by the new one."""
         self.discard_connection()
         self.connection = connection
         self.last_used_ms = self.clock()
         self.send_next()
 
     def on_connect_failed(self, _: str) -> None:
-        """Try again after a while."""
+        """Retry after the backoff."""
         self.calls.on_not_sent(self.clock())
         self.send_next()
 
     def on_lines(self, connection: LineConnection, lines: list[bytes]) -> None:
-        """Take answers."""
+        """Process the answers in received lines."""
         for line in lines:
             if not connection.is_open or not self.calls.in_flight:
                 return
@@ -107,19 +107,19 @@
             self.on_call_ended()
 
     def on_connection_lost(self, _: LineConnection) -> None:
-        """Send a call that was in flight again."""
+        """Resend the call that was in flight, if any, since its outcome is unknown."""
         self.connection = None
         if self.calls.in_flight:
             self.on_outcome_unknown()
 
     def on_outcome_unknown(self) -> None:
-        """Give up the connection, since an answer may still come on it, and send the call again."""
+        """Discard the connection, on which a late answer may still arrive, and resend the call."""
         self.discard_connection()
         self.calls.on_outcome_unknown(self.clock())
         self.on_call_ended()
 
     def on_call_ended(self) -> None:
-        """Go on after a call, whatever became of it."""
+        """Continue with the next call after one has ended with any outcome."""
         if self.answer_timeout:
             self.answer_timeout.cancel()
             self.answer_timeout = None
@@ -134,14 +134,14 @@
             self.connection = None
 
     def set_address(self, address: Address) -> None:
-        """Use another address from now on; a call in flight ends first."""
+        """Use another address from the next call on; a call in flight ends at the old one."""
         if address != self.address:
             self.address = address
             self.connector.cancel()
             self.send_next()
 
     def finish(self) -> None:
-        """Let a call in flight end and begin no other; `finished` is set then."""
+        """Send no further call; `finished` is set once the call in flight, if any, has ended."""
         self.is_finishing = True
         self.cancel_send_timer()
         self.connector.cancel()
@@ -149,7 +149,7 @@
             self.finished.set()
 
     def close(self) -> None:
-        """End at once."""
+        """Stop at once, without waiting for a call in flight."""
         self.finish()
         if self.answer_timeout:
             self.answer_timeout.cancel()
--- a/corallanding/relay/channel.py
+++ b/corallanding/relay/channel.py
@@ -1,4 +1,4 @@
-"""An upper estimate of what the relay still has queued for the proxies. Pure."""
+"""An upper estimate of the lines that the relay still has queued for the proxies. No I/O."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 @dataclass
 class ChannelEstimate:
-    """The most that the relay's channel may hold of what was sent, at its stated rate. Lines; times in ms.
+    """An upper bound of the lines queued in the relay's channel, which drains at `lines_per_second`. Times are in ms.
 
-    A call that is sent again may be carried out twice, while the assigner counts it once. So a wave of drains that
-    fills more than half of the queue, and is sent again, waits until it fits; where the first call was lost, it waits
-    for nothing.
+    A call that is sent again may be carried out twice, while the assigner counts it once. So a batch of drains that
+    fills more than half of the queue and has to be sent again is delayed until a second copy fits; if the first call
+    was in fact lost, that delay was unnecessary.
     """
 
     max_lines: float = float("inf")
@@ -25,41 +25,41 @@
     proxy_count: Callable[[], int] = _no_proxies
     queued_lines: float = 0.0
     updated_at_ms: float = 0.0
-    # Of the last call:
-    lines_before_call: float = 0.0  # queued when it was sent
+    # State of the last call:
+    lines_before_call: float = 0.0  # lines queued when the call was sent
     call_sent_at_ms: float = 0.0
-    call_lines: float = 0.0
+    call_lines: float = 0.0  # lines that the call adds to the queue
 
     def cost(self, order_count: int) -> float:
-        """Return the lines that a message with so many orders takes, over all proxies."""
+        """Return the lines that a message with `order_count` orders takes, summed over all proxies."""
         return (order_count + self.message_overhead_lines) * self.proxy_count()
 
     def queued_at(self, now_ms: float) -> float:
-        """Return what is queued now; `now_ms` never goes back."""
+        """Return the lines queued at `now_ms`, which must not decrease between calls."""
         sent_lines = (now_ms - self.updated_at_ms) * self.lines_per_second / 1000.0
         self.queued_lines = max(0.0, self.queued_lines - sent_lines)
         self.updated_at_ms = now_ms
         return self.queued_lines
 
     def on_call_sent(self, now_ms: float, order_count: int) -> None:
-        """A call was sent: its message may be queued from now on."""
+        """Record that a call was sent; its message may be in the queue from `now_ms` on."""
         self.lines_before_call = self.queued_at(now_ms)
         self.call_sent_at_ms = now_ms
         self.call_lines = self.cost(order_count)
         self.queued_lines = self.lines_before_call + self.call_lines
 
     def on_call_ended(self, at_ms: float, was_carried_out: bool = True) -> None:
-        """The call became a message by `at_ms`, or never did.
+        """Record that the call was queued as a message by `at_ms`, or was not carried out at all.
 
-        Until then only what was queued before it has been sent for sure: a call may take longer on its way than the
-        next one, and must not count as sent before it arrived.
+        Up to `at_ms` only the lines queued before the call are certain to drain: a call may take longer to arrive than
+        the next one, and its lines must not count as drained before it arrived.
         """
         sent_lines = (at_ms - self.call_sent_at_ms) * self.lines_per_second / 1000.0
         self.queued_lines = max(0.0, self.lines_before_call - sent_lines) + self.call_lines * was_carried_out
         self.updated_at_ms = at_ms
 
     def earliest_send_ms(self, now_ms: float, order_count: int) -> float:
-        """Return when so many orders fit, or when all else has been sent."""
+        """Return the time at which `order_count` orders fit, or at which the queue is empty if they never fit."""
         queued = self.queued_at(now_ms)
         excess = min(queued, queued + self.cost(order_count) - self.max_lines)
         return now_ms + max(0.0, excess) * 1000.0 / self.lines_per_second
--- a/corallanding/relay/line_protocol.py
+++ b/corallanding/relay/line_protocol.py
@@ -1,4 +1,4 @@
-"""A connection to the relay that carries lines."""
+"""A connection to the relay that splits the received data into lines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LineConnection(OutboundConnection):
-    """Splits what comes into lines; `on_lines(connection, lines)` is called for each read."""
+    """Calls `on_lines(connection, lines)` with the complete lines of each read."""
 
     def __init__(
         self, address: Address, on_lines: Callable[[Any, list[bytes]], None], on_lost: Callable[[Any], None]
@@ -19,14 +19,14 @@
         super().__init__(address, on_lost)
         self.on_lines = on_lines
         self.incomplete_line = b""
-        self.last_received_ms = 0.0  # set by the owner
+        self.last_received_ms = 0.0  # written by the owner of the connection
 
     def data_received(self, data: bytes) -> None:
-        """Report the lines that are complete; one that is too long ends the connection."""
+        """Report the complete lines; a line over `MAX_LINE_BYTES` closes the connection."""
         if not self.is_open:
             return
         *lines, self.incomplete_line = (self.incomplete_line + data).split(b"\n")
         if len(self.incomplete_line) > MAX_LINE_BYTES:
-            self.fail(f"a line of over {MAX_LINE_BYTES} bytes")
+            self.fail(f"received a line of over {MAX_LINE_BYTES} bytes")
             return
         self.on_lines(self, [line for line in lines if line.strip()])
--- a/corallanding/relay/notifications.py
+++ b/corallanding/relay/notifications.py
@@ -1,4 +1,4 @@
-"""Notifications of the relay's watch: lines to typed values, each field checked. Pure."""
+"""Parsing of the relay's watch notifications: lines to typed values, each field validated. No I/O."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 VERSION_LIMIT = 65_536  # versions are below this
 NUMBER_LIMIT = 1e12
-MAX_QUOTED_BYTES = 80  # of a line in an error
+MAX_QUOTED_BYTES = 80  # longest part of an invalid line in an error message
 
 
 class InvalidNotificationError(ProtocolError):
-    """A line of the watch that cannot be used; the text names the field."""
+    """A line of the watch is invalid; the message names the field."""
 
 
 class Notification(msgspec.Struct):
-    """A JSON-RPC notification, or the answer to the watch request."""
+    """A JSON-RPC notification, or the response to the watch request."""
 
     method: str = ""
     params: dict[str, Any] = {}
@@ -31,7 +31,7 @@
 
 
 class TableEntry(NamedTuple):
-    """A weight of a host in the table of a slice."""
+    """The weight of one host in the table of one slice."""
 
     slice: int
     host: int
@@ -50,7 +50,7 @@
 
 
 def bounded_integer(params: dict[str, Any], key: str, limit: int) -> int:
-    """Read a whole number from 0 to below `limit`. Raises InvalidNotificationError."""
+    """Return the integer at `key`, from 0 to below `limit`. Raises InvalidNotificationError."""
     value = params.get(key)
     if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < limit:
         raise InvalidNotificationError(f"{key}={value!r}")
@@ -58,7 +58,7 @@
 
 
 def non_negative_number(params: dict[str, Any], key: str) -> float:
-    """Read a number of 0 or more, 0 if it is missing. Raises InvalidNotificationError."""
+    """Return the number at `key`, at least 0; 0.0 if it is missing. Raises InvalidNotificationError."""
     value = params.get(key, 0.0)
     if not isinstance(value, int | float) or isinstance(value, bool) or not 0.0 <= value < NUMBER_LIMIT:
         raise InvalidNotificationError(f"{key}={value!r}")
@@ -66,22 +66,22 @@
 
 
 class NotificationReader:
-    """Reads the fields of notifications within the bounds of a site. Every method raises InvalidNotificationError."""
+    """Reads fields of notifications within the bounds of the settings. Each method raises InvalidNotificationError."""
 
     def __init__(self, settings: api.Settings, zones: dict[str, int]) -> None:
         self.settings = settings
-        self.zones = zones  # names to numbers
+        self.zones = zones  # zone numbers by name
 
     def proxy(self, params: dict[str, Any]) -> int:
-        """Read the number of a proxy."""
+        """Return the proxy number."""
         return bounded_integer(params, "node", self.settings.proxy_count)
 
     def slice(self, params: dict[str, Any]) -> int:
-        """Read the number of a slice."""
+        """Return the slice number."""
         return bounded_integer(params, "shard", max(1, self.settings.slice_count))
 
     def proxy_joined(self, params: dict[str, Any]) -> api.ProxyJoined:
-        """Read a proxy that has connected."""
+        """Return the event of a proxy that has connected."""
         zone = self.zones.get(str(params.get("locality")))
         if zone is None:
             raise InvalidNotificationError(f"locality={params.get('locality')!r}")
@@ -90,12 +90,12 @@
         )
 
     def version_acked(self, params: dict[str, Any]) -> api.VersionAcked:
-        """Read a version that a proxy has applied."""
+        """Return the event of a version that a proxy has applied."""
         version = bounded_integer(params, "nonce", VERSION_LIMIT)
         return api.VersionAcked(self.proxy(params), version, non_negative_number(params, "latency"))
 
     def table_entry(self, params: dict[str, Any]) -> TableEntry:
-        """Read a weight in a table."""
+        """Return one entry of a table."""
         try:
             host = number(str(params.get("endpoint")))
         except ValueError:
--- a/corallanding/relay/orders.py
+++ b/corallanding/relay/orders.py
@@ -1,4 +1,4 @@
-"""Orders as the relay takes them: which of them replace one another, their position in a call, their encoding. Pure."""
+"""Orders to the relay: which orders replace one another, their position in a call, their encoding. No I/O."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from ..host_names import name
 
 Order = api.SetWeight | api.ResetTable | api.Cordon | api.SetAdmission | api.PublishVersion
-"""Actions that the relay carries out."""
+"""An action of the assigner that the relay carries out."""
 
 SliceOrder = api.SetWeight | api.ResetTable | api.SetAdmission
-"""Orders that concern one slice."""
+"""An order on one slice."""
 
 TableOrder = api.SetWeight | api.ResetTable
-"""Orders that change a table."""
+"""An order that changes a table."""
 
 
 class OrderKind(StrEnum):
-    """What an order sets."""
+    """The kind of state that an order sets."""
 
     TABLE_ENTRY = "entry"
     TABLE_RESET = "reset"
@@ -31,9 +31,9 @@
 
 
 class OrderKey(NamedTuple):
-    """What an order sets, and where: of two orders with the same key only the later one counts.
+    """Identifies the state that an order sets: of two orders with the same key, the later one replaces the earlier.
 
-    `target` is a slice or a host; `detail` the host of a table entry or the request classes of an admission.
+    `target` is a slice or a host; `detail` is the host of a table entry or the request classes of an admission.
     """
 
     kind: OrderKind
@@ -42,7 +42,7 @@
 
 
 class CallPosition(IntEnum):
-    """The order of kinds within a call. If a call has to be cut, no proxy loses a host before it has the new one."""
+    """Sort position within a call: if a call has to be split, proxies receive new hosts before old ones are removed."""
 
     RESET_TABLE = 0
     CORDON = 1
@@ -54,7 +54,7 @@
 
 
 def key(order: Order) -> OrderKey:
-    """Return what the order sets."""
+    """Return the key of the state that the order sets."""
     match order:
         case api.SetWeight():
             return OrderKey(OrderKind.TABLE_ENTRY, order.slice, order.host)
@@ -69,7 +69,7 @@
 
 
 def call_position(order: Order) -> CallPosition:
-    """Return where in a call the order stands."""
+    """Return the sort position of the order within a call."""
     match order:
         case api.ResetTable():
             return CallPosition.RESET_TABLE
@@ -84,7 +84,7 @@
 
 
 def encode(order: Order, request_classes: list[str]) -> bytes:
-    """Return the order as JSON; `request_classes` are their names, by number."""
+    """Return the order as JSON. `request_classes` are the names of the request classes, indexed by their number."""
     return msgspec.json.encode(_operation(order, request_classes))
 
 
@@ -103,11 +103,11 @@
 
 
 def _admission(order: api.SetAdmission, request_classes: list[str]) -> dict[str, Any]:
-    named = [class_name for bit, class_name in enumerate(request_classes) if order.request_classes >> bit & 1]
+    class_names = [class_name for bit, class_name in enumerate(request_classes) if order.request_classes >> bit & 1]
     return {
         "op": "LIMIT",
         "table": "*" if order.slice == api.ALL_TABLES else order.slice,
-        "for": named or "*",
+        "for": class_names or "*",
         "gate": order.amount,
         "again": int(order.retry),
     }
--- a/corallanding/relay/subscription.py
+++ b/corallanding/relay/subscription.py
@@ -1,8 +1,8 @@
-"""What the relay's watch says is in force: joined proxies, owned slices and their tables. Pure.
+"""The state that the relay's watch reports: joined proxies, owned slices and their tables. No I/O.
 
-A new connection first says everything that is in force, without a mark at its end; the owner of the connection decides
-when that is complete (`replace_state`). What was known before and is not said again is gone; what is said again
-unchanged is no event.
+A new connection first reports the complete current state, without an end marker; the owner of the connection decides
+when it is complete (`replace_state`). Known items that the new connection does not report have been removed; items that
+it reports unchanged cause no event.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from .orders import TableOrder
 
 Table = dict[int, float]
-"""Weights by host."""
+"""Weights by host number."""
 
 
 @dataclass
 class InitialState:
-    """What a new connection has said so far.
+    """The state that a new connection has reported so far.
 
-    `confirmed_orders` were confirmed in the meantime: what the connection said of their slices may hold them or not.
+    `confirmed_orders` were confirmed since the connection began; the reported tables may or may not include them.
     """
 
     proxies: dict[int, api.ProxyJoined] = field(default_factory=dict)
@@ -32,7 +32,7 @@
 
 
 def apply_orders(table: Table, orders: Iterable[TableOrder]) -> Table:
-    """Return the table after orders on it. Each sets a state, so it does not matter if some had been applied."""
+    """Return a copy of the table with `orders` applied; orders that it already includes have no further effect."""
     changed = dict(table)
     for order in orders:
         if isinstance(order, api.ResetTable):
@@ -45,7 +45,7 @@
 
 
 def group_by_slice(orders: Iterable[TableOrder]) -> dict[int, list[TableOrder]]:
-    """Return the orders of each slice, in their order."""
+    """Return the orders by slice, in their original order."""
     groups: dict[int, list[TableOrder]] = {}
     for order in orders:
         groups.setdefault(order.slice, []).append(order)
@@ -53,28 +53,28 @@
 
 
 class RelayView:
-    """What is known to be in force. It outlives connections.
+    """The last known state of the relay. It is kept across connections.
 
-    `tables` are the entries as the relay stores them; the owner keeps them true with the orders that the relay confirms
-    (`on_order_confirmed`). `zones` maps names to numbers.
+    `tables` are the entries as the relay stores them; the owner updates them with the orders that the relay confirms
+    (`on_order_confirmed`). `zones` maps zone names to numbers.
     """
 
     def __init__(self, settings: api.Settings, zones: dict[str, int]) -> None:
         self.reader = NotificationReader(settings, zones)
         self.proxies: dict[int, api.ProxyJoined] = {}
         self.tables: dict[int, Table] = {}
-        self.arriving_slices: dict[int, Table] = {}  # given just now, while their entries still come
-        self.initial_state: InitialState | None = None  # of the connection that is new
+        self.incomplete_slices: dict[int, Table] = {}  # newly assigned slices whose entries are still incomplete
+        self.initial_state: InitialState | None = None  # set while a new connection reports its initial state
 
     # ---- a new connection ----------------------------------------------------------------------------------
 
     def begin_initial_state(self) -> InitialState:
-        """A connection begins to say what is in force."""
+        """Return an empty initial state for a new connection."""
         self.initial_state = InitialState()
         return self.initial_state
 
     def add_initial(self, state: InitialState, notification: Notification) -> None:
-        """Take a line of what is in force. Raises InvalidNotificationError."""
+        """Add a notification to the initial state. Raises InvalidNotificationError."""
         params = notification.params
         match notification.method:
             case "attach":
@@ -96,12 +96,12 @@
                     state.tables[entry.slice][entry.host] = entry.weight
 
     def replace_state(self, state: InitialState, unconfirmed_orders: Iterable[TableOrder] = ()) -> list[api.Event]:
-        """What is in force is complete: return the difference to what was known.
+        """Replace the known state by a complete initial state, and return the difference as events.
 
-        `unconfirmed_orders` are out, in the order in which they apply. What was said of a slice is as old as the
-        connection, so orders that were confirmed or sent since are applied on top: otherwise a table from before such
-        an order would be remembered, whose new entry the assigner would never take back. This is wrong for a slice that
-        went to another controller and came back while the watch was interrupted, with orders out.
+        `unconfirmed_orders` are waiting or in flight, in the order in which they apply. A reported table may be as old
+        as the connection, so orders confirmed or sent since are applied on top: otherwise the table from before such an
+        order would be stored, and the assigner would never remove the entry that the order adds. This is wrong for a
+        slice that another controller owned for a time while the watch was interrupted and orders were unconfirmed.
         """
         if state is self.initial_state:
             self.initial_state = None
@@ -110,20 +110,20 @@
         events += [joined for proxy, joined in state.proxies.items() if proxy not in self.proxies]
         events += [api.SliceOwnershipChange(slice_id, False) for slice_id in lost_slices]
         self.proxies = state.proxies
-        self.arriving_slices = self._changed_tables(state, unconfirmed_orders)
+        self.incomplete_slices = self._changed_tables(state, unconfirmed_orders)
         for slice_id in lost_slices:
-            del self.tables[slice_id]  # in place: reports are checked against this very table
+            del self.tables[slice_id]  # in place: the collector checks reports against this dict
         acks = [ack for ack in state.acks if ack.proxy in self.proxies]
         return [*events, *self.complete_slices(), *acks]
 
     def _changed_tables(self, state: InitialState, unconfirmed_orders: Iterable[TableOrder]) -> dict[int, Table]:
-        """Return the tables that are new, or differ from what was known."""
+        """Return the tables that are new or differ from the known ones."""
         confirmed = group_by_slice(state.confirmed_orders)
         unconfirmed = group_by_slice(unconfirmed_orders)
         changed: dict[int, Table] = {}
-        for slice_id, said in state.tables.items():
+        for slice_id, reported in state.tables.items():
             orders = unconfirmed.get(slice_id, ())
-            table = apply_orders(apply_orders(said, confirmed.get(slice_id, ())), orders)
+            table = apply_orders(apply_orders(reported, confirmed.get(slice_id, ())), orders)
             known = self.tables.get(slice_id)
             if known is None or apply_orders(known, orders) != table:
                 changed[slice_id] = table
@@ -132,9 +132,9 @@
     # ---- an established connection -------------------------------------------------------------------------
 
     def apply(self, notification: Notification) -> list[api.Event]:
-        """Take a line after the initial state. Raises InvalidNotificationError.
+        """Apply a notification after the initial state, and return its events. Raises InvalidNotificationError.
 
-        A slice that is given waits for its entries: see `complete_slices`.
+        A newly assigned slice causes no event until its entries have arrived: see `complete_slices`.
         """
         params = notification.params
         match notification.method:
@@ -157,19 +157,19 @@
 
     def _on_ownership(self, slice_id: int, is_owned: bool) -> list[api.Event]:
         if is_owned:
-            self.arriving_slices[slice_id] = {}
+            self.incomplete_slices[slice_id] = {}
             return []
-        self.arriving_slices.pop(slice_id, None)
+        self.incomplete_slices.pop(slice_id, None)
         was_owned = self.tables.pop(slice_id, None) is not None
         return [api.SliceOwnershipChange(slice_id, False)] if was_owned else []
 
     def _on_table_entry(self, slice_id: int, host: int, weight: float) -> list[api.Event]:
-        arriving = self.arriving_slices.get(slice_id)
-        if arriving is not None:
+        incomplete = self.incomplete_slices.get(slice_id)
+        if incomplete is not None:
             if weight > 0:
-                arriving[host] = weight
+                incomplete[host] = weight
             return []
-        # Of a slice that was given some time ago: an echo of an order, or an entry that came late.
+        # The slice was delivered before: the entry echoes an order of this controller, or arrived late.
         table = self.tables.get(slice_id)
         if table is None or weight <= 0 or host in table:
             return []
@@ -177,25 +177,25 @@
         return [api.StoredWeight(slice_id, host, weight)]
 
     def complete_slices(self) -> list[api.Event]:
-        """The entries of slices that were given are complete: return each slice with its entries, for one step."""
+        """Return the events of newly assigned slices and their entries, which are now assumed complete."""
         events: list[api.Event] = []
-        for slice_id, table in self.arriving_slices.items():
+        for slice_id, table in self.incomplete_slices.items():
             self.tables[slice_id] = table
             events.append(api.SliceOwnershipChange(slice_id, True))
             events += [api.StoredWeight(slice_id, host, weight) for host, weight in table.items()]
-        self.arriving_slices = {}
+        self.incomplete_slices = {}
         return events
 
     def assume_acked(self, version: int) -> list[api.Event]:
-        """Return acks up to `version` in place of those that were lost while the watch was interrupted.
+        """Return acks up to `version` that replace those lost while the watch was interrupted.
 
-        The assigner would wait for them for good, with its queue full by its own count, and might not even send the
-        version whose acks would clear it. If this is asked too early, it frees a queue that is not empty yet.
+        Without them the assigner would count its queue as full forever, and might not even send the version whose acks
+        would clear it. If called too early, this clears the count of a queue that is not empty yet.
         """
         return [api.VersionAcked(proxy, version) for proxy in self.proxies]
 
     def on_order_confirmed(self, order: TableOrder) -> None:
-        """The relay confirmed an order."""
+        """Apply a confirmed order to the known table of its slice."""
         if order.slice in self.tables:
             self.tables[order.slice] = apply_orders(self.tables[order.slice], [order])
             if self.initial_state:
--- a/corallanding/relay/subscription_connection.py
+++ b/corallanding/relay/subscription_connection.py
@@ -1,4 +1,4 @@
-"""The connections of the relay's watch. What notifications mean: `subscription`."""
+"""The connections of the relay's watch. `subscription` interprets the notifications."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 WATCH_REQUEST = b'{"jsonrpc":"2.0","id":1,"method":"relay.watch"}\n'
 MAX_BACKOFF_MS = 500.0
-SILENCE_CHECKS = 4.0  # within one silence timeout
-MAX_ENTRIES_WAIT = 5.0  # times the quiet period, that a slice waits for its entries at most
+SILENCE_CHECKS = 4.0  # checks per silence timeout
+MAX_ENTRIES_WAIT = 5.0  # longest wait of a new slice for its entries, in multiples of `entries_quiet_ms`
 
 
 @dataclass(frozen=True)
 class WatchTimings:
     """Times of a watch, in ms.
 
-    A connection that says nothing for `silence_timeout_ms` is given up. Without a line for `initial_quiet_ms`, what is
-    in force counts as complete (a ping says so at once). A slice that is given waits `entries_quiet_ms` after the last
-    entry of any slice, up to `MAX_ENTRIES_WAIT` times that.
+    A connection that receives no data for `silence_timeout_ms` is closed. The initial state counts as complete after
+    `initial_quiet_ms` without a line, or at the first ping. A newly assigned slice is delivered `entries_quiet_ms`
+    after the last entry of any slice, but no later than `MAX_ENTRIES_WAIT` times that.
     """
 
     silence_timeout_ms: float = 2_500.0
@@ -35,7 +35,7 @@
 
 
 class Subscription:
-    """Keeps a watch open. `on_events` takes events, `unconfirmed_orders` gives table orders that are out."""
+    """Keeps a watch open. `on_events` receives events; `unconfirmed_orders` returns the unconfirmed table orders."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         self.unconfirmed_orders = unconfirmed_orders
         self.on_warning = on_warning
         self.timings = timings or WatchTimings()
-        self.on_gap_bridged: Callable[[], None] = lambda: None  # called when the watch goes on after an interruption
+        self.on_gap_bridged: Callable[[], None] = lambda: None  # called when the watch resumes after an interruption
         self.loop = asyncio.get_running_loop()
         self.connector = Connector(
             lambda address: WatchConnection(address, self.on_lines, self.on_connection_ended),
@@ -62,8 +62,8 @@
             self.on_connect_failed,
             self.timings.connect_timeout_ms,
         )
-        self.current: WatchConnection | None = None  # whose notifications count
-        self.candidate: WatchConnection | None = None  # that will take its place
+        self.current: WatchConnection | None = None  # the connection whose notifications are applied
+        self.candidate: WatchConnection | None = None  # replaces `current` once its initial state is complete
         self.silence_timer: ReadTimeout | None = None
         self.reconnect_timer: asyncio.TimerHandle | None = None
         self.backoff_ms = 0.0
@@ -72,19 +72,19 @@
         self.is_closed = False
         self.has_been_ready = False
         self.break_count = 0
-        self.bridged_breaks = 0  # the count when the watch last went on
+        self.resumed_break_count = 0  # `break_count` when the watch last resumed
 
     def start(self) -> None:
         """Open the watch."""
         self.check_silence()
 
     def check_silence(self) -> None:
-        """Give up connections that fell silent; runs some times within a silence timeout."""
+        """Close connections without data for the silence timeout; runs `SILENCE_CHECKS` times per timeout."""
         now_ms = self.clock()
         for connection in (self.current, self.candidate):
             if connection and now_ms - connection.last_received_ms > self.timings.silence_timeout_ms:
                 if connection is self.current:
-                    self.on_warning("news has fallen silent")
+                    self.on_warning("relay watch: no data within the silence timeout")
                 connection.discard()
                 self.on_connection_ended(connection)
         self.reconnect()
@@ -95,20 +95,20 @@
     # ---- connections -----------------------------------------------------------------------------------------
 
     def reconnect(self) -> None:
-        """Connect after the backoff, if a connection is wanted and none is on its way."""
-        is_wanted = self.current is None or self.current.address != self.address
-        is_on_its_way = self.candidate or self.connector.is_connecting or self.reconnect_timer
-        if is_wanted and not is_on_its_way and not self.is_closed:
+        """Schedule a connection after the backoff, if one is needed and none is being established."""
+        is_needed = self.current is None or self.current.address != self.address
+        is_connecting = self.candidate or self.connector.is_connecting or self.reconnect_timer
+        if is_needed and not is_connecting and not self.is_closed:
             self.reconnect_timer = self.loop.call_later(self.backoff_ms / 1000.0, self.connect_now)
             self.backoff_ms = next_backoff_ms(self.backoff_ms, MAX_BACKOFF_MS)
 
     def connect_now(self) -> None:
-        """Connect at the end of the backoff."""
+        """Open a connection at the end of the backoff."""
         self.reconnect_timer = None
         self.connector.connect(self.address)
 
     def on_connect_failed(self, _: str) -> None:
-        """Try again."""
+        """Retry after the backoff."""
         self.reconnect()
 
     def on_connected(self, connection: WatchConnection) -> None:
@@ -119,7 +119,7 @@
         connection.transport.write(WATCH_REQUEST)
 
     def on_connection_ended(self, connection: WatchConnection) -> None:
-        """Reconnect after a connection ended, by itself or because it was given up."""
+        """Reconnect after a connection was lost or discarded."""
         connection.cancel_quiet_timer()
         if connection is self.current:
             self.current = None
@@ -129,7 +129,7 @@
         self.reconnect()
 
     def set_address(self, address: Address) -> None:
-        """Move to another address: the old connection counts until the new one knows what is in force."""
+        """Connect to another address; the old connection is used until the new initial state is complete."""
         if address != self.address:
             self.address = address
             self.backoff_ms = 0.0
@@ -137,7 +137,7 @@
             self.reconnect()
 
     def cancel_candidate(self) -> None:
-        """Give up the connection that is on its way, if any."""
+        """Discard the connection that is being established or is receiving its initial state, if any."""
         self.connector.cancel()
         if self.reconnect_timer:
             self.reconnect_timer.cancel()
@@ -147,7 +147,7 @@
             self.candidate = None
 
     def close(self) -> None:
-        """End the watch."""
+        """Close the watch and all of its connections."""
         self.is_closed = True
         self.cancel_candidate()
         if self.current:
@@ -160,7 +160,7 @@
     # ---- notifications ---------------------------------------------------------------------------------------
 
     def on_lines(self, connection: WatchConnection, lines: list[bytes]) -> None:
-        """Take lines of a connection; one that cannot be used is reported and passed over."""
+        """Process received lines; an invalid line is reported and skipped."""
         connection.last_received_ms = self.clock()
         events: list[api.Event] = []
         for line in lines:
@@ -169,13 +169,13 @@
                 if connection.initial_state is None:
                     events += self._on_notification(notification)
                 elif notification.error is not None:
-                    connection.discard()  # not yet, or not here: requested again after the backoff
+                    connection.discard()  # the relay refused the watch: retry after the backoff
                     self.on_connection_ended(connection)
                     return
                 else:
                     self._on_initial_notification(connection, connection.initial_state, notification)
             except InvalidNotificationError as error:
-                self.on_warning(f"news that cannot be used: {error}")
+                self.on_warning(f"invalid watch notification: {error}")
         self._restart_quiet_timer(connection)
         if events:
             self.on_events(events)
@@ -204,7 +204,7 @@
             )
 
     def complete_initial_state(self, connection: WatchConnection) -> None:
-        """Let a new connection, which now knows what is in force, take the place of the old one."""
+        """Replace the current connection by a new one whose initial state is complete."""
         state = connection.initial_state
         if state is None or connection is not self.candidate:
             return
@@ -217,13 +217,13 @@
         self.backoff_ms = 0.0
         self.has_been_ready = True
         self.on_events(self.view.replace_state(state, self.unconfirmed_orders()))
-        if self.break_count > self.bridged_breaks:
-            self.bridged_breaks = self.break_count
+        if self.break_count > self.resumed_break_count:
+            self.resumed_break_count = self.break_count
             self.on_gap_bridged()
         self.reconnect()
 
     def on_entries(self) -> None:
-        """Wait for a quiet period before slices that were given are delivered, but not without end."""
+        """Restart the quiet period before newly assigned slices are delivered, within its upper limit."""
         now_ms = self.clock()
         if self.entries_timer:
             self.entries_timer.cancel()
@@ -235,7 +235,7 @@
         self.entries_timer = self.loop.call_later(delay_ms / 1000.0, self.deliver_slices)
 
     def deliver_slices(self) -> None:
-        """Deliver slices that were given, with their entries."""
+        """Deliver newly assigned slices with their entries."""
         self.entries_timer = None
         if events := self.view.complete_slices():
             self.on_events(events)
--- a/corallanding/relay/watch_connection.py
+++ b/corallanding/relay/watch_connection.py
@@ -1,4 +1,4 @@
-"""One connection with a watch."""
+"""One connection of the relay's watch."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class WatchConnection(LineConnection):
-    """A connection with a watch. `initial_state` is set until what is in force is complete."""
+    """A connection that receives watch notifications. `initial_state` is set until it is complete."""
 
     def __init__(
         self,
@@ -25,11 +25,11 @@
         self.quiet_timer: asyncio.TimerHandle | None = None
 
     def cancel_quiet_timer(self) -> None:
-        """Stop waiting for a quiet period."""
+        """Cancel the timer that completes the initial state after a quiet period."""
         if self.quiet_timer:
             self.quiet_timer.cancel()
 
     def discard(self) -> None:
-        """Close the connection without telling the owner."""
+        """Close the connection without notifying its owner."""
         self.cancel_quiet_timer()
         super().discard()
--- a/tests/discovery/test_host_list.py
+++ b/tests/discovery/test_host_list.py
@@ -8,7 +8,7 @@
 from platform_samples import KINDS, ZONES, list_entry
 
 from corallanding import interface as api
-from corallanding.discovery.host_list import MAX_DEPARTED_HOSTS, HostListView, InvalidAnswerError
+from corallanding.discovery.host_list import MAX_REMOVED_HOSTS, HostListView, InvalidAnswerError
 from corallanding.host_names import name, number
 from tests.discovery.support import apply_list, listed_states
 
@@ -71,4 +71,4 @@
     for n in range(5_000):
         apply_list(view, False, list_entry(f"s-{n}"), list_entry(f"s-{n - 30}", "terminated"), version=n)
     assert len(view.entries) == 30
-    assert len(view.addresses) <= 30 + MAX_DEPARTED_HOSTS >= len(view.departed)
+    assert len(view.addresses) <= 30 + MAX_REMOVED_HOSTS >= len(view.removed_hosts)
--- a/tests/endpoints/test_source.py
+++ b/tests/endpoints/test_source.py
@@ -78,7 +78,7 @@
         server.writers[-1].transport.abort()
         await server.until(lambda: server.requests[-1] == {"ask": "follow", "after": 9})
         assert isinstance(server.reports[-1], str)
-        assert "broke" in server.reports[-1]
+        assert "connection lost" in server.reports[-1]
         server.writers[-1].write(b"not json\n")
         await server.until(lambda: "cannot be read" in str(server.reports[-1]))
         server.writers[-1].write(b"x" * 5000)
@@ -97,7 +97,9 @@
         assert server.requests == []
         source.follow(True)
         await server.until(lambda: server.requests == [{"ask": "follow", "after": 0}])
-        await server.until(lambda: any("broke" in str(report) for report in server.reports))  # no answer in 200 ms
+        await server.until(
+            lambda: any("connection lost" in str(report) for report in server.reports)
+        )  # no answer in 200 ms
         source.stop()
         server.server.close()
 
--- a/tests/relay/test_subscription_connection.py
+++ b/tests/relay/test_subscription_connection.py
@@ -142,9 +142,9 @@
             side = await standing(w, stand, attach(3))
             w.told()
             side.tell(owner(2))
-            await until(lambda: w.news.arriving_slices)
+            await until(lambda: w.news.incomplete_slices)
             side.tell(entry(2, 1))
-            await until(lambda: w.news.arriving_slices[2])
+            await until(lambda: w.news.incomplete_slices[2])
             assert not w.events
             w.link.deliver_slices()
             assert w.told() == [api.SliceOwnershipChange(2, True), api.StoredWeight(2, HOSTS[1], 1.0)]
