--- a/corallanding/relay/subscription.py
+++ b/corallanding/relay/subscription.py
@@ -63,7 +63,7 @@
         self.reader = NotificationReader(settings, zones)
         self.proxies: dict[int, api.ProxyJoined] = {}
         self.tables: dict[int, Table] = {}
-        self.incomplete_slices: dict[int, Table] = {}  # newly assigned slices whose entries are still incomplete
+        self.incomplete_slices: dict[int, Table] = {}  # newly assigned slices whose entries are still arriving
         self.initial_state: InitialState | None = None  # set while a new connection reports its initial state
 
     # ---- a new connection ----------------------------------------------------------------------------------
--- a/tests/discovery/support.py
+++ b/tests/discovery/support.py
@@ -1,4 +1,4 @@
-"""A discovery client with a receiver that keeps what it is given."""
+"""A discovery client with a receiver that records its answers and failures."""
 
 from __future__ import annotations
 
@@ -14,69 +14,70 @@
 from corallanding.host_names import name
 
 
-class Listed:
-    """A receiver of lists. raises: how often it fails first."""
+class RecordingReceiver:
+    """A receiver that records answers and failures. error_count: how many of the first answers raise an exception."""
 
-    def __init__(self, raises: int = 0) -> None:
-        self.version, self.bodies, self.failures, self.raises = 0, list[bytes](), list[str](), raises
+    def __init__(self, error_count: int = 0) -> None:
+        self.version, self.bodies, self.failures, self.error_count = 0, list[bytes](), list[str](), error_count
 
     def on_list(self, body: bytes) -> bool:
-        if self.raises:
-            self.raises -= 1
-            raise KeyError("a defect")
+        if self.error_count:
+            self.error_count -= 1
+            raise KeyError("defect in the receiver")
         self.bodies.append(body)
         if body.isdigit():
             self.version = int(body)
         return body.isdigit()
 
-    def on_list_failed(self, why: str) -> None:
-        self.failures.append(why)
+    def on_list_failed(self, reason: str) -> None:
+        self.failures.append(reason)
 
 
-def discovery_client(stand: Stand, listener: Listed, **more: Any) -> DiscoveryClient:
+def make_client(server: Stand, receiver: RecordingReceiver, **overrides: Any) -> DiscoveryClient:
     return DiscoveryClient(
-        stand.where,
-        listener,
-        **{"poll_wait_ms": FOR_EVER, "answer_timeout_ms": FOR_EVER, "max_backoff_ms": 20.0, **more},
+        server.where,
+        receiver,
+        **{"poll_wait_ms": FOR_EVER, "answer_timeout_ms": FOR_EVER, "max_backoff_ms": 20.0, **overrides},
     )
 
 
-async def asked(stand: Stand, path: str) -> Side:
-    side = await stand.next()
-    assert await side.question() == path
-    return side
+async def accept_request(server: Stand, path: str) -> Side:
+    """Accept the next connection and check the path of its first request."""
+    peer = await server.next()
+    assert await peer.question() == path
+    return peer
 
 
-def poll(index: int, wait: float = FOR_EVER) -> str:
-    return f"/v1/servers?index={index}&wait={wait:.0f}"
+def poll_path(version: int, wait_ms: float = FOR_EVER) -> str:
+    return f"/v1/servers?index={version}&wait={wait_ms:.0f}"
 
 
 class PollingClient(NamedTuple):
-    """A client whose first poll has come and is not answered yet. side: the end of its connection that has the poll."""
+    """A client whose first poll was received and is not answered yet. peer: the service's end of its connection."""
 
-    stand: Stand
-    listener: Listed
+    server: Stand
+    receiver: RecordingReceiver
     client: DiscoveryClient
-    side: Side
+    peer: Side
 
 
 @asynccontextmanager
-async def polling_client(**more: Any) -> AsyncIterator[PollingClient]:
-    """Start a client and let its first poll come; it is stopped at the end."""
-    listener = Listed()
-    async with Stand() as stand:
-        client = discovery_client(stand, listener, **more)
+async def polling_client(**overrides: Any) -> AsyncIterator[PollingClient]:
+    """Start a client and receive its first poll; the client is stopped at the end."""
+    receiver = RecordingReceiver()
+    async with Stand() as server:
+        client = make_client(server, receiver, **overrides)
         client.start()
-        side = await asked(stand, poll(0, more.get("poll_wait_ms", FOR_EVER)))
-        yield PollingClient(stand, listener, client, side)
+        peer = await accept_request(server, poll_path(0, overrides.get("poll_wait_ms", FOR_EVER)))
+        yield PollingClient(server, receiver, client, peer)
         client.stop()
 
 
 def apply_list(view: HostListView, is_complete: bool, *rows: Any, version: int = 1) -> api.HostListUpdate | None:
-    """Let the view take an answer with these rows."""
+    """Apply an answer with these rows to the view."""
     return view.apply(ListAnswer(version, is_complete, list(rows)))
 
 
 def listed_states(view: HostListView) -> dict[str, str]:
-    """Names and states of the hosts in the view."""
+    """Return the states of the hosts in the view, by name."""
     return {name(host): entry.state for host, entry in view.entries.items()}
--- a/tests/discovery/test_damaged_lists.py
+++ b/tests/discovery/test_damaged_lists.py
@@ -1,4 +1,4 @@
-"""Lists that are whole, older, damaged, cut or of no shape at all."""
+"""Host lists that are outdated, truncated or empty, and entries that are invalid, repeated or nested too deeply."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 
 @pytest.mark.parametrize("health", ["terminating", "terminated"])
-@pytest.mark.parametrize("whole", [True, False])
-def test_damaged_entry_when_its_host_leaves_then_that_is_believed(health: str, whole: bool) -> None:
+@pytest.mark.parametrize("is_complete", [True, False])
+def test_damaged_entry_when_its_host_leaves_then_that_is_believed(health: str, is_complete: bool) -> None:
     view = HostListView(ZONES, KINDS)
     apply_list(view, True, list_entry("s-1"), list_entry("s-2"))
-    told = apply_list(view, whole, list_entry("s-1", health, site="z", share="x"), list_entry("s-2"), version=2)
-    assert told
+    update = apply_list(view, is_complete, list_entry("s-1", health, site="z", share="x"), list_entry("s-2"), version=2)
+    assert update
     assert view.rejected_entries
-    leaves = health == "terminating"
-    assert listed_states(view) == {"s-2": "up", **({"s-1": "draining"} if leaves else {})}
+    is_draining = health == "terminating"
+    assert listed_states(view) == {"s-2": "up", **({"s-1": "draining"} if is_draining else {})}
     assert apply_list(view, False, list_entry("s-9", health, share="x"), version=3) is None, (
-        "one that nobody knows is not made up"
+        "an invalid entry of an unknown host is ignored"
     )
 
 
-def test_damaged_entry_when_the_name_is_long_then_its_last_good_state_stays() -> None:
+def test_damaged_entry_when_the_name_is_long_then_its_host_keeps_its_last_valid_state() -> None:
     view, name = HostListView(ZONES, KINDS), "rack-17.hall-b.olaine.example"
     apply_list(view, True, list_entry(name))
     apply_list(view, True, list_entry(name, share="x"), version=2)
@@ -55,17 +55,17 @@
         {"host": "s-1", "health": {}},
     ],
 )
-def test_entry_when_of_any_shape_then_it_is_logged_and_affects_only_itself(entry: Any) -> None:
+def test_entry_when_invalid_then_it_is_reported_and_the_others_are_applied(entry: Any) -> None:
     view = HostListView(ZONES, KINDS)
     apply_list(view, True, list_entry("s-1"))
-    told = apply_list(view, True, entry, list_entry("s-2"), version=2)
-    assert told
+    update = apply_list(view, True, entry, list_entry("s-2"), version=2)
+    assert update
     assert view.rejected_entries
     assert "s-2" in listed_states(view)
 
 
-def test_list_when_older_than_the_last_then_the_next_answers_undo_it() -> None:
-    """Its version goes back with it, so that what it lacks is asked for again."""
+def test_list_when_older_than_the_last_then_the_next_answers_correct_it() -> None:
+    """The view also takes the older version, so that the missing changes are requested again."""
     view = HostListView(ZONES, KINDS)
     apply_list(view, True, list_entry("s-1"), version=40)
     apply_list(view, False, list_entry("s-1", "terminating"), version=41)
@@ -75,23 +75,25 @@
     assert listed_states(view) == {"s-1": "draining"}
 
 
-def test_list_when_a_host_is_named_twice_or_returns_then_the_last_entry_counts() -> None:
+def test_list_when_a_host_is_listed_twice_or_returns_then_the_last_entry_is_used() -> None:
     view = HostListView(ZONES, KINDS)
-    told = apply_list(view, True, list_entry("s-1"), list_entry("s-1", "terminating"), list_entry("s-3", "terminating"))
-    assert told
-    assert [e.state for e in told.entries] == ["draining", "draining"]
+    update = apply_list(
+        view, True, list_entry("s-1"), list_entry("s-1", "terminating"), list_entry("s-3", "terminating")
+    )
+    assert update
+    assert [e.state for e in update.entries] == ["draining", "draining"]
     apply_list(view, False, list_entry("s-1", "terminated"), version=2)
-    told = apply_list(view, False, list_entry("s-1", born_ms=9_000), version=3)
-    assert told
-    assert told.entries[0].online_since == 9_000
+    update = apply_list(view, False, list_entry("s-1", born_ms=9_000), version=3)
+    assert update
+    assert update.entries[0].online_since == 9_000
     assert listed_states(view) == {"s-1": "up", "s-3": "draining"}
-    told = apply_list(view, True, version=4)
-    assert told
-    assert told.entries == ()
-    assert listed_states(view) == {}, "an empty list is a list: the assigner judges it"
+    update = apply_list(view, True, version=4)
+    assert update
+    assert update.entries == ()
+    assert listed_states(view) == {}, "an empty list is applied; the assigner decides what to do with it"
 
 
-def test_list_when_cut_at_any_byte_then_it_is_rejected_or_complete() -> None:
+def test_list_when_truncated_at_any_byte_then_it_is_rejected() -> None:
     view, body = (
         HostListView(ZONES, KINDS),
         msgspec.json.encode({"seq": 2, "whole": True, "hosts": [list_entry("s-1"), list_entry("s-2")]}),
--- a/tests/discovery/test_host_list.py
+++ b/tests/discovery/test_host_list.py
@@ -1,4 +1,4 @@
-"""The view of the host list: lists, changes, entries that cannot be used."""
+"""The view of the host list: full lists, changes, invalid entries, and the limit on kept addresses."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.discovery.support import apply_list, listed_states
 
 
-def test_view_when_lists_and_changes_come_then_it_holds_the_latest() -> None:
+def test_view_when_lists_and_changes_arrive_then_it_has_the_latest_state() -> None:
     view = HostListView(ZONES, KINDS)
     first = apply_list(view, True, list_entry("s-1"), list_entry("s-2", born_ms=1_700_000_000_000, site="b"))
     assert first == api.HostListUpdate(
@@ -33,14 +33,14 @@
     assert change.kind is api.HostListKind.CHANGES
     assert [e.state for e in change.entries] == ["draining", "removed"]
     assert listed_states(view) == {"s-1": "draining"}
-    assert number("s-2") in view.addresses  # a report on it may still be under way
-    whole = apply_list(view, True, list_entry("s-3"))
-    assert whole
-    assert [name(e.host) for e in whole.entries] == ["s-3"]
+    assert number("s-2") in view.addresses  # a load report or health check of it may still be in progress
+    full = apply_list(view, True, list_entry("s-3"))
+    assert full
+    assert [name(e.host) for e in full.entries] == ["s-3"]
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
         list_entry("s-1", "asleep"),
         list_entry("s-1", site="z"),
@@ -51,10 +51,12 @@
         {"host": "s-1"},
     ],
 )
-def test_entry_when_damaged_then_its_last_good_state_stays_and_it_is_reported(bad: dict[str, Any]) -> None:
+def test_entry_when_invalid_then_its_host_keeps_its_last_valid_state_and_it_is_reported(
+    invalid: dict[str, Any],
+) -> None:
     view = HostListView(ZONES, KINDS)
     apply_list(view, True, list_entry("s-1"), list_entry("s-2"))
-    apply_list(view, True, bad, list_entry("s-2", "terminating"), 7, {"host": 5}, version=2)
+    apply_list(view, True, invalid, list_entry("s-2", "terminating"), 7, {"host": 5}, version=2)
     assert listed_states(view) == {"s-1": "up", "s-2": "draining"}
     assert len(view.rejected_entries) == 3
     assert "s-1" in view.rejected_entries[0]
@@ -66,7 +68,7 @@
             HostListView(ZONES, KINDS).decode(body)
 
 
-def test_view_when_thousands_of_hosts_are_replaced_then_it_stays_small() -> None:
+def test_view_when_thousands_of_hosts_are_replaced_then_few_addresses_are_kept() -> None:
     view = HostListView(ZONES, KINDS)
     for n in range(5_000):
         apply_list(view, False, list_entry(f"s-{n}"), list_entry(f"s-{n - 30}", "terminated"), version=n)
--- a/tests/discovery/test_long_poll.py
+++ b/tests/discovery/test_long_poll.py
@@ -1,4 +1,8 @@
-"""What may come between two lines of the agent's connection: moves, ends, faults. Each order is forced."""
+"""Events between two steps of the discovery client: address changes, shutdown and failures.
+
+Guards against polls on the wrong connection, connections that are never closed, and polling that stops after a failure.
+Each order of events is forced.
+"""
 
 from __future__ import annotations
 
@@ -7,102 +11,102 @@
 
 from forced_order import Dials, Stand, nobody, play, turns, until
 
-from tests.discovery.support import Listed, asked, discovery_client, poll, polling_client
+from tests.discovery.support import RecordingReceiver, accept_request, make_client, poll_path, polling_client
 
 
 def test_client_when_the_old_address_connects_after_the_new_one_then_it_is_not_used() -> None:
-    async def scene() -> None:
-        dials, listener = Dials(), Listed()
+    async def scenario() -> None:
+        dials, receiver = Dials(), RecordingReceiver()
         async with Stand() as old, Stand() as new:
             dials.early(old.where)
-            client = discovery_client(old, listener)
+            client = make_client(old, receiver)
             client.start()
             await until(lambda: dials.count.get(old.where))
             client.set_address(new.where)
-            fresh = await new.next()
+            new_peer = await new.next()
             await turns()
             dials.let(old.where)
-            assert await fresh.question() == poll(0)
+            assert await new_peer.question() == poll_path(0)
             await turns()
             assert client.connection
             assert client.connection.transport.get_extra_info("peername") == new.where
-            for side in old.sides:
-                await side.gone()
+            for peer in old.sides:
+                await peer.gone()
             client.stop()
-            await fresh.gone()
+            await new_peer.gone()
 
-    play(scene)
+    play(scenario)
 
 
 def test_client_when_the_address_is_changed_back_then_the_old_connection_stays() -> None:
-    async def scene() -> None:
-        dials, listener = Dials(), Listed()
+    async def scenario() -> None:
+        dials, receiver = Dials(), RecordingReceiver()
         async with Stand() as old, Stand() as new:
-            client = discovery_client(old, listener)
+            client = make_client(old, receiver)
             client.start()
-            side = await asked(old, poll(0))
+            peer = await accept_request(old, poll_path(0))
             dials.early(new.where)
             client.set_address(new.where)
             await until(lambda: dials.count.get(new.where))
             client.set_address(old.where)
-            back = await asked(old, poll(0))
+            next_peer = await accept_request(old, poll_path(0))
             dials.let(new.where)
-            await side.gone()
-            for stray in new.sides:
-                await stray.gone()
-            back.answer(b"3")
-            assert await back.question() == poll(3)
+            await peer.gone()
+            for peer_of_new in new.sides:
+                await peer_of_new.gone()
+            next_peer.answer(b"3")
+            assert await next_peer.question() == poll_path(3)
             client.stop()
 
-    play(scene)
+    play(scenario)
 
 
-def test_client_when_nobody_listens_at_the_new_address_then_the_old_connection_goes_on() -> None:
-    async def scene() -> None:
-        dials, listener = Dials(), Listed()
-        empty = await nobody()
+def test_client_when_the_new_address_is_unreachable_then_the_old_connection_is_used() -> None:
+    async def scenario() -> None:
+        dials, receiver = Dials(), RecordingReceiver()
+        closed_address = await nobody()
         async with Stand() as old:
-            client = discovery_client(old, listener)
+            client = make_client(old, receiver)
             client.start()
-            side = await asked(old, poll(0))
-            client.set_address(empty)
+            peer = await accept_request(old, poll_path(0))
+            client.set_address(closed_address)
             for version in (1, 2):
-                await until(lambda version=version: dials.over.get(empty, 0) >= version)
+                await until(lambda version=version: dials.over.get(closed_address, 0) >= version)
                 await turns()
-                side.answer(b"%d" % version)
-                assert await side.question() == poll(version)
-            await until(lambda: dials.count[empty] == 3)
-            assert not listener.failures
+                peer.answer(b"%d" % version)
+                assert await peer.question() == poll_path(version)
+            await until(lambda: dials.count[closed_address] == 3)
+            assert not receiver.failures
             client.stop()
 
-    play(scene)
+    play(scenario)
 
 
-def test_poll_when_the_address_changes_then_it_is_sent_there_and_no_failure_is_reported() -> None:
-    async def scene() -> None:
-        listener = Listed()
+def test_fetch_when_the_address_changes_then_it_is_sent_again_and_no_failure_is_reported() -> None:
+    async def scenario() -> None:
+        receiver = RecordingReceiver()
         async with Stand() as old, Stand() as new:
-            client = discovery_client(old, listener, on_request=True)
+            client = make_client(old, receiver, on_request=True)
             client.start()
             client.fetch()
-            side = await asked(old, "/v1/servers")
+            peer = await accept_request(old, "/v1/servers")
             client.set_address(new.where)
-            moved = await asked(new, "/v1/servers")
-            await side.gone()
-            moved.answer(b"5")
-            await until(lambda: listener.version == 5)
-            assert not listener.failures
+            new_peer = await accept_request(new, "/v1/servers")
+            await peer.gone()
+            new_peer.answer(b"5")
+            await until(lambda: receiver.version == 5)
+            assert not receiver.failures
             client.stop()
 
-    play(scene)
+    play(scenario)
 
 
-def test_client_when_stopped_then_it_connects_no_more() -> None:
-    async def scene() -> None:
-        dials, listener = Dials(), Listed()
+def test_client_when_stopped_then_it_opens_no_connection() -> None:
+    async def scenario() -> None:
+        dials, receiver = Dials(), RecordingReceiver()
         async with Stand() as old, Stand() as new:
             dials.early(old.where)
-            client = discovery_client(old, listener)
+            client = make_client(old, receiver)
             client.start()
             await until(lambda: dials.count.get(old.where))
             client.stop()
@@ -112,62 +116,64 @@
             await turns()
             assert new.where not in dials.count
             assert client.connection is None
-            for side in old.sides:
-                await side.gone()
+            for peer in old.sides:
+                await peer.gone()
 
-    play(scene)
+    play(scenario)
 
 
-# ---- a listener that fails, questions that come to nothing (7, 8) ----------------------------------------
+# ---- receivers that raise exceptions, and requests that fail ----------------------------------------------
 
 
-def test_poll_when_the_receiver_raises_then_polling_goes_on() -> None:
-    async def scene() -> None:
-        listener = Listed(raises=2)
-        faults: list[Any] = []
-        asyncio.get_running_loop().set_exception_handler(lambda loop, context: faults.append(context))
-        async with Stand() as stand:
-            client = discovery_client(stand, listener)
+def test_poll_when_the_receiver_raises_then_polling_continues() -> None:
+    async def scenario() -> None:
+        receiver = RecordingReceiver(error_count=2)
+        exceptions: list[Any] = []
+        asyncio.get_running_loop().set_exception_handler(lambda loop, context: exceptions.append(context))
+        async with Stand() as server:
+            client = make_client(server, receiver)
             client.start()
             for _ in range(3):
-                (await asked(stand, poll(0))).answer(b"4")
-            await until(lambda: listener.version == 4)
-            assert len(faults) == 2, "and is told"
+                (await accept_request(server, poll_path(0))).answer(b"4")
+            await until(lambda: receiver.version == 4)
+            assert len(exceptions) == 2, "each exception is reported to the event loop"
             client.stop()
 
-    play(scene)
+    play(scenario)
 
 
 def test_fetch_when_requests_fail_then_it_is_repeated() -> None:
-    async def scene() -> None:
-        async with polling_client() as (stand, _, client, side):
+    async def scenario() -> None:
+        async with polling_client() as (server, _, client, peer):
             client.fetch()
-            side.answer(b"1")
-            assert await side.question() == "/v1/servers"
-            side.reset()
-            side = await asked(stand, "/v1/servers")
-            side.answer(b"2")
-            assert await side.question() == poll(2)
+            peer.answer(b"1")
+            assert await peer.question() == "/v1/servers"
+            peer.reset()
+            peer = await accept_request(server, "/v1/servers")
+            peer.answer(b"2")
+            assert await peer.question() == poll_path(2)
 
-    play(scene)
+    play(scenario)
 
 
-def test_watch_when_a_request_fails_meanwhile_then_one_failure_is_reported() -> None:
-    async def scene() -> None:
-        listener = Listed()
-        async with Stand() as stand:
-            client = discovery_client(stand, listener, on_request=True)
+def test_watch_when_repeated_during_a_failing_request_then_one_failure_is_reported() -> None:
+    async def scenario() -> None:
+        receiver = RecordingReceiver()
+        async with Stand() as server:
+            client = make_client(server, receiver, on_request=True)
             client.start()
             client.watch(True)
-            side = await asked(stand, poll(0))
+            peer = await accept_request(server, poll_path(0))
             client.watch(True)
-            side.reset()
-            await until(lambda: listener.failures)
-            assert len(listener.failures) == 1
+            peer.reset()
+            await until(lambda: receiver.failures)
+            assert len(receiver.failures) == 1
             await turns()
-            assert stand.came.empty(), "one word for each call; the module asks again"
+            assert server.came.empty(), (
+                "one failure report for each `watch`; the receiver decides whether to request again"
+            )
             client.watch(True)
-            await asked(stand, poll(0))
+            await accept_request(server, poll_path(0))
             client.stop()
 
-    play(scene)
+    play(scenario)
--- a/tests/endpoints/test_source.py
+++ b/tests/endpoints/test_source.py
@@ -1,4 +1,4 @@
-"""The source of an endpoint list on a socket that breaks, lags and sends what cannot be read."""
+"""The JSON line source with a server that closes connections, skips versions, sends invalid lines or never answers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ScriptedServer:
-    """Sends what a test writes, and collects what the source requests and reports."""
+    """A server that sends scripted lines, and records the requests and reports of the source."""
 
     def __init__(self) -> None:
         self.requests: list[dict[str, Any]] = []
@@ -25,7 +25,7 @@
         self.endpoints = EndpointList()
 
     async def open(self, *, is_on_request: bool = False) -> LineJsonSource:
-        """Listen, and start a source that connects here."""
+        """Listen, and start a source that connects to this server."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         port = self.server.sockets[0].getsockname()[1]
         config = LineJsonSourceConfig(
@@ -63,8 +63,8 @@
         raise AssertionError(f"requests {self.requests}, reports {self.reports}")
 
 
-def test_source_when_changes_are_missing_then_it_names_its_version_and_fetches_the_list() -> None:
-    async def scene() -> None:
+def test_source_when_changes_are_missing_then_it_sends_its_version_and_fetches_the_list() -> None:
+    async def scenario() -> None:
         server = ScriptedServer()
         source = await server.open()
         await server.until(lambda: server.requests)
@@ -86,21 +86,20 @@
         source.stop()
         server.server.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_source_on_request_when_followed_then_it_asks_and_reports_a_missing_answer() -> None:
-    async def scene() -> None:
+def test_source_on_request_when_followed_then_it_sends_a_request_and_reports_a_missing_answer() -> None:
+    async def scenario() -> None:
         server = ScriptedServer()
         source = await server.open(is_on_request=True)
         await server.until(lambda: server.writers)
         assert server.requests == []
         source.follow(True)
         await server.until(lambda: server.requests == [{"ask": "follow", "after": 0}])
-        await server.until(
-            lambda: any("connection lost" in str(report) for report in server.reports)
-        )  # no answer in 200 ms
+        # The server does not answer within the timeout of 200 ms.
+        await server.until(lambda: any("connection lost" in str(report) for report in server.reports))
         source.stop()
         server.server.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/relay/support.py
+++ b/tests/relay/support.py
@@ -1,4 +1,4 @@
-"""The relay's two connections, and what they report."""
+"""Clients of both relay connections that record what is reported to them, and steps for the relay's end."""
 
 from __future__ import annotations
 
@@ -16,45 +16,45 @@
 from corallanding.relay.subscription_connection import Subscription, WatchTimings
 
 A, B, C = HOSTS[:3]
-NEVER = {"silence_timeout_ms": FOR_EVER, "initial_quiet_ms": FOR_EVER, "connect_timeout_ms": FOR_EVER}
+NO_TIMEOUTS = {"silence_timeout_ms": FOR_EVER, "initial_quiet_ms": FOR_EVER, "connect_timeout_ms": FOR_EVER}
 
 
-class Caller:
-    """A connection for calls, and what the relay confirmed on it."""
+class RecordingCaller:
+    """A call connection that records the confirmed orders."""
 
-    def __init__(self, where: Address, **more: Any) -> None:
-        self.calls, self.stood = PendingCalls(["lookup"]), list[Any]()
-        more = {"answer_timeout_ms": FOR_EVER, "connect_timeout_ms": FOR_EVER, **more}
-        self.link = CallConnection(where, self.calls, clock, self.stood.extend, **more)
+    def __init__(self, address: Address, **overrides: Any) -> None:
+        self.calls, self.confirmed = PendingCalls(["lookup"]), list[Any]()
+        overrides = {"answer_timeout_ms": FOR_EVER, "connect_timeout_ms": FOR_EVER, **overrides}
+        self.client = CallConnection(address, self.calls, clock, self.confirmed.extend, **overrides)
 
-    def order(self, slice_id: int) -> None:
+    def send_order(self, slice_id: int) -> None:
         self.calls.add([api.SetWeight(slice_id, A, 1.0)])
-        self.link.send_next()
+        self.client.send_next()
 
 
 class OpenCall(NamedTuple):
-    """A caller whose first order is on its way. side: the end of its connection where the call will come."""
+    """A caller that has sent its first order. peer: the relay's end of the connection, which has not read the call."""
 
-    stand: Stand
-    caller: Caller
-    side: Side
+    server: Stand
+    caller: RecordingCaller
+    peer: Side
 
 
 @asynccontextmanager
-async def open_call(**more: Any) -> AsyncIterator[OpenCall]:
-    """Order slice 1 on a new connection, which is closed at the end."""
-    async with Stand() as stand:
-        caller = Caller(stand.where, **more)
-        caller.order(1)
-        yield OpenCall(stand, caller, await stand.next())
-        caller.link.close()
+async def open_call(**overrides: Any) -> AsyncIterator[OpenCall]:
+    """Send an order on slice 1 on a new connection, which is closed at the end."""
+    async with Stand() as server:
+        caller = RecordingCaller(server.where, **overrides)
+        caller.send_order(1)
+        yield OpenCall(server, caller, await server.next())
+        caller.client.close()
 
 
-async def called(side: Side, *slices: int) -> int:
-    """The next call is on these slices; its id."""
-    said = await side.line()
-    assert [o["table"] for o in said["params"]["ops"]] == list(slices)
-    return int(said["id"])
+async def receive_call(peer: Side, *slices: int) -> int:
+    """Check that the next call has orders on exactly these slices, and return its id."""
+    call = await peer.line()
+    assert [order["table"] for order in call["params"]["ops"]] == list(slices)
+    return int(call["id"])
 
 
 def taken(call_id: int, count: int = 1) -> dict[str, Any]:
@@ -65,40 +65,44 @@
 PING: tuple[str, dict[str, Any]] = ("ping", {})
 
 
-class Watcher:
-    """A watch, and what it reported."""
+class RecordingWatch:
+    """A watch that records its events, its warnings and how often it resumed after an interruption."""
 
-    def __init__(self, where: Address, **more: Any) -> None:
-        self.news, self.events, self.on_failure, self.gaps = RelayView(SETTINGS, ZONES), list[Any](), list[str](), 0
-        timings = WatchTimings(**{**NEVER, "entries_quiet_ms": 1.0, **more})
-        self.link = Subscription(
-            where, self.news, clock, self.events.extend, lambda: [], self.on_failure.append, timings
+    def __init__(self, address: Address, **overrides: Any) -> None:
+        self.view = RelayView(SETTINGS, ZONES)
+        self.events: list[Any] = []
+        self.warnings: list[str] = []
+        self.resume_count = 0
+        timings = WatchTimings(**{**NO_TIMEOUTS, "entries_quiet_ms": 1.0, **overrides})
+        self.client = Subscription(
+            address, self.view, clock, self.events.extend, lambda: [], self.warnings.append, timings
         )
-        self.link.on_gap_bridged = self.gap
+        self.client.on_gap_bridged = self.on_resumed
 
-    def gap(self) -> None:
-        self.gaps += 1
+    def on_resumed(self) -> None:
+        self.resume_count += 1
 
-    def told(self) -> list[Any]:
-        """What was told since the last time."""
+    def take_events(self) -> list[Any]:
+        """Return and clear the recorded events."""
         events, self.events[:] = list(self.events), []
         return events
 
 
-async def watched(stand: Stand) -> Side:
-    side = await stand.next()
-    assert (await side.line())["method"] == "relay.watch"
-    return side
+async def accept_watch(server: Stand) -> Side:
+    """Accept the next connection and receive its watch request."""
+    peer = await server.next()
+    assert (await peer.line())["method"] == "relay.watch"
+    return peer
 
 
-async def standing(w: Watcher, stand: Stand, *rows: tuple[str, dict[str, Any]]) -> Side:
-    """What stands is said, up to the first sign of life."""
-    side = await watched(stand)
-    side.say(RESULT)
-    side.tell(*rows, PING)
-    await until(lambda: w.link.current and w.link.candidate is None)
-    return side
+async def send_initial_state(watch: RecordingWatch, server: Stand, *rows: tuple[str, dict[str, Any]]) -> Side:
+    """Accept a watch, send these notifications and a ping, and wait until the initial state is complete."""
+    peer = await accept_watch(server)
+    peer.say(RESULT)
+    peer.tell(*rows, PING)
+    await until(lambda: watch.client.current and watch.client.candidate is None)
+    return peer
 
 
-def joined(node: int) -> api.ProxyJoined:
+def proxy_joined(node: int) -> api.ProxyJoined:
     return api.ProxyJoined(node, 0, 2.5, True)
--- a/tests/relay/test_call_answers.py
+++ b/tests/relay/test_call_answers.py
@@ -1,4 +1,8 @@
-"""Answers of the relay that come twice, in part, late, spoilt or not at all. Each order is forced."""
+"""Answers of the relay that are repeated, fragmented, late, invalid or missing.
+
+Guards against a call that is lost, sent again needlessly, or confirmed by the answer to another call. Each order of
+events is forced.
+"""
 
 from __future__ import annotations
 
@@ -7,80 +11,82 @@
 from forced_order import FOR_EVER, busy, play, turns, until
 
 from corallanding.relay.line_protocol import MAX_LINE_BYTES
-from tests.relay.support import called, open_call, taken
+from tests.relay.support import open_call, receive_call, taken
 
 
 def test_answer_when_doubled_then_the_next_call_is_not_affected() -> None:
-    async def scene() -> None:
-        async with open_call() as (_, caller, side):
-            first = await called(side, 1)
-            side.say(taken(first))
-            await until(lambda: caller.stood)
-            caller.order(2)
-            second = await called(side, 2)
-            side.say(taken(first))
+    async def scenario() -> None:
+        async with open_call() as (_, caller, peer):
+            first = await receive_call(peer, 1)
+            peer.say(taken(first))
+            await until(lambda: caller.confirmed)
+            caller.send_order(2)
+            second = await receive_call(peer, 2)
+            peer.say(taken(first))
             await turns()
-            side.say(taken(second), taken(second))
-            await until(lambda: len(caller.stood) == 2)
-            caller.order(3)
-            side.say(taken(await called(side, 3)))
-            await until(lambda: len(caller.stood) == 3)
+            peer.say(taken(second), taken(second))
+            await until(lambda: len(caller.confirmed) == 2)
+            caller.send_order(3)
+            peer.say(taken(await receive_call(peer, 3)))
+            await until(lambda: len(caller.confirmed) == 3)
             assert caller.calls.counts["unknown"] == 0
 
-    play(scene)
+    play(scenario)
 
 
-def test_answer_when_in_pieces_then_it_counts_and_half_of_one_does_not() -> None:
-    async def scene() -> None:
-        async with open_call() as (stand, caller, side):
-            for byte in msgspec.json.encode(taken(await called(side, 1))) + b"\n":
-                side.say(bytes([byte]))
+def test_answer_when_fragmented_then_it_is_used_unless_it_is_incomplete() -> None:
+    async def scenario() -> None:
+        async with open_call() as (server, caller, peer):
+            for byte in msgspec.json.encode(taken(await receive_call(peer, 1))) + b"\n":
+                peer.say(bytes([byte]))
                 await turns(2)
-            await until(lambda: caller.stood)
-            caller.link.answer_timeout_ms = 30.0
-            caller.order(2)
-            side.say(msgspec.json.encode(taken(await called(side, 2)))[:-3])
-            again = await stand.next()
-            await side.gone()
-            caller.link.answer_timeout_ms = FOR_EVER
-            again.say(taken(await called(again, 2)))
-            await until(lambda: len(caller.stood) == 2)
+            await until(lambda: caller.confirmed)
+            caller.client.answer_timeout_ms = 30.0
+            caller.send_order(2)
+            peer.say(msgspec.json.encode(taken(await receive_call(peer, 2)))[:-3])
+            next_peer = await server.next()
+            await peer.gone()
+            caller.client.answer_timeout_ms = FOR_EVER
+            next_peer.say(taken(await receive_call(next_peer, 2)))
+            await until(lambda: len(caller.confirmed) == 2)
             assert caller.calls.counts["unknown"] == 1
 
-    play(scene)
+    play(scenario)
 
 
 def test_call_answer_when_received_at_its_timeout_then_it_counts() -> None:
-    async def scene() -> None:
-        async with open_call(answer_timeout_ms=60.0) as (_, caller, side):
-            answer = msgspec.json.encode(taken(await called(side, 1))) + b"\n"
-            busy(lambda: side.now(answer), 0.1)
-            await until(lambda: caller.stood)
+    async def scenario() -> None:
+        async with open_call(answer_timeout_ms=60.0) as (_, caller, peer):
+            answer = msgspec.json.encode(taken(await receive_call(peer, 1))) + b"\n"
+            busy(lambda: peer.now(answer), 0.1)
+            await until(lambda: caller.confirmed)
             assert caller.calls.counts["unknown"] == 0
 
-    play(scene)
-
+    play(scenario)
 
-@pytest.mark.parametrize("how", ["closed after the answer", "closed as the call is written", "reset under the call"])
-def test_call_when_the_connection_closes_at_any_point_then_it_is_carried_out(how: str) -> None:
-    async def scene() -> None:
-        async with open_call() as (stand, caller, side):
-            side.say(taken(await called(side, 1)))
-            await until(lambda: caller.stood)
-            if how != "reset under the call":
-                side.close()
-            if how == "closed after the answer":
-                await until(lambda: caller.link.connection is None)
-            caller.order(2)
-            if how == "reset under the call":
-                await called(side, 2)
-                side.reset()
-            again = await stand.next()
-            again.say(taken(await called(again, 2)))
-            await until(lambda: len(caller.stood) == 2)
-            assert caller.calls.counts["unknown"] == (0 if how == "closed after the answer" else 1)
 
-    play(scene)
+@pytest.mark.parametrize(
+    "closing", ["closed after the answer", "closed as the call is written", "reset under the call"]
+)
+def test_call_when_the_connection_closes_at_any_point_then_it_is_carried_out(closing: str) -> None:
+    async def scenario() -> None:
+        async with open_call() as (server, caller, peer):
+            peer.say(taken(await receive_call(peer, 1)))
+            await until(lambda: caller.confirmed)
+            if closing != "reset under the call":
+                peer.close()
+            if closing == "closed after the answer":
+                await until(lambda: caller.client.connection is None)
+            caller.send_order(2)
+            if closing == "reset under the call":
+                await receive_call(peer, 2)
+                peer.reset()
+            next_peer = await server.next()
+            next_peer.say(taken(await receive_call(next_peer, 2)))
+            await until(lambda: len(caller.confirmed) == 2)
+            assert caller.calls.counts["unknown"] == (0 if closing == "closed after the answer" else 1)
+
+    play(scenario)
 
 
 @pytest.mark.parametrize(
@@ -98,26 +104,26 @@
     ],
 )
 def test_call_when_the_answer_is_invalid_then_it_is_sent_again_once(raw: bytes) -> None:
-    async def scene() -> None:
-        async with open_call() as (stand, caller, side):
-            await called(side, 1)
-            side.say(raw)
-            again = await stand.next()
-            again.say(taken(await called(again, 1)))
-            await until(lambda: caller.stood)
+    async def scenario() -> None:
+        async with open_call() as (server, caller, peer):
+            await receive_call(peer, 1)
+            peer.say(raw)
+            next_peer = await server.next()
+            next_peer.say(taken(await receive_call(next_peer, 1)))
+            await until(lambda: caller.confirmed)
             assert caller.calls.counts["unknown"] == 1
 
-    play(scene)
+    play(scenario)
 
 
-def test_call_answer_when_it_never_ends_then_the_connection_is_closed() -> None:
-    async def scene() -> None:
-        async with open_call() as (stand, caller, side):
-            await called(side, 1)
+def test_call_answer_when_its_line_is_too_long_then_the_connection_is_closed() -> None:
+    async def scenario() -> None:
+        async with open_call() as (server, caller, peer):
+            await receive_call(peer, 1)
             for _ in range(MAX_LINE_BYTES // 65_536 + 1):
-                side.say(b"7" * 65_536)
-            again = await stand.next()
-            again.say(taken(await called(again, 1)))
-            await until(lambda: caller.stood)
+                peer.say(b"7" * 65_536)
+            next_peer = await server.next()
+            next_peer.say(taken(await receive_call(next_peer, 1)))
+            await until(lambda: caller.confirmed)
 
-    play(scene)
+    play(scenario)
--- a/tests/relay/test_subscription.py
+++ b/tests/relay/test_subscription.py
@@ -1,4 +1,7 @@
-"""The relay's news to events, through breaks."""
+"""Events from the relay's notifications, also across interruptions of the watch.
+
+Guards against tables that differ from those of the relay, and acks that are lost, after a watch was interrupted.
+"""
 
 from __future__ import annotations
 
@@ -21,28 +24,28 @@
 Row = tuple[str, dict[str, Any]]
 
 
-def say(news: RelayView, *rows: Row) -> list[api.Event]:
-    out: list[api.Event] = []
+def apply_notifications(view: RelayView, *rows: Row) -> list[api.Event]:
+    events: list[api.Event] = []
     for method, params in rows:
-        out += news.apply(parse_notification(msgspec.json.encode({"method": method, "params": params})))
-    return out
+        events += view.apply(parse_notification(msgspec.json.encode({"method": method, "params": params})))
+    return events
 
 
-def stand(news: RelayView, *rows: Row, under_way: Sequence[TableOrder] = ()) -> list[api.Event]:
-    s = InitialState()
-    told(news, s, *rows)
-    return news.replace_state(s, under_way)
+def report_state(view: RelayView, *rows: Row, unconfirmed: Sequence[TableOrder] = ()) -> list[api.Event]:
+    state = InitialState()
+    told(view, state, *rows)
+    return view.replace_state(state, unconfirmed)
 
 
-def begun() -> RelayView:
-    news = RelayView(SETTINGS, ZONES)
-    stand(news, attach(1), attach(2), owner(3), entry(3, 0), owner(4), entry(4, 1))
-    return news
+def make_view() -> RelayView:
+    view = RelayView(SETTINGS, ZONES)
+    report_state(view, attach(1), attach(2), owner(3), entry(3, 0), owner(4), entry(4, 1))
+    return view
 
 
 def test_view_when_the_first_connection_is_complete_then_everything_is_an_event() -> None:
-    news = RelayView(SETTINGS, ZONES)
-    assert stand(news, attach(1), owner(3), owner(4), entry(4, 1), entry(3, 0, 0.5)) == [
+    view = RelayView(SETTINGS, ZONES)
+    assert report_state(view, attach(1), owner(3), owner(4), entry(4, 1), entry(3, 0, 0.5)) == [
         api.ProxyJoined(1, 0, 2.5, True),
         api.SliceOwnershipChange(3, True),
         api.StoredWeight(3, HOSTS[0], 0.5),
@@ -52,11 +55,11 @@
 
 
 def test_view_when_state_is_repeated_unchanged_then_there_is_no_event() -> None:
-    assert stand(begun(), attach(2), attach(1), owner(4), entry(4, 1), owner(3), entry(3, 0)) == []
+    assert report_state(make_view(), attach(2), attach(1), owner(4), entry(4, 1), owner(3), entry(3, 0)) == []
 
 
 def test_view_when_state_differs_then_the_difference_is_delivered() -> None:
-    assert stand(begun(), attach(2), attach(5), owner(4), entry(4, 1), owner(6)) == [
+    assert report_state(make_view(), attach(2), attach(5), owner(4), entry(4, 1), owner(6)) == [
         api.ProxyLeft(1),
         api.ProxyJoined(5, 0, 2.5, True),
         api.SliceOwnershipChange(3, False),
@@ -64,19 +67,19 @@
     ]
 
 
-def test_tables_when_they_differ_then_the_relay_counts_except_for_unconfirmed_orders() -> None:
+def test_tables_when_they_differ_then_the_relays_are_used_with_unconfirmed_orders_applied() -> None:
     rows = (attach(1), attach(2), owner(3), entry(3, 2), owner(4), entry(4, 1))
     move = [api.SetWeight(3, HOSTS[2], 1.0), api.SetWeight(3, HOSTS[0], 0.0)]
-    assert stand(begun(), *rows, under_way=move) == []
-    assert stand(begun(), *rows) == [api.SliceOwnershipChange(3, True), api.StoredWeight(3, HOSTS[2], 1.0)]
-    assert stand(begun(), *rows, entry(4, 5), under_way=[*move, api.SetWeight(4, HOSTS[1], 0.0)]) == [
+    assert report_state(make_view(), *rows, unconfirmed=move) == []
+    assert report_state(make_view(), *rows) == [api.SliceOwnershipChange(3, True), api.StoredWeight(3, HOSTS[2], 1.0)]
+    assert report_state(make_view(), *rows, entry(4, 5), unconfirmed=[*move, api.SetWeight(4, HOSTS[1], 0.0)]) == [
         api.SliceOwnershipChange(4, True),
         api.StoredWeight(4, HOSTS[5], 1.0),
     ]
-    news = begun()
-    for o in move:
-        news.on_order_confirmed(o)
-    assert stand(news, *rows) == []
+    view = make_view()
+    for order in move:
+        view.on_order_confirmed(order)
+    assert report_state(view, *rows) == []
 
 
 ORDERS = st.lists(
@@ -89,50 +92,56 @@
 
 
 @given(ORDERS, st.lists(st.integers(0, 12), min_size=3, max_size=3))
-def test_tables_when_orders_are_confirmed_during_the_initial_state_then_they_hold_them(
-    orders: list[TableOrder], at: list[int]
+def test_tables_when_orders_are_confirmed_during_the_initial_state_then_they_include_them(
+    orders: list[TableOrder], positions: list[int]
 ) -> None:
-    """The relay tells the lines as they were at one moment after the opening: incident of the moves forgotten."""
-    opened, told_at, confirmed = sorted(min(x, len(orders)) for x in at)
-    news, store = begun(), {3: {HOSTS[0]: 1.0}, 4: {HOSTS[1]: 1.0}}
-    s, said = InitialState(), list[Row]()
-    for n, o in enumerate([*orders, None]):
-        if n == opened:
-            s = news.begin_initial_state()
-        if n == told_at:
-            said = [row for t in store for row in (owner(t), *(entry(t, HOSTS.index(h)) for h in store[t]))]
-        if o:
-            store[o.slice] = apply_orders(store[o.slice], [o])
+    """The relay reports its tables as of one moment after the watch opened. The view once lost moves confirmed since.
+
+    positions: how many orders precede the opening of the watch and the relay's report, and how many are confirmed.
+    """
+    opened_at, reported_at, confirmed = sorted(min(position, len(orders)) for position in positions)
+    view, stored = make_view(), {3: {HOSTS[0]: 1.0}, 4: {HOSTS[1]: 1.0}}
+    state, reported = InitialState(), list[Row]()
+    for n, order in enumerate([*orders, None]):
+        if n == opened_at:
+            state = view.begin_initial_state()
+        if n == reported_at:
+            reported = [row for t in stored for row in (owner(t), *(entry(t, HOSTS.index(h)) for h in stored[t]))]
+        if order:
+            stored[order.slice] = apply_orders(stored[order.slice], [order])
             if n < confirmed:
-                news.on_order_confirmed(o)
-    told(news, s, attach(1), attach(2), *said)
-    assert news.replace_state(s, orders[confirmed:]) == []
-    for o in orders[confirmed:]:
-        news.on_order_confirmed(o)
-    assert news.tables == store
-
-
-def test_slice_when_given_then_it_waits_for_its_entries() -> None:
-    news = begun()
-    assert say(news, owner(5), entry(5, 0), entry(5, 1)) == []
-    assert news.complete_slices() == [
+                view.on_order_confirmed(order)
+    told(view, state, attach(1), attach(2), *reported)
+    assert view.replace_state(state, orders[confirmed:]) == []
+    for order in orders[confirmed:]:
+        view.on_order_confirmed(order)
+    assert view.tables == stored
+
+
+def test_slice_when_assigned_then_it_is_delivered_with_its_entries() -> None:
+    view = make_view()
+    assert apply_notifications(view, owner(5), entry(5, 0), entry(5, 1)) == []
+    assert view.complete_slices() == [
         api.SliceOwnershipChange(5, True),
         api.StoredWeight(5, HOSTS[0], 1.0),
         api.StoredWeight(5, HOSTS[1], 1.0),
     ]
-    assert news.complete_slices() == []
-    assert say(news, owner(5, False), owner(5, False)) == [api.SliceOwnershipChange(5, False)]
+    assert view.complete_slices() == []
+    assert apply_notifications(view, owner(5, False), owner(5, False)) == [api.SliceOwnershipChange(5, False)]
 
 
-def test_slice_when_lost_before_its_entries_came_then_it_is_never_delivered() -> None:
-    news = begun()
-    assert say(news, owner(5), entry(5, 0), owner(5, False)) == []
-    assert news.complete_slices() == []
+def test_slice_when_lost_before_its_entries_arrived_then_it_is_never_delivered() -> None:
+    view = make_view()
+    assert apply_notifications(view, owner(5), entry(5, 0), owner(5, False)) == []
+    assert view.complete_slices() == []
 
 
-def test_acks_when_the_proxy_has_not_joined_then_they_do_not_count() -> None:
+def test_acks_when_the_proxy_has_not_joined_then_they_are_ignored() -> None:
     done = ("done", {"node": 1, "nonce": 905, "latency": 310.4})
-    assert say(begun(), done, ("detach", {"node": 1}), done) == [api.VersionAcked(1, 905, 310.4), api.ProxyLeft(1)]
+    assert apply_notifications(make_view(), done, ("detach", {"node": 1}), done) == [
+        api.VersionAcked(1, 905, 310.4),
+        api.ProxyLeft(1),
+    ]
 
 
 @pytest.mark.parametrize(
@@ -149,18 +158,20 @@
 )
 def test_notification_when_invalid_then_the_error_names_the_field(method: str, params: dict[str, Any]) -> None:
     with pytest.raises(InvalidNotificationError):
-        say(begun(), (method, params))
+        apply_notifications(make_view(), (method, params))
 
 
-def test_acks_when_lost_in_an_interruption_then_drains_are_not_delayed_for_good() -> None:
-    """A full queue by the module's own count, and nothing that would clear it: incident of a silent relay."""
+def test_acks_when_lost_in_an_interruption_then_drains_are_not_blocked_forever() -> None:
+    """The assigner counts its queue as full, and the acks that would clear it were lost while the relay was silent."""
     proxies, hosts = range(20), [api.HostEntry(h) for h in HOSTS]
     settings = replace(SETTINGS, max_queued_lines=20 * 30.0)
-    news, module = RelayView(settings, ZONES), Assigner(settings, 1)
-    events = stand(news, *(attach(p) for p in proxies), *(owner(s) for s in range(8)))
-    module.step(1e9, [api.HostListUpdate(api.HostListKind.FULL, 1, tuple(hosts)), *events])
-    gone = [replace(h, state="draining") for h in hosts[:2]]
-    drain = api.HostListUpdate(api.HostListKind.CHANGES, 2, tuple(gone))
-    assert not [a for a in module.step(1e9 + 2_000, [drain]) if isinstance(a, api.SetWeight | api.Cordon)]
-    said = module.step(1e9 + 2_001, [*news.assume_acked(module.pending_versions.last_version), api.TimerFired(0)])
-    assert [a for a in said if isinstance(a, api.SetWeight | api.Cordon)]
+    view, assigner = RelayView(settings, ZONES), Assigner(settings, 1)
+    events = report_state(view, *(attach(p) for p in proxies), *(owner(s) for s in range(8)))
+    assigner.step(1e9, [api.HostListUpdate(api.HostListKind.FULL, 1, tuple(hosts)), *events])
+    draining = [replace(h, state="draining") for h in hosts[:2]]
+    drain = api.HostListUpdate(api.HostListKind.CHANGES, 2, tuple(draining))
+    assert not [a for a in assigner.step(1e9 + 2_000, [drain]) if isinstance(a, api.SetWeight | api.Cordon)]
+    actions = assigner.step(
+        1e9 + 2_001, [*view.assume_acked(assigner.pending_versions.last_version), api.TimerFired(0)]
+    )
+    assert [a for a in actions if isinstance(a, api.SetWeight | api.Cordon)]
