--- a/corallanding/controller/active_recording.py
+++ b/corallanding/controller/active_recording.py
@@ -1,4 +1,4 @@
-"""The recording of all decision steps that was asked for on the command line, while it lasts."""
+"""The recording of all decision steps that the command line requests."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ActiveRecording:
-    """Writes every step to a file, until the file is full; does nothing if no recording was asked for."""
+    """Writes every step to a file until its size limit is reached; does nothing if no recording was requested."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
@@ -21,17 +21,17 @@
 
     @property
     def position(self) -> tuple[str, int] | None:
-        """The file and the bytes in it; None if nothing is recorded."""
+        """Return the path and size in bytes of the recording; None if nothing is recorded."""
         return (str(self._recorder.path), self._recorder.written_bytes) if self._recorder else None
 
     def start(self, path: str, seed: int, *, is_restored: bool) -> None:
-        """Begin a file. is_restored: the assigner goes on from a state before it. Raises OSError."""
+        """Start a recording. is_restored: the assigner continues from a restored state. Raises OSError."""
         self._recorder = Recorder(
             path, self._context.settings, seed, self._max_bytes, starts_after_snapshot=is_restored
         )
 
     def resume(self, path: str, offset: int) -> None:
-        """Go on with the file of the process before this one, from `offset` bytes on."""
+        """Continue the predecessor process's recording at `offset` bytes."""
         try:
             self._recorder = Recorder(path, self._context.settings, 0, self._max_bytes, resume_at=offset)
         except OSError as error:
@@ -46,7 +46,7 @@
             self.end(self._recorder.stop_reason)
 
     def end(self, why: str) -> None:
-        """Record no more, and log why."""
+        """Stop recording, and log why."""
         if self._recorder:
             log.error("recording ended", why=why)
             self.stop()
--- a/corallanding/controller/daemon.py
+++ b/corallanding/controller/daemon.py
@@ -29,7 +29,7 @@
 from .recovery import ControllerState, StateMismatchError, boot_id, check_state
 from .resources import Resources, channel_limits, configured_slices, join_admission
 from .snapshot_keeper import read_last_state
-from .startup_state import Inheritance, restore_assigner
+from .startup_state import PreviousState, restore_assigner
 
 
 class Controller:
@@ -110,8 +110,8 @@
         state = self._continue_clock(handover, contents)
         last_log = handover.controller.log_number if handover else state.log_number if state else 0
         self._build(contents, last_log)
-        inheritance = Inheritance(state, handover, scores, self._loaded_assigner)
-        is_restored = restore_assigner(self.components, self.view, contents, inheritance)
+        previous = PreviousState(state, handover, scores, self._loaded_assigner)
+        is_restored = restore_assigner(self.components, self.view, contents, previous)
         self._loaded_assigner = None
         inherited = InheritedSockets(file_descriptors)
         self._start_logs(contents, handover, is_restored=is_restored)
--- a/corallanding/controller/handover_driver.py
+++ b/corallanding/controller/handover_driver.py
@@ -1,4 +1,4 @@
-"""What both sides of a handover have in common: carry out commands, receive messages, watch the time."""
+"""The loop shared by both sides of a handover: executes commands, receives messages and enforces deadlines."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 
 
 def stop_at_test_point(point: str) -> None:
-    """Let tests kill or stop a process at any point: CORALLANDING_HALT=<kill|stop>:<point>."""
-    how, _, where = os.environ.get("CORALLANDING_HALT", "").partition(":")
-    if where == point:
-        os.kill(os.getpid(), signal.SIGKILL if how == "kill" else signal.SIGSTOP)
+    """Kill or stop this process at a point that a test selects by CORALLANDING_HALT=<kill|stop>:<point>."""
+    signal_name, _, selected_point = os.environ.get("CORALLANDING_HALT", "").partition(":")
+    if selected_point == point:
+        os.kill(os.getpid(), signal.SIGKILL if signal_name == "kill" else signal.SIGSTOP)
 
 
-def now() -> float:
-    """Milliseconds on the monotonic clock."""
+def monotonic_ms() -> float:
+    """Return the time of the monotonic clock, ms."""
     return time.monotonic() * 1000.0
 
 
 class TerminationLock:
-    """A file lock: only the process that holds it may kill the other. It is released when its process ends."""
+    """A file lock whose holder alone may kill the other process. The kernel releases it when the holder exits."""
 
     def __init__(self, path: str) -> None:
         self.path = path
         self.descriptor = -1
 
     def acquire(self) -> bool:
-        """Take the lock; false if the other process holds it. Raises `OSError` if the file cannot be opened."""
+        """Acquire the lock; return false if the other process holds it. Raises `OSError` if the file is unusable."""
         self.descriptor = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(self.descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -55,7 +55,7 @@
 
 
 class HandoverSide(ABC, Generic[StateMachine]):
-    """One process's part: carries out what its state machine commands. `name` stands in the names of test points."""
+    """One side of a handover: executes the commands of its state machine. `name` is the prefix of its test points."""
 
     name: str
     state_machine: StateMachine
@@ -63,13 +63,13 @@
 
     @property
     def open_pipe(self) -> HandoverPipe:
-        """The pipe to the other process. Raises `HandoverError` if none was started."""
+        """Return the pipe to the other process. Raises `HandoverError` if none was started."""
         if self.pipe is None:
-            raise HandoverError("no process was started")
+            raise HandoverError("the successor process was not started")
         return self.pipe
 
     async def drive(self, commands: list[HandoverCommand]) -> None:
-        """Carry out commands, and those that follow from messages and time, to the end of the handover."""
+        """Execute commands, and those that messages and timeouts lead to, until the handover has ended."""
         receiving: asyncio.Future[PipeMessage] | None = None
         while True:
             await self._perform_all(commands)
@@ -77,10 +77,10 @@
                 return
             if receiving is None:
                 receiving = asyncio.get_running_loop().run_in_executor(None, self.open_pipe.receive_message)
-            timeout_s = max(0.0, self.state_machine.deadline - now()) / 1000.0
+            timeout_s = max(0.0, self.state_machine.deadline - monotonic_ms()) / 1000.0
             done, _ = await asyncio.wait({receiving}, timeout=timeout_s)
             if not done:
-                commands = self.state_machine.on_tick(now())
+                commands = self.state_machine.on_tick(monotonic_ms())
                 continue
             try:
                 commands = await self.on_message(receiving.result())
@@ -89,23 +89,23 @@
             receiving = None
 
     async def _perform_all(self, commands: list[HandoverCommand]) -> None:
-        """Carry out commands; where one has others instead of the rest, those."""
+        """Execute commands in order; commands that one of them returns replace the remaining ones."""
         remaining = list(commands)
         while remaining:
             command = remaining.pop(0)
             stop_at_test_point(f"{self.name} before {command.value}")
-            instead = await self.perform(command)
-            if instead is not None:
-                remaining = list(instead)
+            replacement = await self.perform(command)
+            if replacement is not None:
+                remaining = list(replacement)
 
     @abstractmethod
     async def on_message(self, message: PipeMessage) -> list[HandoverCommand]:
-        """The other process has sent a message. Raises `PipeClosedError`."""
+        """Handle a message of the other process. Raises `PipeClosedError`."""
 
     async def on_peer_lost(self) -> list[HandoverCommand]:
-        """The other process has closed its end of the pipe."""
+        """Handle the closing of the pipe by the other process."""
         return self.state_machine.on_peer_lost()
 
     @abstractmethod
     async def perform(self, command: HandoverCommand) -> list[HandoverCommand] | None:
-        """Carry out one command. Returns commands to carry out instead of the remaining ones if it failed."""
+        """Execute one command. Returns commands that replace the remaining ones if it failed, or None."""
--- a/corallanding/controller/handover_receiver.py
+++ b/corallanding/controller/handover_receiver.py
@@ -15,13 +15,13 @@
 from ..telemetry import log
 from ..upgrade.pipe import HandoverPipe, PipeClosedError, PipeMessage, peer_credentials
 from ..upgrade.state_machine import PROTOCOL, HandoverCommand, HandoverMessage, Phase, Successor
-from .handover_driver import HandoverSide, TerminationLock, now, stop_at_test_point
+from .handover_driver import HandoverSide, TerminationLock, monotonic_ms, stop_at_test_point
 from .handover_state import HandoverState
 from .recovery import StateMismatchError
 
 
 class HandoverReceiver(HandoverSide[Successor]):
-    """Takes over from the process at the other end of a pipe.
+    """Takes over from the predecessor, the process at the other end of a pipe.
 
     `check(state)` raises `StateMismatchError` if a state cannot be used. `start(state, descriptors, rankings)` builds
     the controller and opens the store; it raises `StoreError`, `OSError` or `StateMismatchError`.
@@ -50,11 +50,11 @@
         self.failure = ""
 
     async def run(self) -> bool:
-        """Take over; true once this process controls, false if it is to end."""
+        """Take over; return true once this process is active, false if it must exit."""
         if self.predecessor.user != os.getuid():
-            log.error("handover refused: the other side is of another user", user=self.predecessor.user)
+            log.error("handover refused: the other process belongs to another user", user=self.predecessor.user)
             return False
-        await self.drive(self.state_machine.start(now()))
+        await self.drive(self.state_machine.start(monotonic_ms()))
         if self.state_machine.phase is not Phase.OWNER:
             return False
         stop_at_test_point("new after all")
@@ -62,36 +62,36 @@
         return True
 
     async def on_message(self, message: PipeMessage) -> list[HandoverCommand]:
-        """Take in rankings, or the state with the sockets that follow it; other messages as they are."""
+        """Store rankings, or the state with the sockets that follow it, and pass the message to the state machine."""
         if message.name == HandoverMessage.RANKINGS:
-            self._take_rankings(message.detail)
+            self._store_rankings(message.detail)
             return []
         if message.name == HandoverMessage.STATE:
             self.packed_state = message.detail
             self.descriptors = await self._receive_sockets()
-        return self.state_machine.on_message(now(), message.name)
+        return self.state_machine.on_message(monotonic_ms(), message.name)
 
-    def _take_rankings(self, body: bytes) -> None:
-        self.state_machine.deadline = now() + self.state_machine.timeout_ms
+    def _store_rankings(self, body: bytes) -> None:
+        self.state_machine.deadline = monotonic_ms() + self.state_machine.timeout_ms
         try:
             self.rankings = msgspec.msgpack.decode(body, type=list[StoredRanking])
         except msgspec.DecodeError as error:
-            log.warning("rankings not used; they are computed again", why=str(error))
+            log.warning("rankings not used; they are recomputed", why=str(error))
 
     async def _receive_sockets(self) -> list[int]:
         loop = asyncio.get_running_loop()
         message = await loop.run_in_executor(None, self.open_pipe.receive_message)
         if message.name != HandoverMessage.SOCKETS:
-            raise PipeClosedError(f"{message.name!r} in place of sockets")
+            raise PipeClosedError(f"received {message.name!r} instead of sockets")
         return await loop.run_in_executor(None, self.open_pipe.receive_descriptors, int(message.detail))
 
     async def on_peer_lost(self) -> list[HandoverCommand]:
-        """Wait for the end of the predecessor: its end of the pipe closes before its lock on the store does."""
-        await self._wait_for_end(self.predecessor.process)
+        """Wait until the predecessor has exited: its end of the pipe closes before its store lock is released."""
+        await self._wait_for_exit(self.predecessor.process)
         return self.state_machine.on_peer_lost()
 
     async def perform(self, command: HandoverCommand) -> list[HandoverCommand] | None:
-        """Carry out one command of the state machine."""
+        """Execute one command of the state machine."""
         try:
             return await self._perform(command)
         except (StoreError, StateMismatchError, OSError) as error:
@@ -99,7 +99,7 @@
             log.error("cannot take over", why=self.failure)
             return self.state_machine.on_store_opened(False)
         except PipeClosedError:
-            # Once this process controls, the predecessor needs to know nothing more.
+            # Once this process is active, the predecessor needs no further message.
             return None if command is HandoverCommand.SEND_TAKEN else self.state_machine.on_peer_lost()
 
     async def _perform(self, command: HandoverCommand) -> list[HandoverCommand] | None:
@@ -108,11 +108,11 @@
                 self.open_pipe.send_message(HandoverMessage.READY, str(PROTOCOL).encode())
             case HandoverCommand.LOAD:
                 self._load_state()
-                return self.state_machine.on_state_loaded(now(), True)
+                return self.state_machine.on_state_loaded(monotonic_ms(), True)
             case HandoverCommand.SEND_CHECKED:
                 self.open_pipe.send_message(HandoverMessage.CHECKED)
             case HandoverCommand.OPEN_STORE | HandoverCommand.COLD_START:
-                # Controller and store in one call: nothing is sent before it returns.
+                # One call starts the controller and opens the store: nothing is sent before it returns.
                 await self.start(self.state, self.descriptors, self.rankings)
             case HandoverCommand.SEND_TAKEN:
                 self.open_pipe.send_message(HandoverMessage.TAKEN)
@@ -123,7 +123,7 @@
         return None
 
     def _load_state(self) -> None:
-        """Unpack the state. One that cannot be used is dropped: sockets are taken over, proxies join anew."""
+        """Unpack the state. An unusable one is dropped: sockets are still taken over, and proxies join again."""
         try:
             self.state = snapshots.unpack(self.packed_state, HandoverState)
             self.check(self.state)
@@ -132,7 +132,7 @@
             self.state = None
 
     async def _end_predecessor(self) -> list[HandoverCommand] | None:
-        """Kill the predecessor unless it is about to kill this process; wait until it has ended."""
+        """Kill the predecessor and wait until it has exited, unless it holds the lock to kill this process."""
         if not self.termination_lock.acquire():
             return self.state_machine.on_lock_lost()
         try:
@@ -140,23 +140,23 @@
         except ProcessLookupError:
             pass
         else:
-            await self._wait_for_end(self.predecessor.process)
+            await self._wait_for_exit(self.predecessor.process)
         self.termination_lock.release()
         return None
 
-    async def _wait_for_end(self, process: int) -> None:
-        """Wait until a process that is dead, or dying, has released everything that it held."""
+    async def _wait_for_exit(self, process_id: int) -> None:
+        """Wait until a process that is exiting has released its resources, at most the timeout of a phase."""
         try:
-            handle = os.pidfd_open(process)
+            pid_descriptor = os.pidfd_open(process_id)
         except ProcessLookupError:
             return
         loop = asyncio.get_running_loop()
-        ended = asyncio.Event()
-        loop.add_reader(handle, ended.set)
+        has_exited = asyncio.Event()
+        loop.add_reader(pid_descriptor, has_exited.set)
         try:
-            await asyncio.wait_for(ended.wait(), self.state_machine.timeout_ms / 1000.0)
+            await asyncio.wait_for(has_exited.wait(), self.state_machine.timeout_ms / 1000.0)
         except TimeoutError:
-            log.error("the predecessor has closed its pipe and does not end", process=process)
+            log.error("the predecessor has closed its pipe but does not exit", process=process_id)
         finally:
-            loop.remove_reader(handle)
-            os.close(handle)
+            loop.remove_reader(pid_descriptor)
+            os.close(pid_descriptor)
--- a/corallanding/controller/handover_sender.py
+++ b/corallanding/controller/handover_sender.py
@@ -17,60 +17,60 @@
 from ..upgrade.pipe import HandoverPipe, PipeClosedError, PipeMessage
 from ..upgrade.state_machine import HandoverCommand, HandoverMessage, Predecessor
 from .context import ExitCode
-from .handover_driver import HandoverSide, TerminationLock, now
+from .handover_driver import HandoverSide, TerminationLock, monotonic_ms
 
 
 @dataclass(frozen=True)
 class CapturedState:
-    """A packed `HandoverState`, and the descriptors that go with it: those of links come last, in the state's order."""
+    """A packed `HandoverState` and the descriptors sent with it: those of links come last, in the state's order."""
 
     body: bytes
     file_descriptors: list[int]
 
 
 class HandoverSource(Protocol):
-    """What a handover asks of the active controller."""
+    """The interface of the active controller that a handover uses."""
 
     async def capture_scores(self) -> list[StoredRanking]:
-        """The assigner's rendezvous scores, ahead of the state."""
+        """Return the assigner's rendezvous scores, which are sent before the state."""
         ...
 
     async def pause(self) -> None:
-        """Send and receive nothing from here on."""
+        """Stop sending and receiving."""
         ...
 
     def capture(self) -> CapturedState:
-        """All state of the paused controller. Raises OSError if it cannot be handed over."""
+        """Return the complete state of the paused controller. Raises OSError if it cannot be handed over."""
         ...
 
     def release_store(self) -> None:
-        """Close the store, for the new process."""
+        """Close the store, so that the new process can open it."""
         ...
 
     def take_back(self) -> None:
-        """Go on, since nothing came of the handover. Raises StoreLockedError if the store is another controller's."""
+        """Resume after a failed handover. Raises StoreLockedError if another controller holds the store."""
         ...
 
     def finish(self) -> None:
-        """End this process: the new one is active."""
+        """Stop this process: the new one is active."""
         ...
 
     def request_stop(self, exit_code: int) -> None:
-        """End this process, which cannot go on."""
+        """Stop this process with an exit code, because it cannot continue."""
         ...
 
 
 def handover_obstacle(config: ControllerConfig) -> str:
-    """What of a controller cannot be handed over; empty if all can."""
+    """Return the setting that prevents a handover of the controller, with a hint; empty if nothing does."""
     if config.registry and config.registry.charge:
         return "registry.charge: end it (SIGTERM), its slices go to the other stewards first"
     return ""
 
 
 class HandoverSender(HandoverSide[Predecessor]):
-    """Hands a controller to a process that `command` starts.
+    """Hands the controller over to a process that `command` starts.
 
-    A lock beside the store decides which process may kill the other. Each phase may take `timeout_ms`.
+    A lock file next to the store decides which process may kill the other. Each phase may take `timeout_ms`.
     """
 
     name = "old"
@@ -84,21 +84,21 @@
         self.pipe = None
 
     async def run(self) -> str:
-        """Hand over; returns why it failed, or "" once the successor has taken over."""
+        """Hand over; return why it failed, or "" once the successor has taken over."""
         try:
-            await self.drive(self.state_machine.start(now()))
+            await self.drive(self.state_machine.start(monotonic_ms()))
             return self.state_machine.failure
         finally:
             if self.pipe:
                 self.pipe.close()
 
     async def on_message(self, message: PipeMessage) -> list[HandoverCommand]:
-        """The successor has sent a message."""
+        """Handle a message of the successor."""
         detail = message.detail.decode("utf-8", "replace")
-        return self.state_machine.on_message(now(), message.name, detail)
+        return self.state_machine.on_message(monotonic_ms(), message.name, detail)
 
     async def perform(self, command: HandoverCommand) -> list[HandoverCommand] | None:
-        """Carry out one command of the state machine."""
+        """Execute one command of the state machine."""
         try:
             if command is HandoverCommand.END_OTHER:
                 return await self._end_successor()
@@ -129,15 +129,15 @@
                 self.source.finish()
 
     async def _spawn(self) -> None:
-        ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
-        self.pipe = HandoverPipe(ours)
-        descriptor = theirs.fileno()
+        own_end, successor_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
+        self.pipe = HandoverPipe(own_end)
+        descriptor = successor_end.fileno()
         command = [*self.command, "--take-over", str(descriptor)]
         self.process = await asyncio.create_subprocess_exec(*command, pass_fds=[descriptor])
-        theirs.close()
+        successor_end.close()
 
     async def _end_successor(self) -> list[HandoverCommand] | None:
-        """Kill the successor unless it is about to kill this process; wait until it has ended."""
+        """Kill the successor and wait until it has exited, unless it holds the lock to kill this process."""
         if not self.termination_lock.acquire():
             return self.state_machine.on_lock_lost()
         if self.process:
@@ -148,7 +148,7 @@
         return None
 
     async def _send_rankings(self) -> None:
-        """Send rankings ahead of the state, while this process still controls: in a large fleet they are most of it."""
+        """Send rankings before the state, while still active: in a large fleet they are most of the data."""
         body = msgspec.msgpack.encode(await self.source.capture_scores())
         loop = asyncio.get_running_loop()
         await loop.run_in_executor(None, self.open_pipe.send_message, HandoverMessage.RANKINGS, body)
@@ -159,7 +159,7 @@
         await asyncio.get_running_loop().run_in_executor(None, self._send_captured, captured)
 
     def _send_captured(self, captured: CapturedState) -> None:
-        """Blocks until everything is sent."""
+        """Send the state and the descriptors; blocks until everything is sent."""
         descriptors = captured.file_descriptors
         self.open_pipe.send_message(HandoverMessage.STATE, captured.body)
         self.open_pipe.send_message(HandoverMessage.SOCKETS, str(len(descriptors)).encode())
@@ -167,5 +167,5 @@
 
 
 def successor_command(config: str) -> list[str]:
-    """The command that starts a successor with a configuration file."""
+    """Return the command that starts a successor with a configuration file."""
     return [sys.executable, "-m", "corallanding.cli.main", "steward", "--config", config]
--- a/corallanding/controller/handover_state.py
+++ b/corallanding/controller/handover_state.py
@@ -1,8 +1,8 @@
-"""Everything that a running controller hands to its successor, as values. Pure: between two steps, nothing in progress.
+"""The state that a running controller hands over to its successor, captured between two decision steps. Does no I/O.
 
-That is: the assigner, what waits in the channel, connections with half a frame, versions not acknowledged yet, usage
-not reported yet, joins that wait. Times are on the controller's clock, which goes on. The names of the fields in a
-handover are frozen, as is the order of fields in structs that are arrays.
+It covers the assigner, messages queued in the channel, connections with a partly received frame, unacknowledged
+versions, usage not reported yet, and waiting joins. Times are on the controller's clock, which the successor continues.
+The stored names of the fields are frozen, as is the order of fields in structs that are encoded as arrays.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class HandoverState(msgspec.Struct):
-    """The whole of what is handed over, beside descriptors and rankings."""
+    """Everything that is handed over, except descriptors and rankings."""
 
     controller: ControllerState = msgspec.field(name="state")
     message_number: int = msgspec.field(name="seq")
@@ -40,26 +40,28 @@
     leaving_hosts: list[int] = msgspec.field(name="going")
     usage_due_at: float = msgspec.field(name="gather_at")
     usage_tallies: list[tuple[str, int, int, float, int, int, float]] = msgspec.field(name="tallies")
-    usage_pace: tuple[float, float] = msgspec.field(name="sums")  # reports that may be handed on, and since when
+    # Number of usage reports that the rate limit allows, and the time (ms) of its last refill.
+    usage_pace: tuple[float, float] = msgspec.field(name="sums")
     channel: ChannelState = msgspec.field(name="channel")
     connections: list[ConnectionState] = msgspec.field(name="links")
     join_histories: list[tuple[int, float, float]] = msgspec.field(name="habits")
-    # Proxy, not before, order of coming.
+    # Proxy, earliest admission (ms), sequence number.
     waiting_joins: list[tuple[int, float, int]] = msgspec.field(name="waiting")
-    join_pace: tuple[float, float] = msgspec.field(name="pace")  # tokens, and since when
+    # Tokens of the rate limit of joins, and the time (ms) of their last refill.
+    join_pace: tuple[float, float] = msgspec.field(name="pace")
     host_list_version: int = msgspec.field(name="version")
     host_entries: list[StoredHostEntry] = msgspec.field(name="entries")
     host_addresses: dict[int, str] = msgspec.field(name="addresses")
     host_starts: dict[int, float] = msgspec.field(name="starts")
     known_hosts: list[int] = msgspec.field(name="known")
-    load_factors: dict[int, float] = msgspec.field(name="factors")  # as the assigner has them from load reports
+    load_factors: dict[int, float] = msgspec.field(name="factors")  # derived from load reports
     load_reports: FeedState | None = msgspec.field(name="feed")
-    recording: tuple[str, int] | None = msgspec.field(name="recording")  # its file, and how many bytes it has
+    recording: tuple[str, int] | None = msgspec.field(name="recording")  # path and size in bytes
 
 
 @dataclass(frozen=True)
 class HostListState:
-    """The host list as this process holds it; `starts` are wall-clock times of host processes, ms."""
+    """The host list of this process; `starts` are the wall-clock start times of host processes, ms."""
 
     version: int
     entries: list[api.HostEntry]
@@ -70,7 +72,7 @@
 
 @dataclass(frozen=True)
 class HandoverExtras:
-    """What is handed over beside the engine, the channel and connections. `recording`: its file, and bytes written."""
+    """State beside the engine, the channel and the connections. `recording`: its path and the bytes written."""
 
     host_list: HostListState
     load_factors: dict[int, float]
@@ -86,7 +88,7 @@
     joins: JoinAdmission,
     extras: HandoverExtras,
 ) -> HandoverState:
-    """Everything as values, between two steps."""
+    """Return the complete state; call it between two decision steps."""
     host_list = extras.host_list
     return HandoverState(
         controller=controller,
@@ -131,7 +133,7 @@
 
 
 def _stored_waiting_joins(joins: JoinAdmission) -> list[tuple[int, float, int]]:
-    """Proxies that wait, without those that have cancelled."""
+    """Return the waiting proxies, without those that have cancelled."""
     return [
         (proxy, at, sequence) for at, sequence, proxy in sorted(joins.queue) if joins.admissible_at.get(proxy) == at
     ]
@@ -142,27 +144,28 @@
     state: HandoverState,
     channel: Channel,
     joins: JoinAdmission,
-    now: float,
+    now_ms: float,
     assigner: Assigner | None = None,
 ) -> None:
-    """Let a new process's engine, channel and joins go on where the old one's were.
+    """Restore the engine, channel and joins of a new process from the state of the old one.
 
-    `assigner` is given if it was loaded from the state already. Raises `StateMismatchError`; nothing is touched then.
+    now_ms: on the controller's clock. assigner: set if it was already loaded from the state. Raises
+    `StateMismatchError`; nothing is changed then.
     """
     stored_tables = engine.published.tables
-    engine.published.tables = {table: dict(weights) for table, weights in state.tables}  # unsaved entries included
+    engine.published.tables = {table: dict(weights) for table, weights in state.tables}  # including unsaved entries
     try:
-        restore(engine, state.controller, [], now, have_proxies_left=False, assigner=assigner)
+        restore(engine, state.controller, [], now_ms, have_proxies_left=False, assigner=assigner)
     except StateMismatchError:
         engine.published.tables = stored_tables
         raise
-    _restore_engine(engine, state, now)
+    _restore_engine(engine, state, now_ms)
     _restore_usage(engine, state)
     restore_channel(channel, state.channel)
     _restore_joins(joins, state)
 
 
-def _restore_engine(engine: Engine, state: HandoverState, now: float) -> None:
+def _restore_engine(engine: Engine, state: HandoverState, now_ms: float) -> None:
     engine.publisher.message_number = state.message_number
     engine.publisher.leaving_hosts = set(state.leaving_hosts)
     engine.published.assignments = {proxy: dict(assigned) for proxy, assigned in state.controller.assignments}
@@ -172,7 +175,7 @@
     handed_over = [(at, sequence, from_stored_item(raw)) for at, sequence, raw in state.pending_events]
     engine.pending_events = handed_over + engine.pending_events
     engine.proxy_zones = dict(state.proxy_zones)
-    engine.recall_until = now - 1.0  # proxies hold what this process has: nothing is recalled
+    engine.recall_until = now_ms - 1.0  # proxies have the same tables as this process: none are requested back
 
 
 def _restore_usage(engine: Engine, state: HandoverState) -> None:
--- a/corallanding/controller/record_groups.py
+++ b/corallanding/controller/record_groups.py
@@ -1,4 +1,4 @@
-"""Which task groups have quorum records, and for how long the records live: by what the configuration rests on them."""
+"""Derives from the configuration which task groups have quorum records, and how long records are kept."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 def record_groups(
     config: ControllerConfig, block: RecordsBlock, tasks: TaskCatalog, voters: tuple[int, ...]
 ) -> RecordGroups:
-    """The groups for pinned runs, for the release register and for jobs, as far as each is configured."""
+    """Return the groups for pinned runs, the release register and jobs, as far as each is configured."""
     candidates = (RUNS_TASK_GROUP, RELEASE_TASK, JOBS) if config.pins else (JOBS,)
     names = tuple(name for name in candidates if name in tasks.specs)
     if config.pins:
         task_groups = RecordTaskGroups(names, counted=(RUNS_TASK_GROUP,), permanent=(RELEASE_TASK,))
     else:
         task_groups = RecordTaskGroups(names)
-    return RecordGroups(voters, _terms(config, block), task_groups)
+    return RecordGroups(voters, _record_limits(config, block), task_groups)
 
 
-def _terms(config: ControllerConfig, block: RecordsBlock) -> RecordLimits:
-    """How long records live: twice the longest wait of a job, and as long as pinned runs need."""
+def _record_limits(config: ControllerConfig, block: RecordsBlock) -> RecordLimits:
+    """Return the limits of records: kept for twice the longest wait of a job, and as long as pinned runs need."""
     waits = [operation.waits.most_ms for operation in config.operation.values() if operation.waits]
     max_wait_ms = max(waits, default=0.0)
-    keep_ms = 2.0 * max_wait_ms
+    retention_ms = 2.0 * max_wait_ms
     if config.pins is None:
-        return RecordLimits(keep_ms, max_wait_ms, block.most, block.again_ms)
+        return RecordLimits(retention_ms, max_wait_ms, block.most, block.again_ms)
     limits = pinning_limits(config.pins, config.budgets.drift)
-    terms = run_record_limits(limits, block.most, block.again_ms)
-    return replace(terms, retention_ms=max(terms.retention_ms, keep_ms))
+    run_limits = run_record_limits(limits, block.most, block.again_ms)
+    return replace(run_limits, retention_ms=max(run_limits.retention_ms, retention_ms))
--- a/corallanding/controller/record_store.py
+++ b/corallanding/controller/record_store.py
@@ -1,6 +1,6 @@
-"""The file in which a controller keeps its replica of quorum records: SQLite, one transaction for each message.
+"""Stores a controller's replica of quorum records in SQLite, one transaction per message.
 
-Records age while nobody runs: by the clock of the machine since its boot, or by the wall clock after another boot.
+Records age while no controller runs: by the machine's monotonic clock, or by the wall clock after a reboot.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 create table if not exists peer (number integer primary key, opened integer not null, life integer not null,
   writes integer not null);
 """
-NO_DESCRIPTOR = -1  # in place of the lock file's descriptor once it is closed
+NO_DESCRIPTOR = -1  # marks a closed lock file
 
 
 class ClockReadings(NamedTuple):
-    """One instant on three clocks, ms: the controller's own, that of the machine since its boot, the wall clock."""
+    """The time in ms on three clocks: the controller's own, the monotonic clock since boot, and the wall clock."""
 
     own: float
     since_boot: float
@@ -36,11 +36,11 @@
 
 
 class RecordStore:
-    """Reads and writes the file of quorum records at `path`, which one process holds at a time.
+    """Reads and writes the file of quorum records at `path`, which only one process may have open.
 
     clock: the controller's own, ms. is_blank: the file holds no complete replica (it is new, or was wiped).
-    opening_number: how often the file was opened, this time included. Raises OSError if the file cannot be used, or
-    another process holds it.
+    opening_number: how often the file was opened, including this time. Raises OSError if the file cannot be used, or
+    another process has it open.
     """
 
     def __init__(self, path: str, clock: Callable[[], float]) -> None:
@@ -57,9 +57,9 @@
             raise OSError(f"{path}: {error}") from None
 
     def _begin_opening(self, db: sqlite3.Connection) -> None:
-        """Read the metadata and count this opening."""
+        """Read the metadata, and store the incremented number of openings."""
         metadata = dict(db.execute("select key, value from meta"))
-        # `born` is on the clock since boot; after another boot the age is taken from the wall clock.
+        # Column `born` is on the clock since boot; after a reboot, ages are computed from the wall clock.
         self.is_same_boot = metadata.get("boot", "") == boot_id()
         self.is_blank = metadata.get("whole") != "1"
         self.opening_number = int(metadata.get("opened", 0)) + 1
@@ -70,23 +70,23 @@
         db.executemany("insert or replace into meta values (?, ?)", rows.items())
 
     def _open_database(self) -> sqlite3.Connection:
-        """The database. Raises OSError once the file is closed: another process may hold it."""
+        """Return the database. Raises OSError once the file is closed, because another process may have it open."""
         if self.db is None or self.lock_descriptor == NO_DESCRIPTOR:
-            raise OSError(f"{self.path}: it is another process's now")
+            raise OSError(f"records file {self.path} is closed; another process may have it open")
         return self.db
 
     def _read_clocks(self) -> ClockReadings:
         return ClockReadings(self.clock(), time.monotonic() * 1000.0, time.time() * 1000.0)
 
     def load(self, replica: Replica) -> dict[int, PeerFile]:
-        """Put all that is stored into the replica.
+        """Load all stored records into the replica.
 
-        Returns what was heard of the others' files, by number of the controller.
+        Returns what the other controllers reported about their files, by controller number.
         """
         db = self._open_database()
         now = self._read_clocks()
-        for group, key, value, token, number, started_at, wall in db.execute("select * from record"):
-            age_ms = max(0.0, now.since_boot - started_at if self.is_same_boot else now.wall - wall)
+        for group, key, value, token, number, created_at_ms, wall in db.execute("select * from record"):
+            age_ms = max(0.0, now.since_boot - created_at_ms if self.is_same_boot else now.wall - wall)
             replica.put(group, key, value, Ballot(token, number), now.own - age_ms)
         for group, token in db.execute("select * from seen"):
             replica.raise_token(group, token)
@@ -94,10 +94,10 @@
         replica.write_count = max(replica.write_count - 1, self.writes)
         if not self.is_same_boot:
             self._move_to_this_boot(db, now)
-        return {number: PeerFile(*known) for number, *known in db.execute("select * from peer")}
+        return {number: PeerFile(*row) for number, *row in db.execute("select * from peer")}
 
     def _move_to_this_boot(self, db: sqlite3.Connection, now: ClockReadings) -> None:
-        """Restate the times of all records on the clock since this boot, in one transaction."""
+        """Convert the times of all records to the clock since this boot, in one transaction."""
         rows = list(db.execute("select wall, grp, key from record"))
         db.execute("begin")
         db.executemany(
@@ -108,46 +108,46 @@
         db.execute("commit")
         self.is_same_boot = True
 
-    def write(self, what: UnsavedChanges) -> None:
-        """Write changes of the replica in one transaction. Raises OSError; nothing of them is written then."""
+    def write(self, changes: UnsavedChanges) -> None:
+        """Write changes of the replica in one transaction. Raises OSError, and then none of them is written."""
         db = self._open_database()
         now = self._read_clocks()
         try:
             db.execute("begin immediate")
-            self._write_records(db, what, now)
-            self._write_counters(db, what)
+            self._write_records(db, changes, now)
+            self._write_counters(db, changes)
             db.execute("commit")
         except sqlite3.Error as error:
             if db.in_transaction:
                 db.execute("rollback")
             raise OSError(f"{self.path}: {error}") from None
 
-    def _write_records(self, db: sqlite3.Connection, what: UnsavedChanges, now: ClockReadings) -> None:
-        if what.is_wiped:
+    def _write_records(self, db: sqlite3.Connection, changes: UnsavedChanges, now: ClockReadings) -> None:
+        if changes.is_wiped:
             db.execute("delete from record")
             db.execute("delete from seen")
             self._write_metadata(db, {"whole": "0"})
-        db.executemany("delete from record where grp = ? and key = ?", what.deleted_keys)
+        db.executemany("delete from record where grp = ? and key = ?", changes.deleted_keys)
         rows = []
-        for group, key, value, token, number, started_at in what.rows:
-            age_ms = now.own - started_at
+        for group, key, value, token, number, created_at_ms in changes.rows:
+            age_ms = now.own - created_at_ms
             rows.append((group, key, value, token, number, now.since_boot - age_ms, now.wall - age_ms))
         db.executemany("insert or replace into record values (?, ?, ?, ?, ?, ?, ?)", rows)
-        db.executemany("insert or replace into seen values (?, ?)", what.highest_tokens.items())
+        db.executemany("insert or replace into seen values (?, ?)", changes.highest_tokens.items())
 
-    def _write_counters(self, db: sqlite3.Connection, what: UnsavedChanges) -> None:
-        peers = [(number, *row) for number, row in what.peer_files.items()]
+    def _write_counters(self, db: sqlite3.Connection, changes: UnsavedChanges) -> None:
+        peers = [(number, *row) for number, row in changes.peer_files.items()]
         db.executemany("insert or replace into peer values (?, ?, ?, ?)", peers)
-        self.writes = what.write_count
-        self._write_metadata(db, {"writes": str(what.write_count)})
-        if what.open_count:
-            self.opening_number = what.open_count
-            self._write_metadata(db, {"opened": str(what.open_count)})
-        if what.is_recovered:
+        self.writes = changes.write_count
+        self._write_metadata(db, {"writes": str(changes.write_count)})
+        if changes.open_count:
+            self.opening_number = changes.open_count
+            self._write_metadata(db, {"opened": str(changes.open_count)})
+        if changes.is_recovered:
             self._write_metadata(db, {"whole": "1"})
 
     def close(self) -> None:
-        """Close the file and let another process have it."""
+        """Close the file and release its lock for another process."""
         if self.db is not None:
             self.db.close()
         if self.lock_descriptor != NO_DESCRIPTOR:
--- a/corallanding/controller/snapshot_keeper.py
+++ b/corallanding/controller/snapshot_keeper.py
@@ -1,4 +1,4 @@
-"""Snapshots of the assigner's state, and the log of the decision steps after each."""
+"""Takes snapshots of the assigner's state, and logs the decision steps after each snapshot."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from .recorder import Recorder, RecordingError
 from .recovery import ControllerState, StateMismatchError, Step, boot_id, capture_state, check_state, restore
 
-ALL_LOGS = 2**63  # a number above that of every log
+ALL_LOGS = 2**63  # above the number of every log
 
 
 def read_last_state(context: Context, start_number: int, *, is_trusted: bool) -> ControllerState | None:
-    """What the last process left; the clock goes on from there. None, with a log line, if it cannot be used.
+    """Return the last process's snapshot and continue its clock. Returns None, and logs why, if it cannot be used.
 
-    is_trusted: false after starts that all ended soon, of which the snapshot may be the cause.
+    is_trusted: false after several failed starts, which the snapshot may have caused.
     """
     path = context.config.store.snapshot_path
     if not path:
         return None
     if not is_trusted:
-        log.warning("snapshot not used; starting from the stored tables", why="the last starts ended in early deaths")
+        log.warning("snapshot not used; starting from the stored tables", why="the last starts failed early")
         return None
     try:
         state = snapshots.read(path, ControllerState)
@@ -42,7 +42,7 @@
 
 
 class SnapshotKeeper:
-    """Takes a snapshot now and then, and logs each step after it. log_number: of the present step log."""
+    """Takes snapshots at regular intervals, and logs each step after them. log_number: of the current step log."""
 
     def __init__(self, context: Context, engine: Engine, view: EndpointList, log_number: int) -> None:
         self._context = context
@@ -52,28 +52,28 @@
         self.log_number = log_number
         self.step_log: Recorder | None = None
 
-    def restore(self, state: ControllerState, now: float) -> bool:
-        """Go on from a snapshot and the steps logged after it; false, with a log line, if that cannot be."""
-        origins = self._view.first_seen_starts
+    def restore(self, state: ControllerState, now_ms: float) -> bool:
+        """Restore a snapshot and replay the steps logged after it; return false, and log why, if that fails."""
+        previous_origins = self._view.first_seen_starts
         try:
             steps = self._read_steps()
             self._view.first_seen_starts = {(host, started): since for host, started, since in state.host_origins}
-            count, changed = restore(self._engine, state, steps, now)
+            count, changed = restore(self._engine, state, steps, now_ms)
         except (StateMismatchError, RecordingError, OSError) as error:
             log.warning("snapshot not used; starting from the stored tables", why=str(error))
-            self._view.first_seen_starts = origins
+            self._view.first_seen_starts = previous_origins
             return False
         log.info(
             "state restored",
             start_number=state.start_number,
             steps=count,
             changed_slices=len(changed),
-            age_ms=round(now - state.captured_at),
+            age_ms=round(now_ms - state.captured_at),
         )
         return True
 
     def start(self, *, is_restored: bool) -> None:
-        """Take the first snapshot, where snapshots are configured. is_restored: logs of the last process count."""
+        """Take the first snapshot, if configured. is_restored: the logs of the last process are still needed."""
         if not self._context.config.store.snapshot_path:
             return
         if not is_restored:
@@ -81,7 +81,7 @@
         self._take_snapshot()
 
     def capture(self, log_number: int) -> ControllerState | None:
-        """The state between two steps; None if the assigner is not one that can be saved."""
+        """Return the state between two steps; None if the assigner's state cannot be saved."""
         number = self._context.config.steward.number
         return capture_state(
             self._engine, number, boot_id(), self._context.clock.zero, self._view.first_seen_starts, log_number
@@ -93,8 +93,8 @@
             return
         self.step_log.write_step(step.now, step.events, step.actions)
         if self.step_log.is_stopped:
-            # A log with a gap must not be replayed: without it the snapshot is worth nothing.
-            log.error("step log ended; the next snapshot begins another", why=self.step_log.stop_reason)
+            # A log with a gap must not be replayed, and without its log the snapshot is outdated.
+            log.error("step log ended; the next snapshot starts a new one", why=self.step_log.stop_reason)
             Path(str(self._context.config.store.snapshot_path)).unlink(missing_ok=True)
             self.step_log.close()
             self.step_log = None
@@ -105,7 +105,7 @@
             self.step_log.close()
 
     def _read_steps(self) -> list[Step]:
-        """The steps of all logs from `log_number` on, which is left at the first number that is free."""
+        """Return the steps of all logs from `log_number` on; sets it to the first unused number."""
         steps: list[Step] = []
         while (path := Path(self._log_path(self.log_number))).exists():
             steps += recorder.read_recording(path).steps
@@ -113,29 +113,29 @@
         return steps
 
     def _take_snapshot(self) -> None:
-        """Take a snapshot, begin the log of what comes after it, and come again."""
+        """Take a snapshot, start the log of the steps after it, and schedule the next snapshot."""
         if not self._context.lifecycle.is_running:
             return
         loop = asyncio.get_running_loop()
         loop.call_later(self._context.config.store.snapshot_every_ms / 1000.0, self._take_snapshot)
         is_writing = self._writing is not None and not self._writing.done()
         if self._context.lifecycle.is_paused or self._engine.overload.is_overloaded or is_writing:
-            return  # the step log goes on meanwhile
-        begun = self._context.clock()
+            return  # the current step log continues
+        started_at_ms = self._context.clock()
         number = self.log_number + 1
         state = self.capture(number)
         path = self._context.config.store.snapshot_path
-        if state is None or path is None or not self._begin_log(number, state.assigner.seed):
+        if state is None or path is None or not self._start_log(number, state.assigner.seed):
             return
         data = snapshots.pack(state)
         self._context.metrics.snapshot_bytes.set(len(data))
-        self._context.metrics.snapshot_seconds.observe((self._context.clock() - begun) / 1000.0)
+        self._context.metrics.snapshot_seconds.observe((self._context.clock() - started_at_ms) / 1000.0)
         self._writing = loop.create_task(self._write(path, data, number))
 
-    def _begin_log(self, number: int, seed: int) -> bool:
+    def _start_log(self, number: int, seed: int) -> bool:
         max_bytes = self._context.config.store.log_most_mb * 1e6
         try:
-            fresh = Recorder(
+            new_log = Recorder(
                 self._log_path(number), self._context.settings, seed, max_bytes, starts_after_snapshot=True
             )
         except OSError as error:
@@ -143,27 +143,27 @@
             return False
         if self.step_log:
             self.step_log.close()
-        self.step_log = fresh
+        self.step_log = new_log
         self.log_number = number
         return True
 
     async def _write(self, path: str, data: bytes, number: int) -> None:
-        """Write a snapshot beside the loop, and delete the logs before it."""
+        """Write a snapshot in another thread, and delete the logs before it."""
 
-        def work() -> None:
+        def replace_snapshot() -> None:
             snapshots.replace_file(path, data)
             self._delete_logs(number)
 
         try:
-            await asyncio.get_running_loop().run_in_executor(None, work)
+            await asyncio.get_running_loop().run_in_executor(None, replace_snapshot)
         except OSError as error:
             self._context.rate_limited_log.warn("snapshot not saved", why=str(error))
 
     def _log_path(self, number: int) -> str:
         return f"{self._context.config.store.snapshot_path}.log.{number}"
 
-    def _delete_logs(self, below: int) -> None:
+    def _delete_logs(self, end_number: int) -> None:
         path = Path(str(self._context.config.store.snapshot_path))
         for old in path.parent.glob(path.name + ".log.*"):
-            if old.suffix[1:].isdigit() and int(old.suffix[1:]) < below:
+            if old.suffix[1:].isdigit() and int(old.suffix[1:]) < end_number:
                 old.unlink(missing_ok=True)
--- a/corallanding/controller/startup_state.py
+++ b/corallanding/controller/startup_state.py
@@ -1,4 +1,4 @@
-"""The state in which the assigner begins."""
+"""Determines the state with which the assigner starts."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 
 @dataclass(frozen=True)
-class Inheritance:
-    """What the last process left: on disk, or as a handover with scores and the assigner loaded from it."""
+class PreviousState:
+    """The state of the last process: on disk, or as a handover with scores and the assigner loaded from it."""
 
     state_on_disk: ControllerState | None
     handover: HandoverState | None
@@ -25,13 +25,13 @@
 
 
 def restore_assigner(
-    components: Components, view: EndpointList, contents: StoreContents, inheritance: Inheritance
+    components: Components, view: EndpointList, contents: StoreContents, previous: PreviousState
 ) -> bool:
-    """Put the assigner where the last process was; if that cannot be, begin with the stored tables and return false."""
+    """Restore the assigner from the last process's state; if that fails, use the stored tables and return false."""
     context = components.context
-    now = context.clock()
+    now_ms = context.clock()
     saved = view.restore(
-        now,
+        now_ms,
         context.wall_ms(),
         contents.host_list_version,
         contents.host_entries,
@@ -39,10 +39,10 @@
         contents.started_at_ms,
     )
     components.engine.publisher.addresses = view.addresses
-    if inheritance.handover:
-        components.transfer.restore(inheritance.handover, now, inheritance.scores, inheritance.loaded_assigner)
+    if previous.handover:
+        components.transfer.restore(previous.handover, now_ms, previous.scores, previous.loaded_assigner)
         return True
-    if inheritance.state_on_disk is not None and components.snapshots.restore(inheritance.state_on_disk, now):
+    if previous.state_on_disk is not None and components.snapshots.restore(previous.state_on_disk, now_ms):
         return True
-    components.engine.start(now, saved)
+    components.engine.start(now_ms, saved)
     return False
--- a/corallanding/controller/state_transfer.py
+++ b/corallanding/controller/state_transfer.py
@@ -1,4 +1,4 @@
-"""The state of a running controller as one message, and a new process that goes on from it."""
+"""Captures the state of a running controller as one message, and restores it in a new process."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from .proxy_connections import ProxyConnections
 from .snapshot_keeper import SnapshotKeeper
 
-SLICES_PER_TURN = 300  # whose scores are made ready for a handover at a time: a few milliseconds
-TURN_INTERVAL_S = 0.001
+SLICES_PER_BATCH = 300  # slices whose scores are dumped without yielding to the event loop: a few milliseconds
+BATCH_INTERVAL_S = 0.001
 
 
 class StateTransfer:
-    """Captures the state between two steps, and restores one that another process captured."""
+    """Captures the state between two decision steps, and restores a state that another process captured."""
 
     def __init__(
         self,
@@ -49,21 +49,22 @@
         self._snapshots = snapshots
 
     async def capture_scores(self) -> list[StoredRanking]:
-        """The assigner's rendezvous scores, a few slices at a time: this process is still active."""
-        module = self._engine.assigner
-        if not isinstance(module, Assigner):
+        """Return the assigner's rendezvous scores, dumped in batches because this process is still active."""
+        assigner = self._engine.assigner
+        if not isinstance(assigner, Assigner):
             return []
         rows: list[StoredRanking] = []
-        slices = list(module.rendezvous.rankings)
-        for start in range(0, len(slices), SLICES_PER_TURN):
-            rows += dump_rankings(module.rendezvous, slices[start : start + SLICES_PER_TURN])
-            await asyncio.sleep(TURN_INTERVAL_S)
+        slices = list(assigner.rendezvous.rankings)
+        for start in range(0, len(slices), SLICES_PER_BATCH):
+            rows += dump_rankings(assigner.rendezvous, slices[start : start + SLICES_PER_BATCH])
+            await asyncio.sleep(BATCH_INTERVAL_S)
         return rows
 
     def capture(self, servers: Sequence[int], peer_sockets: Sequence[int]) -> CapturedState:
-        """All state, of a controller that is paused. servers, peer_sockets: descriptors that go along.
+        """Return the complete state of a paused controller, with descriptors.
 
-        Raises OSError if the assigner is not one that can be handover over.
+        servers, peer_sockets: descriptors to hand over before those of the connections. Raises OSError if the state of
+        the assigner cannot be handed over.
         """
         state = self._snapshots.capture(self._snapshots.log_number)
         if state is None:
@@ -100,9 +101,9 @@
         return CapturedState(snapshots.pack(handover), descriptors)
 
     def restore(
-        self, handover: HandoverState, now: float, scores: Sequence[StoredRanking], module: Assigner | None
+        self, handover: HandoverState, now_ms: float, scores: Sequence[StoredRanking], assigner: Assigner | None
     ) -> None:
-        """Put all but the connections where they were. module: the assigner, if it was loaded already."""
+        """Restore everything except the connections. assigner: set if it was already loaded from the state."""
         view = self._view
         view.version = handover.host_list_version
         view.entries = {entry.host: entry for entry in map(StoredHostEntry.entry, handover.host_entries)}
@@ -112,8 +113,8 @@
         view.first_seen_starts = {(host, started): since for host, started, since in handover.controller.host_origins}
         self._engine.publisher.addresses = view.addresses
         restore_handover(
-            self._engine, handover, self._channel, self._connections.proxy_admission.admission, now, module
+            self._engine, handover, self._channel, self._connections.proxy_admission.admission, now_ms, assigner
         )
-        if module:
-            load_rankings(module.rendezvous, scores)
+        if assigner:
+            load_rankings(assigner.rendezvous, scores)
         self._load_weights.restore(handover.load_factors)
--- a/corallanding/controller/store_release.py
+++ b/corallanding/controller/store_release.py
@@ -1,4 +1,4 @@
-"""Giving the store and other files to another process, and taking them back."""
+"""Releases the store and other files to another process, and reopens them if a handover fails."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class StoreRelease:
-    """Only one process at a time has the store; this one is paused while it has not."""
+    """Ensures that only one process at a time has the store open; this process is paused while its store is closed."""
 
     def __init__(
         self,
@@ -38,17 +38,17 @@
         self._recording = recording
 
     def release(self) -> None:
-        """Save what is unsaved and close all files."""
+        """Save unsaved changes and close all files."""
         self._host_sources.save()
         self._persistence.release()
         if self._peers.cluster:
             self._peers.cluster.release_files()
 
     def take_back(self) -> None:
-        """Open the files again after a handover that failed, and go on.
+        """Reopen the files after a failed handover, and resume.
 
-        A store that cannot be opened, as on a full disk, is tried again later; tables are published unsaved until
-        then. Raises StoreLockedError if the store is another controller's.
+        Opening the store is retried later if it fails, for instance on a full disk; tables are published unsaved until
+        then. Raises StoreLockedError if another controller holds the store.
         """
         if not self._persistence.is_released:
             self._pause_control.resume()
@@ -60,15 +60,17 @@
         except StoreLockedError:
             raise
         except StoreError as error:
-            log.error("the store cannot be opened again; tables go out unsaved", why=str(error))
+            log.error("the store cannot be reopened; tables are published unsaved", why=str(error))
             self._persistence.on_failure(self._context.clock(), str(error), 1)
-            self._pause_control.resume(is_stale=True)  # nobody can say what the new process did
+            self._pause_control.resume(is_stale=True)  # what the new process did is unknown
             return
-        was_used = self._persistence.note_reopened(contents)
-        if was_used:
-            # The new process had the store, and may have sent and saved orders before it was ended.
-            log.warning("the new process had become active; tables are read again", start_number=contents.start_number)
-            self._recording.end("the new process may have written to it")
+        was_opened_elsewhere = self._persistence.on_store_reopened(contents)
+        if was_opened_elsewhere:
+            # The new process opened the store, and may have sent and saved orders before it was killed.
+            log.warning(
+                "the new process was active before it failed; tables are reloaded", start_number=contents.start_number
+            )
+            self._recording.end("the new process may have written to the recording")
             self._engine.reconcile(self._context.clock(), contents)
-        self._pause_control.resume(is_stale=was_used)
+        self._pause_control.resume(is_stale=was_opened_elsewhere)
         self._proxy_admission.greet_all()
--- a/tests/controller/test_recovery.py
+++ b/tests/controller/test_recovery.py
@@ -122,7 +122,7 @@
     steps[5] = (at, events, [*actions, api.LogNote("a thought of another version")])
     two = Rig(2, weights(one.engine))
     module = two.engine.assigner
-    with pytest.raises(StateMismatchError, match="step 6 of its log"):
+    with pytest.raises(StateMismatchError, match="step 6 of the log"):
         restore(two.engine, state, steps, one.now)
     assert two.engine.assigner is module
     assert not two.engine.pending_events
@@ -132,10 +132,10 @@
 @pytest.mark.parametrize(
     ("change", "why"),
     [
-        ({"controller_number": 4}, "steward 4"),
+        ({"controller_number": 4}, "controller 4"),
         ({"settings_digest": b"x"}, "settings"),
-        ({"boot_id": "other"}, "started anew"),
-        ({"start_number": 7}, "life 7, the last one was 1"),
+        ({"boot_id": "other"}, "rebooted"),
+        ({"start_number": 7}, "start number 7, the last one was 1"),
     ],
 )
 def test_state_when_it_belongs_elsewhere_then_refused_with_the_reason(change: dict[str, Any], why: str) -> None:
