--- a/corallanding/controller/action_journal.py
+++ b/corallanding/controller/action_journal.py
@@ -1,6 +1,6 @@
-"""A file in which a controller notes what it did and when, by the clock that all processes of a machine share.
+"""A file in which a controller records its actions with their times, on the monotonic clock of the machine.
 
-The audits of the lab read it. Each line goes out whole, before what it tells of is done.
+The audits of the lab read it. Each line is written in one call, before its action is executed.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class JournalEvent(StrEnum):
-    """What a line tells of: its first item, where lines of several kinds stand in one file."""
+    """The kind of a line: its first item, in files with lines of several kinds."""
 
     ACT_BEGUN = "act"
     ACT_RECEIVED = "took"
@@ -24,14 +24,14 @@
 
 
 class ActionJournal:
-    """Appends lines to the file `path`; without a path it writes nothing. Raises OSError if it cannot be opened."""
+    """Appends lines to the file `path`, or nothing without a path. Raises OSError if it cannot be opened."""
 
     def __init__(self, path: str | None) -> None:
         self.descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644) if path else None
 
     @staticmethod
-    def now() -> float:
-        """The time of the machine's monotonic clock, ms."""
+    def now_ms() -> float:
+        """Return the time of the machine's monotonic clock, ms."""
         return round(time.monotonic() * 1000.0, 3)
 
     def write(self, *row: object) -> None:
@@ -40,7 +40,7 @@
             os.write(self.descriptor, json.dumps(row).encode() + b"\n")
 
     def close(self) -> None:
-        """Close the file; later writes do nothing."""
+        """Close the file; later writes are ignored."""
         if self.descriptor is not None:
             os.close(self.descriptor)
             self.descriptor = None
--- a/corallanding/controller/cluster.py
+++ b/corallanding/controller/cluster.py
@@ -1,6 +1,6 @@
-"""What a controller has in common with its peers: membership, leader election, and the services that rest on them.
+"""The services that controllers provide together: membership, leader election, and the services based on them.
 
-What is decided stands in the cores. Here they get a clock, a transport for their messages, and a regular tick.
+All decisions are made in the cores. This module provides their clock, message transport and regular tick.
 """
 
 from __future__ import annotations
@@ -37,16 +37,16 @@
     from ..registry.table_store import TableStore
 
 TICK_S = 0.05
-MAX_DEFAULT_VOTERS = 5  # the lowest numbers, where the configuration names no voters
+MAX_DEFAULT_VOTERS = 5  # the controllers with the lowest numbers, if no voters are configured
 INCARNATION_BITS = 62
-NO_LEADER = -1  # in the metric of the leader's number
+NO_LEADER = -1  # value of the metric of the leader's number
 
 
 class Cluster:
-    """The services that one controller shares with the others; made only where a budget or a task is configured.
+    """The cluster services of one controller; created only if a budget or a task is configured.
 
-    dispatcher: takes and sends messages of controllers. is_paused: whether this process sends nothing just now.
-    table_store: of the election in the registry, in place of votes. Raises OSError if a file cannot be used.
+    dispatcher: receives and sends messages between controllers. is_paused: returns whether this process must not send.
+    table_store: for the election in the registry; None for votes. Raises OSError if a file cannot be used.
     """
 
     def __init__(
@@ -66,15 +66,15 @@
         self.metrics = metrics
         self.table_store = table_store
         self.timer: asyncio.TimerHandle | None = None
-        self.ending: asyncio.Task[None] | None = None
+        self.stop_task: asyncio.Task[None] | None = None
         peers = tuple(sorted(int(number) for number in config.steward.peers))
-        known = sorted([config.steward.number, *peers])
-        voters = tuple(sorted(config.budgets.voters)) or tuple(known[:MAX_DEFAULT_VOTERS])
-        # Drawn from the system's entropy, not from the seed: an incarnation must differ from all that were before it.
+        controllers = sorted([config.steward.number, *peers])
+        voters = tuple(sorted(config.budgets.voters)) or tuple(controllers[:MAX_DEFAULT_VOTERS])
+        # From the system's entropy, not from the seed: an incarnation must differ from all earlier ones.
         incarnation = random.SystemRandom().getrandbits(INCARNATION_BITS)
         self._join(config, peers, voters, incarnation)
         self.context = ServiceContext(self.election, self.send, clock, metrics, rate_limited_log)
-        self._make_services(config, voters, fleet_view)
+        self._create_services(config, voters, fleet_view)
         tasks = sorted([*config.task, *config.task_group])
         budgets = sorted(config.budget)
         log.info("cluster", budgets=budgets, tasks=tasks, voters=list(voters), incarnation=incarnation)
@@ -82,34 +82,34 @@
     def _join(
         self, config: ControllerConfig, peers: tuple[int, ...], voters: tuple[int, ...], incarnation: int
     ) -> None:
-        """Make the membership and the election, and register their messages."""
-        block, number, now = config.budgets, config.steward.number, self.clock()
-        chance = random.Random(incarnation).random
-        terms = membership.MembershipConfig(
+        """Create the membership and the election, and register their messages."""
+        block, number, now_ms = config.budgets, config.steward.number, self.clock()
+        draw = random.Random(incarnation).random
+        limits = membership.MembershipConfig(
             block.period_ms, block.timeout_ms, max_messages_per_second=block.words_per_s
         )
-        self.membership = membership.Membership(number, peers, incarnation, terms, chance, now)
+        self.membership = membership.Membership(number, peers, incarnation, limits, draw, now_ms)
         self.election: LeaderElection
         if self.table_store:
             self.election = RegistryElection(number, peers, incarnation, self.table_store.ownership)
             self.table_store.start()
         else:
-            limits = ElectionTimings(block.office_ms, block.drift)
-            self.election = VotedElection(number, peers, voters, limits, incarnation, now, chance, block.words_per_s)
+            timings = ElectionTimings(block.office_ms, block.drift)
+            self.election = VotedElection(number, peers, voters, timings, incarnation, now_ms, draw, block.words_per_s)
         self.dispatcher.register((Ping, Ack, PingRequest), self.on_membership_message, is_valid_membership_message)
         self.dispatcher.register(
             (VoteRequest, VoteReply, VoteRelease), self.on_election_message, is_valid_election_message
         )
 
-    def _make_services(self, config: ControllerConfig, voters: tuple[int, ...], fleet_view: FleetView) -> None:
-        """Make the services that are configured, and register their messages."""
+    def _create_services(self, config: ControllerConfig, voters: tuple[int, ...], fleet_view: FleetView) -> None:
+        """Create the configured services, and register their messages."""
         context = self.context
         self.quota = QuotaService(config, context) if config.budget else None
         self.tasks = TaskService(config, context) if config.task or config.task_group else None
         self.records: RecordService | None = None
         self.pinning: PinningService | None = None
         self.scheduling: SchedulingService | None = None
-        self.frame_handlers: dict[type, Callable[[int, Any], None]] = {}  # by type of a proxy's frame
+        self.frame_handlers: dict[type, Callable[[int, Any], None]] = {}  # by frame type
         if config.records and self.tasks:
             groups = record_groups(config, config.records, self.tasks.core.tasks, voters)
             self.records = RecordService(config.records, self.tasks.core, groups, context)
@@ -122,29 +122,29 @@
             self.scheduling = SchedulingService(config, context, self.quota, self.records, self.pinning, fleet_view)
             self.frame_handlers[JobSubmission] = self.scheduling.on_proxy_frame
             self.frame_handlers[JobWithdrawal] = self.scheduling.on_proxy_frame
-        # Services that rest on records come before them, and records after the tasks.
-        made = (self.quota, self.tasks, self.pinning, self.scheduling, self.records)
-        self.services: list[ClusterService] = [service for service in made if service]
+        # Services that depend on records come before them, and records come after the tasks.
+        services = (self.quota, self.tasks, self.pinning, self.scheduling, self.records)
+        self.services: list[ClusterService] = [service for service in services if service]
         for service in self.services:
             self.dispatcher.register(service.message_types, service.on_message, service.is_valid)
 
     def _may_use_cold_host(self, host: int) -> bool:
-        """Whether a host that warms up may take one more slice: by the quota for it, where there is one."""
+        """Return whether a host that warms up may take one more slice; always if no quota is configured for it."""
         return self.quota is None or self.quota.may_begin(COLD_SLICES, host, True)
 
     def on_proxy_frame(self, proxy: int, frame: Any) -> None:
-        """Hand a frame of a joined proxy to the service that takes it; others are ignored."""
+        """Pass a frame of a joined proxy to the service that handles its type; others are ignored."""
         if handler := self.frame_handlers.get(type(frame)):
             handler(proxy, frame)
 
     def on_proxy_joined(self, proxy: int) -> None:
-        """A proxy has received its tables."""
+        """Notify services that a proxy has received its tables."""
         for service in (self.pinning, self.scheduling):
             if service:
                 service.on_proxy_joined(proxy)
 
     def on_proxy_left(self, proxy: int) -> None:
-        """The connection to a proxy ended."""
+        """Notify services that the connection to a proxy has ended."""
         if self.scheduling:
             self.scheduling.on_proxy_left(proxy)
 
@@ -154,39 +154,39 @@
             self.records.store.close()
 
     def reopen_files(self) -> None:
-        """Take them back: the handover failed."""
+        """Reopen the files after a failed handover."""
         if self.records:
             self.records.reopen()
 
     def start(self) -> None:
-        """Announce this controller to the others, and begin to tick."""
-        self._carry_out_membership(self.membership.announce())
+        """Announce this controller to the others, and start the regular tick."""
+        self._execute_membership(self.membership.announce())
         self.on_tick()
 
     def on_tick(self) -> None:
-        """Do what is due, every `TICK_S`."""
+        """Execute due work of all services, every `TICK_S`."""
         self.timer = asyncio.get_running_loop().call_later(TICK_S, self.on_tick)
         if self.is_paused():
             return
-        now = self.clock()
-        self._carry_out_membership(self.membership.tick(now))
+        now_ms = self.clock()
+        self._execute_membership(self.membership.tick(now_ms))
         alive = self.membership.alive_members()
-        self.send(self.election.tick(now, alive))
+        self.send(self.election.tick(now_ms, alive))
         for service in self.services:
-            service.on_tick(Tick(now, alive, time.time() * 1000.0))
+            service.on_tick(Tick(now_ms, alive, time.time() * 1000.0))
 
     def on_membership_message(self, sender: int, message: Ping | Ack | PingRequest) -> None:
-        """Take a message of the membership."""
-        self._carry_out_membership(self.membership.on_message(self.clock(), sender, message))
+        """Handle a message of the membership protocol."""
+        self._execute_membership(self.membership.on_message(self.clock(), sender, message))
 
     def on_election_message(self, sender: int, message: VoteRequest | VoteReply | VoteRelease) -> None:
-        """Take a message of the leader election."""
+        """Handle a message of the leader election."""
         self.send(self.election.on_message(self.clock(), sender, message))
         for service in self.services:
             service.on_election_change()
 
-    def _carry_out_membership(self, actions: Iterable[membership.Action]) -> None:
-        """Send the messages of the membership, and log changes of a controller's state."""
+    def _execute_membership(self, actions: Iterable[membership.Action]) -> None:
+        """Send the messages of the membership protocol, and log state changes of controllers."""
         for action in actions:
             if isinstance(action, membership.MemberStateChanged):
                 log.info("controller", number=action.member, state=action.state.label)
@@ -199,7 +199,7 @@
             self.dispatcher.send(action.to, action.message)
 
     def update_metrics(self) -> None:
-        """Set the gauges; called before each exposition."""
+        """Set the gauges; called before metrics are exported."""
         leader = self.election.leader.controller
         rejected = self.membership.rejected + self.election.rejected
         self.metrics.controllers_alive.set(len(self.membership.alive_members()))
@@ -209,12 +209,12 @@
             service.update_metrics()
 
     def status(self) -> dict[str, Any]:
-        """The status page of the controllers and of the services, as the admin server shows it."""
-        members, now = self.membership, self.clock()
+        """Return the status page of the controllers and services, for the admin server."""
+        members, now_ms = self.membership, self.clock()
         numbers = sorted([members.controller_id, *members.members])
         page: dict[str, Any] = {"stewards": {str(number): members.state_of(number).label for number in numbers}}
         if self.tasks:
-            page["tasks"] = self.tasks.core.status(now)
+            page["tasks"] = self.tasks.core.status(now_ms)
         if self.pinning:
             page["pins"] = self.pinning.status()
         if self.scheduling:
@@ -224,27 +224,27 @@
         return page
 
     def reload(self, config: ControllerConfig) -> None:
-        """Take the settings that may change while the controller runs."""
+        """Apply the settings that may change while the controller runs."""
         for service in (self.quota, self.pinning):
             if service:
                 service.reload(config)
 
     def close(self, is_handed_over: bool) -> None:
-        """End this process: what is granted and not in use is given back, and the leadership resigned.
+        """Stop the services: unused grants are given back, and the leadership is resigned.
 
-        is_handed_over: a successor process goes on with both.
+        is_handed_over: a successor process keeps both.
         """
         if self.timer:
             self.timer.cancel()
-        now = self.clock()
+        now_ms = self.clock()
         for service in self.services:
             if not is_handed_over:
                 self.send(service.leave())
             service.close()
         if not is_handed_over:
-            self.send(self.election.resign(now))
-            self._carry_out_membership(self.membership.leave())
+            self.send(self.election.resign(now_ms))
+            self._execute_membership(self.membership.leave())
             if self.table_store:
                 self.table_store.start_leaving()
         if self.table_store:
-            self.ending = asyncio.get_running_loop().create_task(self.table_store.stop())
+            self.stop_task = asyncio.get_running_loop().create_task(self.table_store.stop())
--- a/corallanding/controller/cluster_service.py
+++ b/corallanding/controller/cluster_service.py
@@ -1,4 +1,4 @@
-"""What every service of the cluster is, and what it is handed: the part that `cluster` drives the same way for all."""
+"""The interface of the cluster services, which `cluster` drives in the same way, and their shared context."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 @dataclass(frozen=True)
 class ServiceContext:
-    """What the services of one controller have in common.
+    """Objects shared by the services of one controller.
 
-    election: the leader election that grants of quota and of shards rest on. send: sends messages to other controllers.
+    election: the leader election for allocating quota and shards. send: sends messages to other controllers.
     clock: the controller's own clock, ms.
     """
 
@@ -29,20 +29,20 @@
 
 @dataclass(frozen=True)
 class Tick:
-    """One regular call of all services.
+    """The time and the members, passed to all services at regular intervals.
 
-    now: ms. alive: the controllers that the membership counts on, this one among them. wall_ms: the wall clock.
+    now_ms: controller's clock. alive: numbers of the alive controllers, including this one. wall_ms: wall clock.
     """
 
-    now: float
+    now_ms: float
     alive: list[int]
     wall_ms: float
 
 
 class ClusterService(ABC):
-    """One of the things that controllers do together: a core that decides, connected to the other controllers.
+    """A service that controllers provide together: connects a core, which decides, to the other controllers.
 
-    message_types: the messages of other controllers that this service takes.
+    message_types: the messages of other controllers that this service handles.
     """
 
     message_types: ClassVar[tuple[type, ...]]
@@ -50,30 +50,30 @@
     @staticmethod
     @abstractmethod
     def is_valid(message: Any) -> bool:
-        """Whether the fields of a decoded message lie within what a correct controller sends."""
+        """Return whether the fields of a decoded message are within the ranges that a correct controller sends."""
 
     @abstractmethod
     def on_message(self, sender: int, message: Any) -> None:
-        """Take a valid message of the controller `sender`."""
+        """Handle a valid message of the controller `sender`."""
 
     @abstractmethod
     def on_tick(self, tick: Tick) -> None:
-        """Do what is due."""
+        """Execute due work."""
 
     def on_election_change(self) -> None:  # noqa: B027 - most services do not depend on the leader
-        """A message of the leader election was taken; the leader may have changed."""
+        """Handle a possible change of the leader, after a message of the leader election."""
 
     @property
     @abstractmethod
     def rejected(self) -> int:
-        """How many messages of other controllers were rejected."""
+        """Return the number of rejected messages of other controllers."""
 
     @abstractmethod
     def update_metrics(self) -> None:
-        """Set the gauges of this service; called before each exposition."""
+        """Set the gauges of this service; called before metrics are exported."""
 
     def leave(self) -> list[OutgoingMessage]:
-        """Give back what is granted and not in use, before a planned end. Returns the messages that say so."""
+        """Give back unused grants before a planned stop. Returns the messages to send."""
         return []
 
     def close(self) -> None:  # noqa: B027 - not all services have files
--- a/corallanding/controller/components.py
+++ b/corallanding/controller/components.py
@@ -1,4 +1,4 @@
-"""The components of one controller, each handed what it needs by constructor."""
+"""Builds the components of one controller, with constructor injection of their dependencies."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Components:
-    """Builds all components; none is started.
+    """Builds all components without starting them.
 
     contents: of the store. last_log: number of the last process's step log.
     """
@@ -47,7 +47,7 @@
         self._build_operations()
 
     def _build_core(self, contents: StoreContents, last_log: int) -> None:
-        """The engine and what needs nothing but it."""
+        """Build the engine and the components that depend only on it."""
         context = self.context
         self.engine = self._build_engine(contents)
         self.timer = StepTimer(context, self.engine)
@@ -73,13 +73,13 @@
             self._resources.decider,
             overload,
         )
-        now = self.context.clock()
-        engine.recall_until = now - 1.0 if has_slice_leases(config) else now + config.forwarders.silence_ms * 2
+        now_ms = self.context.clock()
+        engine.recall_until = now_ms - 1.0 if has_slice_leases(config) else now_ms + config.forwarders.silence_ms * 2
         engine.usage.max_keys = config.reports.keys_most
         return engine
 
     def _build_proxy_side(self) -> None:
-        """The connections of proxies and what is sent on them."""
+        """Build the connections of proxies, their admission and the channel."""
         registry = LinkRegistry()
         self.proxy_channel = ProxyChannel(self.context, self._resources.channel, registry)
         self.proxy_admission = ProxyAdmission(
@@ -103,7 +103,7 @@
         )
 
     def _build_decisions(self) -> None:
-        """What decides, and what saves and carries out the decisions."""
+        """Build the decision loop, and what persists and executes its decisions."""
         context = self.context
         self.persistence = TablePersistence(
             context,
@@ -136,7 +136,7 @@
         self.link_monitor = LinkMonitor(context, self.engine, self.connections.registry, self.host_sources)
 
     def _build_operations(self) -> None:
-        """What operators see and ask for: HTTP, reload, handover."""
+        """Build the operators' interfaces: HTTP, reload, handover."""
         context = self.context
         views = StatusViews(context, self.engine, self.persistence, self.load_weights, self.peers)
         self.network = Network(context, self.connections, views.routes(), self._resources.factories)
@@ -182,7 +182,7 @@
         )
 
     def fleet_view(self) -> FleetView:
-        """What the services of the fleet see of this controller."""
+        """Return the cluster services' view of this controller."""
         source = ControllerFleetSource(
             self.context.config,
             self._resources.view,
--- a/corallanding/controller/config_reload.py
+++ b/corallanding/controller/config_reload.py
@@ -1,4 +1,4 @@
-"""A configuration that is read again while the controller runs."""
+"""Reloads the configuration while the controller runs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from ..telemetry import configure, log
 from .context import Context
 
-# Prefixes of keys that a reload can change while the controller runs; all others need a restart, and are logged.
+# Prefixes of keys that a reload can change; changes of all others are logged and need a restart.
 RELOADABLE = (
     "log.",
     "door.connections_most",
@@ -32,15 +32,15 @@
 
 
 class Reloadable(Protocol):
-    """A component that takes limits of a new configuration."""
+    """A component that applies the limits of a new configuration."""
 
     def reload(self, config: ControllerConfig) -> None:
-        """Take what the configuration says now."""
+        """Apply the new configuration."""
         ...
 
 
 def flatten(value: Any, path: str = "") -> dict[str, Any]:
-    """A nested map as one map of dotted keys."""
+    """Return a nested map as a flat map with dotted keys."""
     if not isinstance(value, dict):
         return {path: value}
     flat: dict[str, Any] = {}
@@ -50,16 +50,16 @@
 
 
 def may_reload(key: str) -> bool:
-    """Whether a key can change while the controller runs.
+    """Return whether a key can change while the controller runs.
 
-    A quota may change its size alone: all else of it must be the same at all controllers at any instant.
+    Of a quota only the size may change: its other settings must be equal at all controllers at all times.
     """
     is_quota_size = key.startswith("budget.") and key.endswith(".whole")
     return key.startswith(RELOADABLE) or key == "pins.current" or is_quota_size
 
 
 def set_key(tree: dict[str, Any], key: str, value: Any) -> None:
-    """Set a dotted key in a nested map that has it."""
+    """Set the value of an existing dotted key in a nested map."""
     *path, last = key.split(".")
     for part in path:
         tree = tree[part]
@@ -67,7 +67,7 @@
 
 
 class ConfigReloader:
-    """Reads the configuration file again and tells the components. path: of the file; None if there is none."""
+    """Reloads the configuration file and notifies the components. path: of the file; None if there is none."""
 
     def __init__(self, context: Context, path: str | None, components: Sequence[Reloadable]) -> None:
         self._context = context
@@ -75,7 +75,7 @@
         self._components = components
 
     def reload(self) -> None:
-        """Take what can be taken, and log what needs a restart. A file with an error changes nothing."""
+        """Apply the reloadable changes, and log those that need a restart. A file with an error changes nothing."""
         if not self._path:
             return
         try:
@@ -83,21 +83,21 @@
         except ConfigError as error:
             log.error("reload refused; the old configuration stands", why=str(error))
             return
-        changed, taken = self._merge(new)
+        changed, applied = self._merge(new)
         configure(self._context.config.log.format, self._context.config.log.level)
         for component in self._components:
             component.reload(self._context.config)
-        log.info("reloaded", taken=taken, needs_restart=[key for key in changed if key not in taken])
+        log.info("reloaded", taken=applied, needs_restart=[key for key in changed if key not in applied])
 
     def _merge(self, new: ControllerConfig) -> tuple[list[str], list[str]]:
-        """Take the reloadable keys into the context's configuration; the keys that changed, and those taken."""
+        """Merge reloadable keys into the context's configuration; return the changed keys and the applied ones."""
         merged = self._context.config.model_dump()
         old_keys = flatten(merged)
         new_keys = flatten(new.model_dump())
         changed = [key for key in sorted(old_keys | new_keys) if old_keys.get(key) != new_keys.get(key)]
-        # A block that comes or goes whole needs a restart, whatever its keys.
-        taken = [key for key in changed if may_reload(key) and key in old_keys and key in new_keys]
-        for key in taken:
+        # Adding or removing a block needs a restart, even if its keys are reloadable.
+        applied = [key for key in changed if may_reload(key) and key in old_keys and key in new_keys]
+        for key in applied:
             set_key(merged, key, new_keys[key])
         self._context.config = ControllerConfig.model_validate(merged)
-        return changed, taken
+        return changed, applied
--- a/corallanding/controller/context.py
+++ b/corallanding/controller/context.py
@@ -1,4 +1,4 @@
-"""What every component of a controller shares: configuration, clocks, metrics, logs, and the state of the process."""
+"""Objects shared by all components of a controller: configuration, clocks, metrics, logs, process state."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     CLEAN = 0
     CONFIGURATION = 2
     MODULE = 3  # the assigner failed
-    STORE = 4  # it cannot be opened, or is another controller's
+    STORE = 4  # it cannot be opened, or another controller has it open
     ADDRESS = 5
     HANDOVER_FAILED = 6
 
 
 class ProcessState(Enum):
-    """Which part this process has in a handover; only an active one sends, receives and decides."""
+    """The state of this process in a handover; only an active process sends, receives and decides."""
 
     ACTIVE = "active"
     PAUSED = "paused"
@@ -33,7 +33,7 @@
 
 
 class Lifecycle:
-    """Start, pause and end of the process. request_stop: ends the controller cleanly with an exit code."""
+    """Start, pause and end of the process. request_stop: stops the controller cleanly with an exit code."""
 
     def __init__(self, request_stop: Callable[[int], None]) -> None:
         self.request_stop = request_stop
@@ -45,32 +45,32 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the controller has been started and not stopped."""
+        """Return whether the controller has been started and not stopped."""
         return self.is_started and self.exit_code is None
 
     @property
     def is_paused(self) -> bool:
-        """Whether a handover keeps this process silent."""
+        """Return whether this process must not send because of a handover."""
         return self.state is not ProcessState.ACTIVE
 
     def finish(self, exit_code: int) -> None:
-        """Mark the controller as stopped; the first exit code stands."""
+        """Mark the controller as stopped; later calls do not change the exit code."""
         if self.is_running:
             self.exit_code = exit_code
             self._stopped.set()
 
     async def wait_stopped(self) -> int:
-        """Wait for the end of the controller; its exit code."""
+        """Wait until the controller has stopped; return its exit code."""
         await self._stopped.wait()
         return self.exit_code or 0
 
 
 @dataclass
 class Context:
-    """Cluster by all components of one controller."""
+    """Shared by all components of one controller."""
 
     config: ControllerConfig  # replaced when the configuration is reloaded
-    settings: api.Settings  # of the assigner; the same for the life of the process
+    settings: api.Settings  # of the assigner; constant while the process runs
     clock: Clock
     wall_clock: Callable[[], float]  # seconds
     metrics: Metrics
@@ -78,9 +78,9 @@
     lifecycle: Lifecycle
 
     def wall_ms(self) -> float:
-        """The wall clock in ms."""
+        """Return the wall clock, ms."""
         return self.wall_clock() * 1000.0
 
     def seed(self, start_number: int) -> int:
-        """The seed of the assigner's random numbers, another at each start."""
+        """Return the seed of the assigner's random numbers, which differs at each start."""
         return self.config.steward.seed * 1_000_003 + start_number
--- a/corallanding/controller/control_socket.py
+++ b/corallanding/controller/control_socket.py
@@ -1,4 +1,4 @@
-"""The socket by which `corallanding upgrade` asks for a handover."""
+"""The socket on which `corallanding upgrade` requests a handover."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from .task_service import UPGRADE
 
 REQUEST_TIMEOUT_S = 2.0
-TURN_POLL_S = 0.02
-MAX_QUOTED = 40  # characters of an unknown request
+TASK_POLL_S = 0.02
+MAX_QUOTED_CHARACTERS = 40  # of an unknown request in an answer
 
 
 def remove_old_socket(path: Path) -> None:
-    """Remove the socket of the process before this one. Raises OSError if the path is something else."""
+    """Remove the socket of an earlier process. Raises OSError if the path is not a socket."""
     if path.is_socket():
         path.unlink()
     elif path.exists():
@@ -26,7 +26,7 @@
 
 
 class ControlSocket:
-    """A UNIX socket that takes one request per connection, from this user only."""
+    """A UNIX socket that accepts one request per connection, only from this user."""
 
     def __init__(self, context: Context, handover: Handover, peers: PeerServices) -> None:
         self._context = context
@@ -35,7 +35,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen, where a path is configured. Raises OSError."""
+        """Listen, if a path is configured. Raises OSError."""
         path = self._context.config.steward.control
         if not path:
             return
@@ -44,7 +44,7 @@
         os.chmod(path, 0o600)
 
     def stop(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         if self._server:
             self._server.close()
 
@@ -57,19 +57,19 @@
             if uid != os.getuid():
                 answer = "failed: another user"
             elif request != "upgrade":
-                answer = f"failed: {request[:MAX_QUOTED]!r} is not known here"
+                answer = f"failed: {request[:MAX_QUOTED_CHARACTERS]!r} is not known here"
             else:
-                answer = await self._upgrade([word.strip() for word in parts[1:]])
+                answer = await self._upgrade([argument.strip() for argument in parts[1:]])
             writer.write(answer.encode() + b"\n")
             await writer.drain()
         except (OSError, TimeoutError):
-            pass  # who asked is gone, or said nothing
+            pass  # the client has disconnected, or sent no request in time
         finally:
             writer.close()
 
     async def _upgrade(self, command: list[str]) -> str:
-        """Wait for this controller's turn, and hand over; the answer to who asked."""
-        waited_ms = await self._wait_for_turn()
+        """Wait for the upgrade task, and hand over; return the answer to the client."""
+        waited_ms = await self._wait_for_upgrade_task()
         if waited_ms is None:
             result = HandoverResult("no turn came")
         else:
@@ -78,18 +78,21 @@
             self._peers.cluster.tasks.release_task(UPGRADE)
         if result.failure:
             return f"failed: {result.failure}"
-        after = f" after {waited_ms / 1000.0:.1f} s for its turn" if waited_ms else ""
-        return f"ok{after}: handed over to process {result.successor}"
+        wait_text = f" after {waited_ms / 1000.0:.1f} s for its turn" if waited_ms else ""
+        return f"ok{wait_text}: handed over to process {result.successor}"
 
-    async def _wait_for_turn(self) -> float | None:
-        """One controller of the fleet at a time, where `task "upgrade"` says so: ms that it waited; None if in vain."""
+    async def _wait_for_upgrade_task(self) -> float | None:
+        """Wait for `task "upgrade"`, if configured, which one controller holds at a time.
+
+        Returns how long it waited, ms; None if the wait timed out.
+        """
         tasks = self._peers.cluster.tasks if self._peers.cluster else None
         if tasks is None or UPGRADE not in tasks.core.tasks.specs:
             return 0.0
-        begun = self._context.clock()
-        while not tasks.begin_act_on(UPGRADE):
-            is_too_late = self._context.clock() - begun > self._context.config.tasks.wait_most_ms
-            if is_too_late or self._peers.cluster is None:
+        started_at_ms = self._context.clock()
+        while not tasks.begin_action_on(UPGRADE):
+            is_timed_out = self._context.clock() - started_at_ms > self._context.config.tasks.wait_most_ms
+            if is_timed_out or self._peers.cluster is None:
                 return None
-            await asyncio.sleep(TURN_POLL_S)
-        return max(1.0, self._context.clock() - begun)
+            await asyncio.sleep(TASK_POLL_S)
+        return max(1.0, self._context.clock() - started_at_ms)
--- a/corallanding/controller/daemon.py
+++ b/corallanding/controller/daemon.py
@@ -1,6 +1,6 @@
 """The controller: builds its components, starts them in order, and stops them in reverse.
 
-What comes in becomes an event of the engine; what the engine hands out is saved, then carried out. No decision here.
+Input becomes events of the engine; the engine's output is persisted, then executed. No decisions are made here.
 """
 
 from __future__ import annotations
@@ -33,10 +33,10 @@
 
 
 class Controller:
-    """One controller. Its components exist once `start` has begun.
+    """One controller. Its components are created by `start`.
 
-    decider: makes the assigner. recording_path: record every step there. config_path: what a reload and a successor
-    read. store, monotonic, wall (seconds) and factories: replaced by simulations and measurements.
+    decider: creates the assigner. recording_path: file to record every step in. config_path: read by a reload and by a
+    successor process. store, monotonic (s), wall (s) and factories: replaced by simulations and measurements.
     """
 
     def __init__(
@@ -77,8 +77,8 @@
             factories or Factories(),
             config_path,
         )
-        self._loaded_assigner: Assigner | None = None  # of a handover, from its check until it is restored
-        self._exit_stack = ExitStack()  # synchronous: a decision step that fails stops the controller at once
+        self._loaded_assigner: Assigner | None = None  # from a handover, between its check and its restoration
+        self._exit_stack = ExitStack()  # synchronous: a failed decision step stops the controller at once
 
     # ---- start ---------------------------------------------------------------------------------------------------
 
@@ -88,10 +88,10 @@
         file_descriptors: Sequence[int] = (),
         scores: Sequence[StoredRanking] = (),
     ) -> None:
-        """Start every component. Raises StoreError or OSError; what was started has been stopped then.
+        """Start every component. Raises StoreError or OSError, after stopping the components that were started.
 
-        handover, file_descriptors, scores: what came of the process before this one. If such a start fails, nothing
-        is stopped: sockets are shared with that process, which goes on with them, and this one exits.
+        handover, file_descriptors, scores: received from the predecessor process. If a start from these fails, nothing
+        is stopped: the predecessor continues to use the shared sockets, and this process exits.
         """
         self.context.lifecycle.is_started = True
         try:
@@ -115,7 +115,7 @@
         self._loaded_assigner = None
         inherited = InheritedSockets(file_descriptors)
         self._start_logs(contents, handover, is_restored=is_restored)
-        # What the channel holds is for links that do not stand yet: nothing is sent before all of them do.
+        # Queued messages are for links that are not restored yet: nothing is sent before all of them are.
         self.context.lifecycle.state = ProcessState.PAUSED if handover else ProcessState.ACTIVE
         await self._start_services(handover, inherited, is_restored=is_restored)
         await self._start_proxy_side(handover, inherited)
@@ -134,7 +134,7 @@
         self.network = self.components.network
 
     def _continue_clock(self, handover: HandoverState | None, contents: StoreContents) -> ControllerState | None:
-        """Let the clock go on where the last process was; the state that it left on disk, if it can be used."""
+        """Continue the last process's clock; return the state that it left on disk, if usable."""
         if handover:
             self.context.clock.zero = handover.controller.clock_zero_s
             return None
@@ -144,7 +144,7 @@
         """Start the recording, the snapshots and the step log."""
         self._exit_stack.callback(self.components.recording.stop)
         if self._recording_path:
-            # The seed of a start is its own: a restart must not draw the same random numbers again.
+            # Each start has its own seed: a restart must not repeat the same random numbers.
             seed = self.context.seed(contents.start_number)
             self.components.recording.start(self._recording_path, seed, is_restored=is_restored)
         elif handover and handover.recording:
@@ -156,7 +156,7 @@
     async def _start_services(
         self, handover: HandoverState | None, inherited: InheritedSockets, *, is_restored: bool
     ) -> None:
-        """Start all that brings events in, but for the proxies of the process before this one."""
+        """Start all sources of events, except the connections inherited from the predecessor process."""
         stack = self._exit_stack
         stack.callback(self.timer.stop)
         stack.callback(self.components.health_checks.stop)
@@ -178,7 +178,7 @@
         await self.components.control_socket.start()
 
     async def _start_proxy_side(self, handover: HandoverState | None, inherited: InheritedSockets) -> None:
-        """Go on with the proxies of the process before this one, and begin to decide."""
+        """Adopt the connections inherited from the predecessor process, and start decisions."""
         if handover:
             await self.connections.adopt(handover.connections, inherited)
             self.context.lifecycle.state = ProcessState.ACTIVE
@@ -203,7 +203,7 @@
     # ---- operation -----------------------------------------------------------------------------------------------
 
     def check_handover(self, handover: HandoverState) -> None:
-        """Check that this process can go on from a state. Raises StateMismatchError."""
+        """Check that this process can be restored from a state. Raises StateMismatchError."""
         number = self.context.config.steward.number
         check_state(handover.controller, number, self.context.settings, boot_id(), handover.controller.start_number + 1)
         try:
@@ -216,11 +216,11 @@
         return await self.components.handover.run(command)
 
     def reload(self) -> None:
-        """Read the configuration again."""
+        """Reload the configuration."""
         self.components.config_reloader.reload()
 
     async def retire(self) -> None:
-        """Stop as planned: slices go to the other controllers first, as long as the settings wait for it."""
+        """Stop as planned: first hand slices to the other controllers, within the configured time."""
         await self.components.registry.retire()
         self.stop()
 
@@ -236,5 +236,5 @@
             lifecycle.finish(exit_code)
 
     async def wait_stopped(self) -> int:
-        """Wait until the controller has stopped; its exit code."""
+        """Wait until the controller has stopped; return its exit code."""
         return await self.context.lifecycle.wait_stopped()
--- a/corallanding/controller/factories.py
+++ b/corallanding/controller/factories.py
@@ -1,4 +1,4 @@
-"""The parts of a controller that a simulation or a measurement replaces."""
+"""Factories of the controller's components that a simulation or a measurement replaces."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ListenerFactory(Protocol):
-    """Makes the listener for connections of proxies; the arguments are those of `acceptor.Listener`."""
+    """Creates the listener for connections of proxies; the arguments are those of `acceptor.Listener`."""
 
     def __call__(
         self,
@@ -36,7 +36,7 @@
 
 
 def dial_etcd(block: RegistryBlock, on_failure: Callable[[str], None]) -> Callable[[], EtcdConnection]:
-    """A function that opens connections to the configured registry."""
+    """Return a function that opens connections to the configured registry."""
     from ..registry.source import etcd_connector  # gRPC is imported only where a registry is configured
 
     return etcd_connector(block, on_failure)
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Factories:
-    """What makes the parts; by default those of the real service."""
+    """The factories; by default those of the real service."""
 
     listener: ListenerFactory = Listener
     dial_registry: Callable[[RegistryBlock, Callable[[str], None]], Callable[[], Any]] = dial_etcd
--- a/corallanding/controller/idempotency_queries.py
+++ b/corallanding/controller/idempotency_queries.py
@@ -1,4 +1,4 @@
-"""Queries on the idempotency keys of jobs: how old a job is, whether it may go, and that it did not go after all."""
+"""Queries on the idempotency keys of jobs: for their age, to claim them for release, and to give up a claim."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True)
 class AgeQuery:
-    """How long the job has waited: its client may have brought it before, elsewhere."""
+    """A query how long the job has waited: its client may have submitted it earlier to another controller."""
 
     job: Job
 
 
 @dataclass(frozen=True)
 class ClaimQuery:
-    """Whether the job may go. sent_at: by the clock of the journal, ms."""
+    """A claim to release the job. sent_at: on the journal's clock, ms."""
 
     job: Job
     sent_at: float
@@ -29,46 +29,46 @@
 
 @dataclass(frozen=True)
 class ReturnQuery:
-    """The job was granted and did not go; its client may bring it again."""
+    """The return of a granted claim: the job was not released, and its client may submit it again."""
 
 
 Query = AgeQuery | ClaimQuery | ReturnQuery
 
 
 class QueryAnswer(NamedTuple):
-    """An answer. query: None where the number is not one of this object's."""
+    """An answer. query: None if it answers a query of another component."""
 
     query: Query | None
     result: QueryResult
 
 
 class IdempotencyQueries:
-    """Sends queries on jobs to the records of their idempotency keys, and knows what each answer is about."""
+    """Sends queries on jobs to the records of their idempotency keys, and matches the answers to the queries."""
 
     def __init__(self, claims: IdempotencyRecords, records: RecordService) -> None:
         self.claims = claims
         self.records = records
-        self.pending: dict[int, Query] = {}  # by the number of the query
+        self.pending: dict[int, Query] = {}  # by query number
 
-    def query_age(self, now: float, job: Job) -> None:
-        """Ask since when the job has waited, at any controller."""
-        number = self.claims.query_age(now, job.idempotency_key, now - job.waiting_since_ms)
+    def query_age(self, now_ms: float, job: Job) -> None:
+        """Query since when the job has waited at any controller."""
+        number = self.claims.query_age(now_ms, job.idempotency_key, now_ms - job.waiting_since_ms)
         self._send(number, AgeQuery(job))
 
-    def claim(self, now: float, job: Job, owner: int) -> None:
-        """Ask whether the job may go. owner: the ticket's own number, the same at every controller."""
-        number = self.claims.query_claim(now, job, owner)
-        self._send(number, ClaimQuery(job, ActionJournal.now()))
+    def claim(self, now_ms: float, job: Job, owner: int) -> None:
+        """Claim the job for release. owner: a number of the ticket, the same at every controller."""
+        number = self.claims.query_claim(now_ms, job, owner)
+        self._send(number, ClaimQuery(job, ActionJournal.now_ms()))
 
-    def give_back(self, now: float, job: Job, owner: int) -> None:
-        """Say that a claim was granted and that the job did not go and will not."""
-        self._send(self.claims.query_release(now, job, owner), ReturnQuery())
+    def give_back(self, now_ms: float, job: Job, owner: int) -> None:
+        """Return a granted claim of a job that was not released and will not be."""
+        self._send(self.claims.query_release(now_ms, job, owner), ReturnQuery())
 
     def _send(self, number: int, query: Query) -> None:
         self.pending[number] = query
         self.records.schedule_queries()
 
     def take_answers(self) -> list[QueryAnswer]:
-        """The answers that have come since the last call, in their order."""
+        """Return the answers received since the last call, in order of arrival."""
         results = self.claims.queries.take_results(self.claims.groups[0])
         return [QueryAnswer(self.pending.pop(result.number, None), result) for result in results]
--- a/corallanding/controller/inherited_sockets.py
+++ b/corallanding/controller/inherited_sockets.py
@@ -1,4 +1,4 @@
-"""Sorts the file descriptors that a process inherited from its predecessor by what they are for."""
+"""Groups the file descriptors that a process inherited from its predecessor by their purpose."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 class InheritedSockets:
     """Inherited descriptors as sockets.
 
-    There are sockets that listen or take datagrams, found by their address; the socket pair with the process that
-    takes in load reports; and connections of proxies, in their order.
+    These are listening and datagram sockets, found by their address; the socket pair to the process that receives load
+    reports; and connections of proxies, in the order in which they were handed over.
     """
 
     def __init__(self, descriptors: Sequence[int]) -> None:
@@ -30,7 +30,7 @@
         return self.connections
 
     def take_listener(self, host: str, port: int, kind: int = socket.SOCK_STREAM) -> socket.socket | None:
-        """Take out the socket that is bound there, if there is one; port 0 stands for any port."""
+        """Remove and return the socket bound to the address, if there is one; port 0 matches any port."""
         for listener in self.listeners:
             address = listener.getsockname()
             if listener.type == kind and address[0] == host and port in (0, address[1]):
@@ -39,11 +39,11 @@
         return None
 
     def take_intake(self) -> socket.socket | None:
-        """Take out the socket pair with the intake of load reports, if there is one."""
+        """Remove and return the socket pair to the intake of load reports, if there is one."""
         return self.intakes.pop() if self.intakes else None
 
     def take_connections(self, count: int) -> list[socket.socket | None]:
-        """Take out all connections if there are `count`; otherwise `count` times None, and proxies connect anew."""
+        """Remove and return all connections if there are `count`; else `count` times None, and proxies reconnect."""
         if len(self.connections) != count:
             return [None] * count
         connections = self.connections
@@ -51,6 +51,6 @@
         return list(connections)
 
     def close(self) -> None:
-        """Close what nobody took."""
-        for left in (*self.listeners, *self.connections, *self.intakes):
-            left.close()
+        """Close the remaining sockets."""
+        for unused in (*self.listeners, *self.connections, *self.intakes):
+            unused.close()
--- a/corallanding/controller/job_terms.py
+++ b/corallanding/controller/job_terms.py
@@ -1,4 +1,4 @@
-"""Jobs that may wait, as the protocol with proxies, the metrics and the configuration name them."""
+"""Names of waiting jobs in the proxy protocol and the metrics, and their limits from the configuration."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class JobAnswer(StrEnum):
-    """What a proxy is answered about a job that it hands in; the core adds the reasons of a rejection."""
+    """The answer to a job that a proxy submits; the core adds the reasons for a rejection."""
 
     WAITING = "waiting"
     NOT_NOW = "not-now"
@@ -18,14 +18,14 @@
 
 
 class JobOrder(StrEnum):
-    """What a proxy is to do with a job that waited."""
+    """The instruction to a proxy about a job that waited."""
 
     SEND = "go"
     DROP_DUPLICATE = "twin"
 
 
 class JobEnd(StrEnum):
-    """What became of a job: the label of a metric; the core adds the reasons of a rejection."""
+    """The outcome of a job, as the label of a metric; the core adds the reasons for a rejection."""
 
     TAKEN = "taken"
     RELEASED = "gone"
@@ -33,16 +33,16 @@
 
 
 def waiting_classes(config: ControllerConfig) -> list[JobClass]:
-    """The request classes whose jobs may wait, in the order of the configuration."""
-    kinds = []
+    """Return the request classes whose jobs may wait, in the order of the configuration."""
+    classes = []
     for name, operation in config.operation.items():
         if policy := operation.waits:
-            kinds.append(JobClass(name, policy.priority, policy.patience_ms, policy.most_ms, policy.most_jobs))
-    return kinds
+            classes.append(JobClass(name, policy.priority, policy.patience_ms, policy.most_ms, policy.most_jobs))
+    return classes
 
 
 def scheduling_limits(config: ControllerConfig) -> SchedulingLimits:
-    """The limits that the core takes, from the block `waiting` and the budget of releases."""
+    """Return the limits for the core, from the block `waiting` and the budget of releases."""
     block, rate = config.waiting, float(config.budget[RELEASES].whole)
     return SchedulingLimits(
         block.tell_ms, block.stale_ms, block.slack_ms, block.hold_ms, block.rise, rate, block.batch, block.claims_most
--- a/corallanding/controller/main.py
+++ b/corallanding/controller/main.py
@@ -1,4 +1,4 @@
-"""The controller as a program: its start, its signals, its exit code."""
+"""The controller program: start, signals, exit code."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from .event_inbox import Decider
 from .handover_receiver import HandoverReceiver
 
-LINGER_S = 0.05  # for what was last written on links
+LINGER_S = 0.05  # lets the last writes on links be sent before the exit
 
 
 async def serve(
@@ -34,14 +34,14 @@
     decider: Callable[[api.Settings, int], Decider] = Assigner,
     handover_fd: int | None = None,
 ) -> int:
-    """Run a controller until it stops; the exit code. Raises ConfigError."""
+    """Run a controller until it stops; return the exit code. Raises ConfigError."""
     config = load_controller(path)
     configure(config.log.format, config.log.level)
     controller = Controller(config, decider, recording_path, path)
     starts = StartHistory(f"{config.store.path}.starts")
     try:
         if handover_fd is None:
-            await start_alone(controller, starts)
+            await start_from_store(controller, starts)
         elif not await take_over(controller, config, handover_fd):
             return ExitCode.HANDOVER_FAILED
     except StoreError as error:
@@ -50,11 +50,11 @@
     except OSError as error:
         log.error("cannot start", why=str(error))
         return ExitCode.ADDRESS
-    calm_timer = asyncio.get_running_loop().call_later(STABLE_AFTER_MS / 1000.0, starts.write, [])
+    stable_timer = asyncio.get_running_loop().call_later(STABLE_AFTER_MS / 1000.0, starts.write, [])
     signal_tasks: set[asyncio.Task[Any]] = set()
     handle_signals(controller, signal_tasks)
     exit_code = await controller.wait_stopped()
-    calm_timer.cancel()
+    stable_timer.cancel()
     if exit_code == ExitCode.CLEAN:
         starts.write([])
     await asyncio.sleep(LINGER_S)
@@ -63,12 +63,12 @@
     return exit_code
 
 
-async def start_alone(controller: Controller, starts: StartHistory) -> None:
-    """Start from the store, after a wait if the last starts ended soon. Raises StoreError or OSError."""
+async def start_from_store(controller: Controller, starts: StartHistory) -> None:
+    """Start from the store, after a backoff in a crash loop. Raises StoreError or OSError."""
     wall_ms = time.time() * 1000.0
-    before = starts.read()
-    advice = advise_start(before, wall_ms)
-    starts.write([*before[-advice.recent_failures :], wall_ms] if advice.recent_failures else [wall_ms])
+    earlier_starts = starts.read()
+    advice = advise_start(earlier_starts, wall_ms)
+    starts.write([*earlier_starts[-advice.recent_failures :], wall_ms] if advice.recent_failures else [wall_ms])
     controller.trust_snapshot = advice.may_use_snapshot
     if advice.wait_ms:
         log.error("crash loop: waiting before the next attempt", deaths=advice.recent_failures, wait_ms=advice.wait_ms)
@@ -77,7 +77,7 @@
 
 
 async def take_over(controller: Controller, config: ControllerConfig, handover_fd: int) -> bool:
-    """Take over from the process at the other end of a pipe; false if nothing came of it."""
+    """Take over from the process at the other end of a pipe; return false if the handover failed."""
     pipe = HandoverPipe(socket.socket(fileno=handover_fd))
     timeout_ms = config.steward.upgrade_within_ms
     receiver = HandoverReceiver(pipe, timeout_ms, config.store.path, controller.check_handover, controller.start)
@@ -85,7 +85,7 @@
 
 
 def handle_signals(controller: Controller, tasks: set[asyncio.Task[Any]]) -> None:
-    """Retire, reload and upgrade by signals. tasks: keeps the tasks that signals begin."""
+    """Retire, reload and upgrade on signals. tasks: holds references to the tasks that signals start."""
     loop = asyncio.get_running_loop()
 
     def retire() -> None:
@@ -101,7 +101,7 @@
 
 
 def exit_silently(exit_code: int) -> None:
-    """End the process at once: its sockets are another process's now, and nothing may be sent on them."""
+    """Exit at once: the successor process uses the sockets, and nothing may be sent on them."""
     sys.stdout.flush()
     sys.stderr.flush()
     os._exit(exit_code)
@@ -113,9 +113,9 @@
     decider: Callable[[api.Settings, int], Decider] = Assigner,
     take_over: int | None = None,
 ) -> int:
-    """Run the daemon until it ends; its exit code, an `ExitCode`.
+    """Run the controller until it stops; return its exit code, an `ExitCode`.
 
-    record: the file to record every step in. take_over: the descriptor of a pipe to the process that hands over.
+    record: the file to record every step in. take_over: the descriptor of the pipe to the process that hands over.
     """
     try:
         return uvloop.run(serve(path, record, decider, take_over))
--- a/corallanding/controller/peer_dispatch.py
+++ b/corallanding/controller/peer_dispatch.py
@@ -1,4 +1,4 @@
-"""Messages between controllers: services register the types that they take, and send through one dispatcher."""
+"""Messages between controllers: services register the types that they handle, and send through one dispatcher."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 class Registration(NamedTuple):
-    """Who takes a type of messages, and the check that its fields must pass first."""
+    """The handler of a message type, and the check that a message must pass first."""
 
     handler: Handler
     is_valid: Callable[[Any], bool]
 
 
 class PeerDispatcher:
-    """Decodes datagrams of other controllers and hands each message to the service that registered its type.
+    """Decodes datagrams of other controllers and passes each message to the service that registered its type.
 
-    Messages are msgpack arrays whose first item names their type; no two types have one tag, and unknown ones, of newer
-    versions, are ignored. send_datagram: sends bytes to one controller. on_dropped: called for each message that is
-    not taken.
+    Messages are msgpack arrays whose first item is the tag of their type. Tags are unique; messages with unknown tags,
+    from newer versions, are dropped. send_datagram: sends bytes to one controller. on_dropped: called for each dropped
+    message.
     """
 
     def __init__(self, send_datagram: Callable[[int, bytes], None], on_dropped: Callable[[], None]) -> None:
@@ -36,12 +36,12 @@
         self.decoder: msgspec.msgpack.Decoder[Any] | None = None
 
     def register(self, message_types: tuple[type, ...], handler: Handler, is_valid: Callable[[Any], bool]) -> None:
-        """Hand messages of these types to `handler` if they are valid. Raises TypeError if a tag is taken."""
+        """Pass valid messages of these types to `handler`. Raises TypeError if a tag is already registered."""
         self.handlers.update(dict.fromkeys(message_types, Registration(handler, is_valid)))
         self.decoder = msgspec.msgpack.Decoder(functools.reduce(operator.or_, self.handlers))
 
     def on_datagram(self, sender: int, data: bytes) -> None:
-        """Take what followed `CLUSTER_PREFIX` in a datagram of a controller, whose address fits its number."""
+        """Handle the bytes after `CLUSTER_PREFIX` in a datagram; the sender's address is known to match its number."""
         if self.decoder is None:
             return  # the other controller has services that are not configured here
         try:
@@ -56,5 +56,5 @@
             self.on_dropped()
 
     def send(self, to: int, message: msgspec.Struct) -> None:
-        """Send a message to the controller `to`; it may be lost."""
+        """Send a message to the controller `to`, without confirmation."""
         self.send_datagram(to, CLUSTER_PREFIX + msgspec.msgpack.encode(message))
--- a/corallanding/controller/peer_services.py
+++ b/corallanding/controller/peer_services.py
@@ -1,4 +1,4 @@
-"""Messages between controllers, and the services of the fleet that rest on them."""
+"""The transport to other controllers, and the cluster services that use it."""
 
 from __future__ import annotations
 
@@ -23,10 +23,9 @@
 
 
 class PeerServices:
-    """The transport to other controllers, where one is configured, and the cluster services on it.
+    """The transport to other controllers, if one is configured, and the cluster services on it.
 
-    cluster: membership, quotas and tasks; None where none of them is configured.
-    request_step: asks for a decision step.
+    cluster: membership, quotas and tasks; None if none of them is configured. request_step: requests a decision step.
     """
 
     def __init__(self, context: Context, engine: Engine, request_step: Callable[[], None]) -> None:
@@ -38,7 +37,7 @@
         self.cluster: Cluster | None = None
 
     def open_transport(self, inherited: InheritedSockets) -> None:
-        """Begin to receive, on the socket of the process before this one if it came. Raises OSError."""
+        """Start receiving, on the predecessor process's socket if it was inherited. Raises OSError."""
         config = self._context.config.steward
         if not config.peer_listen:
             return
@@ -49,9 +48,9 @@
         )
 
     def start_cluster(self, fleet_view: FleetView, leadership_store: Callable[[], TableStore | None]) -> None:
-        """Start the services of the fleet, where any is configured. Raises OSError.
+        """Start the cluster services, if any is configured. Raises OSError.
 
-        leadership_store: makes what keeps the leader's lease in the registry, in place of votes.
+        leadership_store: returns the store for the leader's lease in the registry; None if leaders are elected by vote.
         """
         context = self._context
         config = context.config
@@ -73,32 +72,32 @@
         self.cluster.start()
 
     def send(self, peer: int | None, payload: bytes) -> None:
-        """Send a datagram to one controller, or to all if `peer` is None. It may be lost."""
+        """Send a datagram to one controller, or to all if `peer` is None, without confirmation."""
         if self.transport:
             self.transport.send(peer, payload)
 
     def may_check_health(self, host: int) -> bool:
-        """Whether the fleet's quota leaves this health check to this controller."""
-        budgets = self.cluster.quota if self.cluster else None
-        return budgets is None or budgets.may_begin("probes", host, True)
+        """Return whether the quota allows this controller one more health check of the host, and use one unit of it."""
+        quota = self.cluster.quota if self.cluster else None
+        return quota is None or quota.may_begin("probes", host, True)
 
     def pause(self) -> None:
-        """Receive nothing; what comes stays in the socket."""
+        """Stop receiving; datagrams remain in the socket's buffer."""
         if self.transport:
             self.transport.suspend()
 
     def resume(self) -> None:
-        """Receive again."""
+        """Resume receiving."""
         if self.transport:
             self.transport.resume()
 
     def reload(self, config: ControllerConfig) -> None:
-        """Take the quotas and release versions of a new configuration."""
+        """Apply the quotas and release versions of a new configuration."""
         if self.cluster:
             self.cluster.reload(config)
 
     def stop_cluster(self) -> None:
-        """Return what is reserved and stop; silent if another process has taken over."""
+        """Stop the services; without sending anything if another process has taken over."""
         if self.cluster:
             self.cluster.close(self._context.lifecycle.state is ProcessState.SUPERSEDED)
             self.cluster = None
--- a/corallanding/controller/peer_transport.py
+++ b/corallanding/controller/peer_transport.py
@@ -1,4 +1,4 @@
-"""Datagrams between controllers, on a plain socket: reading can be suspended, and the socket handed over."""
+"""Datagrams between controllers, on a plain socket: reading can be suspended and the socket handed over."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from ..endpoints.endpoint_list import parse_loopback_address
 from .step_outputs import MAX_PEER_PAYLOAD_BYTES
 
-MAX_DATAGRAMS_PER_READ = 64  # read in one turn of the loop
+MAX_DATAGRAMS_PER_READ = 64  # per turn of the event loop
 MAX_DATAGRAM_BYTES = 2048
-# Begins payloads on members and quotas. No MessagePack value begins so, and the assigner ignores such payloads.
+# First byte of payloads for the cluster services. No MessagePack value starts with it; the assigner ignores it.
 CLUSTER_PREFIX = b"\xc1"
 
 
@@ -21,8 +21,8 @@
     """Sends and receives payloads of other controllers.
 
     `peers` maps the number of a controller to "ip:port". `on_message` is called with sender and payload for each
-    datagram of a known peer, `on_drop` for every other one. What arrives while reading is suspended stays in the
-    kernel's buffer for whoever reads next. Raises `OSError` if the address cannot be had.
+    datagram of a known peer, `on_drop` for every other one. Datagrams that arrive while reading is suspended remain in
+    the kernel's buffer for the next reader. Raises `OSError` if the address cannot be bound.
     """
 
     def __init__(
@@ -43,11 +43,11 @@
         self.resume()
 
     def suspend(self) -> None:
-        """Stop reading: what arrives stays in the kernel's buffer."""
+        """Stop reading; datagrams remain in the kernel's buffer."""
         asyncio.get_running_loop().remove_reader(self.socket)
 
     def resume(self) -> None:
-        """Read again."""
+        """Resume reading."""
         asyncio.get_running_loop().add_reader(self.socket, self._on_readable)
 
     def _on_readable(self) -> None:
@@ -57,7 +57,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                continue  # a peer that has ended refused an earlier datagram
+                continue  # reports that a peer's closed port refused an earlier datagram
             self._on_datagram(data, origin)
 
     def _on_datagram(self, data: bytes, origin: tuple[str, int]) -> None:
@@ -66,14 +66,14 @@
         except msgspec.DecodeError:
             self.on_drop()
             return
-        # By its number alone any process of this machine could pass for a controller.
+        # The number alone could be forged by any process of this machine, so the address must match it.
         if origin[:2] != self.addresses.get(str(sender)) or len(payload) > MAX_PEER_PAYLOAD_BYTES:
             self.on_drop()
             return
         self.on_message(sender, payload)
 
     def send(self, peer: int | None, payload: bytes) -> None:
-        """Send to one peer, or with `None` to all. What the socket does not take is lost, as datagrams may be."""
+        """Send to one peer, or with `None` to all. Datagrams that the socket does not accept are dropped."""
         data = msgspec.msgpack.encode([self.controller_number, payload])
         for number in self.addresses if peer is None else [str(peer)]:
             address = self.addresses.get(number)
@@ -91,7 +91,7 @@
 
 
 def _bind(listen: str) -> socket.socket:
-    """A new socket at "ip:port"."""
+    """Return a new socket bound to "ip:port"."""
     host, port = parse_loopback_address(listen)
     bound = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_DGRAM)
     try:
--- a/corallanding/controller/pinning_service.py
+++ b/corallanding/controller/pinning_service.py
@@ -1,4 +1,4 @@
-"""Workflow runs that keep their release set: what proxies ask and are answered. The core is `version_pinning`."""
+"""Version pinning of workflow runs: answers queries of proxies and publishes routes. The core is `version_pinning`."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 from .fleet_view import ChangeStamp, FleetView
 from .record_service import RecordService, record_key_of
 
-PROTOCOL_PART = 1  # the bit in a proxy's hello that says that it knows pinned runs
-RUN_ANSWERS = ("not-now", "pinned", "over", "full")  # by the number that the core answers with
+PROTOCOL_FEATURE = 1  # bit in a proxy's hello: it supports pinned runs
+RUN_ANSWERS = ("not-now", "pinned", "over", "full")  # indexed by the core's `RunStatus`
 
 
 class PendingRun(NamedTuple):
-    """A query of a proxy on a run. query: the proxy's own number for it."""
+    """A query of a proxy on a run. query: its number, assigned by the proxy."""
 
     proxy: int
     query: int
@@ -35,7 +35,7 @@
 
 
 class PlanStamp(NamedTuple):
-    """What the last plan of routes was made of."""
+    """The inputs of the last route plan."""
 
     view: ChangeStamp
     register: object
@@ -43,23 +43,23 @@
 
 
 def pinning_limits(pins: PinsBlock, drift: float) -> PinningLimits:
-    """The limits that the core takes, from the block `pins`."""
+    """Return the limits for the core, from the block `pins`."""
     return PinningLimits(pins.run_most_ms, drift, pins.settle_ms, pins.begins_per_s)
 
 
-def no_host_rules(config: ControllerConfig) -> dict[str, NoHostPolicy]:
-    """What becomes of a request of a pinned run whose version no host serves, by request class."""
-    rules = {}
+def no_host_policies(config: ControllerConfig) -> dict[str, NoHostPolicy]:
+    """Return, by request class, how requests of pinned runs are handled whose version no host serves."""
+    policies = {}
     for name, operation in config.operation.items():
         wait_ms = operation.no_host_wait_ms if operation.no_host != "refuse" else 0.0
-        rules[name] = NoHostPolicy(wait_ms, operation.no_host == "carry_over")
-    return rules
+        policies[name] = NoHostPolicy(wait_ms, operation.no_host == "carry_over")
+    return policies
 
 
 class PinningService(ClusterService):
-    """Answers proxies on runs, and publishes the routes of all release sets that are alive.
+    """Answers queries of proxies on runs, and publishes the routes of all live release sets.
 
-    may_use_cold_host: whether a host that warms up may take one more slice.
+    may_use_cold_host: returns whether a host that warms up may take one more slice.
     """
 
     message_types: ClassVar[tuple[type, ...]] = (RegisterAnnouncement, RunCountQuery, RunCountReport)
@@ -86,13 +86,13 @@
             records.fleet, limits, sets, pins.current, self._capacity_of, self._on_release_change
         )
         carries = {release.number: release.carries for release in config.release.values()}
-        self.routes = RoutePlanner(self.request_classes, sets, carries, no_host_rules(config), may_use_cold_host)
+        self.routes = RoutePlanner(self.request_classes, sets, carries, no_host_policies(config), may_use_cold_host)
         self.rows: dict[int, list[Route]] = {}
-        self.alive_sets: tuple[int, ...] = ()
-        self.planned_at = float("-inf")
+        self.live_sets: tuple[int, ...] = ()
+        self.planned_at_ms = float("-inf")
         self.plan_stamp: PlanStamp | None = None
         self.is_any_host_warming = False
-        self.pending: dict[int, PendingRun] = {}  # by the number of the core's query
+        self.pending: dict[int, PendingRun] = {}  # by number of the core's query
         peers = records.fleet.queries.others
         self.rate_limiter = PeerRateLimiter(peers, config.budgets.words_per_s, context.clock())
         self.rejected_messages = 0
@@ -100,7 +100,7 @@
 
     @staticmethod
     def is_valid(message: Any) -> bool:
-        """Whether the fields of a message lie within what a correct controller sends."""
+        """Return whether the fields of a message are within the ranges that a correct controller sends."""
         return messages.is_valid(message)
 
     def _capacity_of(self, number: int) -> float:
@@ -112,28 +112,28 @@
     # ---- queries of proxies --------------------------------------------------------------------------------
 
     def on_proxy_frame(self, proxy: int, frame: frames.RunQuery) -> None:
-        """A proxy asks for the release set of a run, or says that the run has ended."""
+        """Handle a proxy's query for the release set of a run, or its notice that the run has ended."""
         client = frame.client or str(proxy)
-        now = self.context.clock()
-        number = self.core.request_run(now, record_key_of(frame.run), client, has_ended=frame.is_ended)
+        now_ms = self.context.clock()
+        number = self.core.request_run(now_ms, record_key_of(frame.run), client, has_ended=frame.is_ended)
         self.pending[number] = PendingRun(proxy, frame.query, frame.run)
         self.records.schedule_queries()
 
     def on_answers(self) -> None:
-        """Pass answers of the core on to the proxies that asked."""
+        """Forward answers of the core to the proxies that sent the queries."""
         for result in self.core.take_answers():
             if pending := self.pending.pop(result.number, None):
                 self._reply(pending, result.result, result.value)
 
-    def _reply(self, pending: PendingRun, what: int, number: int) -> None:
-        versions = self.core.release_sets.get(number) if what == RunStatus.PINNED else None
-        if what == RunStatus.PINNED and versions is None:
-            what = RunStatus.UNAVAILABLE  # the set is not configured here; other controllers may know it
-        answer = RUN_ANSWERS[what]
+    def _reply(self, pending: PendingRun, status: int, number: int) -> None:
+        versions = self.core.release_sets.get(number) if status == RunStatus.PINNED else None
+        if status == RunStatus.PINNED and versions is None:
+            status = RunStatus.UNAVAILABLE  # the set is not configured here; it may be on other controllers
+        answer = RUN_ANSWERS[status]
         self.context.metrics.run_answers.labels(answer).inc()
-        asking = self.core.queries
-        event, now = JournalEvent.RUN_ANSWERED, ActionJournal.now()
-        self.records.journal.write(event, now, asking.me, asking.incarnation, pending.run, answer, number)
+        queries = self.core.queries
+        event, now_ms = JournalEvent.RUN_ANSWERED, ActionJournal.now_ms()
+        self.records.journal.write(event, now_ms, queries.me, queries.incarnation, pending.run, answer, number)
         rows = self._version_rows(versions) if versions else []
         frame = frames.RunVersions(pending.query, answer, number, rows, self.register_version)
         self.fleet_view.reply(pending.proxy, frame)
@@ -144,32 +144,32 @@
     # ---- messages of controllers ---------------------------------------------------------------------------
 
     def on_message(self, sender: int, message: RegisterAnnouncement | RunCountQuery | RunCountReport) -> None:
-        """Take a message on releases, within the rate that one controller may send."""
-        now = self.context.clock()
-        if self.rate_limiter.try_take(sender, now):
+        """Handle a message on releases, within the rate limit of its sender."""
+        now_ms = self.context.clock()
+        if self.rate_limiter.try_take(sender, now_ms):
             answers: list[Action] = [*self.core.on_message(sender, message)]
-            self.records.carry_out(self.records.fleet.in_send_order(now, answers))
+            self.records.carry_out(self.records.fleet.in_send_order(now_ms, answers))
         else:
             self.rejected_messages += 1
 
     @property
     def rejected(self) -> int:
-        """How many messages of other controllers were rejected."""
+        """Return the number of rejected messages of other controllers."""
         return self.rejected_messages
 
-    # ---- by time -------------------------------------------------------------------------------------------
+    # ---- ticks ---------------------------------------------------------------------------------------------
 
     def on_tick(self, tick: Tick) -> None:
-        """Plan routes and do what is due; call it before the tick of the records."""
-        if tick.now - self.planned_at >= self.publish_ms:
-            self.planned_at = tick.now
+        """Plan routes and execute due work; call it before the tick of the records."""
+        if tick.now_ms - self.planned_at_ms >= self.publish_ms:
+            self.planned_at_ms = tick.now_ms
             self.plan_routes()
-        self.records.due_actions += self.core.tick(tick.now)
+        self.records.due_actions += self.core.tick(tick.now_ms)
 
     def plan_routes(self) -> None:
-        """Compute the routes of all release sets that are alive, and publish those that changed."""
+        """Compute the routes of all live release sets, and publish those that changed."""
         register = self.core.releases.register
-        proxies = self.fleet_view.proxies_speaking(PROTOCOL_PART)
+        proxies = self.fleet_view.proxies_supporting(PROTOCOL_FEATURE)
         stamp = PlanStamp(self.fleet_view.change_stamp(), register, tuple(proxies))
         if stamp == self.plan_stamp and not self.is_any_host_warming:
             return
@@ -185,46 +185,46 @@
         rows = self.routes.plan(register.live_sets, self.fleet_view.tables(), self.hosts)
         self._publish_changes(rows, register.live_sets, proxies)
         self.rows = rows
-        self.alive_sets = register.live_sets
+        self.live_sets = register.live_sets
 
-    def _publish_changes(self, rows: dict[int, list[Route]], alive_sets: tuple[int, ...], proxies: list[int]) -> None:
+    def _publish_changes(self, rows: dict[int, list[Route]], live_sets: tuple[int, ...], proxies: list[int]) -> None:
         if not proxies:
             return
         for number in sorted({*rows, *self.rows}):
             new = rows.get(number, [])
-            if self.rows.get(number) != new or alive_sets != self.alive_sets:
-                self.fleet_view.publish(self._routes_frame(number, new, alive_sets), max(1, len(new)), proxies)
+            if self.rows.get(number) != new or live_sets != self.live_sets:
+                self.fleet_view.publish(self._routes_frame(number, new, live_sets), max(1, len(new)), proxies)
 
-    def _routes_frame(self, number: int, rows: list[Route], alive_sets: tuple[int, ...]) -> frames.RunRoutes:
-        named = {host for row in rows for host, _ in row[3]}
-        addresses = self.fleet_view.addresses(named)
-        return frames.RunRoutes(number, list(rows), addresses, list(alive_sets), self.register_version)
+    def _routes_frame(self, number: int, rows: list[Route], live_sets: tuple[int, ...]) -> frames.RunRoutes:
+        hosts = {host for row in rows for host, _ in row[3]}
+        addresses = self.fleet_view.addresses(hosts)
+        return frames.RunRoutes(number, list(rows), addresses, list(live_sets), self.register_version)
 
     @property
     def register_version(self) -> int:
-        """The version of the release register as far as known here: a fencing token against what it has ended."""
+        """Return the latest known version of the release register: a fencing token against what it has ended."""
         register = self.core.releases.register
         return register.version if register else 0
 
     def on_proxy_joined(self, proxy: int) -> None:
         """Send the routes of runs to a proxy that has just received its tables."""
-        if proxy in self.fleet_view.proxies_speaking(PROTOCOL_PART):
+        if proxy in self.fleet_view.proxies_supporting(PROTOCOL_FEATURE):
             for number, rows in self.rows.items():
-                self.fleet_view.reply(proxy, self._routes_frame(number, rows, self.alive_sets))
+                self.fleet_view.reply(proxy, self._routes_frame(number, rows, self.live_sets))
 
     def is_served(self, number: int, request_class: str) -> bool:
-        """Whether some eligible host serves that release set's version of the request class."""
+        """Return whether an eligible host serves the release set's version of the request class."""
         version = self.core.release_sets.get(number, {}).get(request_class, 0)
         return any(host.is_eligible and host.serves(request_class, version) for host in self.hosts.values())
 
-    # ---- what is shown -------------------------------------------------------------------------------------
+    # ---- metrics and status --------------------------------------------------------------------------------
 
     def update_metrics(self) -> None:
-        """Set how many routes have no host."""
+        """Set the number of routes without a host."""
         self.context.metrics.routes_without_host.set(self.routes.unserved_count)
 
     def status(self) -> dict[str, Any]:
-        """The part `pins` of the status page."""
+        """Return the section `pins` of the status page."""
         return {
             **self.core.status(),
             "stranded_rows": self.routes.unserved_count,
@@ -232,7 +232,7 @@
         }
 
     def reload(self, config: ControllerConfig) -> None:
-        """Take which release set is to be current; the sets themselves may not change."""
+        """Apply a change of the wanted release set; the sets themselves cannot change."""
         if config.pins and config.pins.current != self.core.wanted_set:
             log.info("release", change=f"set {config.pins.current} wanted")
             self.core.wanted_set = config.pins.current
--- a/corallanding/controller/record_service.py
+++ b/corallanding/controller/record_service.py
@@ -136,7 +136,7 @@
         """Execute due actions; call it after the tick of the tasks and of the dependent services."""
         due_actions = self.due_actions
         self.due_actions = []
-        self.carry_out(self.fleet.tick(tick.now, due_actions))
+        self.carry_out(self.fleet.tick(tick.now_ms, due_actions))
 
     @property
     def rejected(self) -> int:
--- a/corallanding/controller/resources.py
+++ b/corallanding/controller/resources.py
@@ -1,4 +1,4 @@
-"""What a controller has before its store is opened, and how it is configured."""
+"""Objects that a controller creates before its store is opened, from the configuration."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 def has_slice_leases(config: ControllerConfig) -> bool:
-    """Whether slices are shared with other controllers by leases in the registry."""
+    """Return whether slices are distributed over the controllers by leases in the registry."""
     return config.registry is not None and config.registry.charge
 
 
 def configured_slices(config: ControllerConfig) -> range:
-    """The slices that this controller may own."""
+    """Return the slices that this controller may own."""
     slices = config.slices
     return range(slices.first, slices.count if slices.last is None else slices.last + 1)
 
 
 def channel_limits(config: ControllerConfig) -> ChannelLimits:
-    """The limits of the channel to proxies, as configured."""
+    """Return the configured limits of the channel to proxies."""
     channel = config.channel
     return ChannelLimits(
         channel.rate_lines_per_s,
@@ -39,17 +39,17 @@
     )
 
 
-def join_admission(config: ControllerConfig, now: float) -> JoinAdmission:
-    """What paces the proxies that join, as configured."""
+def join_admission(config: ControllerConfig, now_ms: float) -> JoinAdmission:
+    """Return the configured rate limiter for joining proxies."""
     proxies = config.forwarders
-    return JoinAdmission(proxies.reads_per_s, proxies.again_ms, proxies.again_most_ms, now)
+    return JoinAdmission(proxies.reads_per_s, proxies.again_ms, proxies.again_most_ms, now_ms)
 
 
 @dataclass(frozen=True)
 class Resources:
-    """What is there before the store is opened.
+    """Objects that exist before the store is opened.
 
-    decider: makes the assigner. config_path: what a reload and a successor read.
+    decider: creates the assigner. config_path: read by a reload and by a successor process.
     """
 
     context: Context
--- a/corallanding/controller/scheduling_service.py
+++ b/corallanding/controller/scheduling_service.py
@@ -1,4 +1,4 @@
-"""Jobs that may wait at proxies: what proxies hand in, and when it goes. The core is `scheduling`."""
+"""Scheduling of jobs that wait at proxies: admits and releases them. The core is `scheduling`."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 from .record_service import RecordService, record_key_of
 from .sessions import Admission, Sessions
 
-PROTOCOL_PART = 2  # the bit in a proxy's hello that says that it knows jobs that wait
-FLEET = 0  # in place of a host, for a budget of all controllers together
+PROTOCOL_FEATURE = 2  # bit in a proxy's hello: it supports waiting jobs
+FLEET = 0  # replaces the host in a budget that is not per host
 
 
 class SchedulingService(ClusterService):
-    """Queues jobs of the proxies that are connected here, and releases them in the order that all controllers share.
+    """Queues jobs of the connected proxies, and releases them in an order shared by all controllers.
 
-    records, pinning: where they are configured. Raises OSError if the journal cannot be written.
+    records, pinning: None if not configured. Raises OSError if the journal cannot be written.
     """
 
     message_types: ClassVar[tuple[type, ...]] = (messages.QueueSummary,)
@@ -80,144 +80,144 @@
 
     @staticmethod
     def is_valid(message: Any) -> bool:
-        """Whether the fields of a message lie within what a correct controller sends."""
+        """Return whether the fields of a message are within the ranges that a correct controller sends."""
         return messages.is_valid(message)
 
     def _take_release(self) -> bool:
-        """Take one unit of the quota of releases, if there is one."""
+        """Take one unit of the quota of releases; return whether one was available."""
         return self.quota.may_begin(RELEASES, FLEET, True)
 
     def _request_releases(self, count: int) -> None:
-        """State how many releases a second would be used here."""
+        """Set this controller's demand for releases per second."""
         self.quota.core.set_demand(self.context.clock(), RELEASES, count)
 
     def on_proxy_joined(self, proxy: int) -> None:
-        """A proxy connected: the age of its process bounds the age of its jobs."""
+        """Look up the session of a proxy: the age of its process bounds the age of its jobs."""
         name = self.fleet_view.session_name(proxy)
-        if name is not None and proxy in self.fleet_view.proxies_speaking(PROTOCOL_PART):
+        if name is not None and proxy in self.fleet_view.proxies_supporting(PROTOCOL_FEATURE):
             self.sessions.on_proxy_joined(self.context.clock(), proxy, name)
 
     def on_proxy_left(self, proxy: int) -> None:
-        """A proxy is gone: it hands its jobs to another controller, with their ages."""
+        """Remove a proxy's jobs: it submits them to another controller, with their ages."""
         self.core.on_proxy_left(proxy)
 
     def on_proxy_frame(self, proxy: int, frame: frames.JobSubmission | frames.JobWithdrawal) -> None:
-        """A proxy hands in a job, or takes one back."""
-        now = self.context.clock()
+        """Handle a job that a proxy submits or withdraws."""
+        now_ms = self.context.clock()
         if isinstance(frame, frames.JobWithdrawal):
             job = self.core.remove(proxy, frame.ticket, is_abandoned=frame.is_abandoned)
             if job and job.has_claim and frame.is_abandoned:
-                self._give_back(now, job)
+                self._give_back(now_ms, job)
             return
-        match self.sessions.admit(now, proxy, frame):
+        match self.sessions.admit(now_ms, proxy, frame):
             case Admission.NOW:
-                self._take_in(proxy, frame, received_at=now)
+                self._queue_job(proxy, frame, received_at_ms=now_ms)
             case Admission.REJECTED:
                 self._reply(proxy, frame.ticket, JobAnswer.NOT_NOW, 0.0)
             case Admission.DELAYED:
                 pass
 
-    def _take_in(self, proxy: int, frame: frames.JobSubmission, *, received_at: float) -> None:
-        """Queue a job. received_at: when it was handed in, ms; it may have been delayed here since."""
-        now = self.context.clock()
+    def _queue_job(self, proxy: int, frame: frames.JobSubmission, *, received_at_ms: float) -> None:
+        """Queue a job. received_at_ms: when it was submitted; it may have been delayed here since."""
+        now_ms = self.context.clock()
         kind = self.kind_of_class.get(frame.request_class)
         if kind is None:
             self._reply(proxy, frame.ticket, JobAnswer.DOES_NOT_WAIT, 0.0)
             return
-        waited_ms = min(frame.waited_ms + now - received_at, self.sessions.age_ms(now, proxy))
+        waited_ms = min(frame.waited_ms + now_ms - received_at_ms, self.sessions.age_ms(now_ms, proxy))
         key = record_key_of(f"job {frame.idempotency_key}") if frame.idempotency_key and self.queries else 0
         is_new = (proxy, frame.ticket) not in self.core.tickets
         job, rejection, max_wait_ms = self.core.admit(
-            now, self.alive, proxy, frame.ticket, kind, waited_ms, key, frame.release_set
+            now_ms, self.alive, proxy, frame.ticket, kind, waited_ms, key, frame.release_set
         )
         self._reply(proxy, frame.ticket, rejection or JobAnswer.WAITING, max_wait_ms)
         if rejection is not None:
             self._count(kind, rejection)
         elif job is not None and is_new:
             self._count(kind, JobEnd.TAKEN)
-            self._on_new_job(now, job)
+            self._on_new_job(now_ms, job)
 
-    def _on_new_job(self, now: float, job: Job) -> None:
+    def _on_new_job(self, now_ms: float, job: Job) -> None:
         if job.release_set:
             self.pinned_jobs.forget(job)
         if job.idempotency_key:
-            self._idempotency().query_age(now, job)
+            self._idempotency().query_age(now_ms, job)
 
-    def _reply(self, proxy: int, ticket: int, what: str, max_wait_ms: float) -> None:
-        self.fleet_view.reply(proxy, frames.JobAdmission(ticket, what, round(max_wait_ms, 1)))
+    def _reply(self, proxy: int, ticket: int, answer: str, max_wait_ms: float) -> None:
+        self.fleet_view.reply(proxy, frames.JobAdmission(ticket, answer, round(max_wait_ms, 1)))
 
     def _count(self, kind: int, end: str) -> None:
         self.context.metrics.jobs.labels(self.names[kind], end).inc()
 
     def _idempotency(self) -> IdempotencyQueries:
-        """Queries on idempotency keys. Raises ConfigurationError where no records are configured for them."""
+        """Return the queries on idempotency keys. Raises ConfigurationError if no records are configured for them."""
         if self.queries is None:
             raise ConfigurationError(f'task_group "{JOBS}": jobs with idempotency keys need records')
         return self.queries
 
     def on_answers(self) -> None:
-        """Take answers on the ages of sessions and jobs, and on claims."""
-        now = self.context.clock()
+        """Handle answers on the ages of sessions and jobs, and on claims."""
+        now_ms = self.context.clock()
         for query, result in self._idempotency().take_answers():
             if result.number in self.sessions.queries:
-                proxy, jobs = self.sessions.on_answer(now, result)
-                for received_at, frame in jobs:
-                    self._take_in(proxy, frame, received_at=received_at)
+                proxy, jobs = self.sessions.on_answer(now_ms, result)
+                for received_at_ms, frame in jobs:
+                    self._queue_job(proxy, frame, received_at_ms=received_at_ms)
             elif isinstance(query, AgeQuery):
-                self._on_age(now, query.job, result)
+                self._on_age(now_ms, query.job, result)
             elif isinstance(query, ClaimQuery):
-                self._on_claim_answer(now, query, claim_outcome(result.result))
+                self._on_claim_answer(now_ms, query, claim_outcome(result.result))
 
-    def _on_age(self, now: float, job: Job, result: QueryResult) -> None:
+    def _on_age(self, now_ms: float, job: Job, result: QueryResult) -> None:
         if result.result in (KeyStatus.UNCLAIMED, KeyStatus.DUPLICATE):
-            self.core.set_waiting_since(job, now - result.value)
+            self.core.set_waiting_since(job, now_ms - result.value)
         elif result.result == KeyStatus.UNAVAILABLE and (job.proxy, job.ticket) in self.core.tickets:
-            self._idempotency().query_age(now, job)  # no majority could answer
+            self._idempotency().query_age(now_ms, job)  # no majority answered
         if result.result == KeyStatus.DUPLICATE and self.core.start_claim(job):
-            self._claim(now, job)
+            self._claim(now_ms, job)
 
-    def _on_claim_answer(self, now: float, query: ClaimQuery, outcome: ClaimOutcome) -> None:
+    def _on_claim_answer(self, now_ms: float, query: ClaimQuery, outcome: ClaimOutcome) -> None:
         job = query.job
-        if self.core.on_claim_result(now, job, outcome):
-            self._give_back(now, job)
+        if self.core.on_claim_result(now_ms, job, outcome):
+            self._give_back(now_ms, job)
         elif outcome is ClaimOutcome.DUPLICATE:
             self._count(job.job_class, JobEnd.DUPLICATE)
             self.fleet_view.reply(job.proxy, frames.JobRelease(job.ticket, JobOrder.DROP_DUPLICATE))
         elif (job.proxy, job.ticket) in self.core.tickets:
-            # Queued again, or set aside: it could not go while the query was pending.
+            # Queued again or blocked: it could not be released while the query was pending.
             blocked_ms = 0.0 if outcome is ClaimOutcome.GRANTED else self.core.limits.blocked_ms
             self.journal.on_returned(job, query.sent_at, blocked_ms)
 
-    def _claim(self, now: float, job: Job) -> None:
-        self._idempotency().claim(now, job, self._owner(job))
+    def _claim(self, now_ms: float, job: Job) -> None:
+        self._idempotency().claim(now_ms, job, self._owner(job))
 
-    def _give_back(self, now: float, job: Job) -> None:
-        """The job was granted, no message to send it ever went out, and its client gave it up."""
+    def _give_back(self, now_ms: float, job: Job) -> None:
+        """Return the claim of a job that was never released and that its client abandoned."""
         if self.queries:
-            self.queries.give_back(now, job, self._owner(job))
+            self.queries.give_back(now_ms, job, self._owner(job))
 
     def _owner(self, job: Job) -> int:
-        """The number of a ticket, the same at all controllers: the same process of a proxy may release it again."""
+        """Return the number of a ticket, equal at all controllers: the same proxy process may release it again."""
         return record_key_of(f"ticket {job.proxy} {self.sessions.name(job.proxy)} {job.ticket}") | 2
 
     def on_tick(self, tick: Tick) -> None:
-        """Release the jobs whose turn it is, claim those that need it, and send what the other controllers need."""
+        """Release due jobs, claim those with idempotency keys, and send summaries to the other controllers."""
         self.alive = tick.alive
         if self.pinning:
             self.pinned_jobs.update(self.pinning)
-        actions, to_send = self.core.tick(tick.now, self.alive)
+        actions, to_send = self.core.tick(tick.now_ms, self.alive)
         if self.core.is_starved != self.is_quota_exhausted:
-            self._log_exhaustion(is_exhausted=self.core.is_starved)
+            self._record_exhaustion(is_exhausted=self.core.is_starved)
         for action in actions:
             if isinstance(action, Dispatch):
                 self._release(action)
             elif isinstance(action, ClaimKey):
-                self._claim(tick.now, action.job)
+                self._claim(tick.now_ms, action.job)
         self.context.send(to_send)
 
-    def _log_exhaustion(self, *, is_exhausted: bool) -> None:
+    def _record_exhaustion(self, *, is_exhausted: bool) -> None:
         self.is_quota_exhausted = is_exhausted
-        text = "no quota granted: other controllers go on" if is_exhausted else "quota granted again"
+        text = "no quota granted: other controllers continue" if is_exhausted else "quota granted again"
         log.info("scheduling", change=text)
         self.journal.on_quota(is_exhausted=is_exhausted)
 
@@ -228,21 +228,21 @@
         self.fleet_view.reply(job.proxy, frames.JobRelease(job.ticket, JobOrder.SEND))
 
     def on_message(self, sender: int, message: messages.QueueSummary) -> None:
-        """Take what waits at another controller."""
+        """Handle a summary of the jobs that wait at another controller."""
         self.core.on_summary(self.context.clock(), sender, message)
 
     @property
     def rejected(self) -> int:
-        """How many messages of other controllers were rejected."""
+        """Return the number of rejected messages of other controllers."""
         return self.core.peer_queues.rejected_count
 
     def update_metrics(self) -> None:
-        """Set how many jobs wait here, by request class."""
+        """Set the number of waiting jobs, by request class."""
         for name, count in zip(self.names, self.core.queue.counts_by_class, strict=True):
             self.context.metrics.queued_jobs.labels(name).set(count)
 
     def status(self) -> dict[str, Any]:
-        """The part `waiting` of the status page."""
+        """Return the section `waiting` of the status page."""
         return scheduler_status(self.core, self.context.clock(), self.alive)
 
     def close(self) -> None:
--- a/corallanding/controller/status_views.py
+++ b/corallanding/controller/status_views.py
@@ -1,4 +1,4 @@
-"""What the HTTP server shows: health, metrics, tables, and the fleet of controllers."""
+"""Pages of the HTTP server: health, metrics, tables, and the other controllers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class StatusViews:
-    """One method for each page."""
+    """Renders the pages, with one method per page."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self._peers = peers
 
     def routes(self) -> dict[str, Route]:
-        """The pages by their paths."""
+        """Return the handlers of the pages by path."""
         return {
             "/healthz": self.health,
             "/metrics": self.metrics,
@@ -40,25 +40,25 @@
         }
 
     def health(self) -> HttpResponse:
-        """200 if all is well; 503 with the reasons otherwise."""
+        """Return 200 if the controller is ready and its store writable; otherwise 503 with the reasons."""
         reasons = [f"store: {self._persistence.error_text}"] if self._persistence.error_count else []
         if not self._context.lifecycle.is_ready:
             reasons.append("starting")
         return error_response(503, "; ".join(reasons)) if reasons else HttpResponse(200, b"ok\n", "text/plain")
 
     def metrics(self) -> HttpResponse:
-        """All metrics in the text form of Prometheus."""
+        """Return all metrics in the Prometheus text format."""
         if self._peers.cluster:
             self._peers.cluster.update_metrics()
         self._load_weights.publish_metrics()
         return HttpResponse(200, self._context.metrics.exposition(), "text/plain; version=0.0.4")
 
     def controllers(self) -> HttpResponse:
-        """What this controller knows of the others, and what it holds of their common limits and tasks."""
+        """Return the states of the other controllers, and this controller's share of quotas and tasks."""
         return _json(self._peers.cluster.status() if self._peers.cluster else {})
 
     def tables(self) -> HttpResponse:
-        """Tables, admission levels and cordons as published."""
+        """Return tables, admission levels and cordons as published."""
         state = self._engine.published
         return _json(
             {
