--- a/tests/controller/program.py
+++ b/tests/controller/program.py
@@ -1,4 +1,4 @@
-"""The controller as a program of its own, whose log a test reads."""
+"""Runs the controller as a separate process whose log a test reads."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ControllerProgram:
-    """Starts and kills the program with one configuration; what runs at the end of the `with` block is killed."""
+    """Starts and kills the program with one configuration; it is killed at the end of the `with` block."""
 
     def __init__(self, folder: Path, configuration: str) -> None:
         self.path = folder / "s.hcl"
@@ -30,7 +30,7 @@
         self.kill()
 
     def entries(self, event: str = "") -> list[dict[str, Any]]:
-        """Log entries whose event begins so, of all starts."""
+        """Return the log entries of all starts whose event starts with `event`."""
         lines = self.log.read_text().splitlines() if self.log.exists() else []
         entries = [json.loads(line) for line in lines if line.startswith("{")]
         return [entry for entry in entries if entry["event"].startswith(event)]
@@ -42,14 +42,14 @@
             self.process = subprocess.Popen(command, stdout=log, stderr=log)
 
     async def start(self, event: str = "ready") -> dict[str, Any]:
-        """Start the program, and wait for an entry of this start whose event begins so."""
+        """Start the program; return the first log entry of this start whose event starts with `event`."""
         before = len(self.entries(event))
         self.spawn()
         await until(lambda: len(self.entries(event)) > before, START_WITHIN_S)
         return self.entries(event)[before]
 
     def kill(self) -> None:
-        """Kill the process that runs, if any."""
+        """Kill the running process, if any."""
         if self.process:
             self.process.send_signal(signal.SIGKILL)
             self.process.wait()
--- a/tests/controller/test_action_journal.py
+++ b/tests/controller/test_action_journal.py
@@ -1,4 +1,4 @@
-"""The action journal: what stands in a line, which the audits of the lab read."""
+"""The action journal: the format of its lines, which the audits of the lab read."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     journal.close()
     journal.write(JournalEvent.JOB_RETURNED, 3.0)
     lines = path.read_text().splitlines()
-    assert lines == ['["act", 1.5, 7]', '["go", 2.0, [1, 2]]'], "nothing is written once it is closed"
+    assert lines == ['["act", 1.5, 7]', '["go", 2.0, [1, 2]]'], "lines written after the close are ignored"
     assert [type(json.loads(line)[0]) for line in lines] == [str, str]
 
 
--- a/tests/controller/test_crash_loop.py
+++ b/tests/controller/test_crash_loop.py
@@ -1,4 +1,4 @@
-"""Starts that follow one another soon wait longer each time, and do without the snapshot."""
+"""Starts in quick succession get an exponential backoff, and no longer use the snapshot."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from tests.controller.program import ControllerProgram
 
 
-def test_starts_when_they_follow_soon_then_back_off_and_do_not_use_the_snapshot() -> None:
-    now = 1e12
-    before: list[float] = []
-    seen = []
+def test_starts_when_in_quick_succession_then_back_off_and_do_not_use_the_snapshot() -> None:
+    now_ms = 1e12
+    earlier_starts: list[float] = []
+    advices = []
     for _ in range(9):
-        advice = advise_start(before, now)
-        seen.append((advice.recent_failures, advice.wait_ms, advice.may_use_snapshot))
-        before.append(now)
-        now += advice.wait_ms + 500.0
-    assert seen == [
+        advice = advise_start(earlier_starts, now_ms)
+        advices.append((advice.recent_failures, advice.wait_ms, advice.may_use_snapshot))
+        earlier_starts.append(now_ms)
+        now_ms += advice.wait_ms + 500.0
+    assert advices == [
         (0, 0.0, True),
         (1, 0.0, True),
         (2, 0.0, True),
@@ -32,10 +32,12 @@
         (7, 16000.0, False),
         (8, 30000.0, False),
     ]
-    assert advise_start(before, now + 61_000.0) == StartAdvice(0, 0.0, True), (
-        "after a stable minute it is a start like any other"
+    assert advise_start(earlier_starts, now_ms + 61_000.0) == StartAdvice(0, 0.0, True), (
+        "a start a minute after the last one has no backoff"
+    )
+    assert advise_start([now_ms + 1e6], now_ms) == StartAdvice(0, 0.0, True), (
+        "starts in the future, after the clock was set back, are ignored"
     )
-    assert advise_start([now + 1e6], now) == StartAdvice(0, 0.0, True), "a clock that went back"
 
 
 def test_history_when_damaged_or_not_writable_then_empty(tmp_path: Path) -> None:
@@ -49,10 +51,10 @@
 
 
 @pytest.mark.processes
-def test_program_when_it_crashes_again_and_again_then_backs_off_and_logs_it(tmp_path: Path) -> None:
+def test_program_when_it_crashes_repeatedly_then_backs_off_and_logs_it(tmp_path: Path) -> None:
     configuration = (CONFIG % (tmp_path / "s.db")).replace('level = "error"', 'level = "info"\n  format = "json"')
 
-    async def scene() -> None:
+    async def scenario() -> None:
         with ControllerProgram(tmp_path, configuration) as program:
             for _ in range(3):
                 await program.start()
@@ -60,4 +62,4 @@
             entry = await program.start("crash loop")
             assert entry["deaths"] == 3
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/controller/test_handover_state.py
+++ b/tests/controller/test_handover_state.py
@@ -1,4 +1,4 @@
-"""What is handed over goes on as if nothing had happened: engine, channel, joins and connections, at any step."""
+"""A handover at any step leaves the output unchanged: the successor restores engine, channel, joins, connections."""
 
 from __future__ import annotations
 
@@ -46,11 +46,11 @@
 LIMITS = ChannelLimits(400.0, 8.0, 900.0, 14, 4000.0)
 
 
-ADDRESSES = {h: f"127.0.0.1:{9000 + h}" for h in range(6)}
+ADDRESSES = {host: f"127.0.0.1:{9000 + host}" for host in range(6)}
 
 
 class ControllerWithoutSockets:
-    """An engine and what is around it, without sockets; what happens is drawn from a seed that both sides share."""
+    """An engine with channel and joins, without sockets; its input is drawn from a seed that both sides share."""
 
     def __init__(self, start_number: int, tables: dict[int, dict[int, float]] | None = None) -> None:
         stored = StoreContents(start_number, tables=tables or {})
@@ -59,55 +59,55 @@
         self.joins = JoinAdmission(20.0, 300.0, 2000.0, 1e9)
         self.log: list[Any] = []
 
-    def join(self, now: float, proxy: int) -> None:
-        """A proxy joins."""
+    def join(self, now_ms: float, proxy: int) -> None:
+        """Join a proxy, and log its tables."""
         self.channel.join(proxy)
-        tables = self.engine.on_proxy_joined(now, frames.Hello(1, proxy, f"{proxy}"))
+        tables = self.engine.on_proxy_joined(now_ms, frames.Hello(1, proxy, f"{proxy}"))
         self.log.append((proxy, "tables", tables))
 
-    def turn(self, now: float, rng: random.Random) -> None:
-        """Draw what happens, run a step, and send what is due."""
-        self.draw_connections(now, rng)
-        self.draw_events(now, rng)
-        self.engine.decide(now)
-        for out in self.engine.publish(rng.random() < 0.9):
-            if isinstance(out, SendFrame):
-                message = Message(out.frame, out.cost_lines, out.version, now, out.orders)
-                self.channel.submit(message, out.proxies, is_urgent=out.is_urgent)
+    def run_step(self, now_ms: float, rng: random.Random) -> None:
+        """Draw random input, run a decision step, and send due messages."""
+        self.draw_connections(now_ms, rng)
+        self.draw_events(now_ms, rng)
+        self.engine.decide(now_ms)
+        for output in self.engine.publish(rng.random() < 0.9):
+            if isinstance(output, SendFrame):
+                message = Message(output.frame, output.cost_lines, output.version, now_ms, output.orders)
+                self.channel.submit(message, output.proxies, is_urgent=output.is_urgent)
             else:
-                self.log.append(out)
-        for proxy, message in self.channel.take_due(now):
+                self.log.append(output)
+        for proxy, message in self.channel.take_due(now_ms):
             self.log.append((proxy, message.version, message.frame))
 
-    def draw_connections(self, now: float, rng: random.Random) -> None:
-        """Proxies ask for their tables, and sockets are blocked or not."""
+    def draw_connections(self, now_ms: float, rng: random.Random) -> None:
+        """Let random proxies request their tables, and block or unblock random sockets."""
         for proxy in range(4):
             if rng.random() < 0.05:
-                self.joins.request(now, proxy)
+                self.joins.request(now_ms, proxy)
             if rng.random() < 0.1:
                 self.channel.set_blocked(proxy, is_blocked=rng.random() < 0.5)
-        for proxy in self.joins.admit_due(now):
-            self.join(now, proxy)
+        for proxy in self.joins.admit_due(now_ms):
+            self.join(now_ms, proxy)
 
-    def draw_events(self, now: float, rng: random.Random) -> None:
-        """The host list changes, proxies report usage and acknowledge versions."""
+    def draw_events(self, now_ms: float, rng: random.Random) -> None:
+        """Add random changes of the host list, usage reports and acknowledgements of versions."""
         engine = self.engine
         if rng.random() < 0.15:
             host = rng.randrange(6)
             entry = api.HostEntry(host, state=api.HostState(rng.choice(("draining", "up"))))
-            engine.add_event(now, api.HostListUpdate(api.HostListKind.CHANGES, int(now), (entry,)))
+            engine.add_event(now_ms, api.HostListUpdate(api.HostListKind.CHANGES, int(now_ms), (entry,)))
         if rng.random() < 0.5:
             proxy = rng.randrange(4)
             hosts = [(host, 9, rng.choice((0, 0, 9)), 300.0) for host in range(6)]
             slices = [(slice_number, 0, rng.randrange(20), 0) for slice_number in range(12)]
-            engine.on_usage_report(now, proxy, frames.UsageReport(1000.0, hosts, slices))
+            engine.on_usage_report(now_ms, proxy, frames.UsageReport(1000.0, hosts, slices))
         if rng.random() < 0.4:
             assert isinstance(engine.assigner, Assigner)
             proxy = rng.randrange(4)
             version = rng.randrange(3) + engine.assigner.pending_versions.last_version - 2
-            engine.add_event(now, api.VersionAcked(proxy, version, 5.0))
+            engine.add_event(now_ms, api.VersionAcked(proxy, version, 5.0))
 
-    def handed(self) -> HandoverState:
+    def handed_over_state(self) -> HandoverState:
         state = capture_state(self.engine, 0, "boot", 5.0, {}, 1)
         assert state
         extras = HandoverExtras(HostListState(1, [], dict(ADDRESSES), {}, [1]), {})
@@ -115,50 +115,52 @@
         return file.unpack(file.pack(captured), HandoverState)
 
 
-@pytest.mark.parametrize("at", [5, 17, 40, 41, 42, 43, 44, 45, 80, 119])
-def test_controller_when_handed_over_at_any_step_then_sends_what_the_old_one_would(at: int) -> None:
+@pytest.mark.parametrize("handover_step", [5, 17, 40, 41, 42, 43, 44, 45, 80, 119])
+def test_controller_when_handed_over_at_any_step_then_sends_the_same_messages(handover_step: int) -> None:
     old = ControllerWithoutSockets(1)
-    now = 1e9
-    rng = random.Random(at)
-    old.engine.start(now, api.HostListUpdate(api.HostListKind.FULL, 1, tuple(api.HostEntry(h) for h in range(6))))
+    now_ms = 1e9
+    rng = random.Random(handover_step)
+    old.engine.start(now_ms, api.HostListUpdate(api.HostListKind.FULL, 1, tuple(api.HostEntry(h) for h in range(6))))
     for proxy in range(4):
-        old.join(now, proxy)
+        old.join(now_ms, proxy)
     is_waiting = False
     is_unacked = False
     for step in range(160):
-        now += rng.choice((60.0, 125.0, 300.0))
-        if step == at:
-            # What the store has may lag behind: the state has the tables, and what is still to be kept.
-            new_one = ControllerWithoutSockets(2, {0: {5: 1.0}})
-            restore_handover(new_one.engine, old.handed(), new_one.channel, new_one.joins, now)
-            new_one.engine.pending_events = [
-                x for x in new_one.engine.pending_events if not isinstance(x[2], api.HealthCheckResult)
+        now_ms += rng.choice((60.0, 125.0, 300.0))
+        if step == handover_step:
+            # The store may be outdated: the state has the current tables, and those still to be saved.
+            new = ControllerWithoutSockets(2, {0: {5: 1.0}})
+            restore_handover(new.engine, old.handed_over_state(), new.channel, new.joins, now_ms)
+            new.engine.pending_events = [
+                entry for entry in new.engine.pending_events if not isinstance(entry[2], api.HealthCheckResult)
             ]
             old.log = []
             assert isinstance(old.engine.assigner, Assigner)
             is_waiting = old.channel.queued_lines > 0
             is_unacked = any(old.engine.assigner.pending_versions.unacked_by_proxy.values())
-        if step >= at:
-            new_one.turn(now, random.Random(f"{at}:{step}"))
-        old.turn(now, random.Random(f"{at}:{step}"))
-    assert old.log == new_one.log
+        if step >= handover_step:
+            new.run_step(now_ms, random.Random(f"{handover_step}:{step}"))
+        old.run_step(now_ms, random.Random(f"{handover_step}:{step}"))
+    assert old.log == new.log
     assert len(old.log) > 20
-    assert old.channel.queued_lines == new_one.channel.queued_lines
-    assert old.engine.published == new_one.engine.published
-    assert is_waiting or is_unacked or at < 20, "nothing was on its way: no test"
+    assert old.channel.queued_lines == new.channel.queued_lines
+    assert old.engine.published == new.engine.published
+    assert is_waiting or is_unacked or handover_step < 20, (
+        "nothing was queued or unacknowledged, so the handover was not tested"
+    )
 
 
-def test_state_when_it_does_not_fit_then_the_new_engine_is_untouched() -> None:
+def test_state_when_its_fields_do_not_match_then_the_new_engine_is_unchanged() -> None:
     old = ControllerWithoutSockets(1)
     old.engine.start(1e9, api.HostListUpdate(api.HostListKind.FULL, 1, (api.HostEntry(1),)))
-    old.turn(1e9 + 100.0, random.Random(1))
-    handed = old.handed()
-    handed.controller.assigner.slice_fields.append("mood")
-    new_one = ControllerWithoutSockets(2, {0: {5: 1.0}})
+    old.run_step(1e9 + 100.0, random.Random(1))
+    state = old.handed_over_state()
+    state.controller.assigner.slice_fields.append("mood")
+    new = ControllerWithoutSockets(2, {0: {5: 1.0}})
     with pytest.raises(StateMismatchError, match="mood"):
-        restore_handover(new_one.engine, handed, new_one.channel, new_one.joins, 1e9 + 200.0)
-    assert new_one.engine.published.tables == {0: {5: 1.0}}
-    assert not new_one.engine.pending_events
+        restore_handover(new.engine, state, new.channel, new.joins, 1e9 + 200.0)
+    assert new.engine.published.tables == {0: {5: 1.0}}
+    assert not new.engine.pending_events
 
 
 def test_connection_when_handed_over_then_keeps_partial_frame_and_unacked_versions() -> None:
@@ -171,9 +173,9 @@
     assert old.receive(4.0, data[cut - 2 : cut]) == []
     state = capture_connection(old, is_joined=True, is_write_paused=False, heartbeat_sent_at=9.0)
     restore_connection(new, file.unpack(file.pack(state), ConnectionState))
-    got = new.receive(5.0, data[cut:])
-    assert [f.version for f in got if isinstance(f, frames.Ack)] == [4, 5]
+    received = new.receive(5.0, data[cut:])
+    assert [frame.version for frame in received if isinstance(frame, frames.Ack)] == [4, 5]
     assert not new.unacked_versions
-    assert [m for m, _ in new.acked] == [4, 5]
+    assert [version for version, _ in new.acked] == [4, 5]
     assert new.hello
     assert new.hello.proxy == 7
--- a/tests/controller/test_peer_dispatch.py
+++ b/tests/controller/test_peer_dispatch.py
@@ -1,4 +1,4 @@
-"""The dispatcher of messages between controllers: who is handed which message, and what is dropped."""
+"""The dispatcher of messages between controllers: which service gets a message, and which messages are dropped."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 class SameTag(msgspec.Struct, frozen=True, array_like=True, tag_field="t", tag=91):
-    """A message whose tag is taken."""
+    """A message with the tag of another type."""
 
     number: int
 
 
-class Scene:
-    """A dispatcher, and what it sent, dropped and handed on."""
+class RecordingServices:
+    """A dispatcher, with the messages that it sent, dropped and delivered."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[int, bytes]] = []
@@ -52,34 +52,34 @@
     return message.number < 10
 
 
-def test_dispatcher_when_a_message_is_sent_then_it_comes_back_from_its_datagram() -> None:
-    scene = Scene()
-    scene.dispatcher.register((Greeting,), scene.on_message, is_small)
-    scene.dispatcher.register((Farewell,), scene.on_message, is_small)
-    scene.dispatcher.send(3, Farewell(7))
-    ((to, data),) = scene.sent
+def test_dispatcher_when_a_sent_datagram_is_received_then_the_message_is_delivered() -> None:
+    services = RecordingServices()
+    services.dispatcher.register((Greeting,), services.on_message, is_small)
+    services.dispatcher.register((Farewell,), services.on_message, is_small)
+    services.dispatcher.send(3, Farewell(7))
+    ((to, data),) = services.sent
     assert (to, data[: len(CLUSTER_PREFIX)]) == (3, CLUSTER_PREFIX)
-    scene.dispatcher.on_datagram(1, data[len(CLUSTER_PREFIX) :])
-    assert scene.received == [(1, Farewell(7))]
+    services.dispatcher.on_datagram(1, data[len(CLUSTER_PREFIX) :])
+    assert services.received == [(1, Farewell(7))]
 
 
-def test_dispatcher_when_fields_are_invalid_or_bytes_are_no_message_then_it_drops_them() -> None:
-    scene = Scene()
-    scene.dispatcher.register((Greeting,), scene.on_message, is_small)
+def test_dispatcher_when_a_datagram_is_invalid_then_it_is_dropped() -> None:
+    services = RecordingServices()
+    services.dispatcher.register((Greeting,), services.on_message, is_small)
     for data in (msgspec.msgpack.encode(Greeting(10)), msgspec.msgpack.encode(Farewell(1)), b"", b"\xc1"):
-        scene.dispatcher.on_datagram(1, data)
-    assert scene.received == []
-    assert scene.dropped_count == 4
+        services.dispatcher.on_datagram(1, data)
+    assert services.received == []
+    assert services.dropped_count == 4
 
 
 def test_dispatcher_when_no_service_is_registered_then_datagrams_are_ignored() -> None:
-    scene = Scene()
-    scene.dispatcher.on_datagram(1, msgspec.msgpack.encode(Greeting(1)))
-    assert scene.dropped_count == 0
+    services = RecordingServices()
+    services.dispatcher.on_datagram(1, msgspec.msgpack.encode(Greeting(1)))
+    assert services.dropped_count == 0
 
 
-def test_dispatcher_when_two_types_have_one_tag_then_registering_fails() -> None:
-    scene = Scene()
-    scene.dispatcher.register((Greeting,), scene.on_message, is_small)
+def test_dispatcher_when_two_types_have_the_same_tag_then_registering_fails() -> None:
+    services = RecordingServices()
+    services.dispatcher.register((Greeting,), services.on_message, is_small)
     with pytest.raises(TypeError):
-        scene.dispatcher.register((SameTag,), scene.on_message, is_small)
+        services.dispatcher.register((SameTag,), services.on_message, is_small)
--- a/tests/controller/test_persistence.py
+++ b/tests/controller/test_persistence.py
@@ -1,4 +1,4 @@
-"""A controller whose store does not write for a while."""
+"""A controller whose store temporarily cannot be written."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
 from tests.controller.support import ROWS, play, send_heartbeats
 
 
-def test_store_when_it_cannot_write_then_orders_go_on_and_a_restart_recalls_them(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_store_when_it_cannot_write_then_orders_are_still_sent_and_recovered_after_a_restart(tmp_path: Path) -> None:
+    async def scenario() -> None:
         lock = sqlite3.connect(tmp_path / "s.db", isolation_level=None)
-        async with Running(tmp_path) as r:
-            r.steward.host_sources.on_host_rows(True, 1, ROWS)
-            one = await r.joined(1)
-            keep = asyncio.create_task(send_heartbeats(one))
-            r.do(api.SetWeight(0, 10, 1.0))
-            await one.until(frames.Orders)
+        async with Running(tmp_path) as running:
+            running.steward.host_sources.on_host_rows(True, 1, ROWS)
+            peer = await running.joined(1)
+            heartbeats = asyncio.create_task(send_heartbeats(peer))
+            running.do(api.SetWeight(0, 10, 1.0))
+            await peer.until(frames.Orders)
             await asyncio.sleep(0.1)
-            r.steward.host_sources.save()
+            running.steward.host_sources.save()
             lock.execute("begin immediate")
-            r.do(api.SetWeight(0, 11, 1.0), api.SetWeight(0, 10, 0.0))
-            order = await one.until(frames.Orders, lambda f: f.seq == 2)
-            assert order.lines == [(0, 11, 1.0), (0, 10, 0.0)], "a drain does not wait for a disk"
-            status, body = await r.get("GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+            running.do(api.SetWeight(0, 11, 1.0), api.SetWeight(0, 10, 0.0))
+            order = await peer.until(frames.Orders, lambda frame: frame.seq == 2)
+            assert order.lines == [(0, 11, 1.0), (0, 10, 0.0)], "a drain is sent although the store cannot be written"
+            status, body = await running.get("GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
             assert status == 503
             assert b"locked" in body
-            # The steward dies before the store is well again: only the forwarder knows the newest table.
-            r.steward.engine.unsaved_tables.clear()
-            r.steward.host_sources.is_unsaved = False
-            keep.cancel()
+            # The controller stops before the store can be written again: only the proxy has the latest table.
+            running.steward.engine.unsaved_tables.clear()
+            running.steward.host_sources.is_unsaved = False
+            heartbeats.cancel()
         lock.execute("rollback")
-        async with Running(tmp_path) as r:
-            peer = await r.peer()
+        async with Running(tmp_path) as running:
+            peer = await running.peer()
             peer.hello(1, is_fresh=False, start_number=1, seq=2)
             await peer.until(frames.HeldTablesRequest)
             peer.say(frames.HeldTables(1, 2, [(0, [(11, 1.0)])]))
@@ -47,23 +47,23 @@
                 lambda: sqlite3.connect(tmp_path / "s.db").execute("select * from line").fetchall() == [(0, 11, 1.0)]
             )
 
-    play(scene())
+    play(scenario())
 
 
-def test_store_when_it_writes_again_then_it_gets_everything(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with Running(tmp_path) as r:
-            await r.joined(1)
+def test_store_when_it_can_be_written_again_then_it_gets_all_tables(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with Running(tmp_path) as running:
+            await running.joined(1)
             lock = sqlite3.connect(tmp_path / "s.db", isolation_level=None)
             lock.execute("begin immediate")
             for host in (10, 11, 12):
-                r.do(api.SetWeight(0, host, 1.0))
+                running.do(api.SetWeight(0, host, 1.0))
                 await asyncio.sleep(0.03)
-            assert r.steward.persistence.error_count > 0
+            assert running.steward.persistence.error_count > 0
             lock.execute("rollback")
-            await until(lambda: r.steward.persistence.error_count == 0)
+            await until(lambda: running.steward.persistence.error_count == 0)
             rows = lock.execute("select host from line order by host").fetchall()
             assert rows == [(10,), (11,), (12,)]
-            assert r.steward.engine.unsaved_tables == {}
+            assert running.steward.engine.unsaved_tables == {}
 
-    play(scene())
+    play(scenario())
--- a/tests/controller/test_quota_service.py
+++ b/tests/controller/test_quota_service.py
@@ -1,4 +1,4 @@
-"""The quota service in a controller on real sockets: what is granted, what a reload takes, what is dropped."""
+"""The quota service of a controller on real sockets: grants, resizing by a reload, dropped datagrams."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from corallanding import interface as api
 
 
-def test_quota_when_alone_then_all_is_granted_reload_resizes_it_and_unknown_senders_are_dropped(tmp_path: Path) -> None:
-    """One controller of one elects itself. Health checks of one host beyond the quota end as FULL, and cost nothing."""
+def test_quota_when_alone_then_it_is_granted_resized_by_reload_and_unknown_senders_are_dropped(tmp_path: Path) -> None:
+    """A single controller elects itself. Health checks beyond the quota of a host end as FULL and use no quota."""
     blocks = 'budget "probes" {\n whole = 1\n per = "host"\n unit = "per_s"\n floor = 1\n}\n'
     blocks += f'budgets {{\n office_ms = 100\n lease_ms = 100\n witness = "{tmp_path}/uses"\n}}\n'
     steward_block = 'steward {\n  peer_listen = "127.0.0.1:0"'
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with Running(tmp_path, blocks, config=CONFIG.replace("steward {", steward_block)) as running:
             controller = running.steward
             cluster = controller.peers.cluster
@@ -31,7 +31,7 @@
             await until(lambda: sum(isinstance(event, api.HealthCheckResult) for event in running.module.told) == 2)
             outcomes = [event.outcome for event in running.module.told if isinstance(event, api.HealthCheckResult)]
             assert outcomes == [api.HealthCheckOutcome.FULL] * 2, (
-                "the floor is waited for: a former process may have used it"
+                "the floor is not available at first, because an earlier process may have used it"
             )
             await until(lambda: quota.may_begin("probes", 7, True))
             assert not quota.may_begin("probes", 7, True)
@@ -53,4 +53,4 @@
             assert b"corallanding_budget_divider 0.0" in page
         assert len((tmp_path / "uses").read_text().splitlines()) >= 5
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/controller/test_record_store.py
+++ b/tests/controller/test_record_store.py
@@ -1,4 +1,4 @@
-"""The file of quorum records: what was written is read after any end, with its age; one process at a time."""
+"""The file of quorum records: records keep their age over restarts, and only one process has the file open."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 
 
 class OpenStore(NamedTuple):
-    """A store, and the replica that was read from it."""
+    """A store, and the replica that was loaded from it."""
 
     store: RecordStore
     replica: Replica
 
     def save(self) -> None:
-        """Write what changed in the replica."""
+        """Write the changes of the replica."""
         self.store.write(self.replica.take_unsaved())
 
 
-def open_store(path: Path, now: float = 5_000.0) -> OpenStore:
-    store = RecordStore(str(path), lambda: now)
+def open_store(path: Path, now_ms: float = 5_000.0) -> OpenStore:
+    store = RecordStore(str(path), lambda: now_ms)
     replica = Replica(RecordLimits())
     replica.is_recovering = store.is_blank
     store.load(replica)
     return OpenStore(store, replica)
 
 
-def test_store_when_reopened_then_records_have_their_age_and_the_fencing_tokens_are_known(tmp_path: Path) -> None:
+def test_store_when_reopened_then_records_keep_their_age_and_fencing_tokens_are_loaded(tmp_path: Path) -> None:
     opened = open_store(tmp_path / "r.db")
     assert opened.store.is_blank
     assert opened.store.opening_number == 1
@@ -50,13 +50,13 @@
     assert opened.replica.highest_tokens[7] == 13
     assert not opened.store.is_blank
     assert opened.store.opening_number == 2
-    assert 1_000.0 <= 1_000.0 - record.created_at_ms < 6_000.0, "a second old when it was written, and goes on"
+    assert 1_000.0 <= 1_000.0 - record.created_at_ms < 6_000.0, "its age was 1 s when it was written, and increases"
     assert opened.store.load(Replica(RecordLimits())) == {2: (5, 77, 40)}
     assert opened.replica.write_count == 1
     opened.store.close()
 
 
-def test_store_when_opened_after_another_boot_then_ages_go_by_the_wall_clock(
+def test_store_when_opened_after_a_reboot_then_ages_come_from_the_wall_clock(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     opened = open_store(tmp_path / "r.db")
@@ -71,13 +71,11 @@
     assert 61_000.0 <= 5_000.0 - opened.replica.groups[7][99].created_at_ms < 66_000.0
     opened.store.close()
     opened = open_store(tmp_path / "r.db")
-    assert 61_000.0 <= 5_000.0 - opened.replica.groups[7][99].created_at_ms < 66_000.0, (
-        "from here on by this boot's clock"
-    )
+    assert 61_000.0 <= 5_000.0 - opened.replica.groups[7][99].created_at_ms < 66_000.0, "converted to this boot's clock"
     opened.store.close()
 
 
-def test_store_when_another_process_holds_it_or_it_is_closed_then_it_is_refused(tmp_path: Path) -> None:
+def test_store_when_another_process_has_it_open_or_it_is_closed_then_access_fails(tmp_path: Path) -> None:
     opened = open_store(tmp_path / "r.db")
     with pytest.raises(OSError, match=r"r\.db"):
         RecordStore(str(tmp_path / "r.db"), lambda: 0.0)
@@ -90,21 +88,21 @@
     other.store.close()
 
 
-def test_write_when_the_file_is_locked_then_nothing_of_it_is_stored(tmp_path: Path) -> None:
+def test_write_when_the_file_is_locked_then_nothing_is_stored(tmp_path: Path) -> None:
     opened = open_store(tmp_path / "r.db")
     with sqlite3.connect(tmp_path / "r.db", isolation_level=None) as other:
         other.execute("begin immediate")
         opened.replica.put(7, 99, 3, (12, 4), 0.0)
-        what = opened.replica.take_unsaved()
+        changes = opened.replica.take_unsaved()
         with pytest.raises(OSError, match="locked"):
-            opened.store.write(what)
+            opened.store.write(changes)
         other.execute("rollback")
-    opened.store.write(what)
+    opened.store.write(changes)
     opened.store.close()
     assert list(open_store(tmp_path / "r.db").replica.groups[7]) == [99]
 
 
-def test_store_when_an_old_copy_is_put_back_then_it_has_fewer_writes(tmp_path: Path) -> None:
+def test_store_when_an_old_copy_is_restored_then_it_has_fewer_writes(tmp_path: Path) -> None:
     opened = open_store(tmp_path / "r.db")
     write_counts = []
     for key in range(1, 6):
@@ -119,7 +117,7 @@
     copy = open_store(tmp_path / "copy.db")
     assert write_counts == [1, 2, 3, 4, 5]
     assert copy.replica.write_count == 3
-    assert copy.store.opening_number == 2, "by its openings alone it would pass"
+    assert copy.store.opening_number == 2, "the opening number alone does not reveal the old copy"
     copy.store.close()
 
 
--- a/tests/controller/test_recorder.py
+++ b/tests/controller/test_recorder.py
@@ -1,4 +1,4 @@
-"""A recording ends where its disk does."""
+"""A recording stops at the last complete item when the disk is full."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def test_recording_when_the_disk_is_full_then_ends_at_the_last_complete_item(tmp_path: Path) -> None:
-    """A part of an item, then room again: what follows a torn item could not be read, and is not written."""
+    """After a short write, items are not written even if the disk has space again: they would be unreadable."""
     recording = recorder.Recorder(tmp_path / "r", SETTINGS, 1, 1e9)
     recording.write_step(1.0, [], [])
     real_file = recording.file
@@ -32,12 +32,12 @@
     assert recording.is_stopped
     assert "a part" in recording.stop_reason
     recording.close()
-    found = recorder.read_recording(tmp_path / "r")
-    assert [now for now, _, _ in found.steps] == [1.0]
-    assert found.is_truncated
-    with open("/dev/full", "wb", buffering=0) as full:
+    read = recorder.read_recording(tmp_path / "r")
+    assert [now_ms for now_ms, _, _ in read.steps] == [1.0]
+    assert read.is_truncated
+    with open("/dev/full", "wb", buffering=0) as full_device:
         recording = recorder.Recorder(tmp_path / "r", SETTINGS, 1, 1e9)
-        recording.file = full
+        recording.file = full_device
         recording.write_step(1.0, [], [])
         assert recording.is_stopped
         assert "No space left" in recording.stop_reason
--- a/tests/controller/test_recovery.py
+++ b/tests/controller/test_recovery.py
@@ -1,4 +1,4 @@
-"""An engine restored from snapshot and log goes on as the one that was killed; what does not fit is refused."""
+"""An engine restored from snapshot and log continues like the killed one; a mismatched state is rejected."""
 
 from __future__ import annotations
 
@@ -32,32 +32,34 @@
 HOSTS = tuple(api.HostEntry(h) for h in range(5))
 
 
-class Rig:
-    """An engine driven by hand, with the store's tables and a log of its steps beside it."""
+class SteppedEngine:
+    """An engine that a test steps directly, with the tables of the store and a log of its steps."""
 
     def __init__(self, start_number: int = 1, tables: dict[int, dict[int, float]] | None = None) -> None:
-        addresses = {h: f"127.0.0.1:{9000 + h}" for h in range(5)}
+        addresses = {host: f"127.0.0.1:{9000 + host}" for host in range(5)}
         self.engine = Engine(
             SETTINGS, start_number, StoreContents(start_number, tables=tables or {}), range(12), addresses, Assigner
         )
         self.log: list[Any] = []
-        self.now = 1e9
+        self.now_ms = 1e9
 
-    def begin(self) -> None:
-        self.engine.start(self.now, api.HostListUpdate(api.HostListKind.FULL, 1, HOSTS))
-        self.engine.add_event(self.now, api.ProxyJoined(1, 0, 10.0, True))
+    def start(self) -> None:
+        self.engine.start(self.now_ms, api.HostListUpdate(api.HostListKind.FULL, 1, HOSTS))
+        self.engine.add_event(self.now_ms, api.ProxyJoined(1, 0, 10.0, True))
 
     def run(self, steps: int) -> None:
         for number in range(steps):
-            self.now += 250.0
+            self.now_ms += 250.0
             if number % 4 == 0:
-                for host in range(5):  # host 3 fails all, the others are late
+                for host in range(5):  # host 3 fails all requests, the others are late
                     self.engine.add_event(
-                        self.now, api.HostUsageReport(0, host, 40, 40 if host == 3 else 4, 1500.0, 1000.0)
+                        self.now_ms, api.HostUsageReport(0, host, 40, 40 if host == 3 else 4, 1500.0, 1000.0)
                     )
                 for slice_number in range(12):
-                    self.engine.add_event(self.now, api.SliceUsageReport(slice_number, 0, 20 + slice_number, 2, 1000.0))
-            self.engine.decide(self.now)
+                    self.engine.add_event(
+                        self.now_ms, api.SliceUsageReport(slice_number, 0, 20 + slice_number, 2, 1000.0)
+                    )
+            self.engine.decide(self.now_ms)
             assert self.engine.last_step
             self.log.append(self.engine.last_step)
             self.engine.publish(True)
@@ -69,64 +71,66 @@
 
 
 def weights(engine: Engine) -> dict[int, dict[int, float]]:
-    return {t: dict(row) for t, row in engine.published.tables.items()}
+    return {table: dict(row) for table, row in engine.published.tables.items()}
 
 
 @pytest.mark.parametrize("cut", [0, 1, 7, 30])
-def test_restore_when_run_on_then_decides_as_the_engine_that_was_killed(cut: int) -> None:
-    one = Rig()
-    one.begin()
-    one.run(60)
-    state = one.state()
-    tail = len(one.log)
-    one.run(cut)
-    two = Rig(2, weights(one.engine))
-    two.now = one.now
-    assert restore(two.engine, state, one.log[tail:], one.now) == (cut, [])
-    assert isinstance(one.engine.assigner, Assigner)
-    assert isinstance(two.engine.assigner, Assigner)
-    assert two.engine.assigner.admission.level == one.engine.assigner.admission.level < 1.0
-    assert two.engine.published.admissions == one.engine.published.admissions
-    assert [t[::2] for t in sorted(two.engine.timers)] == [t[::2] for t in sorted(one.engine.timers)]
-    two.engine.pending_events = []  # but for the forwarders that are gone, which only the second is told of
-    one.run(40)
-    two.run(40)
-    assert [x[2] for x in two.log] == [x[2] for x in one.log[tail + cut :]]
-
-
-def test_restore_when_the_store_differs_then_its_tables_count() -> None:
-    one = Rig()
-    one.begin()
-    one.run(30)
-    tables = weights(one.engine)
-    tables[4] = {1: 1.0, 2: 1.0}  # a step that was kept and not logged, or the other way round
-    two = Rig(2, tables)
-    assert restore(two.engine, one.state(), [], one.now)[1] == [4]
-    two.now = one.now
-    two.run(8)
-    module = two.engine.assigner
+def test_restore_when_continued_then_decides_like_the_killed_engine(cut: int) -> None:
+    first = SteppedEngine()
+    first.start()
+    first.run(60)
+    state = first.state()
+    step_count = len(first.log)
+    first.run(cut)
+    second = SteppedEngine(2, weights(first.engine))
+    second.now_ms = first.now_ms
+    assert restore(second.engine, state, first.log[step_count:], first.now_ms) == (cut, [])
+    assert isinstance(first.engine.assigner, Assigner)
+    assert isinstance(second.engine.assigner, Assigner)
+    assert second.engine.assigner.admission.level == first.engine.assigner.admission.level < 1.0
+    assert second.engine.published.admissions == first.engine.published.admissions
+    assert [timer[::2] for timer in sorted(second.engine.timers)] == [
+        timer[::2] for timer in sorted(first.engine.timers)
+    ]
+    second.engine.pending_events = []  # removes the notices of lost proxies, which only the second engine gets
+    first.run(40)
+    second.run(40)
+    assert [step[2] for step in second.log] == [step[2] for step in first.log[step_count + cut :]]
+
+
+def test_restore_when_the_store_differs_then_its_tables_are_used() -> None:
+    first = SteppedEngine()
+    first.start()
+    first.run(30)
+    tables = weights(first.engine)
+    tables[4] = {1: 1.0, 2: 1.0}  # as if a step was saved but not logged, or logged but not saved
+    second = SteppedEngine(2, tables)
+    assert restore(second.engine, first.state(), [], first.now_ms)[1] == [4]
+    second.now_ms = first.now_ms
+    second.run(8)
+    module = second.engine.assigner
     assert isinstance(module, Assigner)
-    assert {t: set(row) for t, row in weights(two.engine).items()} == {
+    assert {table: set(row) for table, row in weights(second.engine).items()} == {
         s.id: {h.id for h in s.weights} for s in module.slices.values()
     }
 
 
-def test_restore_when_the_log_is_decided_otherwise_then_refused_and_nothing_is_touched() -> None:
-    one = Rig()
-    one.begin()
-    one.run(30)
-    state, tail = one.state(), len(one.log)
-    one.run(8)
-    steps = [*one.log[tail:]]
+def test_restore_when_replay_gives_other_actions_then_rejected_and_the_engine_is_unchanged() -> None:
+    first = SteppedEngine()
+    first.start()
+    first.run(30)
+    state, step_count = first.state(), len(first.log)
+    first.run(8)
+    steps = [*first.log[step_count:]]
     at, events, actions = steps[5]
-    steps[5] = (at, events, [*actions, api.LogNote("a thought of another version")])
-    two = Rig(2, weights(one.engine))
-    module = two.engine.assigner
+    steps[5] = (at, events, [*actions, api.LogNote("only in the log")])
+    second = SteppedEngine(2, weights(first.engine))
+    module = second.engine.assigner
     with pytest.raises(StateMismatchError, match="step 6 of the log"):
-        restore(two.engine, state, steps, one.now)
-    assert two.engine.assigner is module
-    assert not two.engine.pending_events
-    assert not two.engine.timers
+        restore(second.engine, state, steps, first.now_ms)
+    assert second.engine.assigner is module
+    assert not second.engine.pending_events
+    assert not second.engine.timers
 
 
 @pytest.mark.parametrize(
@@ -138,11 +142,11 @@
         ({"start_number": 7}, "start number 7, the last one was 1"),
     ],
 )
-def test_state_when_it_belongs_elsewhere_then_refused_with_the_reason(change: dict[str, Any], why: str) -> None:
-    one = Rig()
-    one.begin()
-    one.run(5)
-    state = one.state()
+def test_state_when_it_is_from_another_run_then_rejected_with_the_reason(change: dict[str, Any], why: str) -> None:
+    first = SteppedEngine()
+    first.start()
+    first.run(5)
+    state = first.state()
     check_state(state, 0, SETTINGS, "boot", 2)
     for name, value in change.items():
         setattr(state, name, value)
@@ -151,21 +155,21 @@
 
 
 def test_log_when_cut_at_any_byte_then_restored_to_its_last_complete_step(tmp_path: Path) -> None:
-    one = Rig()
-    one.begin()
-    one.run(20)
-    state, tail = one.state(), len(one.log)
+    first = SteppedEngine()
+    first.start()
+    first.run(20)
+    state, step_count = first.state(), len(first.log)
     log = recorder.Recorder(tmp_path / "log", SETTINGS, 1, 1e9, starts_after_snapshot=True)
-    one.run(3)
-    sizes = [log.written_bytes]
-    for now, events, actions in one.log[tail:]:
-        log.write_step(now, events, actions)
-        sizes.append(log.written_bytes)
+    first.run(3)
+    end_offsets = [log.written_bytes]
+    for now_ms, events, actions in first.log[step_count:]:
+        log.write_step(now_ms, events, actions)
+        end_offsets.append(log.written_bytes)
     log.close()
-    whole = (tmp_path / "log").read_bytes()
-    for cut in range(sizes[0], len(whole) + 1):
-        (tmp_path / "log").write_bytes(whole[:cut])
+    complete = (tmp_path / "log").read_bytes()
+    for cut in range(end_offsets[0], len(complete) + 1):
+        (tmp_path / "log").write_bytes(complete[:cut])
         steps = recorder.read_recording(tmp_path / "log").steps
-        assert len(steps) == sum(size <= cut for size in sizes[1:])
-        if cut in sizes or cut % 97 == 0:
-            assert restore(Rig(2, weights(one.engine)).engine, state, steps, one.now)[0] == len(steps)
+        assert len(steps) == sum(offset <= cut for offset in end_offsets[1:])
+        if cut in end_offsets or cut % 97 == 0:
+            assert restore(SteppedEngine(2, weights(first.engine)).engine, state, steps, first.now_ms)[0] == len(steps)
--- a/tests/controller/test_restart.py
+++ b/tests/controller/test_restart.py
@@ -1,4 +1,4 @@
-"""A controller that is killed and started again goes on where it was."""
+"""A controller that is killed and restarted continues from its snapshot, or else from its tables."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 async def host_list() -> Roster:
-    """A served list of hosts that are up."""
+    """Return a running host list server whose hosts are all up."""
     roster = Roster(Trace())
     await roster.start()
     for host in range(HOST_COUNT):
@@ -34,7 +34,7 @@
 
 
 def configuration(folder: Path, roster: Roster) -> str:
-    """A controller that takes a snapshot five times a second."""
+    """Return the configuration of a controller that takes a snapshot five times a second."""
     text = CONFIG % (folder / "s.db")
     text = text.replace('127.0.0.1:1"', f'127.0.0.1:{roster.port}"')
     snapshots = f'snapshot_path = "{folder / "state.snap"}"\n  snapshot_every_ms = 200\n'
@@ -43,8 +43,8 @@
 
 
 async def read_again(peer: Peer) -> frames.Tables | None:
-    """Read all tables once more; None if they do not come in time."""
-    # Reads in a row wait longer each time, on a busy machine longer than a silent connection may last.
+    """Read all tables again; return None if they do not arrive in time."""
+    # Successive reads are delayed longer each time, on a busy machine beyond the silence timeout of connections.
     peer.say(frames.TablesRequest())
     before = sum(isinstance(frame, frames.Tables) for frame in peer.got)
     for _ in range(MAX_ATTEMPTS):
@@ -58,18 +58,18 @@
 
 
 async def join(port: int) -> tuple[Peer, frames.Tables]:
-    """A joined proxy, and its tables once every one names a host."""
+    """Return a joined proxy, and its tables once each of them has a host."""
     peer = Peer(*await asyncio.open_connection("127.0.0.1", port))
     peer.hello(1)
     tables = await peer.until(frames.Tables)
     while not all(row for _, row in tables.tables) or len(tables.tables) < SLICE_COUNT:
         tables = await read_again(peer) or tables
-    peer.got = []  # versions from before the last read are not to be acknowledged any more
+    peer.got = []  # versions older than the last read must not be acknowledged
     return peer, tables
 
 
 def ack_and_find_reduced_admission(peer: Peer) -> bool:
-    """Acknowledge the messages that came, up to one that reduces admission; whether one does."""
+    """Acknowledge received messages up to one that reduces admission; return whether there is one."""
     for frame in peer.got:
         if isinstance(frame, frames.Orders):
             if frame.version >= 0:
@@ -100,11 +100,11 @@
     snapshot.write_bytes(data)
 
 
-def test_controller_when_killed_then_goes_on_from_snapshot_or_tables(tmp_path: Path) -> None:
-    """Killed twice: restored from the snapshot, then with the snapshot damaged from the tables alone."""
+def test_controller_when_killed_then_continues_from_snapshot_or_tables(tmp_path: Path) -> None:
+    """Kill it twice: it is restored from the snapshot, then, with a damaged snapshot, from the tables alone."""
     snapshot = tmp_path / "state.snap"
 
-    async def scene() -> None:
+    async def scenario() -> None:
         with ControllerProgram(tmp_path, configuration(tmp_path, await host_list())) as program:
             ready = await program.start()
             peer, _ = await join(ready["listen"][0][1])
@@ -124,15 +124,15 @@
 
     async def bounded() -> None:
         async with asyncio.timeout(60):
-            await scene()
+            await scenario()
 
     asyncio.run(bounded())
 
 
-def test_log_when_full_then_its_snapshot_is_removed(tmp_path: Path) -> None:
+def test_step_log_when_full_then_its_snapshot_is_removed(tmp_path: Path) -> None:
     snapshot = tmp_path / "x.snap"
 
-    async def scene() -> None:
+    async def scenario() -> None:
         config = CONFIG.replace(
             "retry_ms = 30",
             f'snapshot_path = "{snapshot}"\n  log_most_mb = 0.002\n  snapshot_every_ms = 60000\n  retry_ms = 30',
@@ -146,5 +146,5 @@
             await until(lambda: running.steward.snapshots.step_log is None)
             assert not snapshot.exists()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
     assert boot_id()
--- a/tests/controller/test_startup.py
+++ b/tests/controller/test_startup.py
@@ -1,4 +1,4 @@
-"""Components are stopped in the reverse order of their starts: after a stop, and after a start that fails half way."""
+"""Components are stopped in the reverse order of their starts: after a stop, and after a start that fails."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from corallanding.store import SqliteStore
 from tests.controller.support import play
 
-# What stops each component, in the order of the starts.
+# The stop method of each component, in the order of the starts.
 STOPS: list[tuple[type, str]] = [
     (SqliteStore, "close"),
     (ActiveRecording, "stop"),
@@ -44,13 +44,13 @@
 ]
 
 
-class PlantedError(OSError):
-    """Raised by a component that a test lets fail."""
+class InjectedError(OSError):
+    """Raised by a component that a test makes fail."""
 
 
 @pytest.fixture
 def stopped(monkeypatch: pytest.MonkeyPatch) -> list[tuple[type, str]]:
-    """What was stopped, in order."""
+    """Record the calls of stop methods, in order."""
     calls: list[tuple[type, str]] = []
 
     def record(component: type, name: str) -> Callable[[Any], None]:
@@ -68,18 +68,18 @@
 
 
 def fail_in(monkeypatch: pytest.MonkeyPatch, component: type, name: str) -> None:
-    """Let one method of a component fail."""
+    """Make one method of a component fail."""
 
     def fail(self: Any, *arguments: Any, **named: Any) -> None:
-        raise PlantedError
+        raise InjectedError
 
     monkeypatch.setattr(component, name, fail)
 
 
-def test_stop_when_all_runs_then_components_are_stopped_in_reverse(
+def test_stop_when_all_components_run_then_they_are_stopped_in_reverse(
     tmp_path: Path, stopped: list[tuple[type, str]]
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with Running(tmp_path) as running:
             running.steward.stop()
             assert stopped == STOPS[::-1]
@@ -88,7 +88,7 @@
             assert stopped == STOPS[::-1], "a second stop does nothing"
             assert await running.steward.wait_stopped() == 0
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize(
@@ -103,7 +103,7 @@
         (SnapshotKeeper, "start", STOPS[: STOPS.index((SnapshotKeeper, "stop")) + 1]),
     ],
 )
-def test_start_when_a_component_fails_then_those_started_are_stopped_in_reverse(
+def test_start_when_a_component_fails_then_started_ones_are_stopped_in_reverse(
     component: type,
     method: str,
     started: list[tuple[type, str]],
@@ -111,33 +111,33 @@
     stopped: list[tuple[type, str]],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         running = Running(tmp_path)
-        with monkeypatch.context() as planted:
-            fail_in(planted, component, method)
-            with pytest.raises(PlantedError):
+        with monkeypatch.context() as patch:
+            fail_in(patch, component, method)
+            with pytest.raises(InjectedError):
                 await running.steward.start()
         assert stopped == started[::-1]
         lifecycle = running.steward.context.lifecycle
         assert not lifecycle.is_running
         assert not lifecycle.is_ready
-        # Nothing holds the store any more: another controller starts on it.
+        # The store has been released: another controller can start on it.
         async with Running(tmp_path) as other:
             await until(lambda: other.steward.context.lifecycle.is_ready)
 
-    play(scene())
+    play(scenario())
 
 
-def test_start_when_a_handover_fails_then_what_is_shared_with_the_old_process_is_left_alone(
+def test_start_when_a_handover_fails_then_shared_resources_of_the_old_process_are_not_closed(
     tmp_path: Path, stopped: list[tuple[type, str]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         running = Running(tmp_path)
         fail_in(monkeypatch, ControlSocket, "start")
         inherited = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        with pytest.raises(PlantedError):
+        with pytest.raises(InjectedError):
             await running.steward.start(None, [inherited.detach()])
         assert stopped == []
         running.steward.stop()
 
-    play(scene())
+    play(scenario())
