--- a/corallanding/controller/context.py
+++ b/corallanding/controller/context.py
@@ -67,7 +67,7 @@
 
 @dataclass
 class Context:
-    """Shared by all components of one controller."""
+    """Objects shared by all components of one controller."""
 
     config: ControllerConfig  # replaced when the configuration is reloaded
     settings: api.Settings  # of the assigner; constant while the process runs
--- a/corallanding/controller/daemon.py
+++ b/corallanding/controller/daemon.py
@@ -65,7 +65,7 @@
         self.store = store or SqliteStore(config.store.path, config.store.sync)
         self.channel = Channel(channel_limits(config))
         self.view = EndpointList(config.roster.hosts_most)
-        self.trust_snapshot = True
+        self.is_snapshot_trusted = True
         self._recording_path = recording_path
         self._resources = Resources(
             self.context,
@@ -138,7 +138,7 @@
         if handover:
             self.context.clock.zero = handover.controller.clock_zero_s
             return None
-        return read_last_state(self.context, contents.start_number, is_trusted=self.trust_snapshot)
+        return read_last_state(self.context, contents.start_number, is_trusted=self.is_snapshot_trusted)
 
     def _start_logs(self, contents: StoreContents, handover: HandoverState | None, *, is_restored: bool) -> None:
         """Start the recording, the snapshots and the step log."""
--- a/corallanding/controller/fleet_view.py
+++ b/corallanding/controller/fleet_view.py
@@ -73,8 +73,8 @@
 
     def addresses(self, hosts: set[int]) -> dict[int, str]:
         """Return the address ("ip:port") of each of `hosts`, if known."""
-        known = self.controller.engine.publisher.addresses
-        return {host: known[host] for host in sorted(hosts) if host in known}
+        addresses = self.controller.engine.publisher.addresses
+        return {host: addresses[host] for host in sorted(hosts) if host in addresses}
 
     def proxies_supporting(self, feature: int) -> list[int]:
         """Return the joined proxies whose hello has the bit of this protocol feature."""
--- a/corallanding/controller/handover.py
+++ b/corallanding/controller/handover.py
@@ -87,9 +87,9 @@
         """Close the store and other files, so that the new process can open them."""
         self._store_release.release()
 
-    def take_back(self) -> None:
+    def reopen_and_resume(self) -> None:
         """Resume after a failed handover. Raises StoreLockedError if another controller holds the store."""
-        self._store_release.take_back()
+        self._store_release.reopen_and_resume()
 
     def finish(self) -> None:
         """Stop this process: the new one is active."""
--- a/corallanding/controller/handover_sender.py
+++ b/corallanding/controller/handover_sender.py
@@ -47,7 +47,7 @@
         """Close the store, so that the new process can open it."""
         ...
 
-    def take_back(self) -> None:
+    def reopen_and_resume(self) -> None:
         """Resume after a failed handover. Raises StoreLockedError if another controller holds the store."""
         ...
 
@@ -124,7 +124,7 @@
             case HandoverCommand.SEND_COMMIT:
                 self.open_pipe.send_message(HandoverMessage.COMMIT)
             case HandoverCommand.RESUME:
-                self.source.take_back()
+                self.source.reopen_and_resume()
             case HandoverCommand.EXIT:
                 self.source.finish()
 
--- a/corallanding/controller/handover_state.py
+++ b/corallanding/controller/handover_state.py
@@ -61,13 +61,13 @@
 
 @dataclass(frozen=True)
 class HostListState:
-    """The host list of this process; `starts` are the wall-clock start times of host processes, ms."""
+    """The host list of this process; `process_starts_ms` are wall-clock start times of the host processes."""
 
     version: int
     entries: list[api.HostEntry]
     addresses: dict[int, str]
-    starts: dict[int, float]
-    known_hosts: list[int]
+    process_starts_ms: dict[int, float]
+    hosts_ever_listed: list[int]
 
 
 @dataclass(frozen=True)
@@ -97,7 +97,9 @@
         tables=_stored_tables(engine.published.tables),
         unsaved_tables=_stored_tables(engine.unsaved_tables),
         unsaved_resets=sorted(engine.unsaved_resets),
-        pending_events=[(at, sequence, to_stored_item(event)) for at, sequence, event in engine.pending_events],
+        pending_events=[
+            (time_ms, sequence, to_stored_item(event)) for time_ms, sequence, event in engine.pending_events
+        ],
         proxy_zones=list(engine.proxy_zones.items()),
         leaving_hosts=sorted(engine.publisher.leaving_hosts),
         usage_due_at=engine.usage_due_at,
@@ -113,8 +115,8 @@
         host_list_version=host_list.version,
         host_entries=[StoredHostEntry.of(entry) for entry in host_list.entries],
         host_addresses=host_list.addresses,
-        host_starts=host_list.starts,
-        known_hosts=host_list.known_hosts,
+        host_starts=host_list.process_starts_ms,
+        known_hosts=host_list.hosts_ever_listed,
         load_factors=extras.load_factors,
         load_reports=extras.load_reports,
         recording=extras.recording,
@@ -135,7 +137,9 @@
 def _stored_waiting_joins(joins: JoinAdmission) -> list[tuple[int, float, int]]:
     """Return the waiting proxies, without those that have cancelled."""
     return [
-        (proxy, at, sequence) for at, sequence, proxy in sorted(joins.queue) if joins.admissible_at.get(proxy) == at
+        (proxy, admissible_at_ms, sequence)
+        for admissible_at_ms, sequence, proxy in sorted(joins.queue)
+        if joins.admissible_at.get(proxy) == admissible_at_ms
     ]
 
 
@@ -172,7 +176,7 @@
     engine.last_sequence = state.last_sequence + len(engine.pending_events) + len(engine.timers)
     engine.unsaved_tables = {table: dict(weights) for table, weights in state.unsaved_tables}
     engine.unsaved_resets = set(state.unsaved_resets)
-    handed_over = [(at, sequence, from_stored_item(raw)) for at, sequence, raw in state.pending_events]
+    handed_over = [(time_ms, sequence, from_stored_item(raw)) for time_ms, sequence, raw in state.pending_events]
     engine.pending_events = handed_over + engine.pending_events
     engine.proxy_zones = dict(state.proxy_zones)
     engine.recall_until = now_ms - 1.0  # proxies have the same tables as this process: none are requested back
@@ -180,15 +184,15 @@
 
 def _restore_usage(engine: Engine, state: HandoverState) -> None:
     engine.usage_due_at = state.usage_due_at
-    for kind, first, second, since, total, failed, latency_sum_ms in state.usage_tallies:
-        key = (UsageKind(kind), first, second)
-        engine.usage.tallies[key] = UsageTally(since, total, failed, latency_sum_ms)
+    for kind, first_id, second_id, since_ms, total, failed, latency_sum_ms in state.usage_tallies:
+        key = (UsageKind(kind), first_id, second_id)
+        engine.usage.tallies[key] = UsageTally(since_ms, total, failed, latency_sum_ms)
     engine.usage.available_reports, engine.usage.replenished_at = state.usage_pace
 
 
 def _restore_joins(joins: JoinAdmission, state: HandoverState) -> None:
     joins.histories = {proxy: JoinHistory(last, interval_ms) for proxy, last, interval_ms in state.join_histories}
-    joins.admissible_at = {proxy: at for proxy, at, _ in state.waiting_joins}
-    joins.queue = sorted((at, sequence, proxy) for proxy, at, sequence in state.waiting_joins)
+    joins.admissible_at = {proxy: admissible_at_ms for proxy, admissible_at_ms, _ in state.waiting_joins}
+    joins.queue = sorted((at_ms, sequence, proxy) for proxy, at_ms, sequence in state.waiting_joins)
     joins.tokens, joins.replenished_at = state.join_pace
     joins.last_sequence = max((sequence for _, _, sequence in state.waiting_joins), default=0)
--- a/corallanding/controller/idempotency_queries.py
+++ b/corallanding/controller/idempotency_queries.py
@@ -21,10 +21,10 @@
 
 @dataclass(frozen=True)
 class ClaimQuery:
-    """A claim to release the job. sent_at: on the journal's clock, ms."""
+    """A claim to release the job. sent_at_ms: on the journal's clock."""
 
     job: Job
-    sent_at: float
+    sent_at_ms: float
 
 
 @dataclass(frozen=True)
@@ -60,7 +60,7 @@
         number = self.claims.query_claim(now_ms, job, owner)
         self._send(number, ClaimQuery(job, ActionJournal.now_ms()))
 
-    def give_back(self, now_ms: float, job: Job, owner: int) -> None:
+    def return_claim(self, now_ms: float, job: Job, owner: int) -> None:
         """Return a granted claim of a job that was not released and will not be."""
         self._send(self.claims.query_release(now_ms, job, owner), ReturnQuery())
 
--- a/corallanding/controller/job_journal.py
+++ b/corallanding/controller/job_journal.py
@@ -23,11 +23,11 @@
         row = (round(priority, 4), list(counted))
         self.journal.write(event, now_ms, self.incarnation, job.proxy, job.ticket, *row)
 
-    def on_returned(self, job: Job, claimed_at: float, blocked_ms: float) -> None:
-        """Record a claim without a release. claimed_at: when it was sent, ms. blocked_ms: how long it is blocked."""
+    def on_returned(self, job: Job, claimed_at_ms: float, blocked_ms: float) -> None:
+        """Record a claim without a release. claimed_at_ms: when it was sent. blocked_ms: how long it is blocked."""
         blocked_until_ms = ActionJournal.now_ms() + blocked_ms
         event = JournalEvent.JOB_RETURNED
-        self.journal.write(event, claimed_at, self.incarnation, job.proxy, job.ticket, blocked_until_ms)
+        self.journal.write(event, claimed_at_ms, self.incarnation, job.proxy, job.ticket, blocked_until_ms)
 
     def on_quota(self, *, is_exhausted: bool) -> None:
         """Record that this controller has jobs to release but no quota, or has quota again."""
--- a/corallanding/controller/job_terms.py
+++ b/corallanding/controller/job_terms.py
@@ -17,14 +17,14 @@
     DOES_NOT_WAIT = "does-not-wait"
 
 
-class JobOrder(StrEnum):
+class JobInstruction(StrEnum):
     """The instruction to a proxy about a job that waited."""
 
     SEND = "go"
     DROP_DUPLICATE = "twin"
 
 
-class JobEnd(StrEnum):
+class JobOutcome(StrEnum):
     """The outcome of a job, as the label of a metric; the core adds the reasons for a rejection."""
 
     TAKEN = "taken"
--- a/corallanding/controller/main.py
+++ b/corallanding/controller/main.py
@@ -69,7 +69,7 @@
     earlier_starts = starts.read()
     advice = advise_start(earlier_starts, wall_ms)
     starts.write([*earlier_starts[-advice.recent_failures :], wall_ms] if advice.recent_failures else [wall_ms])
-    controller.trust_snapshot = advice.may_use_snapshot
+    controller.is_snapshot_trusted = advice.may_use_snapshot
     if advice.wait_ms:
         log.error("crash loop: waiting before the next attempt", deaths=advice.recent_failures, wait_ms=advice.wait_ms)
         await asyncio.sleep(advice.wait_ms / 1000.0)
--- a/corallanding/controller/pinned_jobs.py
+++ b/corallanding/controller/pinned_jobs.py
@@ -32,7 +32,7 @@
             tuple[int, int], VersionState
         ] = {}  # by class number and release set, as last sent to the core
 
-    def forget(self, job: Job) -> None:
+    def invalidate(self, job: Job) -> None:
         """Clear the cached state for a newly queued job: the next update notifies the queue even if it is unchanged."""
         self.states.pop((job.job_class, job.release_set), None)
 
--- a/corallanding/controller/pinning_service.py
+++ b/corallanding/controller/pinning_service.py
@@ -148,7 +148,7 @@
         now_ms = self.context.clock()
         if self.rate_limiter.try_take(sender, now_ms):
             answers: list[Action] = [*self.core.on_message(sender, message)]
-            self.records.carry_out(self.records.fleet.in_send_order(now_ms, answers))
+            self.records.persist_and_send(self.records.fleet.in_send_order(now_ms, answers))
         else:
             self.rejected_messages += 1
 
--- a/corallanding/controller/record_service.py
+++ b/corallanding/controller/record_service.py
@@ -51,8 +51,8 @@
 class RecordService(ClusterService):
     """Stores this controller's replica on disk before any message that depends on it is sent.
 
-    Dependent services query through `fleet.queries`, send through `carry_out`, and register in `listeners` to be called
-    when answers may be available. Raises OSError if its file or the journal cannot be used.
+    Dependent services query through `fleet.queries`, send through `persist_and_send`, and register in `listeners` to be
+    called when answers may be available. Raises OSError if its file or the journal cannot be used.
     """
 
     message_types: ClassVar[tuple[type, ...]] = (
@@ -92,7 +92,7 @@
         """Return whether the fields of a message are within the ranges that a correct controller sends."""
         return messages.is_valid(message)
 
-    def carry_out(self, actions: list[Action]) -> None:
+    def persist_and_send(self, actions: list[Action]) -> None:
         """Store pending changes, then send the messages; if storing fails, nothing is sent."""
         self.unwritten += [action for action in actions if isinstance(action, Persist)]
         if not self._write():
@@ -124,19 +124,19 @@
 
     def _send_queries(self) -> None:
         self.is_send_scheduled = False
-        self.carry_out(self.fleet.send_new_queries(self.context.clock()))
+        self.persist_and_send(self.fleet.send_new_queries(self.context.clock()))
 
     def on_message(self, sender: int, message: Any) -> None:
         """Handle a message on records; while the file cannot be written, messages are ignored as if they were lost."""
         if self.unwritten and not self._write():
             return
-        self.carry_out(self.fleet.on_message(self.context.clock(), sender, message))
+        self.persist_and_send(self.fleet.on_message(self.context.clock(), sender, message))
 
     def on_tick(self, tick: Tick) -> None:
         """Execute due actions; call it after the tick of the tasks and of the dependent services."""
         due_actions = self.due_actions
         self.due_actions = []
-        self.carry_out(self.fleet.tick(tick.now_ms, due_actions))
+        self.persist_and_send(self.fleet.tick(tick.now_ms, due_actions))
 
     @property
     def rejected(self) -> int:
--- a/corallanding/controller/record_store.py
+++ b/corallanding/controller/record_store.py
@@ -28,11 +28,11 @@
 
 
 class ClockReadings(NamedTuple):
-    """The time in ms on three clocks: the controller's own, the monotonic clock since boot, and the wall clock."""
+    """The time on three clocks: the controller's own, the monotonic clock since boot, and the wall clock."""
 
-    own: float
-    since_boot: float
-    wall: float
+    own_ms: float
+    since_boot_ms: float
+    wall_ms: float
 
 
 class RecordStore:
@@ -84,25 +84,25 @@
         Returns what the other controllers reported about their files, by controller number.
         """
         db = self._open_database()
-        now = self._read_clocks()
-        for group, key, value, token, number, created_at_ms, wall in db.execute("select * from record"):
-            age_ms = max(0.0, now.since_boot - created_at_ms if self.is_same_boot else now.wall - wall)
-            replica.put(group, key, value, Ballot(token, number), now.own - age_ms)
+        clocks = self._read_clocks()
+        for group, key, value, token, number, created_at_ms, wall_ms in db.execute("select * from record"):
+            age_ms = max(0.0, clocks.since_boot_ms - created_at_ms if self.is_same_boot else clocks.wall_ms - wall_ms)
+            replica.put(group, key, value, Ballot(token, number), clocks.own_ms - age_ms)
         for group, token in db.execute("select * from seen"):
             replica.raise_token(group, token)
         replica.take_unsaved()
         replica.write_count = max(replica.write_count - 1, self.writes)
         if not self.is_same_boot:
-            self._move_to_this_boot(db, now)
+            self._move_to_this_boot(db, clocks)
         return {number: PeerFile(*row) for number, *row in db.execute("select * from peer")}
 
-    def _move_to_this_boot(self, db: sqlite3.Connection, now: ClockReadings) -> None:
+    def _move_to_this_boot(self, db: sqlite3.Connection, clocks: ClockReadings) -> None:
         """Convert the times of all records to the clock since this boot, in one transaction."""
         rows = list(db.execute("select wall, grp, key from record"))
         db.execute("begin")
         db.executemany(
             "update record set born = ? where grp = ? and key = ?",
-            [(now.since_boot - max(0.0, now.wall - wall), group, key) for wall, group, key in rows],
+            [(clocks.since_boot_ms - max(0.0, clocks.wall_ms - wall_ms), group, key) for wall_ms, group, key in rows],
         )
         self._write_metadata(db, {"boot": boot_id()})
         db.execute("commit")
@@ -111,10 +111,10 @@
     def write(self, changes: UnsavedChanges) -> None:
         """Write changes of the replica in one transaction. Raises OSError, and then none of them is written."""
         db = self._open_database()
-        now = self._read_clocks()
+        clocks = self._read_clocks()
         try:
             db.execute("begin immediate")
-            self._write_records(db, changes, now)
+            self._write_records(db, changes, clocks)
             self._write_counters(db, changes)
             db.execute("commit")
         except sqlite3.Error as error:
@@ -122,7 +122,7 @@
                 db.execute("rollback")
             raise OSError(f"{self.path}: {error}") from None
 
-    def _write_records(self, db: sqlite3.Connection, changes: UnsavedChanges, now: ClockReadings) -> None:
+    def _write_records(self, db: sqlite3.Connection, changes: UnsavedChanges, clocks: ClockReadings) -> None:
         if changes.is_wiped:
             db.execute("delete from record")
             db.execute("delete from seen")
@@ -130,8 +130,8 @@
         db.executemany("delete from record where grp = ? and key = ?", changes.deleted_keys)
         rows = []
         for group, key, value, token, number, created_at_ms in changes.rows:
-            age_ms = now.own - created_at_ms
-            rows.append((group, key, value, token, number, now.since_boot - age_ms, now.wall - age_ms))
+            age_ms = clocks.own_ms - created_at_ms
+            rows.append((group, key, value, token, number, clocks.since_boot_ms - age_ms, clocks.wall_ms - age_ms))
         db.executemany("insert or replace into record values (?, ?, ?, ?, ?, ?, ?)", rows)
         db.executemany("insert or replace into seen values (?, ?)", changes.highest_tokens.items())
 
--- a/corallanding/controller/recovery.py
+++ b/corallanding/controller/recovery.py
@@ -88,7 +88,7 @@
         [(table, bits, amount, retry) for (table, bits), (amount, retry) in published.admissions.items()],
         sorted(published.cordoned_hosts),
         [(proxy, list(assigned.items())) for proxy, assigned in published.assignments.items()],
-        [(at, timer) for at, _, timer in sorted(engine.timers)],
+        [(due_at_ms, timer) for due_at_ms, _, timer in sorted(engine.timers)],
         [(host, started, since) for (host, started), since in host_origins.items()],
     )
 
@@ -199,7 +199,9 @@
     engine.published.admissions = replay.admissions
     engine.published.cordoned_hosts = replay.cordoned_hosts
     # A sorted list is a heap.
-    engine.timers = [(at, sequence, timer) for sequence, (at, timer) in enumerate(sorted(replay.timers), 1)]
+    engine.timers = [
+        (due_at_ms, sequence, timer) for sequence, (due_at_ms, timer) in enumerate(sorted(replay.timers), 1)
+    ]
     engine.last_sequence += len(replay.timers)
 
 
--- a/corallanding/controller/scheduling_service.py
+++ b/corallanding/controller/scheduling_service.py
@@ -20,7 +20,7 @@
 from .fleet_view import FleetView
 from .idempotency_queries import AgeQuery, ClaimQuery, IdempotencyQueries
 from .job_journal import JobJournal
-from .job_terms import JobAnswer, JobEnd, JobOrder, scheduling_limits, waiting_classes
+from .job_terms import JobAnswer, JobInstruction, JobOutcome, scheduling_limits, waiting_classes
 from .pinned_jobs import PinnedJobs
 from .pinning_service import PinningService
 from .quota_service import QuotaService
@@ -53,13 +53,13 @@
         self.pinning = pinning
         self.fleet_view = fleet_view
         classes = list(config.operation)
-        kinds = waiting_classes(config)
-        self.names = [kind.name for kind in kinds]
-        self.kind_of_class = {classes.index(name): kind for kind, name in enumerate(self.names)}
+        job_classes = waiting_classes(config)
+        self.names = [job_class.name for job_class in job_classes]
+        self.job_class_numbers = {classes.index(name): number for number, name in enumerate(self.names)}
         self.core = Scheduler(
             context.election.peer_ids,
             context.election.incarnation,
-            kinds,
+            job_classes,
             scheduling_limits(config),
             context.clock(),
             self._take_release,
@@ -107,7 +107,7 @@
         if isinstance(frame, frames.JobWithdrawal):
             job = self.core.remove(proxy, frame.ticket, is_abandoned=frame.is_abandoned)
             if job and job.has_claim and frame.is_abandoned:
-                self._give_back(now_ms, job)
+                self._return_claim(now_ms, job)
             return
         match self.sessions.admit(now_ms, proxy, frame):
             case Admission.NOW:
@@ -120,34 +120,34 @@
     def _queue_job(self, proxy: int, frame: frames.JobSubmission, *, received_at_ms: float) -> None:
         """Queue a job. received_at_ms: when it was submitted; it may have been delayed here since."""
         now_ms = self.context.clock()
-        kind = self.kind_of_class.get(frame.request_class)
-        if kind is None:
+        job_class = self.job_class_numbers.get(frame.request_class)
+        if job_class is None:
             self._reply(proxy, frame.ticket, JobAnswer.DOES_NOT_WAIT, 0.0)
             return
         waited_ms = min(frame.waited_ms + now_ms - received_at_ms, self.sessions.age_ms(now_ms, proxy))
         key = record_key_of(f"job {frame.idempotency_key}") if frame.idempotency_key and self.queries else 0
         is_new = (proxy, frame.ticket) not in self.core.tickets
         job, rejection, max_wait_ms = self.core.admit(
-            now_ms, self.alive, proxy, frame.ticket, kind, waited_ms, key, frame.release_set
+            now_ms, self.alive, proxy, frame.ticket, job_class, waited_ms, key, frame.release_set
         )
         self._reply(proxy, frame.ticket, rejection or JobAnswer.WAITING, max_wait_ms)
         if rejection is not None:
-            self._count(kind, rejection)
+            self._count(job_class, rejection)
         elif job is not None and is_new:
-            self._count(kind, JobEnd.TAKEN)
+            self._count(job_class, JobOutcome.TAKEN)
             self._on_new_job(now_ms, job)
 
     def _on_new_job(self, now_ms: float, job: Job) -> None:
         if job.release_set:
-            self.pinned_jobs.forget(job)
+            self.pinned_jobs.invalidate(job)
         if job.idempotency_key:
             self._idempotency().query_age(now_ms, job)
 
     def _reply(self, proxy: int, ticket: int, answer: str, max_wait_ms: float) -> None:
         self.fleet_view.reply(proxy, frames.JobAdmission(ticket, answer, round(max_wait_ms, 1)))
 
-    def _count(self, kind: int, end: str) -> None:
-        self.context.metrics.jobs.labels(self.names[kind], end).inc()
+    def _count(self, job_class: int, outcome: str) -> None:
+        self.context.metrics.jobs.labels(self.names[job_class], outcome).inc()
 
     def _idempotency(self) -> IdempotencyQueries:
         """Return the queries on idempotency keys. Raises ConfigurationError if no records are configured for them."""
@@ -179,22 +179,22 @@
     def _on_claim_answer(self, now_ms: float, query: ClaimQuery, outcome: ClaimOutcome) -> None:
         job = query.job
         if self.core.on_claim_result(now_ms, job, outcome):
-            self._give_back(now_ms, job)
+            self._return_claim(now_ms, job)
         elif outcome is ClaimOutcome.DUPLICATE:
-            self._count(job.job_class, JobEnd.DUPLICATE)
-            self.fleet_view.reply(job.proxy, frames.JobRelease(job.ticket, JobOrder.DROP_DUPLICATE))
+            self._count(job.job_class, JobOutcome.DUPLICATE)
+            self.fleet_view.reply(job.proxy, frames.JobRelease(job.ticket, JobInstruction.DROP_DUPLICATE))
         elif (job.proxy, job.ticket) in self.core.tickets:
             # Queued again or blocked: it could not be released while the query was pending.
             blocked_ms = 0.0 if outcome is ClaimOutcome.GRANTED else self.core.limits.blocked_ms
-            self.journal.on_returned(job, query.sent_at, blocked_ms)
+            self.journal.on_returned(job, query.sent_at_ms, blocked_ms)
 
     def _claim(self, now_ms: float, job: Job) -> None:
         self._idempotency().claim(now_ms, job, self._owner(job))
 
-    def _give_back(self, now_ms: float, job: Job) -> None:
+    def _return_claim(self, now_ms: float, job: Job) -> None:
         """Return the claim of a job that was never released and that its client abandoned."""
         if self.queries:
-            self.queries.give_back(now_ms, job, self._owner(job))
+            self.queries.return_claim(now_ms, job, self._owner(job))
 
     def _owner(self, job: Job) -> int:
         """Return the number of a ticket, equal at all controllers: the same proxy process may release it again."""
@@ -223,9 +223,9 @@
 
     def _release(self, action: Dispatch) -> None:
         job = action.job
-        self._count(job.job_class, JobEnd.RELEASED)
+        self._count(job.job_class, JobOutcome.RELEASED)
         self.journal.on_released(job, action.effective_priority, action.observed_peers)
-        self.fleet_view.reply(job.proxy, frames.JobRelease(job.ticket, JobOrder.SEND))
+        self.fleet_view.reply(job.proxy, frames.JobRelease(job.ticket, JobInstruction.SEND))
 
     def on_message(self, sender: int, message: messages.QueueSummary) -> None:
         """Handle a summary of the jobs that wait at another controller."""
--- a/corallanding/controller/store_release.py
+++ b/corallanding/controller/store_release.py
@@ -44,7 +44,7 @@
         if self._peers.cluster:
             self._peers.cluster.release_files()
 
-    def take_back(self) -> None:
+    def reopen_and_resume(self) -> None:
         """Reopen the files after a failed handover, and resume.
 
         Opening the store is retried later if it fails, for instance on a full disk; tables are published unsaved until
--- a/tests/controller/test_recovery.py
+++ b/tests/controller/test_recovery.py
@@ -108,10 +108,10 @@
     assert restore(second.engine, first.state(), [], first.now_ms)[1] == [4]
     second.now_ms = first.now_ms
     second.run(8)
-    module = second.engine.assigner
-    assert isinstance(module, Assigner)
+    assigner = second.engine.assigner
+    assert isinstance(assigner, Assigner)
     assert {table: set(row) for table, row in weights(second.engine).items()} == {
-        s.id: {h.id for h in s.weights} for s in module.slices.values()
+        s.id: {h.id for h in s.weights} for s in assigner.slices.values()
     }
 
 
@@ -122,13 +122,13 @@
     state, step_count = first.state(), len(first.log)
     first.run(8)
     steps = [*first.log[step_count:]]
-    at, events, actions = steps[5]
-    steps[5] = (at, events, [*actions, api.LogNote("only in the log")])
+    time_ms, events, actions = steps[5]
+    steps[5] = (time_ms, events, [*actions, api.LogNote("only in the log")])
     second = SteppedEngine(2, weights(first.engine))
-    module = second.engine.assigner
+    assigner = second.engine.assigner
     with pytest.raises(StateMismatchError, match="step 6 of the log"):
         restore(second.engine, state, steps, first.now_ms)
-    assert second.engine.assigner is module
+    assert second.engine.assigner is assigner
     assert not second.engine.pending_events
     assert not second.engine.timers
 
