--- a/corallanding/controller/acceptor.py
+++ b/corallanding/controller/acceptor.py
@@ -1,7 +1,7 @@
-"""Accepts connections at a bounded rate, and goes on when file descriptors run out.
+"""Accepts connections at a bounded rate, and recovers when file descriptors run out.
 
-asyncio's own server accepts a hundred connections at each turn of the loop, as often as they come: clients that connect
-in a tight loop would leave no time for other work. Connections that are not accepted yet wait in the kernel's queue.
+asyncio's own server accepts up to a hundred connections in each iteration of the event loop: clients that connect in a
+tight loop would leave no time for other work. Connections that are not accepted yet wait in the kernel's queue.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 
 MIN_PAUSE_S = 0.01
 OUT_OF_DESCRIPTORS_PAUSE_S = 0.2
-BURST_S = 0.05  # connections of so many seconds may be accepted at once
-MIN_BURST = 4.0  # and so many in any case
-OUT_OF_DESCRIPTORS = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
+BURST_S = 0.05  # burst size, as seconds of connections at the configured rate
+MIN_BURST = 4.0  # connections
+OUT_OF_DESCRIPTORS_ERRORS = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
 
 
 class Listener:
     """A listening socket with a token bucket.
 
-    `factory` makes the protocol of each connection, `rate` is connections per second, `on_warning` is told what
-    operators should know. `inherited` is a socket that listens already, from the predecessor of this process. Raises
-    `OSError` if the address cannot be had.
+    `factory` creates the protocol of each connection, `rate` is in connections per second, `on_warning` receives
+    warnings for operators. `inherited` is the listening socket of the previous process. Raises `OSError` if the
+    address cannot be used.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
 
     @property
     def max_tokens(self) -> float:
-        """How many connections may be accepted at once."""
+        """The number of connections that may be accepted at once."""
         return max(MIN_BURST, self.rate * BURST_S)
 
     def _on_readable(self) -> None:
@@ -70,20 +70,20 @@
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError as error:
-                if error.errno not in OUT_OF_DESCRIPTORS:
+                if error.errno not in OUT_OF_DESCRIPTORS_ERRORS:
                     raise
-                self.on_warning(f"no descriptor for a new connection: {error.strerror}")
+                self.on_warning(f"no file descriptor for a new connection: {error.strerror}")
                 self._pause(OUT_OF_DESCRIPTORS_PAUSE_S)
                 return
             self.tokens -= 1.0
             self.accepted_count += 1
-            task = self.loop.create_task(self._connect(connection))
+            task = self.loop.create_task(self._attach_protocol(connection))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
         self._pause(max(MIN_PAUSE_S, (1.0 - self.tokens) / self.rate))
 
-    async def _connect(self, connection: socket.socket) -> None:
-        """Hand an accepted connection to a protocol of its own."""
+    async def _attach_protocol(self, connection: socket.socket) -> None:
+        """Attach an accepted connection to a new protocol."""
         try:
             connection.setblocking(False)
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -93,9 +93,9 @@
 
     def _pause(self, seconds: float) -> None:
         self.loop.remove_reader(self.socket)
-        self.timer = self.loop.call_later(seconds, self._accept_again)
+        self.timer = self.loop.call_later(seconds, self._resume_accepting)
 
-    def _accept_again(self) -> None:
+    def _resume_accepting(self) -> None:
         if not self.is_closed and not self.is_suspended:
             self.loop.add_reader(self.socket, self._on_readable)
             self._on_readable()
@@ -105,7 +105,7 @@
             self.timer.cancel()
 
     def suspend(self) -> None:
-        """Accept nothing for now: connections wait in the kernel."""
+        """Stop accepting until `resume`: connections wait in the kernel's queue."""
         self.is_suspended = True
         self._cancel_timer()
         self.loop.remove_reader(self.socket)
@@ -115,7 +115,7 @@
         self.is_suspended = False
         self._cancel_timer()
         self.loop.remove_reader(self.socket)
-        self._accept_again()
+        self._resume_accepting()
 
     def close(self) -> None:
         """Stop listening."""
@@ -127,7 +127,7 @@
 
 
 def _listen(host: str, port: int, backlog: int) -> socket.socket:
-    """A new listening socket."""
+    """Return a new listening socket."""
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     listening = socket.socket(family, socket.SOCK_STREAM)
     try:
@@ -141,7 +141,7 @@
 
 
 def raise_descriptor_limit(needed: int) -> int:
-    """Raise the soft limit on file descriptors to what is needed, as far as the hard limit allows; returns it."""
+    """Raise the soft limit on file descriptors to `needed`, as far as the hard limit allows; return the limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < needed:
         soft = needed if hard == resource.RLIM_INFINITY else min(needed, hard)
--- a/corallanding/controller/channel_state.py
+++ b/corallanding/controller/channel_state.py
@@ -1,6 +1,6 @@
-"""The channel to the proxies as values, to be handed to a successor process. Pure.
+"""The state of the channel to the proxies, for the handover to a new process. Pure.
 
-The names of the fields, and in arrays their order, are the form of the stored bytes.
+The field names, and in arrays the field order, define the stored format.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class MessageState(msgspec.Struct, array_like=True):
-    """One message that waits in the channel."""
+    """One queued message."""
 
     frame: bytes
     cost_lines: int
@@ -25,7 +25,7 @@
 
 
 class ProxyQueueState(msgspec.Struct, array_like=True):
-    """What waits in the channel for one proxy; messages are named by their place in `ChannelState.messages`."""
+    """The queue of one proxy; messages are given by their index in `ChannelState.messages`."""
 
     proxy: int
     urgent_messages: list[int]
@@ -36,7 +36,7 @@
 
 
 class ChannelState(msgspec.Struct):
-    """The channel to the proxies."""
+    """The state of the channel to the proxies."""
 
     messages: list[MessageState] = msgspec.field(name="messages")
     queues: list[ProxyQueueState] = msgspec.field(name="ports")
@@ -46,25 +46,25 @@
 
 
 def capture_channel(channel: Channel) -> ChannelState:
-    """The channel as values."""
-    places: dict[Message, int] = {}
+    """Return the state of a channel."""
+    indexes: dict[Message, int] = {}
     rows = []
     for queue in channel.queues.values():
-        urgent = [places.setdefault(message, len(places)) for message in queue.urgent]
-        ordinary = [places.setdefault(message, len(places)) for message in queue.ordinary]
+        urgent = [indexes.setdefault(message, len(indexes)) for message in queue.urgent]
+        ordinary = [indexes.setdefault(message, len(indexes)) for message in queue.ordinary]
         sent_at_ms = list(queue.sent_at_ms)
         rows.append(ProxyQueueState(queue.proxy, urgent, ordinary, queue.released, sent_at_ms, queue.is_blocked))
     urgent_schedule, ordinary_schedule = (
         [queue.proxy for queue in schedule if channel.queues.get(queue.proxy) is queue]
         for schedule in channel.schedules
     )
-    messages = [MessageState(m.frame, m.cost_lines, m.version, m.submitted_at_ms, m.orders) for m in places]
+    messages = [MessageState(m.frame, m.cost_lines, m.version, m.submitted_at_ms, m.orders) for m in indexes]
     schedules = (urgent_schedule, ordinary_schedule)
     return ChannelState(messages, rows, schedules, channel.free_at_ms, channel.max_queued_lines)
 
 
 def restore_channel(channel: Channel, state: ChannelState) -> None:
-    """Fill a new channel. Queues that waited for a socket, or for the bound on messages, are checked at once."""
+    """Restore the state into a new channel. Queues that waited for a socket or a message limit are checked at once."""
     messages = [Message(m.frame, m.cost_lines, m.version, m.submitted_at_ms, m.orders) for m in state.messages]
     channel.queues = {}
     channel.writable_queues = deque()
@@ -86,8 +86,8 @@
 def _restore_queue(channel: Channel, state: ProxyQueueState, messages: list[Message]) -> ProxyQueue:
     queue = ProxyQueue(
         state.proxy,
-        deque(messages[place] for place in state.urgent_messages),
-        deque(messages[place] for place in state.ordinary_messages),
+        deque(messages[index] for index in state.urgent_messages),
+        deque(messages[index] for index in state.ordinary_messages),
     )
     queue.released = state.released
     queue.sent_at_ms = deque(state.sent_at_ms)
--- a/corallanding/controller/clock.py
+++ b/corallanding/controller/clock.py
@@ -1,18 +1,18 @@
-"""The controller's clock: monotonic milliseconds that go on from one process to the next."""
+"""The controller's clock: monotonic milliseconds that continue across a restart or handover."""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
 
-# Where the clock begins, in ms: a start "long ago" (0) lies further back than any setting.
+# Initial clock value: large enough that 0 is further in the past than any configured duration.
 ORIGIN_MS = 1e9
 
 
 class Clock:
-    """Milliseconds since `ORIGIN_MS`; never goes back, whatever it is read from.
+    """A clock in ms that starts at `ORIGIN_MS` and never decreases, even if its source does.
 
-    source: monotonic seconds. zero: the reading of the source that is `ORIGIN_MS` here; a restored state sets it.
+    source: returns seconds. zero: the source's reading at `ORIGIN_MS`; restoring a saved state sets it.
     """
 
     def __init__(self, source: Callable[[], float] = time.monotonic) -> None:
@@ -21,6 +21,6 @@
         self.last = ORIGIN_MS
 
     def __call__(self) -> float:
-        """The present time in ms."""
+        """Return the current time in ms."""
         self.last = max(self.last, ORIGIN_MS + (self.source() - self.zero) * 1000.0)
         return self.last
--- a/corallanding/controller/close_codes.py
+++ b/corallanding/controller/close_codes.py
@@ -1,4 +1,4 @@
-"""The codes with which a proxy's connection is closed."""
+"""The codes for closing a proxy's connection."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class CloseCode(StrEnum):
-    """Why a proxy's connection is closed: sent in its last frame, and the label of the metric that counts these.
+    """The reason for closing a proxy's connection: sent in its last frame, and a label of the metric `links_closed`.
 
-    The values are frozen. Every `code` of `wire.errors.LinkError` and its subclasses is among them.
+    The values must not change. They include every `code` of `wire.errors.LinkError` and its subclasses.
     """
 
     # The proxy broke the protocol.
@@ -18,22 +18,22 @@
     OUT_OF_PLACE = "out-of-place"
     UNKNOWN_VERSION = "unknown-version"
 
-    # The connection cannot be had.
+    # The connection is not accepted.
     FULL = "full"  # too many connections, or a proxy number over the limit
-    NUMBER_IN_USE = "number-in-use"  # another process has the proxy's number
+    NUMBER_IN_USE = "number-in-use"  # another process uses the proxy's number
     SUPERSEDED = "superseded"  # the same proxy process joined again, on a new connection
 
-    # The proxy is too slow, or is not heard of.
+    # The proxy is too slow or silent.
     NO_HELLO = "no-hello"
     NO_ACKS = "no-acks"
-    OVERRUN = "overrun"  # its queue in the channel is full
-    NOT_READING = "not-reading"  # its socket takes no more
+    OVERRUN = "overrun"  # the queue of the proxy in the channel is full
+    NOT_READING = "not-reading"  # the socket buffer of the proxy is full
     SILENT = "silent"
 
     # One side ends the connection.
-    BYE = "bye"  # the proxy said goodbye
-    STOPPING = "stopping"  # the controller stops
+    BYE = "bye"  # the proxy sent a Goodbye
+    STOPPING = "stopping"  # the controller is stopping
 
-    # The connection ended without a last frame: labels of the metric only.
+    # The connection ended without a last frame; these are metric labels only.
     CLOSED = "closed"
     BROKEN = "broken"
--- a/corallanding/controller/connection_state.py
+++ b/corallanding/controller/connection_state.py
@@ -1,6 +1,6 @@
-"""One proxy's connection as values, to be handed to a successor process. Pure.
+"""The state of a proxy's connection, for the handover to a new process. Pure.
 
-The order of the fields is the form of the stored bytes.
+The field order defines the stored format.
 """
 
 from __future__ import annotations
@@ -14,26 +14,26 @@
 
 
 class ConnectionState(msgspec.Struct, array_like=True):
-    """One proxy's connection. Its descriptor is sent apart, in the same order."""
+    """The state of one proxy's connection. File descriptors are sent separately, in the same order as these states."""
 
     began_at: float
     hello: Hello | None
     is_joined: bool
     is_write_paused: bool
     last_received_at: float
-    unacked_versions: list[tuple[int, float]]  # version, when it was sent
+    unacked_versions: list[tuple[int, float]]  # (version, when it was sent in ms)
     is_recalled: bool
     frame_allowance: float
-    byte_allowance: float  # as `frame_allowance` counts frames
+    byte_allowance: float  # bytes that may be received now, as `frame_allowance` is frames
     replenished_at: float
-    partial_frame: bytes  # what has come of it
+    partial_frame: bytes  # received bytes of an incomplete frame
     heartbeat_sent_at: float
 
 
 def capture_connection(
     link: LinkState, *, is_joined: bool, is_write_paused: bool, heartbeat_sent_at: float
 ) -> ConnectionState:
-    """A connection as values."""
+    """Return the state of a connection."""
     return ConnectionState(
         began_at=link.opened_at_ms,
         hello=link.hello,
@@ -51,11 +51,11 @@
 
 
 def restore_connection(link: LinkState, state: ConnectionState) -> None:
-    """Let a new link go on where the handed over one was."""
+    """Restore the state of a connection into a new link."""
     link.opened_at_ms = state.began_at
     link.hello = state.hello
     link.last_received_at_ms = state.last_received_at
-    link.unacked_versions = deque((version, at) for version, at in state.unacked_versions)
+    link.unacked_versions = deque((version, sent_at_ms) for version, sent_at_ms in state.unacked_versions)
     link.is_recalled = state.is_recalled
     link.frame_allowance = state.frame_allowance
     link.byte_allowance = state.byte_allowance
--- a/corallanding/controller/engine.py
+++ b/corallanding/controller/engine.py
@@ -1,8 +1,8 @@
-"""The core of a controller: events go in, the assigner decides, writes and messages come out. No I/O, no clock.
+"""Core of a controller: passes events to the assigner, returns writes and messages. Has no I/O and no clock.
 
 A step has two halves, so that nothing is sent before it is stored: `decide` returns what the store must write, and
-`publish`, which is told whether the store did, returns the messages and everything else. All decisions are the
-assigner's.
+`publish`, which receives whether the store wrote it, returns the messages and all other outputs. The assigner makes
+all decisions.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from .publisher import Publisher, TableChanges
 from .step_outputs import MAX_PEER_PAYLOAD_BYTES, CheckHost, Output, SendFrame, StoreWrites
 
-USAGE_INTERVALS_PER_REPORT = 8  # usage is handed on, and deferred timers are looked at, so often a report interval
-RECONCILED_MESSAGES = 1_000  # message numbers left to another process that wrote to the store meanwhile
+USAGE_INTERVALS_PER_REPORT = 8  # times per report interval that usage is forwarded and delayed timers are checked
+MESSAGE_NUMBER_GAP = 1_000  # message numbers skipped for messages of another process that wrote to the store
 
 
 class Engine(EventIntake):
     """Runs the assigner step by step.
 
-    `addresses` maps a host to "ip:port" and is shared with the host list; `decider` makes the assigner from the
-    settings and the seed.
+    `addresses` maps a host to "ip:port" and is shared with the host list; `decider` creates the assigner from
+    the settings and the seed.
     """
 
     def __init__(
@@ -43,10 +43,10 @@
         self.deferrable_timer: int | None = getattr(self.assigner, "deferrable_timer", None)
         self.overload = OverloadDetector(overload or OverloadLimits())
         self.usage_due_at = 0.0
-        self.is_store_backing_off = False  # set by the owner while it waits to retry a store that fails
+        self.is_store_backing_off = False  # set by the owner while it backs off from a failing store
         self.discarded_actions = 0  # actions for slices that this controller does not own
-        self.outputs: list[Output] = []  # of the step that is not published yet
-        self._changes = TableChanges()  # of the step that is being decided
+        self.outputs: list[Output] = []  # outputs of the step that is not published yet
+        self._changes = TableChanges()  # changes of the step that is being decided
         self._handlers: dict[type, Callable[[Any], None]] = {
             api.SetWeight: self._on_set_weight,
             api.ResetTable: self._on_reset_table,
@@ -57,55 +57,55 @@
             api.StartTimer: self._on_start_timer,
             api.CheckHealth: self._on_check_health,
             api.SendToPeer: self._on_send_to_peer,
-            api.WatchHostList: self._pass_on,
-            api.FetchHostList: self._pass_on,
-            api.LogNote: self._pass_on,
+            api.WatchHostList: self._forward_action,
+            api.FetchHostList: self._forward_action,
+            api.LogNote: self._forward_action,
         }
 
-    def _pass_on(self, output: Output) -> None:
-        """Hand an action on as it is."""
+    def _forward_action(self, output: Output) -> None:
+        """Forward an action unchanged."""
         self.outputs.append(output)
 
-    def next_at(self, now: float) -> float | None:
-        """When the next step is due if nothing happens before; None if only an event makes one due."""
-        due = [self.timers[0][0]] if self.timers else []
-        if self.pending_events or self.outputs or self._may_save():
-            due.append(now)
+    def next_at(self, now_ms: float) -> float | None:
+        """Return when the next step is due without further events, ms; None if only an event makes one due."""
+        due_times_ms = [self.timers[0][0]] if self.timers else []
+        if self.pending_events or self.outputs or self._should_save():
+            due_times_ms.append(now_ms)
         if self.usage.tallies:
-            due.append(self.usage_due_at)
-        return min(due, default=None)
+            due_times_ms.append(self.usage_due_at)
+        return min(due_times_ms, default=None)
 
-    def _may_save(self) -> bool:
-        """Whether there is something to store and the store is to be tried."""
+    def _should_save(self) -> bool:
+        """Return whether there is something to store and the store is not in backoff."""
         return bool(self.unsaved_tables or self.unsaved_resets) and not self.is_store_backing_off
 
-    def decide(self, now: float) -> StoreWrites:
-        """Run the assigner on everything that came until `now`; returns what is to be stored before `publish`."""
-        now = max(now, self.now)  # a clock that steps back stands still for the assigner
-        self.now = now
-        self.fire_due_timers(now)
-        if now >= self.usage_due_at:
-            for report in self.usage.take_due(now):
-                self.add_event(now, report)
-            self.usage_due_at = now + self._usage_interval_ms()
+    def decide(self, now_ms: float) -> StoreWrites:
+        """Run the assigner on all events up to `now_ms`; return what must be stored before `publish`."""
+        now_ms = max(now_ms, self.now)  # the assigner's time never decreases, even if the clock does
+        self.now = now_ms
+        self.fire_due_timers(now_ms)
+        if now_ms >= self.usage_due_at:
+            for report in self.usage.take_due(now_ms):
+                self.add_event(now_ms, report)
+            self.usage_due_at = now_ms + self._usage_interval_ms()
         events = self.take_events()
         for event in events:
             if isinstance(event, api.HostListUpdate):
                 self.publisher.on_host_list(event)
-        self._carry_out(self.run_step(now, events))
+        self._apply_actions(self.run_step(now_ms, events))
         return self._store_writes()
 
     def _usage_interval_ms(self) -> float:
         return self.settings.report_interval_ms / USAGE_INTERVALS_PER_REPORT
 
-    def timer_delay(self, now: float, timer: int) -> float | None:
-        """Delay the assigner's deferrable timer while the controller is overloaded."""
-        is_delayed = timer == self.deferrable_timer and self.overload.should_delay(now, timer)
+    def timer_delay(self, now_ms: float, timer: int) -> float | None:
+        """Return how long to delay the assigner's deferrable timer while the controller is overloaded, ms."""
+        is_delayed = timer == self.deferrable_timer and self.overload.should_delay(now_ms, timer)
         return self._usage_interval_ms() if is_delayed else None
 
-    def _carry_out(self, actions: list[api.Action]) -> None:
-        """Turn the actions of a step into outputs, and note what the store has to write."""
-        self._announce_ownership()
+    def _apply_actions(self, actions: list[api.Action]) -> None:
+        """Turn the actions of a step into outputs, and record what must be stored."""
+        self._send_ownership_changes()
         self._changes = TableChanges()
         handlers = self._handlers
         for action in actions:
@@ -120,8 +120,8 @@
         for (table, host), weight in changes.weights.items():
             self.unsaved_tables.setdefault(table, {})[host] = weight
 
-    def _announce_ownership(self) -> None:
-        """Tell proxies of slices gained and lost: one message each, also after taking over hundreds of slices."""
+    def _send_ownership_changes(self) -> None:
+        """Send proxies the slices gained and lost: one message each, even after taking over hundreds of slices."""
         proxies = tuple(self.proxy_zones)
         if self.lost_slices and proxies:
             self.outputs.append(self.publisher.lost_slices_message(sorted(self.lost_slices), proxies))
@@ -136,8 +136,8 @@
         )
         return StoreWrites(self.publisher.message_number, entries, tuple(self.unsaved_resets))
 
-    def _decides_on(self, table: int) -> bool:
-        """Whether actions on a table are carried out; those on slices of other controllers are counted and dropped."""
+    def _check_ownership(self, table: int) -> bool:
+        """Return whether this controller owns a table; count the action as discarded if another controller does."""
         if self.settings.slice_count and table not in self.owned_slices:
             self.discarded_actions += 1
             return False
@@ -145,7 +145,7 @@
 
     def _on_set_weight(self, action: api.SetWeight) -> None:
         table = action.slice
-        if not self._decides_on(table):
+        if not self._check_ownership(table):
             return
         host = action.host
         weight = action.weight
@@ -159,7 +159,7 @@
         weights[host] = weight
 
     def _on_reset_table(self, action: api.ResetTable) -> None:
-        if not self._decides_on(action.slice):
+        if not self._check_ownership(action.slice):
             return
         changes = self._changes
         changes.resets.append(action.slice)
@@ -167,11 +167,11 @@
         self.published.tables[action.slice] = {}
 
     def _on_set_admission(self, action: api.SetAdmission) -> None:
-        if action.slice != api.ALL_TABLES and not self._decides_on(action.slice):
+        if action.slice != api.ALL_TABLES and not self._check_ownership(action.slice):
             return
-        retry = int(action.retry)
-        self._changes.admissions.append((action.slice, action.request_classes, action.amount, retry))
-        self.published.admissions[action.slice, action.request_classes] = (action.amount, retry)
+        retry_mode = int(action.retry)
+        self._changes.admissions.append((action.slice, action.request_classes, action.amount, retry_mode))
+        self.published.admissions[action.slice, action.request_classes] = (action.amount, retry_mode)
 
     def _on_cordon(self, action: api.Cordon) -> None:
         self._changes.cordons.append((action.host, action.is_cordoned))
@@ -198,9 +198,9 @@
     def _on_send_to_peer(self, action: api.SendToPeer) -> None:
         self.outputs.append(api.SendToPeer(action.peer, action.payload[:MAX_PEER_PAYLOAD_BYTES]))
 
-    def reconcile(self, now: float, stored: StoreContents) -> None:
-        """Another process wrote to the store meanwhile: its tables count, and message numbers go on above its own."""
-        self.publisher.message_number = max(self.publisher.message_number, stored.message_number) + RECONCILED_MESSAGES
+    def reconcile(self, now_ms: float, stored: StoreContents) -> None:
+        """Adopt the tables of another process that wrote to the store, and continue above its message numbers."""
+        self.publisher.message_number = max(self.publisher.message_number, stored.message_number) + MESSAGE_NUMBER_GAP
         self.unsaved_tables = {}
         self.unsaved_resets = set()
         self.publisher.drop_cached_frame()
@@ -208,32 +208,32 @@
             weights = stored.tables.get(slice_number, {})
             if weights != self.published.tables.get(slice_number, {}):
                 self.published.tables[slice_number] = dict(weights)
-                self.add_slice_events(now, slice_number)
+                self.add_slice_events(now_ms, slice_number)
 
     def on_addresses_changed(self, hosts: Sequence[int]) -> None:
-        """Hosts have new addresses: proxies are told those that a table names."""
+        """Send proxies the new addresses of those hosts that a table names."""
         message = self.publisher.addresses_message(hosts, tuple(self.proxy_zones))
         if message:
             self.outputs.append(message)
         self.publisher.drop_cached_frame()
 
     def on_writes_fenced(self) -> None:
-        """The step's writes were refused because another controller owns one of the slices.
+        """Replace the step's messages after its writes were rejected because another controller owns one of the slices.
 
-        No message of the step may go out. Proxies are sent the tables of the slices that are still owned instead; the
-        step's version is never acknowledged, and the assigner stops waiting for it after a time.
+        No message of the step may be sent. Proxies receive the tables of the slices that are still owned instead; the
+        step's version is never acknowledged, and the assigner stops waiting for it after a timeout.
         """
         self.outputs = [output for output in self.outputs if not isinstance(output, SendFrame)]
-        touched = sorted(table for table in self.unsaved_tables if table in self.owned_slices)
-        if touched:
-            self.outputs.append(self.publisher.gained_slices_message(touched, tuple(self.proxy_zones)))
+        affected = sorted(table for table in self.unsaved_tables if table in self.owned_slices)
+        if affected:
+            self.outputs.append(self.publisher.gained_slices_message(affected, tuple(self.proxy_zones)))
 
     def publish(self, stored: bool) -> list[Output]:
-        """Return the rest of the step, after the store wrote (`stored`) or could not.
+        """Return the outputs of the step; `stored` is whether the store wrote its tables.
 
-        While it cannot, everything goes out all the same: a draining host must not wait for a disk. What is not stored
-        is written with the next step that finds the store working; if the process dies before, proxies, which hold the
-        tables, give them back (`needs_recall`).
+        Outputs are sent even if the store failed: a draining host must not wait for a disk. Unsaved entries are written
+        with the next step that finds the store working. If the process exits before that, its successor recalls the
+        tables from the proxies (`needs_recall`).
         """
         if stored:
             self.unsaved_tables = {}
--- a/corallanding/controller/event_intake.py
+++ b/corallanding/controller/event_intake.py
@@ -1,6 +1,6 @@
-"""Turns what happens around a controller into events of the assigner. Pure.
+"""Turns changes around a controller into events for the assigner. Pure.
 
-That is: proxies that join and leave, slices gained and lost, usage reports, and tables recalled from proxies.
+These are proxies that join and leave, slices gained and lost, usage reports, and tables recalled from proxies.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 
 class EventIntake(EventInbox):
-    """Takes in events and keeps the state that they change: joined proxies, owned slices, unsaved tables.
+    """Receives events and holds the state that they change: joined proxies, owned slices, unsaved tables.
 
-    `owned_slices` are those that this controller decides on (none at sites without slices); `stored` is what the store
-    held at the start.
+    `owned_slices` are those that this controller owns (none at sites without slices); `stored` is the content of the
+    store at the start.
     """
 
     def __init__(
@@ -35,46 +35,46 @@
         self.publisher = publisher
         self.start_number = stored.start_number
         self.owned_slices = set(owned_slices)
-        self.proxy_zones: dict[int, int] = {}  # joined proxies: zone
+        self.proxy_zones: dict[int, int] = {}  # zone by joined proxy
         for table, weights in stored.tables.items():
             if table in self.owned_slices or not settings.slice_count:
                 self.published.tables[table] = dict(weights)
         self.usage = UsageAggregator(settings)
         self.recall_until = float("inf")
         self.recalled_seq = stored.message_number
-        self.gained_slices: set[int] = set()  # since the last step: one message tells proxies of all
+        self.gained_slices: set[int] = set()  # since the last step; proxies receive all in one message
         self.lost_slices: set[int] = set()
-        self.unsaved_tables: dict[int, dict[int, float]] = {}  # entries that the store has not taken yet
-        self.unsaved_resets: set[int] = set()  # tables to empty in the store before
+        self.unsaved_tables: dict[int, dict[int, float]] = {}  # entries that are not stored yet
+        self.unsaved_resets: set[int] = set()  # tables to empty in the store before their entries are written
 
     @property
     def published(self) -> PublishedTables:
-        """The tables as published so far."""
+        """The tables as last published."""
         return self.publisher.published
 
-    def start(self, now: float, saved: api.HostListUpdate) -> None:
+    def start(self, now_ms: float, saved: api.HostListUpdate) -> None:
         """Add the first events after a start: the saved host list, the owned slices and their stored tables."""
-        self.add_event(now, saved)
+        self.add_event(now_ms, saved)
         for slice_number in sorted(self.owned_slices):
-            self.add_slice_events(now, slice_number)
+            self.add_slice_events(now_ms, slice_number)
 
-    def add_slice_events(self, now: float, slice_number: int) -> None:
-        """Tell the assigner that it decides on a slice, and what its table holds."""
-        self.add_event(now, api.SliceOwnershipChange(slice_number, True))
+    def add_slice_events(self, now_ms: float, slice_number: int) -> None:
+        """Add events for a slice that the assigner now decides on: its ownership and its stored table."""
+        self.add_event(now_ms, api.SliceOwnershipChange(slice_number, True))
         for host, weight in sorted(self.published.tables.get(slice_number, {}).items()):
-            self.add_event(now, api.StoredWeight(slice_number, host, weight))
+            self.add_event(now_ms, api.StoredWeight(slice_number, host, weight))
 
-    def on_slice_gained(self, now: float, slice_number: int, stored: dict[int, float]) -> None:
-        """This controller owns a slice from now on; `stored` is its table, host to weight."""
+    def on_slice_gained(self, now_ms: float, slice_number: int, stored: dict[int, float]) -> None:
+        """Record that this controller now owns a slice; `stored` is its table, weight by host."""
         self.owned_slices.add(slice_number)
         self.published.tables[slice_number] = dict(stored)
-        self.add_slice_events(now, slice_number)
+        self.add_slice_events(now_ms, slice_number)
         self.lost_slices.discard(slice_number)
         self.gained_slices.add(slice_number)
         self.publisher.drop_cached_frame()
 
-    def on_slice_lost(self, now: float, slice_number: int) -> None:
-        """This controller no longer owns a slice."""
+    def on_slice_lost(self, now_ms: float, slice_number: int) -> None:
+        """Record that this controller no longer owns a slice."""
         self.publisher.drop_cached_frame()
         if slice_number not in self.owned_slices:
             return
@@ -84,44 +84,44 @@
             del self.published.admissions[key]
         self.unsaved_tables.pop(slice_number, None)
         self.unsaved_resets.discard(slice_number)
-        self.add_event(now, api.SliceOwnershipChange(slice_number, False))
+        self.add_event(now_ms, api.SliceOwnershipChange(slice_number, False))
         self.gained_slices.discard(slice_number)
         self.lost_slices.add(slice_number)
 
-    def on_proxy_joined(self, now: float, hello: frames.Hello) -> bytes:
-        """A proxy has joined. Returns the frame with all its tables, to be sent before everything else."""
+    def on_proxy_joined(self, now_ms: float, hello: frames.Hello) -> bytes:
+        """Record that a proxy joined. Return the frame with all its tables, which must be sent first."""
         proxy = hello.proxy
         if proxy in self.proxy_zones:
-            self.on_proxy_left(now, proxy)
+            self.on_proxy_left(now_ms, proxy)
         self.proxy_zones[proxy] = hello.zone
-        self.add_event(now, api.ProxyJoined(proxy, hello.zone, hello.requests_per_second, hello.is_fresh))
+        self.add_event(now_ms, api.ProxyJoined(proxy, hello.zone, hello.requests_per_second, hello.is_fresh))
         return self.publisher.tables_frame(proxy, self.owned_slices)
 
-    def on_proxy_left(self, now: float, proxy: int) -> None:
-        """A proxy has disconnected."""
+    def on_proxy_left(self, now_ms: float, proxy: int) -> None:
+        """Record that a proxy disconnected."""
         if self.proxy_zones.pop(proxy, None) is not None:
             self.published.assignments.pop(proxy, None)
-            self.add_event(now, api.ProxyLeft(proxy))
+            self.add_event(now_ms, api.ProxyLeft(proxy))
 
-    def on_usage_report(self, now: float, proxy: int, report: frames.UsageReport) -> None:
-        """Add up what a joined proxy reports."""
+    def on_usage_report(self, now_ms: float, proxy: int, report: frames.UsageReport) -> None:
+        """Add the usage report of a joined proxy to the totals."""
         if proxy in self.proxy_zones:
             zone = self.proxy_zones[proxy]
-            self.usage.add(now, proxy, zone, report, self.publisher.addresses, self.owned_slices)
+            self.usage.add(now_ms, proxy, zone, report, self.publisher.addresses, self.owned_slices)
 
-    def needs_recall(self, now: float, hello: frames.Hello) -> bool:
-        """Whether a proxy holds later tables from before this start than the store gave back.
+    def needs_recall(self, now_ms: float, hello: frames.Hello) -> bool:
+        """Return whether a proxy holds newer tables of the previous process than the store does.
 
-        Guards against a store that stopped writing before the process died. May bring back entries of hosts that have
-        left since; the assigner takes those out by its host list, as after any start.
+        Guards against a store that stopped writing before the process exited. May restore entries of hosts that have
+        left since; the assigner removes those by its host list, as after any start.
         """
-        is_former = hello.start_number == self.start_number - 1
-        return now <= self.recall_until and is_former and hello.seq > self.recalled_seq
+        is_from_previous_start = hello.start_number == self.start_number - 1
+        return now_ms <= self.recall_until and is_from_previous_start and hello.seq > self.recalled_seq
 
-    def on_recalled_tables(self, now: float, recalled: frames.HeldTables) -> list[int]:
-        """Take over the tables that a proxy holds from before this start. Returns the slices that changed."""
-        is_former = recalled.start_number == self.start_number - 1
-        if not is_former or recalled.seq <= self.recalled_seq or now > self.recall_until:
+    def on_recalled_tables(self, now_ms: float, recalled: frames.HeldTables) -> list[int]:
+        """Adopt the tables of the previous process that a proxy holds. Return the slices that changed."""
+        is_from_previous_start = recalled.start_number == self.start_number - 1
+        if not is_from_previous_start or recalled.seq <= self.recalled_seq or now_ms > self.recall_until:
             return []
         self.recalled_seq = recalled.seq
         changed = []
@@ -131,7 +131,7 @@
                 self.published.tables[table] = weights
                 self.unsaved_tables[table] = weights
                 self.unsaved_resets.add(table)
-                self.add_slice_events(now, table)
+                self.add_slice_events(now_ms, table)
                 changed.append(table)
         if changed:
             self.publisher.drop_cached_frame()
--- a/corallanding/controller/fleet_source.py
+++ b/corallanding/controller/fleet_source.py
@@ -1,4 +1,4 @@
-"""What the services of the fleet read of this controller."""
+"""Gives fleet services access to this controller."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass
 class ControllerFleetSource:
-    """The `FleetSource` of a running controller. forwarders: the connection of each proxy, by its number."""
+    """The `FleetSource` of a running controller. forwarders: connections of proxies by proxy number."""
 
     config: ControllerConfig
     view: EndpointList
--- a/corallanding/controller/health_checks.py
+++ b/corallanding/controller/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks that the assigner asks for."""
+"""Runs the health checks that the assigner requests."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class HealthChecks:
-    """Runs health checks and hands their results to the engine. request_step: asks for a decision step."""
+    """Runs health checks and passes their results to the engine. request_step: requests a decision step."""
 
     def __init__(self, context: Context, engine: Engine, peers: PeerServices, request_step: Callable[[], None]) -> None:
         self._context = context
@@ -31,9 +31,9 @@
         )
 
     def check(self, host: int, address: str) -> None:
-        """Check one host. address: "ip:port", or empty if the list has none."""
+        """Check one host. address: "ip:port", or empty if the host list has none."""
         if not self._peers.may_check_health(host):
-            # Other controllers check it already: for the assigner a result that says neither good nor bad.
+            # Other controllers already check this host. FULL tells the assigner neither that it is healthy nor failed.
             self._on_result(api.HealthCheckResult(host, api.HealthCheckOutcome.FULL))
         elif address:
             self._checker.check(host, address)
@@ -41,13 +41,13 @@
             self._on_result(api.HealthCheckResult(host, api.HealthCheckOutcome.UNREACHABLE))
 
     def reload(self, config: ControllerConfig) -> None:
-        """Take the limits of a new configuration."""
+        """Apply the limits of a new configuration."""
         self._checker.timeout_ms = config.probe.timeout_ms
         self._checker.max_in_flight = config.probe.most_in_flight
         self._checker.max_waiting = config.probe.most_waiting
 
     def stop(self) -> None:
-        """End the checks that run."""
+        """Cancel the running checks."""
         self._checker.stop()
 
     def _on_result(self, result: api.HealthCheckResult) -> None:
--- a/corallanding/controller/host_sources.py
+++ b/corallanding/controller/host_sources.py
@@ -1,4 +1,4 @@
-"""Where the host list comes from, and what becomes of each update."""
+"""Receives the host list from its configured source and processes each update."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 class HostSources:
     """Turns updates of the host list into events of the engine, and saves the list.
 
-    is_unsaved: whether the list has changed since it was saved. request_step: asks for a decision step.
+    is_unsaved: whether the list has changed since it was last saved. request_step: requests a decision step.
     """
 
     def __init__(
@@ -46,13 +46,15 @@
         self.is_unsaved = False
 
     def open(self, dial_registry: Callable[[RegistryBlock, Callable[[str], None]], Callable[[], Any]]) -> None:
-        """Prepare the configured source. Raises OSError if a file of it cannot be read."""
+        """Create the configured source. Raise OSError if one of its files cannot be read, ConfigurationError if it has
+        no address.
+        """
         config = self._context.config
         if config.registry:
             from ..registry.source import make_source  # gRPC is imported only where a registry is configured
 
-            chance = random.Random(f"{config.steward.seed}:{self._engine.start_number}").random
-            self._source = make_source(config.registry, self, self._context.clock, chance, dial_registry)
+            random_source = random.Random(f"{config.steward.seed}:{self._engine.start_number}").random
+            self._source = make_source(config.registry, self, self._context.clock, random_source, dial_registry)
             return
         roster = config.roster
         if roster.address is None:
@@ -69,24 +71,24 @@
         self._source = LineJsonSource(source_config, self, self._known_version)
 
     def start(self, *, is_restored: bool) -> None:
-        """Begin to receive. is_restored: the assigner goes on from a state in which it followed the list."""
+        """Start to receive. is_restored: the assigner was restored from a state in which it watched the list."""
         if self._source:
             self._source.start()
         if is_restored and self._context.settings.polls_host_list:
             self.follow(on=True)
 
     def follow(self, *, on: bool) -> None:
-        """Receive every change from here on, or no longer."""
+        """Start or stop watching the list for changes."""
         if self._source:
             self._source.follow(on)
 
     def fetch(self) -> None:
-        """Ask for the list once."""
+        """Request the list once."""
         if self._source:
             self._source.fetch()
 
     def save(self) -> None:
-        """Save the list, beside the decision steps: a crash may lose the last changes of it."""
+        """Save the list, independently of decision steps: a crash may lose its last changes."""
         if self._context.clock() < self._persistence.retry_at_ms:
             return
         view = self.view
@@ -98,30 +100,30 @@
             self._context.rate_limited_log.warn("host list not saved", why=str(error))
 
     def stop(self) -> None:
-        """Receive no more."""
+        """Stop receiving."""
         if self._source:
             self._source.stop()
 
-    # ---- what a source tells its listener (`endpoints.source.EndpointListener`) -------------------------------------
+    # ---- events from the source (`endpoints.source.EndpointListener`) -----------------------------------------------
 
     def on_host_rows(self, full: bool, version: int, rows: list[Any]) -> None:
-        """Take a list, or changes of it. full: hosts that are not named are removed."""
-        now = self._context.clock()
+        """Process a list, or changes to it. full: hosts that are not named are removed."""
+        now_ms = self._context.clock()
         view = self.view
-        addresses_before = dict(view.addresses)
-        event = view.apply(now, self._context.wall_ms(), full, version, rows)
+        previous_addresses = dict(view.addresses)
+        event = view.apply(now_ms, self._context.wall_ms(), full, version, rows)
         self._report(version)
-        moved = [host for host, address in view.addresses.items() if addresses_before.get(host, address) != address]
+        moved = [host for host, address in view.addresses.items() if previous_addresses.get(host, address) != address]
         if moved:
             self._engine.on_addresses_changed(moved)
         if self._peers.cluster and self._peers.cluster.quota:
-            self._peers.cluster.quota.on_hosts_listed(now, view.entries.values())
-        self._engine.add_event(now, self._load_weights.on_host_list(event))
+            self._peers.cluster.quota.on_hosts_listed(now_ms, view.entries.values())
+        self._engine.add_event(now_ms, self._load_weights.on_host_list(event))
         self.is_unsaved = True
         self._request_step()
 
     def on_source_failure(self, why: str) -> None:
-        """Note that the source does not answer."""
+        """Record that the source failed, and notify the assigner if it polls the list."""
         self._context.metrics.host_source_failures.inc()
         self._context.rate_limited_log.warn("host list source failed", why=why)
         if self._context.settings.polls_host_list:
@@ -138,5 +140,5 @@
         metrics.hosts_listed.set(len(self.view.entries))
 
     def _known_version(self) -> int:
-        """The version to go on from. Release versions of hosts are not saved: where runs need them, all is read."""
+        """Return the list version to continue from; 0, to read the full list, if runs need unsaved release versions."""
         return self.view.version if self.view.served_versions or self._context.config.pins is None else 0
--- a/corallanding/controller/link_registry.py
+++ b/corallanding/controller/link_registry.py
@@ -1,4 +1,4 @@
-"""The connections of proxies that stand."""
+"""The registry of open connections of proxies."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @dataclass
 class LinkRegistry:
-    """Every connection, and which of them belongs to which proxy. The dictionaries keep the order of coming."""
+    """All open connections, and the current one of each proxy. The dictionaries keep the order of connecting."""
 
     links: dict[ProxyConnection, None] = field(default_factory=dict)
-    proxies: dict[int, ProxyConnection] = field(default_factory=dict)  # by the number of the proxy
-    unidentified: dict[ProxyConnection, None] = field(default_factory=dict)  # that have not sent a Hello
+    proxies: dict[int, ProxyConnection] = field(default_factory=dict)  # by proxy number
+    unidentified: dict[ProxyConnection, None] = field(default_factory=dict)  # connections without a Hello so far
 
     def remove(self, link: ProxyConnection) -> bool:
-        """Forget a connection; true if it was the present one of its proxy."""
+        """Remove a connection; return whether it was the current one of its proxy."""
         self.links.pop(link, None)
         self.unidentified.pop(link, None)
         if self.proxies.get(link.proxy) is not link:
@@ -25,5 +25,5 @@
         return True
 
     def joined(self) -> list[ProxyConnection]:
-        """Connections of proxies that have their tables."""
+        """Return the open connections of proxies that were sent their tables."""
         return [link for link in self.links if link.is_joined and not link.is_closed]
--- a/corallanding/controller/load_weights.py
+++ b/corallanding/controller/load_weights.py
@@ -1,4 +1,4 @@
-"""Weights of hosts by what load reports say: the feed of reports, and the factors that the assigner was told."""
+"""Adjusts host weights by load reports: runs the feed of reports and passes weight factors to the assigner."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
     "streams_most",
     "buffer_bytes",
 )
-NOT_OUTCOMES = ("senders", "waiting")  # counts of the feed that do not say what became of a report
+NON_OUTCOME_COUNTS = ("senders", "waiting")  # counts of the feed that are no outcome of a report
 
 
 def feed_policy(block: LoadReportsBlock) -> EstimatorPolicy:
-    """How reports become factors, as configured."""
+    """Return the configured policy that turns reports into factors."""
     return EstimatorPolicy(
         block.half_life_ms,
         block.expiry_ms,
@@ -54,16 +54,16 @@
 
 
 def intake_settings(block: LoadReportsBlock) -> dict[str, Any]:
-    """The settings of the intake process. Raises OSError if the key cannot be read."""
+    """Return the settings of the intake process. Raise OSError if the key cannot be read."""
     key = Path(block.key_file).read_bytes().strip().hex() if block.key_file else ""
     return {**{name: getattr(block, name) for name in INTAKE_SETTINGS}, "key": key}
 
 
 class LoadWeights:
-    """Multiplies the listed weights by factors from load reports; does nothing where no reports are configured.
+    """Multiplies weights of the host list by factors from load reports; does nothing if no reports are configured.
 
-    factors: by host, those that differ from 1. has_host_list: whether a newer list than the saved one has come.
-    request_step: asks for a decision step.
+    factors: by host, those that differ from 1. has_host_list: whether a list newer than the saved one was received.
+    request_step: requests a decision step.
     """
 
     def __init__(
@@ -84,9 +84,9 @@
         self.has_host_list = False
 
     def start(self, state: FeedState | None, inherited: InheritedSockets) -> None:
-        """Start the feed, with the state and the intake's socket of the process before this one if they came.
+        """Start the feed, with the state and the intake socket of the previous process if they were handed over.
 
-        Raises OSError if the key cannot be read, or the libraries are not there.
+        Raise OSError if the key cannot be read, or the libraries are not installed.
         """
         block = self._context.config.load_reports
         if not block:
@@ -94,25 +94,25 @@
         if not find_spec("xds"):
             raise OSError("load_reports needs the extra: pip install 'corallanding[reports]'")
         context = self._context
-        zero = ORIGIN_MS - context.clock.zero * 1000.0
+        clock_offset_ms = ORIGIN_MS - context.clock.zero * 1000.0
         self.feed = self._feed_type(
             intake_settings(block),
             feed_policy(block),
             context.clock,
             context.wall_ms,
-            zero,
+            clock_offset_ms,
             self._on_factors_changed,
             log,
         )
         self.feed.start(state, inherited.take_intake())
 
     def restore(self, factors: dict[int, float]) -> None:
-        """Go on with the factors that the process before this one told the assigner."""
+        """Restore the factors that the previous process passed to the assigner."""
         self.has_host_list = True
         self._set_factors(dict(factors))
 
     def on_host_list(self, event: api.HostListUpdate) -> api.HostListUpdate:
-        """Note a new host list; the same event with weights multiplied."""
+        """Process a new host list; return the event with its weights multiplied by the factors."""
         self.has_host_list = True
         if self.feed is None:
             return event
@@ -121,7 +121,7 @@
         return apply_factors(event, self.factors)
 
     def on_step(self, step: DecisionStep) -> None:
-        """Let the feed compare what hosts report with what proxies saw."""
+        """Pass usage reports of proxies to the feed, which compares them with the load reports of hosts."""
         if self.feed is None:
             return
         for event in step.events:
@@ -134,36 +134,36 @@
             return
         metrics = self._context.metrics
         for outcome, count in {**self.feed.intake_counts, **self.feed.estimator.counts.by_name()}.items():
-            if outcome not in NOT_OUTCOMES:
+            if outcome not in NON_OUTCOME_COUNTS:
                 metrics.load_reports.labels(outcome).set(count)
         metrics.load_report_senders.set(self.feed.intake_counts.get("senders", 0))
 
     def capture(self) -> tuple[FeedState | None, socket.socket | None]:
-        """The state of the feed and its end of the intake's socket, for a handover; None where there is no feed."""
+        """Return the state of the feed and its end of the intake's socket, for a handover; None without a feed."""
         return self.feed.capture() if self.feed else (None, None)
 
     def pause(self) -> None:
-        """Take no reports for now."""
+        """Stop receiving reports until `resume`."""
         if self.feed:
             self.feed.pause()
 
     def resume(self, *, is_stale: bool) -> None:
-        """Take reports again. is_stale: another process may have read from the intake meanwhile."""
+        """Receive reports again. is_stale: another process may have read from the intake during the pause."""
         if self.feed:
             self.feed.resume(is_stale=is_stale)
 
     def stop(self) -> None:
-        """End the feed and its intake."""
+        """Stop the feed and its intake."""
         if self.feed:
             self.feed.stop()
 
     def _on_factors_changed(self) -> None:
-        """Tell the assigner of the hosts concerned, as changes of the host list."""
+        """Pass changed weights to the assigner, as changes of the host list."""
         if self.feed is None or not self.has_host_list:
-            return  # before the first list of this process the assigner would take the change for that list
-        before = self.factors
+            return  # until the first list arrives, the assigner would treat this change as that list
+        previous_factors = self.factors
         self._set_factors(self.feed.estimator.factors())
-        event = factor_changes(self._view.entries, self._view.version, before, self.factors)
+        event = factor_changes(self._view.entries, self._view.version, previous_factors, self.factors)
         if event:
             log.info("load factors", factors={str(host): round(factor, 3) for host, factor in self.factors.items()})
             self._engine.add_event(self._context.clock(), event)
--- a/corallanding/controller/network.py
+++ b/corallanding/controller/network.py
@@ -1,4 +1,4 @@
-"""The listening sockets: for connections of proxies, and for HTTP."""
+"""Opens the listening sockets for proxies and for HTTP."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from .inherited_sockets import InheritedSockets
 from .proxy_connections import ProxyConnections
 
-BACKLOG = 1024  # connections that wait in the kernel
-SPARE_DESCRIPTORS = 200  # for the store, health checks, HTTP, the registry, and links that are being closed
+BACKLOG = 1024  # length of the kernel's queue, in connections
+SPARE_DESCRIPTORS = 200  # reserved for the store, health checks, HTTP, the registry, and links that are being closed
 
 
 class Network:
-    """Opens the listening sockets, or takes those of the process before this one.
+    """Opens the listening sockets, or takes over those of the previous process.
 
-    servers: the listener for proxies first, then the HTTP server if one is configured.
+    servers: the listener for proxies, then the HTTP server if one is configured.
     """
 
     def __init__(
@@ -36,21 +36,21 @@
         self.servers: list[asyncio.Server | Listener] = []
 
     async def start(self, inherited: InheritedSockets) -> None:
-        """Listen. Raises OSError if an address cannot be used."""
+        """Start to listen. Raise OSError if an address cannot be used."""
         self._raise_descriptor_limit()
         self._start_listener(inherited)
         await self._start_http(inherited)
 
     def addresses(self) -> list[tuple[str, int]]:
-        """Where the servers listen."""
+        """Return the (host, port) that each server listens on."""
         return [server.sockets[0].getsockname()[:2] for server in self.servers]
 
     def file_descriptors(self) -> list[int]:
-        """The descriptors of the listening sockets, for a handover."""
+        """Return the file descriptors of the listening sockets, for a handover."""
         return [server.sockets[0].fileno() for server in self.servers]
 
     def pause(self) -> None:
-        """Accept no proxies; they wait in the kernel."""
+        """Stop accepting proxies until `resume`; connections wait in the kernel's queue."""
         if self.listener:
             self.listener.suspend()
 
@@ -60,7 +60,7 @@
             self.listener.resume()
 
     def reload(self, config: ControllerConfig) -> None:
-        """Take the limits of a new configuration."""
+        """Apply the limits of a new configuration."""
         if self.listener:
             self.listener.rate = config.forwarders.accepts_per_s
         if self._http and config.door:
@@ -80,7 +80,7 @@
         needed = proxies.most + proxies.strangers_most + SPARE_DESCRIPTORS
         available = raise_descriptor_limit(needed)
         if available < needed:
-            log.warning("few descriptors: not all proxies can join", have=available, needed=needed)
+            log.warning("file descriptor limit is too low for all proxies", have=available, needed=needed)
 
     def _start_listener(self, inherited: InheritedSockets) -> None:
         config = self._context.config
@@ -91,7 +91,7 @@
             BACKLOG,
             config.forwarders.accepts_per_s,
             self._connections.make_link,
-            lambda why: self._context.rate_limited_log.warn("link not taken", why=why),
+            lambda why: self._context.rate_limited_log.warn("connection not accepted", why=why),
             inherited.take_listener(host, port),
         )
         self.servers.append(self.listener)
--- a/corallanding/controller/output_dispatch.py
+++ b/corallanding/controller/output_dispatch.py
@@ -1,4 +1,4 @@
-"""Carries out what a decision step hands out."""
+"""Carries out the outputs of decision steps."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class OutputDispatcher:
-    """Hands each output of the engine to the component that carries it out."""
+    """Passes each output of the engine to the component that carries it out."""
 
     def __init__(
         self,
@@ -26,11 +26,11 @@
         self._host_sources = host_sources
         self._peers = peers
 
-    def dispatch(self, now: float, output: Output) -> None:
-        """Carry out one output. now: when its step began."""
+    def dispatch(self, now_ms: float, output: Output) -> None:
+        """Carry out one output. now_ms: start of its step."""
         match output:
             case SendFrame():
-                self._proxy_channel.queue(now, output)
+                self._proxy_channel.queue(now_ms, output)
             case CheckHost():
                 self._health_checks.check(output.host, output.address)
             case api.WatchHostList():
--- a/corallanding/controller/overload.py
+++ b/corallanding/controller/overload.py
@@ -1,9 +1,9 @@
-"""Detects that the controller itself is late, and tells which work is delayed meanwhile. Pure.
+"""Detects that the controller itself is overloaded, and decides which work to delay until it recovers. Pure.
 
-What hosts that must leave tables need is done in every step. The search for better owners runs on a timer of the
-assigner, and that can wait: while steps come late, or fill more of the time than allowed, it is delayed up to a bound.
-Guards against a search that takes the time in which messages on draining hosts should go out. May harm a fleet whose
-load shifts while the controller is late: owners that are crowded, but answer, stay so for a while longer.
+Hosts that must leave tables are handled in every step. The search for better owners runs on a timer of the assigner
+and can wait: while steps are late, or take more of the time than allowed, it is delayed up to a limit. Guards against
+a search that delays messages about draining hosts. Drawback: if the load of the fleet shifts while the controller is
+late, owners that are overloaded but still respond stay so a while longer.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class OverloadLimits:
-    """How late a step may be, what share of the time steps may fill, and how long a timer is delayed at most."""
+    """Limits on the lateness of steps, the share of time that they take, and the delay of a timer."""
 
     max_lateness_ms: float = 100.0
     max_busy_share: float = 0.5
@@ -25,28 +25,28 @@
 
 @dataclass
 class OverloadDetector:
-    """Smooths lateness and load; overload ends once both are below half of their limits."""
+    """Smooths the lateness of steps and their share of time; overload ends once both are below half of their limits."""
 
     limits: OverloadLimits
     lateness_ms: float = 0.0  # smoothed
-    busy_share: float = 0.0  # smoothed part of the time that steps fill
+    busy_share: float = 0.0  # smoothed share of time that steps take
     is_overloaded: bool = False
-    delayed_timers: int = 0  # so far
-    last_step_ended_at: float = -1.0  # below 0: no step yet
-    delayed_since: dict[int, float] = field(default_factory=dict)  # timers that are delayed now
+    delayed_timers: int = 0  # delays since the start
+    last_step_ended_at_ms: float = -1.0  # below 0: no step yet
+    delayed_since_ms: dict[int, float] = field(default_factory=dict)  # ms, by timer that is delayed now
 
     def on_lateness(self, late_ms: float) -> None:
-        """The event loop, or a step, was late. Rises at once, falls by half with each report in time."""
+        """Record how late the event loop was. The smoothed value rises at once, and at most halves with each report."""
         self.lateness_ms = max(late_ms, self.lateness_ms / 2.0)
         self._update()
 
-    def on_step(self, now: float, took_ms: float) -> None:
-        """A step ended at `now`."""
-        if self.last_step_ended_at >= 0.0:
-            span_ms = max(now - self.last_step_ended_at, took_ms, MIN_SPAN_MS)
-            kept = 0.5 ** (span_ms / BUSY_HALF_LIFE_MS)
-            self.busy_share = self.busy_share * kept + (took_ms / span_ms) * (1.0 - kept)
-        self.last_step_ended_at = now
+    def on_step(self, now_ms: float, duration_ms: float) -> None:
+        """Record that a step ended at `now_ms`."""
+        if self.last_step_ended_at_ms >= 0.0:
+            span_ms = max(now_ms - self.last_step_ended_at_ms, duration_ms, MIN_SPAN_MS)
+            decay = 0.5 ** (span_ms / BUSY_HALF_LIFE_MS)
+            self.busy_share = self.busy_share * decay + (duration_ms / span_ms) * (1.0 - decay)
+        self.last_step_ended_at_ms = now_ms
         self._update()
 
     def _update(self) -> None:
@@ -58,15 +58,15 @@
         elif is_low:
             self.is_overloaded = False
 
-    def should_delay(self, now: float, timer: int) -> bool:
-        """Whether a timer that is due has to wait. Asked at every step while it is due."""
+    def should_delay(self, now_ms: float, timer: int) -> bool:
+        """Return whether a due timer is delayed. Called at every step while it is due."""
         if not self.is_overloaded:
-            self.delayed_since.pop(timer, None)
+            self.delayed_since_ms.pop(timer, None)
             return False
-        if timer not in self.delayed_since:
-            self.delayed_since[timer] = now
+        if timer not in self.delayed_since_ms:
+            self.delayed_since_ms[timer] = now_ms
             self.delayed_timers += 1
-        if now - self.delayed_since[timer] >= self.limits.max_delay_ms:
-            del self.delayed_since[timer]
+        if now_ms - self.delayed_since_ms[timer] >= self.limits.max_delay_ms:
+            del self.delayed_since_ms[timer]
             return False
         return True
--- a/corallanding/controller/pause_control.py
+++ b/corallanding/controller/pause_control.py
@@ -1,4 +1,4 @@
-"""Pausing the whole controller while a handover decides which process goes on."""
+"""Pauses the controller while a handover decides which process continues."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from .proxy_connections import ProxyConnections
 from .step_timer import StepTimer
 
-MAX_FLUSH_MS = 300.0  # that a link may take to send what was written before the pause
+MAX_FLUSH_MS = 300.0  # time for links to send data written before the pause
 FLUSH_POLL_S = 0.001
 
 
 class PauseControl:
-    """Silences every component that sends or receives, and lets them go on. paused_at_ms: of the last pause."""
+    """Pauses and resumes every component that sends or receives. paused_at_ms: time of the last pause."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self.paused_at_ms = 0.0
 
     async def pause(self) -> None:
-        """Send and receive nothing from here on; what was written has left when this returns, or its link ends."""
+        """Stop sending and receiving. Return once written data is sent; close links that do not send it in time."""
         self._context.lifecycle.state = ProcessState.PAUSED
         self.paused_at_ms = self._context.clock()
         self._timer.pause()
@@ -57,9 +57,9 @@
         await self._flush()
 
     def resume(self, *, is_stale: bool = False) -> None:
-        """Go on after a handover that failed.
+        """Resume after a failed handover.
 
-        is_stale: another process may have sent to proxies; all of them read their tables again.
+        is_stale: another process may have sent tables to proxies, so all of them receive their tables again.
         """
         self._context.lifecycle.state = ProcessState.ACTIVE
         self._load_weights.resume(is_stale=is_stale)
@@ -71,9 +71,9 @@
         self._timer.request_step()
 
     async def _flush(self) -> None:
-        deadline = self._context.clock() + MAX_FLUSH_MS
+        deadline_ms = self._context.clock() + MAX_FLUSH_MS
         while unsent := self._connections.unsent():
-            if self._context.clock() >= deadline:
+            if self._context.clock() >= deadline_ms:
                 break
             await asyncio.sleep(FLUSH_POLL_S)
         for link in unsent:
--- a/corallanding/controller/proxy_admission.py
+++ b/corallanding/controller/proxy_admission.py
@@ -1,4 +1,4 @@
-"""How proxies join: identification, admission at the configured pace, and their tables."""
+"""Handles joins of proxies: identification, admission at the configured rate, and sending their tables."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ProxyAdmission:
-    """Lets proxies join. admission: decides when. request_step: asks for a decision step."""
+    """Admits proxies. admission: decides when. request_step: requests a decision step."""
 
     def __init__(
         self,
@@ -42,47 +42,47 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def admit(self) -> None:
-        """Let proxies join at the configured pace, since each of them reads all tables."""
+        """Admit due proxies at the configured rate, because each of them reads all tables."""
         if self._context.lifecycle.is_paused:
             return
-        now = self._context.clock()
-        for proxy in self.admission.admit_due(now):
+        now_ms = self._context.clock()
+        for proxy in self.admission.admit_due(now_ms):
             if (link := self._registry.proxies.get(proxy)) and link.link.hello and not link.is_joined:
-                self._welcome(link, link.link.hello)
+                self._admit_proxy(link, link.link.hello)
         self.pause()
-        next_at = self.admission.next_at(now)
-        if next_at is not None and self._context.lifecycle.is_running:
-            delay = max(MIN_ADMISSION_DELAY_S, (next_at - now) / 1000.0)
-            self._timer = asyncio.get_running_loop().call_later(delay, self.admit)
+        next_at_ms = self.admission.next_at(now_ms)
+        if next_at_ms is not None and self._context.lifecycle.is_running:
+            delay_s = max(MIN_ADMISSION_DELAY_S, (next_at_ms - now_ms) / 1000.0)
+            self._timer = asyncio.get_running_loop().call_later(delay_s, self.admit)
 
     def request(self, link: ProxyConnection) -> None:
-        """Note that a proxy asks for its tables."""
+        """Queue a proxy that requests its tables."""
         self.admission.request(self._context.clock(), link.proxy)
         self.admit()
 
     def pause(self) -> None:
-        """Admit no more until `admit` is called."""
+        """Admit no more proxies until `admit` is called."""
         if self._timer:
             self._timer.cancel()
             self._timer = None
 
     def rejoin_all(self) -> None:
-        """Send all tables to every joined proxy, since another process may have sent it others."""
+        """Send all tables to every joined proxy, because another process may have sent it different ones."""
         for link in self._registry.joined():
             link.is_joined = False
             self.join(link)
 
     def join(self, link: ProxyConnection) -> None:
-        """Send a proxy its tables; it counts as joined from here on."""
+        """Send a proxy its tables and mark it as joined."""
         hello = link.link.hello
         if link.is_closed or link.is_joined or hello is None or self._registry.proxies.get(link.proxy) is not link:
             return
-        now = self._context.clock()
+        now_ms = self._context.clock()
         link.is_joined = True
         link.link.unacked_versions.clear()
         self._channel.join(link.proxy)
         self._channel.set_blocked(link.proxy, is_blocked=link.is_write_paused)
-        link.send(self._engine.on_proxy_joined(now, hello))
+        link.send(self._engine.on_proxy_joined(now_ms, hello))
         self._context.metrics.table_reads.inc()
         self._context.metrics.proxies.set(len(self._engine.proxy_zones))
         log.info("proxy joined", proxy=link.proxy, zone=hello.zone, fresh=hello.is_fresh)
@@ -91,12 +91,12 @@
         self._request_step()
 
     def greet_all(self) -> None:
-        """Tell every joined proxy the start number, which has changed since it joined."""
+        """Send every joined proxy the start number, which has changed since it joined."""
         for link in self._registry.joined():
-            self._greet(link)
+            self._send_welcome(link)
 
     def on_hello(self, link: ProxyConnection, hello: frames.Hello) -> None:
-        """Take the first frame of a connection: which proxy it is of. A connection that cannot be is closed."""
+        """Process the first frame of a connection, which identifies its proxy; close the connection if invalid."""
         config = self._context.config
         if hello.zone >= len(config.zones):
             link.close(CloseCode.MALFORMED, f"zone {hello.zone}: there are {len(config.zones)}")
@@ -106,7 +106,7 @@
             return
         former = self._registry.proxies.get(hello.proxy)
         if former and former.link.hello and former.link.hello.session != hello.session:
-            # Two processes under one number: the one at work stays; silence takes it away soon enough.
+            # Two processes use one number: the connected one keeps it. If it hangs, the silence timeout frees it.
             self._context.rate_limited_log.warn("proxy number in use", proxy=hello.proxy)
             link.close(CloseCode.NUMBER_IN_USE, "another process holds this number")
             return
@@ -116,17 +116,17 @@
         self._registry.unidentified.pop(link, None)
         self.request(link)
 
-    def _welcome(self, link: ProxyConnection, hello: frames.Hello) -> None:
-        self._greet(link)
+    def _admit_proxy(self, link: ProxyConnection, hello: frames.Hello) -> None:
+        self._send_welcome(link)
         if not self._engine.needs_recall(self._context.clock(), hello):
             self.join(link)
             return
         link.link.is_recalled = True
         link.send(frames.encode(frames.HeldTablesRequest()))
-        delay = self._context.config.forwarders.beat_ms / 1000.0
-        asyncio.get_running_loop().call_later(delay, self.join, link)
+        delay_s = self._context.config.forwarders.beat_ms / 1000.0
+        asyncio.get_running_loop().call_later(delay_s, self.join, link)
 
-    def _greet(self, link: ProxyConnection) -> None:
+    def _send_welcome(self, link: ProxyConnection) -> None:
         config = self._context.config
         welcome = frames.Welcome(
             frames.PROTOCOL_VERSION,
--- a/corallanding/controller/proxy_channel.py
+++ b/corallanding/controller/proxy_channel.py
@@ -1,4 +1,4 @@
-"""Sends to proxies what the paced channel releases."""
+"""Sends messages to proxies when the paced channel releases them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ProxyChannel:
-    """Queues messages in the channel, and writes them to the links when the channel lets them go."""
+    """Queues messages in the channel, and writes them to the links when the channel releases them."""
 
     def __init__(self, context: Context, channel: Channel, registry: LinkRegistry) -> None:
         self._context = context
@@ -24,42 +24,44 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def submit(self, data: bytes, lines: int, to: tuple[int, ...]) -> None:
-        """Send a frame that is no order of the assigner's. lines: what it costs; to: numbers of proxies."""
+        """Send a frame that needs no acknowledgement. lines: its cost in the channel; to: proxy numbers."""
         self.queue(self._context.clock(), SendFrame(data, lines, NO_VERSION, to))
         self.pump()
 
-    def queue(self, now: float, message: SendFrame) -> None:
-        """Put a message into the channel. Links whose queue is full are closed: their proxies read the tables anew."""
+    def queue(self, now_ms: float, message: SendFrame) -> None:
+        """Queue a message. Links whose queue is full are closed; their proxies reconnect and read all tables."""
         try:
-            queued = Message(message.frame, message.cost_lines, message.version, now, message.orders)
+            queued = Message(message.frame, message.cost_lines, message.version, now_ms, message.orders)
             self._channel.submit(queued, message.proxies, is_urgent=message.is_urgent)
         except QueueFullError as error:
             for proxy in error.proxies:
                 if link := self._registry.proxies.get(proxy):
-                    self._context.rate_limited_log.warn("link cut off", proxy=proxy, why="the channel is full")
+                    self._context.rate_limited_log.warn(
+                        "slow link closed", proxy=proxy, why="its queue in the channel is full"
+                    )
                     link.close(CloseCode.OVERRUN, "the channel is full: read the store")
 
     def pump(self) -> None:
-        """Send what the channel lets go by now, and come again when it lets go more."""
+        """Send the released messages, and schedule the next call for when more are released."""
         if self._context.lifecycle.is_paused:
             return
-        now = self._context.clock()
-        self._send_due(now)
+        now_ms = self._context.clock()
+        self._send_due(now_ms)
         self._publish_metrics()
         self.pause()
-        next_at = self._channel.next_due_at(now)
-        if next_at is not None and self._context.lifecycle.is_running:
-            delay = max(MIN_PUMP_DELAY_S, (next_at - now) / 1000.0)
-            self._timer = asyncio.get_running_loop().call_later(delay, self.pump)
+        next_at_ms = self._channel.next_due_at(now_ms)
+        if next_at_ms is not None and self._context.lifecycle.is_running:
+            delay_s = max(MIN_PUMP_DELAY_S, (next_at_ms - now_ms) / 1000.0)
+            self._timer = asyncio.get_running_loop().call_later(delay_s, self.pump)
 
     def pause(self) -> None:
-        """Send nothing more until `pump` is called."""
+        """Stop sending until `pump` is called."""
         if self._timer:
             self._timer.cancel()
             self._timer = None
 
-    def _send_due(self, now: float) -> None:
-        for proxy, message in self._channel.take_due(now):
+    def _send_due(self, now_ms: float) -> None:
+        for proxy, message in self._channel.take_due(now_ms):
             link = self._registry.proxies.get(proxy)
             if link is None:
                 continue
--- a/corallanding/controller/proxy_connections.py
+++ b/corallanding/controller/proxy_connections.py
@@ -1,4 +1,4 @@
-"""Connections of proxies: who joins and at what pace, what they send, and who has left."""
+"""Manages the connections of proxies: received frames, disconnects, handover and reload."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def link_limits(config: ControllerConfig) -> LinkLimits:
-    """The limits of one connection, as configured."""
+    """Return the configured limits of one connection."""
     proxies = config.forwarders
     return LinkLimits(
         proxies.frame_most_bytes,
@@ -39,7 +39,7 @@
 
 
 class ProxyConnections:
-    """Between the sockets of proxies, the channel and the engine. request_step: asks for a decision step."""
+    """Connects the links of proxies to the channel and the engine. request_step: requests a decision step."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         self.proxy_admission = proxy_admission
         self._peers = peers
         self._request_step = request_step
-        # What a link reads of its owner (`proxy_protocol.ConnectionOwner`).
+        # Attributes that a link reads (`proxy_protocol.ConnectionOwner`).
         self.config = context.config
         self.limits = link_limits(context.config)
         self.clock = context.clock
@@ -70,23 +70,23 @@
         self.proxies = registry.proxies
         self.unidentified = registry.unidentified
 
-    # ---- what a link asks of its owner (`proxy_protocol.ConnectionOwner`) ----------------------------------------
+    # ---- events from a link (`proxy_protocol.ConnectionOwner`) ---------------------------------------------------
 
     def on_frame(self, link: ProxyConnection, frame: frames.Frame) -> None:
-        """Take a frame that a proxy sent."""
-        now = self._context.clock()
+        """Process a frame that a proxy sent."""
+        now_ms = self._context.clock()
         match frame:
             case frames.Hello():
                 self.proxy_admission.on_hello(link, frame)
             case frames.Ack() if link.is_joined:
-                self._on_ack(now, link)
+                self._on_ack(now_ms, link)
             case frames.UsageReport() if link.is_joined:
-                self._engine.on_usage_report(now, link.proxy, frame)
+                self._engine.on_usage_report(now_ms, link.proxy, frame)
             case frames.TablesRequest():
                 link.is_joined = False
                 self.proxy_admission.request(link)
             case frames.HeldTables():
-                if changed := self._engine.on_recalled_tables(now, frame):
+                if changed := self._engine.on_recalled_tables(now_ms, frame):
                     log.warning("tables recalled", proxy=link.proxy, seq=frame.seq, slices=len(changed))
                 self.proxy_admission.join(link)
             case frames.Goodbye():
@@ -96,14 +96,14 @@
         self._request_step()
 
     def on_writable(self, link: ProxyConnection, *, is_writable: bool) -> None:
-        """Note that a proxy's socket takes no more for now, or takes more again."""
+        """Block or unblock a proxy in the channel when its socket buffer becomes full or writable."""
         if link.is_joined and self.registry.proxies.get(link.proxy) is link:
             self._channel.set_blocked(link.proxy, is_blocked=not is_writable)
             if is_writable:
                 self._proxy_channel.pump()
 
     def on_closed(self, link: ProxyConnection) -> None:
-        """A link is over: its proxy has left, unless a later link has taken its place."""
+        """Remove a closed link. Its proxy has left, unless a later link has replaced this one."""
         proxy = link.proxy
         if not self.registry.remove(link):
             return
@@ -116,51 +116,52 @@
             self._peers.cluster.on_proxy_left(proxy)
         self._request_step()
 
-    def _on_ack(self, now: float, link: ProxyConnection) -> None:
-        # The link has checked it and knows since when the version was out.
+    def _on_ack(self, now_ms: float, link: ProxyConnection) -> None:
+        # The link has validated the ack and knows when the version was sent.
         version, sent_at = link.link.acked.popleft()
-        self._engine.add_event(now, api.VersionAcked(link.proxy, version, now - sent_at))
-        self._context.metrics.ack_seconds.observe((now - sent_at) / 1000.0)
+        self._engine.add_event(now_ms, api.VersionAcked(link.proxy, version, now_ms - sent_at))
+        self._context.metrics.ack_seconds.observe((now_ms - sent_at) / 1000.0)
 
     def make_link(self) -> ProxyConnection:
-        """The protocol of a connection that was just accepted."""
+        """Return the protocol for a new connection."""
         return ProxyConnection(self)
 
-    # ---- handover, reload and end --------------------------------------------------------------------------------
+    # ---- handover, reload and stop -------------------------------------------------------------------------------
 
     async def adopt(self, states: Sequence[ConnectionState], inherited: InheritedSockets) -> None:
-        """Go on with the connections of the process before this one. Raises OSError."""
+        """Take over the connections of the previous process. Raise OSError if a socket cannot be used."""
         loop = asyncio.get_running_loop()
         for state, sock in zip(states, inherited.take_connections(len(states)), strict=True):
             if sock:
                 await loop.connect_accepted_socket(partial(ProxyConnection, self, state), sock)
-        self.proxy_admission.greet_all()  # should this process die too, its proxies must know whose messages they hold
-        now = self._context.clock()
+        # If this process exits too, its proxies must know from which start their tables are.
+        self.proxy_admission.greet_all()
+        now_ms = self._context.clock()
         for proxy in [number for number in self._engine.proxy_zones if number not in self.registry.proxies]:
             self._channel.leave(proxy)
-            self._engine.on_proxy_left(now, proxy)
+            self._engine.on_proxy_left(now_ms, proxy)
         for proxy in self.registry.proxies:
-            self._channel.set_blocked(proxy, is_blocked=False)  # nothing of ours waits in their sockets
+            self._channel.set_blocked(proxy, is_blocked=False)  # this process has no unsent data in their sockets
             if self._peers.cluster:
                 self._peers.cluster.on_proxy_joined(proxy)
 
     def pause(self) -> None:
-        """Admit and send nothing more; `admit` and `pump` go on."""
+        """Stop admitting and sending until `resume`."""
         self.proxy_admission.pause()
         self._proxy_channel.pause()
 
     def pause_reading(self) -> None:
-        """Read nothing more from any proxy."""
+        """Stop reading from all proxies."""
         for link in self.registry.links:
             if link.transport:
                 link.transport.pause_reading()
 
     def unsent(self) -> list[ProxyConnection]:
-        """Links with data that the socket has not taken yet."""
+        """Return the links with data that is not written to the socket yet."""
         return [link for link in self.registry.links if link.unsent_bytes]
 
     def resume(self) -> None:
-        """Read from every proxy, admit and send again."""
+        """Resume reading from all proxies, admitting and sending."""
         for link in list(self.registry.links):
             if link.transport and not link.is_closed:
                 link.transport.resume_reading()
@@ -168,7 +169,7 @@
         self._proxy_channel.pump()
 
     def reload(self, config: ControllerConfig) -> None:
-        """Take the limits of a new configuration, for standing links too."""
+        """Apply the limits of a new configuration, to open links too."""
         self.config = config
         self.limits = link_limits(config)
         self.proxy_admission.admission.rate_per_second = config.forwarders.reads_per_s
@@ -177,7 +178,7 @@
             link.link.reader.max_frame_bytes = self.limits.max_frame_bytes
 
     def stop(self) -> None:
-        """End every connection with a reason."""
+        """Close every connection with the code STOPPING."""
         for link in list(self.registry.links):
             link.close(CloseCode.STOPPING)
         self.pause()
--- a/corallanding/controller/proxy_protocol.py
+++ b/corallanding/controller/proxy_protocol.py
@@ -1,4 +1,4 @@
-"""A proxy's connection on a socket: a thin asyncio protocol around `wire.link_state.LinkState`."""
+"""The asyncio protocol of a proxy's connection: a thin layer around `wire.link_state.LinkState`."""
 
 from __future__ import annotations
 
@@ -18,14 +18,17 @@
     from ..wire.link_state import LinkLimits
     from .connection_state import ConnectionState
 
-NO_PROXY = -1  # in place of a number, before the hello
+NO_PROXY = -1  # proxy number of a connection before its Hello
 MAX_REASON_CHARACTERS = 200
-ABORT_AFTER_S = 1.0  # a peer that does not read its last frame must not keep the descriptor
-ABORTED_CODES = (CloseCode.NOT_READING, CloseCode.SILENT)  # closed without a last frame: the peer would not read it
+ABORT_AFTER_S = 1.0  # a proxy that does not read its last frame must not hold the file descriptor
+ABORTED_CODES = (
+    CloseCode.NOT_READING,
+    CloseCode.SILENT,
+)  # closed without a last frame, because the proxy would not read it
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the controller that it belongs to."""
+    """The interface that a connection needs from its controller."""
 
     config: ControllerConfig
     limits: LinkLimits
@@ -33,26 +36,26 @@
     metrics: Metrics
     links: dict[ProxyConnection, None]
     proxies: dict[int, ProxyConnection]
-    unidentified: dict[ProxyConnection, None]  # no hello yet
+    unidentified: dict[ProxyConnection, None]  # connections without a Hello so far
 
     @property
     def clock(self) -> Callable[[], float]:
-        """The controller's clock, ms."""
+        """The controller's clock, in ms."""
 
     def on_frame(self, link: ProxyConnection, frame: frames.Frame) -> None:
-        """A frame has come."""
+        """Handle a received frame."""
 
     def on_writable(self, link: ProxyConnection, *, is_writable: bool) -> None:
-        """The socket takes no more for now, or takes more again."""
+        """Handle a socket buffer that became full or writable."""
 
     def on_closed(self, link: ProxyConnection) -> None:
-        """The connection is closed."""
+        """Handle the end of a connection."""
 
 
 class ProxyConnection(asyncio.Protocol):
-    """One connection of a proxy. `is_joined` once its tables were sent.
+    """One connection of a proxy. `is_joined`: its tables were sent.
 
-    `inherited` is the state of a connection that was the predecessor's.
+    `inherited` is the state of a connection taken over from the previous process.
     """
 
     def __init__(self, owner: ConnectionOwner, inherited: ConnectionState | None = None) -> None:
@@ -71,11 +74,11 @@
 
     @property
     def proxy(self) -> int:
-        """The number of the proxy; `NO_PROXY` before its hello."""
+        """The number of the proxy; `NO_PROXY` before its Hello."""
         return self.link.hello.proxy if self.link.hello else NO_PROXY
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by asyncio. Connections beyond the limits are closed, the oldest without a hello first."""
+        """Register the new connection. Beyond the limits close it, or the oldest one without a Hello."""
         self.transport = cast(asyncio.Transport, transport)
         owner = self.owner
         limits = owner.config.forwarders
@@ -88,11 +91,11 @@
             return
         owner.unidentified[self] = None
         if len(owner.unidentified) > limits.strangers_most:
-            # A proxy sends its hello at once: silent connections must not take the places of those that come.
+            # A proxy sends its Hello at once: silent connections must not use up the capacity for new ones.
             next(iter(owner.unidentified)).close(CloseCode.NO_HELLO, "others wait for the place")
 
     def data_received(self, data: bytes) -> None:
-        """Called by asyncio."""
+        """Pass received frames to the owner; close the connection on a protocol error."""
         if self.is_closed:
             return
         try:
@@ -107,33 +110,36 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """What waits in the socket's buffer."""
+        """The number of bytes in the transport's write buffer."""
         return self.transport.get_write_buffer_size() if self.transport and not self.is_closed else 0
 
     def send(self, data: bytes) -> bool:
-        """Send a frame. False if the proxy reads too slowly: it is cut off, and reads all tables when it is back."""
+        """Send a frame. Return False if the connection is closed, or is closed now because the proxy reads too slowly.
+
+        A proxy that was closed reads all tables when it reconnects.
+        """
         if self.is_closed or self.transport is None:
             return False
         self.transport.write(data)
         if self.transport.get_write_buffer_size() > self.owner.limits.max_buffer_bytes:
-            self.owner.rate_limited_log.warn("link cut off", proxy=self.proxy, why="it does not read")
+            self.owner.rate_limited_log.warn("slow link closed", proxy=self.proxy, why="the proxy does not read")
             self.close(CloseCode.NOT_READING, "")
             return False
         return True
 
     def pause_writing(self) -> None:
-        """Called by asyncio when the buffer is full: later frames wait in the channel, where urgent ones overtake."""
+        """Handle a full write buffer: later frames wait in the channel, where urgent ones can overtake."""
         self.is_write_paused = True
         self.owner.on_writable(self, is_writable=False)
 
     def resume_writing(self) -> None:
-        """Called by asyncio when the buffer has room again."""
+        """Handle a write buffer that has capacity again."""
         self.is_write_paused = False
         if not self.is_closed:
             self.owner.on_writable(self, is_writable=True)
 
     def close(self, code: CloseCode, text: str = "") -> None:
-        """Close the connection, with a last frame that says why if the other side still reads."""
+        """Close the connection; send a last frame with the reason if the proxy still reads."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -148,7 +154,7 @@
         self.owner.on_closed(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called by asyncio."""
+        """Handle a connection that ended without being closed here."""
         if not self.is_closed:
             self.is_closed = True
             self.owner.metrics.links_closed.labels(CloseCode.BROKEN if exc else CloseCode.CLOSED).inc()
--- a/corallanding/controller/publisher.py
+++ b/corallanding/controller/publisher.py
@@ -1,7 +1,7 @@
-"""Encodes what the engine decided as frames for proxies. Pure.
+"""Encodes the decisions of the engine as frames for proxies. Pure.
 
-The publisher holds the tables as published so far, numbers the messages, and caches the frame with all tables, which
-every proxy gets that joins between two changes.
+The publisher holds the tables as last published, numbers the messages, and caches the frame with all tables, which
+is sent to every proxy that joins between two changes.
 """
 
 from __future__ import annotations
@@ -19,32 +19,34 @@
 
 @dataclass
 class PublishedTables:
-    """The tables as published so far: what a proxy that joins now is given."""
+    """The tables as last published: the state that a joining proxy receives."""
 
-    tables: dict[int, dict[int, float]] = field(default_factory=dict)  # table: host: weight
-    admissions: dict[tuple[int, int], tuple[float, int]] = field(default_factory=dict)  # (table, bits): amount, retry
+    tables: dict[int, dict[int, float]] = field(default_factory=dict)  # weight by table and host
+    admissions: dict[tuple[int, int], tuple[float, int]] = field(
+        default_factory=dict
+    )  # (amount, retry) by (table, bits)
     cordoned_hosts: set[int] = field(default_factory=set)
-    assignments: dict[int, dict[int, int]] = field(default_factory=dict)  # proxy: table: bits of request classes
+    assignments: dict[int, dict[int, int]] = field(default_factory=dict)  # bits of request classes by proxy and table
 
 
 @dataclass
 class TableChanges:
-    """What the actions of one step change, for the messages that carry it to proxies."""
+    """The changes by the actions of one step, for the messages to proxies."""
 
-    weights: dict[tuple[int, int], float] = field(default_factory=dict)  # (table, host): weight
+    weights: dict[tuple[int, int], float] = field(default_factory=dict)  # weight by (table, host)
     resets: list[int] = field(default_factory=list)
     admissions: list[frames.LevelRow] = field(default_factory=list)
     cordons: list[tuple[int, bool]] = field(default_factory=list)
-    assignments: dict[int, list[tuple[int, int]]] = field(default_factory=dict)  # proxy: (table, bits)
+    assignments: dict[int, list[tuple[int, int]]] = field(default_factory=dict)  # (table, bits) by proxy
     version: int = NO_VERSION
     to_all_proxies: bool = False
 
     def entries(self) -> list[TableEntry]:
-        """The changed table entries."""
+        """Return the changed table entries."""
         return [(table, host, weight) for (table, host), weight in self.weights.items()]
 
     def needs_message(self) -> bool:
-        """Whether any proxy has to be told anything."""
+        """Return whether any proxy must receive a message."""
         has_changes = self.weights or self.resets or self.admissions or self.cordons or self.assignments
         return bool(has_changes) or (self.version >= 0 and self.to_all_proxies)
 
@@ -59,17 +61,17 @@
     assignments: tuple[tuple[int, int], ...]
 
     def is_empty(self) -> bool:
-        """Whether nothing concerns the proxy."""
+        """Return whether nothing concerns the proxy."""
         return not (self.entries or self.resets or self.admissions or self.assignments)
 
 
 def is_urgent(
     entries: Sequence[TableEntry], cordons: Sequence[tuple[int, bool]], leaving_hosts: Container[int]
 ) -> bool:
-    """Whether a message takes a host out of a table at once, because it is dead, draining or cordoned.
+    """Return whether a message removes a host from a table at once, because it is dead, draining or cordoned.
 
-    That is a host which the list calls draining or removed, or one that is replaced in a single step: an ordinary move
-    keeps the previous owner in the table until proxies have acknowledged the new version.
+    Such a host is draining or removed in the host list, or is replaced in a single step: an ordinary move keeps the
+    previous owner in the table until proxies have acknowledged the new version.
     """
     if any(is_cordoned for _, is_cordoned in cordons):
         return True
@@ -88,11 +90,11 @@
         self.addresses = addresses
         self.published = PublishedTables()
         self.message_number = 0
-        self.leaving_hosts: set[int] = set()  # hosts that the list calls draining or removed
+        self.leaving_hosts: set[int] = set()  # hosts that are draining or removed in the host list
         self._tables_frame: tuple[int, bytes] | None = None  # message number, frame with all tables
 
     def on_host_list(self, update: api.HostListUpdate) -> None:
-        """Note which hosts the list calls draining or removed."""
+        """Record which hosts are draining or removed in the host list."""
         for entry in update.entries:
             if entry.state == api.HostState.UP:
                 self.leaving_hosts.discard(entry.host)
@@ -100,11 +102,11 @@
                 self.leaving_hosts.add(entry.host)
 
     def drop_cached_frame(self) -> None:
-        """Forget the frame with all tables: they have changed."""
+        """Drop the cached frame with all tables, because they have changed."""
         self._tables_frame = None
 
     def tables_frame(self, proxy: int, owned_slices: set[int]) -> bytes:
-        """Everything that a joining proxy holds from now on, as one frame."""
+        """Return one frame with the full state for a joining proxy."""
         assignments = self.published.assignments.get(proxy, {})
         if not assignments and self._tables_frame and self._tables_frame[0] == self.message_number:
             return self._tables_frame[1]
@@ -125,7 +127,7 @@
         return frame
 
     def _tables_of(self, assignments: dict[int, int], owned_slices: set[int]) -> dict[int, dict[int, float]]:
-        """The tables that a proxy with these assignments uses."""
+        """Return the tables that a proxy with these assignments uses."""
         tables = self.published.tables
         if not self.settings.slice_count:
             return {table: tables.get(table, {}) for table in assignments}
@@ -134,12 +136,12 @@
         return tables
 
     def _addresses_of(self, rows: list[tuple[int, list[tuple[int, float]]]]) -> dict[int, str]:
-        """Addresses of all hosts that the rows of some tables name, as far as known."""
+        """Return the known addresses of all hosts in the rows of some tables."""
         hosts = {host for _, entries in rows for host, _ in entries}
         return {host: self.addresses[host] for host in sorted(hosts) if host in self.addresses}
 
     def gained_slices_message(self, slices: list[int], proxies: tuple[int, ...]) -> SendFrame:
-        """Replaces the tables of some slices at all proxies by those published."""
+        """Return a message that replaces the tables of some slices at proxies by the published ones."""
         self.message_number += 1
         tables = self.published.tables
         rows = [(slice_number, sorted(tables.get(slice_number, {}).items())) for slice_number in slices]
@@ -148,12 +150,12 @@
         return SendFrame(frames.encode(frame), cost_lines, NO_VERSION, proxies)
 
     def lost_slices_message(self, slices: list[int], proxies: tuple[int, ...]) -> SendFrame:
-        """Tells proxies that this controller no longer decides on some slices."""
+        """Return a message that this controller no longer owns some slices."""
         self.message_number += 1
         return self._orders_message(frames.Orders(self.message_number, withdrawn_slices=slices), proxies)
 
     def addresses_message(self, hosts: Sequence[int], proxies: tuple[int, ...]) -> SendFrame | None:
-        """Tells proxies the new addresses of hosts; None if no table names them, or no proxy has joined."""
+        """Return a message with new addresses of hosts; None if no table names them, or no proxy has joined."""
         named = {host for weights in self.published.tables.values() for host in weights}
         moved = {host: self.addresses[host] for host in hosts if host in named}
         if not moved or not proxies:
@@ -163,7 +165,7 @@
         return SendFrame(frame, len(moved), NO_VERSION, proxies)
 
     def step_messages(self, changes: TableChanges, proxies: tuple[int, ...]) -> list[SendFrame]:
-        """One message for each proxy that the changes concern; proxies with equal changes share one frame."""
+        """Return the messages of a step to the proxies that it concerns; proxies with equal changes share a frame."""
         if not changes.needs_message():
             return []
         self.message_number += 1
@@ -179,11 +181,11 @@
         return [self._changes_message(changes, part, tuple(members)) for part, members in groups.items()]
 
     def _all_changes(self, changes: TableChanges) -> ProxyChanges:
-        """The changes as they go to every proxy of a site with slices."""
+        """Return the changes for every proxy of a site with slices."""
         return ProxyChanges(tuple(changes.entries()), tuple(changes.resets), tuple(changes.admissions), ())
 
     def _changes_for(self, proxy: int, changes: TableChanges) -> ProxyChanges:
-        """The changes that concern one proxy of a site without slices; a newly assigned table is sent in full."""
+        """Return the changes for one proxy of a site without slices; a newly assigned table is sent in full."""
         tables = self.published.assignments.get(proxy, {})
         assigned = tuple(changes.assignments.get(proxy, ()))
         full = {
--- a/corallanding/controller/registry_slices.py
+++ b/corallanding/controller/registry_slices.py
@@ -1,4 +1,4 @@
-"""Slices and leadership by leases in the registry, where the configuration shares them so."""
+"""Ownership of slices, and leadership, by leases in the registry, if the configuration says so."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 RETIRE_POLL_S = 0.02
 
 
-class LeadershipHolder:
-    """Logs whether this controller holds the leader's lease; who needs to know asks the lease itself."""
+class LeadershipLogger:
+    """Logs whether this controller holds the leader's lease; other code queries the lease itself."""
 
     def __init__(self, on_failure: Callable[[str], None]) -> None:
         self.on_failure = on_failure
 
     def on_slice_granted(self, slice_id: int, weights: dict[int, float]) -> None:  # noqa: ARG002 - one key only
-        """The lease was granted."""
+        """Log that the lease was granted."""
         log.info("leadership", is_held=True)
 
     def on_slice_revoked(self, slice_id: int) -> None:  # noqa: ARG002 - one key only
-        """The lease was lost."""
+        """Log that the lease was lost."""
         log.info("leadership", is_held=False)
 
 
 class RegistrySlices:
-    """Slices that this controller owns by leases in the registry; `table_store` is None where they are not shared.
+    """The slices that this controller owns by leases in the registry; `table_store` is None if none are used.
 
-    dial_registry: makes a function that opens connections. request_step: asks for a decision step.
+    dial_registry: returns a function that opens connections. request_step: requests a decision step.
     """
 
     def __init__(
@@ -54,25 +54,25 @@
         self.table_store: TableStore | None = None
 
     def start(self, slices: range) -> None:
-        """Begin to ask for leases, where the configuration shares slices through the registry."""
+        """Start to acquire leases, if the configuration shares slices through the registry."""
         block = self._context.config.registry
         if not block or not block.charge:
             return
         config = self._context.config.steward
-        chance = random.Random(f"{config.seed}:{config.number}:{self._engine.start_number}")
-        self.table_store = self._make_table_store(block, block.base, slices, self, chance)
+        rng = random.Random(f"{config.seed}:{config.number}:{self._engine.start_number}")
+        self.table_store = self._make_table_store(block, block.base, slices, self, rng)
         self.table_store.start()
 
     def leadership_store(self) -> TableStore | None:
-        """What keeps the leader's lease in the registry, if the configuration says so; it is not started."""
+        """Return a store, not started, for the leader's lease; None if the registry does not hold that lease."""
         block = self._context.config.registry
         if not block or self._context.config.budgets.office != "registry":
             return None
-        holder = LeadershipHolder(self.on_failure)
-        return self._make_table_store(block, f"{block.base}office/", range(1), holder, random.SystemRandom())
+        listener = LeadershipLogger(self.on_failure)
+        return self._make_table_store(block, f"{block.base}office/", range(1), listener, random.SystemRandom())
 
     async def retire(self) -> None:
-        """Give the slices to other controllers, as long as the settings wait for it."""
+        """Release the slices to other controllers; return once that is done or the configured time is over."""
         block = self._context.config.registry
         if not self.table_store or not block:
             return
@@ -84,28 +84,28 @@
             await asyncio.sleep(RETIRE_POLL_S)
 
     def stop(self) -> None:
-        """End the connection; the leases expire."""
+        """Close the connection; the leases expire."""
         if self.table_store:
             self._stopping = asyncio.get_running_loop().create_task(self.table_store.stop())
 
-    # ---- what the table store tells (`registry.table_store.SliceListener`) ---------------------------------------
+    # ---- events from the table store (`registry.table_store.SliceListener`) --------------------------------------
 
     def on_slice_granted(self, slice_id: int, weights: dict[int, float]) -> None:
-        """The registry granted a slice, with its table as stored there."""
+        """Record that the registry granted a slice; `weights` is its table as stored there."""
         self._engine.on_slice_gained(self._context.clock(), slice_id, weights)
         self._request_step()
 
     def on_slice_revoked(self, slice_id: int) -> None:
-        """The lease of a slice has ended."""
+        """Record that the lease of a slice ended."""
         self._engine.on_slice_lost(self._context.clock(), slice_id)
         self._request_step()
 
     def on_failure(self, text: str) -> None:
-        """The registry failed."""
+        """Log a failure of the registry."""
         self._context.rate_limited_log.warn("registry", why=text)
 
     def _make_table_store(
-        self, block: RegistryBlock, base: str, slices: range, holder: SliceListener, chance: random.Random
+        self, block: RegistryBlock, base: str, slices: range, listener: SliceListener, rng: random.Random
     ) -> TableStore:
         from ..registry.controller_lease import OwnershipTimings
         from ..registry.table_store import TableStore, TableStoreConfig
@@ -115,4 +115,4 @@
         controller = self._context.config.steward.number
         config = TableStoreConfig(base, controller, slices, OwnershipTimings(block.lease_ms), limits)
         connect = self._dial_registry(block, self.on_failure)
-        return TableStore(config, connect, holder, self._context.clock, chance.random)
+        return TableStore(config, connect, listener, self._context.clock, rng.random)
--- a/corallanding/controller/report_aggregation.py
+++ b/corallanding/controller/report_aggregation.py
@@ -1,6 +1,6 @@
-"""Adds up usage reports of proxies and hands the totals to the assigner, oldest first, at a bounded rate. Pure.
+"""Sums usage reports of proxies and forwards the totals to the assigner, oldest first, at a bounded rate. Pure.
 
-Memory is bounded by hosts x zones and slices x request classes. What does not fit the rate goes on adding up.
+Memory is bounded by hosts x zones and slices x request classes. Totals beyond the rate keep accumulating.
 """
 
 from __future__ import annotations
@@ -13,25 +13,25 @@
 from ..wire.frames import UsageReport
 
 MAX_KEYS = 100_000
-MIN_PERIOD_SHARE = 0.9  # of the report interval that a total must cover before it is handed on
+MIN_PERIOD_SHARE = 0.9  # share of the report interval that a total must cover before it is forwarded
 
 
 class UsageKind(StrEnum):
-    """What a total is about. The values are stored in handovers, and order totals that began at one time."""
+    """The subject of a total. The values are stored in handovers, and order totals that began at the same time."""
 
     HOST = "host"
     SLICE = "slice"
     PROXY = "own"
 
 
-# Names one total: kind, then (zone, host), (slice, request class) or (proxy, request class). A plain tuple, since every
-# row of every report makes one.
+# Identifies one total: kind, then (zone, host), (slice, request class) or (proxy, request class). A plain tuple for
+# speed, because every row of every report creates one.
 UsageKey = tuple[UsageKind, int, int]
 
 
 @dataclass
 class UsageTally:
-    """A total of requests since `since`; `latency_sum_ms` is over those that succeeded."""
+    """A total of requests since `since`, in ms; `latency_sum_ms` is over those that succeeded."""
 
     since: float
     total: int = 0
@@ -39,89 +39,89 @@
     latency_sum_ms: float = 0.0
 
     def mean_latency_ms(self) -> float:
-        """The mean latency of requests that succeeded; 0 if none did."""
+        """Return the mean latency of requests that succeeded; 0 if none did."""
         succeeded = self.total - self.failed
         return self.latency_sum_ms / succeeded if succeeded else 0.0
 
 
 class UsageAggregator:
-    """Totals of usage until they are handed on."""
+    """Holds totals of usage until they are forwarded."""
 
     def __init__(self, settings: api.Settings, max_keys: int = MAX_KEYS) -> None:
         self.settings = settings
         self.max_keys = max_keys
-        self.tallies: dict[UsageKey, UsageTally] = {}  # in the order of their first report
-        self.available_reports = 0.0  # how many may be handed on now
+        self.tallies: dict[UsageKey, UsageTally] = {}  # in order of their first report
+        self.available_reports = 0.0  # number of reports that may be forwarded now
         self.replenished_at = 0.0
-        self.dropped_rows = 0  # beyond `max_keys`, or of hosts, slices or request classes that do not exist
+        self.dropped_rows = 0  # rows beyond `max_keys`, or of unknown hosts, slices or request classes
 
     def add(
-        self, now: float, proxy: int, zone: int, report: UsageReport, hosts: Container[int], slices: Container[int]
+        self, now_ms: float, proxy: int, zone: int, report: UsageReport, hosts: Container[int], slices: Container[int]
     ) -> None:
         """Add one proxy's report. Rows on unknown hosts, slices or request classes are counted and dropped."""
-        self._add_hosts(now, zone, report, hosts)
+        self._add_hosts(now_ms, zone, report, hosts)
         slice_kind = UsageKind.SLICE
         proxy_kind = UsageKind.PROXY
         request_classes = len(self.settings.request_classes)
         for slice_number, request_class, requests, unanswered in report.slices:
             if slice_number not in slices or request_class >= request_classes or unanswered > requests:
                 self.dropped_rows += 1
-            elif tally := self._tally(now, (slice_kind, slice_number, request_class), report.span_ms):
+            elif tally := self._tally(now_ms, (slice_kind, slice_number, request_class), report.span_ms):
                 tally.total += requests
                 tally.failed += unanswered
         for request_class, requests, unanswered in report.request_classes:
             if request_class >= request_classes or unanswered > requests:
                 self.dropped_rows += 1
-            elif tally := self._tally(now, (proxy_kind, proxy, request_class), report.span_ms):
+            elif tally := self._tally(now_ms, (proxy_kind, proxy, request_class), report.span_ms):
                 tally.total += requests
                 tally.failed += unanswered
 
-    def _add_hosts(self, now: float, zone: int, report: UsageReport, hosts: Container[int]) -> None:
+    def _add_hosts(self, now_ms: float, zone: int, report: UsageReport, hosts: Container[int]) -> None:
         kind = UsageKind.HOST
         zone_count = self.settings.zone_count
         for host, attempts, failed, latency_ms in report.hosts:
             if host not in hosts or failed > attempts or zone >= zone_count:
                 self.dropped_rows += 1
-            elif tally := self._tally(now, (kind, zone, host), report.span_ms):
+            elif tally := self._tally(now_ms, (kind, zone, host), report.span_ms):
                 tally.total += attempts
                 tally.failed += failed
                 tally.latency_sum_ms += latency_ms * (attempts - failed)
 
-    def _tally(self, now: float, key: UsageKey, span_ms: float) -> UsageTally | None:
-        """The total of a key, begun if need be; None, and counted, if there are too many."""
+    def _tally(self, now_ms: float, key: UsageKey, span_ms: float) -> UsageTally | None:
+        """Return the total of a key, created if missing; None, and a dropped row counted, if there are too many."""
         tally = self.tallies.get(key)
         if tally is not None:
             return tally
         if len(self.tallies) >= self.max_keys:
             self.dropped_rows += 1
             return None
-        tally = UsageTally(now - min(span_ms, self.settings.report_interval_ms))
+        tally = UsageTally(now_ms - min(span_ms, self.settings.report_interval_ms))
         self.tallies[key] = tally
         return tally
 
-    def take_due(self, now: float) -> list[api.Event]:
-        """The totals that may be handed on by now, oldest first; the others go on adding up."""
-        self._replenish(now)
+    def take_due(self, now_ms: float) -> list[api.Event]:
+        """Remove and return the totals that may be forwarded now, oldest first; the others keep accumulating."""
+        self._replenish(now_ms)
         min_period_ms = self.settings.report_interval_ms * MIN_PERIOD_SHARE
-        ready = [key for key, tally in self.tallies.items() if now - tally.since >= min_period_ms]
+        ready = [key for key, tally in self.tallies.items() if now_ms - tally.since >= min_period_ms]
         ready.sort(key=lambda key: (self.tallies[key].since, key))
-        reports = [self._report(now, key) for key in ready[: int(self.available_reports)]]
+        reports = [self._report(now_ms, key) for key in ready[: int(self.available_reports)]]
         self.available_reports -= len(reports)
         return reports
 
-    def _replenish(self, now: float) -> None:
-        """Allow for the reports that may be handed on since the last time."""
+    def _replenish(self, now_ms: float) -> None:
+        """Add the reports that the rate allows since the last call."""
         rate = self.settings.reports_per_second
         interval_s = self.settings.report_interval_ms / 1000.0
-        gained = (now - self.replenished_at) * rate / 1000.0 if self.replenished_at else rate * interval_s
+        gained = (now_ms - self.replenished_at) * rate / 1000.0 if self.replenished_at else rate * interval_s
         self.available_reports = min(self.available_reports + gained, rate * max(1.0, interval_s))
-        self.replenished_at = now
+        self.replenished_at = now_ms
 
-    def _report(self, now: float, key: UsageKey) -> api.Event:
-        """Take out one total as the report that it makes."""
+    def _report(self, now_ms: float, key: UsageKey) -> api.Event:
+        """Remove one total and return it as a report."""
         tally = self.tallies.pop(key)
         kind, first, second = key
-        span_ms = max(now - tally.since, 1.0)
+        span_ms = max(now_ms - tally.since, 1.0)
         match kind:
             case UsageKind.HOST:
                 latency_ms = tally.mean_latency_ms()
--- a/corallanding/controller/step_observer.py
+++ b/corallanding/controller/step_observer.py
@@ -1,4 +1,4 @@
-"""What is told of every decision step."""
+"""The interface of observers of decision steps."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 
 class StepObserver(Protocol):
-    """Told of each step that had an event or an action, before its outputs are carried out."""
+    """Notified of each step that had an event or an action, before its outputs are carried out."""
 
     def on_step(self, step: DecisionStep) -> None:
-        """Take one step."""
+        """Handle one step."""
         ...
--- a/corallanding/controller/step_outputs.py
+++ b/corallanding/controller/step_outputs.py
@@ -1,4 +1,4 @@
-"""What one step of the engine hands out: table entries to store, then frames to send and other work to do."""
+"""The outputs of one engine step: table entries to store, then frames to send and other work."""
 
 from __future__ import annotations
 
@@ -7,15 +7,16 @@
 from .. import interface as api
 from ..wire import frames
 
-MAX_PEER_PAYLOAD_BYTES = 256  # of a message to another controller
-NO_VERSION = -1  # in place of a version: the frame needs no acknowledgement
+MAX_PEER_PAYLOAD_BYTES = 256
+NO_VERSION = -1  # version of a frame that needs no acknowledgement
 
 
 @dataclass(frozen=True)
 class StoreWrites:
-    """What must be stored before anything of the step is sent: tables to empty, then entries to set.
+    """The changes to store before any output of the step is sent: tables to empty, then entries to set.
 
-    An entry is (table, host, weight); weight 0 removes it. `message_number` is that of the message which carries them.
+    An entry is (table, host, weight); weight 0 removes it. `message_number` is the number of the message that sends
+    them.
     """
 
     message_number: int
@@ -27,8 +28,8 @@
 class SendFrame:
     """Send one encoded frame to some proxies, paced by the channel.
 
-    `cost_lines` is what the channel counts for it beside the overhead of a message. `orders` is the frame before it
-    was encoded, if later frames may be merged with it. An urgent frame may overtake others that wait.
+    `cost_lines` is its cost in the channel without the overhead per message. `orders` is the frame before encoding, if
+    later frames may be merged with it. An urgent frame may overtake queued ones.
     """
 
     frame: bytes
--- a/corallanding/controller/step_timer.py
+++ b/corallanding/controller/step_timer.py
@@ -1,4 +1,4 @@
-"""The timer of decision steps."""
+"""Schedules decision steps."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class StepTimer:
-    """Calls `on_due` at the engine's next due time, and never sooner than one turn after the last step began."""
+    """Calls `on_due` when the engine's next step is due, at the earliest one turn after the last step began."""
 
     def __init__(self, context: Context, engine: Engine) -> None:
         self._context = context
@@ -21,29 +21,29 @@
         self.on_due: Callable[[], None] = lambda: None
         self.due_at_ms = NEVER
         self.last_step_ms = context.clock()
-        self.is_held = False  # while the tables of the last step are written to the registry
+        self.is_write_pending = False  # the registry is storing the last step's tables
 
     def request_step(self) -> None:
-        """Make sure that a step comes as soon as one is due. Does nothing while the controller may not act."""
+        """Schedule a step for when the next one is due. Does nothing while the controller is paused or stopping."""
         clock = self._context.clock
         lifecycle = self._context.lifecycle
-        due = self._engine.next_at(clock())
-        if due is None or self.is_held or not lifecycle.is_running or lifecycle.is_paused:
+        due_ms = self._engine.next_at(clock())
+        if due_ms is None or self.is_write_pending or not lifecycle.is_running or lifecycle.is_paused:
             return
-        at = max(due, clock(), self.last_step_ms + self._context.config.steward.turn_ms)
-        if at >= self.due_at_ms:
+        at_ms = max(due_ms, clock(), self.last_step_ms + self._context.config.steward.turn_ms)
+        if at_ms >= self.due_at_ms:
             return
         if self._handle:
             self._handle.cancel()
-        self.due_at_ms = at
-        delay = max(0.0, at - clock()) / 1000.0
-        self._handle = asyncio.get_running_loop().call_later(delay, self.on_due)
+        self.due_at_ms = at_ms
+        delay_s = max(0.0, at_ms - clock()) / 1000.0
+        self._handle = asyncio.get_running_loop().call_later(delay_s, self.on_due)
 
-    def begin_step(self, now: float) -> None:
-        """Note that the step that was due begins."""
+    def begin_step(self, now_ms: float) -> None:
+        """Record that the due step begins."""
         self._handle = None
         self.due_at_ms = NEVER
-        self.last_step_ms = now
+        self.last_step_ms = now_ms
 
     def pause(self) -> None:
         """Cancel the next step; `request_step` schedules it again."""
@@ -51,7 +51,7 @@
         self.due_at_ms = NEVER
 
     def stop(self) -> None:
-        """Schedule no step from here on."""
+        """Cancel the next step and schedule no more."""
         self._cancel()
         self.due_at_ms = -NEVER
 
