--- a/corallanding/controller/proxy_protocol.py
+++ b/corallanding/controller/proxy_protocol.py
@@ -21,10 +21,7 @@
 NO_PROXY = -1  # proxy number of a connection before its Hello
 MAX_REASON_CHARACTERS = 200
 ABORT_AFTER_S = 1.0  # a proxy that does not read its last frame must not hold the file descriptor
-ABORTED_CODES = (
-    CloseCode.NOT_READING,
-    CloseCode.SILENT,
-)  # closed without a last frame, because the proxy would not read it
+ABORTED_CODES = (CloseCode.NOT_READING, CloseCode.SILENT)  # closed without a last frame, which would not be read
 
 
 class ConnectionOwner(Protocol):
--- a/corallanding/controller/step_timer.py
+++ b/corallanding/controller/step_timer.py
@@ -12,7 +12,7 @@
 
 
 class StepTimer:
-    """Calls `on_due` when the engine's next step is due, at the earliest one turn after the last step began."""
+    """Calls `on_due` when the engine's next step is due, but not within `turn_ms` after the last one began."""
 
     def __init__(self, context: Context, engine: Engine) -> None:
         self._context = context
--- a/tests/controller/support.py
+++ b/tests/controller/support.py
@@ -1,4 +1,4 @@
-"""What several tests of the controller share."""
+"""Helpers shared by tests of the controller."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 ROWS = [{"host": h, "address": f"127.0.0.1:{h}", "state": "up"} for h in (10, 11, 12)]
 
 
-def play(scene: Coroutine[Any, Any, None]) -> None:
-    """Run a scene, for half a minute at most."""
+def play(scenario: Coroutine[Any, Any, None]) -> None:
+    """Run a scenario, for at most 30 seconds."""
 
-    async def bounded() -> None:
+    async def run_with_timeout() -> None:
         async with asyncio.timeout(30):
-            await scene
+            await scenario
 
-    asyncio.run(bounded())
+    asyncio.run(run_with_timeout())
 
 
 async def send_heartbeats(*peers: Peer) -> None:
-    """Keep connections alive until cancelled."""
+    """Send heartbeats on connections until cancelled."""
     while True:
         for peer in peers:
             peer.say(frames.Heartbeat(1.0))
--- a/tests/controller/test_acceptor.py
+++ b/tests/controller/test_acceptor.py
@@ -1,4 +1,4 @@
-"""Connections are accepted at a rate, also when descriptors run out or clients connect in a loop."""
+"""Connections are accepted at a bounded rate, even if file descriptors run out or clients connect in a loop."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 
 def test_connections_when_descriptors_run_out_then_accepted_later_at_the_rate() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         warnings: list[str] = []
-        made: list[float] = []
+        connected_at: list[float] = []
 
         class RecordingProtocol(asyncio.Protocol):
             def connection_made(self, transport: Any) -> None:
-                made.append(asyncio.get_running_loop().time())
+                connected_at.append(asyncio.get_running_loop().time())
 
         server = Listener("127.0.0.1", 0, 200, 100.0, RecordingProtocol, warnings.append)
         port = server.socket.getsockname()[1]
-        socks = [socket.create_connection(("127.0.0.1", port)) for _ in range(30)]
-        await until(lambda: len(made) == 30)
-        assert made[-1] - made[0] >= 0.2, "thirty at a hundred a second, five of them at once"
+        client_sockets = [socket.create_connection(("127.0.0.1", port)) for _ in range(30)]
+        await until(lambda: len(connected_at) == 30)
+        assert connected_at[-1] - connected_at[0] >= 0.2, "30 connections at 100 per second, 5 of them at once"
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        more = [socket.socket() for _ in range(10)]
-        lowest = max(s.fileno() for s in more) + 40
-        resource.setrlimit(resource.RLIMIT_NOFILE, (lowest, hard))
+        extra_sockets = [socket.socket() for _ in range(10)]
+        descriptor_limit = max(s.fileno() for s in extra_sockets) + 40
+        resource.setrlimit(resource.RLIMIT_NOFILE, (descriptor_limit, hard))
         filler = []
         try:
             while True:
@@ -41,46 +41,48 @@
         except OSError:
             pass
         try:
-            for sock in more[:5]:
+            for sock in extra_sockets[:5]:
                 sock.connect(("127.0.0.1", port))
             await until(lambda: any("descriptor" in text for text in warnings))
-            assert len(made) == 30
+            assert len(connected_at) == 30
             while filler:
                 filler.pop().close()
-            await until(lambda: len(made) == 35)
+            await until(lambda: len(connected_at) == 35)
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
             server.close()
-            for sock in (*socks, *more, *filler):
+            for sock in (*client_sockets, *extra_sockets, *filler):
                 sock.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("loop", range(2))
-def test_connections_when_clients_connect_in_a_loop_then_others_are_not_delayed(tmp_path: Path, loop: int) -> None:
-    """Clients that connect and hang up over and over, with a hello or without one."""
+@pytest.mark.parametrize("sends_hello", range(2))
+def test_connections_when_clients_connect_in_a_loop_then_others_are_not_delayed(
+    tmp_path: Path, sends_hello: int
+) -> None:
+    """Clients connect and disconnect repeatedly, with or without a Hello."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         config = CONFIG.replace("beat_ms = 100", "beat_ms = 100\n  accepts_per_s = 200\n  strangers_most = 4")
         async with Running(tmp_path, config=config) as running, asyncio.timeout(25):
             good = await running.joined(1)
-            is_over = False
+            is_done = False
 
-            async def hostile(client: int) -> None:
-                while not is_over:
+            async def reconnect_repeatedly(client: int) -> None:
+                while not is_done:
                     peer = await running.peer()
-                    if loop:
+                    if sends_hello:
                         peer.hello(2 + client % 3)
                     peer.writer.close()
 
-            tasks = [asyncio.create_task(hostile(client)) for client in range(8)]
+            tasks = [asyncio.create_task(reconnect_repeatedly(client)) for client in range(8)]
             for number in range(1, 30):
                 running.do(api.SetWeight(0, number, 1.0), api.PublishVersion(number))
                 await good.until(frames.Orders, lambda frame, number=number: frame.version == number)
                 good.say(frames.Ack(number))
                 await asyncio.sleep(0.03)
-            is_over = True
+            is_done = True
             for task in tasks:
                 task.cancel()
             assert 1 in running.steward.connections.proxies
@@ -88,4 +90,4 @@
             assert listener
             assert listener.accepted_count < 29 * 0.5 * 200 + 200
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/controller/test_close_codes.py
+++ b/tests/controller/test_close_codes.py
@@ -1,4 +1,4 @@
-"""The codes with which proxies' connections are closed: they are on the wire and label a metric."""
+"""The close codes of proxy connections, which are sent to proxies and are labels of a metric."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     assert not [error for error in LinkError.__subclasses__() if error.__subclasses__()]
 
 
-def test_overdue_links_when_named_then_each_reason_has_a_close_code() -> None:
+def test_overdue_link_when_closed_then_each_reason_has_a_close_code() -> None:
     limits = LinkLimits()
     reasons = [LinkState(limits, 0.0).overdue(limits.hello_timeout_ms + 1.0)]
     link = LinkState(limits, 0.0)
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("code", list(CloseCode))
-def test_close_code_when_sent_and_counted_then_it_is_its_plain_text(code: CloseCode) -> None:
+def test_close_code_when_sent_and_counted_then_its_value_is_used(code: CloseCode) -> None:
     assert frames.encode(frames.Goodbye(code, "why")) == frames.encode(frames.Goodbye(code.value, "why"))
     registry = CollectorRegistry()
     Counter("closed", "Closed", ["reason"], registry=registry).labels(code).inc()
--- a/tests/controller/test_connection_limits.py
+++ b/tests/controller/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""Connections that abuse the controller are limited or closed, and delay no other proxy."""
+"""Misbehaving connections are limited or closed, and do not delay other proxies."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 
 def test_connections_when_many_send_no_hello_then_the_oldest_are_closed(tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         config = CONFIG.replace("hello_within_ms = 300", "hello_within_ms = 5000\n  strangers_most = 5")
         async with Running(tmp_path, config=config) as running, asyncio.timeout(20):
             silent = [await running.peer() for _ in range(40)]
-            one = await running.joined(1)
+            proxy = await running.joined(1)
             assert len(running.steward.connections.unidentified) <= 5
             assert len(running.steward.connections.links) <= 6
             running.do(api.SetWeight(0, 10, 1.0))
-            assert (await one.until(frames.Orders)).lines == [(0, 10, 1.0)]
+            assert (await proxy.until(frames.Orders)).lines == [(0, 10, 1.0)]
             assert await silent[0].ended() == "no-hello"
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_proxy_when_it_never_acks_then_closed(tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         config = CONFIG.replace("silence_ms = 600", "silence_ms = 5000\n  ack_within_ms = 300")
         async with Running(tmp_path, config=config) as running, asyncio.timeout(20):
             good, bad = await running.joined(1), await running.joined(2)
@@ -41,11 +41,11 @@
             assert 1 in running.steward.connections.proxies
             assert 2 not in running.steward.connections.proxies
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_proxy_when_it_floods_then_only_its_connection_is_closed(tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         config = CONFIG.replace("frame_most_bytes = 4096", "frame_most_bytes = 4096\n  bytes_per_s = 20000")
         async with Running(tmp_path, config=config) as running, asyncio.timeout(20):
             good, bad = await running.joined(1), await running.joined(2)
@@ -56,14 +56,14 @@
             running.do(api.SetWeight(0, 10, 1.0))
             assert (await good.until(frames.Orders)).lines == [(0, 10, 1.0)]
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_reads_when_sent_in_a_loop_then_answered_at_growing_intervals(tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         config = CONFIG.replace("beat_ms = 100", "beat_ms = 100\n  again_ms = 100\n  again_most_ms = 400")
         async with Running(tmp_path, config=config) as running, asyncio.timeout(20):
-            begun = time.monotonic()  # before the join, from whose answer the intervals are counted
+            started_at = time.monotonic()  # before the join, because the intervals start at its answer
             bad = await running.joined(2)
             for number in range(2, 5):
                 while sum(isinstance(f, frames.Tables) for f in bad.got) < number:
@@ -71,15 +71,15 @@
                     data = await bad.reader.read(65536)
                     assert data, "closed"
                     bad.got += bad.frames.feed(data)
-            assert time.monotonic() - begun >= 0.1 + 0.2 + 0.4 - 0.02
+            assert time.monotonic() - started_at >= 0.1 + 0.2 + 0.4 - 0.02
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_proxy_when_it_reads_slowly_then_closed_and_others_are_not_delayed(tmp_path: Path) -> None:
-    """Its orders wait in the channel, not in its socket's buffer, until its share is full; then it is cut off."""
+    """Orders to a slow proxy wait in the channel, not in its socket's buffer; once its queue is full it is closed."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         config = CONFIG.replace("silence_ms = 600", "silence_ms = 10000")
         config += "channel {\n  queue_most_lines = 60000\n  rate_lines_per_s = 10000000\n}\n"
         async with Running(tmp_path, config=config) as running:
@@ -107,4 +107,4 @@
                 running.do(api.SetWeight(0, 9, 1.0), api.PublishVersion(number + 1))
                 await good.until(frames.Orders, lambda frame: frame.version == number + 1)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/controller/test_proxy_connections.py
+++ b/tests/controller/test_proxy_connections.py
@@ -1,4 +1,4 @@
-"""Connections of proxies on real sockets: joining, orders and acks, and proxies that misbehave."""
+"""Connections of proxies on real sockets: joins, orders, acks, and misbehaving proxies."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 from tests.controller.support import ROWS, play, send_heartbeats
 
 
-def test_order_when_published_then_proxies_get_it_and_the_ack_reaches_the_assigner(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with Running(tmp_path) as r:
-            r.steward.host_sources.on_host_rows(True, 1, ROWS)
-            one, two = await r.joined(1), await r.joined(2)
-            r.do(api.SetWeight(0, 10, 1.0), api.PublishVersion(5))
-            for peer in (one, two):
+def test_order_when_published_then_proxies_receive_it_and_the_ack_reaches_the_assigner(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with Running(tmp_path) as running:
+            running.steward.host_sources.on_host_rows(True, 1, ROWS)
+            first, second = await running.joined(1), await running.joined(2)
+            running.do(api.SetWeight(0, 10, 1.0), api.PublishVersion(5))
+            for peer in (first, second):
                 order = await peer.until(frames.Orders)
                 assert order.lines == [(0, 10, 1.0)]
                 assert order.version == 5
                 assert order.addresses == {10: "127.0.0.1:10"}
-            two.say(frames.Ack(5))
-            await until(lambda: any(isinstance(e, api.VersionAcked) for e in r.module.told))
-            [acked] = [e for e in r.module.told if isinstance(e, api.VersionAcked)]
+            second.say(frames.Ack(5))
+            await until(lambda: any(isinstance(e, api.VersionAcked) for e in running.module.told))
+            [acked] = [e for e in running.module.told if isinstance(e, api.VersionAcked)]
             assert (acked.proxy, acked.version) == (2, 5)
             assert acked.latency_ms > 0
             db = sqlite3.connect(tmp_path / "s.db")
             assert db.execute("select * from line").fetchall() == [(0, 10, 1.0)]
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize(
-    ("said", "code"),
+    ("data", "code"),
     [
         (b"\xff" * 64, "oversized"),
         (b"\x00\x00\x00\x05hello", "malformed"),
@@ -50,116 +50,118 @@
         (b"", "no-hello"),
     ],
 )
-def test_connection_when_it_breaks_the_protocol_then_it_alone_is_closed_with_a_reason(
-    tmp_path: Path, said: bytes, code: str
+def test_connection_when_it_breaks_the_protocol_then_only_it_is_closed_with_a_reason(
+    tmp_path: Path, data: bytes, code: str
 ) -> None:
-    async def scene() -> None:
-        async with Running(tmp_path) as r:
-            other = await r.joined(2)
-            peer = await r.peer()
-            peer.writer.write(said)
-            keep = asyncio.create_task(send_heartbeats(other))
+    async def scenario() -> None:
+        async with Running(tmp_path) as running:
+            other = await running.joined(2)
+            peer = await running.peer()
+            peer.writer.write(data)
+            heartbeats = asyncio.create_task(send_heartbeats(other))
             assert await peer.ended() == code
-            r.do(api.SetWeight(1, 10, 1.0))
+            running.do(api.SetWeight(1, 10, 1.0))
             assert (await other.until(frames.Orders)).lines == [(1, 10, 1.0)]
-            keep.cancel()
-            page = r.steward.metrics.exposition().decode()
-            assert f'corallanding_links_closed_total{{reason="{code}"}} 1.0' in page
+            heartbeats.cancel()
+            metrics_text = running.steward.metrics.exposition().decode()
+            assert f'corallanding_links_closed_total{{reason="{code}"}} 1.0' in metrics_text
 
-    play(scene())
+    play(scenario())
 
 
-def test_proxy_number_when_in_use_then_it_stays_with_the_process_that_has_it(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with Running(tmp_path) as r:
-            first = await r.joined(1, session="old")
-            keep = asyncio.create_task(send_heartbeats(first))
-            second = await r.peer()
+def test_proxy_number_when_in_use_then_the_process_that_uses_it_keeps_it(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with Running(tmp_path) as running:
+            first = await running.joined(1, session="old")
+            heartbeats = asyncio.create_task(send_heartbeats(first))
+            second = await running.peer()
             second.hello(1, session="new")
             assert await second.ended() == "number-in-use"
-            keep.cancel()  # the old process hangs: silence frees its number
+            heartbeats.cancel()  # the old process hangs: its silence timeout frees the number
             await first.ended()
-            again = await r.joined(1, session="new")
+            again = await running.joined(1, session="new")
             assert not again.closed
 
-    play(scene())
+    play(scenario())
 
 
-def test_ack_when_on_a_former_connection_then_it_is_ignored(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with Running(tmp_path) as r:
-            old = await r.joined(1)
-            r.do(api.SetWeight(0, 10, 1.0), api.PublishVersion(5))
+def test_ack_when_sent_on_a_replaced_connection_then_ignored(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with Running(tmp_path) as running:
+            old = await running.joined(1)
+            running.do(api.SetWeight(0, 10, 1.0), api.PublishVersion(5))
             await old.until(frames.Orders)
-            new = await r.joined(1)  # the same process on a new connection: the old one is over
+            new = await running.joined(1)  # the same process on a new connection, which replaces the old one
             old.say(frames.Ack(5))
             assert await old.ended() == "superseded"
             new.say(frames.Heartbeat(1.0))
             await asyncio.sleep(0.05)
-            assert not [e for e in r.module.told if isinstance(e, api.VersionAcked)]
-            new.say(frames.Ack(5))  # and the mark of the old connection is not out on the new one
+            assert not [e for e in running.module.told if isinstance(e, api.VersionAcked)]
+            new.say(frames.Ack(5))  # the version was sent on the old connection, so an ack on the new one is invalid
             assert await new.ended() == "out-of-place"
-            kinds = [type(e).__name__ for e in r.module.told if isinstance(e, api.ProxyJoined | api.ProxyLeft)]
-            assert kinds[:3] == ["ProxyJoined", "ProxyLeft", "ProxyJoined"]
+            event_names = [
+                type(e).__name__ for e in running.module.told if isinstance(e, api.ProxyJoined | api.ProxyLeft)
+            ]
+            assert event_names[:3] == ["ProxyJoined", "ProxyLeft", "ProxyJoined"]
 
-    play(scene())
+    play(scenario())
 
 
-def test_proxy_when_it_does_not_read_then_it_is_closed_and_others_go_on(tmp_path: Path) -> None:
-    async def scene() -> None:
-        big = "channel {\n  queue_most_lines = 1e8\n  rate_lines_per_s = 1e9\n}\n"
-        async with Running(tmp_path, big) as r:
-            slow, good = await r.joined(1), await r.joined(2)
-            keep = asyncio.create_task(send_heartbeats(slow, good))
+def test_proxy_when_it_does_not_read_then_it_is_closed_and_others_continue(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        channel_settings = "channel {\n  queue_most_lines = 1e8\n  rate_lines_per_s = 1e9\n}\n"
+        async with Running(tmp_path, channel_settings) as running:
+            slow, good = await running.joined(1), await running.joined(2)
+            heartbeats = asyncio.create_task(send_heartbeats(slow, good))
 
             async def drain() -> None:
                 while True:
                     await good.reader.read(1 << 20)
 
-            reading = asyncio.create_task(drain())
+            drain_task = asyncio.create_task(drain())
             for _ in range(400):
-                r.do(*[api.SetWeight(k % 4, h, 1.0) for k in range(4) for h in range(100, 600)])
+                running.do(*[api.SetWeight(table % 4, h, 1.0) for table in range(4) for h in range(100, 600)])
                 await asyncio.sleep(0.004)
-                if 1 not in r.steward.connections.proxies:
+                if 1 not in running.steward.connections.proxies:
                     break
-            assert 1 not in r.steward.connections.proxies
-            assert 2 in r.steward.connections.proxies
-            assert 'reason="not-reading"} 1.0' in r.steward.metrics.exposition().decode()
-            keep.cancel()
-            reading.cancel()
-            back = await r.joined(1)
-            tables = next(f for f in back.got if isinstance(f, frames.Tables))
-            assert len(tables.tables[0][1]) == 500, "it has all from the store"
+            assert 1 not in running.steward.connections.proxies
+            assert 2 in running.steward.connections.proxies
+            assert 'reason="not-reading"} 1.0' in running.steward.metrics.exposition().decode()
+            heartbeats.cancel()
+            drain_task.cancel()
+            rejoined = await running.joined(1)
+            tables = next(frame for frame in rejoined.got if isinstance(frame, frames.Tables))
+            assert len(tables.tables[0][1]) == 500, "a proxy that reconnects receives all entries"
 
-    play(scene())
+    play(scenario())
 
 
 def test_channel_when_full_then_the_connection_is_closed_and_the_queue_stays_bounded(tmp_path: Path) -> None:
-    async def scene() -> None:
-        slow = "channel {\n  queue_most_lines = 60\n  rate_lines_per_s = 10\n}\n"
-        async with Running(tmp_path, slow) as r:
-            one = await r.joined(1)
-            for k in range(6):
-                r.do(*[api.SetWeight(k % 4, h, 1.0) for h in range(20)])
+    async def scenario() -> None:
+        channel_settings = "channel {\n  queue_most_lines = 60\n  rate_lines_per_s = 10\n}\n"
+        async with Running(tmp_path, channel_settings) as running:
+            first = await running.joined(1)
+            for index in range(6):
+                running.do(*[api.SetWeight(index % 4, h, 1.0) for h in range(20)])
                 await asyncio.sleep(0.02)
-            assert await one.ended() == "overrun"
-            assert r.steward.channel.max_queued_lines <= 60
-            assert r.steward.channel.queued_lines == 0
+            assert await first.ended() == "overrun"
+            assert running.steward.channel.max_queued_lines <= 60
+            assert running.steward.channel.queued_lines == 0
 
-    play(scene())
+    play(scenario())
 
 
-def test_joins_when_many_come_at_once_then_they_are_admitted_at_the_configured_pace(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with Running(tmp_path, config=CONFIG.replace("most = 8", "most = 60\n  reads_per_s = 40")) as r:
-            peers = [await r.peer() for _ in range(40)]
-            for f, peer in enumerate(peers):
-                peer.hello(f)
+def test_joins_when_many_arrive_at_once_then_admitted_at_the_configured_rate(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with Running(tmp_path, config=CONFIG.replace("most = 8", "most = 60\n  reads_per_s = 40")) as running:
+            peers = [await running.peer() for _ in range(40)]
+            for number, peer in enumerate(peers):
+                peer.hello(number)
             await asyncio.sleep(0.1)
-            early = len(r.steward.engine.proxy_zones)
-            keep = asyncio.create_task(send_heartbeats(*peers))
-            await until(lambda: len(r.steward.engine.proxy_zones) == 40)
-            keep.cancel()
-            assert 10 <= early < 30
+            early_count = len(running.steward.engine.proxy_zones)
+            heartbeats = asyncio.create_task(send_heartbeats(*peers))
+            await until(lambda: len(running.steward.engine.proxy_zones) == 40)
+            heartbeats.cancel()
+            assert 10 <= early_count < 30
 
-    play(scene())
+    play(scenario())
--- a/tests/controller/test_report_aggregation.py
+++ b/tests/controller/test_report_aggregation.py
@@ -1,4 +1,4 @@
-"""Usage reports add up, and are handed on oldest first at a bounded rate."""
+"""Usage reports are summed, and forwarded oldest first at a bounded rate."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 )
 
 
-def test_reports_when_added_up_then_handed_on_oldest_first_at_the_rate() -> None:
+def test_reports_when_summed_then_forwarded_oldest_first_at_the_rate() -> None:
     aggregator = UsageAggregator(SETTINGS)
-    for now, host in ((0.0, 10), (100.0, 11), (200.0, 12)):
-        aggregator.add(now, 1, 0, frames.UsageReport(500.0, hosts=[(host, 4, 1, 20.0)]), {10, 11, 12}, set())
+    for now_ms, host in ((0.0, 10), (100.0, 11), (200.0, 12)):
+        aggregator.add(now_ms, 1, 0, frames.UsageReport(500.0, hosts=[(host, 4, 1, 20.0)]), {10, 11, 12}, set())
     invalid = frames.UsageReport(500.0, hosts=[(10, 2, 0, 50.0), (99, 1, 0, 1.0), (11, 1, 2, 1.0)])
     aggregator.add(300.0, 2, 0, invalid, {10, 11}, set())
-    assert aggregator.dropped_rows == 2, "an unknown host, and more errors than tries"
+    assert aggregator.dropped_rows == 2, "an unknown host, and more failures than attempts"
     assert aggregator.take_due(300.0) == []
     first = aggregator.take_due(1000.0)
     assert [(e.host, e.attempts, e.failed, e.latency_ms) for e in first if isinstance(e, api.HostUsageReport)] == [
