--- a/corallanding/controller/acceptor.py
+++ b/corallanding/controller/acceptor.py
@@ -61,9 +61,9 @@
 
     def _on_readable(self) -> None:
         """Accept as many connections as the rate allows, then pause."""
-        now = self.loop.time()
-        self.tokens = min(self.max_tokens, self.tokens + (now - self.replenished_at) * self.rate)
-        self.replenished_at = now
+        now_s = self.loop.time()
+        self.tokens = min(self.max_tokens, self.tokens + (now_s - self.replenished_at) * self.rate)
+        self.replenished_at = now_s
         while self.tokens >= 1.0:
             try:
                 connection, _ = self.socket.accept()
--- a/corallanding/controller/clock.py
+++ b/corallanding/controller/clock.py
@@ -12,7 +12,7 @@
 class Clock:
     """A clock in ms that starts at `ORIGIN_MS` and never decreases, even if its source does.
 
-    source: returns seconds. zero: the source's reading at `ORIGIN_MS`; restoring a saved state sets it.
+    source: returns monotonic seconds. zero: the source's reading at `ORIGIN_MS`; restoring a saved state sets it.
     """
 
     def __init__(self, source: Callable[[], float] = time.monotonic) -> None:
--- a/corallanding/controller/event_intake.py
+++ b/corallanding/controller/event_intake.py
@@ -40,7 +40,7 @@
             if table in self.owned_slices or not settings.slice_count:
                 self.published.tables[table] = dict(weights)
         self.usage = UsageAggregator(settings)
-        self.recall_until = float("inf")
+        self.recall_until = float("inf")  # ms; no tables are recalled after that
         self.recalled_seq = stored.message_number
         self.gained_slices: set[int] = set()  # since the last step; proxies receive all in one message
         self.lost_slices: set[int] = set()
--- a/corallanding/controller/fleet_source.py
+++ b/corallanding/controller/fleet_source.py
@@ -23,6 +23,6 @@
     clock: Clock
     proxy_channel: ProxyChannel
 
-    def submit(self, data: bytes, lines: int, to: tuple[int, ...]) -> None:
+    def submit(self, frame: bytes, cost_lines: int, proxies: tuple[int, ...]) -> None:
         """Send a frame to proxies through the paced channel."""
-        self.proxy_channel.submit(data, lines, to)
+        self.proxy_channel.submit(frame, cost_lines, proxies)
--- a/corallanding/controller/host_sources.py
+++ b/corallanding/controller/host_sources.py
@@ -46,9 +46,7 @@
         self.is_unsaved = False
 
     def open(self, dial_registry: Callable[[RegistryBlock, Callable[[str], None]], Callable[[], Any]]) -> None:
-        """Create the configured source. Raise OSError if one of its files cannot be read, ConfigurationError if it has
-        no address.
-        """
+        """Create the configured source. Raise OSError for unreadable files, ConfigurationError without an address."""
         config = self._context.config
         if config.registry:
             from ..registry.source import make_source  # gRPC is imported only where a registry is configured
--- a/corallanding/controller/link_monitor.py
+++ b/corallanding/controller/link_monitor.py
@@ -24,7 +24,7 @@
         self._registry = registry
         self._host_sources = host_sources
         self._checked_at_ms = 0.0
-        self._is_overloaded = False  # as last logged
+        self._is_overloaded = False  # overload state as last logged
 
     def start(self) -> None:
         """Start the periodic checks."""
--- a/corallanding/controller/proxy_channel.py
+++ b/corallanding/controller/proxy_channel.py
@@ -23,9 +23,9 @@
         self._registry = registry
         self._timer: asyncio.TimerHandle | None = None
 
-    def submit(self, data: bytes, lines: int, to: tuple[int, ...]) -> None:
-        """Send a frame that needs no acknowledgement. lines: its cost in the channel; to: proxy numbers."""
-        self.queue(self._context.clock(), SendFrame(data, lines, NO_VERSION, to))
+    def submit(self, frame: bytes, cost_lines: int, proxies: tuple[int, ...]) -> None:
+        """Send a frame that needs no acknowledgement. cost_lines: its cost in the channel; proxies: proxy numbers."""
+        self.queue(self._context.clock(), SendFrame(frame, cost_lines, NO_VERSION, proxies))
         self.pump()
 
     def queue(self, now_ms: float, message: SendFrame) -> None:
--- a/corallanding/controller/proxy_connections.py
+++ b/corallanding/controller/proxy_connections.py
@@ -118,9 +118,9 @@
 
     def _on_ack(self, now_ms: float, link: ProxyConnection) -> None:
         # The link has validated the ack and knows when the version was sent.
-        version, sent_at = link.link.acked.popleft()
-        self._engine.add_event(now_ms, api.VersionAcked(link.proxy, version, now_ms - sent_at))
-        self._context.metrics.ack_seconds.observe((now_ms - sent_at) / 1000.0)
+        version, sent_at_ms = link.link.acked.popleft()
+        self._engine.add_event(now_ms, api.VersionAcked(link.proxy, version, now_ms - sent_at_ms))
+        self._context.metrics.ack_seconds.observe((now_ms - sent_at_ms) / 1000.0)
 
     def make_link(self) -> ProxyConnection:
         """Return the protocol for a new connection."""
--- a/corallanding/controller/publisher.py
+++ b/corallanding/controller/publisher.py
@@ -22,9 +22,8 @@
     """The tables as last published: the state that a joining proxy receives."""
 
     tables: dict[int, dict[int, float]] = field(default_factory=dict)  # weight by table and host
-    admissions: dict[tuple[int, int], tuple[float, int]] = field(
-        default_factory=dict
-    )  # (amount, retry) by (table, bits)
+    # (amount, retry) by (table, bits of request classes)
+    admissions: dict[tuple[int, int], tuple[float, int]] = field(default_factory=dict)
     cordoned_hosts: set[int] = field(default_factory=set)
     assignments: dict[int, dict[int, int]] = field(default_factory=dict)  # bits of request classes by proxy and table
 
@@ -68,7 +67,7 @@
 def is_urgent(
     entries: Sequence[TableEntry], cordons: Sequence[tuple[int, bool]], leaving_hosts: Container[int]
 ) -> bool:
-    """Return whether a message removes a host from a table at once, because it is dead, draining or cordoned.
+    """Return whether a message removes a host from a table at once, because it failed, is draining or is cordoned.
 
     Such a host is draining or removed in the host list, or is replaced in a single step: an ordinary move keeps the
     previous owner in the table until proxies have acknowledged the new version.
--- a/corallanding/controller/registry_slices.py
+++ b/corallanding/controller/registry_slices.py
@@ -77,9 +77,9 @@
         if not self.table_store or not block:
             return
         self.table_store.start_leaving()
-        deadline = self._context.clock() + block.retire_within_ms
+        deadline_ms = self._context.clock() + block.retire_within_ms
         while not self.table_store.is_drained:
-            if self._context.clock() >= deadline:
+            if self._context.clock() >= deadline_ms:
                 return
             await asyncio.sleep(RETIRE_POLL_S)
 
--- a/corallanding/controller/step_timer.py
+++ b/corallanding/controller/step_timer.py
@@ -24,7 +24,7 @@
         self.is_write_pending = False  # the registry is storing the last step's tables
 
     def request_step(self) -> None:
-        """Schedule a step for when the next one is due. Does nothing while the controller is paused or stopping."""
+        """Schedule the next step for when it is due; not while the controller is paused, stopping or writing tables."""
         clock = self._context.clock
         lifecycle = self._context.lifecycle
         due_ms = self._engine.next_at(clock())
