--- a/corallanding/controller/fleet_source.py
+++ b/corallanding/controller/fleet_source.py
@@ -1,4 +1,4 @@
-"""What the services of the fleet read of this controller."""
+"""Gives fleet services access to this controller."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass
 class ControllerFleetSource:
-    """The `FleetSource` of a running controller. forwarders: the connection of each proxy, by its number."""
+    """The `FleetSource` of a running controller. forwarders: connections of proxies by proxy number."""
 
     config: ControllerConfig
     view: EndpointList
@@ -23,6 +23,6 @@
     clock: Clock
     proxy_channel: ProxyChannel
 
-    def submit(self, data: bytes, lines: int, to: tuple[int, ...]) -> None:
+    def submit(self, frame: bytes, cost_lines: int, proxies: tuple[int, ...]) -> None:
         """Send a frame to proxies through the paced channel."""
-        self.proxy_channel.submit(data, lines, to)
+        self.proxy_channel.submit(frame, cost_lines, proxies)
