--- a/corallanding/__init__.py
+++ b/corallanding/__init__.py
@@ -1,1 +1,1 @@
-"""corallanding: a steward that tells plain proxies where each slice of work goes."""
+"""corallanding: controllers that assign each slice of a key space to a host and notify plain proxies."""
--- a/corallanding/collector/__init__.py
+++ b/corallanding/collector/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's listening address: reports from collectors, and heartbeats.
+"""The listening address of the platform controller: reports from collectors, and heartbeats.
 
 `reports` and `session` are pure; `server` holds the sockets.
 """
--- a/corallanding/collector/session.py
+++ b/corallanding/collector/session.py
@@ -1,7 +1,7 @@
-"""One connection at the listening address: who may say what. Pure: bytes in, reports and answers out.
+"""The protocol of one connection at the listening address. Pure: bytes in, reports and answers out.
 
-A collector names its zone and then brings reports; anyone may ask for a heartbeat. Whoever says anything else before
-naming a zone is rejected, and bytes that cannot be parsed end the connection.
+A collector identifies itself by its zone and then sends reports; any peer may request a heartbeat. A peer that sends
+another message before it has identified itself is rejected, and bytes that cannot be parsed end the connection.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 HEARTBEAT_REQUEST = b"hb"
 HEARTBEAT_ANSWER = encode(["hb_ok"])
 REJECT = encode(["reject"])
-MAX_UNIDENTIFIED_BYTES = 4_096  # of a message before a collector has named its zone
-MAX_COLLECTOR_BYTES = 1 << 20
+MAX_UNIDENTIFIED_BYTES = 4_096  # of a message before the peer has identified itself
+MAX_COLLECTOR_BYTES = 1 << 20  # of a message of a collector
 MAX_QUOTED_BYTES = 300  # of a rejected report in a trace
 
 
 @dataclass
 class FeedResult:
-    """What received bytes led to.
+    """The result of processing received bytes.
 
-    `heartbeats` counts the requests that are still to be answered by the owner. If `close_reason` is not None, the
+    `heartbeats` counts the requests that the owner has to answer. If `close_reason` is not None, the
     connection ends after `answer` is sent.
     """
 
@@ -34,7 +34,7 @@
 
 
 class CollectorSession:
-    """The state of one connection. `zone` is set once it has named itself a collector."""
+    """The state of one connection. `zone` is set once the peer has identified itself as a collector."""
 
     def __init__(self, intake: ReportIntake) -> None:
         self.intake = intake
@@ -42,7 +42,7 @@
         self.zone: int | None = None
 
     def feed(self, data: bytes) -> FeedResult:
-        """Take received bytes."""
+        """Process received bytes and return their result."""
         result = FeedResult()
         for strings in self.reader.feed(data):
             if strings[0] == HEARTBEAT_REQUEST:
@@ -54,13 +54,13 @@
             if result.close_reason:
                 return result
         if self.reader.error:
-            # A collector is never written to; others are told.
+            # Collectors receive no rejection, other peers do.
             result.answer = b"" if self.zone is not None else REJECT
-            result.close_reason = "what cannot be read"
+            result.close_reason = "malformed message"
         return result
 
     def identify(self, strings: list[bytes], result: FeedResult) -> None:
-        """Take the first message of a connection: it has to name a zone that exists."""
+        """Process the first message of a connection, which has to name an existing zone."""
         zones = self.intake.names.zones
         if strings[0] == b"telemetry" and len(strings) == 3 and strings[1] == b"locality":
             zone = zones.get(strings[2].decode("utf-8", "replace"))
@@ -68,9 +68,9 @@
                 self.zone = zone
                 self.reader.max_bytes = MAX_COLLECTOR_BYTES
                 return
-            result.close_reason = "a collector of no zone there is"
+            result.close_reason = "collector of an unknown zone"
         else:
-            result.close_reason = "another word before joining"
+            result.close_reason = "unexpected message before identification"
         result.answer += REJECT
 
     def _on_report(self, strings: list[bytes], result: FeedResult) -> None:
--- a/corallanding/connection.py
+++ b/corallanding/connection.py
@@ -1,8 +1,8 @@
-"""Outbound connections: each is adopted or discarded in one place, and waiting for one has a time limit.
+"""Outbound connections: each is adopted or discarded in one place, and each attempt has a time limit.
 
-A connection is handed to its owner in the very callback that says it is established, so that nothing can come between:
-it cannot have been lost, nor its attempt been cancelled, before its owner has it. The owner is told of its end once,
-and of nothing after it has discarded the connection itself.
+A connection is passed to its owner in the callback that reports it as established, so that it cannot be lost, nor its
+attempt be cancelled, before its owner has it. The owner is notified once when the connection ends, and not at all after
+it has discarded the connection itself.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 """Host and port."""
 
 READ_GRACE_SECONDS = 0.005  # after a timeout, for data that the event loop has received and not delivered yet
-MIN_BACKOFF_MS = 20.0  # of the shortest pause between attempts, other than none
-MAX_TIMEOUT_FACTOR = 4.0  # to which the time limit of an attempt grows at most
+MIN_BACKOFF_MS = 20.0  # shortest backoff other than 0
+MAX_TIMEOUT_FACTOR = 4.0  # maximum growth of an attempt's time limit
 
 
 def next_backoff_ms(backoff_ms: float, max_backoff_ms: float) -> float:
-    """The backoff that follows `backoff_ms`: twice as long, within `MIN_BACKOFF_MS` and `max_backoff_ms`."""
+    """Return the backoff after `backoff_ms`: twice as long, from `MIN_BACKOFF_MS` to `max_backoff_ms`."""
     return min(max_backoff_ms, max(MIN_BACKOFF_MS, backoff_ms * 2.0))
 
 
 class OutboundConnection(asyncio.Protocol):
     """A connection to `address`.
 
-    `on_lost` is called with the connection, once, if it ends by itself; `close_reason` then says why it was closed as
-    of no use, or is empty.
+    `on_lost` is called with the connection, once, if it ends without being discarded. `close_reason` is then the
+    reason passed to `fail`, or empty.
     """
 
     def __init__(self, address: Address, on_lost: Callable[[Any], None]) -> None:
@@ -40,24 +40,24 @@
         self.close_reason = ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Hand the connection to its owner."""
+        """Pass the connection to its owner."""
         self.transport = cast(asyncio.Transport, transport)
         self.is_open = True
         self.on_connected(self)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - the signature is asyncio's
-        """Tell the owner, unless the connection was discarded."""
+        """Notify the owner, unless the connection was discarded."""
         if self.is_open:
             self.is_open = False
             self.on_lost(self)
 
     def fail(self, reason: str) -> None:
-        """Close a connection that is of no further use; the owner is told as if it had ended by itself."""
+        """Close an unusable connection; the owner is notified as if the peer had closed it."""
         self.close_reason = reason
         self.transport.abort()
 
     def discard(self) -> None:
-        """Close the connection without telling the owner anything more."""
+        """Close the connection without notifying the owner."""
         self.is_open = False
         self.transport.abort()
 
@@ -66,8 +66,8 @@
     """A time limit on data that may already have arrived.
 
     After one long callback the event loop runs due timers before it reads the other sockets, and reports an established
-    connection one iteration later. So `on_timeout` is called a short grace after the time limit, when what arrived in
-    time has been read.
+    connection one iteration later. So `on_timeout` is called `READ_GRACE_SECONDS` after the time limit, when data that
+    arrived in time has been read.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, timeout_ms: float, on_timeout: Callable[[], None]) -> None:
@@ -94,8 +94,8 @@
     `on_connected` (with the established connection) and `on_failed` (with the reason) is called.
 
     An attempt may take `timeout_ms`. The limit doubles after each attempt that took longer, up to `MAX_TIMEOUT_FACTOR`
-    times, until one succeeds: else an address whose connections always come up a little too late would never be
-    reached.
+    times, until one succeeds: otherwise an address whose connections are always established slightly too late would
+    never be reached.
     """
 
     def __init__(
@@ -117,11 +117,11 @@
 
     @property
     def is_connecting(self) -> bool:
-        """Whether an attempt is under way."""
+        """Whether an attempt is in progress."""
         return self.pending is not None
 
     def connect(self, address: Address) -> None:
-        """Begin an attempt; one that is under way is cancelled."""
+        """Start an attempt; one in progress is cancelled."""
         self.cancel()
         connection = self.create_connection(address)
         connection.on_connected = self.on_established
@@ -135,12 +135,12 @@
         await self.loop.create_connection(lambda: connection, *connection.address)
 
     def on_established(self, connection: ConnectionT) -> None:
-        """Hand an established connection to the owner."""
-        if connection is not self.pending:  # its attempt was cancelled while it came up
+        """Pass an established connection to the owner."""
+        if connection is not self.pending:  # its attempt was cancelled before it was established
             connection.discard()
             return
-        # From here on the task must not be cancelled, though it may have some iterations to go: uvloop would close the
-        # connection and tell nobody.
+        # The task must not be cancelled from here on, although it may need more loop iterations: uvloop would close the
+        # connection without notifying anyone.
         self.finish_attempt()
         self.timeout_factor = 1.0
         self.on_connected(connection)
@@ -152,19 +152,19 @@
             self.on_failed(str(task.exception()))
 
     def on_timeout(self) -> None:
-        """Report an attempt that took too long."""
+        """Cancel and report an attempt that took too long."""
         self.cancel()
         self.timeout_factor = min(MAX_TIMEOUT_FACTOR, self.timeout_factor * 2.0)
-        self.on_failed("no connection in time")
+        self.on_failed("connection attempt timed out")
 
     def cancel(self) -> None:
-        """Give up the attempt that is under way, if any."""
+        """Cancel the attempt in progress, if any."""
         if self.pending and self.task:
             self.task.cancel()
         self.finish_attempt()
 
     def finish_attempt(self) -> None:
-        """Forget the attempt and its time limit."""
+        """Clear the attempt and its time limit."""
         self.pending = None
         self.task = None
         if self.timeout:
--- a/corallanding/errors.py
+++ b/corallanding/errors.py
@@ -1,7 +1,7 @@
 """The root of every error that this project raises, and its main branches.
 
-Each package derives its own errors from one of the branches, beside the code that raises them. An error says what went
-wrong and with what, and carries as attributes whatever a handler needs: no handler reads the text.
+Each package derives its own errors from one of the branches, beside the code that raises them. An error states what
+failed and on which object, and carries as attributes whatever a handler needs: no handler parses the text.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class ProtocolError(CorallandingError):
-    """A peer sent what the protocol between it and us does not allow."""
+    """A peer sent a message that the protocol does not allow."""
 
 
 class StorageError(CorallandingError):
@@ -24,15 +24,15 @@
 
 
 class ConnectionLostError(CorallandingError):
-    """A service that we depend on does not answer, or closed the connection."""
+    """A service that this process depends on does not answer, or closed the connection."""
 
 
 class LeaseLostError(CorallandingError):
-    """Another controller may hold what this one acted on: the action was not carried out."""
+    """Another controller may hold the lease that an action needs: the action was not carried out."""
 
 
 class HandoverError(CorallandingError):
-    """A running controller could not be handed to its successor process."""
+    """A running controller could not hand over to its successor process."""
 
 
 class CapacityError(CorallandingError):
--- a/corallanding/health_check/__init__.py
+++ b/corallanding/health_check/__init__.py
@@ -1,1 +1,1 @@
-"""Health checks of hosts over HTTP, bounded in flight and in time (`checker`)."""
+"""Health checks of hosts over HTTP, limited in number and time (`checker`)."""
--- a/corallanding/health_check/checker.py
+++ b/corallanding/health_check/checker.py
@@ -1,9 +1,9 @@
-"""A health check is one HTTP `GET` on a host's address; it ends in exactly one `HealthCheckOutcome`.
+"""Health checks: one HTTP `GET` on a host's address each, with exactly one `HealthCheckOutcome`.
 
 Status 2xx is OK; 503 and 429 are FULL (draining, or too many checks at once); any other status is ERROR. No answer in
-time is TIMEOUT, a refused or impossible connection UNREACHABLE, one that breaks RESET, an answer that is no HTTP OTHER.
-The host's load stands in the `X-Load` header as `name=value` pairs separated by blanks, or, where the caller asks for
-that, in the body, separated by commas.
+time is TIMEOUT, a refused or impossible connection UNREACHABLE, a broken one RESET, an answer that is not HTTP OTHER.
+The host reports its load as `name=value` pairs: in the `X-Load` header, separated by blanks, or, if `load_in_body` is
+set, in the body, separated by commas.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 
 class HealthCheckAnswer(NamedTuple):
-    """What one connection found out: the outcome, and the load values that the host reported."""
+    """The outcome of one connection, and the load values that the host reported."""
 
     outcome: api.HealthCheckOutcome
     load: dict[str, float]
 
 
 class HealthCheckConnection(asyncio.Protocol):
-    """Sends one request and sets `answer`, once. The `on_` methods up to `on_message_complete` are the parser's."""
+    """Sends one request and sets `answer` once. The parser calls the `on_` methods."""
 
     def __init__(self, path: str, answer: asyncio.Future[HealthCheckAnswer], load_in_body: bool = False) -> None:
         self.path = path
@@ -43,7 +43,7 @@
         self.load: dict[str, float] = {}
         self.body = b""
         self.has_headers = False
-        self.has_body_length = False  # the headers say where the body ends
+        self.has_body_length = False  # the headers define where the body ends
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the request."""
@@ -51,7 +51,7 @@
         self.transport.write(f"GET {self.path} HTTP/1.1\r\nHost: probe\r\nConnection: close\r\n\r\n".encode())
 
     def data_received(self, data: bytes) -> None:
-        """Parse the answer; one that is no HTTP or too long ends the check."""
+        """Parse the answer; end the check if it is not HTTP or too long."""
         self.received_bytes += len(data)
         try:
             self.parser.feed_data(data)
@@ -63,28 +63,28 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """End the check, if the answer has not done so."""
         if exc is None and self.has_headers and not self.has_body_length:
-            self.on_message_complete()  # in HTTP/1.1 such a body ends with its connection
+            self.on_message_complete()  # an HTTP/1.1 body without a length ends with the connection
         self.finish(api.HealthCheckOutcome.RESET)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take the load, and note whether the body has a length."""
+        """Read the load, and record whether the body has a length."""
         if name.lower() in (b"content-length", b"transfer-encoding"):
             self.has_body_length = True
         if name.lower() == b"x-load":
             self._add_load(value.decode("ascii", "replace").split())
 
     def on_headers_complete(self) -> None:
-        """End the check here, unless the load stands in the body."""
+        """End the check, unless the load is in the body."""
         self.has_headers = True
         if not self.load_in_body:
             self._finish_by_status()
 
     def on_body(self, body: bytes) -> None:
-        """Collect the body; `data_received` bounds it."""
+        """Collect the body; `data_received` limits its size."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        """Take the load from the body, where it stands there."""
+        """Read the load from the body, if it is there, and end the check."""
         if self.load_in_body:
             self._add_load(self.body.decode("ascii", "replace").strip().split(","))
             self._finish_by_status()
@@ -113,10 +113,10 @@
 
 
 class HealthChecker:
-    """Runs health checks; `on_result` is called once for every one that was asked for.
+    """Runs health checks; `on_result` is called once for each requested one.
 
-    Beyond `max_in_flight` checks wait their turn; beyond `max_waiting` a check ends OTHER at once, so that none is left
-    without a result. `clock` gives ms; `parse_address` turns an address into host and port, and raises ValueError for
+    Checks beyond `max_in_flight` wait in a queue; beyond `max_waiting` a check ends as OTHER at once, so that each one
+    has a result. `clock` returns ms; `parse_address` turns an address into host and port, and raises ValueError for
     one that is not allowed.
     """
 
@@ -144,7 +144,7 @@
         self.most_in_flight_seen = 0
 
     def check(self, host: int, address: str) -> None:
-        """Begin a health check, now or when another one has ended."""
+        """Start a health check, now or when another one has ended."""
         if len(self.waiting) >= self.max_waiting:
             self.on_result(api.HealthCheckResult(host, api.HealthCheckOutcome.OTHER))
             return
@@ -152,7 +152,7 @@
         self.start_waiting()
 
     def start_waiting(self) -> None:
-        """Start as many waiting checks as may be in flight."""
+        """Start waiting checks, up to `max_in_flight`."""
         while self.waiting and len(self.running) < self.max_in_flight:
             host, address = self.waiting.popleft()
             task = asyncio.get_running_loop().create_task(self.run_check(host, address))
@@ -166,7 +166,7 @@
         if task.cancelled():
             return
         if error := task.exception():
-            context = {"message": f"a probe of {address} failed", "exception": error}
+            context = {"message": f"health check of {address} failed", "exception": error}
             asyncio.get_running_loop().call_exception_handler(context)
             self.on_result(api.HealthCheckResult(host, api.HealthCheckOutcome.OTHER))
         else:
@@ -174,7 +174,7 @@
         self.start_waiting()
 
     async def run_check(self, host: int, address: str) -> api.HealthCheckResult:
-        """Run one health check to its end."""
+        """Run one health check and return its result."""
         started_at_ms = self.clock()
         answer = await self._request(address)
         return api.HealthCheckResult(host, answer.outcome, self.clock() - started_at_ms, answer.load)
--- a/corallanding/host_names.py
+++ b/corallanding/host_names.py
@@ -1,7 +1,8 @@
-"""Host names as numbers and back, for platforms that name their hosts. Pure, without a table.
+"""Conversion between host names and numbers, for platforms that name their hosts. Pure, without a table.
 
-The assigner knows hosts by number. The number of a name is its bytes read as one big-endian integer, behind a byte of
-value 1. Every controller computes the same number after every start, no two names share one, and nothing is stored.
+The assigner identifies hosts by number. The number of a name is its bytes read as one big-endian integer, after a
+leading byte of value 1. Every controller computes the same number after every start, no two names share one, and
+nothing is stored.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
     """Return the number of a host name. Raises ValueError if the name is empty or longer than `MAX_NAME_BYTES`."""
     raw = name.encode()
     if not 0 < len(raw) <= MAX_NAME_BYTES:
-        raise ValueError(f"a host's name of {len(raw)} bytes: 1 to {MAX_NAME_BYTES} are allowed")
+        raise ValueError(f"host name has {len(raw)} bytes: 1 to {MAX_NAME_BYTES} are allowed")
     return int.from_bytes(b"\x01" + raw, "big")
 
 
--- a/corallanding/platform/__init__.py
+++ b/corallanding/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The controller on the users' platform: `python -m corallanding.platform`. `service` connects its parts."""
+"""The controller deployed on the platform: `python -m corallanding.platform`. `service` connects its components."""
--- a/corallanding/platform/__main__.py
+++ b/corallanding/platform/__main__.py
@@ -8,10 +8,12 @@
 
 def main() -> int:
     """Run the program and return its exit code; see `program`."""
-    # Blocked until the event loop handles it: a signal during the imports neither ends the program nor is lost.
+    # Blocked until the event loop handles it: SIGHUP during the imports neither ends the program nor is lost.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
-    signal.signal(signal.SIGINT, signal.SIG_DFL)  # until then it ends the program without a traceback, as SIGTERM does
-    from .program import run  # imported only now, since the imports are most of a start
+    signal.signal(
+        signal.SIGINT, signal.SIG_DFL
+    )  # before the event loop handles it: end without a traceback, as on SIGTERM
+    from .program import run  # imported late: the imports take most of the startup time
 
     return run()
 
--- a/corallanding/platform/activity_log.py
+++ b/corallanding/platform/activity_log.py
@@ -1,4 +1,4 @@
-"""Lines that are logged at intervals: counts of what was rejected, and the trace."""
+"""Periodic log lines: counts of rejected reports and closed connections, and the trace."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class ActivityLog:
-    """Logs what a controller did. `is_traced` adds figures of each second."""
+    """Logs the activity of a controller. `is_traced` adds the trace lines of each second."""
 
-    def __init__(self, controller: trace.Traced, is_traced: bool) -> None:
+    def __init__(self, controller: trace.TracedController, is_traced: bool) -> None:
         self.controller = controller
         self.is_traced = is_traced
         self.loop = asyncio.get_running_loop()
@@ -22,21 +22,21 @@
         self.closed_connections = CountLogger("closed connections")
 
     def start(self) -> None:
-        """Begin to log."""
+        """Start the periodic logging."""
         self.loop.call_later(COUNTS_INTERVAL_SECONDS, self.log_counts)
         if self.is_traced:
             self.loop.call_later(TRACE_INTERVAL_SECONDS, self.log_trace)
 
     def log_counts(self) -> None:
-        """Log what the listening address rejected since the last such line, by reason."""
+        """Log the reports rejected and connections closed since the previous call, by reason."""
         self.loop.call_later(COUNTS_INTERVAL_SECONDS, self.log_counts)
         if self.controller.server:
             self.rejected_reports.log(self.controller.intake.rejected)
             self.closed_connections.log(self.controller.server.close_reasons)
 
     def log_trace(self) -> None:
-        """Log the figures of the last second."""
+        """Log the trace lines of the last second."""
         self.loop.call_later(TRACE_INTERVAL_SECONDS, self.log_trace)
-        for line in trace.figures(self.controller):
+        for line in trace.summary_lines(self.controller):
             log.info("trace %s", line)
         self.controller.decisions.max_duration_ms = 0.0
--- a/corallanding/platform/config.py
+++ b/corallanding/platform/config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration file: JSON to what the controller needs. Pure but for `read`."""
+"""Parsing of the platform's JSON configuration file. Pure except for `read`."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 DEFAULT_CONNECT_TIMEOUT_MS = 300.0
 MAX_PORT = 65_535
-MAX_QUOTED = 60  # characters of a rejected address in an error
+MAX_QUOTED_CHARACTERS = 60  # of a rejected address in an error
 MISSING_FIELD = re.compile(r"missing required field `(?P<key>\w+)`(?: - at `\$\.?(?P<path>.*)`)?")
 INVALID_FIELD = re.compile(r"(?P<reason>.*) - at `\$\.?(?P<path>.*)`")
 
@@ -33,10 +33,10 @@
 
 @dataclass(frozen=True)
 class Config:
-    """What the controller needs of its configuration.
+    """The configuration of a controller.
 
-    `saved_list` is the host list as this controller last had it; `max_sockets` (descriptors) and `memory_mb` are 0
-    where they are not stated; `connect_timeout_ms` is how long proxies wait for a connection.
+    `saved_list` is the last host list that this controller received before its start; `max_sockets` (descriptors) and
+    `memory_mb` are 0 if not configured; `connect_timeout_ms` is the proxies' connect timeout.
     """
 
     name: str
@@ -63,7 +63,7 @@
 
 
 class _ConfigFile(msgspec.Struct):
-    """The file as it stands; what else it holds is ignored."""
+    """The contents of the file; unknown keys are ignored."""
 
     settings: dict[str, Any]
     listen: str
@@ -79,7 +79,7 @@
     """Parse "10.0.0.4:8081" or "[::1]:8081". Raises ValueError; names are not resolved."""
     host, separator, port = text.rpartition(":")
     if not separator or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
-        raise ValueError(f"{text[:MAX_QUOTED]!r} is no ADDRESS:PORT")
+        raise ValueError(f"{text[:MAX_QUOTED_CHARACTERS]!r} is no ADDRESS:PORT")
     return str(ipaddress.ip_address(host.strip("[]"))), int(port)
 
 
@@ -114,7 +114,7 @@
         saved_list=file.known or ListAnswer(0, True, []),
         settings=settings,
         names=_name_tables(file.settings),
-        kinds=_numbered(file.settings.get("kinds"), "settings.kinds"),
+        kinds=_indices_by_name(file.settings.get("kinds"), "settings.kinds"),
         connect_timeout_ms=connect_timeout_ms,
     )
 
@@ -125,16 +125,16 @@
     except msgspec.ValidationError as error:
         raise InvalidConfigError(_describe(error)) from None
     except JSON_DECODE_ERRORS as error:
-        raise InvalidConfigError(f"no JSON: {error}") from None
+        raise InvalidConfigError(f"invalid JSON: {error}") from None
 
 
 def _describe(error: msgspec.ValidationError) -> str:
-    """Return what msgspec says, with the key first."""
-    if found := MISSING_FIELD.search(str(error)):
-        return f"{'.'.join(filter(None, (found['path'], found['key'])))}: missing"
-    if found := INVALID_FIELD.match(str(error)):
-        return f"{found['path']}: {'missing' if 'got `null`' in found['reason'] else found['reason']}"
-    return f"no JSON object: {error}"
+    """Return the message of msgspec with the key first."""
+    if match := MISSING_FIELD.search(str(error)):
+        return f"{'.'.join(filter(None, (match['path'], match['key'])))}: missing"
+    if match := INVALID_FIELD.match(str(error)):
+        return f"{match['path']}: {'missing' if 'got `null`' in match['reason'] else match['reason']}"
+    return f"not a JSON object: {error}"
 
 
 def _address(key: str, text: str) -> Address:
@@ -155,13 +155,13 @@
     classes = settings.get("classes")
     class_names: list[Any] | None = None
     if isinstance(classes, list):
-        class_names = [found.get("name") if isinstance(found, dict) else None for found in classes]
-    zones = _numbered(settings.get("zones"), "settings.zones")
-    return NameTables(zones, _numbered(class_names, "settings.classes"))
+        class_names = [item.get("name") if isinstance(item, dict) else None for item in classes]
+    zones = _indices_by_name(settings.get("zones"), "settings.zones")
+    return NameTables(zones, _indices_by_name(class_names, "settings.classes"))
 
 
-def _numbered(names: Any, key: str) -> dict[str, int]:
-    """Return names with their places in the list."""
+def _indices_by_name(names: Any, key: str) -> dict[str, int]:
+    """Return the index of each name in a list. Raises InvalidConfigError."""
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
         raise InvalidConfigError(f"{key}: a list of names is expected")
-    return {name: number for number, name in enumerate(names)}
+    return {name: index for index, name in enumerate(names)}
--- a/corallanding/platform/decision_loop.py
+++ b/corallanding/platform/decision_loop.py
@@ -1,4 +1,4 @@
-"""When the assigner's steps run, and score computation between them."""
+"""Scheduling of the assigner's steps, and score computation between them."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 from ..controller.event_inbox import EventInbox
 from .logs import log
 
-SCORES_AHEAD = 400  # rendezvous scores computed at a time between steps
+SCORES_PER_BATCH = 400  # rendezvous scores computed without yielding to the event loop
 SCORE_INTERVAL_SECONDS = 0.01
-MAX_QUOTED = 600  # characters of the events of a failed step in the log
+MAX_QUOTED_CHARACTERS = 600  # of the logged events of a failed step
 
 
 class DecisionLoop:
-    """Runs a step soon after events came, but not more often than `min_interval_ms`, nor more than half of the time.
+    """Runs a step soon after events arrive.
 
-    `on_actions(now_ms, actions)` carries out a step's actions, `on_step` is called after that. If a step raises, its
-    timers are started again to fire after `retry_ms`.
+    The pause between steps is at least `min_interval_ms` and at least as long as the last step, so that steps take at
+    most half of the time. `on_actions(now_ms, actions)` carries out a step's actions, `on_step` is called after that.
+    If a step raises, its timers are started again to fire after `retry_ms`.
     """
 
     def __init__(
@@ -41,12 +42,12 @@
         self.due_at_ms = float("inf")
         self.last_step_at_ms = 0.0
         self.last_duration_ms = 0.0
-        self.max_duration_ms = 0.0  # since a trace last reset it
+        self.max_duration_ms = 0.0  # since the last trace line, which resets it
         self.score_timer: asyncio.TimerHandle | None = None
         self.is_stopped = False
 
     def schedule(self) -> None:
-        """Arrange for the next step, if anything waits for one."""
+        """Schedule the next step if events are pending or a timer is running."""
         if self.is_stopped:
             return
         now_ms = self.clock()
@@ -63,7 +64,7 @@
             self.timer = self.loop.call_later(max(0.0, step_at_ms - now_ms) / 1000.0, self.step)
 
     def step(self) -> None:
-        """Deliver all events that came and carry out the actions."""
+        """Run a step with the pending events and due timers, and carry out its actions."""
         self.due_at_ms = float("inf")
         started_at_ms = self.clock()
         self.inbox.fire_due_timers(started_at_ms)
@@ -80,15 +81,16 @@
         try:
             return self.inbox.run_step(now_ms, events)
         except Exception:  # noqa: BLE001 - whatever the assigner raises must not end the controller
-            # A defect to be fixed. The events of this step are lost, what was known before stands; its timers are
-            # started again, or no step would ever come. The state may no longer be sound: the log tells.
-            log.exception("a step failed on %d events: %s", len(events), str(events)[:MAX_QUOTED])
+            # This is a defect to fix. The events of the step are lost and the earlier state is kept. Its timers are
+            # started again, since otherwise no further step might run. The state may be inconsistent; the log shows
+            # the cause.
+            log.exception("a step failed on %d events: %s", len(events), str(events)[:MAX_QUOTED_CHARACTERS])
             return [api.StartTimer(self.retry_ms, event.timer) for event in events if isinstance(event, api.TimerFired)]
 
     def precompute_scores(self) -> None:
-        """Compute scores ahead of need, a few at a time, so that the event loop stays responsive."""
+        """Compute scores before they are needed, in small batches, so that the event loop stays responsive."""
         self.score_timer = None
-        if self.inbox.precompute_scores(SCORES_AHEAD):
+        if self.inbox.precompute_scores(SCORES_PER_BATCH):
             self.score_timer = self.loop.call_later(SCORE_INTERVAL_SECONDS, self.precompute_scores)
 
     def stop(self) -> None:
--- a/corallanding/platform/endpoint_updates.py
+++ b/corallanding/platform/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""The host list on its way to the assigner: what can be used becomes an event, what cannot is logged."""
+"""Conversion of host lists to events for the assigner; what cannot be used is logged."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class HostListSource:
-    """Receives the answers of the discovery client. `on_events` takes events; `is_traced` logs each list."""
+    """Receives the answers of the discovery client. `on_events` receives the events; `is_traced` logs each list."""
 
     def __init__(
         self,
@@ -33,25 +33,25 @@
 
     @property
     def version(self) -> int:
-        """The version of the list in force."""
+        """The version of the current list."""
         return self.view.version
 
     def apply_saved(self, saved: ListAnswer) -> api.HostListUpdate | None:
-        """Take the list as this controller last had it, at its start."""
+        """Apply the list saved before the start and return its update, if any."""
         update = self.view.apply(saved, api.HostListKind.SAVED)
         self.log_rejected_entries()
         return update
 
     def on_list(self, body: bytes) -> bool:
-        """Take an answer; false if it cannot be parsed."""
+        """Apply an answer and report its update; return False if it cannot be parsed."""
         try:
             answer = self.view.decode(body)
         except InvalidAnswerError as error:
-            self.logger.warn("discovery", f"discovery: an answer that cannot be read: {error}")
+            self.logger.warn("discovery", f"discovery: invalid answer: {error}")
             return False
         update = self.view.apply(answer)
         if self.is_traced and update:
-            rows = " ".join(f"{name(e.host)}:{e.state}:{e.online_since:.0f}" for e in update.entries)
+            rows = " ".join(f"{name(entry.host)}:{entry.state}:{entry.online_since:.0f}" for entry in update.entries)
             log.info("list %d %s %s", update.version, update.kind.value, rows)
         self.log_rejected_entries()
         if update or self.client.on_request:
@@ -59,10 +59,10 @@
         return True
 
     def on_list_failed(self, _: str) -> None:
-        """Report that a requested list did not come."""
+        """Report that a requested list was not received."""
         self.on_events([api.HostListUpdate(api.HostListKind.FAILED, self.view.version)])
 
     def log_rejected_entries(self) -> None:
-        """Log entries that the last answer had to leave out."""
+        """Log the rejected entries of the last answer."""
         for text in self.view.rejected_entries[:MAX_LOGGED_ENTRIES]:
             self.logger.warn("entry", f"discovery: {text}")
--- a/corallanding/platform/logs.py
+++ b/corallanding/platform/logs.py
@@ -1,7 +1,7 @@
-"""The log of the platform controller: lines to standard error that never block the event loop, few of a kind at a time.
+"""Logging of the platform controller to standard error, without blocking the event loop and with limited rates.
 
-It uses the standard library's logging, since memory is limited. Standard error is a pipe whose reader may stand still:
-a line that the pipe does not take at once is lost and counted.
+It uses the standard library's logging, since memory is limited. Standard error is a pipe whose reader may stall: a line
+that the pipe does not accept at once is dropped and counted.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from collections import Counter
 from collections.abc import Callable
 
-MAX_LINE_BYTES = 4_000  # what a pipe takes as a whole or not at all
-MAX_KINDS = 64  # of rate-limited lines
-MAX_REASONS = 8  # in one line of counts
+MAX_LINE_BYTES = 4_000  # a pipe accepts a write of this size completely or not at all
+MAX_KINDS = 64  # kinds of rate-limited warnings; all further ones share one
+MAX_REASONS = 8  # reasons in one line of counts
 
 log = logging.getLogger("corallanding.platform")
 
@@ -31,7 +31,7 @@
         self.poll.register(descriptor, select.POLLOUT)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a line; it says how many were lost before it."""
+        """Write a line, with the number of lines lost before it."""
         try:
             is_writable = any(flags & select.POLLOUT for _, flags in self.poll.poll(0))
             if not is_writable:
@@ -55,35 +55,35 @@
 
 
 class RateLimitedLogger:
-    """Logs a warning of one kind at most once in `interval_seconds`, with the count of those left out."""
+    """Logs a warning of one kind at most once in `interval_seconds`, with the number of those omitted before it."""
 
     def __init__(self, interval_seconds: float = 2.0, clock: Callable[[], float] = time.monotonic) -> None:
         self.interval_seconds = interval_seconds
-        self.clock = clock  # s
-        self.kinds: dict[str, tuple[float, int]] = {}  # when a line was last logged, and lines left out since
+        self.clock = clock  # in seconds
+        self.kinds: dict[str, tuple[float, int]] = {}  # time of the last line in seconds, and lines omitted since
 
     def warn(self, kind: str, text: str) -> None:
-        """Log a line, unless one of its kind was logged lately."""
+        """Log a warning, unless one of its kind was logged within `interval_seconds`."""
         now = self.clock()
         if kind not in self.kinds and len(self.kinds) >= MAX_KINDS:
             kind = "other"
-        logged_at, left_out = self.kinds.get(kind, (-self.interval_seconds, 0))
+        logged_at, omitted = self.kinds.get(kind, (-self.interval_seconds, 0))
         if now - logged_at < self.interval_seconds:
-            self.kinds[kind] = (logged_at, left_out + 1)
+            self.kinds[kind] = (logged_at, omitted + 1)
             return
         self.kinds[kind] = (now, 0)
-        log.warning("%s%s", text, f" (and {left_out} more like it)" if left_out else "")
+        log.warning("%s%s", text, f" (and {omitted} similar)" if omitted else "")
 
 
 class CountLogger:
-    """Logs counts by reason: what was added since the last line, the most frequent first."""
+    """Logs increases of counts by reason since the last line, the most frequent reason first."""
 
     def __init__(self, title: str) -> None:
         self.title = title
         self.logged: Counter[str] = Counter()
 
     def log(self, counts: Counter[str]) -> None:
-        """Log what has come to `counts` since the last call, if anything."""
+        """Log the increase of `counts` since the last call, if any."""
         added = counts - self.logged
         if added:
             reasons = ", ".join(f"{count} {reason}" for reason, count in added.most_common(MAX_REASONS))
--- a/corallanding/platform/program.py
+++ b/corallanding/platform/program.py
@@ -1,7 +1,7 @@
 """The program: configuration, signals, the event loop. LB_CONFIG names the configuration file.
 
-Exit codes: 0 after SIGTERM or SIGINT, 1 if the listening address cannot be used, 2 for a configuration that cannot be
-used (one line on standard error names file and key).
+Exit codes: 0 after SIGTERM or SIGINT, 1 if the listening address cannot be used, 2 if the configuration cannot be used
+(one line on standard error names file and key).
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class ExitCode(IntEnum):
-    """How the program ends."""
+    """Exit codes of the program."""
 
     STOPPED = 0
     ADDRESS_UNUSABLE = 1
@@ -29,7 +29,7 @@
 
 
 def on_callback_error(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Log an exception of a callback: a defect to be fixed, which costs nothing but what the callback was to do."""
+    """Log an exception of a callback: a defect to fix, which affects only the work of that callback."""
     log.error("%s", context.get("message", ""), exc_info=context.get("exception"))
 
 
@@ -56,7 +56,7 @@
     configure()
     path = os.environ.get("LB_CONFIG", "")
     if not path:
-        print("corallanding: LB_CONFIG names no configuration file", file=sys.stderr)
+        print("corallanding: LB_CONFIG does not name a configuration file", file=sys.stderr)
         return ExitCode.CONFIGURATION_UNUSABLE
     try:
         config = read(path)
--- a/corallanding/platform/service.py
+++ b/corallanding/platform/service.py
@@ -29,13 +29,13 @@
 from .logs import RateLimitedLogger, log
 from .unconfirmed_acks import LostAckRecovery
 
-MAX_START_SECONDS = 3.0  # after which heartbeats are answered, whatever is missing
-RESERVED_DESCRIPTORS = 64  # not for unidentified connections: event loop, log, relay, discovery, health checks
+MAX_START_SECONDS = 3.0  # heartbeats are answered after this time even if not everything is known
+RESERVED_DESCRIPTORS = 64  # for event loop, log, relay, discovery and health checks; not for unidentified connections
 MIN_UNIDENTIFIED = 16
 MAX_UNIDENTIFIED = 256
 MAX_HEALTH_CHECKS = 16
-HEALTH_CHECK_TIMEOUT_FACTOR = 2.0  # times the proxies' connect timeout
-MAX_KIND_CHARACTERS = 60  # of a warning's text before the colon, by which it is rate-limited
+HEALTH_CHECK_TIMEOUT_FACTOR = 2.0  # multiple of the proxies' connect timeout
+MAX_KIND_CHARACTERS = 60  # of a warning's text before the colon, its kind for rate-limiting
 
 
 class PlatformController:
@@ -107,7 +107,7 @@
     async def run(self) -> None:
         """Run until `stop`. Raises OSError if the listening address cannot be used."""
         self.start()
-        await self.call_connection.finished.wait()  # within the time that an answer may take
+        await self.call_connection.finished.wait()  # at most the answer timeout of a call
         self.call_connection.close()
 
     def start(self) -> None:
@@ -124,7 +124,7 @@
         self.activity_log.start()
 
     def set_ready(self) -> None:
-        """Answer heartbeats from now on."""
+        """Start to answer heartbeats."""
         if not self.server or self.server.is_ready or self.is_stopping:
             return
         self.server.set_ready()
@@ -139,25 +139,25 @@
         )
 
     def reload(self) -> None:
-        """Take the addresses of a changed configuration (SIGHUP); all else in it is for the next start."""
+        """Apply the addresses of a changed configuration (SIGHUP); other changes take effect at the next start."""
         if self.is_stopping:
             return
         try:
             config = read(self.path)
         except InvalidConfigError as error:
-            log.error("the old configuration stays: %s", error)
+            log.error("configuration not reloaded, the old one stays in effect: %s", error)
             return
-        log.info("configuration read again: discovery %s, store %s", config.discovery, config.relay)
+        log.info("configuration reloaded: discovery %s, store %s", config.discovery, config.relay)
         self.subscription.set_address(config.relay)
         self.call_connection.set_address(config.relay)
         self.discovery.set_address(config.discovery)
 
     def stop(self) -> None:
-        """Begin no connection, step or call (SIGTERM). A call in flight may end, so that it is not cut in half."""
+        """Start no further connection, step or call (SIGTERM, SIGINT). A call in flight is allowed to complete."""
         if self.is_stopping:
             return
         self.is_stopping = True
-        log.info("ending")
+        log.info("stopping")
         self.decisions.stop()
         if self.server:
             self.server.close()
@@ -166,10 +166,10 @@
         self.health_checker.stop()
         self.call_connection.finish()
 
-    # ---- events in -----------------------------------------------------------------------------------------
+    # ---- incoming events -----------------------------------------------------------------------------------
 
     def on_events(self, events: Sequence[api.Event]) -> None:
-        """Take events for the next step."""
+        """Add events for the next step and schedule it."""
         now_ms = self.clock()
         for event in events:
             if isinstance(event, api.SliceOwnershipChange) and not event.is_owned:
@@ -182,13 +182,13 @@
         self.decisions.schedule()
 
     def on_health_check(self, result: api.HealthCheckResult) -> None:
-        """Take the result of a health check."""
+        """Add the result of a health check for the next step."""
         if self.is_traced:
-            log.info("probe of %s: %s after %.0f ms", name(result.host), result.outcome.value, result.latency_ms)
+            log.info("health check of %s: %s after %.0f ms", name(result.host), result.outcome.value, result.latency_ms)
         self.on_events([result])
 
     def on_orders_confirmed(self, orders: list[Order]) -> None:
-        """The relay confirmed orders: its tables hold them."""
+        """Record orders that the relay confirmed, so that its tables hold them."""
         for order in orders:
             if isinstance(order, TableOrder):
                 self.relay_view.on_order_confirmed(order)
@@ -197,14 +197,14 @@
         self.calls.warnings.clear()
 
     def on_step(self) -> None:
-        """A step has ended; the controller is ready once it knows what is in force."""
+        """Become ready after the first step that knows the relay's initial state."""
         if self.server and not self.server.is_ready and self.subscription.has_been_ready:
             self.set_ready()
 
-    # ---- actions out ---------------------------------------------------------------------------------------
+    # ---- outgoing actions ----------------------------------------------------------------------------------
 
     def carry_out(self, now_ms: float, actions: list[api.Action]) -> None:
-        """Carry out the actions of one step; those for the relay become one call."""
+        """Carry out the actions of one step; orders to the relay are sent together."""
         orders: list[Order] = []
         for action in actions:
             if isinstance(action, Order):
@@ -212,14 +212,14 @@
                 if isinstance(action, api.PublishVersion):
                     self.lost_acks.on_version_ordered(action.version, now_ms)
             else:
-                self._carry_out_here(now_ms, action)
+                self._carry_out_locally(now_ms, action)
         if orders:
             if self.is_traced:
                 log.info("orders: %s", trace.describe_orders(orders))
             self.calls.add(orders)
             self.call_connection.send_next()
 
-    def _carry_out_here(self, now_ms: float, action: api.Action) -> None:
+    def _carry_out_locally(self, now_ms: float, action: api.Action) -> None:
         match action:
             case api.StartTimer():
                 self.inbox.start_timer(now_ms + action.delay_ms, action.timer)
@@ -233,7 +233,7 @@
                 if self.is_traced:
                     log.info("assigner: %s", action.text)
             case _:
-                self.warn(f"the platform has no way to do this: {action}")
+                self.warn(f"the platform cannot carry out this action: {action}")
 
     # ---- log -----------------------------------------------------------------------------------------------
 
--- a/corallanding/platform/trace.py
+++ b/corallanding/platform/trace.py
@@ -1,4 +1,4 @@
-"""Lines of the trace: what the controller knows and does, to be compared with what passes on the sockets."""
+"""Trace lines on the state and actions of a controller, for comparison with the traffic on its sockets."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 from .decision_loop import DecisionLoop
 from .logs import log
 
-SHOWN_HOSTS = 4
-SHOWN_SLICES = 12
+MAX_SHOWN_HOSTS = 4
+MAX_SHOWN_SLICES = 12
 
 
-class Traced(Protocol):
-    """What a controller shows of itself."""
+class TracedController(Protocol):
+    """The components of a controller that trace lines report on."""
 
     host_list: HostListView
     discovery: DiscoveryClient
@@ -50,7 +50,7 @@
 
 
 def describe_orders(orders: Sequence[Order]) -> str:
-    """Return orders in short: `7+host` adds a host to slice 7, `7-host` removes it."""
+    """Return orders in short form: `7+host` adds a host to slice 7, `7-host` removes it."""
     return " ".join(_describe_order(order) for order in orders)
 
 
@@ -64,15 +64,15 @@
             return str(order)
 
 
-def figures(controller: Traced) -> Iterator[str]:
-    """Yield the lines of one second: what was received and sent, and what it cost."""
-    yield _connection_figures(controller)
-    yield _cost_figures(controller)
+def summary_lines(controller: TracedController) -> Iterator[str]:
+    """Yield the lines of one second: messages received and sent, and resources used."""
+    yield _connection_summary(controller)
+    yield _resource_summary(controller)
     if isinstance(controller.inbox.assigner, Assigner):
-        yield from _assigner_figures(controller.inbox.assigner)
+        yield from _assigner_summary(controller.inbox.assigner)
 
 
-def _connection_figures(controller: Traced) -> str:
+def _connection_summary(controller: TracedController) -> str:
     view = controller.relay_view
     watch = controller.subscription.current
     watch_age_ms = controller.clock() - watch.last_received_ms if watch else -1.0
@@ -85,7 +85,7 @@
     )
 
 
-def _cost_figures(controller: Traced) -> str:
+def _resource_summary(controller: TracedController) -> str:
     usage = resource.getrusage(resource.RUSAGE_SELF)
     decisions = controller.decisions
     return (
@@ -95,14 +95,14 @@
     )
 
 
-def _assigner_figures(assigner: Assigner) -> Iterator[str]:
-    """Yield the slowest hosts, each as name:latency ratio/load/fair load, and the slices that the first one owns."""
+def _assigner_summary(assigner: Assigner) -> Iterator[str]:
+    """Yield the slowest hosts, each as name:latency ratio/load/fair load, and the slices that the slowest one owns."""
     listed = [host for host in assigner.hosts.values() if host.is_listed]
     slowest = sorted(listed, key=lambda host: -host.latency_ratio)
     eligible = sum(host.is_eligible for host in assigner.hosts.values())
     worst = " ".join(
         f"{name(host.id)}:{host.latency_ratio:.2f}/{host.load:.1f}/{host.fair_load:.1f}"
-        for host in slowest[:SHOWN_HOSTS]
+        for host in slowest[:MAX_SHOWN_HOSTS]
     )
     yield (
         f"eligible={eligible} median={assigner.fleet.median_latency_ratio:.2f} "
@@ -110,10 +110,10 @@
     )
     if slowest:
         owned = sorted(
-            (owned for owned in assigner.slices.values() if owned.owner is slowest[0]),
-            key=lambda owned: -owned.load_per_host,
+            (candidate for candidate in assigner.slices.values() if candidate.owner is slowest[0]),
+            key=lambda candidate: -candidate.load_per_host,
         )
         slices = " ".join(
-            f"{found.id}:{found.load_per_host:.1f}x{1 + len(found.replicas)}" for found in owned[:SHOWN_SLICES]
+            f"{item.id}:{item.load_per_host:.1f}x{1 + len(item.replicas)}" for item in owned[:MAX_SHOWN_SLICES]
         )
         yield f"{name(slowest[0].id)} owns {slices}"
--- a/corallanding/platform/unconfirmed_acks.py
+++ b/corallanding/platform/unconfirmed_acks.py
@@ -1,4 +1,4 @@
-"""Acknowledgements that were lost while the relay's watch was interrupted."""
+"""Recovery of acknowledgements that were lost while the relay's watch was interrupted."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class LostAckRecovery:
-    """Counts versions as acknowledged whose acks were lost, once they must have left the relay's channel.
+    """Counts versions with lost acks as acknowledged once they must have left the relay's channel.
 
-    `on_events` takes the acks.
+    `on_events` receives the acks.
     """
 
     def __init__(
@@ -32,12 +32,12 @@
         self.last_version_at_ms = 0.0
 
     def on_version_ordered(self, version: int, now_ms: float) -> None:
-        """Note the last version that was ordered."""
+        """Record the last version that was ordered."""
         self.last_version = version
         self.last_version_at_ms = now_ms
 
     def on_gap_bridged(self) -> None:
-        """The watch goes on after an interruption: wait until what was ordered must have been applied."""
+        """Assume acks after an interruption of the watch, once all orders sent before must have been applied."""
         settings = self.settings
         queue_ms = settings.max_queued_lines * 1000.0 / settings.channel_lines_per_second
         applied_by_ms = self.last_version_at_ms + queue_ms + settings.max_propagation_ms
@@ -45,6 +45,6 @@
         asyncio.get_running_loop().call_later(delay_ms / 1000.0, self.assume_acked, self.last_version)
 
     def assume_acked(self, version: int) -> None:
-        """Count all versions up to this one as acknowledged."""
+        """Report all versions up to this one as acknowledged."""
         if version != NO_VERSION:
             self.on_events(self.view.assume_acked(version))
--- a/corallanding/resp/__init__.py
+++ b/corallanding/resp/__init__.py
@@ -1,8 +1,8 @@
-"""RESP2 arrays of bulk strings: bytes to messages and back. Pure; limits are arguments.
+"""Parsing and encoding of RESP2 arrays of bulk strings. Pure; limits are arguments.
 
 hiredis parses complete messages, four times faster than Python code does. It accepts more types than are allowed here
 and sets no limit on a message that is still incomplete. So every parsed message is compared with the array of bulk
-strings that `encode` would have written, and the incomplete rest is checked here, which rejects an impossible length at
+strings that `encode` would have written, and the incomplete rest is checked here, which rejects an invalid length at
 once.
 """
 
@@ -15,16 +15,16 @@
 
 from ..errors import ProtocolError
 
-MAX_LENGTH_DIGITS = 10  # of the length of an array or a bulk string
+MAX_LENGTH_DIGITS = 10  # digits in the length of an array or a bulk string
 DEFAULT_MAX_STRINGS = 64
 
 
 class FrameError(ProtocolError):
-    """The bytes are no array of bulk strings, or exceed a limit. Nothing after them can be parsed."""
+    """The bytes are not an array of bulk strings, or exceed a limit. Nothing after them can be parsed."""
 
 
 class _Header(NamedTuple):
-    """A length line such as `$12`: its value, and the offset behind its end of line."""
+    """A length line such as `$12`: its value, and the offset after its line end."""
 
     length: int
     end: int
@@ -34,7 +34,7 @@
     """Splits a byte stream into messages.
 
     `max_bytes` limits one message, headers included; `max_strings` the bulk strings in it. The reader buffers at most
-    `max_bytes` and what one `feed` brought. `max_bytes` may be raised at any time. `error` is set once the stream can
+    `max_bytes` plus the data of one `feed`. `max_bytes` may be raised at any time. `error` is set once the stream can
     no longer be parsed.
     """
 
@@ -46,7 +46,7 @@
         self.error: FrameError | None = None
 
     def feed(self, data: bytes) -> list[list[bytes]]:
-        """Add bytes and return the messages that are complete by now; none after an error."""
+        """Add bytes and return the messages they complete; none after an error."""
         messages: list[list[bytes]] = []
         if self.error:
             return messages
@@ -59,7 +59,9 @@
                 messages.append(strings)
             self._check_incomplete(offset)
         except (FrameError, hiredis.ProtocolError, MemoryError) as error:
-            self.error = error if isinstance(error, FrameError) else FrameError(str(error) or "a message of any length")
+            self.error = (
+                error if isinstance(error, FrameError) else FrameError(str(error) or "message does not fit into memory")
+            )
             self.parser = hiredis.Reader()
             offset = len(self.buffer)
         del self.buffer[:offset]
@@ -68,37 +70,37 @@
     def _message_bytes(self, strings: object, offset: int) -> int:
         """Return the size of the message at `offset`. Raises FrameError if it is not allowed."""
         if not isinstance(strings, list) or not 1 <= len(strings) <= self.max_strings:
-            raise FrameError(f"{str(strings)[:40]!r} where an array was due")
+            raise FrameError(f"{str(strings)[:40]!r} instead of an array")
         if not all(type(string) is bytes for string in strings):
-            raise FrameError("an array of other things than bulk strings")
+            raise FrameError("array contains a value that is not a bulk string")
         raw = _encode_strings(strings)
         if len(raw) > self.max_bytes:
-            raise FrameError(f"a message of over {self.max_bytes} bytes")
+            raise FrameError(f"message exceeds {self.max_bytes} bytes")
         if not self.buffer.startswith(raw, offset):
-            raise FrameError("an array of other things than bulk strings")
+            raise FrameError("array contains a value that is not a bulk string")
         return len(raw)
 
     def _check_incomplete(self, start: int) -> None:
         """Raise FrameError if the bytes from `start` cannot become an allowed message."""
         if len(self.buffer) - start > self.max_bytes:
-            raise FrameError(f"a message of over {self.max_bytes} bytes")
-        array = self._header(start, b"*")
+            raise FrameError(f"message exceeds {self.max_bytes} bytes")
+        array = self._parse_header(start, b"*")
         if array is None:
             return
         if not 1 <= array.length <= self.max_strings:
-            raise FrameError(f"an array of {array.length}")
+            raise FrameError(f"array length {array.length} is not allowed")
         offset = array.end
-        while string := self._header(offset, b"$"):
-            offset = string.end + string.length + len(b"\r\n")
+        while bulk_string := self._parse_header(offset, b"$"):
+            offset = bulk_string.end + bulk_string.length + len(b"\r\n")
             if offset - start > self.max_bytes:
-                raise FrameError(f"a message of over {self.max_bytes} bytes")
+                raise FrameError(f"message exceeds {self.max_bytes} bytes")
 
-    def _header(self, offset: int, sign: bytes) -> _Header | None:
-        """Parse a length line that begins with `sign`; None while it is incomplete. Raises FrameError."""
+    def _parse_header(self, offset: int, prefix: bytes) -> _Header | None:
+        """Parse a length line that begins with `prefix`; return None while it is incomplete. Raises FrameError."""
         if len(self.buffer) <= offset:
             return None
-        if self.buffer[offset : offset + 1] != sign:
-            raise FrameError(f"{bytes(self.buffer[offset : offset + 1])!r} where {sign!r} was due")
+        if self.buffer[offset : offset + 1] != prefix:
+            raise FrameError(f"{bytes(self.buffer[offset : offset + 1])!r} instead of {prefix!r}")
         end = self.buffer.find(b"\r\n", offset + 1, offset + MAX_LENGTH_DIGITS + 3)
         if end < 0:
             digits = bytes(self.buffer[offset + 1 : offset + MAX_LENGTH_DIGITS + 2])
@@ -107,7 +109,7 @@
         else:
             digits = bytes(self.buffer[offset + 1 : end])
         if end < 0 or not digits.isdigit():
-            raise FrameError(f"{digits[:MAX_LENGTH_DIGITS]!r} is no length")
+            raise FrameError(f"invalid length {digits[:MAX_LENGTH_DIGITS]!r}")
         return _Header(int(digits), end + len(b"\r\n"))
 
 
--- a/tests/collector/test_server.py
+++ b/tests/collector/test_server.py
@@ -50,7 +50,7 @@
 
 @pytest.fixture
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(at, "JOIN_TIMEOUT_MS", at.JOIN_TIMEOUT_MS / 20.0)
+    monkeypatch.setattr(at, "IDENTIFICATION_TIMEOUT_MS", at.IDENTIFICATION_TIMEOUT_MS / 20.0)
 
 
 def test_collector_when_received_at_its_timeout_then_it_is_accepted(quick: None) -> None:
@@ -117,7 +117,7 @@
     async def scene() -> None:
         async with opened(strangers=8) as o:
             waits = await o.come(HB)
-            await until(lambda: any(link.owed_heartbeats for link in o.door.unidentified))
+            await until(lambda: any(link.pending_heartbeats for link in o.door.unidentified))
             flood = [await o.come(b"") for _ in range(100)]
             await until(lambda: sum(o.door.close_reasons.values()) == 93)
             o.door.set_ready()
@@ -183,7 +183,7 @@
             await until(lambda: len(o.events) == 2)
             piled = [await o.come(JOIN) for _ in range(6)]  # half-open ones: the oldest go, unspoken to
             await second.gone()
-            await until(lambda: o.door.close_reasons["a newer collector of its zone"] == 3)
+            await until(lambda: o.door.close_reasons["replaced by a newer collector of its zone"] == 3)
             assert len(o.door.collectors[0]) == 4
             assert len(piled) == 6
 
@@ -196,7 +196,7 @@
             side = await o.come(JOIN, encode(slice_report(shard=4)), encode(host_report(endpoint="s-77")))
             side.say(encode(slice_report()))
             await until(lambda: o.events)
-            assert dict(o.door.intake.rejected) == {"shard not in charge": 1, "endpoint unknown": 1}
+            assert dict(o.door.intake.rejected) == {"shard not owned": 1, "endpoint unknown": 1}
             assert not o.door.close_reasons
 
     play(scene)
--- a/tests/connection/test_connector.py
+++ b/tests/connection/test_connector.py
@@ -115,7 +115,7 @@
         await until(lambda: len(owner.failures) == 3)
         dials.let(empty)
         await turns()
-        assert owner.failures[2] == "no connection in time"
+        assert owner.failures[2] == "connection attempt timed out"
         assert len(owner.failures) == 3
         assert not owner.connector.is_connecting
 
@@ -138,7 +138,7 @@
             owner.connector.on_failed = lambda why: (owner.failures.append(why), owner.connector.connect(stand.where))
             owner.connector.connect(stand.where)
             await owner.wait_adopted(1)
-            assert owner.failures == ["no connection in time"] * 2
+            assert owner.failures == ["connection attempt timed out"] * 2
             assert owner.connector.timeout_factor == 1.0
             loop.create_connection = real
 
--- a/tests/platform/test_config.py
+++ b/tests/platform/test_config.py
@@ -77,5 +77,5 @@
         read(str(tmp_path / "nowhere.json"))
     half = tmp_path / "half.json"
     half.write_bytes(msgspec.json.encode(CONFIG_FILE)[:200])
-    with pytest.raises(InvalidConfigError, match=r"half\.json: no JSON"):
+    with pytest.raises(InvalidConfigError, match=r"half\.json: invalid JSON"):
         read(str(half))
--- a/tests/platform/test_planted_races.py
+++ b/tests/platform/test_planted_races.py
@@ -88,7 +88,7 @@
 
 def short_joining(p: Patch) -> None:
     limits_before_reads(p)
-    p.setattr(server, "JOIN_TIMEOUT_MS", server.JOIN_TIMEOUT_MS / 20.0)
+    p.setattr(server, "IDENTIFICATION_TIMEOUT_MS", server.IDENTIFICATION_TIMEOUT_MS / 20.0)
 
 
 def whole_list_forgotten(p: Patch) -> None:
--- a/tests/platform/test_program.py
+++ b/tests/platform/test_program.py
@@ -196,7 +196,9 @@
     day(tmp_path, scene)
 
 
-@pytest.mark.parametrize(("content", "says"), [(None, "No such file"), (b"{}", "settings: missing"), (b"{", "no JSON")])
+@pytest.mark.parametrize(
+    ("content", "says"), [(None, "No such file"), (b"{}", "settings: missing"), (b"{", "invalid JSON")]
+)
 def test_program_when_the_configuration_is_invalid_then_one_line_and_exit_code_2(
     tmp_path: Path, content: bytes | None, says: str
 ) -> None:
