--- a/corallanding/collector/reports.py
+++ b/corallanding/collector/reports.py
@@ -100,7 +100,7 @@
         """Parse the requests received for a slice. Raises RejectedReportError.
 
         Unanswered requests may have been received in an earlier interval, so their number may exceed that of the
-        requests. Reports of faults are the ones with such numbers, so they must not be rejected for it.
+        requests. Such reports indicate faults and must not be rejected for it.
         """
         slice_id = non_negative_integer(fields, "shard")
         if self.settings.slice_count <= slice_id:
--- a/corallanding/platform/config.py
+++ b/corallanding/platform/config.py
@@ -79,7 +79,7 @@
     """Parse "10.0.0.4:8081" or "[::1]:8081". Raises ValueError; names are not resolved."""
     host, separator, port = text.rpartition(":")
     if not separator or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
-        raise ValueError(f"{text[:MAX_QUOTED_CHARACTERS]!r} is no ADDRESS:PORT")
+        raise ValueError(f"{text[:MAX_QUOTED_CHARACTERS]!r} is not ADDRESS:PORT")
     return str(ipaddress.ip_address(host.strip("[]"))), int(port)
 
 
--- a/tests/collector/test_server.py
+++ b/tests/collector/test_server.py
@@ -1,205 +1,210 @@
-"""What may come between two lines of the listening address, each order forced."""
+"""The listening address on sockets, with every order of events forced by the test."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-from collections.abc import AsyncIterator, Callable
+from collections.abc import AsyncIterator
 from typing import Any
 
 import pytest
 from forced_order import Side, busy, play, turns, until
 from platform_samples import host_report, intake, slice_report
 
-from corallanding.collector import server as at
+from corallanding.collector import server as server_module
 from corallanding.collector.server import CollectorServer
 from corallanding.collector.session import HEARTBEAT_ANSWER, REJECT
 from corallanding.resp import encode
 
-JOIN = encode(["telemetry", "locality", "a"])
-HB = encode(["hb"])
-Said = Callable[[Side], None]
+IDENTIFICATION = encode(["telemetry", "locality", "a"])
+HEARTBEAT = encode(["hb"])
 
 
-class Open:
-    """A door in this loop, and connections to it."""
+class ServerHarness:
+    """A server on this event loop, the reports it received, and connections to it."""
 
-    def __init__(self, strangers: int = 16) -> None:
+    def __init__(self, max_unidentified: int = 16) -> None:
         self.events: list[Any] = []
-        self.door = CollectorServer(("127.0.0.1", 0), intake({3}), strangers, self.events.extend, lambda text: None)
+        self.server = CollectorServer(
+            ("127.0.0.1", 0), intake({3}), max_unidentified, self.events.extend, lambda text: None
+        )
 
-    async def come(self, *said: bytes) -> Side:
-        side = Side(*await asyncio.open_connection(*self.door.listener.socket.getsockname()))
-        side.say(*said)
+    async def connect(self, *messages: bytes) -> Side:
+        side = Side(*await asyncio.open_connection(*self.server.listener.socket.getsockname()))
+        side.say(*messages)
         return side
 
 
 @contextlib.asynccontextmanager
-async def opened(**more: Any) -> AsyncIterator[Open]:
-    o = Open(**more)
+async def server_harness(**arguments: Any) -> AsyncIterator[ServerHarness]:
+    harness = ServerHarness(**arguments)
     try:
-        yield o
+        yield harness
     finally:
-        o.door.close()
+        harness.server.close()
 
 
-async def told(side: Side) -> bytes:
-    """All that comes to the end of the connection."""
+async def read_all(side: Side) -> bytes:
+    """Return the bytes received until the connection ends."""
     return await side.reader.read()
 
 
 @pytest.fixture
-def quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(at, "IDENTIFICATION_TIMEOUT_MS", at.IDENTIFICATION_TIMEOUT_MS / 20.0)
+def short_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(server_module, "IDENTIFICATION_TIMEOUT_MS", server_module.IDENTIFICATION_TIMEOUT_MS / 20.0)
 
 
-def test_collector_when_received_at_its_timeout_then_it_is_accepted(quick: None) -> None:
-    """The loop was busy for longer than a stranger has: a step on a small share of a core."""
+def test_collector_when_received_at_its_timeout_then_it_is_accepted(short_timeout: None) -> None:
+    """A step on a small share of a core blocks the event loop for longer than the identification timeout."""
 
-    async def scene() -> None:
-        async with opened() as o:
-            side = await o.come()
-            await until(lambda: o.door.unidentified)
-            busy(lambda: side.now(JOIN, encode(host_report())), 0.1)
-            await until(lambda: o.events)
-            assert not o.door.close_reasons
-            assert 0 in o.door.collectors
+    async def scenario() -> None:
+        async with server_harness() as harness:
+            side = await harness.connect()
+            await until(lambda: harness.server.unidentified)
+            busy(lambda: side.now(IDENTIFICATION, encode(host_report())), 0.1)
+            await until(lambda: harness.events)
+            assert not harness.server.close_reasons
+            assert 0 in harness.server.collectors
             side.close()
 
-    play(scene)
+    play(scenario)
 
 
-def test_unidentified_connection_when_it_never_joins_then_it_is_rejected(quick: None) -> None:
-    async def scene() -> None:
-        async with opened() as o:
-            o.door.set_ready()
-            for said in (b"", HB[:5], JOIN[:9]):
-                assert await told(await o.come(said)) == REJECT
-            side = await o.come(HB)
+def test_unidentified_connection_when_it_never_identifies_itself_then_it_is_rejected(short_timeout: None) -> None:
+    async def scenario() -> None:
+        async with server_harness() as harness:
+            harness.server.set_ready()
+            for message in (b"", HEARTBEAT[:5], IDENTIFICATION[:9]):
+                assert await read_all(await harness.connect(message)) == REJECT
+            side = await harness.connect(HEARTBEAT)
             for _ in range(3):
                 assert await side.reader.readexactly(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
-                side.say(HB)
-            assert (await told(side)).endswith(REJECT)
+                side.say(HEARTBEAT)
+            assert (await read_all(side)).endswith(REJECT)
 
-    play(scene)
+    play(scenario)
 
 
-def test_heartbeat_when_requested_before_ready_then_it_is_answered_once_ready(quick: None) -> None:
-    async def scene() -> None:
-        async with opened() as o:
-            side, mute = await o.come(HB), await o.come()
-            assert await told(mute) == REJECT
-            assert len(o.door.unidentified) == 1
-            o.door.set_ready()
-            assert await told(side) == HEARTBEAT_ANSWER + REJECT
+def test_heartbeat_when_requested_before_ready_then_it_is_answered_once_ready(short_timeout: None) -> None:
+    async def scenario() -> None:
+        async with server_harness() as harness:
+            side, silent = await harness.connect(HEARTBEAT), await harness.connect()
+            assert await read_all(silent) == REJECT
+            assert len(harness.server.unidentified) == 1
+            harness.server.set_ready()
+            assert await read_all(side) == HEARTBEAT_ANSWER + REJECT
 
-    play(scene)
+    play(scenario)
 
 
-def test_collector_when_hundreds_are_unidentified_then_it_can_join(quick: None) -> None:
-    async def scene() -> None:
-        async with opened(strangers=8) as o:
-            collector = await o.come(JOIN)
-            await until(lambda: o.door.collectors.get(0))
-            flood = [await o.come(b"") for _ in range(300)]
-            late = await o.come(JOIN, encode(slice_report()))
-            await until(lambda: o.events)
+def test_collector_when_hundreds_are_unidentified_then_it_can_identify_itself(short_timeout: None) -> None:
+    async def scenario() -> None:
+        async with server_harness(max_unidentified=8) as harness:
+            collector = await harness.connect(IDENTIFICATION)
+            await until(lambda: harness.server.collectors.get(0))
+            flood = [await harness.connect(b"") for _ in range(300)]
+            late = await harness.connect(IDENTIFICATION, encode(slice_report()))
+            await until(lambda: harness.events)
             for side in flood:
-                assert await told(side) == REJECT
+                assert await read_all(side) == REJECT
             collector.say(encode(slice_report()))
-            await until(lambda: len(o.events) == 2)
+            await until(lambda: len(harness.events) == 2)
             late.close()
 
-    play(scene)
+    play(scenario)
 
 
 def test_heartbeat_when_hundreds_are_unidentified_then_its_requester_is_not_rejected() -> None:
-    async def scene() -> None:
-        async with opened(strangers=8) as o:
-            waits = await o.come(HB)
-            await until(lambda: any(link.pending_heartbeats for link in o.door.unidentified))
-            flood = [await o.come(b"") for _ in range(100)]
-            await until(lambda: sum(o.door.close_reasons.values()) == 93)
-            o.door.set_ready()
-            assert await waits.reader.readexactly(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
+    async def scenario() -> None:
+        async with server_harness(max_unidentified=8) as harness:
+            waiting = await harness.connect(HEARTBEAT)
+            await until(lambda: any(connection.pending_heartbeats for connection in harness.server.unidentified))
+            flood = [await harness.connect(b"") for _ in range(100)]
+            await until(lambda: sum(harness.server.close_reasons.values()) == 93)
+            harness.server.set_ready()
+            assert await waiting.reader.readexactly(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
             assert len(flood) == 100
 
-    play(scene)
+    play(scenario)
 
 
-def test_messages_when_in_pieces_or_many_at_once_then_they_are_the_same() -> None:
-    async def scene() -> None:
-        async with opened() as o:
-            raw = JOIN + encode(host_report()) + encode(slice_report())
-            bytewise = await o.come()
+def test_messages_when_received_in_pieces_or_many_at_once_then_they_are_all_parsed() -> None:
+    async def scenario() -> None:
+        async with server_harness() as harness:
+            raw = IDENTIFICATION + encode(host_report()) + encode(slice_report())
+            bytewise = await harness.connect()
             for byte in raw:
                 bytewise.say(bytes([byte]))
                 await turns(1)
-            await until(lambda: len(o.events) == 2)
-            await o.come(raw + encode(slice_report()) * 200)
-            await until(lambda: len(o.events) == 2 + 2 + 200)
-            assert not o.door.close_reasons
-            assert not o.door.intake.rejected
+            await until(lambda: len(harness.events) == 2)
+            await harness.connect(raw + encode(slice_report()) * 200)
+            await until(lambda: len(harness.events) == 2 + 2 + 200)
+            assert not harness.server.close_reasons
+            assert not harness.server.intake.rejected
 
-    play(scene)
+    play(scenario)
 
 
 def test_unidentified_connection_when_it_sends_without_end_then_it_is_closed() -> None:
-    async def scene() -> None:
-        async with opened() as o:
-            side = await o.come(b"*1\r\n$9999\r\n")
+    async def scenario() -> None:
+        async with server_harness() as harness:
+            side = await harness.connect(b"*1\r\n$9999\r\n")
             with contextlib.suppress(ConnectionError):
                 while not side.writer.transport.is_closing():
                     side.say(b"x" * 4_096)
                     await asyncio.sleep(0)
             await side.gone()
-            assert o.door.close_reasons
+            assert harness.server.close_reasons
 
-    play(scene)
+    play(scenario)
 
 
 def test_unidentified_connection_when_it_half_closes_then_it_is_closed() -> None:
-    async def scene() -> None:
-        async with opened() as o:
-            o.door.set_ready()
-            side = await o.come(HB)
+    async def scenario() -> None:
+        async with server_harness() as harness:
+            harness.server.set_ready()
+            side = await harness.connect(HEARTBEAT)
             side.writer.write_eof()
-            assert await told(side) == HEARTBEAT_ANSWER
-            await until(lambda: not o.door.unidentified)
+            assert await read_all(side) == HEARTBEAT_ANSWER
+            await until(lambda: not harness.server.unidentified)
 
-    play(scene)
+    play(scenario)
 
 
 def test_collector_when_it_reconnects_before_the_old_connection_ends_then_it_is_accepted() -> None:
-    async def scene() -> None:
-        async with opened() as o:
-            first = await o.come(JOIN, encode(host_report())[:-4])
-            await until(lambda: o.door.collectors.get(0))
-            second = await o.come(JOIN, encode(host_report()))
-            await until(lambda: len(o.events) == 1)
+    async def scenario() -> None:
+        async with server_harness() as harness:
+            first = await harness.connect(IDENTIFICATION, encode(host_report())[:-4])
+            await until(lambda: harness.server.collectors.get(0))
+            second = await harness.connect(IDENTIFICATION, encode(host_report()))
+            await until(lambda: len(harness.events) == 1)
             first.reset()
-            await until(lambda: len(o.door.collectors[0]) == 1)
+            await until(lambda: len(harness.server.collectors[0]) == 1)
             second.say(encode(slice_report()))
-            await until(lambda: len(o.events) == 2)
-            piled = [await o.come(JOIN) for _ in range(6)]  # half-open ones: the oldest go, unspoken to
+            await until(lambda: len(harness.events) == 2)
+            half_open = [
+                await harness.connect(IDENTIFICATION) for _ in range(6)
+            ]  # the oldest are closed without an answer
             await second.gone()
-            await until(lambda: o.door.close_reasons["replaced by a newer collector of its zone"] == 3)
-            assert len(o.door.collectors[0]) == 4
-            assert len(piled) == 6
+            await until(lambda: harness.server.close_reasons["replaced by a newer collector of its zone"] == 3)
+            assert len(harness.server.collectors[0]) == 4
+            assert len(half_open) == 6
 
-    play(scene)
+    play(scenario)
 
 
-def test_report_when_its_host_or_slice_has_just_gone_then_only_it_is_rejected() -> None:
-    async def scene() -> None:
-        async with opened() as o:
-            side = await o.come(JOIN, encode(slice_report(shard=4)), encode(host_report(endpoint="s-77")))
+def test_report_when_its_host_or_slice_was_just_removed_then_only_it_is_rejected() -> None:
+    async def scenario() -> None:
+        async with server_harness() as harness:
+            side = await harness.connect(
+                IDENTIFICATION, encode(slice_report(shard=4)), encode(host_report(endpoint="s-77"))
+            )
             side.say(encode(slice_report()))
-            await until(lambda: o.events)
-            assert dict(o.door.intake.rejected) == {"shard not owned": 1, "endpoint unknown": 1}
-            assert not o.door.close_reasons
+            await until(lambda: harness.events)
+            assert dict(harness.server.intake.rejected) == {"shard not owned": 1, "endpoint unknown": 1}
+            assert not harness.server.close_reasons
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.parametrize(
@@ -222,12 +227,12 @@
         b"*1\r\n*1\r\n$1\r\na\r\n",
     ],
 )
-def test_message_when_no_collector_sends_it_then_it_is_rejected_and_disturbs_nobody(raw: bytes) -> None:
-    async def scene() -> None:
-        async with opened() as o:
-            collector = await o.come(JOIN)
-            assert await told(await o.come(raw)) == REJECT
+def test_message_when_no_collector_sends_it_then_it_is_rejected_and_others_are_unaffected(raw: bytes) -> None:
+    async def scenario() -> None:
+        async with server_harness() as harness:
+            collector = await harness.connect(IDENTIFICATION)
+            assert await read_all(await harness.connect(raw)) == REJECT
             collector.say(encode(slice_report()))
-            await until(lambda: o.events)
+            await until(lambda: harness.events)
 
-    play(scene)
+    play(scenario)
--- a/tests/collector/test_session.py
+++ b/tests/collector/test_session.py
@@ -1,4 +1,4 @@
-"""The platform's listening address, as a function of bytes."""
+"""The session of one connection at the listening address, without sockets."""
 
 from __future__ import annotations
 
@@ -11,23 +11,26 @@
 from corallanding.resp import encode
 
 
-def test_slice_report_when_the_slice_is_owned_then_it_counts_however_it_was_given() -> None:
-    """The table that reports are checked against is the view's own, also once a connection said what stands."""
-    news = RelayView(SETTINGS, ZONES)
-    peer = collector(intake(news.tables))
-    s = InitialState()
-    told(news, s, owner(3))
-    news.replace_state(s)
+def test_slice_report_when_the_slice_is_in_the_initial_state_then_it_is_accepted() -> None:
+    """Reports are checked against the view's own table.
+
+    It must remain the same object when a connection replaces the view's state.
+    """
+    view = RelayView(SETTINGS, ZONES)
+    peer = collector(intake(view.tables))
+    first = InitialState()
+    told(view, first, owner(3))
+    view.replace_state(first)
     assert peer.feed(encode(slice_report())).reports == [api.SliceUsageReport(3, 1, 9, 2, 500.0)]
-    again = InitialState()
-    told(news, again, owner(4))
-    news.replace_state(again)
+    second = InitialState()
+    told(view, second, owner(4))
+    view.replace_state(second)
     assert peer.feed(encode(slice_report())).reports == []
     assert peer.feed(encode(slice_report(shard=4))).reports == [api.SliceUsageReport(4, 1, 9, 2, 500.0)]
 
 
-def test_slice_report_when_more_are_unanswered_than_came_then_it_is_accepted() -> None:
-    """What came two seconds ago runs out of time now: total 0, errors 1."""
+def test_slice_report_when_more_are_unanswered_than_received_then_it_is_accepted() -> None:
+    """A request received two seconds ago times out in this interval: total 0, errors 1."""
     peer = collector(intake({3}))
     assert peer.feed(encode(slice_report(total=0, errors=1))).reports == [api.SliceUsageReport(3, 1, 0, 1, 500.0)]
     assert not peer.intake.rejected
@@ -60,19 +63,19 @@
 )
 def test_report_when_invalid_then_only_it_is_rejected(report: list[str], reason: str) -> None:
     peer = collector(intake({3}))
-    heard = peer.feed(encode(host_report()) + encode(report) + encode(slice_report()))
-    assert [type(e) for e in heard.reports] == [api.HostUsageReport, api.SliceUsageReport]
-    assert not heard.close_reason
+    result = peer.feed(encode(host_report()) + encode(report) + encode(slice_report()))
+    assert [type(event) for event in result.reports] == [api.HostUsageReport, api.SliceUsageReport]
+    assert not result.close_reason
     assert dict(peer.intake.rejected) == {reason: 1}
 
 
 def test_report_when_valid_then_every_field_is_in_the_event() -> None:
-    heard = collector(intake({3})).feed(encode(host_report(metrics="inflight:7,util:0.61")))
-    assert heard.reports == [api.HostUsageReport(0, HOSTS[1], 9, 2, 41.5, 500.0, {"inflight": 7.0, "util": 0.61})]
+    result = collector(intake({3})).feed(encode(host_report(metrics="inflight:7,util:0.61")))
+    assert result.reports == [api.HostUsageReport(0, HOSTS[1], 9, 2, 41.5, 500.0, {"inflight": 7.0, "util": 0.61})]
 
 
 @pytest.mark.parametrize(
-    "said",
+    "message",
     [
         encode(["telemetry", "locality", "nowhere"]),
         encode(["telemetry"]),
@@ -84,18 +87,18 @@
         b"*1\r\n$1048576\r\n",
     ],
 )
-def test_session_when_the_first_message_is_invalid_then_it_is_rejected_and_ends(said: bytes) -> None:
-    heard = CollectorSession(intake({3})).feed(said)
-    assert heard.close_reason
-    assert heard.answer == REJECT
-    assert not heard.reports
+def test_session_when_the_first_message_is_invalid_then_it_is_rejected_and_ends(message: bytes) -> None:
+    result = CollectorSession(intake({3})).feed(message)
+    assert result.close_reason
+    assert result.answer == REJECT
+    assert not result.reports
 
 
 def test_collector_when_bytes_cannot_be_parsed_then_it_ends_without_an_answer() -> None:
-    heard = collector(intake({3})).feed(encode(slice_report()) + b"garbage")
-    assert heard.close_reason
-    assert heard.answer == b""
-    assert len(heard.reports) == 1
+    result = collector(intake({3})).feed(encode(slice_report()) + b"garbage")
+    assert result.close_reason
+    assert result.answer == b""
+    assert len(result.reports) == 1
 
 
 def test_heartbeat_when_requested_on_any_connection_then_it_is_owed() -> None:
--- a/tests/connection/test_connector.py
+++ b/tests/connection/test_connector.py
@@ -1,4 +1,4 @@
-"""A connection attempt: adopted or discarded, in every order of being established, cancelled and broken."""
+"""Connection attempts that are established, cancelled and broken in every order."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 from corallanding.connection import Connector, OutboundConnection
 
-SLOW_CONNECTION_MS = 60.0  # until a connection of the slow address would be established
+SLOW_CONNECTION_MS = 60.0  # time until a connection to the slow address is established
 
 
 class Owner:
-    """Keeps what a connector reports."""
+    """Records what a connector reports."""
 
     def __init__(self, timeout_ms: float = FOR_EVER) -> None:
         self.adopted: list[OutboundConnection] = []
@@ -32,121 +32,127 @@
 
 
 def test_connection_when_another_attempt_begins_after_adoption_then_it_stays_open() -> None:
-    """Its own dial may have some turns to go: cancelled then, uvloop would close the connection and tell nobody."""
+    """The task of the first attempt may not have finished when the second one begins.
 
-    async def scene() -> None:
+    If it were cancelled then, uvloop would close the connection without notifying its owner.
+    """
+
+    async def scenario() -> None:
         async with Stand() as stand:
             owner = Owner()
 
-            def adopt(conn: OutboundConnection) -> None:
-                owner.adopted.append(conn)
+            def adopt(connection: OutboundConnection) -> None:
+                owner.adopted.append(connection)
                 if len(owner.adopted) == 1:
-                    owner.connector.connect(stand.where)  # the first one's task has not come round yet
+                    owner.connector.connect(stand.where)  # the task of the first attempt has not finished yet
 
             owner.connector.on_connected = adopt
             owner.connector.connect(stand.where)
             await owner.wait_adopted(2)
             await turns()
-            assert not any(conn.transport.is_closing() for conn in owner.adopted)
-            for conn, side in zip(owner.adopted, [await stand.next(), await stand.next()], strict=True):
+            assert not any(connection.transport.is_closing() for connection in owner.adopted)
+            for connection, side in zip(owner.adopted, [await stand.next(), await stand.next()], strict=True):
                 side.close()
-                await until(lambda conn=conn: conn in owner.lost)
+                await until(lambda connection=connection: connection in owner.lost)
 
-    play(scene)
+    play(scenario)
 
 
-@pytest.mark.parametrize("again", [True, False], ids=["connects again", "cancelled"])
+@pytest.mark.parametrize("reconnects", [True, False], ids=["connects again", "cancelled"])
 @pytest.mark.parametrize("wait", range(6))
-def test_attempt_when_cancelled_at_any_loop_iteration_then_nothing_is_left_open(wait: int, again: bool) -> None:
-    async def scene() -> None:
+def test_attempt_when_cancelled_at_any_loop_iteration_then_nothing_is_left_open(wait: int, reconnects: bool) -> None:
+    async def scenario() -> None:
         async with Stand() as stand:
             owner = Owner()
             owner.connector.connect(stand.where)
             await turns(wait)
             before = len(owner.adopted)
-            owner.connector.connect(stand.where) if again else owner.connector.cancel()
-            if again:
+            owner.connector.connect(stand.where) if reconnects else owner.connector.cancel()
+            if reconnects:
                 await owner.wait_adopted(before + 1)
             await turns()
-            assert len(owner.adopted) == before + again
+            assert len(owner.adopted) == before + reconnects
             assert not owner.failures
             assert not owner.lost
             assert not owner.connector.is_connecting
-            kept = [conn.transport.get_extra_info("sockname") for conn in owner.adopted]
+            adopted = [connection.transport.get_extra_info("sockname") for connection in owner.adopted]
             for side in stand.sides:
-                if side.writer.get_extra_info("peername") not in kept:
+                if side.writer.get_extra_info("peername") not in adopted:
                     await side.gone()
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.parametrize("end", [Side.close, Side.reset])
-def test_connection_when_it_ends_then_its_owner_is_told_once_unless_it_was_discarded(end: Any) -> None:
-    async def scene() -> None:
+def test_connection_when_it_ends_then_its_owner_is_notified_once_unless_it_was_discarded(end: Any) -> None:
+    async def scenario() -> None:
         async with Stand() as stand:
             owner = Owner()
-            for dropped in (False, True):
+            for is_discarded in (False, True):
                 owner.connector.connect(stand.where)
-                conn = await owner.wait_adopted(1 + dropped)
+                connection = await owner.wait_adopted(1 + is_discarded)
                 side = await stand.next()
-                if dropped:
-                    conn.discard()
+                if is_discarded:
+                    connection.discard()
                 end(side)
                 await side.gone()
                 await until(lambda: len(owner.lost) == 1)
                 await turns()
             assert owner.lost == [owner.adopted[0]]
 
-    play(scene)
+    play(scenario)
 
 
 def test_attempt_when_it_fails_in_any_way_then_the_failure_is_reported_once() -> None:
-    async def scene() -> None:
-        dials, empty = Dials(), await nobody()
+    async def scenario() -> None:
+        dials, unused = Dials(), await nobody()
         owner = Owner()
-        owner.connector.connect(empty)
+        owner.connector.connect(unused)
         await until(lambda: owner.failures)
         assert "refused" in owner.failures[0].lower()
-        owner.connector.connect(("127.0.0.1", 70_000))  # no OSError
+        owner.connector.connect(("127.0.0.1", 70_000))  # raises another exception than OSError
         await until(lambda: len(owner.failures) == 2)
-        dials.early(empty)
+        dials.early(unused)
         owner.connector.timeout_ms = 20.0
-        owner.connector.connect(empty)
+        owner.connector.connect(unused)
         await until(lambda: len(owner.failures) == 3)
-        dials.let(empty)
+        dials.let(unused)
         await turns()
         assert owner.failures[2] == "connection attempt timed out"
         assert len(owner.failures) == 3
         assert not owner.connector.is_connecting
 
-    play(scene)
+    play(scenario)
 
 
-def test_connector_when_connections_come_up_after_the_limit_then_it_succeeds_in_the_end() -> None:
-    async def scene() -> None:
+def test_connector_when_connections_are_established_after_the_limit_then_a_later_attempt_succeeds() -> None:
+    async def scenario() -> None:
         async with Stand() as stand:
             loop: Any = asyncio.get_running_loop()
-            real = loop.create_connection
+            create_connection = loop.create_connection
 
-            async def slow(*what: Any) -> Any:
+            async def create_slowly(*arguments: Any) -> Any:
                 if owner.connector.timeout_ms * owner.connector.timeout_factor < SLOW_CONNECTION_MS:
-                    await asyncio.Event().wait()  # it would come up after the limit: cancelled before
-                return await real(*what)
+                    await asyncio.Event().wait()  # established after the limit: cancelled before
+                return await create_connection(*arguments)
 
-            loop.create_connection = slow
+            loop.create_connection = create_slowly
             owner = Owner(timeout_ms=25.0)
-            owner.connector.on_failed = lambda why: (owner.failures.append(why), owner.connector.connect(stand.where))
+            owner.connector.on_failed = lambda reason: (
+                owner.failures.append(reason),
+                owner.connector.connect(stand.where),
+            )
             owner.connector.connect(stand.where)
             await owner.wait_adopted(1)
             assert owner.failures == ["connection attempt timed out"] * 2
             assert owner.connector.timeout_factor == 1.0
-            loop.create_connection = real
+            loop.create_connection = create_connection
 
-    play(scene)
+    play(scenario)
 
 
-def test_connection_when_established_as_its_limit_passes_then_it_is_adopted() -> None:
-    async def scene() -> None:
+def test_connection_when_established_at_its_time_limit_then_it_is_adopted() -> None:
+    async def scenario() -> None:
         async with Stand() as stand:
             owner = Owner(timeout_ms=30.0)
             owner.connector.connect(stand.where)
@@ -155,4 +161,4 @@
             await owner.wait_adopted(1)
             assert not owner.failures
 
-    play(scene)
+    play(scenario)
--- a/tests/health_check/test_checker.py
+++ b/tests/health_check/test_checker.py
@@ -1,4 +1,4 @@
-"""Health checks that end in another way than by a complete answer, each forced."""
+"""Health checks that end without a complete answer, with every order of events forced by the test."""
 
 from __future__ import annotations
 
@@ -10,88 +10,88 @@
 
 from corallanding import interface as api
 from corallanding.health_check.checker import HealthChecker
-from tests.platform.support import text
+from tests.platform.support import address_text
 
-GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nbusy=0.5"
+OK_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nbusy=0.5"
 
 
-def health_checker(results: list[api.HealthCheckResult], **more: Any) -> HealthChecker:
-    return HealthChecker(results.append, clock, "/load", load_in_body=True, **{"timeout_ms": FOR_EVER, **more})
+def health_checker(results: list[api.HealthCheckResult], **options: Any) -> HealthChecker:
+    return HealthChecker(results.append, clock, "/load", load_in_body=True, **{"timeout_ms": FOR_EVER, **options})
 
 
 @pytest.mark.parametrize(
-    ("said", "end", "wanted"),
+    ("parts", "end", "expected"),
     [
-        ([GOOD], Side.close, api.HealthCheckOutcome.OK),
-        ([GOOD[:-9]], Side.close, api.HealthCheckOutcome.RESET),
+        ([OK_ANSWER], Side.close, api.HealthCheckOutcome.OK),
+        ([OK_ANSWER[:-9]], Side.close, api.HealthCheckOutcome.RESET),
         ([], Side.reset, api.HealthCheckOutcome.RESET),
         ([b"+OK\r\n"], Side.close, api.HealthCheckOutcome.OTHER),
-        ([GOOD, GOOD], Side.reset, api.HealthCheckOutcome.OK),
+        ([OK_ANSWER, OK_ANSWER], Side.reset, api.HealthCheckOutcome.OK),
         ([b"HTTP/1.1 503 No\r\n\r\n"], Side.close, api.HealthCheckOutcome.FULL),
         ([b"HTTP/1.1 200 OK\r\n\r\nbusy=0.5"], Side.close, api.HealthCheckOutcome.OK),
         ([b"HTTP/1.1 200 OK\r\n\r\nbusy=0.5"], Side.reset, api.HealthCheckOutcome.RESET),
         ([b"HTTP/1.1"], Side.close, api.HealthCheckOutcome.RESET),
     ],
 )
-def test_check_when_answer_and_end_come_in_any_order_then_it_has_one_result(
-    said: list[bytes], end: Any, wanted: api.HealthCheckOutcome
+def test_check_when_the_connection_ends_during_or_after_the_answer_then_it_has_one_result(
+    parts: list[bytes], end: Any, expected: api.HealthCheckOutcome
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         results: list[api.HealthCheckResult] = []
         async with Stand() as stand:
             checker = health_checker(results)
-            checker.check(7, text(stand.where))
+            checker.check(7, address_text(stand.where))
             side = await stand.next()
             assert await side.question() == "/load"
-            for part in said:
+            for part in parts:
                 side.now(part)
             end(side)
             await until(lambda: results and not checker.running)
-            assert [(e.host, e.outcome) for e in results] == [(7, wanted)]
+            assert [(result.host, result.outcome) for result in results] == [(7, expected)]
             assert not results[0].load or results[0].load == {"busy": 0.5}
 
-    play(scene)
+    play(scenario)
 
 
 def test_check_when_it_raises_then_it_is_reported_and_its_host_can_be_checked_again() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         results: list[api.HealthCheckResult] = []
-        faults: list[Any] = []
-        asyncio.get_running_loop().set_exception_handler(lambda loop, context: faults.append(context))
+        errors: list[Any] = []
+        asyncio.get_running_loop().set_exception_handler(lambda loop, context: errors.append(context))
 
-        def where(address: str) -> tuple[str, int]:
+        def parse_address(address: str) -> tuple[str, int]:
             raise RuntimeError("a defect")
 
-        checker = health_checker(results, parse_address=where)
+        checker = health_checker(results, parse_address=parse_address)
         checker.check(7, "here")
         await until(lambda: results)
         assert results == [api.HealthCheckResult(7, api.HealthCheckOutcome.OTHER)]
-        assert len(faults) == 1
+        assert len(errors) == 1
         assert not checker.running
 
-    play(scene)
+    play(scenario)
 
 
 def test_check_when_the_address_is_invalid_or_nobody_listens_then_the_host_is_unreachable() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         results: list[api.HealthCheckResult] = []
         checker = health_checker(results)
-        empty = await nobody()
-        for host, address in enumerate(("", "here", text(empty), "127.0.0.1:99999")):
+        unused = await nobody()
+        for host, address in enumerate(("", "here", address_text(unused), "127.0.0.1:99999")):
             checker.check(host, address)
         await until(lambda: len(results) == 4)
-        assert {e.outcome for e in results} == {api.HealthCheckOutcome.UNREACHABLE}
+        assert {result.outcome for result in results} == {api.HealthCheckOutcome.UNREACHABLE}
 
-    play(scene)
+    play(scenario)
 
 
 def test_checks_when_stopped_then_none_is_reported() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         results: list[api.HealthCheckResult] = []
         async with Stand() as stand:
             checker = health_checker(results, max_in_flight=1)
-            checker.check(1, text(stand.where))
-            checker.check(2, text(stand.where))
+            checker.check(1, address_text(stand.where))
+            checker.check(2, address_text(stand.where))
             side = await stand.next()
             checker.stop()
             await side.gone()
@@ -99,4 +99,4 @@
             assert not results
             assert len(stand.sides) == 1
 
-    play(scene)
+    play(scenario)
--- a/tests/host_names/test_host_names.py
+++ b/tests/host_names/test_host_names.py
@@ -1,4 +1,4 @@
-"""Host names as numbers."""
+"""Conversion between host names and numbers."""
 
 from __future__ import annotations
 
@@ -9,6 +9,6 @@
 
 
 @given(st.text(min_size=1, max_size=16), st.text(min_size=1, max_size=16))
-def test_number_when_computed_from_names_then_it_is_one_to_one(one: str, two: str) -> None:
-    assert name(number(one)) == one
-    assert (number(one) == number(two)) == (one == two)
+def test_number_when_computed_from_names_then_it_is_one_to_one(first: str, second: str) -> None:
+    assert name(number(first)) == first
+    assert (number(first) == number(second)) == (first == second)
--- a/tests/platform/support.py
+++ b/tests/platform/support.py
@@ -1,4 +1,4 @@
-"""A platform controller on the test's event loop, with peers that the test drives."""
+"""A platform controller on the event loop of the test, with peers that the test controls."""
 
 from __future__ import annotations
 
@@ -13,17 +13,20 @@
 from forced_order import Address, Side, Stand, turns, until
 from platform_samples import CONFIG_FILE, attach, entry, list_entry, owner
 
-from corallanding.platform import service as node
 from corallanding.platform.config import read
+from corallanding.platform.service import PlatformController
 from tests.relay.support import PING, RESULT, taken
 
 
-def text(where: Address) -> str:
-    return f"{where[0]}:{where[1]}"
+def address_text(address: Address) -> str:
+    return f"{address[0]}:{address[1]}"
 
 
-class Life:
-    """A steward in this loop. `call` and `news` are the relay's ends of its connections, `poll` the agent's."""
+class ControllerHarness:
+    """A controller on this event loop.
+
+    `call` and `watch` are the relay's ends of its connections, `poll` is the end of the discovery agent.
+    """
 
     def __init__(self, path: Path, relay: Stand, agent: Stand) -> None:
         self.path, self.relay, self.agent = path, relay, agent
@@ -31,72 +34,75 @@
             **CONFIG_FILE,
             "known": {"seq": 1, "whole": True, "hosts": [list_entry("s-1"), list_entry("s-2")]},
         }
-        self.write(discovery=text(agent.where), store={"address": text(relay.where)})
-        # A listening port of 0 is none that a file may name.
-        self.service = node.PlatformController(replace(read(str(path)), listen=("127.0.0.1", 0)), str(path))
+        self.write_config(discovery=address_text(agent.where), store={"address": address_text(relay.where)})
+        # A configuration file may not contain the listening port 0.
+        self.controller = PlatformController(replace(read(str(path)), listen=("127.0.0.1", 0)), str(path))
 
-    def write(self, **changes: Any) -> None:
+    def write_config(self, **changes: Any) -> None:
         self.config.update(changes)
         self.path.write_bytes(msgspec.json.encode(self.config))
 
-    async def begin(self) -> None:
-        self.running = asyncio.create_task(self.service.run())
+    async def start(self) -> None:
+        self.run_task = asyncio.create_task(self.controller.run())
         await turns(2)
 
-    def listens(self) -> Any:
-        assert self.service.server
-        return self.service.server.listener.socket.getsockname()
+    def listening_address(self) -> Any:
+        assert self.controller.server
+        return self.controller.server.listener.socket.getsockname()
 
-    async def came(self) -> tuple[Side, dict[str, Any]]:
-        """The next connection at the relay, and its first line."""
+    async def next_relay_connection(self) -> tuple[Side, dict[str, Any]]:
+        """Return the next connection to the relay and its first message."""
         side = await self.relay.next()
         return side, await side.line()
 
-    async def serve(self) -> None:
-        """What stands is said, the first call is answered; it is in service then."""
+    async def complete_start(self) -> None:
+        """Send the relay's initial state and answer the first call, which completes the start."""
         for _ in range(2):
-            side, said = await self.came()
-            if said["method"] == "relay.watch":
-                self.news = side
+            side, message = await self.next_relay_connection()
+            if message["method"] == "relay.watch":
+                self.watch = side
                 side.say(RESULT)
                 side.tell(attach(0), owner(2), entry(2, 1), PING)
             else:
                 self.call = side
-                side.say(taken(said["id"], len(said["params"]["ops"])))
+                side.say(taken(message["id"], len(message["params"]["ops"])))
         self.poll = await self.agent.next()
         await self.poll.question()
-        await until(lambda: self.service.subscription.has_been_ready and not self.service.calls.in_flight)
+        await until(lambda: self.controller.subscription.has_been_ready and not self.controller.calls.in_flight)
 
-    async def calling(self) -> dict[str, Any]:
-        """A drain is listed: the call that tells it, which stays open."""
+    async def start_drain(self) -> dict[str, Any]:
+        """List host s-1 as draining; return the call with its drain, which is left unanswered."""
         body = msgspec.json.encode({"seq": 2, "whole": False, "hosts": [list_entry("s-1", "terminating")]})
         self.poll.answer(body)
-        said: dict[str, Any] = {"params": {"ops": []}}
-        while not any(o.get("endpoint") == "s-1" for o in said["params"]["ops"]):
-            if said["params"]["ops"]:
-                self.call.say(taken(said["id"], len(said["params"]["ops"])))
-            said = await self.call.line()
-        return said
+        message: dict[str, Any] = {"params": {"ops": []}}
+        while not any(operation.get("endpoint") == "s-1" for operation in message["params"]["ops"]):
+            if message["params"]["ops"]:
+                self.call.say(taken(message["id"], len(message["params"]["ops"])))
+            message = await self.call.line()
+        return message
 
 
 @contextlib.asynccontextmanager
-async def life(tmp_path: Path, answer_within: float = 100.0) -> AsyncIterator[Life]:
+async def controller_harness(tmp_path: Path, answer_timeout_ms: float = 100.0) -> AsyncIterator[ControllerHarness]:
     async with Stand() as relay, Stand() as agent:
-        one = Life(tmp_path / "config.json", relay, agent)
-        one.service.call_connection.answer_timeout_ms = answer_within
-        await one.begin()
+        harness = ControllerHarness(tmp_path / "config.json", relay, agent)
+        harness.controller.call_connection.answer_timeout_ms = answer_timeout_ms
+        await harness.start()
         try:
-            yield one
+            yield harness
         finally:
-            one.service.stop()
-            await one.running
+            harness.controller.stop()
+            await harness.run_task
 
 
-def moved(it: Life, relay: Stand | Address | None = None, agent: Stand | Address | None = None) -> None:
+def change_addresses(
+    harness: ControllerHarness, relay: Stand | Address | None = None, agent: Stand | Address | None = None
+) -> None:
+    """Write new addresses into the configuration file and reload it."""
     changes: dict[str, Any] = {}
     if relay:
-        changes["store"] = {"address": text(relay.where if isinstance(relay, Stand) else relay)}
+        changes["store"] = {"address": address_text(relay.where if isinstance(relay, Stand) else relay)}
     if agent:
-        changes["discovery"] = text(agent.where if isinstance(agent, Stand) else agent)
-    it.write(**changes)
-    it.service.reload()
+        changes["discovery"] = address_text(agent.where if isinstance(agent, Stand) else agent)
+    harness.write_config(**changes)
+    harness.controller.reload()
--- a/tests/platform/test_config.py
+++ b/tests/platform/test_config.py
@@ -12,7 +12,7 @@
 from corallanding.platform.settings_pairs import flatten
 from corallanding.simulator_adapter.settings import read_settings
 
-WIRE = (
+SIMULATOR_SETTINGS = (
     "zones=a,north_b kinds=m2 zone=1 balancers=2 discovery=pushed period=2000 classes.count=2 classes.0.name=lookup "
     "classes.0.idempotency=repeatable classes.0.aim=1200000 classes.0.giveUp=3000000 classes.0.worth=3.0 "
     "classes.1.name=claim classes.1.idempotency=once classes.1.aim=1500000 classes.1.giveUp=5000000 "
@@ -22,8 +22,8 @@
 )
 
 
-def test_settings_when_in_json_or_on_the_simulators_wire_then_they_are_the_same() -> None:
-    pairs = dict(pair.split("=", 1) for pair in WIRE.split(" "))
+def test_settings_when_in_json_or_in_the_simulators_protocol_then_they_are_the_same() -> None:
+    pairs = dict(pair.split("=", 1) for pair in SIMULATOR_SETTINGS.split(" "))
     assert flatten(CONFIG_SETTINGS) == pairs
     settings = parse(msgspec.json.encode(CONFIG_FILE)).settings
     assert settings == read_settings(pairs)
@@ -32,17 +32,17 @@
 
 
 def test_configuration_when_valid_then_every_field_is_read() -> None:
-    c = parse(msgspec.json.encode(CONFIG_FILE))
-    assert (c.listen, c.relay, c.seed) == (("127.0.0.4", 8081), ("127.2.0.2", 6400), 0x8C1F30D27A5BE964)
-    assert c.names.zones == {"a": 0, "north b": 1}
-    assert c.names.request_classes == {"lookup": 0, "claim": 1}
-    assert c.max_sockets == 256
-    assert c.connect_timeout_ms == 300.0
-    assert c.saved_list.version == 41
+    config = parse(msgspec.json.encode(CONFIG_FILE))
+    assert (config.listen, config.relay, config.seed) == (("127.0.0.4", 8081), ("127.2.0.2", 6400), 0x8C1F30D27A5BE964)
+    assert config.names.zones == {"a": 0, "north b": 1}
+    assert config.names.request_classes == {"lookup": 0, "claim": 1}
+    assert config.max_sockets == 256
+    assert config.connect_timeout_ms == 300.0
+    assert config.saved_list.version == 41
 
 
 @pytest.mark.parametrize(
-    ("change", "says"),
+    ("change", "expected_error"),
     [
         ({"listen": None}, "listen: missing"),
         ({"listen": "here:80"}, "listen: "),
@@ -65,17 +65,18 @@
         ({"settings": {**CONFIG_SETTINGS, "zones": "a"}}, "settings.zones: "),
     ],
 )
-def test_configuration_when_invalid_then_the_error_names_the_key(change: dict[str, Any], says: str) -> None:
+def test_configuration_when_invalid_then_the_error_names_the_key(change: dict[str, Any], expected_error: str) -> None:
     with pytest.raises(
-        InvalidConfigError, match="^" + says.replace(".", r"\.") if says not in ("seed", "known") else says
+        InvalidConfigError,
+        match="^" + expected_error.replace(".", r"\.") if expected_error not in ("seed", "known") else expected_error,
     ):
         parse(msgspec.json.encode({**CONFIG_FILE, **change}))
 
 
-def test_configuration_when_missing_or_cut_then_the_error_names_the_file(tmp_path: Any) -> None:
+def test_configuration_when_missing_or_truncated_then_the_error_names_the_file(tmp_path: Any) -> None:
     with pytest.raises(InvalidConfigError, match=r"nowhere\.json: No such file"):
         read(str(tmp_path / "nowhere.json"))
-    half = tmp_path / "half.json"
-    half.write_bytes(msgspec.json.encode(CONFIG_FILE)[:200])
+    truncated = tmp_path / "half.json"
+    truncated.write_bytes(msgspec.json.encode(CONFIG_FILE)[:200])
     with pytest.raises(InvalidConfigError, match=r"half\.json: invalid JSON"):
-        read(str(half))
+        read(str(truncated))
--- a/tests/platform/test_planted_races.py
+++ b/tests/platform/test_planted_races.py
@@ -1,4 +1,4 @@
-"""Races that were fixed once, planted again one at a time: the test written for each finds it."""
+"""Races that were fixed, reintroduced one at a time: the test written for each must fail."""
 
 from __future__ import annotations
 
@@ -22,53 +22,55 @@
 from corallanding.relay.call_connection import CallConnection
 from corallanding.relay.pending_calls import PendingCalls
 from corallanding.relay.subscription_connection import Subscription
-from tests.collector import test_server as door_scenes
+from tests.collector import test_server as server_tests
 from tests.connection.test_connector import (
     test_connection_when_another_attempt_begins_after_adoption_then_it_stays_open as connection_after_adoption,
 )
 from tests.connection.test_connector import (
-    test_connection_when_established_as_its_limit_passes_then_it_is_adopted as connection_at_the_limit,
+    test_connection_when_established_at_its_time_limit_then_it_is_adopted as connection_at_the_limit,
 )
 from tests.connection.test_connector import (
-    test_connection_when_it_ends_then_its_owner_is_told_once_unless_it_was_discarded as connection_end,
+    test_connection_when_it_ends_then_its_owner_is_notified_once_unless_it_was_discarded as connection_end,
 )
-from tests.discovery import test_answers as answer_scenes
-from tests.discovery import test_damaged_lists as list_scenes
-from tests.discovery import test_long_poll as agent_scenes
-from tests.platform import test_stop_and_reload as life_scenes
-from tests.relay import test_call_answers as call_answer_scenes
-from tests.relay import test_call_connection as call_scenes
-from tests.relay import test_subscription_connection as news_scenes
+from tests.discovery import test_answers as answer_tests
+from tests.discovery import test_damaged_lists as list_tests
+from tests.discovery import test_long_poll as long_poll_tests
+from tests.platform import test_stop_and_reload as stop_and_reload_tests
+from tests.relay import test_call_answers as call_answer_tests
+from tests.relay import test_call_connection as call_connection_tests
+from tests.relay import test_subscription_connection as subscription_tests
 
 Patch = pytest.MonkeyPatch
 
 
-def adopted_late(p: Patch) -> None:
-    """The connection goes to its owner once the dial's task has come round to it."""
+def adopted_late(patch: Patch) -> None:
+    """Pass the connection to its owner in the task of the attempt instead of in `connection_made`."""
 
-    async def connect(self: Any, conn: Any) -> None:
-        conn.on_connected = lambda conn: None
-        await self.loop.create_connection(lambda: conn, *conn.address)
-        if conn is self.pending:
+    async def open_connection(self: Any, connection: Any) -> None:
+        connection.on_connected = lambda connection: None
+        await self.loop.create_connection(lambda: connection, *connection.address)
+        if connection is self.pending:
             self.finish_attempt()
-            self.on_connected(conn)
+            self.on_connected(connection)
 
-    p.setattr(connection.Connector, "open_connection", connect)
+    patch.setattr(connection.Connector, "open_connection", open_connection)
 
 
-def dial_that_outlives_the_close(p: Patch) -> None:
-    p.setattr(connection.Connector, "cancel", lambda self: None)
+def attempt_not_cancelled(patch: Patch) -> None:
+    patch.setattr(connection.Connector, "cancel", lambda self: None)
 
 
-def every_dial_adopted(p: Patch) -> None:
-    p.setattr(connection.Connector, "cancel", lambda self: None)
-    p.setattr(
-        connection.Connector, "on_established", lambda self, conn: (self.finish_attempt(), self.on_connected(conn))
+def every_attempt_adopted(patch: Patch) -> None:
+    patch.setattr(connection.Connector, "cancel", lambda self: None)
+    patch.setattr(
+        connection.Connector,
+        "on_established",
+        lambda self, established: (self.finish_attempt(), self.on_connected(established)),
     )
 
 
-def cancelled_after_adoption(p: Patch) -> None:
-    def done(self: Any) -> None:
+def cancelled_after_adoption(patch: Patch) -> None:
+    def finish_attempt(self: Any) -> None:
         self.pending = None
         if self.timeout:
             self.timeout.cancel()
@@ -76,222 +78,235 @@
     def cancel(self: Any) -> None:
         if self.task:
             self.task.cancel()
-        done(self)
+        finish_attempt(self)
 
-    p.setattr(connection.Connector, "finish_attempt", done)
-    p.setattr(connection.Connector, "cancel", cancel)
+    patch.setattr(connection.Connector, "finish_attempt", finish_attempt)
+    patch.setattr(connection.Connector, "cancel", cancel)
 
 
-def limits_before_reads(p: Patch) -> None:
-    p.setattr(connection.ReadTimeout, "on_expired", lambda self: self.on_timeout())
+def no_read_grace(patch: Patch) -> None:
+    patch.setattr(connection.ReadTimeout, "on_expired", lambda self: self.on_timeout())
 
 
-def short_joining(p: Patch) -> None:
-    limits_before_reads(p)
-    p.setattr(server, "IDENTIFICATION_TIMEOUT_MS", server.IDENTIFICATION_TIMEOUT_MS / 20.0)
+def no_read_grace_for_identification(patch: Patch) -> None:
+    no_read_grace(patch)
+    patch.setattr(server, "IDENTIFICATION_TIMEOUT_MS", server.IDENTIFICATION_TIMEOUT_MS / 20.0)
 
 
-def whole_list_forgotten(p: Patch) -> None:
-    real = DiscoveryClient.on_failure
+def full_list_not_requested_again(patch: Patch) -> None:
+    original = DiscoveryClient.on_failure
 
-    def failed(self: DiscoveryClient, why: str) -> None:
+    def on_failure(self: DiscoveryClient, reason: str) -> None:
         self.is_full_request = False
-        real(self, why)
+        original(self, reason)
 
-    p.setattr(DiscoveryClient, "on_failure", failed)
+    patch.setattr(DiscoveryClient, "on_failure", on_failure)
 
 
-def old_lines_after_a_slice_came_back(p: Patch) -> None:
-    p.setattr(Call, "valid_orders", lambda self, orders: orders)
+def old_orders_of_a_reassigned_slice_sent(patch: Patch) -> None:
+    patch.setattr(Call, "valid_orders", lambda self, orders: orders)
 
 
-def echoes_counted(p: Patch) -> None:
-    real = PendingCalls.on_answer
+def answers_to_other_calls_ignored(patch: Patch) -> None:
+    original = PendingCalls.on_answer
 
-    def answered(self: PendingCalls, now: float, line: bytes) -> Any:
-        said = msgspec.json.decode(line)
-        return None if self.in_flight and said["id"] != self.in_flight.id else real(self, now, line)
+    def on_answer(self: PendingCalls, now_ms: float, line: bytes) -> Any:
+        answer = msgspec.json.decode(line)
+        return None if self.in_flight and answer["id"] != self.in_flight.id else original(self, now_ms, line)
 
-    p.setattr(PendingCalls, "on_answer", answered)
+    patch.setattr(PendingCalls, "on_answer", on_answer)
 
 
-def move_forgotten(p: Patch) -> None:
-    """By the answer to the call in flight, which makes the old connection good again."""
-    real = CallConnection.send_next
+def address_change_lost(patch: Patch) -> None:
+    """Use the old connection again after the answer to the call in flight."""
+    original = CallConnection.send_next
 
-    def kick(self: CallConnection) -> None:
+    def send_next(self: CallConnection) -> None:
         if self.connection:
             self.connection.address = self.address
-        real(self)
+        original(self)
 
-    p.setattr(CallConnection, "send_next", kick)
+    patch.setattr(CallConnection, "send_next", send_next)
 
 
-def calls_after_the_last(p: Patch) -> None:
+def calls_after_finish(patch: Patch) -> None:
     def finish(self: CallConnection) -> None:
         if not self.calls.in_flight:
             self.finished.set()
 
-    p.setattr(CallConnection, "finish", finish)
+    patch.setattr(CallConnection, "finish", finish)
 
 
-def lines_for_ever(p: Patch) -> None:
-    real = Subscription.on_entries
+def quiet_time_restarted_by_every_entry(patch: Patch) -> None:
+    original = Subscription.on_entries
 
-    def lines_come(self: Subscription) -> None:
-        real(self)
+    def on_entries(self: Subscription) -> None:
+        original(self)
         assert self.entries_timer
         self.entries_timer.cancel()
         self.entries_timer = self.loop.call_later(self.timings.entries_quiet_ms / 1000.0, self.deliver_slices)
 
-    p.setattr(Subscription, "on_entries", lines_come)
+    patch.setattr(Subscription, "on_entries", on_entries)
 
 
-def half_said_kept(p: Patch) -> None:
-    """What stands is taken for whole when its connection breaks."""
-    real = Subscription.on_connection_ended
+def incomplete_initial_state_used(patch: Patch) -> None:
+    """Treat the initial state as complete when its connection breaks."""
+    original = Subscription.on_connection_ended
 
-    def over(self: Subscription, session: Any) -> None:
+    def on_connection_ended(self: Subscription, session: Any) -> None:
         if session is self.candidate:
             self.complete_initial_state(session)
-        real(self, session)
+        original(self, session)
 
-    p.setattr(Subscription, "on_connection_ended", over)
+    patch.setattr(Subscription, "on_connection_ended", on_connection_ended)
 
 
-def ready_at_any_time(p: Patch) -> None:
-    p.setattr(PlatformController, "set_ready", lambda self: self.server and self.server.set_ready())
+def ready_after_stop(patch: Patch) -> None:
+    patch.setattr(PlatformController, "set_ready", lambda self: self.server and self.server.set_ready())
 
 
-def turns_after_the_end(p: Patch) -> None:
-    real = PlatformController.stop
+def steps_after_stop(patch: Patch) -> None:
+    original = PlatformController.stop
 
     def stop(self: PlatformController) -> None:
-        real(self)
+        original(self)
         self.is_stopping = False
         self.decisions.is_stopped = False
 
-    p.setattr(PlatformController, "stop", stop)
+    patch.setattr(PlatformController, "stop", stop)
 
 
-def second_answers_taken(p: Patch) -> None:
-    p.setattr(HttpConnection, "on_message_begin", lambda self: None)
+def second_answer_used(patch: Patch) -> None:
+    patch.setattr(HttpConnection, "on_message_begin", lambda self: None)
 
 
-def lengths_wanted(p: Patch) -> None:
-    p.setattr(HttpConnection, "on_message_begin", lambda self: setattr(self, "ends_with_connection", False))
+def body_length_required(patch: Patch) -> None:
+    patch.setattr(HttpConnection, "on_message_begin", lambda self: setattr(self, "ends_with_connection", False))
 
 
-def deep_json_raises(p: Patch) -> None:
-    p.setattr(discovery, "JSON_DECODE_ERRORS", (msgspec.DecodeError,))
+def deep_json_raises(patch: Patch) -> None:
+    patch.setattr(discovery, "JSON_DECODE_ERRORS", (msgspec.DecodeError,))
 
 
-def drains_in_damaged_entries_passed_over(p: Patch) -> None:
-    p.setattr(
+def drain_in_damaged_entry_ignored(patch: Patch) -> None:
+    patch.setattr(
         discovery.HostListView, "last_good_entry", lambda self, raw: self.entries.get(discovery.number(raw["host"]))
     )
 
 
-def ends_told(p: Patch) -> None:
-    """Also to one who dropped the connection."""
-
-    def lost(self: connection.OutboundConnection, exc: Exception | None) -> None:
+def end_of_discarded_connection_reported(patch: Patch) -> None:
+    def connection_lost(self: connection.OutboundConnection, exc: Exception | None) -> None:
         self.on_lost(self)
 
-    p.setattr(connection.OutboundConnection, "connection_lost", lost)
+    patch.setattr(connection.OutboundConnection, "connection_lost", connection_lost)
 
 
-PLANTED: list[tuple[Callable[[Patch], None], Callable[[Path], None]]] = [
+REINTRODUCED_RACES: list[tuple[Callable[[Patch], None], Callable[[Path], None]]] = [
     (
         adopted_late,
-        lambda tmp: call_scenes.test_connection_when_it_breaks_at_once_then_no_call_uses_it(Side.reset),
+        lambda tmp_path: call_connection_tests.test_connection_when_it_breaks_at_once_then_no_call_uses_it(Side.reset),
     ),
     (
         adopted_late,
-        lambda tmp: news_scenes.test_watch_when_it_breaks_at_once_then_it_is_requested_again(Side.close),
+        lambda tmp_path: subscription_tests.test_watch_when_it_breaks_at_once_then_it_is_requested_again(Side.close),
     ),
     (
-        dial_that_outlives_the_close,
-        lambda tmp: call_scenes.test_attempt_when_established_after_close_then_no_connection_is_left(),
+        attempt_not_cancelled,
+        lambda tmp_path: call_connection_tests.test_attempt_when_established_after_close_then_no_connection_is_left(),
     ),
     (
-        dial_that_outlives_the_close,
-        lambda tmp: news_scenes.test_watch_when_established_after_close_then_no_connection_is_left(),
+        attempt_not_cancelled,
+        lambda tmp_path: subscription_tests.test_watch_when_established_after_close_then_no_connection_is_left(),
     ),
     (
-        every_dial_adopted,
-        lambda tmp: agent_scenes.test_client_when_the_old_address_connects_after_the_new_one_then_it_is_not_used(),
+        every_attempt_adopted,
+        lambda tmp_path: (
+            long_poll_tests.test_client_when_the_old_address_connects_after_the_new_one_then_it_is_not_used()
+        ),
     ),
     (
         cancelled_after_adoption,
-        lambda tmp: connection_after_adoption(),
+        lambda tmp_path: connection_after_adoption(),
+    ),
+    (no_read_grace, lambda tmp_path: answer_tests.test_answer_when_received_as_its_timeout_passes_then_it_is_used()),
+    (
+        no_read_grace,
+        lambda tmp_path: call_answer_tests.test_call_answer_when_received_at_its_timeout_then_it_counts(),
+    ),
+    (
+        no_read_grace,
+        lambda tmp_path: connection_at_the_limit(),
+    ),
+    (
+        no_read_grace_for_identification,
+        lambda tmp_path: server_tests.test_collector_when_received_at_its_timeout_then_it_is_accepted(None),
     ),
-    (limits_before_reads, lambda tmp: answer_scenes.test_answer_when_received_as_its_timeout_passes_then_it_is_used()),
     (
-        limits_before_reads,
-        lambda tmp: call_answer_scenes.test_call_answer_when_received_at_its_timeout_then_it_counts(),
+        full_list_not_requested_again,
+        lambda tmp_path: long_poll_tests.test_fetch_when_requests_fail_then_it_is_repeated(),
     ),
     (
-        limits_before_reads,
-        lambda tmp: connection_at_the_limit(),
+        old_orders_of_a_reassigned_slice_sent,
+        lambda tmp_path: call_connection_tests.test_slice_when_lost_and_given_back_then_tables_agree("unknown", False),
     ),
     (
-        short_joining,
-        lambda tmp: door_scenes.test_collector_when_received_at_its_timeout_then_it_is_accepted(None),
+        answers_to_other_calls_ignored,
+        lambda tmp_path: call_answer_tests.test_answer_when_doubled_then_the_next_call_is_not_affected(),
     ),
     (
-        whole_list_forgotten,
-        lambda tmp: agent_scenes.test_fetch_when_requests_fail_then_it_is_repeated(),
+        address_change_lost,
+        lambda tmp_path: call_connection_tests.test_call_when_the_address_changes_then_it_ends_at_the_old_one(),
     ),
     (
-        old_lines_after_a_slice_came_back,
-        lambda tmp: call_scenes.test_slice_when_lost_and_given_back_then_tables_agree("unknown", False),
+        calls_after_finish,
+        lambda tmp_path: call_connection_tests.test_finish_when_a_call_is_in_flight_then_no_other_begins(),
     ),
     (
-        echoes_counted,
-        lambda tmp: call_answer_scenes.test_answer_when_doubled_then_the_next_call_is_not_affected(),
+        quiet_time_restarted_by_every_entry,
+        lambda tmp_path: subscription_tests.test_slice_when_entries_of_others_never_cease_then_it_is_delivered(),
     ),
     (
-        move_forgotten,
-        lambda tmp: call_scenes.test_call_when_the_address_changes_then_it_ends_at_the_old_one(),
+        incomplete_initial_state_used,
+        lambda tmp_path: subscription_tests.test_watch_when_it_breaks_in_the_initial_state_then_no_event_is_delivered(),
     ),
     (
-        calls_after_the_last,
-        lambda tmp: call_scenes.test_finish_when_a_call_is_in_flight_then_no_other_begins(),
+        ready_after_stop,
+        lambda tmp_path: stop_and_reload_tests.test_stop_when_not_ready_then_no_heartbeat_is_answered(tmp_path),
     ),
-    (lines_for_ever, lambda tmp: news_scenes.test_slice_when_entries_of_others_never_cease_then_it_is_delivered()),
     (
-        half_said_kept,
-        lambda tmp: news_scenes.test_watch_when_it_breaks_in_the_initial_state_then_no_event_is_delivered(),
+        steps_after_stop,
+        lambda tmp_path: stop_and_reload_tests.test_stop_when_called_then_no_step_call_or_connection_begins(tmp_path),
     ),
-    (ready_at_any_time, lambda tmp: life_scenes.test_stop_when_not_ready_then_no_heartbeat_is_answered(tmp)),
-    (turns_after_the_end, lambda tmp: life_scenes.test_stop_when_called_then_no_step_call_or_connection_begins(tmp)),
     (
-        second_answers_taken,
-        lambda tmp: answer_scenes.test_answer_when_unrequested_then_it_does_not_count_for_the_next_request(False),
+        second_answer_used,
+        lambda tmp_path: answer_tests.test_answer_when_unrequested_then_it_does_not_count_for_the_next_request(False),
     ),
     (
-        lengths_wanted,
-        lambda tmp: answer_scenes.test_body_when_it_has_no_length_then_it_ends_with_the_connection(Side.close, [b"17"]),
+        body_length_required,
+        lambda tmp_path: answer_tests.test_body_when_it_has_no_length_then_it_ends_with_the_connection(
+            Side.close, [b"17"]
+        ),
     ),
-    (deep_json_raises, lambda tmp: list_scenes.test_answer_when_nested_without_end_then_it_is_rejected()),
+    (deep_json_raises, lambda tmp_path: list_tests.test_answer_when_nested_without_end_then_it_is_rejected()),
     (
-        drains_in_damaged_entries_passed_over,
-        lambda tmp: list_scenes.test_damaged_entry_when_its_host_leaves_then_that_is_believed("terminating", True),
+        drain_in_damaged_entry_ignored,
+        lambda tmp_path: list_tests.test_damaged_entry_when_its_host_leaves_then_that_is_believed("terminating", True),
     ),
     (
-        ends_told,
-        lambda tmp: connection_end(Side.close),
+        end_of_discarded_connection_reported,
+        lambda tmp_path: connection_end(Side.close),
     ),
 ]
 
 
-@pytest.mark.parametrize(("plant", "scene"), PLANTED, ids=[plant.__name__ for plant, _ in PLANTED])
-def test_race_when_planted_then_its_test_fails(
-    plant: Callable[[Patch], None], scene: Callable[[Path], None], monkeypatch: Patch, tmp_path: Path
+@pytest.mark.parametrize(
+    ("reintroduce", "run_test"), REINTRODUCED_RACES, ids=[reintroduce.__name__ for reintroduce, _ in REINTRODUCED_RACES]
+)
+def test_race_when_reintroduced_then_its_test_fails(
+    reintroduce: Callable[[Patch], None], run_test: Callable[[Path], None], monkeypatch: Patch, tmp_path: Path
 ) -> None:
-    scene(tmp_path)
+    run_test(tmp_path)
     monkeypatch.setattr(forced_order, "LONG", 1.0)
-    plant(monkeypatch)
+    reintroduce(monkeypatch)
     with pytest.raises((AssertionError, TimeoutError, RecursionError, ConnectionError, asyncio.IncompleteReadError)):
-        scene(tmp_path)
+        run_test(tmp_path)
--- a/tests/platform/test_program.py
+++ b/tests/platform/test_program.py
@@ -1,4 +1,4 @@
-"""A day of the steward as the platform starts it, on loopback against stand-ins; what they saw is asserted."""
+"""The platform controller as a program, on loopback against stand-in peers."""
 
 from __future__ import annotations
 
@@ -20,12 +20,13 @@
 
 
 class Day:
-    """A program on the platform with its stand-ins."""
+    """A controller process and its stand-in peers. `dial` is the address of all hosts."""
 
     def __init__(self, relay: Relay, agent: Agent, hosts: Hosts, dial: str, steward: Process) -> None:
         self.relay, self.agent, self.hosts, self.dial, self.steward = relay, agent, hosts, dial, steward
 
-    async def alive(self) -> None:
+    async def check_heartbeat(self) -> None:
+        """Assert that the controller answers a heartbeat."""
         reader, writer = await self.steward.connect()
         writer.write(encode(["hb"]))
         async with asyncio.timeout(LONG):
@@ -33,16 +34,20 @@
         writer.close()
 
     def sound(self) -> bool:
-        """Every slice has a host, and none that is leaving."""
-        up = {h for h, e in self.agent.hosts.items() if e["health"] == "in_service"}
-        return all(lines and set(lines) <= up for lines in self.relay.tables.values())
+        """Return whether every slice has a host, and only hosts in service."""
+        in_service = {host for host, entry in self.agent.hosts.items() if entry["health"] == "in_service"}
+        return all(rows and set(rows) <= in_service for rows in self.relay.tables.values())
 
     def row(self, host: str, health: str = "in_service") -> dict[str, Any]:
+        """Return the host list entry of a host."""
         return list_entry(host, health, dial=self.dial)
 
 
-def day(tmp_path: Path, scene: Callable[[Day], Awaitable[None]], command: list[str] | None = None) -> None:
-    """command: how the steward is started, if not as the platform does."""
+def day(tmp_path: Path, scenario: Callable[[Day], Awaitable[None]], command: list[str] | None = None) -> None:
+    """Run a scenario against a controller that is started with `command` or as the platform does.
+
+    The controller must end with exit code 0 and without a traceback, with at most one call outstanding at any time.
+    """
 
     async def play() -> None:
         relay, hosts = Relay(), Hosts()
@@ -58,116 +63,119 @@
             "store": {"address": await relay.open()},
             "known": {"seq": 1, "whole": True, "hosts": rows},
         }
-        d = Day(relay, agent, hosts, dial, Process(config, tmp_path / "config.json"))
-        d.steward.command = command or d.steward.command
-        await d.steward.start()
+        fixture = Day(relay, agent, hosts, dial, Process(config, tmp_path / "config.json"))
+        fixture.steward.command = command or fixture.steward.command
+        await fixture.steward.start()
         try:
-            await d.alive()
-            await scene(d)
-            d.steward.signal(signal.SIGTERM)
-            code, log = await d.steward.end()
+            await fixture.check_heartbeat()
+            await scenario(fixture)
+            fixture.steward.signal(signal.SIGTERM)
+            code, log = await fixture.steward.end()
             assert code == 0, log
             assert "Traceback" not in log, log
             assert relay.outstanding_most == 1
         finally:
-            if d.steward.process.returncode is None:
-                d.steward.process.kill()
+            if fixture.steward.process.returncode is None:
+                fixture.steward.process.kill()
             for server in (relay, agent, hosts):
                 server.close()
 
     asyncio.run(play())
 
 
-def test_drains_when_calls_fail_in_any_way_then_they_reach_the_relay(tmp_path: Path) -> None:
-    async def scene(d: Day) -> None:
-        await until(lambda: d.relay.calls, "the first call")
+def test_drains_when_calls_fail_in_any_way_then_they_are_carried_out(tmp_path: Path) -> None:
+    async def scenario(fixture: Day) -> None:
+        await until(lambda: fixture.relay.calls, "the first call")
         for n, faults in enumerate((["broken", "silent"], ["lost", "spoilt"], ["throttled", "lost", "broken"])):
-            d.relay.faults.extend(faults)
-            d.agent.change(d.row(f"s-{n}", "terminating"))
-            await until(lambda: d.sound() and not d.relay.faults, f"drain under {faults}")
-        # Owners sat where the store had them: but for the drains nothing had to move.
-        assert all(d.relay.tables[n] == {f"s-{n % 6}": 1.0} for n in range(12) if n % 6 > 2)
+            fixture.relay.faults.extend(faults)
+            fixture.agent.change(fixture.row(f"s-{n}", "terminating"))
+            await until(lambda: fixture.sound() and not fixture.relay.faults, f"a drain with the faults {faults}")
+        # Slices of hosts that are not drained keep the owners that the relay reported at the start.
+        assert all(fixture.relay.tables[n] == {f"s-{n % 6}": 1.0} for n in range(12) if n % 6 > 2)
 
-    day(tmp_path, scene)
+    day(tmp_path, scenario)
 
 
 def test_events_when_watch_and_discovery_stall_then_nothing_is_lost(tmp_path: Path) -> None:
-    async def scene(d: Day) -> None:
+    async def scenario(fixture: Day) -> None:
         for _ in range(3):
-            watched = d.relay.watched
-            d.relay.break_news()
-            await until(lambda w=watched: d.relay.watched > w and d.relay.watchers, "a new watch")
-        d.relay.tables[12] = {}
-        d.relay.give(12)
-        await until(d.sound, "a slice given without lines gets a host")
-        d.agent.garble = 2
-        d.agent.change(d.row("s-9"))
-        d.agent.mute = True
-        polls = d.agent.polls
-        await until(lambda: d.agent.polls > polls + 1, "a silent agent is asked anew")
-        d.agent.change(d.row("s-5", "terminating"))
-        d.agent.mute = False
-        await until(d.sound, "the drain is kept once the agent speaks")
-
-    day(tmp_path, scene)
+            watched = fixture.relay.watched
+            fixture.relay.break_news()
+            await until(lambda w=watched: fixture.relay.watched > w and fixture.relay.watchers, "a new watch")
+        fixture.relay.tables[12] = {}
+        fixture.relay.give(12)
+        await until(fixture.sound, "a host for a slice assigned without table rows")
+        fixture.agent.garble = 2
+        fixture.agent.change(fixture.row("s-9"))
+        fixture.agent.mute = True
+        polls = fixture.agent.polls
+        await until(lambda: fixture.agent.polls > polls + 1, "another poll after one without an answer")
+        fixture.agent.change(fixture.row("s-5", "terminating"))
+        fixture.agent.mute = False
+        await until(fixture.sound, "a drain once discovery answers again")
+
+    day(tmp_path, scenario)
 
 
 def test_reload_when_under_load_then_new_addresses_are_used_and_invalid_files_are_not(tmp_path: Path) -> None:
-    async def scene(d: Day) -> None:
-        await until(lambda: d.relay.calls, "the first call")
-        relay, agent = Relay(), Agent(list(d.agent.hosts.values()))
-        relay.tables, relay.proxies = d.relay.tables, d.relay.proxies
-        d.steward.path.write_bytes(b'{"listen":')
-        d.steward.signal(signal.SIGHUP)
-        d.agent.change(d.row("s-0", "terminating"))
-        await until(d.sound, "the old configuration stays")
-        old = (d.relay, d.agent)
-        d.relay, d.agent = relay, agent
-        agent.change(d.row("s-0", "terminating"))
-        d.steward.write(store={"address": await relay.open()}, discovery=await agent.open())
-        d.steward.signal(signal.SIGHUP)
-        d.steward.signal(signal.SIGHUP)
+    async def scenario(fixture: Day) -> None:
+        await until(lambda: fixture.relay.calls, "the first call")
+        relay, agent = Relay(), Agent(list(fixture.agent.hosts.values()))
+        relay.tables, relay.proxies = fixture.relay.tables, fixture.relay.proxies
+        fixture.steward.path.write_bytes(b'{"listen":')
+        fixture.steward.signal(signal.SIGHUP)
+        fixture.agent.change(fixture.row("s-0", "terminating"))
+        await until(fixture.sound, "a drain with the old configuration")
+        old = (fixture.relay, fixture.agent)
+        fixture.relay, fixture.agent = relay, agent
+        agent.change(fixture.row("s-0", "terminating"))
+        fixture.steward.write(store={"address": await relay.open()}, discovery=await agent.open())
+        fixture.steward.signal(signal.SIGHUP)
+        fixture.steward.signal(signal.SIGHUP)
         await until(lambda: relay.watchers and agent.polls and not old[0].watchers, "the new addresses")
         for server in old:
             server.close()
-        agent.change(d.row("s-1", "terminating"))
-        await until(d.sound, "a drain at the new addresses")
-        d.steward.process.kill()
-        await d.steward.end()
-        agent.change(d.row("s-2", "terminating"))
-        await d.steward.start()
-        await d.alive()
-        await until(d.sound, "a drain while it was dead")
+        agent.change(fixture.row("s-1", "terminating"))
+        await until(fixture.sound, "a drain at the new addresses")
+        fixture.steward.process.kill()
+        await fixture.steward.end()
+        agent.change(fixture.row("s-2", "terminating"))
+        await fixture.steward.start()
+        await fixture.check_heartbeat()
+        await until(fixture.sound, "a drain that was listed while the controller was down")
         for server in (relay, agent):
             server.close()
 
-    day(tmp_path, scene)
-
-
-def test_drains_when_a_new_relay_gives_its_initial_state_then_they_are_carried_out(tmp_path: Path) -> None:
-    """Moves made meanwhile are not in what it said: their new hosts must be known when those drain in turn."""
-
-    async def scene(d: Day) -> None:
-        await until(lambda: d.relay.calls, "the first call")
-        relay, old = Relay(), d.relay
-        relay.tables, relay.proxies, relay.ping_after, d.relay = old.tables, old.proxies, 0.12, relay
-        d.steward.write(store={"address": await relay.open()})
-        d.steward.signal(signal.SIGHUP)
-        await until(lambda: relay.watchers, "what stands was said")
-        d.agent.change(d.row("s-0", "terminating"), d.row("s-1", "terminating"))
-        await until(lambda: d.sound() and not old.watchers, "the drains are kept and the new relay is followed")
-        d.agent.change(d.row(next(iter(relay.tables[0])), "terminating"))
-        await until(d.sound, "so is the drain of a host that took over")
-        lines = [(o["table"], o["endpoint"], o["w"]) for c in relay.calls for o in c if o["op"] == "SET"]
-        assert len(lines) == len(set(lines)), "what was moved is known to be moved"
+    day(tmp_path, scenario)
+
+
+def test_drains_when_listed_during_a_switch_to_a_new_relay_then_they_are_carried_out(tmp_path: Path) -> None:
+    """Slices are moved after the new relay sent its initial state and before the switch to it.
+
+    The initial state does not contain these moves, yet a drain of one of their new hosts must move the slices again.
+    """
+
+    async def scenario(fixture: Day) -> None:
+        await until(lambda: fixture.relay.calls, "the first call")
+        relay, old = Relay(), fixture.relay
+        relay.tables, relay.proxies, relay.ping_after, fixture.relay = old.tables, old.proxies, 0.12, relay
+        fixture.steward.write(store={"address": await relay.open()})
+        fixture.steward.signal(signal.SIGHUP)
+        await until(lambda: relay.watchers, "the initial state of the new relay")
+        fixture.agent.change(fixture.row("s-0", "terminating"), fixture.row("s-1", "terminating"))
+        await until(lambda: fixture.sound() and not old.watchers, "the drains and the switch to the new relay")
+        fixture.agent.change(fixture.row(next(iter(relay.tables[0])), "terminating"))
+        await until(fixture.sound, "the drain of a new host")
+        weights = [(o["table"], o["endpoint"], o["w"]) for call in relay.calls for o in call if o["op"] == "SET"]
+        assert len(weights) == len(set(weights)), "no move is ordered twice"
         old.close()
 
-    day(tmp_path, scene)
+    day(tmp_path, scenario)
 
 
-def test_collectors_when_hundreds_are_unidentified_then_they_stay_connected(tmp_path: Path) -> None:
-    async def scene(d: Day) -> None:
-        said = [
+def test_collector_when_hundreds_of_connections_are_unidentified_then_it_stays_connected(tmp_path: Path) -> None:
+    async def scenario(fixture: Day) -> None:
+        messages = [
             b"",
             encode(["hb"])[:9],
             b"GET / HTTP/1.1\r\n\r\n",
@@ -176,43 +184,43 @@
             b"*1\r\n$999999999\r\n",
             encode(["hb"]),
         ]
-        reader, writer = await d.steward.connect()
+        reader, writer = await fixture.steward.connect()
         writer.write(encode(["telemetry", "locality", "a"]) + encode(slice_report(route="lookup")))
-        strangers = []
+        unidentified = []
         for n in range(300):
-            strangers.append(await d.steward.connect())
-            strangers[-1][1].write(said[n % len(said)])
+            unidentified.append(await fixture.steward.connect())
+            unidentified[-1][1].write(messages[n % len(messages)])
         async with asyncio.timeout(LONG):
-            for r, _ in strangers:
+            for unidentified_reader, _ in unidentified:
                 with contextlib.suppress(ConnectionError):
-                    await r.read()  # to the end: each is closed
+                    await unidentified_reader.read()  # returns when the controller has closed the connection
         writer.write(encode(slice_report(route="lookup")) + encode(["hb"]))
         async with asyncio.timeout(LONG):
             assert await reader.readexactly(len(encode(["hb_ok"]))) == encode(["hb_ok"])
-        await d.alive()
-        for _, w in [*strangers, (reader, writer)]:
-            w.close()
+        await fixture.check_heartbeat()
+        for _, open_writer in [*unidentified, (reader, writer)]:
+            open_writer.close()
 
-    day(tmp_path, scene)
+    day(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(
-    ("content", "says"), [(None, "No such file"), (b"{}", "settings: missing"), (b"{", "invalid JSON")]
+    ("content", "expected_error"), [(None, "No such file"), (b"{}", "settings: missing"), (b"{", "invalid JSON")]
 )
 def test_program_when_the_configuration_is_invalid_then_one_line_and_exit_code_2(
-    tmp_path: Path, content: bytes | None, says: str
+    tmp_path: Path, content: bytes | None, expected_error: str
 ) -> None:
     path = tmp_path / "config.json"
     if content is not None:
         path.write_bytes(content)
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "corallanding.platform"],
         env={**os.environ, "LB_CONFIG": str(path)},
         capture_output=True,
         text=True,
         timeout=LONG,
     )
-    assert done.returncode == 2
-    assert done.stderr.count("\n") == 1
-    assert str(path) in done.stderr
-    assert says in done.stderr
+    assert result.returncode == 2
+    assert result.stderr.count("\n") == 1
+    assert str(path) in result.stderr
+    assert expected_error in result.stderr
--- a/tests/platform/test_start.py
+++ b/tests/platform/test_start.py
@@ -1,4 +1,4 @@
-"""The start of the platform's steward, each order forced."""
+"""Start of the platform controller, with every order of events forced by the test."""
 
 from __future__ import annotations
 
@@ -14,56 +14,56 @@
 from platform_standins import Process, free
 
 from corallanding.collector.session import HEARTBEAT_ANSWER, REJECT
-from corallanding.platform import service as node
+from corallanding.platform import service
 from corallanding.resp import encode
-from tests.platform.support import life, text
+from tests.platform.support import address_text, controller_harness
 from tests.relay.support import PING, RESULT, taken
 
 
 @pytest.mark.parametrize("resets", [1, 4])
-def test_start_when_the_relay_resets_connections_then_it_tries_until_one_is_accepted(
+def test_start_when_the_relay_resets_connections_then_it_retries_until_one_is_accepted(
     tmp_path: Path, resets: int
 ) -> None:
-    async def scene() -> None:
-        async with life(tmp_path) as it:
+    async def scenario() -> None:
+        async with controller_harness(tmp_path) as harness:
             for _ in range(2 * resets):
-                (await it.relay.next()).reset()
-            answered = 0
-            while not it.service.server or not it.service.server.is_ready:
-                side = await it.relay.next()
-                said = await side.line()
-                if said["method"] == "relay.watch":
+                (await harness.relay.next()).reset()
+            answered_calls = 0
+            while not harness.controller.server or not harness.controller.server.is_ready:
+                side = await harness.relay.next()
+                message = await side.line()
+                if message["method"] == "relay.watch":
                     side.say(RESULT)
                     side.tell(attach(0), owner(2), PING)
-                    await until(lambda: it.service.server and it.service.server.is_ready)
+                    await until(lambda: harness.controller.server and harness.controller.server.is_ready)
                 else:
-                    answered += 1
-                    side.say(taken(said["id"], len(said["params"]["ops"])))
+                    answered_calls += 1
+                    side.say(taken(message["id"], len(message["params"]["ops"])))
 
-    play(scene)
+    play(scenario)
 
 
-def test_start_when_the_relay_is_silent_then_heartbeats_are_answered_after_a_time(
+def test_start_when_the_relay_is_silent_then_heartbeats_are_answered_after_the_maximum_start_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(node, "MAX_START_SECONDS", 0.05)
+    monkeypatch.setattr(service, "MAX_START_SECONDS", 0.05)
 
-    async def scene() -> None:
-        async with life(tmp_path) as it:
-            side = Side(*await asyncio.open_connection(*it.listens()))
+    async def scenario() -> None:
+        async with controller_harness(tmp_path) as harness:
+            side = Side(*await asyncio.open_connection(*harness.listening_address()))
             side.say(encode(["hb"]))
             assert await side.reader.readexactly(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
             side.say(encode(["attach"]))
             assert await side.reader.read() == REJECT
 
-    play(scene)
+    play(scenario)
 
 
-class Reading(Process):
-    """A steward that reads its configuration from a pipe, as slowly as the test likes."""
+class PipeConfiguredProcess(Process):
+    """A controller that reads its configuration from a pipe, so that the test controls when it is received."""
 
-    async def begin(self) -> int:
-        """It has opened its configuration, and waits for it: the pipe."""
+    async def start_reading(self) -> int:
+        """Start the program and return the write end of the pipe, once the program has opened its read end."""
         self.path.unlink()
         os.mkfifo(self.path)
         await self.start()
@@ -71,41 +71,45 @@
 
 
 def test_reload_when_signalled_during_the_start_then_the_new_configuration_is_used(tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with Stand() as relay, Stand() as agent, Stand() as new_relay, Stand() as new_agent:
-            steward = Reading({**CONFIG_FILE, "listen": "127.0.0.1:1"}, tmp_path / "config.json")
-            pipe = await steward.begin()
+            process = PipeConfiguredProcess({**CONFIG_FILE, "listen": "127.0.0.1:1"}, tmp_path / "config.json")
+            pipe = await process.start_reading()
             old = {
                 **CONFIG_FILE,
                 "listen": free(),
-                "discovery": text(agent.where),
-                "store": {"address": text(relay.where)},
+                "discovery": address_text(agent.where),
+                "store": {"address": address_text(relay.where)},
+            }
+            new = {
+                **old,
+                "discovery": address_text(new_agent.where),
+                "store": {"address": address_text(new_relay.where)},
             }
-            new = {**old, "discovery": text(new_agent.where), "store": {"address": text(new_relay.where)}}
             (tmp_path / "new.json").write_bytes(msgspec.json.encode(new))
-            os.replace(tmp_path / "new.json", steward.path)
-            steward.signal(signal.SIGHUP)
+            os.replace(tmp_path / "new.json", process.path)
+            process.signal(signal.SIGHUP)
             os.write(pipe, msgspec.json.encode(old))
             os.close(pipe)
             assert "index=" in await (await new_agent.next()).question()
             assert (await (await new_relay.next()).line())["method"] in ("relay.watch", "relay.apply")
-            steward.signal(signal.SIGTERM)
-            code, log = await steward.end()
+            process.signal(signal.SIGTERM)
+            code, log = await process.end()
             assert code == 0, log
             assert "Traceback" not in log, log
 
-    play(scene)
+    play(scenario)
 
 
-@pytest.mark.parametrize("sign", [signal.SIGTERM, signal.SIGINT])
-def test_stop_when_signalled_at_the_start_then_it_ends_at_once(tmp_path: Path, sign: signal.Signals) -> None:
-    async def scene() -> None:
-        steward = Reading(dict(CONFIG_FILE), tmp_path / "config.json")
-        pipe = await steward.begin()
-        steward.signal(sign)
-        code, log = await steward.end()
+@pytest.mark.parametrize("stop_signal", [signal.SIGTERM, signal.SIGINT])
+def test_stop_when_signalled_during_the_start_then_it_ends_at_once(tmp_path: Path, stop_signal: signal.Signals) -> None:
+    async def scenario() -> None:
+        process = PipeConfiguredProcess(dict(CONFIG_FILE), tmp_path / "config.json")
+        pipe = await process.start_reading()
+        process.signal(stop_signal)
+        code, log = await process.end()
         os.close(pipe)
-        assert code == -sign
+        assert code == -stop_signal
         assert log == ""
 
-    play(scene)
+    play(scenario)
--- a/tests/resp/test_reader.py
+++ b/tests/resp/test_reader.py
@@ -1,4 +1,4 @@
-"""The RESP reader: messages from bytes, limits, and streams that cannot be parsed."""
+"""The RESP reader: parsed messages, limits, and malformed streams."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 from corallanding.resp import Reader, encode
 
-WORDS = st.lists(st.text(max_size=12), min_size=1, max_size=6)
+MESSAGES = st.lists(st.text(max_size=12), min_size=1, max_size=6)
 
 
-@given(st.lists(WORDS, max_size=5), st.lists(st.integers(0, 400), max_size=8))
-def test_reader_when_a_stream_is_cut_anywhere_then_messages_are_the_same(
+@given(st.lists(MESSAGES, max_size=5), st.lists(st.integers(0, 400), max_size=8))
+def test_reader_when_a_stream_is_split_anywhere_then_messages_are_the_same(
     messages: list[list[str]], cuts: list[int]
 ) -> None:
-    stream = b"".join(encode(words) for words in messages)
-    reader, out, at = Reader(1_000), [], 0
-    for cut in [*sorted(c for c in cuts if c < len(stream)), len(stream)]:
-        out += reader.feed(stream[at:cut])
-        at = cut
-    assert out == [[w.encode() for w in words] for words in messages]
+    stream = b"".join(encode(strings) for strings in messages)
+    reader, parsed, offset = Reader(1_000), [], 0
+    for cut in [*sorted(cut for cut in cuts if cut < len(stream)), len(stream)]:
+        parsed += reader.feed(stream[offset:cut])
+        offset = cut
+    assert parsed == [[string.encode() for string in strings] for strings in messages]
     assert not reader.error
     assert not reader.buffer
 
@@ -28,8 +28,8 @@
 @given(st.binary(max_size=200), st.integers(1, 50))
 def test_reader_when_fed_any_bytes_then_it_raises_nothing_and_its_buffer_is_bounded(data: bytes, size: int) -> None:
     reader = Reader(64)
-    for at in range(0, len(data), size):
-        reader.feed(data[at : at + size])
+    for offset in range(0, len(data), size):
+        reader.feed(data[offset : offset + size])
         assert len(reader.buffer) <= 64 + size
 
 
@@ -58,10 +58,10 @@
 )
 def test_reader_when_bytes_are_malformed_then_the_stream_ends_at_once(data: bytes) -> None:
     reader = Reader(64)
-    good = encode(["hb"])
-    assert reader.feed(good + data) == [[b"hb"]]
+    valid = encode(["hb"])
+    assert reader.feed(valid + data) == [[b"hb"]]
     assert reader.error
-    assert reader.feed(good) == []
+    assert reader.feed(valid) == []
 
 
 def test_reader_when_a_message_exceeds_the_limit_then_it_is_not_buffered() -> None:
