--- a/corallanding/collector/server.py
+++ b/corallanding/collector/server.py
@@ -14,7 +14,7 @@
 
 MAX_UNREAD_BYTES = 4_096  # answers that a peer may leave unread
 IDENTIFICATION_TIMEOUT_MS = 1_000.0
-MAX_PENDING_HEARTBEATS = 16  # requests on one connection that are remembered until the controller is ready
+MAX_PENDING_HEARTBEATS = 16  # unanswered requests counted for one connection; further ones get no answer
 LISTEN_BACKLOG = 1024
 ACCEPTED_PER_SECOND = 2_000.0
 
--- a/corallanding/collector/session.py
+++ b/corallanding/collector/session.py
@@ -14,9 +14,9 @@
 HEARTBEAT_REQUEST = b"hb"
 HEARTBEAT_ANSWER = encode(["hb_ok"])
 REJECT = encode(["reject"])
-MAX_UNIDENTIFIED_BYTES = 4_096  # of a message before the peer has identified itself
-MAX_COLLECTOR_BYTES = 1 << 20  # of a message of a collector
-MAX_QUOTED_BYTES = 300  # of a rejected report in a trace
+MAX_UNIDENTIFIED_BYTES = 4_096  # size of a message of an unidentified peer
+MAX_COLLECTOR_BYTES = 1 << 20  # size of a message of a collector
+MAX_QUOTED_BYTES = 300  # bytes of a rejected report in a trace line
 
 
 @dataclass
--- a/corallanding/platform/config.py
+++ b/corallanding/platform/config.py
@@ -22,7 +22,7 @@
 
 DEFAULT_CONNECT_TIMEOUT_MS = 300.0
 MAX_PORT = 65_535
-MAX_QUOTED_CHARACTERS = 60  # of a rejected address in an error
+MAX_QUOTED_CHARACTERS = 60  # characters of a rejected address in an error
 MISSING_FIELD = re.compile(r"missing required field `(?P<key>\w+)`(?: - at `\$\.?(?P<path>.*)`)?")
 INVALID_FIELD = re.compile(r"(?P<reason>.*) - at `\$\.?(?P<path>.*)`")
 
--- a/corallanding/platform/decision_loop.py
+++ b/corallanding/platform/decision_loop.py
@@ -11,7 +11,7 @@
 
 SCORES_PER_BATCH = 400  # rendezvous scores computed without yielding to the event loop
 SCORE_INTERVAL_SECONDS = 0.01
-MAX_QUOTED_CHARACTERS = 600  # of the logged events of a failed step
+MAX_QUOTED_CHARACTERS = 600  # characters of the logged events of a failed step
 
 
 class DecisionLoop:
@@ -42,7 +42,7 @@
         self.due_at_ms = float("inf")
         self.last_step_at_ms = 0.0
         self.last_duration_ms = 0.0
-        self.max_duration_ms = 0.0  # since the last trace line, which resets it
+        self.max_duration_ms = 0.0  # maximum since the last trace line, which resets it
         self.score_timer: asyncio.TimerHandle | None = None
         self.is_stopped = False
 
--- a/corallanding/platform/service.py
+++ b/corallanding/platform/service.py
@@ -29,13 +29,13 @@
 from .logs import RateLimitedLogger, log
 from .unconfirmed_acks import LostAckRecovery
 
-MAX_START_SECONDS = 3.0  # heartbeats are answered after this time even if not everything is known
-RESERVED_DESCRIPTORS = 64  # for event loop, log, relay, discovery and health checks; not for unidentified connections
+MAX_START_SECONDS = 3.0  # heartbeats are answered after this time even without the initial state of the relay
+RESERVED_DESCRIPTORS = 64  # descriptors for event loop, log, relay, discovery and health checks
 MIN_UNIDENTIFIED = 16
 MAX_UNIDENTIFIED = 256
 MAX_HEALTH_CHECKS = 16
 HEALTH_CHECK_TIMEOUT_FACTOR = 2.0  # multiple of the proxies' connect timeout
-MAX_KIND_CHARACTERS = 60  # of a warning's text before the colon, its kind for rate-limiting
+MAX_KIND_CHARACTERS = 60  # characters before the colon of a warning that identify its kind
 
 
 class PlatformController:
@@ -107,7 +107,7 @@
     async def run(self) -> None:
         """Run until `stop`. Raises OSError if the listening address cannot be used."""
         self.start()
-        await self.call_connection.finished.wait()  # at most the answer timeout of a call
+        await self.call_connection.finished.wait()  # takes at most the answer timeout of a call
         self.call_connection.close()
 
     def start(self) -> None:
@@ -153,7 +153,7 @@
         self.discovery.set_address(config.discovery)
 
     def stop(self) -> None:
-        """Start no further connection, step or call (SIGTERM, SIGINT). A call in flight is allowed to complete."""
+        """Start no further connection, step or call (SIGTERM, SIGINT). A call in flight is not interrupted halfway."""
         if self.is_stopping:
             return
         self.is_stopping = True
@@ -188,7 +188,7 @@
         self.on_events([result])
 
     def on_orders_confirmed(self, orders: list[Order]) -> None:
-        """Record orders that the relay confirmed, so that its tables hold them."""
+        """Record orders that the relay has applied to its tables, and log the warnings about calls."""
         for order in orders:
             if isinstance(order, TableOrder):
                 self.relay_view.on_order_confirmed(order)
--- a/tests/platform/test_mutated_messages.py
+++ b/tests/platform/test_mutated_messages.py
@@ -28,7 +28,7 @@
 
 
 def mutants(message: Any) -> Iterator[tuple[str, Any]]:
-    """Yield the path of each value in a message, at any depth, with a message where it is replaced or removed."""
+    """Yield the path of each value in a message, at any depth, and a copy of the message without it or with another."""
     for key in list(message) if isinstance(message, dict) else range(len(message)):
         for replacement in REPLACEMENTS:
             mutant = copy.deepcopy(message)
--- a/tests/platform/test_stop_and_reload.py
+++ b/tests/platform/test_stop_and_reload.py
@@ -47,7 +47,7 @@
             side.say(encode(["hb"]))
             await until(lambda: harness.controller.server and harness.controller.server.unidentified)
             harness.controller.stop()
-            harness.controller.set_ready()  # as its timer would in the same loop iteration
+            harness.controller.set_ready()  # the start timer may fire in the same loop iteration
             side.writer.write_eof()
             assert await side.reader.read() == b""
 
