--- a/corallanding/assignment/__init__.py
+++ b/corallanding/assignment/__init__.py
@@ -1,6 +1,6 @@
-"""Every decision of a controller: which host takes each slice, and when (`docs/design.md`).
+"""All decisions of a controller: which host each slice is assigned to, and when it moves (`docs/design.md`).
 
-`Assigner` is the whole interface: events go in, actions come out. It uses the standard library alone.
+`Assigner` is the public interface: it takes events and returns actions. Only the standard library is used.
 """
 
 from .assigner import Assigner
--- a/corallanding/assignment/admission.py
+++ b/corallanding/assignment/admission.py
@@ -1,6 +1,6 @@
-"""The share of requests that proxies admit: less while the whole fleet is overloaded.
+"""Admission control: proxies admit a smaller share of the requests while the whole fleet is overloaded.
 
-A request that waits longer than its client does is worth nothing; one that is rejected gets its answer at once.
+A response that arrives after the client has given up is useless, whereas a rejected request is answered at once.
 """
 
 from __future__ import annotations
@@ -11,23 +11,29 @@
 from .state import FleetEstimate
 
 OVERLOADED_FLEET_RATIO = 0.6
-"""Median latency ratio above which less is admitted; half of it where the fleet was never seen to answer as much."""
+"""Median latency ratio above which the admitted share is reduced.
+
+Half of it is enough while requests clearly exceed the most that the fleet was ever observed to answer.
+"""
 
 RECOVERED_FLEET_RATIO = OVERLOADED_FLEET_RATIO * 0.75
-"""Median latency ratio below which more is admitted again."""
+"""Median latency ratio below which the admitted share is increased again."""
 
 MIN_ANSWERABLE_SHARE = 0.8
-"""Share of the requests that the fleet was seen to answer, below which half of the ratio is enough."""
+"""`FleetEstimate.answerable_share` below which half of `OVERLOADED_FLEET_RATIO` counts as overload."""
 
 MIN_ADMISSION_LEVEL = 0.1
-"""The least share that is admitted."""
+"""Lower bound of the admitted share."""
 
 DECREASE_FACTOR = 0.95
 INCREASE_FACTOR = 1.1
 
 
 class AdmissionControl:
-    """The share of requests that is admitted, as proxies were told or will be once `is_due` is dealt with."""
+    """Decides the share of requests that proxies admit, and publishes it.
+
+    `level` is the share that was last published, or that `publish` sends next while `is_due` is set.
+    """
 
     def __init__(self, settings: api.Settings, publication: Publication, fleet: FleetEstimate) -> None:
         self.settings = settings
@@ -35,10 +41,10 @@
         self.fleet = fleet
         self.level = 1.0
         self.changed_at_ms = 0.0
-        self.is_due = True  # the level is to be published
+        self.is_due = True  # the level has not been published yet
 
     def adjust(self) -> None:
-        """Change the level by the estimates, once the effect of the last change shows in usage reports."""
+        """Adapt the level to the estimates, once usage reports show the effect of the last change."""
         settings = self.settings
         delay_ms = settings.report_interval_ms + 2 * settings.propagation_ms
         if settings.admission != "fraction" or self.publication.now_ms - self.changed_at_ms < delay_ms:
@@ -61,12 +67,12 @@
         return self.level
 
     def publish(self) -> None:
-        """Tell proxies the level and when to retry, if that is due and some proxy has joined."""
+        """Publish the level and the retry mode if they are due and at least one proxy has joined."""
         if not self.is_due or not self.publication.pending_versions.unacked_by_proxy:
             return
         self.is_due = False
-        # A retry only on proof that the first attempt never ran is safe for every request class, and adds nothing to
-        # the load of hosts that are slow.
+        # Retrying only if the first attempt provably never ran is safe for every request class, and adds no load to
+        # slow hosts.
         retry = api.RetryMode.PROVEN_UNRUN
         self.publication.actions.append(api.SetAdmission(api.ALL_TABLES, 0, self.level, retry))
         self.publication.lines_published += 1
--- a/corallanding/assignment/assigner.py
+++ b/corallanding/assignment/assigner.py
@@ -1,4 +1,4 @@
-"""One step of the assigner: events go to the part that keeps them; a decision follows if one is due."""
+"""The assigner: dispatches the events of a step to its components, and then decides if a decision is due."""
 
 from __future__ import annotations
 
@@ -21,18 +21,21 @@
 from .state import FleetEstimate, Host, Slice
 
 MAX_DEPARTED_HOSTS = 64
-"""Hosts that left may be remembered, beside as many as are listed; then those that nothing names are forgotten."""
+"""Departed hosts that are kept in memory in addition to one for each listed host.
+
+Beyond that number, departed hosts that no slice refers to are removed.
+"""
 
 
 class Assigner:
-    """Decides which host takes each slice of this controller, and when: a pure function of settings, seed and events.
+    """Decides which host each slice of this controller is assigned to, and when it moves.
 
-    It reads no clock and does no I/O: the same events at the same times give the same actions. The parts are public for
-    snapshots and traces, which must not change them.
+    It is deterministic: it reads no clock and does no I/O, so the same settings, seed and events at the same times give
+    the same actions. The components are public for snapshots and traces, which must not modify them.
     """
 
     deferrable_timer = DECISION_TIMER
-    """The timer of ordinary decisions, which a controller that is late may let fire later."""
+    """Timer of ordinary decisions; a controller that is behind schedule may delay it."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
@@ -66,12 +69,12 @@
             api.ProxyLeft: self.pending_versions.on_proxy_left,
             api.ProxyJoined: self.pending_versions.on_proxy_joined,
         }
-        self.is_ordinary_decision_due = False  # within a step
+        self.is_ordinary_decision_due = False  # reset at the start of each step
 
     def step(self, now_ms: float, events: Sequence[api.Event]) -> list[api.Action]:
-        """Take in what happened since the last step; returns what is to be done.
+        """Process the events since the last step and return the actions to perform, in order.
 
-        `now_ms` never decreases. Proxies are told the table actions of one step as one message.
+        `now_ms` must never decrease. The table actions of one step are sent to proxies as one message.
         """
         self.publication.begin_step(now_ms)
         self.is_ordinary_decision_due = False
@@ -95,17 +98,17 @@
         self.is_ordinary_decision_due = True
         self.publication.actions.append(api.StartTimer(self.decision_interval_ms, DECISION_TIMER))
 
-    # Events that concern no other part.
+    # Events that no other component handles.
 
     def on_timer_fired(self, event: api.TimerFired) -> None:
-        """Decide, or poll the host list; other timers are not the assigner's."""
+        """Schedule an ordinary decision or poll the host list; ignore timers that the assigner did not start."""
         if event.timer == DECISION_TIMER:
             self._schedule_ordinary_decision()
         elif event.timer == HOST_LIST_TIMER:
             self.publication.actions.append(api.WatchHostList(True))
 
     def on_slice_ownership_change(self, event: api.SliceOwnershipChange) -> None:
-        """Begin to decide on a slice, also anew, or cease to."""
+        """Start or stop managing a slice. A slice that is already owned starts again from an empty state."""
         self.slices.pop(event.slice, None)
         self.load_estimator.ownership_changed_at_ms = self.publication.now_ms
         if event.is_owned:
@@ -114,14 +117,14 @@
             self.admission.is_due = True
 
     def on_stored_weight(self, event: api.StoredWeight) -> None:
-        """Take in a table entry that the store holds."""
+        """Record a table entry that was read from the store."""
         if event.slice in self.slices:
             self.slices[event.slice].weights[self.host_list.get_or_create(event.host)] = event.weight
 
     # Decisions.
 
     def _decide(self) -> None:
-        """Make the decisions that are due, if a message may go out: evacuations always, others by the timer."""
+        """Make the decisions that are due if a message may be sent: evacuations always, others only by timer."""
         publication = self.publication
         publication.lines_published = 0
         if not publication.may_publish(is_urgent=True):
@@ -146,9 +149,9 @@
         self.admission.adjust()
 
     def _adopt_stored_owners(self) -> None:
-        """Of a slice that was just given, the host of the highest stored weight owns it; the others are replicas.
+        """Make the host with the highest stored weight the owner of a newly acquired slice, the others its replicas.
 
-        A replica that was a previous owner is dropped by and by, as any that is not needed.
+        A previous owner may be among those replicas; ordinary decisions drop it like any replica that is not needed.
         """
         for slice_ in self.slices.values():
             if slice_.owner is None and slice_.weights:
@@ -157,19 +160,19 @@
                 slice_.replicas = [host for host in slice_.weights if host is not owner]
 
     def forget_departed_hosts(self) -> None:
-        """Remove hosts that left for good from memory: new ids may come for as long as this controller runs."""
+        """Remove permanently departed hosts from memory, which would otherwise grow with each new host id."""
         listed_count = sum(host.is_listed for host in self.hosts.values())
         if not self.host_list.has_fresh_list or len(self.hosts) <= 2 * listed_count + MAX_DEPARTED_HOSTS:
             return
-        named = self._hosts_named_by_slices()
-        departed = [host for host in self.hosts.values() if host not in named and self._has_departed(host)]
+        referenced = self._hosts_referenced_by_slices()
+        departed = [host for host in self.hosts.values() if host not in referenced and self._has_departed(host)]
         self.rendezvous.forget(departed)
         for host in departed:
             del self.hosts[host.id]
         for slice_ in self.slices.values():
-            slice_.hosts_considered = 0  # rankings may be made anew, a limited number of scores at a time
+            slice_.hosts_considered = 0  # rankings may need recomputing, a limited number of scores at a time
 
-    def _hosts_named_by_slices(self) -> set[Host | None]:
+    def _hosts_referenced_by_slices(self) -> set[Host | None]:
         return {
             host
             for slice_ in self.slices.values()
@@ -177,13 +180,13 @@
         }
 
     def _has_departed(self, host: Host) -> bool:
-        """Whether a host is not listed, and nothing is awaited of it."""
-        is_awaited = host.is_being_checked or host.is_cordoned or self.host_health.is_alive_but_unlisted(host)
-        return not host.is_listed and not is_awaited
+        """Return whether a host is not listed and no result or recovery is expected from it."""
+        is_expected_back = host.is_being_checked or host.is_cordoned or self.host_health.is_alive_but_unlisted(host)
+        return not host.is_listed and not is_expected_back
 
 
 def decision_interval_ms(settings: api.Settings) -> float:
-    """Time between ordinary decisions: half a report interval, or longer where the site limits messages."""
+    """Return the time between ordinary decisions, in ms: half a report interval, or longer if messages are limited."""
     interval_ms = max(settings.report_interval_ms / 2, settings.decision_interval_ms)
     if settings.max_messages:
         message_interval_ms = settings.message_window_ms / (settings.max_messages * ORDINARY_MESSAGE_SHARE)
--- a/corallanding/assignment/demand.py
+++ b/corallanding/assignment/demand.py
@@ -1,4 +1,4 @@
-"""The demand of slices: requests per second, smoothed from usage reports."""
+"""The demand for each slice: requests per second, smoothed over usage reports."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 from .state import Slice
 
 RETRY_SHARE_OF_UNANSWERED = 0.5
-"""Part of the unanswered requests of a slice that are taken for retries by clients."""
+"""Share of the unanswered requests of a slice that are assumed to be retries by clients."""
 
 BURST_FACTOR = 2.0
 BURST_MIN_REQUESTS = 10
-"""A report of more requests, at more than this factor times the smoothed rate, counts at once."""
+"""A report of more requests than the minimum, at more than this factor times the smoothed rate, is not smoothed."""
 
 RATE_HALF_LIFE_MS = 2_000.0
 """Half-life of a slice's smoothed request rate."""
 
 
 class SliceDemand:
-    """Writes the request rates of slices. `recent_requests` counts the requests for all slices, decaying."""
+    """Maintains the request rates of slices. `recent_requests` is the decaying count of requests for all slices."""
 
     def __init__(self, slices: dict[int, Slice]) -> None:
         self.slices = slices
         self.recent_requests = 0.0
 
     def on_slice_usage_report(self, event: api.SliceUsageReport) -> None:
-        """Smooth the request rate of a slice and class.
+        """Update the smoothed request rate of a slice for one request class.
 
-        A rate that has more than doubled counts at once: a warming owner would be overloaded while the smoothed rate
-        climbs. Of few requests it is chance.
+        A rate that has more than doubled is not smoothed: a warming owner would be overloaded before the smoothed rate
+        catches up. Bursts of only a few requests are treated as noise.
         """
         self.recent_requests += event.requests
         slice_ = self.slices.get(event.slice)
--- a/corallanding/assignment/evacuation.py
+++ b/corallanding/assignment/evacuation.py
@@ -1,4 +1,7 @@
-"""Slices that must leave their hosts at once: of failing, draining and gone hosts, and of warming ones that fail."""
+"""Evacuation: slices that must leave their hosts at once.
+
+These are the slices of failing, draining and removed hosts, and of overloaded hosts that are still warming up.
+"""
 
 from __future__ import annotations
 
@@ -8,17 +11,20 @@
 from .state import FleetEstimate, Host, Slice
 
 WARM_UP_OVERLOAD_SHARE = 0.5
-"""Part of the site's overload factor: utilization at which a warming host sheds slices at once."""
+"""Share of the site's overload factor: the utilization above which a warming host sheds slices at once."""
 
 WARM_UP_OVERLOAD_RATIO = SHED_UTILIZATION * OVERLOAD_RATIO
-"""Latency ratio at which a warming host sheds half of its load at once."""
+"""Latency ratio above which a warming host sheds half of its load at once."""
 
 LINES_PER_MOVE = 2
 """Table entries of a move: one added, one removed."""
 
 
 class Evacuation:
-    """Gives slices without a usable owner to other hosts, without gate or hold, in the step in which it is noticed."""
+    """Reassigns slices without a usable owner in the step in which that is detected.
+
+    Evacuations skip the gate (`Placement.passes_gate`) and do not hold the previous owner in the table.
+    """
 
     def __init__(
         self, host_health: HostHealth, slices: dict[int, Slice], placement: Placement, fleet: FleetEstimate
@@ -35,8 +41,8 @@
         self._update_cordons()
         self._drop_ineligible_hosts()
         has_fresh_list = self.host_health.host_list.has_fresh_list
-        unsure = (host for host in self.host_health.hosts.values() if not (host.is_listed or has_fresh_list))
-        staying = {*self.fleet.eligible_hosts, *unsure}
+        unconfirmed = (host for host in self.host_health.hosts.values() if not (host.is_listed or has_fresh_list))
+        staying = {*self.fleet.eligible_hosts, *unconfirmed}
         orphaned = [slice_ for slice_ in self.slices.values() if slice_.owner not in staying]
         orphaned += self._unload_overloaded_warming_hosts()
         for slice_ in sorted(orphaned, key=self._urgency):
@@ -57,11 +63,14 @@
         elif destination := self.placement.best_host(slice_, slice_.load_per_host, is_required=True):
             self.placement.assign_owner(slice_, destination, holds_previous=False)
         elif slice_.owner and self.host_health.is_leaving(slice_.owner):
-            slice_.owner = None  # no host is left; the drain is kept all the same
+            slice_.owner = None  # no other host is available, but the drain must be honored nevertheless
             self.publication.write_table(slice_)
 
     def _drop_ineligible_hosts(self) -> None:
-        """Drop replicas and previous owners that fail; write first what exceeded the line budget before."""
+        """Drop ineligible replicas and previous owners, and write the tables that exceeded the line budget before.
+
+        Tables of slices with an eligible owner are written before any slice is reassigned.
+        """
         for slice_ in self.slices.values():
             slice_.replicas = slice_.replicas and [host for host in slice_.replicas if host.is_eligible]
             if slice_.previous_owner and not slice_.previous_owner.is_eligible:
@@ -70,10 +79,10 @@
                 self.publication.write_table(slice_)
 
     def _update_cordons(self) -> None:
-        """Cordon leaving hosts if their table entries exceed the line budget; lift it when a host is back.
+        """Cordon leaving hosts if removing their table entries exceeds the line budget; uncordon hosts that return.
 
-        A cordon shuts a host out by one line instead of one a slice, as in a wave of drains before many proxies. Its
-        entries are removed by ordinary decisions.
+        A cordon excludes a host with one line instead of one for each slice, which matters when many hosts drain at
+        once and there are many proxies. Ordinary decisions remove the table entries later.
         """
         is_leaving = self.host_health.is_leaving
         leaving = {host for host in self.host_health.hosts.values() if is_leaving(host) and not host.is_cordoned}
@@ -87,9 +96,10 @@
                 self.publication.set_cordon(host, is_cordoned=is_cordoned)
 
     def _unload_overloaded_warming_hosts(self) -> list[Slice]:
-        """Take the slices that are too much off warming hosts, if another host is there; returns them, without owner.
+        """Remove excess slices from warming hosts, and return them without an owner. Do nothing if all hosts warm up.
 
-        Such a host died with its slices and came back, or its slices grew. It would fail before gate and hold end.
+        Such a host restarted while it owned slices, or the demand for its slices grew. It would fail before an ordinary
+        move with gate and hold completes.
         """
         eligible_hosts = self.fleet.eligible_hosts
         if all(host.is_warming_up for host in eligible_hosts):
@@ -100,10 +110,10 @@
         for slice_ in self.slices.values():
             if slice_.owner in slices_by_host:
                 slices_by_host[slice_.owner].append(slice_)
-        taken: list[Slice] = []
+        removed: list[Slice] = []
         for host, owned in slices_by_host.items():
-            taken += self._unload(host, owned)
-        return taken
+            removed += self._unload(host, owned)
+        return removed
 
     def _unload(self, host: Host, owned: list[Slice]) -> list[Slice]:
         max_utilization = WARM_UP_OVERLOAD_SHARE * self.settings.overload_factor
@@ -111,10 +121,10 @@
         if host.latency_ratio > WARM_UP_OVERLOAD_RATIO and since_shed_ms > self.fleet.report_window_ms:
             max_utilization = min(max_utilization, host.utilization() / 2)
             host.shed_at_ms = self.publication.now_ms
-        taken: list[Slice] = []
+        removed: list[Slice] = []
         for slice_ in sorted(owned, key=lambda slice_: (-slice_.requests_per_second, slice_.id)):
             if host.utilization() > max_utilization:
                 self.placement.shift_load(host, -slice_.load_per_host)
                 slice_.owner = None
-                taken.append(slice_)
-        return taken
+                removed.append(slice_)
+        return removed
--- a/corallanding/assignment/host_list.py
+++ b/corallanding/assignment/host_list.py
@@ -1,4 +1,4 @@
-"""The hosts that there are, by the lists that the site gives."""
+"""The known hosts, maintained from the host list updates of the site."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 MIN_POLL_DELAY = 0.05
 POLL_DELAY_SPREAD = 0.1
-"""Bounds of the delay after a failed poll of the host list, as shares of the poll interval, drawn between by chance."""
+"""Minimum and random spread of the delay after a failed poll of the host list, as shares of the poll interval."""
 
 
 class HostList:
-    """All hosts that were ever named and not forgotten, whether they are listed or not.
+    """All hosts that were ever mentioned and not removed from memory, whether they are listed or not.
 
-    Invariant: `has_fresh_list` is false until a host list newer than the saved one has come; until then a host that is
-    missing from the list may merely be newer than that list.
+    Invariant: `has_fresh_list` is false until a host list newer than the saved one has arrived. Until then, a host that
+    is missing from the list may simply be newer than that list.
     """
 
     def __init__(self, settings: api.Settings, seed: int, publication: Publication) -> None:
@@ -28,16 +28,16 @@
         self.publication = publication
         self.hosts: dict[int, Host] = {}
         self.has_fresh_list = False
-        self.random_draws = 0  # drawn from `seed` so far
+        self.random_draws = 0  # random numbers derived from `seed` so far
 
     def get_or_create(self, host_id: int) -> Host:
-        """The host of that id; one that is not known is taken in as not listed."""
+        """Return the host with that id; an unknown host is added as not listed."""
         if host_id not in self.hosts:
             self.hosts[host_id] = Host(host_id, api.HostEntry(host_id), is_listed=False)
         return self.hosts[host_id]
 
     def on_host_list_update(self, event: api.HostListUpdate) -> None:
-        """Take in the host list or changes of it; a failed poll is repeated soon."""
+        """Apply a full host list or changes of it; schedule another poll after a failed one."""
         if event.kind is api.HostListKind.FAILED:
             self._retry_poll()
             return
@@ -48,11 +48,11 @@
         self.has_fresh_list = self.has_fresh_list or event.kind is not api.HostListKind.SAVED
 
     def _retry_poll(self) -> None:
-        """Poll again after a random part of the interval, so that controllers do not all poll at once."""
+        """Schedule a poll after a random share of the interval, so that controllers do not all poll at once."""
         self.publication.actions.append(api.LogNote("list call failed"))
         self.random_draws += 1
-        draw = zlib.crc32(f"{self.seed}:{self.random_draws}".encode()) / 2**32
-        delay_ms = self.settings.poll_interval_ms * (MIN_POLL_DELAY + POLL_DELAY_SPREAD * draw)
+        random_fraction = zlib.crc32(f"{self.seed}:{self.random_draws}".encode()) / 2**32
+        delay_ms = self.settings.poll_interval_ms * (MIN_POLL_DELAY + POLL_DELAY_SPREAD * random_fraction)
         self.publication.actions.append(api.StartTimer(delay_ms, HOST_LIST_TIMER))
 
     def _unlist_missing(self, entries: Iterable[api.HostEntry]) -> None:
@@ -65,7 +65,7 @@
     def _apply_entry(self, entry: api.HostEntry, kind: api.HostListKind) -> None:
         host = self.get_or_create(entry.host)
         if entry.state == api.HostState.REMOVED:
-            # The entry that was last listed stands: the host may be draining.
+            # The last listed entry is kept, as the host may be draining.
             if host.is_listed:
                 self.publication.is_decision_due = True
             host.is_listed = False
@@ -80,7 +80,7 @@
         host.is_listed = True
 
     def _on_process_start(self, host: Host, started_at_ms: float) -> None:
-        """A new process of a host: what was heard of the old one says nothing of it."""
+        """Record a new process of a host, and discard the observations of the previous one."""
         now_ms = self.publication.now_ms
         if host.process_started_at_ms > -math.inf or started_at_ms > now_ms - self.settings.warm_up_ms:
             host.start_learned_at_ms = now_ms
--- a/corallanding/assignment/load_estimate.py
+++ b/corallanding/assignment/load_estimate.py
@@ -1,4 +1,4 @@
-"""The fair load of each host, from the slices' demand and the hosts' capacity: made anew before each decision."""
+"""Estimates the fair load of each host from the demand for slices and the capacity of hosts, before each decision."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 from .state import FleetEstimate, Host, SpareLoad, upper_median
 
 RAMP_SHARE_OF_WARM_UP = 0.75
-"""Part of the warm-up time in which a new host's share grows to the full one (12 to 13.5 s)."""
+"""Share of the warm-up time in which a new host's capacity share grows to the full one (12 to 13.5 s)."""
 
 FEEDBACK_REPORT_WINDOWS = 1.5
-"""Report windows after which usage reports tell of the effect of a move."""
+"""Report windows after which usage reports show the effect of a move."""
 
 COLD_CACHE_FACTOR = 0.25
-"""Times the overload factor: the part of its share that a warming host takes where hosts cache keys."""
+"""Times the overload factor: the share of its capacity that a warming host is credited with where hosts cache keys."""
 
 PEAK_HALF_LIFE_REPORTS = 4.0
-"""Half-life of the count of answers by which the fleet's peak is found, in report intervals."""
+"""Half-life of the count of answers that determines the fleet's peak throughput, in report intervals."""
 
 REPORTS_PER_WINDOW = 4
-"""Where several controllers share the work, what is remembered of a host halves in this part of a report window."""
+"""Divisor of the report window that gives the half-life of a host's attempt counts with several controllers."""
 
 MAX_HEADROOM = 1.2
-"""Above the highest factor by which placement multiplies a weighted score (see `placement.HEADROOM_LIMIT`)."""
+"""Upper bound of the factor by which placement multiplies a weighted score (see `placement.HEADROOM_LIMIT`)."""
 
 
 class LoadEstimator:
-    """Makes the figures by which all decisions go until the next estimate.
+    """Computes the estimates on which all decisions are based until the next estimate.
 
-    It writes `FleetEstimate` and the estimates of each `Host`. Invariant: `peak_load_per_capacity` is the most that the
-    whole site was seen to answer, and infinite until reports of all slices have come.
+    It writes `FleetEstimate` and the estimates of each `Host`. Invariant: `peak_load_per_capacity` is the highest load
+    that the whole site was observed to answer, and infinite until reports for all slices have arrived.
     """
 
     def __init__(
@@ -51,15 +51,15 @@
         self.slices = demand.slices
         self.rendezvous = rendezvous
         self.fleet = fleet
-        self.decayed_at_ms = 0.0  # when counts last decayed
-        self.ownership_changed_at_ms = 0.0  # when the slices of this controller last changed
+        self.decayed_at_ms = 0.0  # time of the last decay of the counts
+        self.ownership_changed_at_ms = 0.0  # time of the last change of the slices that this controller owns
         self.peak_load_per_capacity = math.inf
 
     def capacity_of(self, host: Host) -> float:
-        """Listed weight by speed, reduced while the host warms up. Only its proportion to other hosts counts.
+        """Return the listed weight times the speed, reduced while the host warms up.
 
-        Speed counts half way (geometric mean) between the host's own and its kind's: few attempts and caches make hosts
-        of one kind look more different than they are.
+        It is meaningful only relative to other hosts. The speed is the geometric mean of the host's own and that of its
+        kind: small samples and caches make hosts of one kind look more different than they are.
         """
         settings = self.settings
         age_ms = self.host_health.publication.now_ms - host.process_started_at_ms
@@ -72,7 +72,7 @@
         return host.entry.weight * warm_share * cache_share / math.sqrt(kind_ms * (host.base_latency_ms or kind_ms))
 
     def update(self) -> None:
-        """Make all estimates anew, as of now."""
+        """Recompute all estimates for the current time."""
         hosts = self.host_health.hosts.values()
         self._update_typical_latencies()
         self._decay_counts()
@@ -100,10 +100,10 @@
         }
 
     def _decay_counts(self) -> None:
-        """Let counts decay by the time since the last estimate.
+        """Decay all counts by the time since the last estimate.
 
-        Where several controllers share the work, each hears of a host only a few times in a report window; counts last
-        longer there.
+        With several controllers, each receives only a few reports of a host in a report window, so counts of attempts
+        decay more slowly.
         """
         settings = self.settings
         health = self.host_health
@@ -119,9 +119,9 @@
             host.failures *= attempts_left
 
     def _update_loads(self) -> float:
-        """Each host's load, capacity and latency ratio; returns the sum of the slices' loads.
+        """Update each host's load, capacity and latency ratio, and return the total load of the slices.
 
-        A slice of which no report has come counts as the mean of the others.
+        A slice without any report is assumed to have the mean rate of the others. Loads are in requests per second.
         """
         known_rates = [slice_.requests_per_second for slice_ in self.slices.values() if slice_.rate_by_class]
         mean_rate = sum(known_rates) / len(known_rates) if known_rates else 1.0
@@ -140,7 +140,7 @@
         return total_load
 
     def _reset_estimates(self, host: Host) -> None:
-        """What is estimated of one host by itself; its load is summed up afterwards."""
+        """Reset the estimates of one host that do not depend on other hosts; its load is summed up afterwards."""
         now_ms = self.host_health.publication.now_ms
         host.load = 0.0
         host.is_eligible = False
@@ -154,10 +154,10 @@
             host.taking_since_ms = now_ms
 
     def _choose_eligible_hosts(self, present: list[Host]) -> list[Host]:
-        """Set which hosts may own slices. Returns the hosts that serve, among them those that were found failing."""
+        """Choose the hosts that may own slices, and return the serving hosts, which include failing ones."""
         now_ms = self.host_health.publication.now_ms
         fleet = self.fleet
-        # A new host, or one that failed, shows life before it counts: a list may name what does not exist.
+        # A new or failed host must prove that it is alive before it counts: lists may name hosts that do not exist.
         for host in present:
             is_silent = not host.is_listed and now_ms - host.alive_at_ms > fleet.report_window_ms
             if host.alive_at_ms <= host.failed_at_ms or is_silent:
@@ -169,13 +169,13 @@
         self._update_report_window(len(serving))
         fleet.eligible_hosts = [host for host in serving if now_ms - host.failed_at_ms > FAILURE_MEMORY_MS]
         if len(fleet.eligible_hosts) * 2 < len(present):
-            fleet.eligible_hosts = serving  # most fail at once: the path or the work is at fault, not the hosts
+            fleet.eligible_hosts = serving  # if most fail at once, the path or the requests are at fault, not the hosts
         fleet.median_latency_ratio = upper_median([host.latency_ratio for host in serving])
         fleet.overload_ratio = max(OVERLOAD_RATIO, OUTLIER_FACTOR * fleet.median_latency_ratio)
         return serving
 
     def _update_report_window(self, host_count: int) -> None:
-        """A report comes once an interval, or more seldom where the site cannot take in so many."""
+        """Set the report window: one interval, or longer if the site cannot receive that many reports per second."""
         settings = self.settings
         reports = host_count * settings.zone_count + len(self.slices) * len(settings.request_classes)
         window_ms = max(settings.report_interval_ms, reports * 1000.0 / settings.reports_per_second)
@@ -183,13 +183,16 @@
         self.fleet.feedback_delay_ms = FEEDBACK_REPORT_WINDOWS * window_ms + 2 * settings.propagation_ms
 
     def _update_fair_loads(self, serving: list[Host], total_load: float) -> None:
-        """Split the load by capacity. A warming host gets no more than the peak: what is asked would overload it."""
+        """Divide the load by capacity.
+
+        A warming host gets at most the peak load: with more requests than that, a full share would overload it.
+        """
         fleet = self.fleet
         capacity = sum(host.capacity for host in serving)
         owned_share = len(self.slices) / (self.settings.slice_count or 1)
         counts_per_second = math.log(2.0) * 1000.0 / (PEAK_HALF_LIFE_REPORTS * self.settings.report_interval_ms)
         self._update_peak(capacity, owned_share, counts_per_second)
-        # The peak is of the whole site: slices that this controller gains or loses change its part at once.
+        # The peak is that of the whole site: this controller's part follows its number of slices at once.
         peak = self.peak_load_per_capacity * owned_share if owned_share else math.inf
         fleet.answerable_share = peak * capacity / max(self.demand.recent_requests * counts_per_second, 0.001)
         fleet.load_per_capacity = total_load / capacity if capacity else 0.0
@@ -201,7 +204,7 @@
             )
 
     def _update_peak(self, capacity: float, owned_share: float, counts_per_second: float) -> None:
-        """Raise the peak to what is answered now, once reports of all slices of this controller have come."""
+        """Raise the peak to the current throughput, once reports for all slices of this controller have arrived."""
         since_change_ms = self.host_health.publication.now_ms - self.ownership_changed_at_ms
         settle_ms = 2 * PEAK_HALF_LIFE_REPORTS * self.settings.report_interval_ms
         if not capacity or not owned_share or since_change_ms <= max(settle_ms, self.fleet.report_window_ms):
@@ -211,7 +214,7 @@
         self.peak_load_per_capacity = max(known_peak, answered)
 
     def _update_healthy_hosts(self, total_load: float) -> None:
-        """Set which eligible hosts may be given more slices."""
+        """Determine which eligible hosts may take more slices."""
         mean_slice_load = total_load / (len(self.slices) or 1)
         is_shared = self.settings.controller_count > 1
         for host in self.fleet.eligible_hosts:
@@ -225,8 +228,8 @@
     def _round_to_whole_slices(self, host: Host, mean_slice_load: float) -> None:
         """Round the fair load of a warming host to whole slices.
 
-        At each of many controllers it is less than one slice, and all would leave the host idle. Each rounds with
-        another offset, so that the sum over all controllers is rounded once.
+        With many controllers it is less than one slice at each, and all of them would leave the host idle. Each rounds
+        with a different offset, so that the sum over all controllers is rounded only once.
         """
         count = self.settings.controller_count
         position = (zlib.crc32(b"%d" % host.id) + self.settings.controller_index) % count
@@ -235,7 +238,7 @@
         host.is_healthy = host.is_healthy and slices > 0
 
     def _prepare_placement(self) -> None:
-        """Figures that placement reads: what each healthy host may still be given, and the bound of weighted scores."""
+        """Compute what placement reads: the spare load of each healthy host, and the bound of weighted scores."""
         fleet = self.fleet
         spare_loads = [
             SpareLoad(MAX_UTILIZATION * host.fair_load - host.load if host.fair_load else math.inf, host)
--- a/corallanding/assignment/load_shedding.py
+++ b/corallanding/assignment/load_shedding.py
@@ -1,4 +1,4 @@
-"""Slices that leave overloaded hosts: moved to hosts with headroom, or shared with replicas."""
+"""Load shedding: moves slices off overloaded hosts to hosts with headroom, or shares them with replicas."""
 
 from __future__ import annotations
 
@@ -17,16 +17,19 @@
 from .state import FleetEstimate, Host, Slice
 
 SMALL_SAMPLE_ATTEMPTS = 4.0
-"""In a calm fleet of several controllers a host's latency ratio counts by its attempts over those and so many more."""
+"""Attempts added to a host's own when its latency ratio is discounted for a small sample.
+
+The ratio is multiplied by attempts / (attempts + this number), in a calm fleet with several controllers only.
+"""
 
 MIN_LATENCY_RATIO = 0.01
-"""Latency ratios below it are taken for it where they divide."""
+"""Lower bound of a latency ratio used as a divisor."""
 
 
 class SheddingPlan(NamedTuple):
-    """How far the load of a host is to come down in this decision.
+    """The load to which a host is to be reduced in this decision, in requests per second.
 
-    `latency_ratio` is the one to compare destinations with. `is_first` is false where a former shedding goes on.
+    Destinations are compared with `latency_ratio`. `is_first` is false if an earlier shedding continues.
     """
 
     target_load: float
@@ -35,7 +38,7 @@
 
 
 class LoadShedding:
-    """Takes load off overloaded hosts, down to their fair load, through gate and hold as any other move."""
+    """Reduces the load of overloaded hosts to their fair load, by moves with gate and hold (see `Placement`)."""
 
     def __init__(
         self, host_health: HostHealth, slices: dict[int, Slice], placement: Placement, fleet: FleetEstimate
@@ -45,14 +48,14 @@
         self.placement = placement
         self.fleet = fleet
         self.publication = host_health.publication
-        self.is_shared = host_health.settings.controller_count > 1  # several controllers share the work
+        self.is_shared = host_health.settings.controller_count > 1  # several controllers share the slices
 
-    # Hot slices of several controllers.
+    # Hot slices at sites with several controllers.
 
     def share_hot_slices(self) -> None:
-        """Share each slice that asks for more than a whole host, and overloads its own, with as many as it takes.
+        """Add as many replicas as needed to each slice that overloads its owner and exceeds the fair load of a host.
 
-        Only where several controllers share the work: reports come seldom there, and one replica at a time is too slow.
+        Only with several controllers: each receives few reports then, and adding one replica at a time is too slow.
         """
         if not self.is_shared:
             return
@@ -70,7 +73,7 @@
         return slice_.load_per_host > owner.capacity * self.fleet.site_load_per_capacity
 
     def _add_healthy_replica(self, slice_: Slice, owner: Host) -> bool:
-        """Share a slice with one more host; false if the best one is not known to stand it."""
+        """Add a replica to a slice; return false if the best host is not known to be able to bear the load."""
         load_per_host = slice_.requests_per_second / (2 + len(slice_.replicas))
         replica = self.placement.best_host(slice_, load_per_host, is_required=True)
         if replica is None or replica.is_warming_up or replica.latency_ratio * OUTLIER_FACTOR >= owner.latency_ratio:
@@ -86,8 +89,8 @@
     # Overloaded hosts.
 
     def shed_overloaded_hosts(self) -> None:
-        """Take slices off each overloaded host, the largest first, until it is down to its target."""
-        slices_by_host: dict[Host, dict[Slice, None]] = {}  # made once some host is to shed
+        """Remove slices from each overloaded host, the largest first, until its load is down to the target."""
+        slices_by_host: dict[Host, dict[Slice, None]] = {}  # filled once a host has to shed load
         for host in self.fleet.eligible_hosts:
             plan = self._plan(host)
             if plan.target_load >= host.load:
@@ -110,24 +113,27 @@
                     slices_by_host.setdefault(host, {})[slice_] = None
 
     def _plan(self, host: Host) -> SheddingPlan:
-        """By latency ratio, and by utilization if answers begin to be late. No load comes off where it is at target."""
+        """Derive the target load from the latency ratio, and from the utilization if the host shows signs of overload.
+
+        A target equal to the present load means that nothing is shed.
+        """
         fleet = self.fleet
         utilization = host.utilization()
         is_far_over = utilization > SHED_UTILIZATION
         if self.publication.now_ms - host.shed_at_ms <= fleet.feedback_delay_ms:
-            # The effect of the last shedding does not show yet. A host far over its fair load goes on to the target
-            # that it had: the gate held slices up.
+            # Reports do not show the effect of the last shedding yet. A host far over its fair load continues towards
+            # its previous target, as the gate delayed some slices.
             target_load = host.shed_target_load if is_far_over and self.is_shared else host.load
             return SheddingPlan(target_load, fleet.overload_ratio, is_first=False)
         ratio = self._cautious_latency_ratio(host)
         excess = utilization if is_far_over and ratio > CALM_RATIO else 1.0
-        kept_share = min(1.0, 1.0 / excess, fleet.overload_ratio / max(ratio, MIN_LATENCY_RATIO))
-        return SheddingPlan(host.load * kept_share, ratio, is_first=True)
+        retained_share = min(1.0, 1.0 / excess, fleet.overload_ratio / max(ratio, MIN_LATENCY_RATIO))
+        return SheddingPlan(host.load * retained_share, ratio, is_first=True)
 
     def _cautious_latency_ratio(self, host: Host) -> float:
-        """The latency ratio, less where few attempts may be chance.
+        """Return the latency ratio, discounted for small samples in a calm fleet.
 
-        Each of several controllers hears of only some attempts at a host.
+        With several controllers, each receives reports of only some of the attempts at a host.
         """
         is_calm = self.is_shared and self.fleet.median_latency_ratio < CALM_RATIO
         attempts = host.successes + host.failures
@@ -138,8 +144,8 @@
     def _shed_slice(
         self, slice_: Slice, host: Host, plan: SheddingPlan, slices_by_host: dict[Host, dict[Slice, None]]
     ) -> None:
-        """Move a slice off a host, or share it, if a host that is much better off may take it now."""
-        # A slice that alone fills much of a host is shared: moved, it would overload the next one.
+        """Move a slice off a host, or add a replica, if a host with a much lower latency ratio may take it now."""
+        # A slice that uses much of a host's capacity is shared; if moved, it would overload the next host.
         is_hot = slice_.load_per_host > HOT_SLICE_SHARE * host.capacity * self.fleet.load_per_capacity
         shared_load = slice_.requests_per_second / (2 + len(slice_.replicas))
         destination = self.placement.best_host(
@@ -147,11 +153,11 @@
         )
         if destination is None or destination.latency_ratio * OUTLIER_FACTOR >= plan.latency_ratio:
             return
-        if is_hot and not self._remains_better_off(host, destination, shared_load):
+        if is_hot and not self._remains_less_utilized(host, destination, shared_load):
             return
         if not self.placement.passes_gate(slice_, destination):
             return
-        if plan.is_first and not host.is_warming_up:  # of a warming host it is the time of its evacuation
+        if plan.is_first and not host.is_warming_up:  # for a warming host, `shed_at_ms` is the time of its evacuation
             host.shed_at_ms = self.publication.now_ms
             host.shed_target_load = plan.target_load
         if is_hot:
@@ -164,8 +170,8 @@
             slice_.replicas.remove(host)
         self.publication.write_table(slice_)
 
-    def _remains_better_off(self, host: Host, destination: Host, shared_load: float) -> bool:
-        """Whether sharing a slice leaves the destination clearly better off than the host that sheds it."""
+    def _remains_less_utilized(self, host: Host, destination: Host, shared_load: float) -> bool:
+        """Return whether the destination would still be clearly less utilized than the host that sheds the slice."""
         return (
             not destination.is_warming_up
             and destination.utilization(shared_load) * MAX_UTILIZATION <= host.utilization()
--- a/corallanding/assignment/migration.py
+++ b/corallanding/assignment/migration.py
@@ -1,4 +1,4 @@
-"""Ordinary moves: the end of holds, replicas that are no longer needed, and slices that another host wins."""
+"""Ordinary moves: ends holds, drops unneeded replicas, and moves slices to hosts with better scores."""
 
 from __future__ import annotations
 
@@ -9,14 +9,18 @@
 from .state import FleetEstimate, Host, Slice
 
 INCUMBENT_FACTOR = 8.0
-"""Times the number of slices: by so much the score of the present owner counts more than that of another host."""
+"""Times the number of slices: the factor by which the score of the present owner is favored over other hosts."""
 
 MAX_SCORES_PER_DECISION = 300_000
-"""Scores computed in one ordinary decision; in larger fleets the slices beyond them wait for a later one."""
+"""Maximum number of scores computed in one ordinary decision; in large fleets, other slices wait for a later one."""
 
 
 class Migration:
-    """Moves slices to hosts with better scores, through gate and hold, and ends the holds of earlier moves."""
+    """Moves slices to hosts with better scores, with gate and hold, and ends the holds of earlier moves.
+
+    The gate (`Placement.passes_gate`) delays a move until the destination is ready. The hold keeps the previous owner
+    in the table until all proxies have acknowledged the new one.
+    """
 
     def __init__(
         self, host_health: HostHealth, slices: dict[int, Slice], placement: Placement, fleet: FleetEstimate
@@ -29,7 +33,7 @@
         self.publication = host_health.publication
 
     def release_previous_owners(self) -> None:
-        """Take previous owners out of tables once every proxy has acknowledged the move, or the hold has ended."""
+        """Remove previous owners from tables once all proxies have acknowledged the move, or the hold has expired."""
         unacked = self.publication.pending_versions.unacked_versions()
         for slice_ in self.slices.values():
             if slice_.previous_owner and not self._is_held(slice_, unacked):
@@ -41,9 +45,10 @@
         return is_unacked and self.publication.now_ms < slice_.hold_ends_at_ms
 
     def move_to_better_hosts(self) -> None:
-        """Drop replicas that are no longer needed, and move slices that another host wins by score.
+        """Drop replicas that are no longer needed, and move slices to hosts with a better score.
 
-        New scores are counted, not looked up in the rankings: what was computed ahead must not change a decision.
+        The limit counts the scores that are new to a slice even if they are precomputed, so that precomputation does
+        not change a decision.
         """
         scores_left = MAX_SCORES_PER_DECISION
         host_count = len(self.rendezvous.hosts)
@@ -56,27 +61,27 @@
                 continue
             scores_left -= new_scores
             slice_.hosts_considered += new_scores
-            self._move_if_won(slice_, owner, incumbent_factor)
+            self._move_if_better(slice_, owner, incumbent_factor)
 
     def _drop_unneeded_replica(self, slice_: Slice, owner: Host) -> None:
-        """Drop the replica of the lowest score if the slice's load fits the other hosts of it."""
-        fits_below = HOT_SLICE_SHARE / 2 * owner.capacity * self.fleet.load_per_capacity
-        if slice_.requests_per_second / len(slice_.replicas) < fits_below:
+        """Drop the replica with the lowest score if the other hosts of the slice can bear its load."""
+        max_load_per_replica = HOT_SLICE_SHARE / 2 * owner.capacity * self.fleet.load_per_capacity
+        if slice_.requests_per_second / len(slice_.replicas) < max_load_per_replica:
             slice_.replicas.remove(min(slice_.replicas, key=lambda host: self.placement.score(slice_, host)))
             self.publication.write_table(slice_)
 
-    def _move_if_won(self, slice_: Slice, owner: Host, incumbent_factor: float) -> None:
-        """Move a slice to the best host if that wins against the present owner's preference, and passes the gate.
+    def _move_if_better(self, slice_: Slice, owner: Host, incumbent_factor: float) -> None:
+        """Move a slice to the best host if its score beats the favored score of the owner, and it passes the gate.
 
-        An owner far over its fair load is not preferred to a new host: what a fleet grew by would stand idle until the
-        old hosts are overloaded.
+        An owner far over its fair load is not favored over a new host. Otherwise hosts added to the fleet would remain
+        idle until the old hosts are overloaded.
         """
         incumbent_score = self.placement.score(slice_, owner)
         is_far_over = owner.utilization() > SHED_UTILIZATION
         min_score = incumbent_score * (min(incumbent_factor, 1.0) if is_far_over else incumbent_factor)
         scores = self.rendezvous.ranking(slice_.id).scores
         if not scores or scores[0] * self.fleet.max_score_factor <= min_score:
-            return  # nearly always: no host could win
+            return  # the usual case: no host can beat the owner
         destination = self.placement.best_host(slice_, slice_.load_per_host, min_score=min_score)
         if destination is None:
             return
--- a/corallanding/assignment/placement.py
+++ b/corallanding/assignment/placement.py
@@ -1,4 +1,4 @@
-"""Which host takes a slice, and whether it may yet: rendezvous among the hosts with headroom, and the gate."""
+"""Placement: chooses the host for a slice by rendezvous hashing among hosts with headroom, and gates moves."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 from .state import FleetEstimate, Host, Slice
 
 MAX_HOLD_MS = 5_000.0
-"""How long the previous owner stays in the table at most while acknowledgements are out."""
+"""Maximum time for which the previous owner stays in the table while acknowledgements are outstanding."""
 
 HEADROOM_LIMIT = MAX_UTILIZATION * 1.05
-"""A weighted score is multiplied by this less the utilization, so that headroom counts."""
+"""A weighted score is multiplied by this limit minus the utilization, to prefer hosts with more headroom."""
 
 SPARE_LOAD_TOLERANCE = 1.0 - 1e-9
-"""Spare loads are compared with a little less than the load asked for: rounding must not leave a host out."""
+"""Spare loads are compared with slightly less than the added load, so that rounding does not exclude a host."""
 
 
-class Scored(NamedTuple):
-    """A host, none yet, and its weighted score times its headroom."""
+class ScoredHost(NamedTuple):
+    """A host, or None, and its weighted score times its headroom."""
 
     host: Host | None
     value: float
 
 
 class Placement:
-    """Chooses hosts for slices and writes owners and replicas.
+    """Chooses hosts for slices, and sets owners and replicas.
 
-    Invariant: each change of an owner or replica moves the slice's load between the hosts at once, so that later
-    choices of the same decision see it.
+    Invariant: each change of an owner or replica updates the loads of the hosts immediately, so that later choices in
+    the same decision take it into account.
     """
 
     def __init__(self, host_health: HostHealth, rendezvous: RendezvousTable[Host], fleet: FleetEstimate) -> None:
@@ -43,19 +43,20 @@
         self.publication = host_health.publication
 
     def score(self, slice_: Slice, host: Host) -> float:
-        """The weighted rendezvous score of a host for a slice."""
+        """Return the weighted rendezvous score of a host for a slice."""
         return host.entry.weight * host.score(slice_.id)
 
     def best_host(
         self, slice_: Slice, added_load: float, *, is_required: bool = False, min_score: float = 0.0
     ) -> Host | None:
-        """The host with the highest weighted score times headroom among the healthy ones that can bear `added_load`.
+        """Return the healthy host with the highest weighted score times headroom that can bear `added_load`.
 
-        If there is none: the least utilized host that is not warming up if `is_required`, otherwise none. The caller
-        promises to do nothing with a host whose score is not above `min_score`; such a host may be missed.
+        If there is none, return the least utilized host, preferably one that is not warming up, if `is_required`, and
+        None otherwise. The caller must ignore a host whose score is not above `min_score`: a better one of that kind
+        may have been missed. `added_load` is in requests per second.
         """
         excluded = (slice_.owner, *slice_.replicas)
-        # A slice with replicas of which no report has come is in high demand: not for a warming host.
+        # A slice with replicas and no report yet is assumed to be in high demand, and not given to a warming host.
         max_taken = MAX_SLICES_PER_WINDOW if slice_.rate_by_class or not slice_.replicas else 0
         max_score_factor = self.fleet.max_score_factor
         best: Host | None = None
@@ -63,32 +64,40 @@
         scores, hosts = self.rendezvous.ranking(slice_.id)
         for score, host in zip(scores, hosts, strict=True):
             if score * max_score_factor <= best_value:
-                return best  # no host further down can win
-            if host.is_healthy and host not in excluded and (used := host.utilization(added_load)) <= MAX_UTILIZATION:
-                value = host.entry.weight * score * (HEADROOM_LIMIT - used)
+                return best  # no host with a lower score can win
+            if (
+                host.is_healthy
+                and host not in excluded
+                and (utilization := host.utilization(added_load)) <= MAX_UTILIZATION
+            ):
+                value = host.entry.weight * score * (HEADROOM_LIMIT - utilization)
                 if value > best_value and self.may_take_slice(host, max_taken):
                     best = host
                     best_value = value
         max_score_beyond = scores[-1] * max_score_factor if scores and not self.rendezvous.is_complete else 0.0
         if max_score_beyond > min_score or (max_score_beyond and best and self.score(slice_, best) > min_score):
-            best = self._best_of_all(slice_, added_load, max_taken, Scored(best, best_value))
+            best = self._best_of_all(slice_, added_load, max_taken, ScoredHost(best, best_value))
         if best or not is_required:
             return best
         return self._least_utilized(excluded, added_load)
 
-    def _best_of_all(self, slice_: Slice, added_load: float, max_taken: int, best: Scored) -> Host | None:
-        """Compare the best of the ranking with every host that may have headroom, wherever it ranks."""
+    def _best_of_all(self, slice_: Slice, added_load: float, max_taken: int, best: ScoredHost) -> Host | None:
+        """Return the best host among `best` and all hosts that may have headroom, inside the ranking or not."""
         excluded = (slice_.owner, *slice_.replicas)
         spare_loads = self.fleet.spare_loads
         first = bisect_left(spare_loads, added_load * SPARE_LOAD_TOLERANCE, key=lambda spare: spare[0])
-        # Hosts that had headroom at the estimate, and those whose load has changed since.
+        # Hosts that had headroom at the last estimate, and those whose load has changed since then.
         for host in (*(host for _, host in spare_loads[first:]), *self.fleet.hosts_with_changed_load):
-            if not host.is_healthy or host in excluded or (used := host.utilization(added_load)) > MAX_UTILIZATION:
+            if (
+                not host.is_healthy
+                or host in excluded
+                or (utilization := host.utilization(added_load)) > MAX_UTILIZATION
+            ):
                 continue
             if self.may_take_slice(host, max_taken):
-                value = host.entry.weight * rendezvous_score(slice_.id, host.id) * (HEADROOM_LIMIT - used)
+                value = host.entry.weight * rendezvous_score(slice_.id, host.id) * (HEADROOM_LIMIT - utilization)
                 if value > best.value:
-                    best = Scored(host, value)
+                    best = ScoredHost(host, value)
         return best.host
 
     def _least_utilized(self, excluded: tuple[Host | None, ...], added_load: float) -> Host | None:
@@ -97,16 +106,16 @@
         return min(others, key=lambda host: host.utilization(added_load)) if others else None
 
     def may_take_slice(self, host: Host, max_taken: int) -> bool:
-        """Whether a host may be given a slice; a warming one up to `max_taken` in a window, by the quota."""
+        """Return whether a host may take a slice; a warming one takes at most `max_taken` per window, by quota."""
         if not host.is_warming_up:
             return True
         return host.slices_taken < max_taken and self.publication.may_begin(QuotaKind.WARM_UP_SLICES, host.id, False)
 
     def passes_gate(self, slice_: Slice, destination: Host) -> bool:
-        """Whether a slice may move off a live owner now.
+        """Return whether a slice may move off a usable owner now.
 
-        The destination has answered attempts within the last report windows and failed none since; or it was the
-        candidate for a report interval without becoming suspect.
+        The destination must have answered attempts within the last two report windows without a failure since, or have
+        been the candidate for a report interval without becoming suspect. The quota must allow the move, and counts it.
         """
         settings = self.settings
         now_ms = self.publication.now_ms
@@ -125,7 +134,7 @@
         return self.publication.may_begin(QuotaKind.MOVES, 0, True)
 
     def assign_owner(self, slice_: Slice, host: Host, *, holds_previous: bool) -> None:
-        """Make a host the owner. The old one leaves the table, or stays until the new version is acknowledged."""
+        """Make a host the owner. The previous one leaves the table, or stays until the new version is acknowledged."""
         if slice_.owner:
             self.shift_load(slice_.owner, -slice_.load_per_host)
         self.shift_load(host, slice_.load_per_host)
@@ -138,9 +147,9 @@
         slice_.hold_ends_at_ms = self.publication.now_ms + MAX_HOLD_MS
         self.publication.write_table(slice_)
 
-    def add_replica(self, slice_: Slice, host: Host, relieved: tuple[Host | None, ...], load_per_host: float) -> None:
-        """Share a slice with one more host; the hosts in `relieved` then have `load_per_host` of it each."""
-        for other in relieved:
+    def add_replica(self, slice_: Slice, host: Host, sharing: tuple[Host | None, ...], load_per_host: float) -> None:
+        """Add a replica to a slice; each host in `sharing` then has `load_per_host` requests per second of it."""
+        for other in sharing:
             if other:
                 self.shift_load(other, load_per_host - slice_.load_per_host)
         self.shift_load(host, load_per_host)
@@ -148,7 +157,7 @@
         slice_.replicas.append(host)
 
     def shift_load(self, host: Host, load: float) -> None:
-        """Add to the load of a host, in requests per second."""
+        """Add `load` to the load of a host, in requests per second."""
         host.load += load
         self.fleet.hosts_with_changed_load[host] = None
 
--- a/corallanding/assignment/publication.py
+++ b/corallanding/assignment/publication.py
@@ -1,4 +1,4 @@
-"""The actions of one step, and how many table entries proxies and channel can still take."""
+"""Collects the actions of one step, and tracks how many more lines the channel to the proxies can take."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 """Timer of ordinary decisions."""
 
 HOST_LIST_TIMER = 1
-"""Timer after which a failed poll of the host list is repeated."""
+"""Timer of the next poll of the host list after a failed one."""
 
 ORDINARY_MESSAGE_SHARE = 0.7
-"""Share of the message limit that ordinary decisions may use; the rest is for dead and draining hosts."""
+"""Share of the message limit that ordinary decisions may use; the rest is reserved for failed and draining hosts."""
 
 URGENT_QUEUE_SHARE = 0.9
 """Share of the queue limit, message overheads included, that evacuations may fill."""
@@ -25,35 +25,38 @@
 """Share of the queue limit that ordinary decisions may fill."""
 
 CLOSING_LINES = 2
-"""Lines reserved in each message beside its table entries: the admission level and the version."""
+"""Lines reserved in each message in addition to its table entries: the admission level and the version."""
 
 
 class QuotaKind(StrEnum):
-    """What all controllers together may do only so often, by the names of the settings (`docs/budgets.md`)."""
+    """Kinds of changes that a quota shared by all controllers limits, by their setting names (`docs/budgets.md`)."""
 
     EVACUATIONS = "emptied"  # hosts found failing
-    WARM_UP_SLICES = "cold_slices"  # slices that a warming host is given
-    MOVES = "moves"  # slices that move off a live owner
+    WARM_UP_SLICES = "cold_slices"  # slices assigned to a warming host
+    MOVES = "moves"  # slices that move off a usable owner
 
 
 class QuotaCheck(Protocol):
-    """Whether one more of a kind may begin at a host (0 for the fleet); with `begins_now` it does, and counts."""
+    """Checks whether one more change of a kind may begin at a host (0 for the fleet).
+
+    With `begins_now` an allowed change is also counted as begun.
+    """
 
     def __call__(self, kind: str, host: int, begins_now: bool, /) -> bool:
-        """Whether the quota allows one more."""
+        """Return whether the quota allows one more change."""
 
 
 def without_quota(_kind: str, _host: int, _begins_now: bool, /) -> bool:
-    """The check where no quota is configured: everything may begin."""
+    """Allow every change: the check that is used if no quota is configured."""
     return True
 
 
 class Publication:
-    """The actions of the present step and what they cost.
+    """The actions of the current step and their cost.
 
-    The other parts append actions to `actions`, and add to `lines_published` what goes to proxies. Tables are written
-    here alone, so that `Slice.weights` always is what proxies were told. `line_budget` is the number of lines that may
-    still go out in this step; it is negative where the queue is too full already.
+    Other components append to `actions`, and add the lines that are sent to proxies to `lines_published`. Only this
+    class writes tables, so that `Slice.weights` always matches what was published. `line_budget` is the number of lines
+    that may still be sent in this step; it is negative if the queue is already too full.
     """
 
     def __init__(self, settings: api.Settings) -> None:
@@ -67,12 +70,12 @@
         self.may_begin: QuotaCheck = without_quota
 
     def begin_step(self, now_ms: float) -> None:
-        """Start with no actions."""
+        """Start a step at `now_ms` without any actions."""
         self.now_ms = now_ms
         self.actions = []
 
     def may_publish(self, *, is_urgent: bool) -> bool:
-        """Whether a message may go out now; sets `line_budget` unless the message limit is reached."""
+        """Return whether a message may be sent now; set `line_budget` unless the message limit is reached."""
         settings = self.settings
         message_limit = settings.max_messages - 1 if is_urgent else int(settings.max_messages * ORDINARY_MESSAGE_SHARE)
         messages = self.pending_versions.messages_since(self.now_ms - settings.message_window_ms - 1.0)
@@ -85,10 +88,10 @@
         return self.line_budget > settings.message_overhead_lines
 
     def write_table(self, slice_: Slice, *, removes_cordoned: bool = False) -> None:
-        """Publish how the table of a slice differs from its owner, replicas and previous owner.
+        """Publish the changes that make the table of a slice match its owner, replicas and previous owner.
 
-        New entries go before removed ones. Entries of cordoned hosts stay unless `removes_cordoned`. A difference that
-        exceeds the budget is left to a later step.
+        Entries are added before others are removed. Entries of cordoned hosts are kept unless `removes_cordoned`.
+        Changes that exceed the line budget are postponed to a later step.
         """
         if (
             self.line_budget >= 0
@@ -115,14 +118,14 @@
         slice_.weights = dict.fromkeys([host for host in (*slice_.weights, *added) if host not in removed], 1.0)
 
     def set_cordon(self, host: Host, *, is_cordoned: bool) -> None:
-        """Cordon a host, or lift its cordon: one line."""
+        """Cordon or uncordon a host, which takes one line."""
         host.is_cordoned = is_cordoned
         self.lines_published += 1
         self.line_budget -= 1
         self.actions.append(api.Cordon(host.id, is_cordoned))
 
     def close_message(self) -> None:
-        """Close the message of this step, if proxies are told anything, by a version."""
+        """Close the message of this step with a version, if it has any lines."""
         if self.lines_published:
             cost_lines = self.settings.message_overhead_lines + self.lines_published + CLOSING_LINES
             self.actions.append(self.pending_versions.publish(self.now_ms, cost_lines))
--- a/corallanding/channel/__init__.py
+++ b/corallanding/channel/__init__.py
@@ -1,4 +1,4 @@
-"""The paced, bounded queue of messages from a controller to its proxies."""
+"""The rate-limited, bounded queue of messages from a controller to its proxies."""
 
 from .channel import Channel
 from .limits import ChannelLimits, QueueFullError
--- a/corallanding/channel/channel.py
+++ b/corallanding/channel/channel.py
@@ -1,8 +1,8 @@
-"""The channel: messages wait here until the rate lets them go, urgent ones first. Pure.
+"""The channel: queues messages for proxies and releases them at a limited rate, urgent ones first. It does no I/O.
 
-Times are milliseconds. A message costs its lines and an overhead at each proxy. The lines that wait, overheads
-included, never exceed `ChannelLimits.max_queued_lines`; a proxy gets at most `max_messages` in a window, counted from
-its joining. A proxy whose socket is blocked may fill no more than its share of the queue.
+Times are in milliseconds. A message costs its lines and an overhead at each proxy. The queued lines, overheads
+included, never exceed `ChannelLimits.max_queued_lines`. A proxy receives at most `max_messages` per window, counted
+since it joined. A proxy whose socket is blocked may use no more than its share of the queue.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 from .proxy_queue import Message, ProxyQueue
 
 MAX_CATCH_UP_MS = 50.0
-"""A channel that was idle sends at once; one that is called late catches up by at most this time."""
+"""Maximum time by which a channel that is called late catches up. A channel that was idle sends immediately."""
 
 
 class Channel:
     """Queues messages for each joined proxy, and releases them at the configured rate.
 
-    schedules: one entry for each message that waits, urgent ones and ordinary ones: the queue that sends next.
-    delayed_queues: held back by the bound on messages, as a heap by the time at which they may send. writable_queues:
-    their sockets accept data again. free_at_ms: when the next message may be released.
+    schedules: for urgent and for ordinary messages, the queues in sending order, with one entry for each message.
+    delayed_queues: queues that reached the message limit, as a heap by the time at which they may send again.
+    writable_queues: queues whose sockets accept data again. free_at_ms: time at which the next message may be released.
     """
 
     def __init__(self, limits: ChannelLimits) -> None:
@@ -35,20 +35,20 @@
         self.delayed_queues: list[tuple[float, int, ProxyQueue]] = []
         self.writable_queues: deque[ProxyQueue] = deque()
         self.queued_lines = 0.0
-        self.max_queued_lines = 0.0  # the most that ever waited
+        self.max_queued_lines = 0.0  # highest value of `queued_lines` so far
         self.free_at_ms = 0.0
         self.lines_sent = 0
         self.messages_sent = 0
         self.messages_overtaken = 0
-        self._delay_count = 0  # orders entries of `delayed_queues` that are due at the same time
+        self._delay_count = 0  # breaks ties between entries of `delayed_queues` that are due at the same time
 
     def join(self, proxy: int) -> None:
-        """Begin a queue for the proxy. What waited for its former link is dropped."""
+        """Create a queue for the proxy. Messages queued for its previous connection are dropped."""
         self.leave(proxy)
         self.queues[proxy] = ProxyQueue(proxy)
 
     def leave(self, proxy: int) -> None:
-        """Drop the proxy's queue; its entries in `schedules` are skipped when they come up."""
+        """Remove the proxy's queue; its entries in `schedules` are skipped later."""
         queue = self.queues.pop(proxy, None)
         if queue is None:
             return
@@ -56,14 +56,14 @@
         for message in (*queue.urgent, *queue.ordinary):
             message.queue_count -= 1
         if not self.queues:
-            self.queued_lines = 0.0  # do not accumulate rounding errors
+            self.queued_lines = 0.0  # prevents the accumulation of rounding errors
 
     def cost(self, message: Message) -> float:
-        """What the message costs at each proxy, in lines."""
+        """Return the cost of the message at each proxy, in lines."""
         return self.limits.message_overhead_lines + message.cost_lines
 
     def set_blocked(self, proxy: int, *, is_blocked: bool) -> None:
-        """Note that the proxy's socket accepts no more data, or accepts it again (call `take_due` then)."""
+        """Record that the proxy's socket is blocked, or accepts data again (then call `take_due`)."""
         queue = self.queues.get(proxy)
         if queue is None or queue.is_blocked == is_blocked:
             return
@@ -71,45 +71,44 @@
         if not is_blocked and queue.released:
             self.writable_queues.append(queue)
 
-    # ---- in --------------------------------------------------------------------------------------------
+    # Queueing.
 
     def submit(self, message: Message, proxies: Iterable[int], *, is_urgent: bool = False) -> None:
-        """Queue a message for each of the proxies that is joined; an urgent one overtakes those that wait.
+        """Queue a message for each of the proxies that has joined; an urgent one overtakes queued messages if possible.
 
-        Raises `QueueFullError` with the proxies for which there is no room; for the others it is queued. That guards
-        against an assigner that overruns the queue (it keeps within it by itself), and against a blocked socket that
-        fills it.
+        Raises `QueueFullError` with the proxies whose queues lack capacity; for the others the message is queued. This
+        guards against an assigner that exceeds its line budget, and against a blocked socket that fills the queue.
         """
         if not is_overtakable(message.orders):
             message.orders = None
         queues = [queue for proxy in proxies if (queue := self.queues.get(proxy))]
-        occupied = [queue for queue in queues if queue.ordinary]
-        ahead = self._overtake(message, occupied) if is_urgent else None
-        behind = set(occupied)
-        full = []
+        nonempty_queues = [queue for queue in queues if queue.ordinary]
+        merged = self._overtake(message, nonempty_queues) if is_urgent else None
+        overtaken_queues = set(nonempty_queues)
+        rejecting_proxies = []
         for queue in queues:
-            has_waiting = queue in behind
-            queued = ahead if ahead and has_waiting else message
-            goes_first = is_urgent and (ahead is not None or not has_waiting)
-            if not self._enqueue(queue, queued, is_urgent=goes_first):
-                full.append(queue.proxy)
+            has_ordinary = queue in overtaken_queues
+            queued = merged if merged and has_ordinary else message
+            is_sent_first = is_urgent and (merged is not None or not has_ordinary)
+            if not self._enqueue(queue, queued, is_urgent=is_sent_first):
+                rejecting_proxies.append(queue.proxy)
         self.max_queued_lines = max(self.max_queued_lines, self.queued_lines)
-        if full:
-            raise QueueFullError(full)
+        if rejecting_proxies:
+            raise QueueFullError(rejecting_proxies)
 
     def _overtake(self, message: Message, queues: list[ProxyQueue]) -> Message | None:
-        ahead = overtake(message, queues)
-        if ahead is None:
+        merged = overtake(message, queues)
+        if merged is None:
             return None
         for queue in queues:
-            lines = sum(self.cost(waiter) for waiter in (*queue.urgent, *queue.ordinary))
+            lines = sum(self.cost(queued) for queued in (*queue.urgent, *queue.ordinary))
             self.queued_lines += lines - queue.queued_lines
             queue.queued_lines = lines
         self.messages_overtaken += len(queues)
-        return ahead
+        return merged
 
     def _enqueue(self, queue: ProxyQueue, message: Message, *, is_urgent: bool) -> bool:
-        """Add the message to the queue; false if there is no room."""
+        """Add the message to the queue; return false if capacity is lacking."""
         cost = self.cost(message)
         share = self.limits.max_queued_lines / max(1, len(self.queues))
         exceeds_share = queue.is_blocked and queue.message_count and queue.queued_lines + cost > share
@@ -123,12 +122,12 @@
         self.queued_lines += cost
         return True
 
-    # ---- out -------------------------------------------------------------------------------------------
+    # Sending.
 
     def take_due(self, now: float) -> list[tuple[int, Message]]:
-        """Return proxy and message of all that leave by `now`, in order.
+        """Return the proxy and the message of each message that is due at `now`, in sending order.
 
-        Call again at `next_due_at`, and when a socket accepts data again.
+        Call it again at `next_due_at`, and when a socket accepts data again.
         """
         due: list[tuple[int, Message]] = []
         while self.delayed_queues and self.delayed_queues[0][0] <= now:
@@ -141,7 +140,7 @@
         while self.free_at_ms <= now and (urgent_schedule or ordinary_schedule):
             queue = (urgent_schedule or ordinary_schedule).popleft()
             if self.queues.get(queue.proxy) is not queue or queue.released >= queue.message_count:
-                continue  # for a link that is gone, or a message that an urgent one left nothing of
+                continue  # the proxy has left, or an urgent message took over all lines of this one
             cost = self.cost((*queue.urgent, *queue.ordinary)[queue.released])
             self.free_at_ms = max(self.free_at_ms, now - MAX_CATCH_UP_MS) + cost * 1000.0 / self.limits.lines_per_second
             queue.released += 1
@@ -149,11 +148,11 @@
         return due
 
     def _flush(self, queue: ProxyQueue, now: float, due: list[tuple[int, Message]]) -> None:
-        """Send the released messages, urgent ones first, unless the bound on messages or the socket holds them back."""
+        """Append the released messages to `due`, urgent ones first, unless message limit or socket prevent it."""
         if self.queues.get(queue.proxy) is not queue:
             return
         queue.released = min(queue.released, queue.message_count)
-        while queue.released and not queue.is_blocked and not self._is_at_message_bound(queue, now):
+        while queue.released and not queue.is_blocked and not self._is_at_message_limit(queue, now):
             message = (queue.urgent or queue.ordinary).popleft()
             queue.released -= 1
             message.queue_count -= 1
@@ -171,7 +170,7 @@
             may_send_at_ms = queue.sent_at_ms[0] + self.limits.message_window_ms
             heapq.heappush(self.delayed_queues, (may_send_at_ms, self._delay_count, queue))
 
-    def _is_at_message_bound(self, queue: ProxyQueue, now: float) -> bool:
+    def _is_at_message_limit(self, queue: ProxyQueue, now: float) -> bool:
         if not self.limits.max_messages:
             return False
         while queue.sent_at_ms and queue.sent_at_ms[0] <= now - self.limits.message_window_ms:
@@ -179,7 +178,7 @@
         return len(queue.sent_at_ms) >= self.limits.max_messages
 
     def next_due_at(self, now: float) -> float | None:
-        """When `take_due` may return something; None while nothing waits except for sockets."""
+        """Return the time at which `take_due` may return messages; None if none are queued or all wait for sockets."""
         times = []
         if any(self.schedules):
             times.append(max(now, self.free_at_ms))
--- a/corallanding/channel/limits.py
+++ b/corallanding/channel/limits.py
@@ -8,19 +8,19 @@
 
 
 class QueueFullError(CapacityError):
-    """A message does not fit for the proxies named: their links must be closed, and they read the tables again."""
+    """A message does not fit into the queues of `proxies`; close their connections, so that they reload all tables."""
 
     def __init__(self, proxies: list[int]) -> None:
-        super().__init__(f"no room in the channel for {len(proxies)} proxies")
+        super().__init__(f"channel queue is full for {len(proxies)} proxies")
         self.proxies = proxies
 
 
 @dataclass(frozen=True)
 class ChannelLimits:
-    """Rate and bounds of the channel, counted in lines.
+    """Rate and limits of the channel, in lines.
 
-    message_overhead_lines: what each message costs besides its own lines. max_messages: to one proxy within
-    `message_window_ms`; 0 is no bound.
+    message_overhead_lines: cost of each message in addition to its own lines. max_messages: maximum number of messages
+    to one proxy within `message_window_ms`; 0 for no limit.
     """
 
     lines_per_second: float
--- a/corallanding/channel/merge.py
+++ b/corallanding/channel/merge.py
@@ -1,8 +1,8 @@
-"""Merges an urgent order with what it must take along when it overtakes orders that still wait. Pure.
+"""Merges urgent orders with the parts of queued orders that must be applied together with them. It does no I/O.
 
-The orders for one proxy are changes that build on one another. One that is applied early must leave every table as if
-it had been applied in its turn, and no table may be without a host in between. It therefore takes along what the
-waiting orders say of the tables that it touches, and they lose it.
+The orders for one proxy are incremental changes. Orders that overtake others must leave every table as if they had been
+applied in sequence, and no table may be without a host in between. All changes of the tables that the urgent orders
+touch are therefore moved from the queued orders to the urgent ones.
 """
 
 from __future__ import annotations
@@ -15,55 +15,55 @@
 from ..wire.frames import Orders
 
 Line = tuple[int, int]
-"""Table and host of a line."""
+"""Table and host of a table entry."""
 
 
 class Merged(NamedTuple):
     """Result of `merge_ahead`.
 
-    ahead: the urgent order with what it takes along. remaining: what is left of each waiting order, oldest first; None
-    where nothing is.
+    urgent: the urgent orders with the changes taken from queued ones. remaining: the rest of each of the queued orders,
+    oldest first; None if nothing remains.
     """
 
-    ahead: Orders
+    urgent: Orders
     remaining: list[Orders | None]
 
 
 def is_overtakable(orders: Orders | None) -> bool:
-    """Whether an order may overtake others or be overtaken.
+    """Return whether orders may overtake others or be overtaken.
 
-    That holds for lines, levels, cordons and addresses. Orders that reset tables, withdraw slices or assign tables to
-    proxies keep their place.
+    Lines, levels, cordons and addresses may. Orders that reset tables, withdraw slices or assign tables to proxies keep
+    their position.
     """
     return orders is not None and not (orders.reset_tables or orders.assigned_tables or orders.withdrawn_slices)
 
 
 def cost_lines(orders: Orders) -> int:
-    """What an order costs in the channel: its lines, with one for the version to acknowledge."""
+    """Return the cost of orders in the channel, in lines, with one line for a version to acknowledge."""
     emptied = len(orders.reset_tables) + len(orders.withdrawn_slices)
     changed = len(orders.lines) + len(orders.levels) + len(orders.cordons) + len(orders.assigned_tables)
     return emptied + changed + (orders.version >= 0)
 
 
 def merge_ahead(urgent: Orders, waiting: Sequence[Orders], base_seq: int) -> Merged:
-    """Take along with the urgent order what it needs of the waiting ones.
+    """Move the changes that the urgent orders depend on from the queued (`waiting`) orders to the urgent ones.
 
-    waiting: at least one, oldest first. The last of those that remain carries the version of the urgent one, so that
-    its acknowledgement says that all are applied; if none remains, the urgent one keeps it. The sequence numbers that a
-    proxy receives never decrease: they start at `base_seq`, the highest number that comes next at one of the proxies
-    (one that joined lately waits for the newer orders only).
+    `waiting` has at least one element, oldest first. The last of the remaining orders carries the version of the urgent
+    ones, so that its acknowledgement confirms that all are applied; if none remain, the urgent orders keep it. The
+    sequence numbers that a proxy receives must never decrease. They start at `base_seq`, the highest of the sequence
+    numbers that the proxies receive next, as a proxy that joined recently has only the newer orders queued.
     """
     cordons = {host: is_cordoned for orders in waiting for host, is_cordoned in orders.cordons}
     cordons.update(urgent.cordons)
-    lines = _lines_to_take(urgent, waiting, takes_all_tables=any(cordons.values()))
+    lines = _lines_to_take(urgent, waiting, includes_all_tables=any(cordons.values()))
     addresses = _addresses_to_take(urgent, waiting, {host for _, host in lines})
     lines.update({(table, host): weight for table, host, weight in urgent.lines})
     remaining = _remaining(urgent, waiting, lines, addresses)
     last = _keep_newest(waiting[-1], remaining)
     base_seqs = [base_seq, *(max(base_seq, orders.seq) for orders in waiting[1:])]
     rows = [(table, host, weight) for (table, host), weight in lines.items()]
-    rows.sort(key=lambda row: row[2] <= 0)  # new lines first, so that no table is empty in between
-    ahead = msgspec.structs.replace(
+    rows.sort(key=lambda row: row[2] <= 0)  # add before removing, so that no table is empty in between
+    merged = msgspec.structs.replace(
         urgent,
         seq=base_seqs[0] if last else urgent.seq,
         version=-1 if last else urgent.version,
@@ -71,28 +71,29 @@
         cordons=list(cordons.items()),
         addresses=addresses,
     )
-    return Merged(ahead, _renumbered(remaining, [*base_seqs[1:], urgent.seq], urgent, last))
+    return Merged(merged, _renumbered(remaining, [*base_seqs[1:], urgent.seq], urgent, last))
 
 
-def _lines_to_take(urgent: Orders, waiting: Sequence[Orders], *, takes_all_tables: bool) -> dict[Line, float]:
-    """Lines of waiting orders in the tables that the urgent one touches.
+def _lines_to_take(urgent: Orders, waiting: Sequence[Orders], *, includes_all_tables: bool) -> dict[Line, float]:
+    """Return the lines of waiting orders in the tables that the urgent orders touch.
 
-    A cordon shuts a host out of every table at once, and any waiting line may hold the next host of a table: with a
-    cordon all lines are taken.
+    All lines are taken if a host is cordoned: that excludes the host from every table at once, and any waiting line may
+    add its replacement.
     """
     tables = {table for table, _, _ in urgent.lines}
     return {
         (table, host): weight
         for orders in waiting
         for table, host, weight in orders.lines
-        if takes_all_tables or table in tables
+        if includes_all_tables or table in tables
     }
 
 
 def _addresses_to_take(urgent: Orders, waiting: Sequence[Orders], hosts: set[int]) -> dict[int, str]:
-    """The newest addresses of hosts whose lines are taken, and those of the urgent order.
+    """Return the newest addresses of hosts whose lines are taken, and the addresses in the urgent orders.
 
-    They leave every waiting order: a proxy that joined after some of these must not get an address older than its own.
+    They are removed from all waiting orders: a proxy that joined after some of these must not receive an address older
+    than the one it has.
     """
     addresses = {host: address for orders in waiting for host, address in orders.addresses.items() if host in hosts}
     addresses.update(urgent.addresses)
@@ -102,7 +103,7 @@
 def _remaining(
     urgent: Orders, waiting: Sequence[Orders], lines: dict[Line, float], addresses: dict[int, str]
 ) -> list[Orders | None]:
-    """What is left of each waiting order without `lines`, `addresses`, cordons and the levels that `urgent` sets."""
+    """Return the waiting orders without `lines`, `addresses`, cordons and the levels that `urgent` sets."""
     levels = {(table, request_classes) for table, request_classes, _, _ in urgent.levels}
     remaining: list[Orders | None] = []
     for orders in waiting:
@@ -119,7 +120,10 @@
 
 
 def _keep_newest(newest: Orders, remaining: list[Orders | None]) -> Orders | None:
-    """Keep the newest order if any remains, even empty, to carry the version: it waits wherever one of them does."""
+    """Keep the newest orders, even if empty, to carry the version if any remain: they are queued wherever others are.
+
+    Return the orders that carry the version, or None.
+    """
     if not any(remaining):
         return None
     carrier = remaining[-1] or msgspec.structs.replace(newest, lines=[], levels=[], cordons=[], addresses={})
@@ -130,7 +134,7 @@
 def _renumbered(
     remaining: list[Orders | None], seqs: list[int], urgent: Orders, last: Orders | None
 ) -> list[Orders | None]:
-    """The remaining orders with new sequence numbers; the last one with the version of the urgent order."""
+    """Return the remaining orders with new sequence numbers, and with the version of `urgent` in `last`."""
     renumbered: list[Orders | None] = []
     for orders, seq in zip(remaining, seqs, strict=True):
         if orders is None:
--- a/corallanding/channel/proxy_queue.py
+++ b/corallanding/channel/proxy_queue.py
@@ -1,4 +1,4 @@
-"""Messages that wait in the channel, and the queue of one proxy."""
+"""Messages in the channel, and the queue of one proxy."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @dataclass(eq=False)
 class Message:
-    """One frame for all proxies concerned, encoded once.
+    """A frame that is encoded once and sent to one or more proxies.
 
-    cost_lines: its cost without the overhead. version: to be acknowledged; -1 if none. orders: what the frame says, if
-    other messages may overtake it. queue_count: number of queues in which it waits.
+    cost_lines: cost without the overhead. version: version to be acknowledged, or -1 for none. orders: content of the
+    frame if other messages may overtake it. queue_count: number of queues that contain the message.
     """
 
     frame: bytes
@@ -26,7 +26,7 @@
     queue_count: int = 0
 
     def replace_orders(self, orders: Orders) -> None:
-        """Change what it says, after another message overtook it."""
+        """Replace the content after another message has overtaken this one."""
         self.orders = orders
         self.frame = encode(orders)
         self.cost_lines = cost_lines(orders)
@@ -35,11 +35,11 @@
 
 @dataclass(eq=False)
 class ProxyQueue:
-    """What waits for one joined proxy. A proxy that joins again gets a new queue.
+    """The messages queued for one joined proxy. A proxy that joins again gets a new queue.
 
-    queued_lines: overheads included. released: messages that the pacing has released, and that are not sent yet.
-    sent_at_ms: of the messages in the present window. is_blocked: its socket accepts no more. is_delayed: it stands in
-    `Channel.delayed_queues`.
+    queued_lines: cost of the queued messages, overheads included. released: number of messages released by the rate
+    limit that are not sent yet. sent_at_ms: send times of the messages in the current window. is_blocked: the socket
+    accepts no more data. is_delayed: the queue is in `Channel.delayed_queues`.
     """
 
     proxy: int
@@ -53,5 +53,5 @@
 
     @property
     def message_count(self) -> int:
-        """Number of messages that wait."""
+        """Number of queued messages."""
         return len(self.urgent) + len(self.ordinary)
