--- a/corallanding/interface/__init__.py
+++ b/corallanding/interface/__init__.py
@@ -1,7 +1,7 @@
-"""Typed events, actions and settings of the assigner: the vocabulary between decisions and their surroundings.
+"""Typed events, actions and settings: the interface between the assigner and its callers.
 
-Times are milliseconds with fractions, on the caller's clock. Hosts, proxies, slices, zones, kinds and request classes
-go by the numbers that the caller uses for them. No logic lives here, and only the standard library is imported.
+Times are fractional milliseconds on the caller's clock. Hosts, proxies, slices, zones, kinds and request classes are
+identified by the caller's numbers for them. The package contains no logic and imports only the standard library.
 """
 
 from .actions import (
--- a/corallanding/interface/actions.py
+++ b/corallanding/interface/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what is to be done, as the assigner gives it out.
+"""Actions: the changes and requests that the assigner returns for its caller to perform.
 
 Proxies receive the table actions of one step as one message, closed by `PublishVersion`.
 """
@@ -9,12 +9,12 @@
 
 from .settings import RetryMode
 
-ALL_TABLES = 65535  # in place of a slice: the action holds for every table
+ALL_TABLES = 65535  # used in place of a slice if an action applies to every table
 
 
 @dataclass(frozen=True)
 class SetWeight:
-    """Set the weight of a host in the table of a slice; 0 takes the host out."""
+    """Set the weight of a host in the table of a slice; 0 removes the host."""
 
     slice: int
     host: int
@@ -25,8 +25,8 @@
 class SetAdmission:
     """Set how many requests proxies admit, and when they retry.
 
-    `slice` may be `ALL_TABLES`. `request_classes` has bit k set for class k; 0 stands for all. `amount` is a fraction
-    of requests, or requests per second at each proxy, by `Settings.admission`.
+    `slice` may be `ALL_TABLES`. Bit k of `request_classes` stands for class k; 0 stands for all classes. `amount` is a
+    fraction of requests or a number of requests per second at each proxy, depending on `Settings.admission`.
     """
 
     slice: int
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class Cordon:
-    """Stop proxies from sending anything to a host, whatever the tables say, or allow it again."""
+    """Stop proxies from sending requests to a host, even if tables contain it, or allow them again."""
 
     host: int
     is_cordoned: bool
@@ -45,14 +45,14 @@
 
 @dataclass(frozen=True)
 class ResetTable:
-    """Take every host out of the table of a slice."""
+    """Remove all hosts from the table of a slice."""
 
     slice: int
 
 
 @dataclass(frozen=True)
 class AssignTable:
-    """Let a proxy use a table for some request classes (a bit each; 0 stands for all), at sites without slices."""
+    """Make a proxy use a table for some request classes (one bit each; 0 stands for all), at sites without slices."""
 
     proxy: int
     table: int
@@ -61,10 +61,10 @@
 
 @dataclass(frozen=True)
 class PublishVersion:
-    """Close the message of this step by a version, which each proxy acknowledges once it has applied the message.
+    """Close the message of this step with a version, which each proxy acknowledges once it has applied the message.
 
-    Versions count up and wrap at 65536. With `to_all_proxies` the message goes to proxies that have nothing to change
-    as well.
+    Versions increase and wrap at 65536. With `to_all_proxies`, the message is also sent to proxies that have nothing to
+    change.
     """
 
     version: int
@@ -95,12 +95,12 @@
 
 @dataclass(frozen=True)
 class FetchHostList:
-    """Fetch the whole host list once."""
+    """Fetch the full host list once."""
 
 
 @dataclass(frozen=True)
 class SendToPeer:
-    """Send a payload to another controller, or with `None` to all of them."""
+    """Send a payload to another controller, or to all of them if `peer` is None."""
 
     peer: int | None
     payload: bytes
--- a/corallanding/interface/events.py
+++ b/corallanding/interface/events.py
@@ -1,7 +1,7 @@
-"""Events: what happened, as the assigner takes it in.
+"""Events: the input of the assigner.
 
-Times are in milliseconds on the clock of the caller of `Assigner.step`; `load` maps a name that the host reports to its
-value.
+Times are in milliseconds on the clock of the caller of `Assigner.step`. `load` maps the names of the load values that
+a host reports to these values.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class HostState(StrEnum):
-    """What the host list says of a host."""
+    """State of a host according to the host list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -20,7 +20,10 @@
 
 @dataclass(frozen=True)
 class HostEntry:
-    """One row of the host list. `weight` is relative to others; `online_since` is when its process started, in ms."""
+    """One entry of the host list.
+
+    `weight` is relative to other hosts. `online_since` is the start time of the host's process, in ms.
+    """
 
     host: int
     zone: int = 0
@@ -32,17 +35,17 @@
 
 
 class HostListKind(Enum):
-    """How a host list update is to be read."""
+    """Kind of a host list update."""
 
-    CHANGES = "changes"  # entries that differ from before; the others stay
-    FULL = "full"  # every host there is
-    SAVED = "saved"  # every host, as this controller had stored the list before it started
+    CHANGES = "changes"  # only the changed entries; all others remain
+    FULL = "full"  # all hosts
+    SAVED = "saved"  # all hosts, as stored by this controller before it restarted
     FAILED = "failed"  # a poll of the list failed
 
 
 @dataclass(frozen=True)
 class HostListUpdate:
-    """The host list, or changes of it. `version` is the one that the list's source gave."""
+    """The host list, or changes of it. `version` is assigned by the source of the list."""
 
     kind: HostListKind
     version: int = 0
@@ -50,11 +53,11 @@
 
 
 class HealthCheckOutcome(Enum):
-    """How a health check ended."""
+    """Outcome of a health check."""
 
     OK = "ok"
-    ERROR = "error"  # the host answered that it is not healthy
-    FULL = "full"  # not sent: too many checks were in flight
+    ERROR = "error"  # the host responded that it is not healthy
+    FULL = "full"  # not sent, as too many checks were in flight
     TIMEOUT = "timeout"
     UNREACHABLE = "unreachable"
     RESET = "reset"
@@ -63,7 +66,7 @@
 
 @dataclass(frozen=True)
 class HealthCheckResult:
-    """A health check that was asked for by `CheckHealth` has ended."""
+    """Result of a health check requested by `CheckHealth`."""
 
     host: int
     outcome: HealthCheckOutcome
@@ -73,10 +76,9 @@
 
 @dataclass(frozen=True)
 class HostUsageReport:
-    """What joined proxies of one zone observed at a host during `span_ms`.
+    """Attempts that the joined proxies of one zone made at a host during `span_ms`.
 
-    `attempts` counts requests sent there, `failed` those of them that were not answered; `latency_ms` is the mean of
-    the answered ones.
+    `failed` is the number of `attempts` that were not answered; `latency_ms` is the mean latency of the answered ones.
     """
 
     zone: int
@@ -90,7 +92,7 @@
 
 @dataclass(frozen=True)
 class SliceUsageReport:
-    """Requests of one class that came for a slice during `span_ms`, and how many of them got no answer."""
+    """Requests of one class received for a slice during `span_ms`, and how many of them were not answered."""
 
     slice: int
     request_class: int
@@ -101,7 +103,7 @@
 
 @dataclass(frozen=True)
 class ProxyUsageReport:
-    """The same for one proxy, at sites without slices."""
+    """Requests of one class received by a proxy during `span_ms`, at sites without slices."""
 
     proxy: int
     request_class: int
@@ -112,7 +114,7 @@
 
 @dataclass(frozen=True)
 class SliceOwnershipChange:
-    """This controller now decides on a slice, or no longer does."""
+    """This controller has become the owner of a slice, or is no longer its owner."""
 
     slice: int
     is_owned: bool
@@ -120,7 +122,7 @@
 
 @dataclass(frozen=True)
 class StoredWeight:
-    """A table entry that the store held when this controller became the owner of the slice."""
+    """A table entry that was in the store when this controller became the owner of the slice."""
 
     slice: int
     host: int
@@ -129,7 +131,10 @@
 
 @dataclass(frozen=True)
 class ProxyJoined:
-    """A proxy has connected. `requests_per_second` is its own rough estimate; `has_no_tables` if it starts empty."""
+    """A proxy has connected.
+
+    `requests_per_second` is the proxy's own rough estimate. `has_no_tables` is set if it starts without any tables.
+    """
 
     proxy: int
     zone: int
@@ -146,7 +151,7 @@
 
 @dataclass(frozen=True)
 class VersionAcked:
-    """A proxy has applied every message up to `version` (see `PublishVersion`), `latency_ms` after it was sent."""
+    """A proxy has applied all messages up to `version` (see `PublishVersion`), `latency_ms` after it was sent."""
 
     proxy: int
     version: int
@@ -163,7 +168,7 @@
 
 @dataclass(frozen=True)
 class TimerFired:
-    """The time of a `StartTimer` with this number has come."""
+    """A timer started by `StartTimer` has expired. `timer` is its number."""
 
     timer: int
 
--- a/corallanding/interface/stored_names.py
+++ b/corallanding/interface/stored_names.py
@@ -1,8 +1,8 @@
-"""Names under which events, actions and settings are stored and counted. Frozen: no logic lives here.
+"""Names under which events, actions and settings are stored and counted. The names are frozen; there is no logic here.
 
-Recordings, logs of steps, handovers and metrics hold these names, and other versions of the program read them. The left
-side of a table never changes. A class or an attribute that is renamed changes on the right side alone. A field that is
-added gets a default value and stands last; the order of the fields is the order in which they are written.
+Recordings, step logs, handovers and metrics contain these names, and other versions of the program read them. The left
+side of a table never changes. If a class or an attribute is renamed, only the right side changes. A new field gets a
+default value and is added at the end, as the order of the fields is the order in which they are written.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 TYPES: dict[str, type] = EVENTS | ACTIONS
 NAMES: dict[type, str] = {kind: name for name, kind in TYPES.items()}
 
-# For each class: stored name of a field to the attribute that has its value.
+# For each class, maps the stored name of a field to the attribute that holds its value.
 FIELDS: dict[type, dict[str, str]] = {
     settings.RequestClass: {
         "name": "name",
@@ -219,7 +219,7 @@
     },
 }
 
-# Fields that hold a sequence of a class that has a table of its own, by their stored names.
+# Fields that contain sequences of a class with its own table in `FIELDS`, by stored name.
 ITEMS: dict[type, dict[str, type]] = {
     settings.Settings: {"operations": settings.RequestClass},
     events.HostListUpdate: {"entries": events.HostEntry},
--- a/corallanding/simulator_adapter/__init__.py
+++ b/corallanding/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the simulator's wire and the assigner. It decides nothing."""
+"""The adapter between the simulator's wire protocol and the assigner. It contains no decision logic."""
--- a/corallanding/simulator_adapter/__main__.py
+++ b/corallanding/simulator_adapter/__main__.py
@@ -1,7 +1,7 @@
-"""Run many instances of the assigner on the simulator's wire: `python -m corallanding.simulator_adapter`.
+"""Runs many instances of the assigner on the simulator's wire protocol: `python -m corallanding.simulator_adapter`.
 
-Reads lines from standard input and writes a reply for each batch to standard output. Exit code 2 and one line on
-standard error if the input is malformed.
+Reads lines from standard input and writes a reply for each batch to standard output. If the input is malformed, it
+writes one line to standard error and exits with code 2.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from .fields import MalformedLineError
 
 EXIT_MALFORMED_INPUT = 2
-MAX_LINE_SHOWN = 200  # characters of a malformed line that are quoted
+MAX_QUOTED_CHARACTERS = 200  # maximum number of characters quoted from a malformed line
 
 
-def report(error: str) -> int:
+def report_malformed_input(error: str) -> int:
     """Write one line to standard error and return the exit code."""
     print(f"simulator_adapter: {error}", file=sys.stderr)
     return EXIT_MALFORMED_INPUT
 
 
 def run(source: TextIO, sink: TextIO) -> int:
-    """Process all lines of `source`; return the exit code."""
+    """Process all lines of `source`, write the replies to `sink`, and return the exit code."""
     processor = BatchProcessor()
     line_number = 0
     for line_number, raw_line in enumerate(source, 1):
@@ -33,12 +33,12 @@
         try:
             replies = processor.process(line)
         except MalformedLineError as error:
-            return report(f"line {line_number}: {error}: {line[:MAX_LINE_SHOWN]!r}")
+            return report_malformed_input(f"line {line_number}: {error}: {line[:MAX_QUOTED_CHARACTERS]!r}")
         if replies is not None:
             sink.write("".join(f"{reply}\n" for reply in replies) + "FINISHED\n")
             sink.flush()
     if processor.is_inside_batch:
-        return report(f"line {line_number}: the input ends inside a batch")
+        return report_malformed_input(f"line {line_number}: the input ends inside a batch")
     return 0
 
 
@@ -49,7 +49,7 @@
     try:
         return run(sys.stdin, sys.stdout)
     except UnicodeDecodeError as error:
-        return report(f"a line is not UTF-8: {error}")
+        return report_malformed_input(f"a line is not UTF-8: {error}")
 
 
 if __name__ == "__main__":
--- a/corallanding/simulator_adapter/action_encoder.py
+++ b/corallanding/simulator_adapter/action_encoder.py
@@ -1,4 +1,4 @@
-"""Actions of the assigner to lines of the simulator's wire. Pure."""
+"""Encodes actions of the assigner as lines of the simulator's wire protocol. It does no I/O."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 from .. import interface as api
 
-MAX_TIMER_US = 71 * 60 * 1_000_000  # the wire's largest delay
+MAX_TIMER_US = 71 * 60 * 1_000_000  # longest delay that the wire protocol allows
 
 
 def microseconds(time_ms: float) -> int:
-    """Return a delay as the wire wants it, within the wire's bounds."""
+    """Return a delay in whole microseconds, limited to the range of the wire protocol."""
     return min(max(0, round(time_ms * 1000.0)), MAX_TIMER_US)
 
 
 def one_line(text: str) -> str:
-    """Return a text without line breaks and tabs."""
+    """Return a text with each run of whitespace, such as line breaks and tabs, replaced by one space."""
     return " ".join(text.split())
 
 
@@ -90,5 +90,5 @@
 
 
 def encode_action(instance: int, action: api.Action) -> str:
-    """Return an action of one instance as a line of the wire."""
+    """Return an action of one instance as a line of the wire protocol."""
     return _ACTION_ENCODERS[type(action)](action, f"steward={instance}")
--- a/corallanding/simulator_adapter/batches.py
+++ b/corallanding/simulator_adapter/batches.py
@@ -1,4 +1,4 @@
-"""Batches of the simulator's wire: lines in, replies of all instances out. Pure."""
+"""Processes batches of the simulator's wire protocol: lines in, replies of all instances out. It does no I/O."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 
 @dataclass
-class _PoolInProgress:
-    """A numbered host list of which some HOST lines are still due."""
+class _PartialHostList:
+    """A numbered host list (POOL) that is not complete: some of its HOST lines have not been read yet."""
 
     number: int
     size: int
@@ -22,26 +22,26 @@
 
 
 class BatchProcessor:
-    """The instances of one process. They share nothing but the numbered host lists of the wire."""
+    """The instances of one process. They share only the numbered host lists of the wire protocol."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Assigner] = {}
-        self.pools: dict[int, tuple[api.HostEntry, ...]] = {}
-        self.pool_in_progress: _PoolInProgress | None = None
-        self.now_ms: float | None = None  # of the batch that is being read
-        self.events: dict[int, list[api.Event]] = {}  # by instance, in the order in which instances were named
+        self.host_lists: dict[int, tuple[api.HostEntry, ...]] = {}
+        self.partial_host_list: _PartialHostList | None = None
+        self.now_ms: float | None = None  # time of the current batch; None between batches
+        self.events: dict[int, list[api.Event]] = {}  # events by instance, in the order of first mention in the batch
         self.replies: list[str] = []
 
     @property
     def is_inside_batch(self) -> bool:
         """Whether the lines so far end in the middle of a batch or of a host list."""
-        return self.now_ms is not None or self.pool_in_progress is not None
+        return self.now_ms is not None or self.partial_host_list is not None
 
     def process(self, line: str) -> list[str] | None:
-        """Take one line; returns the reply once a batch is complete. Raises MalformedLineError."""
+        """Process one line, and return the reply once a batch is complete. Raises MalformedLineError."""
         name, fields = parse_line(line)
-        if self.pool_in_progress is not None:
-            self._add_pool_entry(self.pool_in_progress, name, fields)
+        if self.partial_host_list is not None:
+            self._add_host_list_entry(self.partial_host_list, name, fields)
         elif name == "BEGIN_BATCH":
             if self.now_ms is not None:
                 raise MalformedLineError("BEGIN_BATCH inside a batch")
@@ -51,26 +51,28 @@
         elif name == "FLUSH":
             return self._finish_batch(self.now_ms)
         elif name == "POOL":
-            self._begin_pool(fields)
+            self._begin_host_list(fields)
         else:
             self._add_event(name, fields)
         return None
 
-    def _begin_pool(self, fields: Fields) -> None:
+    def _begin_host_list(self, fields: Fields) -> None:
         number = required_count(fields, "setId")
         size = required_count(fields, "members")
         if size:
-            self.pool_in_progress = _PoolInProgress(number, size)
+            self.partial_host_list = _PartialHostList(number, size)
         else:
-            self.pools[number] = ()
+            self.host_lists[number] = ()
 
-    def _add_pool_entry(self, pool: _PoolInProgress, name: str, fields: Fields) -> None:
+    def _add_host_list_entry(self, host_list: _PartialHostList, name: str, fields: Fields) -> None:
         if name != "HOST":
-            raise MalformedLineError(f"{pool.size - len(pool.entries)} more HOST lines were due, not {name!r}")
-        pool.entries.append(decode_host_entry(fields))
-        if len(pool.entries) == pool.size:
-            self.pools[pool.number] = tuple(pool.entries)
-            self.pool_in_progress = None
+            raise MalformedLineError(
+                f"expected {host_list.size - len(host_list.entries)} more HOST lines, got {name!r}"
+            )
+        host_list.entries.append(decode_host_entry(fields))
+        if len(host_list.entries) == host_list.size:
+            self.host_lists[host_list.number] = tuple(host_list.entries)
+            self.partial_host_list = None
 
     def _add_event(self, name: str, fields: Fields) -> None:
         instance = required_count(fields, "steward")
@@ -86,9 +88,9 @@
 
     def _decode_event(self, name: str, fields: Fields) -> api.Event:
         if name == "MEMBERSHIP":
-            return decode_host_list(fields, self.pools)
+            return decode_host_list(fields, self.host_lists)
         if name not in EVENT_DECODERS:
-            raise MalformedLineError(f"{name!r} is no message of the wire")
+            raise MalformedLineError(f"unknown message {name!r}")
         return EVENT_DECODERS[name](fields)
 
     def _start_instance(self, instance: int, fields: Fields) -> None:
@@ -97,7 +99,7 @@
         self.events[instance] = []
         try:
             self.instances[instance] = Assigner(settings, seed)
-        except Exception as error:  # noqa: BLE001 - the wire wants any error reported, not the process ended
+        except Exception as error:  # noqa: BLE001 - any error must be reported without ending the process
             self._fail_instance(instance, error)
 
     def _finish_batch(self, now_ms: float) -> list[str]:
@@ -115,7 +117,7 @@
         try:
             for action in self.instances[instance].step(now_ms, events):
                 self.replies.append(encode_action(instance, action))
-        except Exception as error:  # noqa: BLE001 - the wire wants any error reported, not the process ended
+        except Exception as error:  # noqa: BLE001 - any error must be reported without ending the process
             self._fail_instance(instance, error)
 
     def _fail_instance(self, instance: int, error: Exception) -> None:
--- a/corallanding/simulator_adapter/event_decoder.py
+++ b/corallanding/simulator_adapter/event_decoder.py
@@ -1,4 +1,4 @@
-"""Lines of the simulator's wire to typed events. Pure; times are milliseconds from here on."""
+"""Decodes lines of the simulator's wire protocol into typed events, with times in milliseconds. It does no I/O."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def decode_host_entry(fields: Fields) -> api.HostEntry:
-    """Decode one row of a host list. Raises MalformedLineError, as do all that follow."""
+    """Decode one entry of a host list. All decoders in this module raise MalformedLineError."""
     state = fields.get("status")
     if state not in HOST_STATES:
         raise MalformedLineError(f"status={state!r} is not one of {', '.join(HOST_STATES)}")
@@ -50,15 +50,15 @@
     )
 
 
-def decode_host_list(fields: Fields, pools: dict[int, tuple[api.HostEntry, ...]]) -> api.HostListUpdate:
-    """Decode an update of the host list; `pools` has the numbered lists that came before."""
+def decode_host_list(fields: Fields, host_lists: dict[int, tuple[api.HostEntry, ...]]) -> api.HostListUpdate:
+    """Decode a host list update that refers to one of `host_lists`, the numbered lists received so far."""
     kind = choice(fields, "form", HOST_LIST_KINDS)
     if kind is api.HostListKind.FAILED:
         return api.HostListUpdate(kind, count(fields, "number"))
-    pool = required_count(fields, "setId")
-    if pool not in pools:
-        raise MalformedLineError(f"setId={pool} names no POOL so far")
-    return api.HostListUpdate(kind, count(fields, "number"), pools[pool])
+    list_number = required_count(fields, "setId")
+    if list_number not in host_lists:
+        raise MalformedLineError(f"setId={list_number} does not refer to a preceding POOL")
+    return api.HostListUpdate(kind, count(fields, "number"), host_lists[list_number])
 
 
 def _host_usage(fields: Fields) -> api.HostUsageReport:
@@ -108,7 +108,7 @@
     try:
         data = b"" if payload == "-" else bytes.fromhex(payload)
     except ValueError:
-        raise MalformedLineError(f"payload={payload!r} is no hex") from None
+        raise MalformedLineError(f"payload={payload!r} is not hexadecimal") from None
     return api.PeerMessage(required_count(fields, "by"), data)
 
 
@@ -162,4 +162,4 @@
     "APPLIED": _version_acked,
     "TICK_DUE": _timer_fired,
 }
-"""Lines that concern one instance, by name; the host list is decoded by `decode_host_list`."""
+"""Decoders of the lines for one instance, by name, except for host lists (see `decode_host_list`)."""
--- a/corallanding/simulator_adapter/settings.py
+++ b/corallanding/simulator_adapter/settings.py
@@ -1,6 +1,7 @@
-"""The assigner's settings from the pairs of the simulator's wire, or of the platform's configuration.
+"""Reads the assigner's settings from the fields of the simulator's wire protocol, or of the platform's configuration.
 
-What a site does not state keeps the default of `interface.Settings`. Every reader here raises MalformedLineError.
+Settings that are not given keep the defaults of `interface.Settings`. All functions raise MalformedLineError if a value
+is invalid.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 def number(fields: Fields, key: str, default: float) -> float:
-    """Read a number of 0 or more."""
+    """Read an optional non-negative number."""
     value = wire.number(fields, key, default)
     if value < 0.0:
         raise MalformedLineError(f"{key}={fields[key]!r} is below 0")
@@ -30,13 +31,13 @@
 
 
 def milliseconds(fields: Fields, key: str, default_ms: float = 0.0) -> float:
-    """Read a time of 0 or more, in ms."""
+    """Read an optional non-negative time and return it in ms."""
     number(fields, key, default_ms)
     return wire.milliseconds(fields, key, default_ms)
 
 
 def positive(read: Callable[[Fields, str, float], float], fields: Fields, key: str, default: float) -> float:
-    """Read by `read` a value that is divided by, or waited for again and again: 0 is rejected."""
+    """Read a positive value with `read`. 0 is rejected, as it would be used as a divisor or a repeated delay."""
     value = read(fields, key, default)
     if value <= 0.0:
         raise MalformedLineError(f"{key}={fields[key]!r} is not above 0")
