--- a/corallanding/channel/merge.py
+++ b/corallanding/channel/merge.py
@@ -18,8 +18,8 @@
 """Table and host of a table entry."""
 
 
-class Merged(NamedTuple):
-    """Result of `merge_ahead`.
+class MergedOrders(NamedTuple):
+    """Result of `merge_overtaken`.
 
     urgent: the urgent orders with the changes taken from queued ones. remaining: the rest of each of the queued orders,
     oldest first; None if nothing remains.
@@ -45,7 +45,7 @@
     return emptied + changed + (orders.version >= 0)
 
 
-def merge_ahead(urgent: Orders, waiting: Sequence[Orders], base_seq: int) -> Merged:
+def merge_overtaken(urgent: Orders, waiting: Sequence[Orders], base_seq: int) -> MergedOrders:
     """Move the changes that the urgent orders depend on from the queued (`waiting`) orders to the urgent ones.
 
     `waiting` has at least one element, oldest first. The last of the remaining orders carries the version of the urgent
@@ -71,7 +71,7 @@
         cordons=list(cordons.items()),
         addresses=addresses,
     )
-    return Merged(merged, _renumbered(remaining, [*base_seqs[1:], urgent.seq], urgent, last))
+    return MergedOrders(merged, _renumbered(remaining, [*base_seqs[1:], urgent.seq], urgent, last))
 
 
 def _lines_to_take(urgent: Orders, waiting: Sequence[Orders], *, includes_all_tables: bool) -> dict[Line, float]:
--- a/corallanding/channel/overtaking.py
+++ b/corallanding/channel/overtaking.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 
 from ..wire.codec import encode
-from .merge import cost_lines, merge_ahead
+from .merge import cost_lines, merge_overtaken
 from .proxy_queue import Message, ProxyQueue
 
 
@@ -22,7 +22,7 @@
     oldest_of_queues = (queue.ordinary[0].orders for queue in queues)
     base_seq = max((orders.seq for orders in oldest_of_queues if orders), default=0)
     orders_waiting = [queued.orders for queued in waiting if queued.orders]
-    merged, remaining = merge_ahead(message.orders, orders_waiting, base_seq)
+    merged, remaining = merge_overtaken(message.orders, orders_waiting, base_seq)
     emptied = set()
     for queued, rest in zip(waiting, remaining, strict=True):
         if rest:
--- a/tests/assignment/generated_days.py
+++ b/tests/assignment/generated_days.py
@@ -1,7 +1,7 @@
-"""Generated days for the assigner: a small fleet that follows its actions, every kind of event, all by seeds.
+"""Generated scenarios ("days") for the assigner: a small simulated fleet with events of every kind, driven by seeds.
 
-`play` gives a running checksum of all actions after each step. `tests/golden/days.json` holds the checksums as an early
-version of the assigner gave them; a day that differs names the first step that does.
+`run_day` returns running checksums of all actions. `tests/golden/days.json` contains the checksums of an early version
+of the assigner; a test that finds a difference reports the steps in which it first occurs.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 GOLDEN = Path(__file__).parent.parent / "golden"
 GOLDEN_DAYS = GOLDEN / "days.json"
 STEPS = 2_400
-CHECKSUM_STEPS = 16  # a checksum is kept every so many steps
+CHECKSUM_STEPS = 16  # number of steps between two recorded checksums
 STEP_MS = 125.0
 QUOTE = api.RequestClass("quote", api.Idempotency.IDEMPOTENT, "all", 5000, 3, 0.1, 1200, 3000)
 CLAIM = api.RequestClass("claim", api.Idempotency.SIDE_EFFECTING, "all", 5000, 2, 0.2, 1500, 5000, is_write=True)
@@ -36,7 +36,7 @@
 
 
 class Plan(NamedTuple):
-    """What one day is made from."""
+    """Parameters of one generated day: seed, settings that differ from the base, numbers of hosts and slices."""
 
     seed: int
     settings: dict[str, Any]
@@ -51,22 +51,22 @@
 
 
 def golden_checksums() -> dict[str, list[int]]:
-    """The checksums that were kept, by the day's seed."""
-    found: dict[str, list[int]] = json.loads(GOLDEN_DAYS.read_text())
-    return found
+    """Return the recorded checksums, by the seed of the day."""
+    checksums: dict[str, list[int]] = json.loads(GOLDEN_DAYS.read_text())
+    return checksums
 
 
-def frozen_text(action: api.Action) -> str:
-    """An action as text under its stored names, so that renaming a class or a field changes no golden file."""
+def text_with_stored_names(action: api.Action) -> str:
+    """Return an action as text with stored names, so that renaming a class or a field changes no golden file."""
     fields = stored_names.FIELDS[type(action)]
     values = ", ".join(f"{stored}={getattr(action, attribute)!r}" for stored, attribute in fields.items())
     return f"{stored_names.NAMES[type(action)]}({values})".replace("<RetryMode.", "<Retry.")
 
 
 class Day(GeneratedWorld):
-    """One generated day with its assigner and the checksum of its actions."""
+    """One generated day, with its assigner and the running checksum of its actions."""
 
-    def __init__(self, make: MakeAssigner, plan: Plan) -> None:
+    def __init__(self, make_assigner: MakeAssigner, plan: Plan) -> None:
         base = {
             "request_classes": (QUOTE, CLAIM),
             "slice_count": plan.slices,
@@ -77,70 +77,70 @@
             "reports_per_second": 400.0,
         }
         super().__init__(plan.seed, api.Settings(**{**base, **plan.settings}))
-        self.assigner = make(self.settings, plan.seed)
+        self.assigner = make_assigner(self.settings, plan.seed)
         self.checksum = 0
         for host_id in range(plan.hosts):
             self.fleet.add(host_id, -50_000.0)
-        self.step(self.first_events(plan.hosts))
+        self.step(self.initial_events(plan.hosts))
 
     def step(self, events: list[api.Event]) -> None:
-        """One step of the assigner; the world follows its actions."""
+        """Run one step of the assigner, and apply its actions to the simulated world."""
         for action in self.assigner.step(self.now_ms, events):
-            self.checksum = zlib.crc32(frozen_text(action).encode(), self.checksum)
-            self.carry_out(action)
+            self.checksum = zlib.crc32(text_with_stored_names(action).encode(), self.checksum)
+            self.apply_action(action)
 
     def run(self) -> list[int]:
-        """Live the day; returns the checksum after every `CHECKSUM_STEPS` steps."""
-        found = []
+        """Run the whole day, and return the checksum after every `CHECKSUM_STEPS` steps."""
+        checksums = []
         for step in range(STEPS):
-            self.now_ms += STEP_MS * self.chance.choice((0.2, 1.0, 1.0, 1.8))
+            self.now_ms += STEP_MS * self.rng.choice((0.2, 1.0, 1.0, 1.8))
             events = [*self.due_timers(), *self.health_check_results(), *self.acks()]
             if step % 8 == 0:
                 events += self.fleet.usage_reports(self.now_ms)
-            # Days have calm halves, so that what an undisturbed assigner does is seen as well.
-            if self.chance.random() < (0.08 if step // 300 % 2 else 0.01):
+            # Faults are rare in every other block of 300 steps, so that undisturbed decisions are covered as well.
+            if self.rng.random() < (0.08 if step // 300 % 2 else 0.01):
                 events += self.inject_fault()
             self.step(events)
             if step % CHECKSUM_STEPS == CHECKSUM_STEPS - 1:
-                found.append(self.checksum)
-        return found
+                checksums.append(self.checksum)
+        return checksums
 
     def due_timers(self) -> list[api.Event]:
-        """Timers that fire now."""
+        """Remove the timers that are due, and return their events."""
         due: list[api.Event] = [api.TimerFired(timer) for at, timer in sorted(self.timers) if at <= self.now_ms]
         self.timers = [row for row in self.timers if row[0] > self.now_ms]
         return due
 
     def health_check_results(self) -> list[api.Event]:
-        """Results of the health checks that were asked for in the last step; now and then any other one."""
+        """Return results of the health checks requested in the last step; a few have a random outcome."""
         results: list[api.Event] = []
         for host_id in self.health_checks:
             host = self.fleet.hosts.get(host_id)
             outcome = api.HealthCheckOutcome.OK if host and host.answers else api.HealthCheckOutcome.UNREACHABLE
             if host and host.is_hung:
                 outcome = api.HealthCheckOutcome.TIMEOUT
-            if self.chance.random() < 0.05:
-                outcome = self.chance.choice(list(api.HealthCheckOutcome))
+            if self.rng.random() < 0.05:
+                outcome = self.rng.choice(list(api.HealthCheckOutcome))
             results.append(api.HealthCheckResult(host_id, outcome, 3.0))
         self.health_checks = []
         return results
 
     def acks(self) -> list[api.Event]:
-        """Most proxies acknowledge their last version, a few their first one."""
+        """Return acknowledgements of most proxies: usually of the last version, sometimes only of the first."""
         acks: list[api.Event] = []
         for proxy, versions in self.unacked.items():
-            if versions and self.chance.random() < 0.8:
-                version = versions[-1] if self.chance.random() < 0.9 else versions[0]
+            if versions and self.rng.random() < 0.8:
+                version = versions[-1] if self.rng.random() < 0.9 else versions[0]
                 acks.append(api.VersionAcked(proxy, version, 5.0))
                 versions.clear()
         return acks
 
 
-def play(make: MakeAssigner, seed: int) -> list[int]:
-    """The checksums of the day of that seed."""
-    return Day(make, DAYS[seed]).run()
+def run_day(make_assigner: MakeAssigner, seed: int) -> list[int]:
+    """Run the day with that seed, and return its checksums."""
+    return Day(make_assigner, DAYS[seed]).run()
 
 
-def write_golden_days(make: MakeAssigner) -> None:
-    """Keep what this assigner decides as the golden checksums."""
-    GOLDEN_DAYS.write_text(json.dumps({plan.seed: play(make, plan.seed) for plan in DAYS}) + "\n")
+def write_golden_days(make_assigner: MakeAssigner) -> None:
+    """Write the checksums of this assigner's decisions as the new golden file."""
+    GOLDEN_DAYS.write_text(json.dumps({plan.seed: run_day(make_assigner, plan.seed) for plan in DAYS}) + "\n")
--- a/tests/assignment/support.py
+++ b/tests/assignment/support.py
@@ -1,6 +1,6 @@
-"""Scenarios that drive an assigner by hand, and compare its decisions with a kept trace.
+"""Scenarios that drive an assigner step by step, and compare its decisions with a recorded trace.
 
-`CORALLANDING_TRACES=write` keeps the present decisions as the traces.
+With `CORALLANDING_TRACES=write` in the environment, the current decisions are written as the new traces.
 """
 
 from __future__ import annotations
@@ -27,24 +27,24 @@
     "max_queued_lines": 4000.0,
     "may_check_health": True,
 }
-SLICES = 8  # that a scenario starts with
+SLICES = 8  # number of slices at the start of a scenario
 START_MS = 100_000.0
 REPORT_MS = 1000.0
 
 
-def up(host: int, state: str = "up", since: float = 0.0) -> api.HostEntry:
-    """An entry of the host list."""
+def host_entry(host: int, state: str = "up", since: float = 0.0) -> api.HostEntry:
+    """Return an entry of the host list."""
     return api.HostEntry(host, zone=host % 2, state=api.HostState(state), online_since=since)
 
 
-HOSTS = [up(host) for host in (11, 12, 13, 14)]
-EVEN = {slice_id: 11 + slice_id % 4 for slice_id in range(SLICES)}
+HOSTS = [host_entry(host) for host in (11, 12, 13, 14)]
+EVEN_OWNERS = {slice_id: 11 + slice_id % 4 for slice_id in range(SLICES)}
 
 
-def reports(
+def usage_reports(
     answered: dict[int, int], failed: dict[int, int] | None = None, latency_ms: float = 200.0
 ) -> list[api.Event]:
-    """One second's usage reports: answered and failed attempts by host, and an even demand for the slices."""
+    """Return the usage reports of one second: answered and failed attempts by host, and equal demand for all slices."""
     failed = failed or {}
     events: list[api.Event] = []
     for host in sorted({*answered, *failed}):
@@ -54,20 +54,21 @@
     return events + [api.SliceUsageReport(slice_id, 0, 10, 0, REPORT_MS) for slice_id in range(SLICES)]
 
 
-def all_answer() -> list[api.Event]:
-    """Each of the four hosts answers all of its attempts."""
-    return reports(dict.fromkeys((11, 12, 13, 14), 20))
+def all_answered() -> list[api.Event]:
+    """Return usage reports in which each of the four hosts answers all of its attempts."""
+    return usage_reports(dict.fromkeys((11, 12, 13, 14), 20))
 
 
-def same(host_ids: Iterable[int], attempts: int) -> dict[int, int]:
-    """So many attempts at each of the hosts."""
+def equal_attempts(host_ids: Iterable[int], attempts: int) -> dict[int, int]:
+    """Return the same number of attempts for each of the hosts."""
     return dict.fromkeys(host_ids, attempts)
 
 
 class Scenario:
     """An assigner, its clock, and the lines of its trace.
 
-    Health checks pass at the next step unless `check_outcomes` says otherwise, and take `check_latency_ms`.
+    Health checks pass at the next step, unless `check_outcomes` has another outcome for the host. Their latency is
+    taken from `check_latency_ms`.
     """
 
     def __init__(self, **settings: Any) -> None:
@@ -80,11 +81,11 @@
         self.check_latency_ms: dict[int, float] = {}
 
     def note(self, text: str) -> None:
-        """Write a remark into the trace."""
+        """Add a comment to the trace."""
         self.lines.append(f"# {text}")
 
     def step(self, *events: api.Event) -> None:
-        """One step, its actions as lines of the trace under their stored names."""
+        """Run one step, and add its actions to the trace under their stored names."""
         for action in self.assigner.step(self.now_ms, events):
             if isinstance(action, api.StartTimer):
                 self.timers.append((self.now_ms + action.delay_ms, action.timer))
@@ -97,7 +98,7 @@
             self.lines.append(f"{self.now_ms / 1000 - 100:8.3f} s  {stored_names.NAMES[kind]}({shown})")
 
     def start(self, hosts: list[api.HostEntry], owners: dict[int, int] | None = None, proxies: int = 2) -> None:
-        """The saved host list, eight slices with their stored owners, and the proxies."""
+        """Run the first step: the saved host list, eight slices with their stored owners, and the proxies."""
         events: list[api.Event] = [api.HostListUpdate(api.HostListKind.SAVED, 1, tuple(hosts))]
         for slice_id in range(SLICES):
             events.append(api.SliceOwnershipChange(slice_id, True))
@@ -106,13 +107,13 @@
         self.step(*events, *(api.ProxyJoined(proxy, proxy % 2, 10.0, True) for proxy in range(proxies)))
 
     def list_hosts(self, *entries: api.HostEntry, kind: api.HostListKind = api.HostListKind.CHANGES) -> None:
-        """A step with a host list update."""
+        """Run a step with a host list update."""
         self.step(api.HostListUpdate(kind, 2, entries))
 
     def run(
         self, seconds: float, each_second: Callable[[], list[api.Event]] | None = None, *, acks: bool = True
     ) -> None:
-        """Let time pass: timers fire, proxies acknowledge and health checks end at the next step."""
+        """Advance the clock: timers fire, proxies acknowledge versions, and health checks end at the next step."""
         end_ms = self.now_ms + seconds * 1000
         next_second_ms = self.now_ms + 1000
         while True:
@@ -145,7 +146,7 @@
         return results
 
     def check_trace(self, name: str) -> None:
-        """Compare the trace with the kept one of that name."""
+        """Compare the trace with the recorded one of that name."""
         path = TRACES / f"{name}.txt"
         text = "\n".join(self.lines) + "\n"
         if os.environ.get("CORALLANDING_TRACES") == "write":
@@ -153,9 +154,9 @@
         assert text == path.read_text()
 
 
-def settled(**settings: Any) -> Scenario:
-    """Four hosts with two slices each, after three quiet seconds."""
+def settled_scenario(**settings: Any) -> Scenario:
+    """Return a scenario with four hosts that own two slices each, after three seconds without faults."""
     scenario = Scenario(**settings)
-    scenario.start(HOSTS, EVEN)
-    scenario.run(3, all_answer)
+    scenario.start(HOSTS, EVEN_OWNERS)
+    scenario.run(3, all_answered)
     return scenario
--- a/tests/assignment/test_any_settings.py
+++ b/tests/assignment/test_any_settings.py
@@ -1,4 +1,4 @@
-"""Settings of any site: the platform's program refuses them in one line, or a short day breaks no bound."""
+"""Random settings: the platform rejects them with a one-line error, or a short scenario stays within all limits."""
 
 from __future__ import annotations
 
@@ -70,23 +70,23 @@
 )
 
 
-def read(site: Any) -> Config | None:
-    """The platform's configuration of a site; none if it is refused, in one line that names the settings."""
+def read_config(site: Any) -> Config | None:
+    """Return the platform's configuration of a site, or None if it is rejected with a one-line error."""
     try:
         return parse(msgspec.json.encode({**CONFIG_FILE, "known": None, "settings": site}))
     except InvalidConfigError as error:
-        check_refusal(str(error))
+        check_error(str(error))
         return None
 
 
-def check_refusal(text: str) -> None:
-    """A refusal is one line that names the settings."""
+def check_error(text: str) -> None:
+    """Check that the error is one line that mentions the settings."""
     assert "\n" not in text
     assert "settings" in text, text
 
 
-class ShortDay:
-    """Drives assigner, relay calls and report intake of one configuration, and checks their bounds at each step."""
+class ShortScenario:
+    """Drives assigner, relay calls and report intake with one configuration, and checks their limits in each step."""
 
     def __init__(self, config: Config) -> None:
         self.settings = config.settings
@@ -108,19 +108,19 @@
         assert self.intake.max_span_ms > 0
 
     def step(self, *events: api.Event) -> None:
-        """One step; its calls to the relay are answered at once."""
+        """Run one step, and answer its calls to the relay immediately."""
         self.now_ms += max(1.0, self.settings.decision_interval_ms)
         for event in events:
             self.inbox.add_event(self.now_ms, event)
         self.inbox.fire_due_timers(self.now_ms)
         for action in self.inbox.run_step(self.now_ms, self.inbox.take_events()):
-            self.carry_out(action)
+            self.apply_action(action)
         for _ in range(3):
             if not self.answer_next_call():
                 break
 
-    def carry_out(self, action: api.Action) -> None:
-        """Timers are started, health checks time out, and the rest goes to the relay."""
+    def apply_action(self, action: api.Action) -> None:
+        """Start timers, let health checks time out, and pass table actions to the relay."""
         match action:
             case api.StartTimer():
                 assert math.isfinite(action.delay_ms)
@@ -132,7 +132,7 @@
                 self.inbox.add_event(self.now_ms, timeout)
 
     def answer_next_call(self) -> bool:
-        """Answer a call to the relay, within the message limit; every other version is acknowledged."""
+        """Answer the next call to the relay, if any; check the message limit, and acknowledge every other version."""
         call = self.calls.next_call(self.now_ms)
         if call is None:
             return False
@@ -146,7 +146,7 @@
         return True
 
     def run(self) -> None:
-        """Hosts come, drain, fail and go; proxies join and leave; slices come and go; acks come or do not."""
+        """Run steps in which hosts are added, drain, fail and are removed, and proxies and slices come and go."""
         hosts = [number(f"h{index}") for index in range(4)]
         zone_count = max(1, self.settings.zone_count)
         entries = [api.HostEntry(host, index % zone_count, 0, index) for index, host in enumerate(hosts)]
@@ -172,14 +172,14 @@
 
 @settings(max_examples=300, deadline=None)
 @given(ANY_SITE)
-def test_settings_when_they_are_any_then_they_are_refused_in_one_line_or_carry_a_short_day(site: Any) -> None:
-    if config := read(site):
-        ShortDay(config).run()
+def test_settings_when_random_then_they_are_rejected_in_one_line_or_a_short_scenario_succeeds(site: Any) -> None:
+    if config := read_config(site):
+        ShortScenario(config).run()
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(NAMES, min_size=1, max_size=9, unique=True), st.lists(NAMES, min_size=1, max_size=3, unique=True))
-def test_request_classes_and_zones_when_of_any_names_and_number_then_they_are_served(
+def test_request_classes_and_zones_when_names_and_numbers_are_random_then_they_are_supported(
     request_classes: list[str], zones: list[str]
 ) -> None:
     site = {
@@ -188,10 +188,10 @@
         "kinds": ["m2"],
         "classes": [{**CONFIG_SETTINGS["classes"][0], "name": name} for name in request_classes],
     }
-    config = read(site)
+    config = read_config(site)
     assert config
     assert len(config.settings.request_classes) == len(request_classes)
     assert config.settings.zone_count == len(zones)
     assert list(config.names.request_classes) == request_classes
     assert list(config.names.zones) == zones
-    ShortDay(config).run()
+    ShortScenario(config).run()
--- a/tests/assignment/test_rendezvous.py
+++ b/tests/assignment/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rankings hold the highest scores whenever hosts came, and work done ahead changes no decision."""
+"""Rankings contain the highest scores however hosts are added, and precomputation changes no decision."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 
 @dataclass(frozen=True)
-class Numbered:
-    """A host of which only the id counts."""
+class HostWithId:
+    """A host that has only an id."""
 
     id: int
 
 
 @pytest.mark.parametrize("steps", [(300,), (1, 47, 1, 1), (10, 200, 3, 90), (48,), (49, 5, 500)])
-def test_a_ranking_when_hosts_come_in_steps_then_it_holds_the_highest_scores(steps: tuple[int, ...]) -> None:
-    table: RendezvousTable[Numbered] = RendezvousTable(48)
-    hosts: list[Numbered] = []
+def test_a_ranking_when_hosts_are_added_in_steps_then_it_contains_the_highest_scores(steps: tuple[int, ...]) -> None:
+    table: RendezvousTable[HostWithId] = RendezvousTable(48)
+    hosts: list[HostWithId] = []
     for count in steps:
-        new = [Numbered(7 * len(hosts) + number) for number in range(count)]
+        new = [HostWithId(7 * len(hosts) + number) for number in range(count)]
         hosts = list(dict.fromkeys([*hosts, *new]))
         table.add(hosts)
         for slice_id in (0, 5, 77):
@@ -35,9 +35,9 @@
     assert table.is_complete == (len(hosts) <= 48)
 
 
-def test_precompute_when_called_again_and_again_then_it_does_a_part_each_time_and_ends() -> None:
-    table: RendezvousTable[Numbered] = RendezvousTable()
-    table.add(Numbered(number) for number in range(100))
+def test_precompute_when_called_repeatedly_then_it_does_part_of_the_work_each_time_and_finishes() -> None:
+    table: RendezvousTable[HostWithId] = RendezvousTable()
+    table.add(HostWithId(number) for number in range(100))
     calls = 1
     while table.precompute(range(40), 500):
         calls += 1
@@ -46,7 +46,10 @@
 
 
 def test_decisions_when_scores_are_precomputed_then_they_are_the_same() -> None:
-    """More scores than one decision computes: only so many slices are considered, whether they were there or not."""
+    """Guards against decisions that depend on precomputation.
+
+    The fleet has more scores than one decision computes, so each considers only part of the slices, precomputed or not.
+    """
     lazy = decisions_of_a_large_fleet(precomputes=False)
     eager = decisions_of_a_large_fleet(precomputes=True)
     assert lazy == eager
@@ -54,7 +57,7 @@
 
 
 def decisions_of_a_large_fleet(*, precomputes: bool) -> list[str]:
-    """The actions of eight decisions on 500 hosts and 1000 slices."""
+    """Return the actions of eight decisions on 500 hosts and 1000 slices."""
     assigner, events = large_fleet(hosts=500, slices=1_000)
     actions: list[str] = []
     now_ms = 100_000.0
@@ -74,22 +77,22 @@
 
 
 def large_fleet(hosts: int, slices: int) -> tuple[Assigner, list[api.Event]]:
-    """An assigner and its first events: hosts of two weights, slices with stored owners."""
-    chance = random.Random(1)
+    """Return an assigner and its first events: hosts of two weights, slices with stored owners."""
+    rng = random.Random(1)
     settings = api.Settings(request_classes=(QUOTE,), slice_count=slices, max_queued_lines=1e9)
-    entries = tuple(api.HostEntry(host, weight=chance.choice((1.0, 8.0))) for host in range(hosts))
+    entries = tuple(api.HostEntry(host, weight=rng.choice((1.0, 8.0))) for host in range(hosts))
     events: list[api.Event] = [
         api.HostListUpdate(api.HostListKind.FULL, 1, entries),
         api.ProxyJoined(0, 0, 1.0, True),
     ]
     for slice_id in range(slices):
-        stored = api.StoredWeight(slice_id, chance.randrange(60), 1.0)
+        stored = api.StoredWeight(slice_id, rng.randrange(60), 1.0)
         events += [api.SliceOwnershipChange(slice_id, True), stored]
     return Assigner(settings, 1), events
 
 
 def usage_reports(hosts: int, slices: int) -> list[api.Event]:
-    """Every host answers alike, every slice is in the same demand."""
+    """Return reports in which all hosts answer equally, and the demand for all slices is equal."""
     return [
         *(api.HostUsageReport(0, host, 20, 0, 100.0, 500.0) for host in range(hosts)),
         *(api.SliceUsageReport(slice_id, 0, 9, 0, 500.0) for slice_id in range(slices)),
--- a/tests/channel/support.py
+++ b/tests/channel/support.py
@@ -1,4 +1,4 @@
-"""What the tests of the channel share: orders, and the tables of a proxy that applies them."""
+"""Shared helpers for the tests of the channel: orders, and a model of a proxy that applies them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def make_orders(seq: int, version: int, *lines: tuple[int, int, float], **more: Any) -> Orders:
-    """Orders with the addresses of all hosts that the lines add."""
+    """Return orders with the addresses of all hosts that the lines add."""
     addresses = {host: f"a{seq}" for _, host, weight in lines if weight > 0}
     return Orders(seq, version, lines=list(lines), addresses=addresses, **more)
 
@@ -23,7 +23,7 @@
 
 
 class ProxyModel:
-    """A proxy's tables, as orders leave them."""
+    """The state of a proxy after the orders that it has applied."""
 
     def __init__(self, tables: dict[int, dict[int, float]]) -> None:
         self.tables = {table: dict(row) for table, row in tables.items()}
@@ -34,7 +34,7 @@
         self.version = -1
 
     def apply(self, orders: Orders) -> None:
-        """Apply the orders; sequence numbers and versions never go back."""
+        """Apply the orders, and check that sequence numbers and versions never decrease."""
         for table, host, weight in orders.lines:
             self.tables[table].pop(host, None)
             if weight > 0:
@@ -50,5 +50,5 @@
             self.version = orders.version
 
     def tables_without_host(self) -> list[int]:
-        """Tables none of whose hosts may be used."""
+        """Return the tables without a host that is not cordoned."""
         return [table for table, row in self.tables.items() if not set(row) - self.cordons]
--- a/tests/channel/test_overtaking_states.py
+++ b/tests/channel/test_overtaking_states.py
@@ -1,4 +1,4 @@
-"""Search over states: orders of every kind overtake one another, and every proxy ends with the same tables."""
+"""State search: orders of every kind overtake one another, and all proxies end with the same tables."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from msgspec import structs
 
 from corallanding.channel import Channel, ChannelLimits, QueueFullError
-from corallanding.channel.merge import Merged, cost_lines, merge_ahead
+from corallanding.channel.merge import MergedOrders, cost_lines, merge_overtaken
 from corallanding.wire.frames import Orders, proxy_decoder
 from tests.channel.support import ProxyModel, submit
 
@@ -22,10 +22,10 @@
 
 
 class Overtaking(RuleBasedStateMachine):
-    """Orders of every kind, ordinary and urgent, to proxies that join, leave, block and are held back by the bound.
+    """Ordinary and urgent orders of every kind, to proxies that join, leave, block and reach the message limit.
 
-    The model applies orders in the order in which they were submitted. Whenever nothing waits for a proxy it holds what
-    the model holds; and as long as the model never leaves a table without a host, no proxy has one, at any time.
+    The model applies orders in the order of submission. Whenever no message is queued for a proxy, its state equals the
+    model's. As the model never has a table without a host, no proxy ever has one either.
     """
 
     TABLES = range(4)
@@ -67,7 +67,7 @@
         is_urgent=st.booleans(),
         moved_host=st.integers(0, 5),
     )
-    def give(
+    def submit_orders(
         self, rows: list[tuple[int, int, bool]], cordon: Cordon | None, level: float, is_urgent: bool, moved_host: int
     ) -> None:
         self.seq += 1
@@ -88,29 +88,29 @@
                 self.leave(proxy)
 
     def possible_lines(self, after: ProxyModel, rows: list[tuple[int, int, bool]]) -> tuple[ProxyModel, list[Line]]:
-        """Those of the drawn lines that leave no table without a host, and the model with them."""
+        """Return the model with those of the drawn lines that leave no table without a host, and these lines."""
         lines: list[Line] = []
         for table, host, is_present in rows:
             if (host in after.tables[table]) == is_present:
                 continue
             orders = Orders(after.seq, lines=[(table, host, float(is_present))])
-            trial = copy.deepcopy(after)
-            trial.apply(orders)
-            if not trial.tables_without_host():
-                after = trial
+            candidate = copy.deepcopy(after)
+            candidate.apply(orders)
+            if not candidate.tables_without_host():
+                after = candidate
                 lines += orders.lines
         return after, lines
 
     def possible_cordons(self, after: ProxyModel, cordon: Cordon | None) -> list[Cordon]:
-        """The drawn cordon, if it changes something and leaves no table without a host."""
+        """Return the drawn cordon if it has an effect and leaves no table without a host."""
         if not cordon or (cordon[0] in after.cordons) == cordon[1]:
             return []
-        trial = copy.deepcopy(after)
-        trial.apply(Orders(after.seq, cordons=[cordon]))
-        return [] if trial.tables_without_host() else [cordon]
+        candidate = copy.deepcopy(after)
+        candidate.apply(Orders(after.seq, cordons=[cordon]))
+        return [] if candidate.tables_without_host() else [cordon]
 
     @rule(ms=st.floats(0.1, 200))
-    def run(self, ms: float) -> None:
+    def advance(self, ms: float) -> None:
         self.now += ms
         for proxy, message in self.channel.take_due(self.now):
             assert message.orders
@@ -120,14 +120,14 @@
             assert not self.proxies[proxy].tables_without_host(), "a table without a host"
 
     @invariant()
-    def same_where_nothing_waits(self) -> None:
-        for proxy, held in self.proxies.items():
+    def state_equals_model_if_queue_is_empty(self) -> None:
+        for proxy, state in self.proxies.items():
             if not self.channel.queues[proxy].message_count:
                 for name in MODEL_FIELDS:
-                    assert getattr(held, name) == getattr(self.model, name), name
+                    assert getattr(state, name) == getattr(self.model, name), name
 
     @invariant()
-    def bounds(self) -> None:
+    def queued_lines_are_consistent_and_limited(self) -> None:
         total = 0.0
         for queue in self.channel.queues.values():
             lines = sum(self.channel.cost(message) for message in (*queue.urgent, *queue.ordinary))
@@ -143,22 +143,24 @@
 TestOvertaking = Overtaking.TestCase
 
 
-@pytest.mark.parametrize("mistake", ["lines stay", "cordon alone", "old address"])
-def test_search_when_a_mistake_is_planted_then_it_is_found(mistake: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    def merge_wrongly(urgent: Orders, waiting: Sequence[Orders], base_seq: int) -> Merged:
-        ahead, remaining = merge_ahead(urgent, waiting, base_seq)
-        if mistake == "lines stay":
-            ahead = structs.replace(urgent, seq=ahead.seq, version=ahead.version)
-        elif mistake == "cordon alone" and urgent.cordons:
-            ahead = structs.replace(ahead, lines=urgent.lines)
+@pytest.mark.parametrize("mistake", ["lines are not taken", "cordon takes no lines", "old address"])
+def test_state_search_when_the_merge_has_a_defect_then_it_is_found(
+    mistake: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    def merge_wrongly(urgent: Orders, waiting: Sequence[Orders], base_seq: int) -> MergedOrders:
+        merged, remaining = merge_overtaken(urgent, waiting, base_seq)
+        if mistake == "lines are not taken":
+            merged = structs.replace(urgent, seq=merged.seq, version=merged.version)
+        elif mistake == "cordon takes no lines" and urgent.cordons:
+            merged = structs.replace(merged, lines=urgent.lines)
         elif mistake == "old address":
             remaining = [
                 rest and structs.replace(rest, addresses=orders.addresses)
                 for rest, orders in zip(remaining, waiting, strict=True)
             ]
-        return Merged(ahead, remaining)
+        return MergedOrders(merged, remaining)
 
-    monkeypatch.setattr("corallanding.channel.overtaking.merge_ahead", merge_wrongly)
+    monkeypatch.setattr("corallanding.channel.overtaking.merge_overtaken", merge_wrongly)
     search = settings(
         max_examples=3000,
         stateful_step_count=40,
--- a/tests/channel/test_pacing.py
+++ b/tests/channel/test_pacing.py
@@ -1,4 +1,4 @@
-"""Pace, order, the bound on queued lines and the bound on messages, whatever comes and goes."""
+"""Rate, order, the limit on queued lines and the limit on messages, also while proxies join and leave."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from corallanding.channel.proxy_queue import Message
 
 
-def test_messages_when_they_wait_then_they_leave_in_order_at_the_rate() -> None:
+def test_messages_when_queued_then_they_are_sent_in_order_at_the_rate() -> None:
     channel = Channel(ChannelLimits(lines_per_second=1000.0, message_overhead_lines=8.0, max_queued_lines=1000.0))
     for proxy in (1, 2):
         channel.join(proxy)
@@ -20,12 +20,12 @@
     log = []
     for now in range(0, 61, 5):
         log += [(now, proxy, message.frame) for proxy, message in channel.take_due(float(now))]
-    # 20 lines take 20 ms each; the third waits for both.
+    # Each of the first two messages costs 20 lines, which take 20 ms; the third is sent after both.
     assert log == [(0, 1, b"a"), (20, 2, b"a"), (40, 1, b"b")]
     assert channel.queued_lines == 0
 
 
-def test_message_when_it_does_not_fit_then_the_error_names_its_proxies_and_others_get_it() -> None:
+def test_message_when_it_does_not_fit_then_the_error_has_its_proxies_and_others_get_it() -> None:
     channel = Channel(ChannelLimits(lines_per_second=1000.0, message_overhead_lines=8.0, max_queued_lines=25.0))
     for proxy in (1, 2, 3):
         channel.join(proxy)
@@ -35,7 +35,7 @@
     assert channel.queued_lines == 24
 
 
-def test_message_when_the_bound_is_reached_then_it_waits_until_the_window_is_over() -> None:
+def test_message_when_the_message_limit_is_reached_then_it_waits_until_the_window_ends() -> None:
     limits = ChannelLimits(
         lines_per_second=1e6,
         message_overhead_lines=0.0,
@@ -54,7 +54,7 @@
 
 
 class JoinsAndMessages(RuleBasedStateMachine):
-    """Proxies join, leave and join again; messages of any size come; the clock runs on."""
+    """Proxies join, leave and join again; messages of any size are submitted; the clock advances."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -85,22 +85,22 @@
     @rule(lines=st.integers(0, 30), to=st.sets(st.integers(0, 4)))
     def submit(self, lines: int, to: set[int]) -> None:
         self.number += 1
-        refused: set[int] = set()
+        rejected: set[int] = set()
         try:
             self.channel.submit(Message(b"%d" % self.number, lines, self.number, self.now), tuple(to))
         except QueueFullError as error:
-            refused = set(error.proxies)
-        assert refused <= to & set(self.received)
+            rejected = set(error.proxies)
+        assert rejected <= to & set(self.received)
 
     @rule(ms=st.floats(0.1, 300))
-    def run(self, ms: float) -> None:
+    def advance(self, ms: float) -> None:
         self.now += ms
         for proxy, message in self.channel.take_due(self.now):
-            assert message.version > self.joined_at_number[proxy], "a message of a former link"
+            assert message.version > self.joined_at_number[proxy], "a message submitted before the proxy joined"
             self.received[proxy].append((self.now, message.version))
 
     @invariant()
-    def bounds(self) -> None:
+    def limits_are_kept(self) -> None:
         assert -1e-6 <= self.channel.queued_lines <= self.limits.max_queued_lines
         lines = sum(
             self.limits.message_overhead_lines + message.cost_lines
