--- a/corallanding/assignment/host_health.py
+++ b/corallanding/assignment/host_health.py
@@ -33,7 +33,7 @@
 
 CALM_SLOWER_GAIN = 0.05
 SLOWER_GAIN = 0.02
-"""Smoothing gains of the base latency when it rises: for a host without load signs, and for another in a calm fleet."""
+"""Smoothing gains of the base latency when it rises: of a calm host, and of one that is not calm in a calm fleet."""
 
 DEFAULT_LATENCY_OBJECTIVE_MS = 1_000.0
 """Latency objective if no request class is configured."""
@@ -161,10 +161,10 @@
         if host.health_check_latency_ms <= SLOW_HEALTH_CHECK_FACTOR * median_ms:
             return False
         if host.load:
-            is_saturated = latency_ratio(host, self.min_latency_objective_ms) > SATURATED_RATIO
+            is_unhealthy = latency_ratio(host, self.min_latency_objective_ms) > SATURATED_RATIO
         else:
-            is_saturated = host.failed_at_ms > -math.inf
-        return is_saturated and self.fleet.median_latency_ratio < CALM_RATIO and not self.is_warming_up(host)
+            is_unhealthy = host.failed_at_ms > -math.inf
+        return is_unhealthy and self.fleet.median_latency_ratio < CALM_RATIO and not self.is_warming_up(host)
 
     def _record_alive(self, host: Host) -> None:
         host.alive_at_ms = self.publication.now_ms
--- a/corallanding/assignment/migration.py
+++ b/corallanding/assignment/migration.py
@@ -16,11 +16,7 @@
 
 
 class Migration:
-    """Moves slices to hosts with better scores, with gate and hold, and ends the holds of earlier moves.
-
-    The gate (`Placement.passes_gate`) delays a move until the destination is ready. The hold keeps the previous owner
-    in the table until all proxies have acknowledged the new one.
-    """
+    """Moves slices to hosts with better scores, with gate and hold (see `placement`), and ends expired holds."""
 
     def __init__(
         self, host_health: HostHealth, slices: dict[int, Slice], placement: Placement, fleet: FleetEstimate
--- a/corallanding/assignment/placement.py
+++ b/corallanding/assignment/placement.py
@@ -1,4 +1,8 @@
-"""Placement: chooses the host for a slice by rendezvous hashing among hosts with headroom, and gates moves."""
+"""Placement: chooses the host for a slice by rendezvous hashing among hosts with headroom, and decides when it moves.
+
+An ordinary move must pass the gate (the destination has proven to be ready). Then the hold keeps the previous owner in
+the table until all proxies have acknowledged the new one, or `MAX_HOLD_MS` have passed.
+"""
 
 from __future__ import annotations
 
--- a/corallanding/channel/channel.py
+++ b/corallanding/channel/channel.py
@@ -124,40 +124,42 @@
 
     # Sending.
 
-    def take_due(self, now: float) -> list[tuple[int, Message]]:
-        """Return the proxy and the message of each message that is due at `now`, in sending order.
+    def take_due(self, now_ms: float) -> list[tuple[int, Message]]:
+        """Return the messages that are due at `now_ms`, each with its proxy, in sending order.
 
         Call it again at `next_due_at`, and when a socket accepts data again.
         """
         due: list[tuple[int, Message]] = []
-        while self.delayed_queues and self.delayed_queues[0][0] <= now:
+        while self.delayed_queues and self.delayed_queues[0][0] <= now_ms:
             queue = heapq.heappop(self.delayed_queues)[2]
             queue.is_delayed = False
-            self._flush(queue, now, due)
+            self._flush(queue, now_ms, due)
         while self.writable_queues:
-            self._flush(self.writable_queues.popleft(), now, due)
+            self._flush(self.writable_queues.popleft(), now_ms, due)
         urgent_schedule, ordinary_schedule = self.schedules
-        while self.free_at_ms <= now and (urgent_schedule or ordinary_schedule):
+        while self.free_at_ms <= now_ms and (urgent_schedule or ordinary_schedule):
             queue = (urgent_schedule or ordinary_schedule).popleft()
             if self.queues.get(queue.proxy) is not queue or queue.released >= queue.message_count:
                 continue  # the proxy has left, or an urgent message took over all lines of this one
             cost = self.cost((*queue.urgent, *queue.ordinary)[queue.released])
-            self.free_at_ms = max(self.free_at_ms, now - MAX_CATCH_UP_MS) + cost * 1000.0 / self.limits.lines_per_second
+            self.free_at_ms = (
+                max(self.free_at_ms, now_ms - MAX_CATCH_UP_MS) + cost * 1000.0 / self.limits.lines_per_second
+            )
             queue.released += 1
-            self._flush(queue, now, due)
+            self._flush(queue, now_ms, due)
         return due
 
-    def _flush(self, queue: ProxyQueue, now: float, due: list[tuple[int, Message]]) -> None:
+    def _flush(self, queue: ProxyQueue, now_ms: float, due: list[tuple[int, Message]]) -> None:
         """Append the released messages to `due`, urgent ones first, unless message limit or socket prevent it."""
         if self.queues.get(queue.proxy) is not queue:
             return
         queue.released = min(queue.released, queue.message_count)
-        while queue.released and not queue.is_blocked and not self._is_at_message_limit(queue, now):
+        while queue.released and not queue.is_blocked and not self._is_at_message_limit(queue, now_ms):
             message = (queue.urgent or queue.ordinary).popleft()
             queue.released -= 1
             message.queue_count -= 1
             if self.limits.max_messages:
-                queue.sent_at_ms.append(now)
+                queue.sent_at_ms.append(now_ms)
             cost = self.cost(message)
             queue.queued_lines -= cost
             self.queued_lines -= cost
@@ -170,20 +172,20 @@
             may_send_at_ms = queue.sent_at_ms[0] + self.limits.message_window_ms
             heapq.heappush(self.delayed_queues, (may_send_at_ms, self._delay_count, queue))
 
-    def _is_at_message_limit(self, queue: ProxyQueue, now: float) -> bool:
+    def _is_at_message_limit(self, queue: ProxyQueue, now_ms: float) -> bool:
         if not self.limits.max_messages:
             return False
-        while queue.sent_at_ms and queue.sent_at_ms[0] <= now - self.limits.message_window_ms:
+        while queue.sent_at_ms and queue.sent_at_ms[0] <= now_ms - self.limits.message_window_ms:
             queue.sent_at_ms.popleft()
         return len(queue.sent_at_ms) >= self.limits.max_messages
 
-    def next_due_at(self, now: float) -> float | None:
+    def next_due_at(self, now_ms: float) -> float | None:
         """Return the time at which `take_due` may return messages; None if none are queued or all wait for sockets."""
         times = []
         if any(self.schedules):
-            times.append(max(now, self.free_at_ms))
+            times.append(max(now_ms, self.free_at_ms))
         if self.delayed_queues:
             times.append(self.delayed_queues[0][0])
         if self.writable_queues:
-            times.append(now)
+            times.append(now_ms)
         return min(times, default=None)
--- a/corallanding/channel/merge.py
+++ b/corallanding/channel/merge.py
@@ -58,7 +58,7 @@
     lines = _lines_to_take(urgent, waiting, includes_all_tables=any(cordons.values()))
     addresses = _addresses_to_take(urgent, waiting, {host for _, host in lines})
     lines.update({(table, host): weight for table, host, weight in urgent.lines})
-    remaining = _remaining(urgent, waiting, lines, addresses)
+    remaining = _remaining_orders(urgent, waiting, lines, addresses)
     last = _keep_newest(waiting[-1], remaining)
     base_seqs = [base_seq, *(max(base_seq, orders.seq) for orders in waiting[1:])]
     rows = [(table, host, weight) for (table, host), weight in lines.items()]
@@ -71,7 +71,7 @@
         cordons=list(cordons.items()),
         addresses=addresses,
     )
-    return MergedOrders(merged, _renumbered(remaining, [*base_seqs[1:], urgent.seq], urgent, last))
+    return MergedOrders(merged, _renumber(remaining, [*base_seqs[1:], urgent.seq], urgent, last))
 
 
 def _lines_to_take(urgent: Orders, waiting: Sequence[Orders], *, includes_all_tables: bool) -> dict[Line, float]:
@@ -100,7 +100,7 @@
     return addresses
 
 
-def _remaining(
+def _remaining_orders(
     urgent: Orders, waiting: Sequence[Orders], lines: dict[Line, float], addresses: dict[int, str]
 ) -> list[Orders | None]:
     """Return the waiting orders without `lines`, `addresses`, cordons and the levels that `urgent` sets."""
@@ -131,7 +131,7 @@
     return carrier
 
 
-def _renumbered(
+def _renumber(
     remaining: list[Orders | None], seqs: list[int], urgent: Orders, last: Orders | None
 ) -> list[Orders | None]:
     """Return the remaining orders with new sequence numbers, and with the version of `urgent` in `last`."""
