--- a/corallanding/snapshot/__init__.py
+++ b/corallanding/snapshot/__init__.py
@@ -1,1 +1,1 @@
-"""The state of a controller as bytes: of its assigner (`assigner_state`, `rankings`), and the file that holds it."""
+"""Serialized state of a controller: its assigner (`assigner_state`, `rankings`) and the snapshot file (`file`)."""
--- a/corallanding/snapshot/assigner_state.py
+++ b/corallanding/snapshot/assigner_state.py
@@ -1,7 +1,7 @@
-"""The state of an assigner out and in, as values that a file can hold.
+"""Conversion of the state of an assigner to and from values that a file can hold.
 
-An assigner that is loaded acts from there exactly as the one that ran on. The order of hosts, slices, table entries and
-rates is part of the state, since sums and ties go by it. Rankings are not kept, only how far they had come.
+A loaded assigner behaves exactly like one that was never stopped. The order of hosts, slices, table entries and rates
+is part of the state, since sums and tie-breaks depend on it. Rankings are not stored, only the order of their hosts.
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
 
 
 class AssignerStateError(StorageError, ValueError):
-    """A stored state does not fit this version's assigner. `names` are the fields, values or hosts that do not."""
+    """A stored state does not match this version's assigner. `names` are the mismatched fields, values or hosts."""
 
-    def __init__(self, text: str, names: Iterable[str | int]) -> None:
-        super().__init__(text)
+    def __init__(self, message: str, names: Iterable[str | int]) -> None:
+        super().__init__(message)
         self.names = list(names)
 
 
@@ -49,50 +49,50 @@
 
     @classmethod
     def of(cls, entry: api.HostEntry) -> StoredHostEntry:
-        """An entry as it is stored."""
+        """Return the stored form of an entry."""
         return cls(entry.host, entry.zone, entry.kind, entry.cell, entry.state, entry.weight, entry.online_since)
 
     def entry(self) -> api.HostEntry:
-        """The entry that was stored. Raises ValueError for an unknown state."""
+        """Return the entry that was stored. Raises ValueError for an unknown state."""
         state = api.HostState(self.state)
         return api.HostEntry(self.host, self.zone, self.kind, self.cell, state, self.weight, self.online_since)
 
 
 class StoredHost(msgspec.Struct, array_like=True):
-    """A host; its order of fields is what is stored."""
+    """A stored host; the order of the fields is the stored format."""
 
     entry: StoredHostEntry
-    fields: list[Any]  # in the order of `HOST_ATTRIBUTES`
+    fields: list[Any]  # values in the order of `HOST_ATTRIBUTES`
 
 
 class StoredSlice(msgspec.Struct, array_like=True):
-    """A slice, with hosts by their ids; its order of fields is what is stored."""
+    """A stored slice, with hosts by id; the order of the fields is the stored format."""
 
     weights: list[tuple[int, float]]
     owner: int | None
     replicas: list[int]
     candidate: int | None
     previous_owner: int | None
-    fields: list[Any]  # in the order of `SLICE_ATTRIBUTES`
+    fields: list[Any]  # values in the order of `SLICE_ATTRIBUTES`
 
 
 class AssignerState(msgspec.Struct):
-    """All that an assigner needs to go on, under its stored names."""
+    """Complete state of an assigner, under its stored names."""
 
     seed: int = msgspec.field(name="seed")
-    values: dict[str, Any] = msgspec.field(name="values")  # by the names of `VALUE_PATHS`
-    proxies: list[tuple[int, list[tuple[int, float]]]] = msgspec.field(name="proxies")  # unacknowledged versions
-    sent: list[float] = msgspec.field(name="sent")
-    typical: list[tuple[int, float]] = msgspec.field(name="typical")
+    values: dict[str, Any] = msgspec.field(name="values")  # keys of `VALUE_PATHS`
+    proxies: list[tuple[int, list[tuple[int, float]]]] = msgspec.field(name="proxies")  # unacked versions
+    sent: list[float] = msgspec.field(name="sent")  # times of sent messages in ms
+    typical: list[tuple[int, float]] = msgspec.field(name="typical")  # typical latency in ms by kind of host
     host_fields: list[str] = msgspec.field(name="host_fields")
     slice_fields: list[str] = msgspec.field(name="slice_fields")
     hosts: list[StoredHost] = msgspec.field(name="hosts")
     slices: list[StoredSlice] = msgspec.field(name="slices")
-    ranked: list[int] = msgspec.field(name="ranked")  # hosts in the order in which rankings take them in
+    ranked: list[int] = msgspec.field(name="ranked")  # host ids in the order in which rankings add them
 
 
 def dump(assigner: Assigner) -> AssignerState:
-    """The state of an assigner between two steps."""
+    """Return the state of an assigner between two steps."""
     pending = assigner.pending_versions
     return AssignerState(
         seed=assigner.seed,
@@ -111,7 +111,7 @@
 
 
 def dump_slice(slice_: Slice) -> StoredSlice:
-    """A slice as it is stored; its rates as pairs, since their order is part of the state."""
+    """Return the stored form of a slice; rates become pairs, since their order is part of the state."""
     fields = list(_slice_values(slice_))
     fields[RATES_INDEX] = list(fields[RATES_INDEX].items())
     return StoredSlice(
@@ -125,7 +125,10 @@
 
 
 def load(settings: api.Settings, state: AssignerState) -> Assigner:
-    """An assigner that goes on from `state`. Raises `AssignerStateError`, or ValueError for another misfit."""
+    """Return an assigner that continues from `state`.
+
+    Raises `AssignerStateError` for unknown fields, values or hosts, ValueError for any other mismatch.
+    """
     check_fields(state)
     assigner = Assigner(settings, state.seed)
     for stored_host in state.hosts:
@@ -146,14 +149,14 @@
 
 
 def check_fields(state: AssignerState) -> None:
-    """Raise `AssignerStateError` if hosts or slices were stored with other fields than this version's."""
+    """Raise `AssignerStateError` if hosts or slices were stored with different fields than this version has."""
     if state.host_fields != HOST_FIELDS or state.slice_fields != SLICE_FIELDS:
-        other = sorted(set(state.host_fields) ^ set(HOST_FIELDS) | set(state.slice_fields) ^ set(SLICE_FIELDS))
-        raise AssignerStateError(f"fields of hosts or slices differ: {other}", other)
+        mismatched = sorted(set(state.host_fields) ^ set(HOST_FIELDS) | set(state.slice_fields) ^ set(SLICE_FIELDS))
+        raise AssignerStateError(f"stored fields of hosts or slices differ: {mismatched}", mismatched)
 
 
 def load_host(stored: StoredHost) -> Host:
-    """A host from what is stored of it."""
+    """Return the host of a stored host."""
     entry = stored.entry.entry()
     host = Host(entry.host, entry)
     for attribute, value in zip(HOST_ATTRIBUTES.values(), stored.fields, strict=True):
@@ -162,7 +165,7 @@
 
 
 def load_slice(stored: StoredSlice, hosts: dict[int, Host]) -> Slice:
-    """A slice from what is stored of it. Raises `AssignerStateError` if it names a host that is not stored."""
+    """Return the slice of a stored slice. Raises `AssignerStateError` if it refers to a host that is not stored."""
     slice_ = Slice(-1)
     for (name, attribute), value in zip(SLICE_ATTRIBUTES.items(), stored.fields, strict=True):
         setattr(slice_, attribute, dict(value) if name == "rates" else value)
@@ -175,21 +178,21 @@
 
 
 def named_host(hosts: dict[int, Host], host_id: int) -> Host:
-    """The host of that id. Raises `AssignerStateError`."""
+    """Return the host with this id. Raises `AssignerStateError` if there is none."""
     if host_id not in hosts:
-        raise AssignerStateError(f"host {host_id} is named and not there", [host_id])
+        raise AssignerStateError(f"state refers to host {host_id}, which is not stored", [host_id])
     return hosts[host_id]
 
 
 def optional_host(hosts: dict[int, Host], host_id: int | None) -> Host | None:
-    """The host of that id, or none. Raises `AssignerStateError`."""
+    """Return the host with this id, None for no id. Raises `AssignerStateError` if there is no such host."""
     return None if host_id is None else named_host(hosts, host_id)
 
 
 def load_values(assigner: Assigner, values: dict[str, Any]) -> None:
-    """Set what stands under the names of `VALUE_PATHS`. Raises `AssignerStateError` for a name that is not there."""
+    """Set the attributes that `VALUE_PATHS` gives for these values. Raises `AssignerStateError` for an unknown name."""
     for name, value in values.items():
         if name not in VALUE_PATHS:
-            raise AssignerStateError(f"no part of this module has a figure {name}", [name])
+            raise AssignerStateError(f"unknown stored value {name}", [name])
         part, _, attribute = VALUE_PATHS[name].rpartition(".")
         setattr(attrgetter(part)(assigner) if part else assigner, attribute, value)
--- a/corallanding/snapshot/rankings.py
+++ b/corallanding/snapshot/rankings.py
@@ -1,7 +1,7 @@
-"""Rendezvous rankings as bytes, for a handover.
+"""Serialized rendezvous rankings, for a handover.
 
-They follow from slices and hosts alone, but a large fleet's take seconds to compute anew: the old process sends them
-ahead while it still works.
+Rankings depend on slices and hosts alone, but those of a large fleet take seconds to compute again: the old process
+sends them in advance, while it is still active.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 
 
 class StoredRanking(msgspec.Struct, array_like=True):
-    """The ranking of one slice; its order of fields is the wire.
+    """The ranking of one slice; the order of the fields is the wire format.
 
-    `positions` are places in the order of `AssignerState.ranked`, which only grows. `hosts_seen` is how many hosts of
-    that order the ranking takes in.
+    `positions` are indexes into `AssignerState.ranked`, to which hosts are only appended. `hosts_seen` is the number of
+    hosts of that list, from its beginning, that the ranking considers.
     """
 
     slice_id: int
     hosts_seen: int
     scores: bytes  # doubles
-    positions: bytes  # unsigned, four bytes each
+    positions: bytes  # unsigned integers of four bytes
 
 
 def dump_rankings(rendezvous: RendezvousTable[Any], slice_ids: Iterable[int]) -> list[StoredRanking]:
-    """The rankings of those slices that have one."""
-    position_of = {id(host): n for n, host in enumerate(rendezvous.hosts)}
+    """Return the rankings of the given slices; slices without a ranking are omitted."""
+    position_of = {id(host): position for position, host in enumerate(rendezvous.hosts)}
     stored = []
     for slice_id in slice_ids:
         ranking = rendezvous.rankings.get(slice_id)
@@ -43,9 +43,9 @@
 
 
 def load_rankings(rendezvous: RendezvousTable[Any], stored: Iterable[StoredRanking]) -> int:
-    """Take rankings into a table that has their hosts; returns how many.
+    """Add rankings to a table that has their hosts; return the number added.
 
-    One that does not fit, or that the table has already, is passed over: it is computed when it is needed.
+    Invalid rankings, and those of slices that already have one, are skipped; a missing ranking is computed on demand.
     """
     count = 0
     for row in stored:
@@ -58,7 +58,7 @@
             continue
         scores = array("d")
         scores.frombytes(row.scores)
-        hosts = [rendezvous.hosts[n] for n in positions]
+        hosts = [rendezvous.hosts[position] for position in positions]
         rendezvous.rankings[row.slice_id] = Ranking(scores.tolist(), hosts)
         rendezvous.hosts_seen[row.slice_id] = row.hosts_seen
         count += 1
--- a/corallanding/snapshot/stored_fields.py
+++ b/corallanding/snapshot/stored_fields.py
@@ -1,7 +1,7 @@
-"""Which attributes of hosts, slices and the assigner are stored, and under what names.
+"""Stored names of the attributes of hosts, slices and the assigner.
 
-Frozen: the left side of a table is what files and handovers hold, in this order. A renamed attribute changes on
-the right side alone.
+Files and handovers hold the keys of these tables, in this order, so keys never change. When an attribute is renamed,
+only its value here changes.
 """
 
 from __future__ import annotations
@@ -43,8 +43,8 @@
     "looked": "hosts_considered",
     "rates": "rate_by_class",
 }
-# Values of the assigner and of its parts; a dot leads to a part. What else these hold follows from the settings and the
-# seed, or is made anew at the start of each decision.
+# Paths of attributes of the assigner and its components. Attributes that are not listed are derived from the settings
+# and the seed, or recomputed at the start of each decision.
 VALUE_PATHS: dict[str, str] = {
     "level": "admission.level",
     "level_at": "admission.changed_at_ms",
--- a/corallanding/snapshot/stored_values.py
+++ b/corallanding/snapshot/stored_values.py
@@ -1,6 +1,6 @@
-"""Events, actions and settings under their stored names, and back.
+"""Conversion of events, actions and settings to and from their stored form.
 
-`interface.stored_names` has the names. What comes back is validated by the types of the class.
+`interface.stored_names` defines the stored names. Stored values are validated against the field types of the class.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @cache
 def stored_class(kind: type) -> type[msgspec.Struct]:
-    """The class that holds the fields of a `kind` for an encoder, which writes them under their stored names."""
+    """Return a struct class with the fields of `kind`, which an encoder writes under their stored names."""
     fields = stored_names.FIELDS[kind]
     items = stored_names.ITEMS.get(kind, {})
     lists = {name: GenericAlias(list, (stored_class(inner),)) for name, inner in items.items()}
@@ -30,20 +30,20 @@
 
 
 def to_stored(item: Any) -> msgspec.Struct:
-    """An event, action or settings object as an encoder writes it: its stored names, in the order of the table."""
+    """Return the stored form of an event, action or settings object, with fields in the order of `stored_names`."""
     return msgspec.convert(item, stored_class(item.__class__), from_attributes=True)
 
 
 def from_stored(raw: Any, kind: type[T]) -> T:
-    """An object of `kind` from its stored form; unknown names are passed over.
+    """Return an object of `kind` from its stored form; unknown names are ignored.
 
-    Raises `msgspec.ValidationError` naming what does not fit.
+    Raises `msgspec.ValidationError` that names the invalid field.
     """
     return msgspec.convert(_attributes(raw, kind), kind)
 
 
 def _attributes(raw: Any, kind: type) -> Any:
-    """A stored map under the names of attributes. What is no map, or no list, is left to validation."""
+    """Return a stored map with attribute names as keys. Values of the wrong type are kept, for validation to reject."""
     if not isinstance(raw, dict):
         return raw
     fields = stored_names.FIELDS[kind]
@@ -51,5 +51,5 @@
     found = {fields[name]: value for name, value in raw.items() if name in fields}
     for name, inner in items.items():
         if isinstance(raw.get(name), list):
-            found[fields[name]] = [_attributes(one, inner) for one in raw[name]]
+            found[fields[name]] = [_attributes(element, inner) for element in raw[name]]
     return found
--- a/corallanding/store/__init__.py
+++ b/corallanding/store/__init__.py
@@ -1,4 +1,4 @@
-"""Durable tables of one controller: the interface that it writes through, and the embedded store (`sqlite`)."""
+"""Durable storage of the tables of one controller: the interface (`api`) and the embedded store (`sqlite`)."""
 
 from .api import Store, StoreContents, StoreError, StoreLockedError, TableEntry
 from .sqlite import SqliteStore
--- a/corallanding/store/api.py
+++ b/corallanding/store/api.py
@@ -1,4 +1,4 @@
-"""What a store does for a controller: it keeps tables and the host list through a restart."""
+"""Interface of a store, which keeps the tables and the host list of a controller across restarts."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from ..errors import StorageError
 from ..interface import HostEntry
 
-TableEntry = tuple[int, int, float]  # table, host, weight
+TableEntry = tuple[int, int, float]  # table number, host id, weight
 
 
 class StoreError(StorageError):
-    """The store could not be read or written: it is full, read-only, locked or damaged. Nothing was half written."""
+    """The store could not be read or written: it is full, read-only, locked or damaged. No write is applied in part."""
 
 
 class StoreLockedError(StoreError):
-    """Another controller holds this store, or has taken it since."""
+    """The store is locked by another controller, or was taken over by one."""
 
 
 @dataclass
 class StoreContents:
-    """What a controller finds in its store at a start.
+    """Contents of a store when a controller opens it.
 
-    `start_number` grows by one at each start; what a former start writes after that is refused. `message_number` is the
-    last message of the former start whose table entries are stored. `tables` maps a table to the weights of its hosts,
-    `started_at_ms` a host to the wall-clock time at which its process started.
+    `start_number` increases by one at each start and is a fencing token: writes of an earlier start are rejected.
+    `message_number` is the last message of the previous start whose table entries are stored. `tables` maps a table to
+    the weights of its hosts, `started_at_ms` a host to the wall-clock time at which its process started.
     """
 
     start_number: int
@@ -39,16 +39,16 @@
 
 
 class Store(Protocol):
-    """A durable store of one controller. Every call but `close` raises `StoreError` if it fails."""
+    """A durable store of one controller. Every method except `close` raises `StoreError` on failure."""
 
     def open(self) -> StoreContents:
-        """Take the store for this controller; raises `StoreLockedError` while another one holds it."""
+        """Lock the store for this controller and read it. Raises `StoreLockedError` while another one has locked it."""
 
     def write(self, message_number: int, entries: Sequence[TableEntry], resets: Sequence[int] = ()) -> None:
-        """Empty the tables `resets`, then set `entries`, all or nothing; weight 0 removes a host.
+        """Atomically clear the tables `resets`, then set `entries`; weight 0 removes a host.
 
-        `message_number` is that of the message which will carry the entries to proxies. Raises `StoreLockedError` if
-        another controller has taken the store.
+        `message_number` is the number of the message that will publish the entries to proxies. Raises
+        `StoreLockedError` if another controller has taken over the store.
         """
 
     def save_host_list(
@@ -58,7 +58,7 @@
         addresses: Mapping[int, str],
         started_at_ms: Mapping[int, float],
     ) -> None:
-        """Replace the stored host list, which the next `open` gives back."""
+        """Replace the stored host list, which the next `open` returns."""
 
     def close(self) -> None:
         """Release the store."""
--- a/corallanding/store/database_file.py
+++ b/corallanding/store/database_file.py
@@ -1,4 +1,4 @@
-"""SQLite files that one process holds at a time: their lock, and how they are opened."""
+"""SQLite files that are used by one process at a time: locking and opening."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 import sqlite3
 from pathlib import Path
 
-BUSY_TIMEOUT_SECONDS = 0.02  # a locked file is given up after that, rather than hold the event loop
+BUSY_TIMEOUT_SECONDS = 0.02  # short: waiting for a locked file blocks the event loop
 
 
 def lock_database(path: str | Path) -> int:
-    """Take the lock beside the file at `path`, and return its descriptor: the lock is held until that is closed.
+    """Lock the file at `path` by a lock file beside it; return its descriptor, whose closing releases the lock.
 
     Raises `BlockingIOError` while another process holds it, `OSError` if the lock file cannot be used.
     """
@@ -27,9 +27,9 @@
 def open_database(
     path: str | Path, tables: str, *, sync: str = "normal", is_thread_bound: bool = True
 ) -> sqlite3.Connection:
-    """Open the file in WAL mode, and create those of its tables that are missing.
+    """Open the file in WAL mode and create missing tables.
 
-    tables: an SQL script. sync: "normal" (transactions survive a killed process) or "full" (also a lost machine).
+    tables: an SQL script. sync: "normal" (transactions survive a killed process) or "full" (also a machine crash).
     is_thread_bound: only this thread may use the connection. Raises `sqlite3.Error` if the file cannot be used.
     """
     connection = sqlite3.connect(
--- a/corallanding/store/sqlite.py
+++ b/corallanding/store/sqlite.py
@@ -1,8 +1,8 @@
-"""The embedded store: one SQLite file in WAL mode. `docs/store.md` compares it with others.
+"""The embedded store: one SQLite file in WAL mode. `docs/store.md` compares it with alternatives.
 
-Each step is one transaction: after a kill at any instant the file holds whole steps only. Every start raises the start
-number in the file, and every write checks it, so that a controller that was suspended while another took the store over
-cannot write.
+Each step is one transaction: if the process is killed at any time, the file holds complete steps only. Every start
+increments the start number in the file and every write checks it, so that a controller that was suspended while another
+one took over the store cannot write.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
   without rowid;
 create table if not exists roster (host integer primary key, entry text not null) without rowid;
 """
-# Keys of the table `meta`, as they are stored.
+# Keys of the table `meta`.
 SCHEMA_KEY = "schema"
 START_NUMBER_KEY = "life"
 MESSAGE_NUMBER_KEY = "seq"
@@ -36,24 +36,24 @@
 
 
 class WritePoint(StrEnum):
-    """Instants of a write at which a process may be killed."""
+    """Points of a write at which tests kill the process."""
 
     BEFORE_BEGIN = "before begin"
     AFTER_BEGIN = "after begin"
-    BETWEEN_ENTRIES = "between lines"
-    BETWEEN_HOSTS = "between roster rows"
+    BETWEEN_ENTRIES = "between entries"
+    BETWEEN_HOSTS = "between host rows"
     BEFORE_COMMIT = "before commit"
     AFTER_COMMIT = "after commit"
 
 
 def ignore_write_point(point: WritePoint) -> None:
-    """Do nothing at a write point; tests end the process there."""
+    """Do nothing at a write point; tests pass a function that kills the process."""
 
 
 class SqliteStore:
-    """A store in the file `path`, whose folder must exist.
+    """A store in the file `path`, whose directory must exist.
 
-    `sync` is "normal" (steps survive a killed process) or "full" (also a lost machine). `on_write_point` is called at
+    `sync` is "normal" (steps survive a killed process) or "full" (also a machine crash). `on_write_point` is called at
     every write point.
     """
 
@@ -71,9 +71,9 @@
         self.connection: sqlite3.Connection | None = None
 
     def open(self) -> StoreContents:
-        """Take the store and read it; it is closed again if that fails.
+        """Lock the store and read it; on failure it is closed again.
 
-        Raises `StoreLockedError` while another process holds the file, `StoreError` if it cannot be used.
+        Raises `StoreLockedError` while another process holds the lock, `StoreError` if the file cannot be used.
         """
         try:
             self._lock()
@@ -90,15 +90,17 @@
         try:
             self.lock_fd = lock_database(self.path)
         except BlockingIOError:
-            raise StoreLockedError(f"{self.path}: another steward holds this store") from None
+            raise StoreLockedError(f"{self.path}: store is locked by another controller") from None
         except OSError as error:
             raise StoreError(f"{self.path}: {error.strerror}") from None
 
     def _begin_start(self) -> StoreContents:
-        """Raise the start number, and read what the former start left."""
+        """Increment the start number, and read what the previous start stored."""
         schema = int(self.read_meta(SCHEMA_KEY) or SCHEMA_VERSION)
         if schema != SCHEMA_VERSION:
-            raise StoreError(f"{self.path}: schema {schema}; this version reads {SCHEMA_VERSION}")
+            raise StoreError(
+                f"{self.path}: schema version {schema} is not supported; this program reads version {SCHEMA_VERSION}"
+            )
         connection = self._open_connection()
         connection.execute("begin immediate")
         self.start_number = int(self.read_meta(START_NUMBER_KEY) or 0) + 1
@@ -110,7 +112,7 @@
         return self.read_contents(message_number)
 
     def read_contents(self, message_number: int) -> StoreContents:
-        """Everything in the file, with a `message_number` that was read before it was reset."""
+        """Return the contents of the file, with a `message_number` that was read before it was reset."""
         connection = self._open_connection()
         host_list_version = int(self.read_meta(HOST_LIST_VERSION_KEY) or 0)
         contents = StoreContents(self.start_number, message_number, host_list_version=host_list_version)
@@ -126,16 +128,16 @@
         return contents
 
     def read_meta(self, key: str) -> str | None:
-        """The value of a key; None if it has none."""
+        """Return the value of a key of the table `meta`, None if it is missing."""
         row = self._open_connection().execute("select value from meta where key = ?", (key,)).fetchone()
         return None if row is None else str(row[0])
 
     def write_meta(self, key: str, value: str) -> None:
-        """Set the value of a key."""
+        """Set the value of a key of the table `meta`."""
         self._open_connection().execute("insert or replace into meta values (?, ?)", (key, value))
 
     def write(self, message_number: int, entries: Sequence[TableEntry], resets: Sequence[int] = ()) -> None:
-        """Empty the tables `resets`, then set `entries`, in one transaction; see `Store.write`."""
+        """Clear the tables `resets`, then set `entries`, in one transaction; see `Store.write`."""
         on_write_point = self.on_write_point
         between_entries = WritePoint.BETWEEN_ENTRIES
 
@@ -171,7 +173,7 @@
         self._in_transaction(change)
 
     def _in_transaction(self, change: Callable[[sqlite3.Connection], None]) -> None:
-        """Make a change in one transaction, or none at all.
+        """Apply a change in one transaction, which is rolled back on failure.
 
         Raises `StoreLockedError` if the store was taken over, `StoreError` if SQLite fails.
         """
@@ -196,11 +198,13 @@
     def _check_start_number(self) -> None:
         found = self.read_meta(START_NUMBER_KEY)
         if found != str(self.start_number):
-            raise StoreLockedError(f"{self.path}: taken by a later steward (life {found}, this is {self.start_number})")
+            raise StoreLockedError(
+                f"{self.path}: store was taken over by a later start (number {found}, this one is {self.start_number})"
+            )
 
     def _open_connection(self) -> sqlite3.Connection:
         if self.connection is None:
-            raise StoreError(f"{self.path}: not open")
+            raise StoreError(f"{self.path}: store is not open")
         return self.connection
 
     def close(self) -> None:
@@ -214,7 +218,7 @@
 
 
 def stored_host(entry: HostEntry, address: str, started_at_ms: float) -> dict[str, Any]:
-    """A host as its row stores it. The keys are frozen."""
+    """Return the stored row of a host. The keys are part of the file format."""
     return {
         "zone": entry.zone,
         "kind": entry.kind,
--- a/corallanding/upgrade/__init__.py
+++ b/corallanding/upgrade/__init__.py
@@ -1,1 +1,1 @@
-"""Hands a running controller to a new process: who controls when (`state_machine`), and the pipe between them."""
+"""Handover of a running controller to a new process: the state machines of both sides and the pipe between them."""
--- a/corallanding/upgrade/pipe.py
+++ b/corallanding/upgrade/pipe.py
@@ -1,6 +1,6 @@
-"""Messages and file descriptors between the two processes of a handover, over a private pair of Unix sockets.
+"""Transport of messages and file descriptors between the two processes of a handover, over a private Unix socket pair.
 
-Calls block, and belong into a thread. A message is its length in four bytes, then MessagePack [name, detail].
+All calls block; run them in a thread. A message is its length in four bytes, followed by MessagePack [name, detail].
 """
 
 from __future__ import annotations
@@ -17,39 +17,39 @@
 
 LENGTH_BYTES = 4
 MAX_MESSAGE_BYTES = 1 << 30
-READ_BYTES = 1 << 20
-MAX_DESCRIPTORS_PER_MESSAGE = 200  # the kernel takes 253
-DESCRIPTORS_TAG = b"F"  # the byte that descriptors travel with
-CREDENTIALS_FORMAT = "3i"  # struct ucred: process, user, group
+MAX_READ_BYTES = 1 << 20
+MAX_DESCRIPTORS_PER_MESSAGE = 200  # the kernel accepts up to 253
+DESCRIPTORS_PAYLOAD = b"F"  # descriptors need at least one byte of ordinary data
+CREDENTIALS_FORMAT = "3i"  # struct ucred: process id, user id, group id
 
 
 class PipeClosedError(ConnectionLostError):
-    """The other side has ended, or what came is no message."""
+    """The other process closed the pipe, or the data received is not a valid message."""
 
 
 class PeerCredentials(NamedTuple):
-    """The process at the other end of a Unix socket, and its user, as the kernel says."""
+    """Process id and user id of the peer of a Unix socket, as reported by the kernel."""
 
     process: int
     user: int
 
 
 class PipeMessage(NamedTuple):
-    """One message; the form of `detail` depends on its name."""
+    """One message; the encoding of `detail` depends on `name`."""
 
     name: str
     detail: bytes
 
 
 def peer_credentials(sock: socket.socket) -> PeerCredentials:
-    """Who is at the other end of a Unix socket."""
+    """Return the credentials of the peer of a Unix socket."""
     raw = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize(CREDENTIALS_FORMAT))
     process, user, _ = struct.unpack(CREDENTIALS_FORMAT, raw)
     return PeerCredentials(process, user)
 
 
 class HandoverPipe:
-    """One end of the pipe. All calls but `close` raise `PipeClosedError`."""
+    """One end of the pipe. Every method except `close` can raise `PipeClosedError`."""
 
     def __init__(self, sock: socket.socket) -> None:
         sock.setblocking(True)
@@ -67,7 +67,7 @@
         """Wait for one message."""
         length = int.from_bytes(self._read_exactly(LENGTH_BYTES), "big")
         if length > MAX_MESSAGE_BYTES:
-            raise PipeClosedError(f"a message of {length} bytes")
+            raise PipeClosedError(f"message of {length} bytes is too long")
         try:
             name, detail = msgspec.msgpack.decode(self._read_exactly(length), type=tuple[str, bytes])
         except msgspec.DecodeError as error:
@@ -78,24 +78,26 @@
         data = bytearray()
         while len(data) < size:
             try:
-                chunk = self.socket.recv(min(size - len(data), READ_BYTES))
+                chunk = self.socket.recv(min(size - len(data), MAX_READ_BYTES))
             except OSError as error:
                 raise PipeClosedError(str(error)) from None
             if not chunk:
-                raise PipeClosedError("the other side has ended")
+                raise PipeClosedError("the other process closed the pipe")
             data += chunk
         return bytes(data)
 
     def send_descriptors(self, descriptors: list[int]) -> None:
         """Send file descriptors, in order."""
-        for at in range(0, len(descriptors), MAX_DESCRIPTORS_PER_MESSAGE):
+        for start in range(0, len(descriptors), MAX_DESCRIPTORS_PER_MESSAGE):
             try:
-                socket.send_fds(self.socket, [DESCRIPTORS_TAG], descriptors[at : at + MAX_DESCRIPTORS_PER_MESSAGE])
+                socket.send_fds(
+                    self.socket, [DESCRIPTORS_PAYLOAD], descriptors[start : start + MAX_DESCRIPTORS_PER_MESSAGE]
+                )
             except OSError as error:
                 raise PipeClosedError(str(error)) from None
 
     def receive_descriptors(self, count: int) -> list[int]:
-        """Wait for `count` file descriptors; those that came are closed if not all come."""
+        """Wait for `count` file descriptors; on failure, close those already received."""
         received: list[int] = []
         try:
             while len(received) < count:
@@ -107,14 +109,14 @@
         return received
 
     def _receive_some(self, received: list[int], count: int) -> None:
-        """Add the descriptors of one message to those received."""
+        """Append the descriptors of one message to `received`."""
         data, descriptors, flags, _ = socket.recv_fds(self.socket, 1, MAX_DESCRIPTORS_PER_MESSAGE)
         received += descriptors
         if not data or not descriptors or flags & socket.MSG_CTRUNC:
-            raise PipeClosedError(f"{len(received)} of {count} descriptors came")
+            raise PipeClosedError(f"received {len(received)} of {count} file descriptors")
 
     def close(self) -> None:
-        """Close this end; a thread that reads from it wakes up."""
+        """Close this end and unblock a thread that is reading from it."""
         with contextlib.suppress(OSError):
             self.socket.shutdown(socket.SHUT_RDWR)
         self.socket.close()
--- a/corallanding/upgrade/state_machine.py
+++ b/corallanding/upgrade/state_machine.py
@@ -1,18 +1,21 @@
-"""Which of two processes controls, at every instant of a handover. Pure: messages and time in, commands out.
+"""State machines of the two sides of a handover, which decide which process is the active controller.
+
+They do no I/O: messages and the time go in, commands come out.
 
     predecessor: SPAWN              successor: starts, checks its configuration
-         <- ready (protocol)
+         <- ready (protocol version)
          PAUSE, SEND_STATE
-                                         LOAD, checks itself
+                                         LOAD, checks the loaded state
          <- checked
-         CLOSE_STORE, SEND_COMMIT        (until here the predecessor carries on if anything is wrong)
+         CLOSE_STORE, SEND_COMMIT        (up to here the predecessor resumes on any failure)
                                          OPEN_STORE, RUN
          <- taken
-         EXIT                            (from commit on the successor controls;
-                                         the predecessor only if it has ended it)
+         EXIT                            (after commit the successor is active; the predecessor
+                                         resumes only after it has killed the successor)
 
-A side that waits in vain kills the other by its process number before it controls: a process that stands still may wake
-up. Only the side that holds the termination lock (a file lock) may do so; otherwise both could kill each other.
+A side whose wait times out kills the other process, by its process id, before it becomes active: a suspended process
+could resume later. Only the holder of the termination lock (a file lock) may kill; otherwise both sides could kill each
+other.
 """
 
 from __future__ import annotations
@@ -24,7 +27,7 @@
 
 
 class HandoverMessage(StrEnum):
-    """Names of messages between the two processes, as they are sent."""
+    """Names of the messages between the two processes, as sent on the pipe."""
 
     READY = "ready"
     RANKINGS = "marks"
@@ -37,28 +40,28 @@
 
 
 class HandoverCommand(Enum):
-    """What a side has to do next. The values name the points at which tests stop a process."""
+    """Action that a side has to perform next. Tests stop a process at points that are named by the values."""
 
     SPAWN = "spawn"
-    PAUSE = "pause"  # no step, no read, no accept; what was written has left
+    PAUSE = "pause"  # no steps, reads or accepts; written data has been flushed
     SEND_STATE = "send state"
     CLOSE_STORE = "close store"
     SEND_COMMIT = "send commit"
-    END_OTHER = "end other"  # only with the termination lock; returns once the other process has surely ended
-    RESUME = "resume"  # control again, with the store opened anew if it was closed
+    END_OTHER = "end other"  # kill the other process and wait for its exit; requires the termination lock
+    RESUME = "resume"  # become active again; reopen the store if it was closed
     SEND_READY = "send ready"
     LOAD = "load"
     SEND_CHECKED = "send checked"
     OPEN_STORE = "open store"
-    RUN = "run"  # control, from the state that came
-    COLD_START = "cold start"  # control, from the store alone
+    RUN = "run"  # become active with the loaded state
+    COLD_START = "cold start"  # become active from the store alone
     SEND_TAKEN = "send taken"
     SEND_FAILED = "send failed"
     EXIT = "exit"
 
 
 class Phase(Enum):
-    """How far a side has come."""
+    """Progress of one side in the handover."""
 
     IDLE = "idle"
     SPAWNED = "spawned"
@@ -73,7 +76,10 @@
 
 @dataclass
 class Predecessor:
-    """The process that controls now. Each phase may take `timeout_ms`; `failure` says why nothing was handed over."""
+    """Side of the process that is active at the start.
+
+    Each phase may take `timeout_ms`. `failure` is the reason why the last handover failed, or empty.
+    """
 
     timeout_ms: float
     phase: Phase = Phase.IDLE
@@ -81,14 +87,14 @@
     failure: str = ""
 
     def start(self, now: float) -> list[HandoverCommand]:
-        """Begin a handover."""
+        """Start a handover."""
         self.phase = Phase.SPAWNED
         self.deadline = now + self.timeout_ms
         self.failure = ""
         return [HandoverCommand.SPAWN]
 
     def on_message(self, now: float, message: str, detail: str = "") -> list[HandoverCommand]:
-        """The successor has sent a message."""
+        """Handle a message of the successor."""
         self.deadline = now + self.timeout_ms
         match self.phase, message:
             case Phase.SPAWNED, HandoverMessage.READY:
@@ -101,27 +107,27 @@
                 return [HandoverCommand.EXIT]
             case _, HandoverMessage.FAILED:
                 return self.abort(detail)
-        return self.abort(f"{message!r} came while {self.phase.value}")
+        return self.abort(f"unexpected message {message!r} in phase {self.phase.value}")
 
     def _on_ready(self, protocol: str) -> list[HandoverCommand]:
         if protocol != str(PROTOCOL):
-            return self.abort(f"the new process speaks handover protocol {protocol}, this one {PROTOCOL}")
+            return self.abort(f"the new process uses handover protocol {protocol}, this one uses {PROTOCOL}")
         self.phase = Phase.OFFERED
         return [HandoverCommand.PAUSE, HandoverCommand.SEND_STATE]
 
     def on_peer_lost(self) -> list[HandoverCommand]:
-        """The successor, or its end of the pipe, is gone."""
+        """Handle the exit of the successor, or the loss of the pipe to it."""
         return self.abort("the new process ended")
 
     def on_tick(self, now: float) -> list[HandoverCommand]:
-        """Time has passed."""
+        """Cancel the handover if the present phase has timed out."""
         if self.phase in (Phase.IDLE, Phase.OVER) or now < self.deadline:
             return []
         waited = f"{self.timeout_ms:g} ms ({self.phase.value})"
-        return self.abort(f"nothing came from the new process within {waited}")
+        return self.abort(f"no message from the new process within {waited}")
 
     def abort(self, failure: str) -> list[HandoverCommand]:
-        """Carry on as before, once the successor has surely ended."""
+        """Cancel the handover: kill the successor, then resume."""
         if self.phase in (Phase.IDLE, Phase.OVER):
             return []
         self.phase = Phase.IDLE
@@ -129,27 +135,27 @@
         return [HandoverCommand.END_OTHER, HandoverCommand.RESUME]
 
     def on_lock_lost(self) -> list[HandoverCommand]:
-        """The successor holds the termination lock: it takes over, and is about to kill this process."""
+        """Exit: the successor holds the termination lock, and is about to kill this process and take over."""
         self.phase = Phase.OVER
         return [HandoverCommand.EXIT]
 
 
 @dataclass
 class Successor:
-    """The process that is to control. Each phase may take `timeout_ms`."""
+    """Side of the process that takes over. Each phase may take `timeout_ms`."""
 
     timeout_ms: float
     phase: Phase = Phase.STARTING
     deadline: float = 0.0
 
     def start(self, now: float) -> list[HandoverCommand]:
-        """This process is ready to take over."""
+        """Report to the predecessor that this process is ready to take over."""
         self.phase = Phase.WAITING
         self.deadline = now + self.timeout_ms
         return [HandoverCommand.SEND_READY]
 
     def on_message(self, now: float, message: str) -> list[HandoverCommand]:
-        """The predecessor has sent a message."""
+        """Handle a message of the predecessor."""
         self.deadline = now + self.timeout_ms
         match self.phase, message:
             case Phase.WAITING, HandoverMessage.STATE:
@@ -161,7 +167,7 @@
         return [HandoverCommand.EXIT]
 
     def on_state_loaded(self, now: float, ok: bool) -> list[HandoverCommand]:
-        """The state was loaded, or this process cannot take over."""
+        """Report the result of loading the state; `ok` is False if this process cannot use it."""
         if not ok:
             return self._fail()
         self.phase = Phase.CHECKED
@@ -169,7 +175,7 @@
         return [HandoverCommand.SEND_CHECKED]
 
     def on_store_opened(self, ok: bool) -> list[HandoverCommand]:
-        """The store was opened, or not: then the predecessor opens it again."""
+        """Handle the result of opening the store; if it failed, exit so that the predecessor opens it again."""
         return [] if ok else self._fail()
 
     def _fail(self) -> list[HandoverCommand]:
@@ -177,7 +183,7 @@
         return [HandoverCommand.SEND_FAILED, HandoverCommand.EXIT]
 
     def on_peer_lost(self) -> list[HandoverCommand]:
-        """The predecessor is gone: no other process is left to control."""
+        """Handle the exit of the predecessor: become active, as no other process is left to control."""
         match self.phase:
             case Phase.CHECKED:
                 self.phase = Phase.OWNER
@@ -188,12 +194,12 @@
         return []
 
     def on_tick(self, now: float) -> list[HandoverCommand]:
-        """Time has passed. A predecessor that stands still may wake up: it is killed first."""
+        """Take over after a timeout. The predecessor is killed first, since a suspended process could resume."""
         if self.phase not in (Phase.WAITING, Phase.CHECKED) or now < self.deadline:
             return []
         return [HandoverCommand.END_OTHER, *self.on_peer_lost()]
 
     def on_lock_lost(self) -> list[HandoverCommand]:
-        """The predecessor holds the termination lock, and carries on."""
+        """Exit: the predecessor holds the termination lock, and resumes."""
         self.phase = Phase.OVER
         return [HandoverCommand.EXIT]
--- a/tests/snapshot/test_file.py
+++ b/tests/snapshot/test_file.py
@@ -19,7 +19,7 @@
 
 def test_a_file_when_it_is_cut_or_changed_then_it_is_refused(tmp_path: Path) -> None:
     path = tmp_path / "s.snap"
-    with pytest.raises(file.SnapshotMissingError, match="there is none"):
+    with pytest.raises(file.SnapshotMissingError, match="no such file"):
         file.read(path, Body)
     assert file.write(path, Body(5, "x")) == path.stat().st_size
     assert file.read(path, Body) == Body(5, "x")
@@ -43,7 +43,7 @@
     old = file.pack({"a": 1}, version=1)
     upgrades = {1: lambda raw: {**raw, "b": "two"}, 2: lambda raw: {**raw, "a": raw["a"] + 10}}
     assert file.unpack(old, Body, 3, upgrades) == Body(11, "two")
-    with pytest.raises(file.SnapshotDamagedError, match="no way from version 2 to 3"):
+    with pytest.raises(file.SnapshotDamagedError, match="no upgrade from version 2 to 3"):
         file.unpack(old, Body, 3, {1: upgrades[1]})
-    with pytest.raises(file.SnapshotVersionError, match="version 4; this program knows versions up to 3"):
+    with pytest.raises(file.SnapshotVersionError, match="version 4; this program supports versions up to 3"):
         file.unpack(file.pack({}, version=4), Body, 3, upgrades)
--- a/tests/store/test_sqlite.py
+++ b/tests/store/test_sqlite.py
@@ -132,8 +132,8 @@
     assert write_points == {
         "before begin",
         "after begin",
-        "between lines",
-        "between roster rows",
+        "between entries",
+        "between host rows",
         "before commit",
         "after commit",
     }
@@ -142,7 +142,7 @@
 def test_store_when_held_then_a_second_controller_is_refused(tmp_path: Path) -> None:
     first = SqliteStore(tmp_path / "s.db")
     first.open()
-    with pytest.raises(StoreLockedError, match="another steward holds"):
+    with pytest.raises(StoreLockedError, match="locked by another controller"):
         SqliteStore(tmp_path / "s.db").open()
     first.close()
     assert SqliteStore(tmp_path / "s.db").open().start_number == 2
@@ -156,7 +156,7 @@
     os.close(former.lock_fd)  # its lock is lost, as on a file system that drops it
     successor = SqliteStore(tmp_path / "s.db")
     successor.open()
-    with pytest.raises(StoreLockedError, match="taken by a later steward"):
+    with pytest.raises(StoreLockedError, match="taken over by a later start"):
         former.write(2, [(1, 11, 1.0)])
     former.lock_fd = None
     assert successor.read_contents(0).tables == {1: {10: 1.0}}
@@ -194,5 +194,5 @@
     store.open()
     store.write_meta(SCHEMA_KEY, "9")
     store.close()
-    with pytest.raises(StoreError, match="schema 9; this version reads 1"):
+    with pytest.raises(StoreError, match="schema version 9 is not supported; this program reads version 1"):
         SqliteStore(tmp_path / "s.db").open()
