--- a/tests/upgrade/simulation.py
+++ b/tests/upgrade/simulation.py
@@ -1,4 +1,4 @@
-"""A handover between two simulated processes, to be explored in every order of messages, deaths and standstills."""
+"""Exhaustive simulation of a handover between two processes: every order of messages, crashes and suspensions."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from corallanding.upgrade.state_machine import PROTOCOL, HandoverCommand, HandoverMessage, Phase, Predecessor, Successor
 
 TIMEOUT_MS = 2.0
-LAST_TICK = 8.0  # the simulated clock goes no further
-OLD, NEW = 0, 1  # places of the two processes
-NOBODY = -1  # in place of a process: the store is closed
+LAST_TICK = 8.0  # maximum of the simulated clock
+OLD, NEW = 0, 1  # indexes of the two processes
+NO_PROCESS = -1  # store owner while the store is closed
 
 MESSAGES = {
     HandoverCommand.SEND_READY: HandoverMessage.READY,
@@ -24,172 +24,175 @@
 }
 
 
-class MoveKind(Enum):
-    """What may happen next in the simulation."""
+class TransitionKind(Enum):
+    """Kind of a transition between two states of the simulation."""
 
-    BEGIN = auto()
-    CLOCK = auto()
-    FALL = auto()  # a kill takes effect
-    DIE = auto()
-    SLEEP = auto()
-    WAKE = auto()
+    START = auto()
+    ADVANCE_CLOCK = auto()
+    KILL_COMPLETED = auto()  # a pending kill takes effect
+    CRASH = auto()
+    SUSPEND = auto()
+    CONTINUE = auto()
     PERFORM = auto()
     RECEIVE = auto()
     LOSE_PEER = auto()
     TICK = auto()
 
 
-class Move(NamedTuple):
-    """One thing that happens to one process."""
+class Transition(NamedTuple):
+    """One event that affects one process."""
 
-    kind: MoveKind
+    kind: TransitionKind
     process: int
 
 
-FAULTS = (MoveKind.DIE, MoveKind.SLEEP)
+FAULTS = (TransitionKind.CRASH, TransitionKind.SUSPEND)
 
 
 class SimulatedHandover:
-    """Both processes with their commands, a pipe each way, a clock, the termination lock and the store's lock."""
+    """Both processes, their commands, the pipes between them, the clock, the termination lock and the store."""
 
     def __init__(
         self,
-        old: type[Predecessor] = Predecessor,
-        new: type[Successor] = Successor,
+        predecessor_type: type[Predecessor] = Predecessor,
+        successor_type: type[Successor] = Successor,
         has_lock: bool = True,
-        faults: int = 1,
+        max_faults: int = 1,
     ) -> None:
         self.now = 0.0
-        self.successor_type = new
+        self.successor_type = successor_type
         self.has_lock = has_lock
-        self.sides: list[Any] = [old(TIMEOUT_MS), None]
+        self.sides: list[Any] = [predecessor_type(TIMEOUT_MS), None]
         self.is_alive = [True, False]
-        self.is_asleep = [False, False]
-        self.is_killed = [False, False]  # a kill is on its way
+        self.is_suspended = [False, False]
+        self.is_kill_pending = [False, False]
         self.commands: list[list[HandoverCommand]] = [[], []]
-        self.pipes: list[list[tuple[str, str]]] = [[], []]  # to the old, to the new process
-        self.controls = [True, False]
+        self.pipes: list[list[tuple[str, str]]] = [[], []]  # messages to the old and to the new process
+        self.is_active = [True, False]
         self.store_owner = OLD
         self.lock_owner: int | None = None
-        self.faults = faults
-        self.has_begun = False
-        self.is_taken = False
-        self.deaths = 0  # by faults
+        self.faults_left = max_faults
+        self.is_started = False
+        self.has_taken_over = False
+        self.crashes = 0
 
     def key(self) -> Any:
-        """The whole state, to be compared."""
+        """Return the complete state as a hashable value."""
         sides = tuple((side.phase, side.deadline) if side else None for side in self.sides)
-        rows: tuple[Any, ...] = (
+        lists: tuple[Any, ...] = (
             self.is_alive,
-            self.is_asleep,
-            self.is_killed,
-            self.controls,
+            self.is_suspended,
+            self.is_kill_pending,
+            self.is_active,
             *self.commands,
             *self.pipes,
         )
-        plain = (
+        scalars = (
             self.now,
             self.store_owner,
             self.lock_owner,
-            self.faults,
-            self.deaths,
-            self.is_taken,
-            self.has_begun,
+            self.faults_left,
+            self.crashes,
+            self.has_taken_over,
+            self.is_started,
         )
-        return (plain, sides, *(tuple(row) for row in rows))
+        return (scalars, sides, *(tuple(items) for items in lists))
 
     def clone(self) -> SimulatedHandover:
-        """A copy that shares nothing."""
-        other = copy.copy(self)
-        other.sides = [copy.copy(side) for side in self.sides]
-        for name in ("is_alive", "is_asleep", "is_killed", "controls"):
-            setattr(other, name, [*getattr(self, name)])
-        other.commands = [[*row] for row in self.commands]
-        other.pipes = [[*row] for row in self.pipes]
-        return other
-
-    def moves(self) -> list[Move]:
-        """Everything that may happen next."""
-        if not self.has_begun:
-            return [Move(MoveKind.BEGIN, OLD)]
-        found = [Move(MoveKind.CLOCK, OLD)] if self.now < LAST_TICK else []
+        """Return a copy that shares no mutable state."""
+        copied = copy.copy(self)
+        copied.sides = [copy.copy(side) for side in self.sides]
+        for name in ("is_alive", "is_suspended", "is_kill_pending", "is_active"):
+            setattr(copied, name, [*getattr(self, name)])
+        copied.commands = [[*items] for items in self.commands]
+        copied.pipes = [[*items] for items in self.pipes]
+        return copied
+
+    def transitions(self) -> list[Transition]:
+        """Return every possible next transition."""
+        if not self.is_started:
+            return [Transition(TransitionKind.START, OLD)]
+        transitions = [Transition(TransitionKind.ADVANCE_CLOCK, OLD)] if self.now < LAST_TICK else []
         for process in (OLD, NEW):
             if self.is_alive[process]:
-                found += [Move(kind, process) for kind in (*self._fault_moves(process), *self._own_moves(process))]
-        return found
-
-    def _fault_moves(self, process: int) -> list[MoveKind]:
-        found = [MoveKind.FALL] if self.is_killed[process] else []
-        # A process that is left alone, has said that it took over, or has just killed the other, may crash like any
-        # controller: that is not the matter of this simulation.
-        if self.faults and all(self.is_alive) and not self.is_taken and not any(self.is_killed):
-            found.append(MoveKind.DIE)
-            if not self.is_asleep[process]:
-                found.append(MoveKind.SLEEP)
-        return found
-
-    def _own_moves(self, process: int) -> list[MoveKind]:
-        if self.is_asleep[process]:
-            return [MoveKind.WAKE]
+                transitions += [
+                    Transition(kind, process)
+                    for kind in (*self._fault_transitions(process), *self._own_transitions(process))
+                ]
+        return transitions
+
+    def _fault_transitions(self, process: int) -> list[TransitionKind]:
+        transitions = [TransitionKind.KILL_COMPLETED] if self.is_kill_pending[process] else []
+        # A process that is alone, has reported that it took over, or has just killed the other one may crash
+        # like any controller, which this simulation does not cover.
+        if self.faults_left and all(self.is_alive) and not self.has_taken_over and not any(self.is_kill_pending):
+            transitions.append(TransitionKind.CRASH)
+            if not self.is_suspended[process]:
+                transitions.append(TransitionKind.SUSPEND)
+        return transitions
+
+    def _own_transitions(self, process: int) -> list[TransitionKind]:
+        if self.is_suspended[process]:
+            return [TransitionKind.CONTINUE]
         if self.commands[process]:
-            return [MoveKind.PERFORM]
-        found = []
+            return [TransitionKind.PERFORM]
+        transitions = []
         side = self.sides[process]
         if self.pipes[process]:
-            found.append(MoveKind.RECEIVE)
+            transitions.append(TransitionKind.RECEIVE)
         elif not self.is_alive[1 - process] and (process == NEW or side.phase not in (Phase.IDLE, Phase.OVER)):
-            found.append(MoveKind.LOSE_PEER)
+            transitions.append(TransitionKind.LOSE_PEER)
         if side.phase not in (Phase.IDLE, Phase.OVER, Phase.OWNER) and self.now >= side.deadline:
-            found.append(MoveKind.TICK)
-        return found
-
-    def make(self, move: Move) -> None:
-        """Let one thing happen. Raises `AssertionError` if both processes control then."""
-        kind, process = move
-        if kind in (MoveKind.RECEIVE, MoveKind.LOSE_PEER, MoveKind.TICK):
-            self.commands[process] += self._follow_up(kind, process)
+            transitions.append(TransitionKind.TICK)
+        return transitions
+
+    def apply(self, transition: Transition) -> None:
+        """Apply one transition. Raises `AssertionError` if both processes are active after it."""
+        kind, process = transition
+        if kind in (TransitionKind.RECEIVE, TransitionKind.LOSE_PEER, TransitionKind.TICK):
+            self.commands[process] += self._commands_after(kind, process)
         else:
-            self._happen(kind, process)
-        assert sum(self.controls) <= 1, "both control"
+            self._apply_event(kind, process)
+        assert sum(self.is_active) <= 1, "both processes are active"
 
-    def _follow_up(self, kind: MoveKind, process: int) -> list[HandoverCommand]:
+    def _commands_after(self, kind: TransitionKind, process: int) -> list[HandoverCommand]:
         side = self.sides[process]
-        if kind is MoveKind.RECEIVE:
+        if kind is TransitionKind.RECEIVE:
             name, detail = self.pipes[process].pop(0)
             message = (name,) if process == NEW else (name, detail)
             return list(side.on_message(self.now, *message))
-        if kind is MoveKind.LOSE_PEER:
+        if kind is TransitionKind.LOSE_PEER:
             return list(side.on_peer_lost())
         return list(side.on_tick(self.now))
 
-    def _happen(self, kind: MoveKind, process: int) -> None:
+    def _apply_event(self, kind: TransitionKind, process: int) -> None:
         match kind:
-            case MoveKind.BEGIN:
-                self.has_begun = True
+            case TransitionKind.START:
+                self.is_started = True
                 self.commands[OLD] = self.sides[OLD].start(self.now)
-            case MoveKind.CLOCK:
+            case TransitionKind.ADVANCE_CLOCK:
                 self.now += 1.0
-            case MoveKind.DIE:
-                self.faults -= 1
-                self.deaths += 1
+            case TransitionKind.CRASH:
+                self.faults_left -= 1
+                self.crashes += 1
                 self._end(process)
-            case MoveKind.SLEEP:
-                self.faults -= 1
-                self.is_asleep[process] = True
-            case MoveKind.FALL:
+            case TransitionKind.SUSPEND:
+                self.faults_left -= 1
+                self.is_suspended[process] = True
+            case TransitionKind.KILL_COMPLETED:
                 self._end(process)
-            case MoveKind.WAKE:
-                self.is_asleep[process] = False
-            case MoveKind.PERFORM:
+            case TransitionKind.CONTINUE:
+                self.is_suspended[process] = False
+            case TransitionKind.PERFORM:
                 self._perform(process, self.commands[process].pop(0))
 
     def _end(self, process: int) -> None:
         self.is_alive[process] = False
-        self.controls[process] = False
+        self.is_active[process] = False
         self.commands[process] = []
-        self.is_killed[process] = False
+        self.is_kill_pending[process] = False
         if self.store_owner == process:
-            self.store_owner = NOBODY
+            self.store_owner = NO_PROCESS
         if self.lock_owner == process:
             self.lock_owner = None
 
@@ -212,7 +215,7 @@
         handlers[command](process)
 
     def _send(self, process: int, message: HandoverMessage) -> None:
-        self.is_taken = self.is_taken or message is HandoverMessage.TAKEN
+        self.has_taken_over = self.has_taken_over or message is HandoverMessage.TAKEN
         if self.is_alive[1 - process]:
             detail = str(PROTOCOL) if message is HandoverMessage.READY else ""
             self.pipes[1 - process].append((message, detail))
@@ -223,10 +226,10 @@
         self.commands[NEW] = self.sides[NEW].start(self.now)
 
     def _pause(self, process: int) -> None:
-        self.controls[process] = False
+        self.is_active[process] = False
 
     def _close_store(self, process: int) -> None:
-        self.store_owner = NOBODY
+        self.store_owner = NO_PROCESS
 
     def _end_other(self, process: int) -> None:
         if self.has_lock and self.lock_owner not in (None, process):
@@ -235,21 +238,21 @@
         self.lock_owner = process
         self.pipes[process] = []
         if self.is_alive[1 - process]:
-            self.is_killed[1 - process] = True  # it falls in a while; this process waits for that
+            self.is_kill_pending[1 - process] = True  # takes effect later; this process waits for it
             self.commands[process].insert(0, HandoverCommand.END_OTHER)
         else:
             self.lock_owner = None
 
     def _resume(self, process: int) -> None:
-        assert self.store_owner in (NOBODY, process), "the store is the other's"
+        assert self.store_owner in (NO_PROCESS, process), "the store is open in the other process"
         self.store_owner = process
-        self.controls[process] = True
+        self.is_active[process] = True
 
     def _load(self, process: int) -> None:
         self.commands[process] += self.sides[process].on_state_loaded(self.now, True)
 
     def _open_store(self, process: int) -> None:
-        if self.store_owner not in (NOBODY, process):
+        if self.store_owner not in (NO_PROCESS, process):
             self.commands[process] = self.sides[process].on_store_opened(False)
             return
         self.store_owner = process
@@ -257,42 +260,47 @@
     def _cold_start(self, process: int) -> None:
         self._open_store(process)
         if self.store_owner == process:
-            self.controls[process] = True
+            self.is_active[process] = True
 
     def _run(self, process: int) -> None:
-        self.controls[process] = True
+        self.is_active[process] = True
 
-    def is_settled(self) -> bool:
-        """Whether nothing happens any more but faults."""
-        return not [move for move in self.moves() if move.kind not in (*FAULTS, MoveKind.CLOCK)]
+    def is_final(self) -> bool:
+        """Return whether only faults and the clock can still change the state."""
+        return not [
+            transition
+            for transition in self.transitions()
+            if transition.kind not in (*FAULTS, TransitionKind.ADVANCE_CLOCK)
+        ]
 
 
 class Exploration(NamedTuple):
-    """How many states were seen, and in how many of them everything had settled."""
+    """Number of states visited, and of those in which the handover had ended."""
 
     states: int
-    ends: int
+    final_states: int
 
 
 def explore(**variant: Any) -> Exploration:
-    """Make every order of moves, depth first over states not seen.
+    """Explore every order of transitions, depth first over unvisited states.
 
-    Raises `AssertionError` if both processes control at some time, or none at an end that less than two faults led to.
+    Raises `AssertionError` if both processes are active in some state, or none in a final state after fewer than two
+    crashes.
     """
-    seen: set[Any] = set()
+    visited: set[Any] = set()
     stack = [SimulatedHandover(**variant)]
-    ends = 0
+    final_states = 0
     while stack:
         state = stack.pop()
         key = state.key()
-        if key in seen:
+        if key in visited:
             continue
-        seen.add(key)
-        if state.now >= LAST_TICK and state.is_settled() and not any(state.is_asleep):
-            ends += 1
-            assert sum(state.controls) == 1 or state.deaths >= 2, f"nobody controls: {key}"
-        for move in state.moves():
-            after = state.clone()
-            after.make(move)
-            stack.append(after)
-    return Exploration(len(seen), ends)
+        visited.add(key)
+        if state.now >= LAST_TICK and state.is_final() and not any(state.is_suspended):
+            final_states += 1
+            assert sum(state.is_active) == 1 or state.crashes >= 2, f"no process is active: {key}"
+        for transition in state.transitions():
+            next_state = state.clone()
+            next_state.apply(transition)
+            stack.append(next_state)
+    return Exploration(len(visited), final_states)
--- a/tests/upgrade/test_state_machine.py
+++ b/tests/upgrade/test_state_machine.py
@@ -1,4 +1,4 @@
-"""The rules of a handover, explored: any process dies or stands still at any point, messages in any order."""
+"""Tests of the handover state machines, with a crash or suspension of either process at any point."""
 
 from __future__ import annotations
 
@@ -10,22 +10,24 @@
 from tests.upgrade.simulation import TIMEOUT_MS, explore
 
 
-@pytest.mark.parametrize(("faults", "min_states"), [(0, 20), (1, 500), (2, 3_000)])
-def test_handover_when_processes_die_or_stand_still_then_exactly_one_controls(faults: int, min_states: int) -> None:
-    found = explore(faults=faults)
-    assert found.states > min_states
-    assert found.ends > 0
+@pytest.mark.parametrize(("max_faults", "min_states"), [(0, 20), (1, 500), (2, 3_000)])
+def test_handover_when_processes_crash_or_are_suspended_then_exactly_one_is_active(
+    max_faults: int, min_states: int
+) -> None:
+    exploration = explore(max_faults=max_faults)
+    assert exploration.states > min_states
+    assert exploration.final_states > 0
 
 
 class ResumesTooEarly(Predecessor):
-    """Resumes without making sure that the other process has ended."""
+    """Resumes without ending the other process first."""
 
     def abort(self, failure: str) -> list[HandoverCommand]:
         return [command for command in super().abort(failure) if command is not HandoverCommand.END_OTHER]
 
 
 class NeverTakesOver(Successor):
-    """Ends when the old process is gone."""
+    """Exits when the old process has exited."""
 
     def on_peer_lost(self) -> list[HandoverCommand]:
         self.phase = Phase.OVER
@@ -35,18 +37,18 @@
 @pytest.mark.parametrize(
     ("variant", "reason"),
     [
-        ({"old": ResumesTooEarly}, "both control|store"),
-        ({"new": NeverTakesOver}, "nobody controls"),
-        ({"has_lock": False}, "nobody controls"),
+        ({"predecessor_type": ResumesTooEarly}, "both processes are active|store is open in the other process"),
+        ({"successor_type": NeverTakesOver}, "no process is active"),
+        ({"has_lock": False}, "no process is active"),
     ],
     ids=["resumes too early", "never takes over", "no lock"],
 )
-def test_exploration_when_a_side_has_a_fault_then_it_is_found(variant: Any, reason: str) -> None:
+def test_exploration_when_a_side_is_defective_then_the_defect_is_found(variant: Any, reason: str) -> None:
     with pytest.raises(AssertionError, match=reason):
         explore(**variant)
 
 
-def test_predecessor_when_the_protocol_differs_then_refuses_with_its_number() -> None:
+def test_predecessor_when_the_protocol_differs_then_it_rejects_the_successor_with_the_number() -> None:
     predecessor = Predecessor(TIMEOUT_MS)
     predecessor.start(0.0)
     assert predecessor.on_message(0.0, "ready", "7") == [HandoverCommand.END_OTHER, HandoverCommand.RESUME]
