--- a/tests/snapshot/test_assigner_state.py
+++ b/tests/snapshot/test_assigner_state.py
@@ -1,4 +1,4 @@
-"""An assigner that was dumped and loaded acts as one that ran on."""
+"""Tests that an assigner which was dumped and loaded behaves like one that was never stopped."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 GOLDEN_CHECKSUMS = golden_checksums()
 
-PARTS = frozenset(
+COMPONENTS = frozenset(
     {
         *("publication", "pending_versions", "host_list", "host_health", "demand", "fleet", "load_estimator"),
         *("admission", "placement", "evacuation", "load_shedding", "migration"),
@@ -23,21 +23,21 @@
 
 NOT_STORED = frozenset(
     {
-        # They follow from settings and seed, or are shared between the parts.
+        # Derived from settings and seed, or shared between components.
         *("settings", "seed", "hosts", "slices", "rendezvous", "may_begin", "handlers", "decision_interval_ms"),
         *("min_latency_objective_ms", "is_shared"),
-        # They are made anew within a step, or at the start of each decision.
+        # Recomputed within a step, or at the start of each decision.
         *("actions", "is_ordinary_decision_due", "eligible_hosts", "spare_loads", "hosts_with_changed_load"),
     }
 )
 
-STORED_APART = frozenset(
+STORED_SEPARATELY = frozenset(
     {"pending_versions.unacked_by_proxy", "pending_versions.sent_at_ms", "fleet.typical_latency_ms_by_kind"}
 )
 
 
 class InterruptedDay(Day):
-    """A day whose assigner is dumped, sent through bytes and loaded again at every `interval`-th step."""
+    """A generated scenario whose assigner is dumped, serialized and loaded again after every `interval` steps."""
 
     def __init__(self, plan: Plan, interval: int) -> None:
         self.interval = interval
@@ -45,7 +45,7 @@
         super().__init__(Assigner, plan)
 
     def step(self, events: list[api.Event]) -> None:
-        """One step; the next one may be another assigner's."""
+        """Run one step, after which the assigner may be replaced by a loaded one."""
         super().step(events)
         self.steps += 1
         if self.steps % self.interval == 0:
@@ -56,31 +56,31 @@
 @pytest.mark.parametrize(
     ("seed", "interval"), [(0, 1), (1, 7), (2, 13), (5, 50), (7, 97), (11, 31), (15, 400), (12, 1)]
 )
-def test_an_assigner_when_loaded_again_then_it_acts_as_the_one_that_ran_on(seed: int, interval: int) -> None:
+def test_an_assigner_when_dumped_and_loaded_then_it_behaves_as_if_never_stopped(seed: int, interval: int) -> None:
     day = InterruptedDay(DAYS[seed], interval)
     assert day.run() == GOLDEN_CHECKSUMS[str(seed)]
     assert day.steps // interval > 5
 
 
-def test_attributes_of_each_part_when_listed_then_each_is_stored_once_or_made_anew() -> None:
+def test_attributes_of_each_component_when_listed_then_each_is_stored_once_or_recomputed() -> None:
     assigner = Assigner(api.Settings(request_classes=(QUOTE,)), 1)
     assigner.step(0.0, [])
     state = dump(assigner)
-    attributes = [name for name in vars(assigner) if name not in PARTS | NOT_STORED]
-    for part in sorted(PARTS):
-        names = vars(getattr(assigner, part))
-        attributes += [f"{part}.{name}" for name in names if name not in PARTS | NOT_STORED]
-    assert sorted(attributes) == sorted({*VALUE_PATHS.values(), *STORED_APART})
+    attributes = [name for name in vars(assigner) if name not in COMPONENTS | NOT_STORED]
+    for component in sorted(COMPONENTS):
+        names = vars(getattr(assigner, component))
+        attributes += [f"{component}.{name}" for name in names if name not in COMPONENTS | NOT_STORED]
+    assert sorted(attributes) == sorted({*VALUE_PATHS.values(), *STORED_SEPARATELY})
     assert len(set(VALUE_PATHS.values())) == len(VALUE_PATHS)
     assert set(state.values) == set(VALUE_PATHS)
     assert msgspec.msgpack.encode(state.values), "plain values only"
 
 
-def test_a_state_when_it_has_other_fields_then_it_is_refused_by_their_names() -> None:
+def test_a_state_when_it_has_unknown_fields_then_the_error_names_them() -> None:
     assigner = Assigner(api.Settings(request_classes=(QUOTE,)), 1)
     assigner.step(0.0, [api.HostListUpdate(api.HostListKind.FULL, 1, (api.HostEntry(1),))])
     state = dump(assigner)
-    state.host_fields = [*state.host_fields, "mood"]
-    with pytest.raises(AssignerStateError, match="mood") as refused:
+    state.host_fields = [*state.host_fields, "unknown_field"]
+    with pytest.raises(AssignerStateError, match="unknown_field") as raised:
         load(assigner.settings, state)
-    assert refused.value.names == ["mood"]
+    assert raised.value.names == ["unknown_field"]
--- a/tests/snapshot/test_file.py
+++ b/tests/snapshot/test_file.py
@@ -1,4 +1,4 @@
-"""A snapshot file that is not right is refused with an error that says why."""
+"""Tests that an unusable snapshot file is rejected with an error that gives the reason."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class Body(msgspec.Struct):
-    """What the files of these tests hold."""
+    """Body of the snapshots in these tests."""
 
     a: int
     b: str = ""
 
 
-def test_a_file_when_it_is_cut_or_changed_then_it_is_refused(tmp_path: Path) -> None:
+def test_a_file_when_it_is_truncated_or_corrupted_then_it_is_rejected(tmp_path: Path) -> None:
     path = tmp_path / "s.snap"
     with pytest.raises(file.SnapshotMissingError, match="no such file"):
         file.read(path, Body)
@@ -28,18 +28,18 @@
         path.write_bytes(complete[:length])
         with pytest.raises(file.SnapshotDamagedError, match=r"s\.snap"):
             file.read(path, Body)
-    for at in range(len(complete)):
-        path.write_bytes(complete[:at] + bytes([complete[at] ^ 0x41]) + complete[at + 1 :])
+    for offset in range(len(complete)):
+        path.write_bytes(complete[:offset] + bytes([complete[offset] ^ 0x41]) + complete[offset + 1 :])
         with pytest.raises((file.SnapshotDamagedError, file.SnapshotVersionError)):
             file.read(path, Body)
     path.write_bytes(complete)
-    (tmp_path / "s.snap.new").mkdir()  # the new file cannot be written: the older one stays
+    (tmp_path / "s.snap.new").mkdir()  # the temporary file cannot be written: the old snapshot is kept
     with pytest.raises(OSError, match=r"s\.snap\.new"):
         file.write(path, Body(6))
     assert file.read(path, Body) == Body(5, "x")
 
 
-def test_a_snapshot_when_its_version_is_older_then_it_is_upgraded_and_a_newer_one_refused() -> None:
+def test_a_snapshot_when_its_version_is_older_then_it_is_upgraded_and_a_newer_one_is_rejected() -> None:
     old = file.pack({"a": 1}, version=1)
     upgrades = {1: lambda raw: {**raw, "b": "two"}, 2: lambda raw: {**raw, "a": raw["a"] + 10}}
     assert file.unpack(old, Body, 3, upgrades) == Body(11, "two")
--- a/tests/store/test_sqlite.py
+++ b/tests/store/test_sqlite.py
@@ -1,4 +1,4 @@
-"""The embedded store: killed at every write point, taken over, full, locked, damaged."""
+"""Tests of the embedded store: killed at every write point, taken over, full, locked or damaged."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 
 
 class KilledRun(NamedTuple):
-    """The write point at which a child process ended ("" if it ended by itself), and what it acknowledged."""
+    """The write point at which a child process was killed ("" if it exited by itself), and its acknowledgements."""
 
     write_point: str
     acknowledged: bytes
 
 
 def tables_after(step_count: int) -> Tables:
-    """The tables that the first steps make, those without hosts left out."""
+    """Return the tables after the first `step_count` steps, without empty ones."""
     tables: Tables = {}
     for step in STEPS[:step_count]:
         for table in step.resets:
@@ -57,12 +57,12 @@
 
 
 def without_empty(tables: Tables) -> Tables:
-    """Tables that have hosts."""
+    """Return the tables that have hosts."""
     return {table: row for table, row in tables.items() if row}
 
 
 def write_all(path: Path, on_write_point: Callable[[WritePoint], None], acknowledgements: int) -> None:
-    """Write all steps and the host list; each is acknowledged by a byte to the descriptor."""
+    """Write all steps and the host list; acknowledge each by a byte to the descriptor `acknowledgements`."""
     store = SqliteStore(path, on_write_point=on_write_point)
     store.open()
     for number, step in enumerate(STEPS, 1):
@@ -75,7 +75,7 @@
 def kill_at(path: Path, point: int) -> KilledRun:
     """Write all steps in a child process that kills itself at its `point`-th write point."""
     acknowledged, acknowledgements = os.pipe()
-    names, name_of_point = os.pipe()
+    write_points, write_point_of_kill = os.pipe()
     child = os.fork()
     if child == 0:
         count = 0
@@ -84,7 +84,7 @@
             nonlocal count
             count += 1
             if count == point:
-                os.write(name_of_point, name.encode())
+                os.write(write_point_of_kill, name.encode())
                 os.kill(os.getpid(), signal.SIGKILL)
 
         try:
@@ -92,32 +92,34 @@
         finally:
             os._exit(0)
     os.close(acknowledgements)
-    os.close(name_of_point)
+    os.close(write_point_of_kill)
     os.waitpid(child, 0)
     try:
-        return KilledRun(os.read(names, 100).decode(), os.read(acknowledged, 100))
+        return KilledRun(os.read(write_points, 100).decode(), os.read(acknowledged, 100))
     finally:
         os.close(acknowledged)
-        os.close(names)
+        os.close(write_points)
 
 
 def check_after_kill(path: Path, run: KilledRun) -> None:
-    """The file holds a whole number of steps, among them all that were acknowledged."""
+    """Check that the file holds complete steps only, and all those that were acknowledged."""
     store = SqliteStore(path)
     contents = store.open()
     store.close()
-    done = run.acknowledged.count(STEP_DONE)
+    acknowledged_steps = run.acknowledged.count(STEP_DONE)
     tables = without_empty(contents.tables)
-    whole = [count for count in range(done, len(STEPS) + 1) if tables == tables_after(count)]
-    assert whole, (run, tables)
-    assert whole[0] <= done + 1, (run, tables)
-    assert contents.message_number == whole[0]
+    matching_counts = [count for count in range(acknowledged_steps, len(STEPS) + 1) if tables == tables_after(count)]
+    assert matching_counts, (run, tables)
+    assert matching_counts[0] <= acknowledged_steps + 1, (run, tables)
+    assert contents.message_number == matching_counts[0]
     assert contents.start_number == 2
     assert (len(contents.host_entries) == 2) >= (HOST_LIST_DONE in run.acknowledged)
     assert len(contents.host_entries) in (0, 2)
 
 
-def test_store_when_killed_at_any_write_point_then_has_whole_steps_and_all_acknowledged_ones(tmp_path: Path) -> None:
+def test_store_when_killed_at_any_write_point_then_it_has_complete_steps_and_all_acknowledged_ones(
+    tmp_path: Path,
+) -> None:
     point = 0
     write_points = set()
     while True:
@@ -139,7 +141,7 @@
     }
 
 
-def test_store_when_held_then_a_second_controller_is_refused(tmp_path: Path) -> None:
+def test_store_when_locked_then_a_second_controller_is_rejected(tmp_path: Path) -> None:
     first = SqliteStore(tmp_path / "s.db")
     first.open()
     with pytest.raises(StoreLockedError, match="locked by another controller"):
@@ -148,21 +150,21 @@
     assert SqliteStore(tmp_path / "s.db").open().start_number == 2
 
 
-def test_store_when_taken_over_then_the_former_controller_cannot_write(tmp_path: Path) -> None:
-    former = SqliteStore(tmp_path / "s.db")
-    former.open()
-    former.write(1, [(1, 10, 1.0)])
-    assert former.lock_fd is not None
-    os.close(former.lock_fd)  # its lock is lost, as on a file system that drops it
+def test_store_when_taken_over_then_the_previous_controller_cannot_write(tmp_path: Path) -> None:
+    previous = SqliteStore(tmp_path / "s.db")
+    previous.open()
+    previous.write(1, [(1, 10, 1.0)])
+    assert previous.lock_fd is not None
+    os.close(previous.lock_fd)  # the lock is lost, as on a file system that drops locks
     successor = SqliteStore(tmp_path / "s.db")
     successor.open()
     with pytest.raises(StoreLockedError, match="taken over by a later start"):
-        former.write(2, [(1, 11, 1.0)])
-    former.lock_fd = None
+        previous.write(2, [(1, 11, 1.0)])
+    previous.lock_fd = None
     assert successor.read_contents(0).tables == {1: {10: 1.0}}
 
 
-def test_store_when_full_or_locked_then_raises_and_keeps_what_it_has(tmp_path: Path) -> None:
+def test_store_when_full_or_locked_then_it_raises_and_keeps_its_contents(tmp_path: Path) -> None:
     store = SqliteStore(tmp_path / "s.db")
     store.open()
     store.write(1, [(1, 10, 1.0)])
@@ -189,7 +191,7 @@
         SqliteStore(tmp_path / "none" / "s.db").open()
 
 
-def test_store_when_of_another_schema_then_is_refused(tmp_path: Path) -> None:
+def test_store_when_of_another_schema_version_then_it_is_rejected(tmp_path: Path) -> None:
     store = SqliteStore(tmp_path / "s.db")
     store.open()
     store.write_meta(SCHEMA_KEY, "9")
--- a/tests/upgrade/simulation.py
+++ b/tests/upgrade/simulation.py
@@ -122,29 +122,29 @@
         return transitions
 
     def _fault_transitions(self, process: int) -> list[TransitionKind]:
-        transitions = [TransitionKind.KILL_COMPLETED] if self.is_kill_pending[process] else []
+        kinds = [TransitionKind.KILL_COMPLETED] if self.is_kill_pending[process] else []
         # A process that is alone, has reported that it took over, or has just killed the other one may crash
         # like any controller, which this simulation does not cover.
         if self.faults_left and all(self.is_alive) and not self.has_taken_over and not any(self.is_kill_pending):
-            transitions.append(TransitionKind.CRASH)
+            kinds.append(TransitionKind.CRASH)
             if not self.is_suspended[process]:
-                transitions.append(TransitionKind.SUSPEND)
-        return transitions
+                kinds.append(TransitionKind.SUSPEND)
+        return kinds
 
     def _own_transitions(self, process: int) -> list[TransitionKind]:
         if self.is_suspended[process]:
             return [TransitionKind.CONTINUE]
         if self.commands[process]:
             return [TransitionKind.PERFORM]
-        transitions = []
+        kinds = []
         side = self.sides[process]
         if self.pipes[process]:
-            transitions.append(TransitionKind.RECEIVE)
+            kinds.append(TransitionKind.RECEIVE)
         elif not self.is_alive[1 - process] and (process == NEW or side.phase not in (Phase.IDLE, Phase.OVER)):
-            transitions.append(TransitionKind.LOSE_PEER)
+            kinds.append(TransitionKind.LOSE_PEER)
         if side.phase not in (Phase.IDLE, Phase.OVER, Phase.OWNER) and self.now >= side.deadline:
-            transitions.append(TransitionKind.TICK)
-        return transitions
+            kinds.append(TransitionKind.TICK)
+        return kinds
 
     def apply(self, transition: Transition) -> None:
         """Apply one transition. Raises `AssertionError` if both processes are active after it."""
--- a/tests/upgrade/test_handover.py
+++ b/tests/upgrade/test_handover.py
@@ -147,9 +147,8 @@
                 await asyncio.sleep(0.05)
             assert page["tasks"]["dealer"] == 0
             assert page["stewards"] == {"0": "alive"}
-            assert [entry["change"] for entry in environment.log_entries("task") if entry["task"] == "upgrade"].count(
-                "taken up"
-            ) == 2
+            entries = environment.log_entries("task")
+            assert [entry["change"] for entry in entries if entry["task"] == "upgrade"].count("taken up") == 2
             await environment.check_drain_reaches_proxies(2)
 
     run_scenario(scenario())
