--- a/corallanding/quorum_records/fleet.py
+++ b/corallanding/quorum_records/fleet.py
@@ -1,4 +1,4 @@
-"""Quorum records together with task leases and queries, and the order in which their actions are carried out."""
+"""Combines quorum records with task leases and queries, and orders their actions."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 @dataclass(frozen=True)
 class RecordTaskGroups:
-    """The task groups (or tasks) of which each task stands for a group of records.
+    """Names of the task groups (or tasks) whose tasks each have a group of records.
 
-    counted: those whose values are counted. permanent: those whose records are never deleted.
+    counted: names of those whose values are counted. permanent: names of those whose records are never deleted.
     """
 
     names: tuple[str, ...]
@@ -35,11 +35,11 @@
 
 
 class FleetRecords:
-    """The records of one controller, whose groups follow its task leases.
+    """The records of one controller, which holds the groups whose task leases it holds.
 
-    replica_ids: numbers of the controllers with a replica. Other arguments: as in `QuorumRecords`.
+    replica_ids: numbers of the controllers with a replica. The other arguments are as in `QuorumRecords`.
 
-    Services that rest on records ask by `queries`, and hand their own actions through `in_send_order`.
+    Services that use records submit `queries`, and pass their own actions through `in_send_order`.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
             name: tuple(group_of(tasks.label(number)) for number in numbers)
             for name, numbers in self.task_numbers.items()
         }
-        self.acceptance_rules: dict[int, Callable[[int, bool], bool]] = {}  # by group; see `may_accept`
+        self.acceptance_rules: dict[int, Callable[[int, bool], bool]] = {}  # group -> rule; see `may_accept`
         self.records = QuorumRecords(
             RecordPeers(leases.controller_id, leases.peer_ids, replica_ids, leases.incarnation),
             limits,
@@ -70,12 +70,12 @@
             file,
             messages_per_second,
         )
-        every_task = [number for numbers in self.task_numbers.values() for number in numbers]
-        self.group_leases = GroupLeases(leases, self.records, every_task)
+        all_tasks = [number for numbers in self.task_numbers.values() for number in numbers]
+        self.group_leases = GroupLeases(leases, self.records, all_tasks)
         self.queries = Queries(leases.controller_id, leases.peer_ids, leases.incarnation, self.records, query_limits)
 
     def _rules_of(self, task_groups: RecordTaskGroups) -> GroupRules:
-        """The rules of the groups of records for which the tasks stand."""
+        """Return the rules of the groups of records of these task groups."""
         return GroupRules(
             self._groups_of(task_groups.names),
             self.may_accept,
@@ -84,51 +84,56 @@
         )
 
     def _groups_of(self, names: Iterable[str]) -> frozenset[int]:
-        """All groups of these task groups."""
+        """Return all groups of records of these task groups."""
         return frozenset(group for name in names for group in self.groups_by_name[name])
 
     def may_accept(self, group: int, value: int, is_initial: bool) -> bool:
-        """Whether the owner of the group lets a replica accept the value; groups without a rule accept any."""
+        """Return whether the group's rule lets a replica accept the value; groups without a rule accept any."""
         rule = self.acceptance_rules.get(group)
         return rule is None or rule(value, is_initial)
 
-    def tick(self, now: float, actions: list[Action] | None = None) -> list[Action]:
-        """Actions that are due, and those of services that rest on records; called after each tick of the leases."""
-        self.group_leases.sync(now)
-        return self.in_send_order(now, [*(actions or []), *self.queries.tick(now), *self.records.tick(now)])
+    def tick(self, now_ms: float, actions: list[Action] | None = None) -> list[Action]:
+        """Return the actions that are due and those of services in `actions`; called after each tick of the leases."""
+        self.group_leases.sync(now_ms)
+        return self.in_send_order(now_ms, [*(actions or []), *self.queries.tick(now_ms), *self.records.tick(now_ms)])
 
-    def send_new_queries(self, now: float) -> list[Action]:
-        """Queries that were submitted since the last tick."""
-        return self.in_send_order(now, list(self.queries.send_new(now)))
+    def send_new_queries(self, now_ms: float) -> list[Action]:
+        """Return messages for the queries that were submitted since the last tick."""
+        return self.in_send_order(now_ms, list(self.queries.send_new(now_ms)))
 
-    def on_message(self, now: float, sender: int, message: RecordMessage | Query | QueryReply) -> list[Action]:
-        """Take a message of a known controller."""
+    def on_message(self, now_ms: float, sender: int, message: RecordMessage | Query | QueryReply) -> list[Action]:
+        """Process a message of a known controller; messages above the rate limit are rejected."""
         if not isinstance(message, Query | QueryReply):
-            return self.in_send_order(now, self.records.on_message(now, sender, message))
-        if not self.records.rate_limits.try_take(sender, now):
+            return self.in_send_order(now_ms, self.records.on_message(now_ms, sender, message))
+        if not self.records.rate_limits.try_take(sender, now_ms):
             self.records.rejected_count += 1
             return []
         if isinstance(message, QueryReply):
             self.queries.on_reply(sender, message)
             return []
-        return self.in_send_order(now, list(self.queries.on_query(now, sender, message)))
+        return self.in_send_order(now_ms, list(self.queries.on_query(now_ms, sender, message)))
 
-    def flush(self, now: float) -> list[Action]:
-        """Accept messages of writes that have just begun: they are sent at once, not at the next tick."""
+    def flush(self, now_ms: float) -> list[Action]:
+        """Return accept messages of new writes, which are sent at once and not at the next tick."""
         actions: list[Action] = []
         for proposer in self.records.proposers.values():
             if proposer.is_ready and proposer.write_queue:
-                actions += self.records.deliver(now, proposer.tick(now))
+                actions += self.records.deliver(now_ms, proposer.tick(now_ms))
         return actions
 
-    def in_send_order(self, now: float, actions: list[Action]) -> list[Action]:
-        """These actions and all that they let happen now; what is to be persisted stands before every message."""
-        all_actions = [*actions, *self.queries.on_decisions(now), *self.flush(now), *self.queries.on_decisions(now)]
-        first = [action for action in all_actions if isinstance(action, Persist)]
-        return [*first, *(action for action in all_actions if not isinstance(action, Persist))]
+    def in_send_order(self, now_ms: float, actions: list[Action]) -> list[Action]:
+        """Return these actions and those that they trigger, with every `Persist` before all messages."""
+        all_actions = [
+            *actions,
+            *self.queries.on_decisions(now_ms),
+            *self.flush(now_ms),
+            *self.queries.on_decisions(now_ms),
+        ]
+        persist_actions = [action for action in all_actions if isinstance(action, Persist)]
+        return [*persist_actions, *(action for action in all_actions if not isinstance(action, Persist))]
 
     def status(self) -> Mapping[str, Any]:
-        """What the status page shows."""
+        """Return the values of the status page."""
         replica = self.records.replica
         return {
             "records": replica.record_count,
--- a/corallanding/quorum_records/groups.py
+++ b/corallanding/quorum_records/groups.py
@@ -1,4 +1,4 @@
-"""Which groups of records a controller holds, by its task leases."""
+"""Assigns groups of records to the controllers that hold the matching task leases."""
 
 from __future__ import annotations
 
@@ -10,28 +10,29 @@
 
 
 def group_of(label: str) -> int:
-    """The number of a group, by the name of its task: numbers of tasks change when a task is added, groups stay."""
+    """Return a group's number, a hash of its task's label: unlike task numbers, it stays when a task is added."""
     return zlib.crc32(label.encode())
 
 
 class GroupLeases:
-    """Makes a controller the proposer of the groups whose tasks it holds. tasks: their numbers, one for each group."""
+    """Makes a controller the proposer of the groups whose task leases it holds. tasks: one task number per group."""
 
     def __init__(self, leases: TaskLeases, records: QuorumRecords, tasks: Iterable[int]) -> None:
         self.leases = leases
         self.records = records
         self.group_by_task = {number: group_of(leases.tasks.label(number)) for number in tasks}
-        self.superseded_tokens: dict[int, int] = {}  # by group: the fencing token by which we were rejected
+        self.superseded_tokens: dict[int, int] = {}  # group -> higher fencing token that a replica has promised
 
-    def sync(self, now: float) -> None:
-        """Take up and release groups; called after each tick of the leases.
+    def sync(self, now_ms: float) -> None:
+        """Acquire and release groups according to the leases; called after each tick of the leases.
 
-        A group whose replicas know a higher fencing token is taken up again once the lease has a higher one than that.
+        A group whose replicas have promised a higher fencing token is released, and acquired again once the lease has
+        a fencing token above that one.
         """
         for task, group in self.group_by_task.items():
             self._release_if_superseded(group)
             is_held = group in self.records.proposers
-            if not self.leases.holds(now, task):
+            if not self.leases.holds(now_ms, task):
                 if is_held:
                     self.records.release_group(group)
             elif not is_held and self.leases.holder.fencing_token > self.superseded_tokens.get(group, 0):
--- a/corallanding/quorum_records/limits.py
+++ b/corallanding/quorum_records/limits.py
@@ -9,10 +9,10 @@
 class RecordLimits:
     """Bounds and timings of the records of one group set.
 
-    retention_ms: for how long a record is kept from its creation on. counted_ms: for how long its value is counted.
-    max_records: records of one replica. retry_ms: until an unanswered message is sent again. max_writes: writes of one
-    group in progress. announce_interval_ms: between two announcements of a replica's file. max_pages_read: pages of one
-    group that a proposer reads from one replica.
+    retention_ms: age at which a record is deleted. counted_ms: age up to which the value of a record is counted.
+    max_records: capacity of one replica. retry_ms: delay before an unanswered message is sent again. max_writes:
+    concurrent writes of one group. announce_interval_ms: time between two announcements of a replica's file.
+    max_pages_read: pages of one group that a proposer reads from one replica.
     """
 
     retention_ms: float = 3_600_000.0
--- a/corallanding/quorum_records/messages.py
+++ b/corallanding/quorum_records/messages.py
@@ -1,4 +1,4 @@
-"""Messages on quorum records between controllers: msgpack arrays, each within one datagram."""
+"""Messages between controllers about quorum records: msgpack arrays that each fit one datagram."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 from ..wire.peer_messages import ControllerMessage, has_valid_header
 
-MAX_ACCEPT_ROWS = 8  # of one message
-MAX_PREPARE_ROWS = 6
+MAX_ACCEPT_ROWS = 8  # rows of one Accept
+MAX_PREPARE_ROWS = 6  # rows of one PrepareReply
 MAX_VALUE = (1 << 63) - 1
 
 # Bounds of fields, exclusive.
@@ -25,17 +25,17 @@
 
 
 class ReplicaStatus(IntEnum):
-    """What a replica answers. The numbers are on the wire."""
+    """Status in the reply of a replica. The numbers are sent on the wire."""
 
     ACCEPTED = 0
-    SUPERSEDED = 1  # it has promised a higher fencing token
-    FULL = 2
-    CLOSED = 3  # the value may not be begun any more
-    RECOVERING = 4  # it has lost what it promised, and does not count yet
+    SUPERSEDED = 1  # the replica has promised a higher fencing token
+    FULL = 2  # the replica has no capacity for the records
+    CLOSED = 3  # the group's acceptance rule no longer allows the value
+    RECOVERING = 4  # the replica has lost its promises and is not part of a quorum yet
 
 
 class RecordRow(NamedTuple):
-    """One record, as a proposer sends it."""
+    """A record as a proposer sends it."""
 
     key: int
     value: int
@@ -43,7 +43,7 @@
 
 
 class VersionedRow(NamedTuple):
-    """One record, as a replica has it, with the ballot under which it was written."""
+    """A record as a replica stores it, with the ballot under which it was written."""
 
     key: int
     value: int
@@ -53,9 +53,9 @@
 
 
 class Accept(ControllerMessage, frozen=True, array_like=True, tag=30):
-    """A proposer to a replica: store these records.
+    """Request of a proposer to a replica to store records.
 
-    is_initial: the records are new, and nobody was told of them.
+    is_initial: the records are new and have not been reported to any client.
     """
 
     group: int = 0
@@ -65,7 +65,7 @@
 
 
 class AcceptReply(ControllerMessage, frozen=True, array_like=True, tag=31):
-    """The answer to `Accept`. highest_token: the highest fencing token that the replica has seen in the group."""
+    """Reply to `Accept`. highest_token: the highest fencing token that the replica has seen in the group."""
 
     group: int = 0
     status: int = ReplicaStatus.ACCEPTED
@@ -73,10 +73,10 @@
 
 
 class Prepare(ControllerMessage, frozen=True, array_like=True, tag=32):
-    """A new proposer to a replica: which records of the group, with keys above `after_key`, have you stored?
+    """Request of a new proposer to a replica for its records of a group with keys above `after_key`.
 
-    The replica promises to accept nothing under a lower fencing token from here on. Token 0 is of a replica that
-    recovers, and asks for no promise.
+    The replica promises to accept nothing under a lower fencing token from then on. A recovering replica sends token 0,
+    which requests no promise.
     """
 
     group: int = 0
@@ -85,7 +85,7 @@
 
 
 class PrepareReply(ControllerMessage, frozen=True, array_like=True, tag=33):
-    """The answer to `Prepare`: one page of records in the order of keys."""
+    """Reply to `Prepare`: one page of records in the order of keys."""
 
     group: int = 0
     status: int = ReplicaStatus.ACCEPTED
@@ -95,16 +95,16 @@
 
 
 class FileAnnouncement(ControllerMessage, frozen=True, array_like=True, tag=34):
-    """A replica, now and then: `round` counts the openings of its file, `write_count` all writes to it."""
+    """Periodic message of a replica: `round` counts the openings of its file, `write_count` all writes to it."""
 
     write_count: int = 0
 
 
 class FileAnnouncementReply(ControllerMessage, frozen=True, array_like=True, tag=35):
-    """The answer to `FileAnnouncement`: what the sender knows of that replica's file.
+    """Reply to `FileAnnouncement`: the state of the announced file as last known to the sender of the reply.
 
-    round: openings of it by another incarnation, 0 if there is none to tell of. write_count: the most writes heard of.
-    is_recovering: the sender remembers nothing.
+    round: number of openings, if another incarnation was the last to open it, else 0. write_count: the highest count of
+    writes announced. is_recovering: the sender has no records of its own.
     """
 
     is_recovering: bool = False
@@ -112,7 +112,7 @@
 
 
 class Query(ControllerMessage, frozen=True, array_like=True, tag=36):
-    """A controller to the holder of a record's group. The owner of the group defines `kind` and `argument`."""
+    """Query of a controller to the holder of a record's group. The group's owner defines `kind` and `argument`."""
 
     group: int = 0
     key: int = 0
@@ -121,7 +121,7 @@
 
 
 class QueryReply(ControllerMessage, frozen=True, array_like=True, tag=37):
-    """The answer to `Query`. It repeats the key, so that no answer is taken for another's."""
+    """Reply to `Query`. It repeats the key, so that a reply cannot be matched to another query."""
 
     key: int = 0
     result: int = 0
@@ -132,7 +132,7 @@
 
 
 def is_valid(message: ControllerMessage) -> bool:
-    """Whether every field lies within its bounds."""
+    """Return whether every field is within its bounds."""
     if not has_valid_header(message):
         return False
     match message:
@@ -141,28 +141,28 @@
         case FileAnnouncement() | FileAnnouncementReply():
             return 0 <= message.write_count < MAX_WRITE_COUNT
         case Query():
-            is_known = 0 <= message.group < MAX_GROUP and 0 < message.key < MAX_KEY
-            return is_known and 0 <= message.kind < MAX_KIND and 0 <= message.argument <= MAX_VALUE
+            has_valid_ids = 0 <= message.group < MAX_GROUP and 0 < message.key < MAX_KEY
+            return has_valid_ids and 0 <= message.kind < MAX_KIND and 0 <= message.argument <= MAX_VALUE
         case QueryReply():
-            is_known = 0 < message.key < MAX_KEY
-            return is_known and 0 <= message.result < MAX_RESULT and 0 <= message.value <= MAX_VALUE
+            has_valid_ids = 0 < message.key < MAX_KEY
+            return has_valid_ids and 0 <= message.result < MAX_RESULT and 0 <= message.value <= MAX_VALUE
     return True
 
 
 def _is_valid_replication(message: Accept | AcceptReply | Prepare | PrepareReply) -> bool:
     match message:
         case Accept():
-            is_addressed = 0 < message.fencing_token < MAX_TOKEN and 0 <= message.group < MAX_GROUP
-            return is_addressed and 0 < len(message.rows) <= MAX_ACCEPT_ROWS and all(map(_is_valid_row, message.rows))
+            has_valid_ids = 0 < message.fencing_token < MAX_TOKEN and 0 <= message.group < MAX_GROUP
+            return has_valid_ids and 0 < len(message.rows) <= MAX_ACCEPT_ROWS and all(map(_is_valid_row, message.rows))
         case AcceptReply():
             return 0 <= message.highest_token < MAX_TOKEN and _is_valid_status(message.status)
         case Prepare():
-            is_addressed = 0 <= message.fencing_token < MAX_TOKEN and 0 <= message.group < MAX_GROUP
-            return is_addressed and -1 <= message.after_key < MAX_KEY
+            has_valid_ids = 0 <= message.fencing_token < MAX_TOKEN and 0 <= message.group < MAX_GROUP
+            return has_valid_ids and -1 <= message.after_key < MAX_KEY
         case PrepareReply():
-            is_answer = 0 <= message.highest_token < MAX_TOKEN and _is_valid_status(message.status)
+            has_valid_outcome = 0 <= message.highest_token < MAX_TOKEN and _is_valid_status(message.status)
             has_valid_rows = len(message.rows) <= MAX_PREPARE_ROWS and all(map(_is_valid_versioned, message.rows))
-            return is_answer and has_valid_rows
+            return has_valid_outcome and has_valid_rows
 
 
 def _is_valid_status(status: int) -> bool:
--- a/corallanding/quorum_records/progress.py
+++ b/corallanding/quorum_records/progress.py
@@ -1,4 +1,4 @@
-"""How far the reads and writes of a proposer, and the reads of a replica that recovers, have come."""
+"""Progress of a proposer's reads and writes, and of the reads of a recovering replica."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 @dataclass
 class ReadProgress:
-    """How far one replica has been read."""
+    """Progress of a proposer in reading one replica."""
 
     after_key: int = -1
-    round: int = 0  # of the prepare message that is not answered
-    asked_at_ms: float = NEVER
+    round: int = 0  # round of the unanswered prepare message; 0 if there is none
+    requested_at_ms: float = NEVER
     is_done: bool = False
     page_count: int = 0
 
 
 @dataclass
 class WriteInFlight:
-    """Records that one round of accept messages carries."""
+    """The records sent in one round of accept messages."""
 
     keys: list[int]
     sent_at_ms: float
-    awaited_replicas: set[int]  # that have not answered
+    awaited_replicas: set[int]  # replicas that have not replied
     is_initial: bool
 
 
 @dataclass
 class RecoveryProgress:
-    """How far one other replica has been read, group by group."""
+    """Progress of a recovering replica in reading one other replica, group by group."""
 
-    group_index: int = 0  # in the ascending order of groups
+    group_index: int = 0  # index in the ascending order of groups
     after_key: int = -1
     round: int = 0
-    asked_at_ms: float = NEVER
-    is_recovering: bool = False  # it has lost its own records
+    requested_at_ms: float = NEVER
+    is_recovering: bool = False  # the other replica has lost its own records
     is_done: bool = False
--- a/corallanding/quorum_records/queries.py
+++ b/corallanding/quorum_records/queries.py
@@ -1,7 +1,7 @@
-"""Queries on records: sent at any controller, answered by the holder of the record's group.
+"""Queries on records: submitted at any controller, answered by the holder of the record's group.
 
-A query is sent again until its answer comes or its time is over. The holder answers once a quorum has stored what the
-answer says.
+A query is retried until it is answered or times out. The holder replies once a quorum has stored the record on which
+the reply is based.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 from ..wire.peer_messages import OutgoingMessage
 from .core import QuorumRecords
 from .messages import Query, QueryReply
-from .query_state import NEVER, Asker, PendingQuery, WaitingQuery
+from .query_state import NEVER, PendingQuery, Requester, WaitingQuery
 
-NOT_NOW = 0  # the result of a query that nobody could answer in time; the owner of the group defines all others
-MAX_ASKERS = 64  # of one record, that wait for an answer
+NOT_NOW = 0  # result of a query that timed out or was rejected; the group's owner defines the other results
+MAX_REQUESTERS = 64  # requesters that wait for a reply on one record
 
 
 class Outcome(NamedTuple):
-    """What a query is answered."""
+    """The answer to a query."""
 
     result: int
     value: int
 
 
-RecordHandler = Callable[[float, int, int, int, int], Outcome | None]  # now, group, key, kind, argument
+RecordHandler = Callable[[float, int, int, int, int], Outcome | None]  # now_ms, group, key, kind, argument
 RejectionHandler = Callable[[int], Outcome | None]  # status of the rejection
 
 
@@ -34,8 +34,8 @@
 class QueryLimits:
     """Bounds and timings of queries.
 
-    timeout_ms: within which a query is answered, if only by `NOT_NOW`. retry_ms: until it is sent again. max_pending:
-    queries that wait for an answer here, and records on which others wait for one from here.
+    timeout_ms: time after which a query ends with `NOT_NOW`. retry_ms: delay before an unanswered query is sent again.
+    max_pending: unanswered queries of this controller, and records on which others wait for its replies.
     """
 
     timeout_ms: float = 1_500.0
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class QueryResult:
-    """The answer to the query to which `submit` gave that number."""
+    """The answer to the query for which `submit` returned `number`."""
 
     number: int
     result: int
@@ -54,22 +54,22 @@
 
 @dataclass(frozen=True)
 class GroupOwner:
-    """Who defines the queries on some groups. partitions: all groups of that owner."""
+    """The service that defines the queries on its groups. partitions: all groups of that owner."""
 
     on_query: RecordHandler
     on_rejected: RejectionHandler
     partitions: tuple[int, ...]
 
     def group_of(self, key: int) -> int:
-        """The group in which the record of that key is."""
+        """Return the group that contains the record of the key."""
         return self.partitions[key % len(self.partitions)]
 
 
 class Queries:
-    """Sends queries of this controller, and answers those on groups that it holds.
+    """Sends the queries of this controller, and answers queries on the groups that it holds.
 
-    Owners `register` their groups. Their `on_query` returns the answer, or begins to write the record and returns None;
-    it is called again once a quorum has stored it.
+    Owners `register` their groups. Their `on_query` returns the answer, or starts to write the record and returns None;
+    it is called again once a quorum has stored the record.
     """
 
     def __init__(
@@ -80,83 +80,85 @@
         self.incarnation = incarnation
         self.records = records
         self.limits = limits
-        self.owners: dict[int, GroupOwner] = {}  # by group
-        self.pending: dict[int, PendingQuery] = {}
-        self.unsent: list[int] = []  # numbers of queries that were not sent yet
-        self.results: dict[int, list[QueryResult]] = {}  # by the first group of the owner
+        self.owners: dict[int, GroupOwner] = {}  # group -> owner
+        self.pending: dict[int, PendingQuery] = {}  # query number -> query
+        self.unsent: list[int] = []  # numbers of queries that have not been sent yet
+        self.results: dict[int, list[QueryResult]] = {}  # first group of the owner -> results
         self.query_count = 0
         self.rejected_count = 0
-        self.waiting: dict[tuple[int, int], dict[Asker, WaitingQuery]] = {}  # by group and key
-        self.last_responders: dict[int, int] = {}  # by group
+        self.waiting_queries: dict[tuple[int, int], dict[Requester, WaitingQuery]] = {}  # (group, key) -> queries
+        self.last_responders: dict[int, int] = {}  # group -> controller that last replied
         self.retried_at_ms = NEVER
 
     def register(self, groups: Iterable[int], on_query: RecordHandler, on_rejected: RejectionHandler) -> None:
-        """Make an owner answer queries on its groups."""
+        """Register the owner of groups, whose handlers answer queries on them."""
         owner = GroupOwner(on_query, on_rejected, tuple(groups))
         self.results[owner.partitions[0]] = []
         self.owners.update(dict.fromkeys(owner.partitions, owner))
 
     def take_results(self, group: int) -> list[QueryResult]:
-        """Answers to queries on all groups of that group's owner, since they were last taken."""
-        first = self.owners[group].partitions[0]
-        results = self.results[first]
-        self.results[first] = []
+        """Return and remove the answers to queries on all groups that have the same owner as `group`."""
+        first_group = self.owners[group].partitions[0]
+        results = self.results[first_group]
+        self.results[first_group] = []
         return results
 
-    # ---- at the controller that asks -----------------------------------------------------------------------
+    # ---- at the requesting controller ----------------------------------------------------------------------
 
-    def submit(self, now: float, group: int, key: int, kind: int = 0, argument: int = 0) -> int:
-        """Ask about the record of a key (not 0). Returns the number under which `take_results` has the answer."""
+    def submit(self, now_ms: float, group: int, key: int, kind: int = 0, argument: int = 0) -> int:
+        """Submit a query on the record of a key (not 0). Return its number, which its `QueryResult` repeats."""
         self.query_count += 1
         if len(self.pending) >= self.limits.max_pending:
             self._add_result(group, QueryResult(self.query_count, NOT_NOW, 0))
             self.rejected_count += 1
         else:
-            self.pending[self.query_count] = PendingQuery(group, key, kind, argument, now)
+            self.pending[self.query_count] = PendingQuery(group, key, kind, argument, now_ms)
             self.unsent.append(self.query_count)
         return self.query_count
 
-    def send_new(self, now: float) -> list[OutgoingMessage]:
-        """Queries that were not sent yet."""
+    def send_new(self, now_ms: float) -> list[OutgoingMessage]:
+        """Return the queries that have not been sent yet."""
         unsent = self.unsent
         self.unsent = []
         messages: list[OutgoingMessage] = []
         for number in unsent:
             if number in self.pending:
-                messages += self.send_query(now, number, self.pending[number])
+                messages += self.send_query(now_ms, number, self.pending[number])
         return messages
 
-    def tick(self, now: float) -> list[OutgoingMessage]:
-        """New queries, and those that are to be sent again; queries over their time end."""
-        messages = self.send_new(now)
-        if now - self.retried_at_ms < self.limits.retry_ms / 3.0:
+    def tick(self, now_ms: float) -> list[OutgoingMessage]:
+        """Return new queries and those that are due for a retry; end queries that have timed out."""
+        messages = self.send_new(now_ms)
+        if now_ms - self.retried_at_ms < self.limits.retry_ms / 3.0:
             return messages
-        self.retried_at_ms = now
+        self.retried_at_ms = now_ms
         for number, query in list(self.pending.items()):
-            if now - query.asked_at_ms > self.limits.timeout_ms:
+            if now_ms - query.submitted_at_ms > self.limits.timeout_ms:
                 self.finish(number, Outcome(NOT_NOW, 0))
                 self.last_responders.pop(query.group, None)
-            elif now - query.sent_at_ms >= self.limits.retry_ms:
-                messages += self.send_query(now, number, query)
-        self.waiting = {
-            record: askers for record, askers in self.waiting.items() if record[0] in self.records.proposers
+            elif now_ms - query.sent_at_ms >= self.limits.retry_ms:
+                messages += self.send_query(now_ms, number, query)
+        self.waiting_queries = {
+            record: requesters
+            for record, requesters in self.waiting_queries.items()
+            if record[0] in self.records.proposers
         }
         return messages
 
-    def send_query(self, now: float, number: int, query: PendingQuery) -> list[OutgoingMessage]:
-        """Send a query to the holder; to all while the holder is not known, or does not answer."""
-        is_first = query.sent_at_ms == NEVER
-        query.sent_at_ms = now
+    def send_query(self, now_ms: float, number: int, query: PendingQuery) -> list[OutgoingMessage]:
+        """Return a query to the holder, or to all controllers while the holder is unknown or does not reply."""
+        is_first_attempt = query.sent_at_ms == NEVER
+        query.sent_at_ms = now_ms
         message = Query(self.incarnation, number, query.group, query.key, query.kind, query.argument)
         if query.group in self.records.proposers:
-            return self.on_query(now, self.me, message)
+            return self.on_query(now_ms, self.me, message)
         holder = self.last_responders.get(query.group, self.records.holder_of(query.group))
-        if is_first and holder is not None and holder != self.me:
+        if is_first_attempt and holder is not None and holder != self.me:
             return [OutgoingMessage(holder, message)]
         return [OutgoingMessage(number, message) for number in self.others]
 
     def on_reply(self, sender: int, message: QueryReply) -> None:
-        """Take the answer to a query."""
+        """Process the reply to a query."""
         query = self.pending.get(message.round)
         if message.incarnation != self.incarnation or query is None:
             return
@@ -168,7 +170,7 @@
             self.finish(message.round, Outcome(message.result, message.value))
 
     def finish(self, number: int, outcome: Outcome) -> None:
-        """End a query with its answer."""
+        """End a pending query with its answer."""
         if query := self.pending.pop(number, None):
             self._add_result(query.group, QueryResult(number, *outcome))
 
@@ -177,48 +179,48 @@
 
     # ---- at the holder of the group ------------------------------------------------------------------------
 
-    def on_query(self, now: float, sender: int, message: Query) -> list[OutgoingMessage]:
-        """Answer a query if that is possible now. Queries on groups that are not held here are not answered."""
+    def on_query(self, now_ms: float, sender: int, message: Query) -> list[OutgoingMessage]:
+        """Answer a query if possible now. Queries on groups that this controller does not hold are ignored."""
         owner = self.owners.get(message.group)
         if owner is None or message.group not in self.records.proposers:
             return []
         if owner.group_of(message.key) != message.group:
-            self.rejected_count += 1  # a record must not begin in a group where nobody will look for it
+            self.rejected_count += 1  # a record in the wrong group would never be found
             return []
-        askers = self.waiting.setdefault((message.group, message.key), {})
-        if len(askers) >= MAX_ASKERS or len(self.waiting) > self.limits.max_pending:
+        requesters = self.waiting_queries.setdefault((message.group, message.key), {})
+        if len(requesters) >= MAX_REQUESTERS or len(self.waiting_queries) > self.limits.max_pending:
             self.rejected_count += 1
             return []
-        asker = Asker(sender, message.incarnation, message.kind)
-        known = askers.get(asker)
+        requester = Requester(sender, message.incarnation, message.kind)
+        known = requesters.get(requester)
         if known is None or message.round >= known.number:
-            askers[asker] = WaitingQuery(message.round, message.argument)
-        return self.try_answer(now, message.group, message.key)
+            requesters[requester] = WaitingQuery(message.round, message.argument)
+        return self.try_answer(now_ms, message.group, message.key)
 
-    def try_answer(self, now: float, group: int, key: int) -> list[OutgoingMessage]:
-        """Answer all who wait for the record and can be answered."""
+    def try_answer(self, now_ms: float, group: int, key: int) -> list[OutgoingMessage]:
+        """Answer all waiting queries on the record that can be answered."""
         proposer = self.records.proposers.get(group)
-        askers = self.waiting.get((group, key))
-        if proposer is None or not proposer.is_ready or proposer.superseded_by or askers is None:
+        requesters = self.waiting_queries.get((group, key))
+        if proposer is None or not proposer.is_ready or proposer.superseded_by or requesters is None:
             return []
         messages: list[OutgoingMessage] = []
-        for asker, query in list(askers.items()):
-            if outcome := self.owners[group].on_query(now, group, key, asker.kind, query.argument):
-                del askers[asker]
-                messages += self.reply(asker, query.number, key, outcome)
-        if not askers:
-            self.waiting.pop((group, key), None)
+        for requester, query in list(requesters.items()):
+            if outcome := self.owners[group].on_query(now_ms, group, key, requester.kind, query.argument):
+                del requesters[requester]
+                messages += self.reply(requester, query.number, key, outcome)
+        if not requesters:
+            self.waiting_queries.pop((group, key), None)
         return messages
 
-    def reply(self, asker: Asker, number: int, key: int, outcome: Outcome) -> list[OutgoingMessage]:
-        """The answer to an asker; an answer to this controller itself is taken at once."""
-        if asker.controller == self.me:
+    def reply(self, requester: Requester, number: int, key: int, outcome: Outcome) -> list[OutgoingMessage]:
+        """Return the reply to a requester; a reply to this controller itself is processed at once."""
+        if requester.controller == self.me:
             self.finish(number, outcome)
             return []
-        return [OutgoingMessage(asker.controller, QueryReply(asker.incarnation, number, key, *outcome))]
+        return [OutgoingMessage(requester.controller, QueryReply(requester.incarnation, number, key, *outcome))]
 
-    def on_decisions(self, now: float) -> list[OutgoingMessage]:
-        """Answers that rest on what replicas have accepted or rejected since the last call."""
+    def on_decisions(self, now_ms: float) -> list[OutgoingMessage]:
+        """Return replies about records that replicas have accepted or rejected since the last call."""
         messages: list[OutgoingMessage] = []
         for group, proposer in self.records.proposers.items():
             if group not in self.owners or not (proposer.decided_keys or proposer.rejected_keys):
@@ -226,7 +228,7 @@
             decided_keys = proposer.decided_keys
             proposer.decided_keys = []
             for key in decided_keys:
-                messages += self.try_answer(now, group, key)
+                messages += self.try_answer(now_ms, group, key)
             rejected_keys = proposer.rejected_keys
             proposer.rejected_keys = {}
             for key, status in rejected_keys.items():
@@ -235,11 +237,11 @@
         return messages
 
     def _reply_rejected(self, group: int, key: int, status: int) -> list[OutgoingMessage]:
-        """Answers to all who wait for a rejected record; none if it is to be begun anew."""
+        """Return replies to all who wait for a rejected record; none if the owner starts the write again."""
         outcome = self.owners[group].on_rejected(status)
         if outcome is None:
             return []
         messages: list[OutgoingMessage] = []
-        for asker, query in self.waiting.pop((group, key), {}).items():
-            messages += self.reply(asker, query.number, key, outcome)
+        for requester, query in self.waiting_queries.pop((group, key), {}).items():
+            messages += self.reply(requester, query.number, key, outcome)
         return messages
--- a/corallanding/quorum_records/query_state.py
+++ b/corallanding/quorum_records/query_state.py
@@ -1,4 +1,4 @@
-"""Queries that wait: those of this controller for an answer, and those of others for a record."""
+"""State of unanswered queries: those sent by this controller, and those received from others."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 @dataclass
 class PendingQuery:
-    """A query of this controller that has no answer yet."""
+    """A query of this controller that has not been answered yet."""
 
     group: int
     key: int
     kind: int
     argument: int
-    asked_at_ms: float
+    submitted_at_ms: float
     sent_at_ms: float = NEVER
 
 
-class Asker(NamedTuple):
-    """Who waits for an answer on a record, and to which kind of query."""
+class Requester(NamedTuple):
+    """The sender of a query on a record: a controller's process, and the kind of query."""
 
     controller: int
     incarnation: int
@@ -29,7 +29,7 @@
 
 
 class WaitingQuery(NamedTuple):
-    """The last query of an asker."""
+    """The latest query of a requester."""
 
     number: int
     argument: int
--- a/corallanding/quorum_records/replica.py
+++ b/corallanding/quorum_records/replica.py
@@ -1,6 +1,6 @@
-"""What one replica has accepted: records by group, and the highest fencing token seen in each.
+"""State of one replica: the accepted records by group, and the highest fencing token seen in each group.
 
-Persist before you send: an answer counts only once `take_unsaved` is on disk, and goes out after that.
+Changes are persisted before they are reported: a reply is sent only once the changes from `take_unsaved` are on disk.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from .messages import MAX_PREPARE_ROWS, Accept, AcceptReply, Prepare, PrepareReply, ReplicaStatus, VersionedRow
 from .stored_rows import Ballot, PeerFile, UnsavedRow
 
-SWEEP_PERIOD_MS = 16_000.0  # in which a sweep each second comes to a share of all groups
+FULL_SWEEP_RETENTION_MS = 16_000.0  # retention up to which one sweep covers all groups
 
 
 @dataclass(slots=True)
 class ReplicaRecord:
-    """One record. created_at_ms: by this controller's clock. is_counted: it is part of `Replica.value_counts`."""
+    """A stored record. created_at_ms: by this controller's clock. is_counted: included in `Replica.value_counts`."""
 
     value: int
     ballot: Ballot
@@ -29,16 +29,16 @@
 
 @dataclass
 class UnsavedChanges:
-    """What is to be written in one transaction before any message that rests on it is sent."""
+    """Changes to be written in one transaction before any message that depends on them is sent."""
 
     rows: list[UnsavedRow] = field(default_factory=list)
-    highest_tokens: dict[int, int] = field(default_factory=dict)  # by group
-    deleted_keys: list[tuple[int, int]] = field(default_factory=list)  # group, key
-    peer_files: dict[int, PeerFile] = field(default_factory=dict)  # by number of the replica
-    open_count: int = 0  # how many openings the file counts from now on; 0 if that stays
-    write_count: int = 0  # of the file, this one included
+    highest_tokens: dict[int, int] = field(default_factory=dict)  # group -> fencing token
+    deleted_keys: list[tuple[int, int]] = field(default_factory=list)  # (group, key)
+    peer_files: dict[int, PeerFile] = field(default_factory=dict)  # controller number -> state of its file
+    open_count: int = 0  # new number of openings of the file; 0 if unchanged
+    write_count: int = 0  # writes to the file so far, including this one
     is_wiped: bool = False  # the file is emptied first
-    is_recovered: bool = False
+    is_recovered: bool = False  # the replica is complete again
 
     def __bool__(self) -> bool:
         return any(vars(self).values())
@@ -48,15 +48,15 @@
 
 
 def accept_any(_group: int, _value: int, _is_initial: bool) -> bool:
-    """The rule of groups into which any value may be written."""
+    """Accept any value: the default rule of a group."""
     return True
 
 
 class Replica:
     """The records of one controller.
 
-    accepts: whether a value may be written into a group. counted_groups: groups whose values are counted.
-    permanent_groups: groups whose records are never deleted. A replica that is recovering answers nothing but that.
+    accepts: decides whether a value may be written into a group. counted_groups: groups whose values are counted.
+    permanent_groups: groups whose records are never deleted. A recovering replica replies only that it is recovering.
     """
 
     def __init__(
@@ -70,34 +70,34 @@
         self.accepts = accepts
         self.counted_groups = counted_groups
         self.permanent_groups = permanent_groups
-        self.value_counts: Counter[int] = Counter()
-        self.groups: dict[int, dict[int, ReplicaRecord]] = {}
-        self.highest_tokens: dict[int, int] = {}
-        self.sorted_keys: dict[int, list[int]] = {}  # of groups that are being read
+        self.value_counts: Counter[int] = Counter()  # value -> number of records
+        self.groups: dict[int, dict[int, ReplicaRecord]] = {}  # group -> key -> record
+        self.highest_tokens: dict[int, int] = {}  # group -> fencing token
+        self.sorted_keys: dict[int, list[int]] = {}  # group that is being read -> its keys
         self.record_count = 0
         self.rejected_count = 0
-        self.write_count = 0  # to the file, ever; a file restored from a backup has fewer than others know of
+        self.write_count = 0  # writes to the file so far; lower than others know if restored from a backup
         self.is_recovering = False
         self.unsaved = UnsavedChanges()
         self.last_swept_group = -1
 
     # ---- messages of proposers -----------------------------------------------------------------------------
 
-    def on_accept(self, now: float, message: Accept) -> AcceptReply:
-        """Store all records of the message, or none."""
+    def on_accept(self, now_ms: float, message: Accept) -> AcceptReply:
+        """Store all records of the message or none, and return the reply."""
         status = self.acceptance_status(message)
         if status == ReplicaStatus.ACCEPTED:
             self.raise_token(message.group, message.fencing_token)
             ballot = Ballot(message.fencing_token, message.round)
             for key, value, age_ms in message.rows:
-                self.put(message.group, key, value, ballot, now - age_ms)
+                self.put(message.group, key, value, ballot, now_ms - age_ms)
         else:
             self.rejected_count += 1
         highest_token = self.highest_tokens.get(message.group, 0)
         return AcceptReply(message.incarnation, message.round, message.group, status, highest_token)
 
     def acceptance_status(self, message: Accept) -> ReplicaStatus:
-        """Whether all records of the message can be stored."""
+        """Return `ACCEPTED` if all records of the message can be stored, else the reason why not."""
         if self.is_recovering:
             return ReplicaStatus.RECOVERING
         if message.fencing_token < self.highest_tokens.get(message.group, 0):
@@ -111,7 +111,7 @@
                 return ReplicaStatus.CLOSED
         return ReplicaStatus.ACCEPTED
 
-    def on_prepare(self, now: float, message: Prepare) -> PrepareReply:
+    def on_prepare(self, now_ms: float, message: Prepare) -> PrepareReply:
         """Promise the fencing token, and return a page of the group's records."""
         group = message.group
         highest_token = self.highest_tokens.get(group, 0)
@@ -124,7 +124,7 @@
         keys = self.sorted_keys.get(group)
         if keys is None:
             keys = self.sorted_keys[group] = sorted(records)
-        page = self.read_page(now, records, keys, message.after_key)
+        page = self.read_page(now_ms, records, keys, message.after_key)
         has_more = len(page) == MAX_PREPARE_ROWS and page[-1].key != keys[-1]
         if not has_more:
             self.sorted_keys.pop(group, None)
@@ -134,21 +134,21 @@
         )
 
     def read_page(
-        self, now: float, records: dict[int, ReplicaRecord], keys: list[int], after_key: int
+        self, now_ms: float, records: dict[int, ReplicaRecord], keys: list[int], after_key: int
     ) -> list[VersionedRow]:
-        """The first records with keys above `after_key`."""
+        """Return the first records with keys above `after_key`."""
         start = bisect_right(keys, after_key)
         page = []
         for key in keys[start : start + MAX_PREPARE_ROWS]:
             record = records[key]
-            age_ms = max(0, int(now - record.created_at_ms))
+            age_ms = max(0, int(now_ms - record.created_at_ms))
             page.append(VersionedRow(key, record.value, age_ms, *record.ballot))
         return page
 
     # ---- records -------------------------------------------------------------------------------------------
 
     def put(self, group: int, key: int, value: int, ballot: Ballot, created_at_ms: float) -> None:
-        """Store a record, unless one of a higher ballot is stored already."""
+        """Store a record, unless it is already stored with a higher ballot."""
         records = self.groups.setdefault(group, {})
         record = records.get(key)
         if record is None:
@@ -168,7 +168,7 @@
         self.unsaved.rows.append(UnsavedRow(group, key, value, *ballot, record.created_at_ms))
 
     def add_to_count(self, group: int, value: int, change: int) -> None:
-        """Change how many records have the value, in groups whose values are counted."""
+        """Add `change` to the number of records with the value, if the group's values are counted."""
         if group in self.counted_groups:
             self.value_counts[value] += change
             if not self.value_counts[value]:
@@ -180,19 +180,19 @@
             self.highest_tokens[group] = fencing_token
             self.unsaved.highest_tokens[group] = fencing_token
 
-    def sweep(self, now: float) -> None:
-        """Drop records over their time; called every second, it comes to all groups in a sixteenth of that time."""
+    def sweep(self, now_ms: float) -> None:
+        """Delete expired records; called every second, it covers all groups within 1/16 of the retention time."""
         groups = sorted(self.groups.keys() - self.permanent_groups)
-        count = min(len(groups), 1 + int(len(groups) * SWEEP_PERIOD_MS / self.limits.retention_ms))
+        count = min(len(groups), 1 + int(len(groups) * FULL_SWEEP_RETENTION_MS / self.limits.retention_ms))
         for _ in range(count):
             group = next((group for group in groups if group > self.last_swept_group), groups[0])
             self.last_swept_group = group
-            self._sweep_group(now, group)
+            self._sweep_group(now_ms, group)
 
-    def _sweep_group(self, now: float, group: int) -> None:
+    def _sweep_group(self, now_ms: float, group: int) -> None:
         records = self.groups.get(group, {})
         for key, record in list(records.items()):
-            age_ms = now - record.created_at_ms
+            age_ms = now_ms - record.created_at_ms
             if record.is_counted and age_ms > self.limits.counted_ms:
                 record.is_counted = False
                 self.add_to_count(group, record.value, -1)
@@ -207,7 +207,7 @@
     # ---- the file ------------------------------------------------------------------------------------------
 
     def wipe(self) -> None:
-        """Forget all: the file was restored from a backup, and its promises are out of date."""
+        """Discard everything: the file was restored from a backup, and its promises are out of date."""
         self.groups = {}
         self.highest_tokens = {}
         self.sorted_keys = {}
@@ -217,7 +217,7 @@
         self.unsaved = UnsavedChanges(is_wiped=True)
 
     def take_unsaved(self) -> UnsavedChanges:
-        """What is to be written before any answer since the last call is sent."""
+        """Return and reset the changes to be written before any reply made since the last call is sent."""
         changes = self.unsaved
         self.unsaved = UnsavedChanges()
         if changes:
--- a/corallanding/quorum_records/stored_rows.py
+++ b/corallanding/quorum_records/stored_rows.py
@@ -1,4 +1,4 @@
-"""Rows of a replica's file, and the ballots that order writes of one record."""
+"""Rows of a replica's file, and the ballots that order the writes of one record."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class Ballot(NamedTuple):
-    """Under which fencing token, and in which round of its proposer, a record was written; the higher one stands."""
+    """Fencing token and proposer round under which a record was written; the record with the higher ballot wins."""
 
     fencing_token: int
     round: int
 
 
 class UnsavedRow(NamedTuple):
-    """A record to be written to disk."""
+    """A record to be written to disk; created_at_ms is by the controller's clock."""
 
     group: int
     key: int
@@ -24,7 +24,7 @@
 
 
 class PeerFile(NamedTuple):
-    """What is known of another replica's file: how often it was opened, by whom last, and the most writes to it."""
+    """Known state of another replica's file: number of openings, incarnation of the last opener, and writes to it."""
 
     open_count: int
     incarnation: int
