--- a/corallanding/membership/__init__.py
+++ b/corallanding/membership/__init__.py
@@ -1,6 +1,6 @@
-"""Which controllers are alive: SWIM with the local health of Lifeguard. The core has no input or output of its own.
+"""Membership of controllers: SWIM with the local health of Lifeguard. The core performs no I/O.
 
-`core` decides, `messages` are the datagrams. See docs/budgets.md.
+`core` implements the protocol, `messages` its datagrams. See docs/budgets.md.
 """
 
 from .config import MembershipConfig
--- a/corallanding/membership/dissemination.py
+++ b/corallanding/membership/dissemination.py
@@ -1,20 +1,20 @@
-"""Which updates a message carries: those that were sent least often, each a bounded number of times."""
+"""Selects the updates that a message carries: the least often sent first, each a bounded number of times."""
 
 from __future__ import annotations
 
 
 class UpdateQueue:
-    """The members whose state still goes out, each with the number of transmissions that are left."""
+    """The members whose state is still to be sent, each with its number of remaining transmissions."""
 
     def __init__(self) -> None:
         self.transmissions_left: dict[int, int] = {}
 
     def add(self, member: int, transmissions: int) -> None:
-        """Send the state of a member so many times."""
+        """Queue the state of a member for a number of transmissions."""
         self.transmissions_left[member] = transmissions
 
     def take(self, limit: int) -> list[int]:
-        """Up to `limit` members, those with most transmissions left first; one transmission of each is used up."""
+        """Return up to `limit` members, those with most transmissions left first; decrement each count."""
         left = self.transmissions_left
         members = sorted(left, key=lambda member: -left[member])[:limit]
         for member in members:
--- a/corallanding/membership/messages.py
+++ b/corallanding/membership/messages.py
@@ -8,11 +8,11 @@
 
 from ..wire.peer_messages import MessageCodec
 
-MAX_UPDATES = 12  # in one message: of at most 13 bytes each, beside a header of at most 40
+MAX_UPDATES = 12  # per message: at most 13 bytes each, after a header of at most 40
 
 
 class MemberUpdate(NamedTuple):
-    """A claim on a member's state (`MemberState`; a number that is none is ignored by who receives it)."""
+    """A claim on a member's state (`MemberState`; receivers ignore unknown values)."""
 
     member: int
     state: int
@@ -23,8 +23,8 @@
     """Base of the messages.
 
     `sequence` numbers the probes of the prober. `process_incarnation` is the random number that other messages between
-    controllers call incarnation: by it two processes under one number are told apart. `incarnation` is SWIM's: a member
-    raises its own to refute a suspicion.
+    controllers call incarnation: it distinguishes two processes with the same controller number. `incarnation` is
+    SWIM's: a member raises its own to refute a suspicion.
     """
 
     sequence: int
@@ -34,19 +34,19 @@
 
 
 class Ping(MembershipMessage, frozen=True, array_like=True, tag=1):
-    """A probe of the member `target` as the prober knows it: one that reaches another number is rejected."""
+    """A probe of the member `target`. A controller with another number rejects it; -1 addresses any."""
 
     target: int = -1
 
 
 class Ack(MembershipMessage, frozen=True, array_like=True, tag=2):
-    """The answer to a ping. `target` is the member that answered, where a third passes the answer on."""
+    """Reply to a ping. `target` is the member that replied if another member forwards the reply, else -1."""
 
     target: int = -1
 
 
 class PingRequest(MembershipMessage, frozen=True, array_like=True, tag=3):
-    """Asks a third member to probe `target` (SWIM's ping-req)."""
+    """Request to a third member to probe `target` (SWIM's ping-req)."""
 
     target: int = -1
 
@@ -55,7 +55,7 @@
 
 
 def is_valid(message: MembershipMessage) -> bool:
-    """Whether the values of a message are possible."""
+    """Return whether the message is valid: it has at most `MAX_UPDATES` updates."""
     return len(message.updates) <= MAX_UPDATES
 
 
--- a/corallanding/membership/table.py
+++ b/corallanding/membership/table.py
@@ -1,4 +1,4 @@
-"""What is kept of each member, and the actions that the core returns."""
+"""State of each member, and the actions that the core returns."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class MemberState(IntEnum):
-    """The state of a member. The numbers are the wire; of equal incarnations the higher state wins."""
+    """The state of a member. The numbers are sent on the wire; for equal incarnations the higher state wins."""
 
     UNKNOWN = 0
     ALIVE = 1
@@ -22,17 +22,17 @@
 
     @property
     def label(self) -> str:
-        """The state as logs and the status page show it."""
+        """Return the name of the state in logs and on the status page."""
         return self.name.lower()
 
 
-RECKONED_WITH = frozenset({MemberState.ALIVE, MemberState.SUSPECT})  # a suspect may well answer
-CLAIMED_GONE = frozenset({MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT})
+ALIVE_STATES = frozenset({MemberState.ALIVE, MemberState.SUSPECT})  # a suspect may still reply
+REFUTABLE_STATES = frozenset({MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT})  # refuted by a live member
 
 
 @dataclass(frozen=True)
 class MemberStateChanged:
-    """The state of a member, as seen by this controller, has changed."""
+    """Reports that the state of a member has changed in this controller's view."""
 
     member: int
     state: MemberState
@@ -43,29 +43,29 @@
 
 @dataclass
 class Member:
-    """What is known of another controller."""
+    """The known state of another controller."""
 
-    rate_limiter: TokenBucket  # of the messages that it may send
+    rate_limiter: TokenBucket  # for messages from the member
     state: MemberState = MemberState.UNKNOWN
     incarnation: int = 0
     process_incarnation: int = 0
-    suspicion_deadline: float = math.inf  # when a suspect is dead
-    pinged_at: float = 0.0  # when a suspect was last pinged out of turn
+    suspicion_deadline_ms: float = math.inf  # when a suspect is declared dead
+    pinged_at_ms: float = 0.0  # when it was last pinged as a suspect, in addition to probes
 
 
 @dataclass
 class Probe:
-    """The probe that waits for an answer. `is_indirect` once other members were asked to probe."""
+    """The probe that awaits a reply. `is_indirect`: other members have been requested to probe."""
 
     member: int
     sequence: int
-    started_at: float
+    started_at_ms: float
     is_indirect: bool = False
 
 
 class IndirectProbe(NamedTuple):
-    """A ping that another member asked for: who did, its sequence number, and when."""
+    """A ping on behalf of `requester`, with the requester's sequence number and the time of its start in ms."""
 
     requester: int
     sequence: int
-    started_at: float
+    started_at_ms: float
--- a/tests/membership/support.py
+++ b/tests/membership/support.py
@@ -13,22 +13,23 @@
 from corallanding.quota import QuotaLimits
 
 
-def world(seed: int, numbers: int, first: int | None = None) -> World:
-    return World(seed, numbers, 3, {}, QuotaLimits(), lambda t, n: [], first, static=True)
+def make_world(seed: int, controller_count: int, running_count: int | None = None) -> World:
+    return World(seed, controller_count, 3, {}, QuotaLimits(), lambda t, n: [], running_count, static=True)
 
 
-def views(w: World) -> dict[int, list[int]]:
-    return {n: p.members.alive_members() for n, p in w.processes.items()}
+def alive_views(world: World) -> dict[int, list[int]]:
+    """Return the members that each controller considers alive."""
+    return {number: process.members.alive_members() for number, process in world.processes.items()}
 
 
-def until(w: World, wanted: Any, most: float) -> float:
-    """ms until it is so."""
-    begun = w.now
-    while not wanted(views(w)):
-        assert w.now - begun < most, views(w)
-        w.run(w.now + 50.0)
-    return w.now - begun
+def run_until(world: World, condition: Any, timeout_ms: float) -> float:
+    """Run the world until the views of its controllers meet the condition; return the elapsed time in ms."""
+    started_at_ms = world.now
+    while not condition(alive_views(world)):
+        assert world.now - started_at_ms < timeout_ms, alive_views(world)
+        world.run(world.now + 50.0)
+    return world.now - started_at_ms
 
 
-def members(others: int = 3) -> Membership:
-    return Membership(0, range(1, others + 1), 77, MembershipConfig(), random.Random(1).random, 0.0)
+def make_membership(peer_count: int = 3) -> Membership:
+    return Membership(0, range(1, peer_count + 1), 77, MembershipConfig(), random.Random(1).random, 0.0)
