--- a/corallanding/membership/core.py
+++ b/corallanding/membership/core.py
@@ -100,7 +100,7 @@
         probe = self.probe
         if probe and ack.sequence == probe.sequence and probe.member in (sender, ack.target):
             if not probe.is_indirect:
-                self.view.raise_local_health()
+                self.view.improve_local_health()
             self.probe = None
             return self.view.apply_update(
                 now_ms, probe.member, MemberState.ALIVE, self.members[probe.member].incarnation
@@ -132,7 +132,7 @@
         self.last_tick_at_ms = now_ms
         if pause_ms <= self.config.probe_interval_ms:
             return
-        self.view.lower_local_health()
+        self.view.worsen_local_health()
         self.probe = None
         for member in self.members.values():
             member.suspicion_deadline_ms += pause_ms
@@ -177,7 +177,7 @@
         member = self.members[probe.member]
         if member.state != MemberState.ALIVE:
             return []
-        self.view.lower_local_health()
+        self.view.worsen_local_health()
         return self.view.apply_update(now_ms, probe.member, MemberState.SUSPECT, max(1, member.incarnation))
 
     def _start_probe(self, now_ms: float) -> list[Action]:
--- a/corallanding/membership/table.py
+++ b/corallanding/membership/table.py
@@ -27,7 +27,9 @@
 
 
 ALIVE_STATES = frozenset({MemberState.ALIVE, MemberState.SUSPECT})  # a suspect may still reply
-REFUTABLE_STATES = frozenset({MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT})  # refuted by a live member
+REFUTABLE_STATES = frozenset(
+    {MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT}
+)  # a running member refutes these
 
 
 @dataclass(frozen=True)
@@ -45,12 +47,12 @@
 class Member:
     """The known state of another controller."""
 
-    rate_limiter: TokenBucket  # for messages from the member
+    rate_limiter: TokenBucket  # limits the messages from the member
     state: MemberState = MemberState.UNKNOWN
     incarnation: int = 0
     process_incarnation: int = 0
-    suspicion_deadline_ms: float = math.inf  # when a suspect is declared dead
-    pinged_at_ms: float = 0.0  # when it was last pinged as a suspect, in addition to probes
+    suspicion_deadline_ms: float = math.inf  # time at which a suspect is declared dead
+    pinged_at_ms: float = 0.0  # time of the last ping as a suspect, in addition to probes
 
 
 @dataclass
--- a/corallanding/membership/view.py
+++ b/corallanding/membership/view.py
@@ -18,8 +18,8 @@
 class MembershipView:
     """The members, and the state of this controller that it reports to them.
 
-    `local_health` is Lifeguard's: 0 is healthy, and timeouts grow with it. `duplicates_seen` counts claims made by
-    another process with this controller's number.
+    `local_health` is Lifeguard's: 0 is healthy; it rises, and timeouts with it, as health worsens. `duplicates_seen`
+    counts claims made by another process with this controller's number.
     """
 
     def __init__(
@@ -80,25 +80,25 @@
         """Refute a claim on this controller by a higher incarnation, unless it is true or already refuted."""
         is_newer = incarnation > self.incarnation
         if is_newer and state == MemberState.ALIVE:
-            self.duplicates_seen += 1  # by another process with this number, or by the predecessor
+            self.duplicates_seen += 1  # the claim is of another process with this number, or of the predecessor
         if incarnation < self.incarnation or (state == MemberState.ALIVE and not is_newer):
             return
         if self.is_leaving and state == MemberState.LEFT:
             return
         self.incarnation = incarnation + 1
         if state == MemberState.SUSPECT:
-            self.lower_local_health()
+            self.worsen_local_health()
         self.queue_update(self.controller_id)
 
     def _suspicion_timeout_ms(self) -> float:
         size_factor = max(1.0, math.log10(len(self.members) + 1))
         return self.config.suspicion_multiplier * size_factor * self.config.probe_interval_ms * (1 + self.local_health)
 
-    def lower_local_health(self) -> None:
+    def worsen_local_health(self) -> None:
         """Record a sign that this controller itself is slow, which lengthens its timeouts."""
         self.local_health = min(self.config.max_local_health, self.local_health + 1)
 
-    def raise_local_health(self) -> None:
+    def improve_local_health(self) -> None:
         """Record that a probe was answered in time, which shortens the timeouts."""
         self.local_health = max(0, self.local_health - 1)
 
--- a/corallanding/quorum_records/core.py
+++ b/corallanding/quorum_records/core.py
@@ -52,12 +52,12 @@
 class RecordPeers:
     """The controllers that share quorum records, from the point of view of one of them.
 
-    me: its number. others: numbers of the other controllers. replica_ids: numbers of the controllers with a replica.
-    incarnation: random number drawn when this process started.
+    controller_id: its number. peer_ids: numbers of the other controllers. replica_ids: numbers of the controllers with
+    a replica. incarnation: random number drawn when this process started.
     """
 
-    me: int
-    others: tuple[int, ...]
+    controller_id: int
+    peer_ids: tuple[int, ...]
     replica_ids: tuple[int, ...]
     incarnation: int
 
@@ -102,8 +102,8 @@
         file: ReplicaFile,
         messages_per_second: float = DEFAULT_MESSAGES_PER_SECOND,
     ) -> None:
-        self.me = peers.me
-        self.others = peers.others
+        self.controller_id = peers.controller_id
+        self.peer_ids = peers.peer_ids
         self.replica_ids = peers.replica_ids
         self.incarnation = peers.incarnation
         self.limits = limits
@@ -111,20 +111,26 @@
         self.replica = Replica(limits, rules.accepts, rules.counted_groups, rules.permanent_groups)
         self.replica.is_recovering = file.is_recovering
         self.recovery = ReplicaRecovery(
-            peers.me, peers.replica_ids, peers.incarnation, limits, self.groups, file.open_count, self.replica
+            peers.controller_id,
+            peers.replica_ids,
+            peers.incarnation,
+            limits,
+            self.groups,
+            file.open_count,
+            self.replica,
         )
         self.proposers: dict[int, Proposer] = {}  # group held by this controller -> proposer
-        self.rounds = itertools.count(1)
-        self.holders: dict[int, GroupHolder] = {}
+        self.rounds = itertools.count(1)  # shared by all proposers of this process
+        self.holders: dict[int, GroupHolder] = {}  # group -> last known holder
         self.peer_files: dict[int, PeerFile] = {}  # controller -> last known state of its file
-        self.rate_limits = PeerRateLimiter(peers.others, messages_per_second, created_at_ms)
+        self.rate_limits = PeerRateLimiter(peers.peer_ids, messages_per_second, created_at_ms)
         self.rejected_count = 0
         self.swept_at_ms = created_at_ms
 
     @property
     def has_replica(self) -> bool:
         """Return whether this controller has a replica."""
-        return self.me in self.replica_ids
+        return self.controller_id in self.replica_ids
 
     def holder_of(self, group: int) -> int | None:
         """Return the last known holder of the group; None if unknown."""
@@ -171,9 +177,9 @@
         """Process messages to this controller itself; return the others after `Persist` of the replica's changes."""
         outgoing: list[OutgoingMessage] = []
         while messages:
-            outgoing += [message for message in messages if message.to != self.me]
-            own = [message for message in messages if message.to == self.me]
-            messages = [reply for message in own for reply in self.handle(now_ms, self.me, message.message)]
+            outgoing += [message for message in messages if message.to != self.controller_id]
+            own = [message for message in messages if message.to == self.controller_id]
+            messages = [reply for message in own for reply in self.handle(now_ms, self.controller_id, message.message)]
         changes = self.replica.take_unsaved()
         return [Persist(changes), *outgoing] if changes else [*outgoing]
 
--- a/corallanding/quorum_records/queries.py
+++ b/corallanding/quorum_records/queries.py
@@ -15,7 +15,7 @@
 from .messages import Query, QueryReply
 from .query_state import NEVER, PendingQuery, Requester, WaitingQuery
 
-NOT_NOW = 0  # result of a query that timed out or was rejected; the group's owner defines the other results
+NO_ANSWER = 0  # result of a query that timed out or was rejected; the group's owner defines the other results
 MAX_REQUESTERS = 64  # requesters that wait for a reply on one record
 
 
@@ -34,7 +34,7 @@
 class QueryLimits:
     """Bounds and timings of queries.
 
-    timeout_ms: time after which a query ends with `NOT_NOW`. retry_ms: delay before an unanswered query is sent again.
+    timeout_ms: time after which a query ends with `NO_ANSWER`. retry_ms: delay before an unanswered query is retried.
     max_pending: unanswered queries of this controller, and records on which others wait for its replies.
     """
 
@@ -109,7 +109,7 @@
         """Submit a query on the record of a key (not 0). Return its number, which its `QueryResult` repeats."""
         self.query_count += 1
         if len(self.pending) >= self.limits.max_pending:
-            self._add_result(group, QueryResult(self.query_count, NOT_NOW, 0))
+            self._add_result(group, QueryResult(self.query_count, NO_ANSWER, 0))
             self.rejected_count += 1
         else:
             self.pending[self.query_count] = PendingQuery(group, key, kind, argument, now_ms)
@@ -134,7 +134,7 @@
         self.retried_at_ms = now_ms
         for number, query in list(self.pending.items()):
             if now_ms - query.submitted_at_ms > self.limits.timeout_ms:
-                self.finish(number, Outcome(NOT_NOW, 0))
+                self.finish(number, Outcome(NO_ANSWER, 0))
                 self.last_responders.pop(query.group, None)
             elif now_ms - query.sent_at_ms >= self.limits.retry_ms:
                 messages += self.send_query(now_ms, number, query)
@@ -166,7 +166,7 @@
             self.rejected_count += 1
             return
         self.last_responders[query.group] = sender
-        if message.result != NOT_NOW:
+        if message.result != NO_ANSWER:
             self.finish(message.round, Outcome(message.result, message.value))
 
     def finish(self, number: int, outcome: Outcome) -> None:
--- a/corallanding/quorum_records/replica_recovery.py
+++ b/corallanding/quorum_records/replica_recovery.py
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        me: int,
+        controller_id: int,
         replica_ids: tuple[int, ...],
         incarnation: int,
         limits: RecordLimits,
@@ -45,14 +45,14 @@
         self.limits = limits
         self.open_count = open_count
         self.replica = replica
-        self.others = tuple(replica_id for replica_id in replica_ids if replica_id != me)
+        self.other_replicas = tuple(replica_id for replica_id in replica_ids if replica_id != controller_id)
         self.groups = sorted(groups)
         self.quorum_size = len(replica_ids) // 2 + 1
         self.is_ready = False
         self.confirmations: dict[int, bool] = {}  # replica that knows of no later opening -> whether it recovers
         self.announced_at_ms = NEVER
         self.round = FIRST_RECOVERY_ROUND
-        self.progress = {replica_id: RecoveryProgress() for replica_id in self.others}
+        self.progress = {replica_id: RecoveryProgress() for replica_id in self.other_replicas}
 
     def tick(self, now_ms: float) -> list[OutgoingMessage]:
         """Return announcements of the file, which are sent periodically, and prepare messages during recovery."""
@@ -73,13 +73,13 @@
             return []
         self.announced_at_ms = now_ms
         message = FileAnnouncement(self.incarnation, self.open_count, self.replica.write_count)
-        return [OutgoingMessage(replica_id, message) for replica_id in self.others]
+        return [OutgoingMessage(replica_id, message) for replica_id in self.other_replicas]
 
     @property
     def is_file_confirmed(self) -> bool:
         """Return whether enough replicas know of no later opening: any replica in use would be known to one of them."""
         intact_count = sum(not is_recovering for is_recovering in self.confirmations.values())
-        return intact_count >= self.quorum_size - 1 or len(self.confirmations) == len(self.others)
+        return intact_count >= self.quorum_size - 1 or len(self.confirmations) == len(self.other_replicas)
 
     def awaited_replicas(self) -> list[int]:
         """Return the replicas whose replies are required before this one is ready."""
@@ -87,7 +87,7 @@
             return []
         awaited: set[int] = set()
         if not self.is_file_confirmed:
-            awaited.update(replica_id for replica_id in self.others if replica_id not in self.confirmations)
+            awaited.update(replica_id for replica_id in self.other_replicas if replica_id not in self.confirmations)
         if self.replica.is_recovering:
             for replica_id, progress in self.progress.items():
                 if not (progress.is_done or progress.is_recovering):
