--- a/corallanding/registry/__init__.py
+++ b/corallanding/registry/__init__.py
@@ -1,6 +1,6 @@
-"""A client of a replicated key-value registry: hosts are read from it, and slices and their tables are leased in it.
+"""A client of a replicated key-value registry: reads hosts from it, and leases slices and stores their tables in it.
 
-Without I/O: `watch_state` (keeps a copy of a prefix true over disconnections and compactions) and `slice_ownership`
-(which controller owns which slice). With I/O: `etcd` (the etcd v3 API), `consul` (blocking queries), `watcher`,
-`table_store` and `source`.
+Modules without I/O: `watch_state` (keeps a copy of a prefix consistent across disconnections and compactions) and
+`slice_ownership` (which controller owns which slice). Modules with I/O: `etcd` (the etcd v3 API), `consul` (blocking
+queries), `watcher`, `table_store` and `source`.
 """
--- a/corallanding/registry/consul.py
+++ b/corallanding/registry/consul.py
@@ -1,8 +1,8 @@
-"""Consul's blocking queries by index over HTTP, as a connection like that of `etcd`.
+"""A `RegistryConnection` to Consul by its blocking queries over HTTP.
 
-Consul answers with everything under a prefix and with an index, and keeps no history: each answer is a full read at its
-index, and its difference to the last one is the change. An index that goes back (after a restore) starts a new epoch,
-as Consul's documentation asks; the epoch takes the place of etcd's cluster id.
+Consul responds with all keys under a prefix and an index, and has no history: each response is a full read at its
+index, and the changes are its difference from the previous one. An index that decreases (after a restore) starts a new
+epoch, as Consul's documentation requires; the epoch takes the place of etcd's cluster id.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class ConsulEntry(msgspec.Struct, rename="pascal"):
-    """One key of Consul's answer; the value is in base64."""
+    """One key in a response of Consul; the value is in base64."""
 
     key: str
     value: str | None
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True)
 class IndexedRead:
-    """Everything under the prefix, as of the index."""
+    """All keys under the prefix at an index."""
 
     index: int
     key_values: list[KeyValue]
 
 
-class HttpAnswer(NamedTuple):
-    """What of an HTTP response is used."""
+class HttpResponse(NamedTuple):
+    """The parts of an HTTP response that are used."""
 
     status: int
     index_text: str
@@ -51,9 +51,9 @@
 
 
 class ConsulConnection:
-    """Requests to one address, each on an HTTP connection of its own.
+    """Requests to one address, each on a separate HTTP connection.
 
-    timeout_ms: for an answer. max_block_ms: how long the registry may hold a blocking query.
+    timeout_ms: time limit of a request. max_block_ms: how long the registry may hold a blocking query in addition.
     """
 
     def __init__(self, address: str, timeout_ms: float, max_block_ms: float = 10_000.0, token: str = "") -> None:
@@ -64,7 +64,7 @@
         self.token = token
         self.epoch = 1
         self.index = 0
-        self._prefetched: IndexedRead | None = None  # what the last blocking query brought
+        self._prefetched: IndexedRead | None = None  # result of the last blocking query, for the next listing
 
     async def list_page(
         self,
@@ -73,7 +73,7 @@
         _revision: int,
         _max_keys: int,
     ) -> ListedPage:
-        """Read everything under the prefix, as one page: Consul has neither pages nor history.
+        """Read all keys under the prefix as one page: Consul has neither pages nor history.
 
         Raises `RegistryUnavailableError`.
         """
@@ -86,35 +86,35 @@
         return ListedPage(self._header(), read.key_values, has_more=False)
 
     async def watch(self, prefix: bytes, revision: int, listener: WatchListener) -> None:
-        """Block until the index moves; then cancel the watch, so that its owner reads everything again."""
+        """Wait until the index changes; then cancel the watch, so that its owner does a full read."""
         listener.on_created(self._header())
         while True:
             read = await self._read(prefix, self.index)
             if read.index != self.index:
                 self._prefetched = read
-                listener.on_cancelled(None, read.index + revision, "the index moved")
+                listener.on_cancelled(None, read.index + revision, "the index changed")
                 return
 
     async def close(self) -> None:
-        """Do nothing: no connection outlives its request."""
+        """Do nothing: each HTTP connection is closed after its request."""
 
     def _header(self) -> ResponseHeader:
         return ResponseHeader(self.epoch, self.index)
 
     async def _read(self, prefix: bytes, index: int) -> IndexedRead:
-        """Read everything; with an index, as soon as the registry has moved on from it, or when it ends the query."""
+        """Read all keys; with an index, wait until the registry's index differs from it or the blocking query ends."""
         try:
-            answer = await self._get(prefix, index)
+            response = await self._get(prefix, index)
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             raise RegistryUnavailableError(str(error) or "timed out") from None
-        if answer.status not in (HTTP_OK, HTTP_NOT_FOUND):
-            raise RegistryUnavailableError(f"the registry answered {answer.status}")
-        key_values = decode_entries(answer.body) if answer.status == HTTP_OK else []
-        index_text = answer.index_text
+        if response.status not in (HTTP_OK, HTTP_NOT_FOUND):
+            raise RegistryUnavailableError(f"the registry responded with HTTP status {response.status}")
+        key_values = decode_entries(response.body) if response.status == HTTP_OK else []
+        index_text = response.index_text
         return IndexedRead(max(1, int(index_text) if index_text.isdigit() else 0), key_values)
 
-    async def _get(self, prefix: bytes, index: int) -> HttpAnswer:
-        """Send one request on a connection of its own: a registry that is gone shows at once."""
+    async def _get(self, prefix: bytes, index: int) -> HttpResponse:
+        """Send one request on a new connection, so that an unreachable registry is detected at once."""
         query = {"recurse": "true", "index": str(index), "wait": f"{max(1, int(self.max_block_ms / 1000))}s"}
         timeout = aiohttp.ClientTimeout((self.timeout_ms + (self.max_block_ms if index else 0.0)) / 1000.0)
         headers = {"X-Consul-Token": self.token} if self.token else {}
@@ -126,16 +126,16 @@
             async for chunk in response.content.iter_chunked(READ_CHUNK_BYTES):
                 body += chunk
                 if len(body) > MAX_RESPONSE_BYTES:
-                    raise RegistryUnavailableError(f"an answer of over {MAX_RESPONSE_BYTES} bytes")
-            return HttpAnswer(response.status, response.headers.get("X-Consul-Index", ""), bytes(body))
+                    raise RegistryUnavailableError(f"the response exceeds {MAX_RESPONSE_BYTES} bytes")
+            return HttpResponse(response.status, response.headers.get("X-Consul-Index", ""), bytes(body))
 
 
 def decode_entries(body: bytes) -> list[KeyValue]:
-    """Decode Consul's JSON. Raises `RegistryUnavailableError`."""
+    """Decode the JSON body of a Consul response. Raises `RegistryUnavailableError`."""
     try:
         entries = msgspec.json.decode(body, type=list[ConsulEntry])
         return [
             KeyValue(entry.key.encode(), base64.b64decode(entry.value or ""), entry.modify_index) for entry in entries
         ]
     except (msgspec.DecodeError, ValueError) as error:
-        raise RegistryUnavailableError(f"not an answer: {error}"[:MAX_ERROR_CHARACTERS]) from None
+        raise RegistryUnavailableError(f"invalid response from Consul: {error}"[:MAX_ERROR_CHARACTERS]) from None
--- a/corallanding/registry/controller_lease.py
+++ b/corallanding/registry/controller_lease.py
@@ -1,4 +1,4 @@
-"""The lease of one controller in the registry, to which its keys are bound. No I/O."""
+"""The registry lease of one controller, to which its keys are bound. No I/O."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 from .ownership_actions import GrantLease, KeepAlive
 
-NOT_REQUESTED_MS = -1.0  # in place of the time of a lease request, while none is in flight
+NOT_REQUESTED_MS = -1.0  # value of `requested_at_ms` while no lease request is in flight
 
 
 @dataclass(frozen=True)
 class OwnershipTimings:
-    """Times and bounds.
+    """Times and limits of slice ownership.
 
-    safety_margin: the fraction of the lease's time by which a controller stops before the registry may end the lease.
-    settle_ms: for how long the members must have been the same before slices are handed over.
+    safety_margin: the fraction of the lease time by which a controller stops acting before the registry may expire the
+    lease. settle_ms: how long the members must be unchanged before slices are handed over.
     """
 
     lease_ttl_ms: float = 5_000.0
@@ -24,16 +24,16 @@
 
     @property
     def margin_ms(self) -> float:
-        """The safety margin as a time."""
+        """The safety margin in ms."""
         return self.safety_margin * self.lease_ttl_ms
 
 
 @dataclass
 class ControllerLease:
-    """A lease by our own clock; an `id` of 0 stands for none.
+    """A lease as timed by the controller's own clock; an `id` of 0 means no lease.
 
-    valid_until_ms: the registry cannot have ended the lease before. requested_at_ms: when the grant or keep-alive in
-    flight was sent. A lease counts from when it was requested, not from when the answer came.
+    valid_until_ms: the earliest time at which the registry can have expired the lease. requested_at_ms: when the grant
+    or keep-alive in flight was sent. The lease time starts at the request, not at the response.
     """
 
     timings: OwnershipTimings
@@ -41,41 +41,41 @@
     valid_until_ms: float = 0.0
     requested_at_ms: float = NOT_REQUESTED_MS
 
-    def is_valid(self, now: float) -> bool:
-        """Whether the lease has certainly not ended, with the margin for clocks that run at different rates."""
-        return bool(self.id) and now < self.valid_until_ms - self.timings.margin_ms
+    def is_valid(self, now_ms: float) -> bool:
+        """Return whether the lease cannot have expired; the safety margin covers clocks that run at different rates."""
+        return bool(self.id) and now_ms < self.valid_until_ms - self.timings.margin_ms
 
-    def is_expired(self, now: float) -> bool:
-        """Whether there is a lease that the registry may have ended."""
-        return bool(self.id) and now >= self.valid_until_ms
+    def is_expired(self, now_ms: float) -> bool:
+        """Return whether there is a lease that the registry may have expired."""
+        return bool(self.id) and now_ms >= self.valid_until_ms
 
     def on_granted(self, lease_id: int) -> None:
-        """Take a new lease."""
+        """Record a granted lease."""
         self.id = lease_id
         self.valid_until_ms = self.requested_at_ms + self.timings.lease_ttl_ms
         self.requested_at_ms = NOT_REQUESTED_MS
 
     def on_renewed(self, ttl_ms: float) -> None:
-        """Take the answer to a keep-alive."""
+        """Record the response to a keep-alive; `ttl_ms` is the lease time that the registry granted."""
         if self.requested_at_ms >= 0:
             valid_until_ms = self.requested_at_ms + min(ttl_ms, self.timings.lease_ttl_ms)
             self.valid_until_ms = max(self.valid_until_ms, valid_until_ms)
         self.requested_at_ms = NOT_REQUESTED_MS
 
     def on_request_lost(self) -> None:
-        """Note that the request in flight has no answer: it is sent again at the next tick."""
+        """Record that the request in flight got no response: it is sent again at the next tick."""
         self.requested_at_ms = NOT_REQUESTED_MS
 
-    def next_requests(self, now: float) -> list[GrantLease | KeepAlive]:
-        """What to request now: a new lease, or the renewal of one whose margin has passed; at most one at a time."""
+    def next_requests(self, now_ms: float) -> list[GrantLease | KeepAlive]:
+        """Return the request that is due: a grant, or a renewal once the margin has elapsed; at most one in flight."""
         if self.requested_at_ms >= 0:
-            if now - self.requested_at_ms > self.timings.margin_ms:
-                self.requested_at_ms = NOT_REQUESTED_MS  # the answer is late: request again at the next tick
+            if now_ms - self.requested_at_ms > self.timings.margin_ms:
+                self.requested_at_ms = NOT_REQUESTED_MS  # no response within the margin: request again at the next tick
             return []
         if not self.id:
-            self.requested_at_ms = now
+            self.requested_at_ms = now_ms
             return [GrantLease(self.timings.lease_ttl_ms)]
-        if now > self.valid_until_ms - self.timings.lease_ttl_ms * (1 - self.timings.safety_margin):
-            self.requested_at_ms = now
+        if now_ms > self.valid_until_ms - self.timings.lease_ttl_ms * (1 - self.timings.safety_margin):
+            self.requested_at_ms = now_ms
             return [KeepAlive(self.id)]
         return []
--- a/corallanding/registry/etcd.py
+++ b/corallanding/registry/etcd.py
@@ -1,6 +1,6 @@
-"""A connection by the etcd v3 API: Range by pages, Watch with fragments and progress, leases, tokens, TLS.
+"""A connection over the etcd v3 API: paged Range, Watch with fragments and progress notifications, leases, tokens, TLS.
 
-grpcio carries the calls, and the messages are aetcd's. This module is imported only where such a registry is
+Calls go through grpcio with the message classes of aetcd. This module is imported only where an etcd registry is
 configured.
 """
 
@@ -24,7 +24,7 @@
 MS_PER_SECOND = 1000.0
 MAX_MESSAGE_BYTES = 64 << 20
 CHANNEL_OPTIONS: tuple[tuple[str, Any], ...] = (
-    ("grpc.keepalive_time_ms", 10_000),  # etcd by default ends a connection that pings more often than every 5 s
+    ("grpc.keepalive_time_ms", 10_000),  # etcd closes a connection that pings more often than every 5 s by default
     ("grpc.keepalive_timeout_ms", 3_000),
     ("grpc.http2.max_pings_without_data", 0),
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
@@ -35,9 +35,9 @@
 
 @dataclass(frozen=True)
 class TlsConfig:
-    """PEM data: the registry's CA, and a client certificate with its key where the registry asks for one.
+    """PEM data: the registry's CA, and a client certificate with its key where the registry requires one.
 
-    server_name: the name to expect in the registry's certificate, if not its address.
+    server_name: the name expected in the registry's certificate, if it is not the address.
     """
 
     ca: bytes
@@ -47,7 +47,7 @@
 
 
 def prefix_end(prefix: bytes) -> bytes:
-    """The first key after all keys with this prefix."""
+    """Return the first key after all keys with this prefix."""
     for position in range(len(prefix) - 1, -1, -1):
         if prefix[position] < MAX_BYTE:
             return prefix[:position] + bytes([prefix[position] + 1])
@@ -55,23 +55,23 @@
 
 
 def unavailable_error(error: grpc.aio.AioRpcError) -> RegistryUnavailableError:
-    """The error of a failed call, with gRPC's status code and the registry's text."""
+    """Return the error of a failed call, with the gRPC status code and the registry's text."""
     return RegistryUnavailableError(f"{error.code().name}: {error.details()}"[:MAX_ERROR_CHARACTERS])
 
 
 def response_header(header: Any) -> ResponseHeader:
-    """The header of an answer."""
+    """Return the header of an etcd response as a `ResponseHeader`."""
     return ResponseHeader(header.cluster_id, header.revision)
 
 
 def key_value_of_event(event: Any) -> KeyValue:
-    """The key that an event of a watch concerns, as of its revision."""
+    """Return the key of a watch event, as of the event's revision."""
     is_deletion = event.type == kv_pb2.Event.DELETE
     return KeyValue(event.kv.key, None if is_deletion else event.kv.value, event.kv.mod_revision)
 
 
 def report_watch_response(response: Any, listener: WatchListener) -> bool:
-    """Report one answer of a watch; false if it was the last."""
+    """Report one watch response to the listener, and return false if it was the last one."""
     header = response_header(response.header)
     if response.canceled:
         listener.on_cancelled(header, response.compact_revision, response.cancel_reason)
@@ -87,7 +87,7 @@
 
 
 class EtcdConnection:
-    """One connection. timeout_ms: for a call. token: etcd's authentication token, if it asks for one."""
+    """One connection. timeout_ms: time limit of a call. token: the etcd authentication token, "" for none."""
 
     def __init__(self, address: str, timeout_ms: float, tls: TlsConfig | None = None, token: str = "") -> None:
         options = list(CHANNEL_OPTIONS)
@@ -101,14 +101,15 @@
         self.timeout_seconds = timeout_ms / MS_PER_SECOND
         self.is_closed = False
         self.metadata = (("token", token),) if token else ()
-        # A member that has lost its leader would keep a watch open and silent; asked so, it ends the watch.
+        # Without this header a member that has lost its leader keeps the watch open but sends nothing; with it the
+        # member cancels the watch.
         self.watch_metadata = (*self.metadata, ("hasleader", "true"))
         self.kv_stub = rpc_pb2_grpc.KVStub(self.channel)
         self.watch_stub = rpc_pb2_grpc.WatchStub(self.channel)
         self.lease_stub = rpc_pb2_grpc.LeaseStub(self.channel)
 
     async def call(self, method: Any, request: Any) -> Any:
-        """Send one request and return its answer. Raises `RegistryUnavailableError` and `CompactedError`."""
+        """Send one request and return the response. Raises `RegistryUnavailableError` and `CompactedError`."""
         try:
             return await method(request, timeout=self.timeout_seconds, metadata=self.metadata)
         except grpc.aio.AioRpcError as error:
@@ -116,26 +117,26 @@
                 raise CompactedError(error.details() or "") from None
             raise unavailable_error(error) from None
         except asyncio.CancelledError:
-            # Closing the channel under a call (after its watch was lost) looks to the caller as if its own task were
-            # cancelled.
+            # Closing the channel during a call (after its watch was lost) raises CancelledError in the caller although
+            # its task was not cancelled.
             task = asyncio.current_task()
             if self.is_closed and task and not task.cancelling():
-                raise RegistryUnavailableError("the connection was given up in the middle") from None
+                raise RegistryUnavailableError("the connection was closed during the call") from None
             raise
 
     async def list_page(self, prefix: bytes, after_key: bytes, revision: int, max_keys: int) -> ListedPage:
-        """Read up to `max_keys` keys of the prefix after a key, at a revision (0: the present one).
+        """Read up to `max_keys` keys of the prefix after a key, at a revision (0: the latest).
 
-        Raises `RegistryUnavailableError`, and `CompactedError` if the revision is compacted away.
+        Raises `RegistryUnavailableError`, and `CompactedError` if the revision has been compacted.
         """
         first_key = after_key + b"\0" if after_key else prefix
         request = rpc_pb2.RangeRequest(key=first_key, range_end=prefix_end(prefix), limit=max_keys, revision=revision)
         response = await self.call(self.kv_stub.Range, request)
-        key_values = [KeyValue(found.key, found.value, found.mod_revision) for found in response.kvs]
+        key_values = [KeyValue(key_value.key, key_value.value, key_value.mod_revision) for key_value in response.kvs]
         return ListedPage(response_header(response.header), key_values, response.more)
 
     async def watch(self, prefix: bytes, revision: int, listener: WatchListener) -> None:
-        """Report the changes of the prefix from a revision on, until the registry ends the watch.
+        """Report changes under the prefix to the listener, starting at `revision`, until the registry ends the watch.
 
         Raises `RegistryUnavailableError` if the connection is lost.
         """
@@ -146,14 +147,14 @@
 
         async def requests() -> AsyncIterator[Any]:
             yield rpc_pb2.WatchRequest(create_request=create_request)
-            await finished.wait()  # the watch lives while its stream of requests is open
+            await finished.wait()  # the watch lasts as long as its request stream is open
 
         stream = self.watch_stub.Watch(requests(), metadata=self.watch_metadata)
         try:
             async for response in stream:
                 if not report_watch_response(response, listener):
                     return
-            raise RegistryUnavailableError("the watch ended")
+            raise RegistryUnavailableError("the watch stream ended")
         except grpc.aio.AioRpcError as error:
             raise unavailable_error(error) from None
         finally:
@@ -161,13 +162,13 @@
             stream.cancel()
 
     async def grant_lease(self, ttl_ms: float) -> int:
-        """Request a lease, in whole seconds of at least one, and return its id. Raises `RegistryUnavailableError`."""
+        """Request a lease, in whole seconds (at least 1), and return its id. Raises `RegistryUnavailableError`."""
         request = rpc_pb2.LeaseGrantRequest(TTL=max(1, round(ttl_ms / MS_PER_SECOND)))
         response = await self.call(self.lease_stub.LeaseGrant, request)
         return int(response.ID)
 
     async def keep_lease_alive(self, lease_id: int) -> float:
-        """Renew a lease and return its time in ms, 0 if it has ended. Raises `RegistryUnavailableError`."""
+        """Renew a lease and return its time to live in ms, 0 if it expired. Raises `RegistryUnavailableError`."""
 
         async def requests() -> AsyncIterator[Any]:
             yield rpc_pb2.LeaseKeepAliveRequest(ID=lease_id)
@@ -176,7 +177,7 @@
         try:
             async for response in stream:
                 return float(response.TTL) * MS_PER_SECOND
-            raise RegistryUnavailableError("no answer to a keep-alive")
+            raise RegistryUnavailableError("no response to a lease keep-alive")
         except grpc.aio.AioRpcError as error:
             raise unavailable_error(error) from None
         finally:
--- a/corallanding/registry/ownership_actions.py
+++ b/corallanding/registry/ownership_actions.py
@@ -1,4 +1,4 @@
-"""What slice ownership requests of the registry and reports to the controller."""
+"""Requests of slice ownership to the registry, and its reports to the controller."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class MemberState(StrEnum):
-    """What a controller says of itself; the values are stored in the registry."""
+    """The state that a controller announces in its member key; the values are stored in the registry."""
 
     ACTIVE = "here"
     LEAVING = "leaving"
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class OwnershipChange:
-    """Report: this controller owns the slice from now on, under the fencing token; or no longer owns it."""
+    """Report that this controller now owns the slice under the fencing token, or no longer owns it."""
 
     slice: int
     is_owned: bool
--- a/corallanding/registry/slice_ownership.py
+++ b/corallanding/registry/slice_ownership.py
@@ -1,10 +1,10 @@
 """Which controller owns which slices, by leases and compare-and-swap in the registry. No I/O.
 
-Each live controller has a member key, and each owned slice an ownership key whose value is its owner; both are bound to
-the owner's lease. The create revision of an ownership key is the fencing token of that ownership. A slice is claimed
-only if its key does not exist, and a table is written only in a transaction that compares the create revision. So a
-controller that was suspended past the end of its lease cannot write. By its own clock it stops acting for a slice
-before the registry can give the slice to another.
+Each running controller has a member key, and each owned slice an ownership key whose value is its owner; both are bound
+to the owner's lease. The create revision of an ownership key is the fencing token of that ownership. A slice is claimed
+only if its key does not exist, and a table is written only in a transaction that compares the create revision, so a
+controller that was suspended until after its lease expired cannot write. By its own clock, a controller stops acting
+for a slice before the registry can assign the slice to another one.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 def preferred_owner(slice_id: int, members: Iterable[int]) -> int | None:
-    """The controller with the highest rendezvous score for the slice: the same at every controller that computes it."""
+    """Return the controller with the highest rendezvous score for the slice; all controllers compute the same one."""
 
     def score(controller: int) -> tuple[bytes, int]:
         digest = hashlib.blake2b(f"{slice_id}:{controller}".encode(), digest_size=SCORE_BYTES).digest()
@@ -46,10 +46,10 @@
 
 @dataclass
 class SliceOwnership:
-    """The slices that `controller` owns of `slices`. Methods that return actions return them in order.
+    """Decides which of `slices` this `controller` owns. Methods return actions in the order in which to perform them.
 
-    fencing_tokens: of the slices that are owned. own_state: our own member key as the watch shows it, None if it is not
-    there.
+    fencing_tokens: tokens of the owned slices. own_state: state in this controller's member key as observed by the
+    watch, None if the key does not exist.
     """
 
     controller: int
@@ -72,13 +72,13 @@
 
     # ---- the lease ---------------------------------------------------------------------------------------------------
 
-    def on_lease_granted(self, now: float, lease_id: int) -> list[OwnershipAction]:
-        """Take a new lease, and announce this controller under it."""
+    def on_lease_granted(self, now_ms: float, lease_id: int) -> list[OwnershipAction]:
+        """Record a granted lease, and announce this controller under it."""
         self.lease.on_granted(lease_id)
-        return [self._announce(now)]
+        return [self._announce(now_ms)]
 
     def on_lease_renewed(self, ttl_ms: float) -> list[OwnershipAction]:
-        """Take the answer to a keep-alive; a `ttl_ms` of 0 says that the registry has ended the lease."""
+        """Handle the response to a keep-alive; a `ttl_ms` of 0 means that the lease has expired in the registry."""
         if ttl_ms <= 0:
             self.lease.on_request_lost()
             return self.on_lease_lost()
@@ -86,7 +86,7 @@
         return []
 
     def on_lease_lost(self) -> list[OwnershipAction]:
-        """Own nothing any more. A new lease is requested at the next tick."""
+        """Drop all owned slices. A new lease is requested at the next tick."""
         lost: list[OwnershipAction] = [OwnershipChange(slice_id, False) for slice_id in sorted(self.fencing_tokens)]
         self.lease.id = 0
         self.fencing_tokens = {}
@@ -94,21 +94,21 @@
         self.pending_releases = set()
         return lost
 
-    def has_valid_lease(self, now: float) -> bool:
-        """Whether what is owned is certainly still ours, by our own clock and with a margin; asked before a write."""
-        return self.lease.is_valid(now)
+    def has_valid_lease(self, now_ms: float) -> bool:
+        """Return whether the slices are surely still owned, by the local clock with a margin; checked before writes."""
+        return self.lease.is_valid(now_ms)
 
     def on_connection_change(self, *, is_connected: bool) -> None:
-        """Note that the watch is up or lost. Requests in flight on a lost connection have no answer."""
+        """Record that the watch is established or lost. Requests in flight on a lost connection get no response."""
         self.is_connected = is_connected
         self.lease.on_request_lost()
         self.pending_claims.clear()
         self.pending_releases.clear()
 
-    # ---- what the watch shows ----------------------------------------------------------------------------------------
+    # ---- observations of the watch -----------------------------------------------------------------------------------
 
-    def on_member_observed(self, now: float, controller: int, state: MemberState | None) -> None:
-        """Take a member key as it is now; None if it does not exist."""
+    def on_member_observed(self, now_ms: float, controller: int, state: MemberState | None) -> None:
+        """Handle the state in a member key; None if the key does not exist."""
         if controller == self.controller:
             self.own_state = state
         if self.members.get(controller) is state:
@@ -117,10 +117,10 @@
             del self.members[controller]
         else:
             self.members[controller] = state
-        self.members_changed_at_ms = now
+        self.members_changed_at_ms = now_ms
 
     def on_owner_observed(self, slice_id: int, controller: int | None, create_revision: int) -> list[OwnershipAction]:
-        """Take an ownership key as it is now; the controller is None if the key does not exist."""
+        """Handle the owner in an ownership key; the controller is None if the key does not exist."""
         if controller is None:
             self.observed_owners.pop(slice_id, None)
         else:
@@ -128,58 +128,58 @@
         token = self.fencing_tokens.get(slice_id)
         if token is None or (controller == self.controller and create_revision <= token):
             return []
-        # The lease ran out before we knew, or an operator deleted the key.
+        # The lease expired before it was noticed here, or an operator deleted the key.
         del self.fencing_tokens[slice_id]
         self.pending_releases.discard(slice_id)
         return [OwnershipChange(slice_id, False)]
 
     # ---- results of transactions -------------------------------------------------------------------------------------
 
-    def on_claim_result(self, now: float, slice_id: int, lease_id: int, fencing_token: int) -> list[OwnershipAction]:
-        """Take the answer to a claim. The fencing token is the key's create revision; 0 if another owns the slice."""
+    def on_claim_result(self, now_ms: float, slice_id: int, lease_id: int, fencing_token: int) -> list[OwnershipAction]:
+        """Handle the result of a claim. The fencing token is the key's create revision; 0 if another owns the slice."""
         self.pending_claims.discard(slice_id)
-        if not fencing_token or lease_id != self.lease.id or not self.has_valid_lease(now):
-            return []  # too late to be certain: the key goes with its lease, or is released at a later tick
+        if not fencing_token or lease_id != self.lease.id or not self.has_valid_lease(now_ms):
+            return []  # ownership is uncertain: the key expires with its lease, or a later tick releases it
         self.fencing_tokens[slice_id] = fencing_token
         self.observed_owners[slice_id] = SliceOwner(self.controller, fencing_token)
         return [OwnershipChange(slice_id, True, fencing_token)]
 
     def on_claim_failed(self, slice_id: int) -> None:
-        """Note that a claim has no answer: it is made again, or released if the watch shows that it was carried out."""
+        """Record that a claim got no response: it is repeated, or released if the watch shows that it succeeded."""
         self.pending_claims.discard(slice_id)
 
     def on_release_finished(self, slice_id: int) -> None:
-        """Note that a release has its answer, or has none: it is sent again while the watch shows the key as ours."""
+        """Record the end of a release, with or without response: it is repeated while the watch still shows the key."""
         self.pending_releases.discard(slice_id)
 
     # ---- time --------------------------------------------------------------------------------------------------------
 
-    def tick(self, now: float) -> list[OwnershipAction]:
-        """Keep the lease, claim slices that are free and ours, hand over others; called many times in a lease."""
+    def tick(self, now_ms: float) -> list[OwnershipAction]:
+        """Renew the lease, claim free slices preferred here, hand over others; called many times per lease time."""
         actions: list[OwnershipAction] = []
-        if self.lease.is_expired(now):
+        if self.lease.is_expired(now_ms):
             actions += self.on_lease_lost()
         if not self.is_connected:
-            return actions  # nothing new is claimed; what is owned stays so while the lease is certainly valid
-        actions += self.lease.next_requests(now)
-        if not self.has_valid_lease(now):
+            return actions  # no new claims; owned slices are kept while the lease is certainly valid
+        actions += self.lease.next_requests(now_ms)
+        if not self.has_valid_lease(now_ms):
             return actions
-        if self.own_state is not self._announced_state and now - self.announced_at_ms > self.timings.margin_ms:
-            # The registry lost the announcement when its leader changed. Unannounced, a controller is given no slices,
-            # or cannot pass them on.
-            actions.append(self._announce(now))
-        return actions + self._rebalance(now)
-
-    def start_leaving(self, now: float) -> list[OwnershipAction]:
-        """Begin a planned end: announce it, so that slices are handed over as others are there to take them."""
+        if self.own_state is not self._announced_state and now_ms - self.announced_at_ms > self.timings.margin_ms:
+            # The registry lost the announcement when its leader changed. Without it, this controller is assigned no
+            # slices, or cannot hand its own over.
+            actions.append(self._announce(now_ms))
+        return actions + self._rebalance(now_ms)
+
+    def start_leaving(self, now_ms: float) -> list[OwnershipAction]:
+        """Start a planned shutdown: announce it, so that slices are handed over to the remaining controllers."""
         self.is_leaving = True
         self.members[self.controller] = MemberState.LEAVING
-        announcement = self._announce(now)
+        announcement = self._announce(now_ms)
         return [announcement] if self.lease.id else []
 
     @property
     def is_drained(self) -> bool:
-        """Whether nothing is owned, nor shown as ours by the watch."""
+        """Whether no slice is owned here, nor shown by the watch as owned by this controller."""
         is_observed = any(owner.controller == self.controller for owner in self.observed_owners.values())
         return not self.fencing_tokens and not self.pending_releases and not is_observed
 
@@ -187,14 +187,14 @@
     def _announced_state(self) -> MemberState:
         return MemberState.LEAVING if self.is_leaving else MemberState.ACTIVE
 
-    def _announce(self, now: float) -> AnnounceMember:
-        self.announced_at_ms = now
+    def _announce(self, now_ms: float) -> AnnounceMember:
+        self.announced_at_ms = now_ms
         return AnnounceMember(self.lease.id, self._announced_state)
 
-    def _rebalance(self, now: float) -> list[OwnershipAction]:
+    def _rebalance(self, now_ms: float) -> list[OwnershipAction]:
         actions: list[OwnershipAction] = []
         candidates = [controller for controller, state in self.members.items() if state is MemberState.ACTIVE]
-        may_hand_over = self.is_leaving or now - self.members_changed_at_ms >= self.timings.settle_ms
+        may_hand_over = self.is_leaving or now_ms - self.members_changed_at_ms >= self.timings.settle_ms
         for slice_id in self.slices:
             preferred = preferred_owner(slice_id, candidates)
             observed = self.observed_owners.get(slice_id)
@@ -208,7 +208,7 @@
         return actions
 
     def _hand_over(self, slice_id: int) -> list[OwnershipAction]:
-        """Give an owned slice up; the controller stops before the key is deleted, so that nothing is written after."""
+        """Release an owned slice; the controller stops before the key is deleted, so that it writes nothing after."""
         if slice_id in self.pending_releases:
             return []
         self.pending_releases.add(slice_id)
@@ -216,10 +216,10 @@
         return [OwnershipChange(slice_id, False), ReleaseSlice(slice_id, token)]
 
     def _release_unconfirmed(self, slice_id: int, create_revision: int) -> list[OwnershipAction]:
-        """Delete a key of ours that we do not act on.
+        """Delete an ownership key of this controller for a slice that it does not act for.
 
-        The answer to its claim was lost or came too late, or its release was lost when the registry's leader changed:
-        the slice would be nobody's for as long as the lease is kept.
+        The response to its claim was lost or late, or its release was lost when the registry's leader changed. Without
+        this, no controller would act for the slice for as long as the lease is renewed.
         """
         if slice_id in self.pending_releases or slice_id in self.pending_claims:
             return []
--- a/corallanding/registry/source.py
+++ b/corallanding/registry/source.py
@@ -1,7 +1,7 @@
-"""Hosts from a registry: watches a prefix, and reports rows to the controller as an endpoint list does.
+"""A host source backed by a registry: watches a prefix, and reports rows to the controller as an endpoint list does.
 
-A key is the prefix and the host's number; its value is the JSON of a row (`docs/protocol.md`), whose `host` may be left
-out. The first list after a start is reported as a whole, and each later step as changes, those of a full read too.
+A key is the prefix and the host's number; its value is the JSON of a row (`docs/protocol.md`), whose `host` may be
+omitted. The first list after a start is reported completely, and everything later as changes, also after a full read.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
     from .etcd import EtcdConnection
 
 MAX_HOST_DIGITS = 10
-MIN_CONSUL_READS_PER_MINUTE = 6_000.0  # each change is a read there; the registry's own blocking bounds them
+MIN_CONSUL_READS_PER_MINUTE = 6_000.0  # each change is a full read; blocking queries already limit their rate
 
 EtcdConnector = Callable[[], "EtcdConnection"]
 
 
 def host_row(prefix: bytes, key_value: KeyValue) -> dict[str, Any] | None:
-    """A key as a row of an endpoint list; None if it names no host.
+    """Return a key as a row of an endpoint list; None if the key is not a host number.
 
-    A value that cannot be read still names its host, so that the endpoint list keeps the last good entry and reports
-    it.
+    An invalid value still yields a row with its host, so that the endpoint list keeps the last good entry and reports
+    the fault.
     """
     name = key_value.key[len(prefix) :]
     if not name.isdigit() or len(name) > MAX_HOST_DIGITS:
@@ -52,7 +52,7 @@
 
 
 class RegistrySource:
-    """An `EndpointSource`. connect: opens a new connection. clock: ms. random: as of `WatchState`."""
+    """An `EndpointSource`. connect: opens a new connection. clock: returns ms. random: as in `WatchState`."""
 
     def __init__(
         self,
@@ -68,49 +68,49 @@
         self.state = WatchState(limits, random)
         self.watcher = Watcher(connect, self.prefix, self.state, clock, self)
         self.task: asyncio.Task[None] | None = None
-        self.is_listed = False  # whether the first whole list since the start was reported
+        self.has_reported_list = False  # whether a complete list was reported since the start
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start the watch."""
         self.task = asyncio.get_running_loop().create_task(self.watcher.run())
 
     def follow(self, on: bool) -> None:
         """Do nothing: a registry is always watched."""
 
     def fetch(self) -> None:
-        """Do nothing: what the registry has is known already."""
+        """Do nothing: the watch already delivers all changes."""
 
     def stop(self) -> None:
         """End the watch."""
         if self.task:
             self.task.cancel()
 
-    # ---- what the watcher reports (`watcher.ViewListener`) -----------------------------------------------------------
+    # ---- events of the watcher (`watcher.ViewListener`) --------------------------------------------------------------
 
     def on_watching(self) -> None:
-        """The view is complete: report it as a list, once, however little differs."""
-        if not self.is_listed:
-            self.is_listed = True
+        """Report the complete view as a full list, the first time only."""
+        if not self.has_reported_list:
+            self.has_reported_list = True
             self.listener.on_host_rows(True, self.state.revision, self._rows(self.state.view.values()))
 
     def on_view_change(self, change: ViewChange) -> None:
-        """Report changes, once there was a list."""
-        if self.is_listed and (rows := self._rows(change.changes)):
+        """Report changes, once the full list was reported."""
+        if self.has_reported_list and (rows := self._rows(change.changes)):
             self.listener.on_host_rows(False, change.revision, rows)
 
     def on_watch_failure(self, text: str) -> None:
-        """Pass the text on."""
+        """Forward the failure to the listener."""
         self.listener.on_source_failure(text)
 
     def on_disconnected(self) -> None:
-        """The list stands."""
+        """Do nothing: the host list stays in effect."""
 
     def _rows(self, key_values: Iterable[KeyValue]) -> list[dict[str, Any]]:
         return [row for row in (host_row(self.prefix, key_value) for key_value in key_values) if row]
 
 
 def etcd_connector(block: RegistryBlock, on_failure: Callable[[str], None]) -> EtcdConnector:
-    """What opens connections as configured, to each member in turn. Raises OSError if a file cannot be read."""
+    """Return a function that connects to the configured members in turn. Raises OSError if a file cannot be read."""
     from .etcd import EtcdConnection, TlsConfig
 
     files = CredentialFiles(block, on_failure)
@@ -127,7 +127,10 @@
 
 
 def consul_connector(block: RegistryBlock, on_failure: Callable[[str], None]) -> Callable[[], RegistryConnection]:
-    """What returns the one connection to Consul, with the token as it is now. Raises OSError as above."""
+    """Return a function that returns the one connection to Consul, with the current token.
+
+    Raises OSError if a credentials file cannot be read.
+    """
     from .consul import ConsulConnection
 
     files = CredentialFiles(block, on_failure)
@@ -135,7 +138,7 @@
 
     def connect() -> RegistryConnection:
         connection.token = files.read().token
-        return connection  # the same each time: it keeps index and epoch
+        return connection  # reused, as it has the index and the epoch
 
     return connect
 
@@ -147,7 +150,7 @@
     random: Callable[[], float],
     dial_registry: Callable[[RegistryBlock, Callable[[str], None]], EtcdConnector] = etcd_connector,
 ) -> RegistrySource:
-    """The source that a configuration names. Raises OSError if one of its files cannot be read."""
+    """Return the host source of a configuration. Raises OSError if a credentials file cannot be read."""
     max_reads_per_minute = block.reads_per_min
     connect: Callable[[], RegistryConnection]
     if block.kind == "consul":
--- a/corallanding/registry/table_store.py
+++ b/corallanding/registry/table_store.py
@@ -1,6 +1,6 @@
-"""The ownership of slices and their tables in an etcd v3 registry: carries out what `slice_ownership` decides.
+"""The ownership of slices and their tables in an etcd v3 registry: performs the actions of `slice_ownership`.
 
-One watch shows members and owners. A table is written in a transaction that compares the fencing token of its slice.
+One watch observes members and owners. A table is written in a transaction that compares the fencing token of its slice.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     OwnershipChange,
     ReleaseSlice,
 )
-from .ownership_requests import OwnershipRequests, RegistryKeys, Tables, batches, write_batch
+from .ownership_requests import OwnershipRequests, RegistryKeys, Tables, split_into_batches, write_batch
 from .slice_ownership import SliceOwnership
 from .watch_messages import KeyValue, ViewChange, WatchLimits
 from .watch_state import WatchState
@@ -36,7 +36,7 @@
 
 RegistryRequest = GrantLease | KeepAlive | AnnounceMember | ClaimSlice | ReleaseSlice
 
-REQUEST_NAMES: dict[type, str] = {  # in the texts of failures
+REQUEST_NAMES: dict[type, str] = {  # names in failure messages
     GrantLease: "grantlease",
     KeepAlive: "keepalive",
     AnnounceMember: "announce",
@@ -46,21 +46,21 @@
 
 
 class SliceListener(Protocol):
-    """The controller, which is notified of the slices that it owns."""
+    """Receives the changes of owned slices; implemented by the controller."""
 
     def on_slice_granted(self, slice_id: int, weights: dict[int, float]) -> None:
-        """A slice is owned from now on; `weights` is its table as stored, host to weight."""
+        """Handle a slice that is now owned; `weights` is its stored table, weight by host."""
 
     def on_slice_revoked(self, slice_id: int) -> None:
-        """A slice is not owned any more."""
+        """Handle a slice that is no longer owned."""
 
     def on_failure(self, text: str) -> None:
-        """Something that operators should know."""
+        """Handle a failure that operators should know of."""
 
 
 @dataclass(frozen=True)
 class TableStoreConfig:
-    """Which slices are shared under which keys, as which controller, and the bounds of it."""
+    """The key base, this controller's number, the shared slices, and the times and limits."""
 
     base: str
     controller: int
@@ -70,7 +70,10 @@
 
 
 class TableStore:
-    """Leases slices and writes their tables. connect: opens a new connection. clock: ms. random: as of `WatchState`."""
+    """Leases slices and writes their tables.
+
+    connect: opens a new connection. clock: returns ms. random: as in `WatchState`.
+    """
 
     def __init__(
         self,
@@ -86,86 +89,86 @@
         self.ownership = SliceOwnership(config.controller, config.slices, config.timings)
         state = WatchState(config.watch_limits, random)
         self.watcher = Watcher(connect, self.keys.watched_prefix, state, clock, self)
-        self.claimed_tables: dict[int, bytes] = {}  # tables that came with claims, until the slice is granted
+        self.claimed_tables: dict[int, bytes] = {}  # stored tables read by claims, until the slice is granted
         self.tasks: set[asyncio.Task[None]] = set()
 
     @property
     def connection(self) -> EtcdConnection | None:
-        """The present connection, if there is one."""
+        """The current connection, None while disconnected."""
         return self.watcher.connection
 
     @property
     def is_drained(self) -> bool:
-        """Whether no slice is owned, nor shown as ours by the watch."""
+        """Whether no slice is owned here, nor shown by the watch as owned by this controller."""
         return self.ownership.is_drained
 
     def start(self) -> None:
-        """Begin to watch, and to claim slices."""
+        """Start the watch and the claims of slices."""
         self._spawn(self.watcher.run())
         self._spawn(self._run_ticks())
 
     def start_leaving(self) -> None:
-        """Begin a planned end; `is_drained` says when the slices are handed over."""
+        """Start a planned shutdown; `is_drained` becomes true once the slices are handed over."""
         self._perform(self.ownership.start_leaving(self.clock()))
 
     async def stop(self) -> None:
-        """End at once; leases expire by themselves. For a planned end call `start_leaving` before."""
+        """Stop at once; leases expire by themselves. For a planned shutdown call `start_leaving` first."""
         tasks = list(self.tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def write(self, tables: Tables) -> None:
-        """Write whole tables, in batches that are each written all or not at all; a batch may be written again.
+        """Write complete tables in atomic batches; a batch may be written again.
 
-        Raises `FencedError` with the slices that are not ours, and `RegistryUnavailableError` if it is not known
-        whether the last batch was written.
+        Raises `FencedError` with the slices that are not owned, and `RegistryUnavailableError` if it is unknown whether
+        the last batch was written.
         """
         if not self.ownership.has_valid_lease(self.clock()):
             raise FencedError(sorted(tables))
-        for batch in batches(tables):
+        for batch in split_into_batches(tables):
             await write_batch(self.connection, self.keys, self.ownership, batch, tables)
 
-    # ---- what the watcher reports (`watcher.ViewListener`) -----------------------------------------------------------
+    # ---- events of the watcher (`watcher.ViewListener`) --------------------------------------------------------------
 
     def on_watching(self) -> None:
-        """Claims may be made."""
+        """Allow claims."""
         self.ownership.on_connection_change(is_connected=True)
 
     def on_disconnected(self) -> None:
-        """No claims are made."""
+        """Stop claims until reconnected."""
         self.ownership.on_connection_change(is_connected=False)
 
     def on_watch_failure(self, text: str) -> None:
-        """Pass the text on."""
+        """Forward the failure to the listener."""
         self.listener.on_failure(text)
 
     def on_view_change(self, change: ViewChange) -> None:
-        """Take the member and ownership keys that changed."""
-        now = self.clock()
+        """Apply the changed member and ownership keys."""
+        now_ms = self.clock()
         for key_value in change.changes:
             name = key_value.key[len(self.keys.watched_prefix) :].decode("ascii", "replace")
             kind, _, number = name.partition("/")
             if not number.isdigit():
                 continue
             if kind == "members":
-                self._on_member(now, int(number), key_value.value)
+                self._on_member(now_ms, int(number), key_value.value)
             elif kind == "charge":
                 self._on_owner(int(number), key_value)
 
-    def _on_member(self, now: float, controller: int, value: bytes | None) -> None:
+    def _on_member(self, now_ms: float, controller: int, value: bytes | None) -> None:
         state = None
         if value is not None:
             state = MemberState.LEAVING if value == MemberState.LEAVING.encode() else MemberState.ACTIVE
-        self.ownership.on_member_observed(now, controller, state)
+        self.ownership.on_member_observed(now_ms, controller, state)
 
     def _on_owner(self, slice_id: int, key_value: KeyValue) -> None:
         text = key_value.value.decode("ascii", "replace") if key_value.value is not None else ""
         owner = int(text) if text.isdigit() else None
-        # An ownership key is put once and deleted: its revision is its create revision.
+        # An ownership key is put once and then deleted, never updated: its revision is its create revision.
         self._perform(self.ownership.on_owner_observed(slice_id, owner, key_value.revision))
 
-    # ---- what slice ownership decides --------------------------------------------------------------------------------
+    # ---- actions of slice ownership ----------------------------------------------------------------------------------
 
     async def _run_ticks(self) -> None:
         interval_seconds = self.ownership.timings.lease_ttl_ms / TICKS_PER_LEASE / MS_PER_SECOND
@@ -188,28 +191,28 @@
                 self.listener.on_slice_revoked(action.slice)
 
     def _grant(self, slice_id: int, fencing_token: int) -> None:
-        """Notify the controller of a slice, with the table that came with the answer to the claim."""
+        """Notify the controller of an owned slice, with the table that the claim read."""
         stored = self.claimed_tables.pop(slice_id, b"")
         try:
             weights = msgspec.json.decode(stored, type=dict[int, float]) if stored else {}
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            self.listener.on_failure(f"table of slice {slice_id} cannot be read, taken as empty: {error}")
+            self.listener.on_failure(f"stored table of slice {slice_id} is invalid, treated as empty: {error}")
             weights = {}
         if self.ownership.fencing_tokens.get(slice_id) == fencing_token:
             self.listener.on_slice_granted(slice_id, weights)
 
     async def _send(self, request: RegistryRequest) -> None:
-        """Send one request, and take its answer or note that there is none."""
+        """Send one request, and apply its result or its failure."""
         connection = self.connection
         if connection is None:
             return
         try:
-            await self._send_on(connection, request)
+            await self._execute(connection, request)
         except RegistryUnavailableError as error:
             self.listener.on_failure(f"{REQUEST_NAMES[type(request)]}: {error}")
             self._on_request_failed(request)
 
-    async def _send_on(self, connection: EtcdConnection, request: RegistryRequest) -> None:
+    async def _execute(self, connection: EtcdConnection, request: RegistryRequest) -> None:
         ownership = self.ownership
         requests = OwnershipRequests(connection, self.keys, ownership.controller)
         match request:
@@ -239,4 +242,4 @@
             case GrantLease() | KeepAlive():
                 self.ownership.lease.on_request_lost()
             case AnnounceMember():
-                pass  # announced again while the watch does not show it
+                pass  # repeated until the watch shows it
--- a/corallanding/registry/watch_messages.py
+++ b/corallanding/registry/watch_messages.py
@@ -1,4 +1,4 @@
-"""The messages of a watch: what the registry answers, what is requested of it, and what is reported to the owner."""
+"""The messages of a watch: the registry's responses, the requests to it, and the reports to the owner of the watch."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class WatchPhase(StrEnum):
-    """What a watch is waiting for."""
+    """The state of a watch: without connection, in a full read, or watching."""
 
     DISCONNECTED = "disconnected"
     LISTING = "listing"
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class ResponseHeader:
-    """What every answer says of its sender: the cluster, and the revision at which it answered."""
+    """The sender of a response: the cluster id, and the revision of the member at that time."""
 
     cluster_id: int
     revision: int
@@ -26,19 +26,19 @@
 
 @dataclass(frozen=True)
 class KeyValue:
-    """One key as of `revision`; a value of None says that it was deleted."""
+    """One key as of `revision`; a value of None means that it was deleted."""
 
     key: Key
     value: bytes | None
     revision: int
 
 
-# ---- requested of the registry -------------------------------------------------------------------------------------
+# ---- requests to the registry --------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True)
 class ListPage:
-    """Read a page of the prefix: keys after `after_key` (b"": from the first one), at `revision` (0: the present)."""
+    """Read a page of the prefix: keys after `after_key` (b"": from the first one), at `revision` (0: the latest)."""
 
     after_key: Key = b""
     revision: int = 0
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class StartWatch:
-    """Watch the prefix from `revision` on."""
+    """Watch the prefix, starting at `revision`."""
 
     revision: int
 
@@ -59,12 +59,12 @@
     reason: str
 
 
-# ---- reported to the owner -----------------------------------------------------------------------------------------
+# ---- reports to the owner ------------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True)
 class ViewChange:
-    """What changed in one step: in one revision or, with `is_full_read`, since the view before a full read."""
+    """The changes of one revision or, with `is_full_read`, the differences of a full read from the previous view."""
 
     changes: tuple[KeyValue, ...]
     revision: int
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True)
 class LogMessage:
-    """Something that operators should know."""
+    """A log text for operators."""
 
     text: str
 
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True)
 class WatchLimits:
-    """Bounds of a watch. The backoff between connections doubles from the minimum to the maximum, with jitter."""
+    """Limits of a watch. The backoff between connections doubles from the minimum to the maximum, with jitter."""
 
     min_backoff_ms: float = 100.0
     max_backoff_ms: float = 10_000.0
--- a/corallanding/registry/watch_state.py
+++ b/corallanding/registry/watch_state.py
@@ -1,9 +1,9 @@
 """Keeps a copy of one prefix of a registry: list it at a revision, then watch from the next one. No I/O.
 
-Answers of the registry go in; requests to it and changes of the copy come out. Every change is reported once, in the
-order of revisions, over disconnections and compactions. The copy never goes back: an answer of an older revision is
-refused and requested again. Only a registry with another cluster id (one restored from a backup) is listed anew, which
-is logged.
+The input is the registry's responses; the output is requests to it and changes of the copy. Every change is reported
+once, in revision order, across disconnections and compactions. The copy never goes back to an older revision: a
+response of an older one is rejected and requested again. Only if the cluster id changes (a registry restored from a
+backup) is everything listed again, which is logged.
 """
 
 from __future__ import annotations
@@ -26,17 +26,18 @@
 )
 
 MAX_BACKOFF_DOUBLINGS = 20
-MIN_JITTER = 0.1  # the smallest fraction of a backoff that is waited
+MIN_JITTER = 0.1  # smallest fraction of a backoff
 MS_PER_MINUTE = 60_000.0
-WATCHING = WatchPhase.WATCHING  # asked at every change; looking a member up in its enum takes longer
+WATCHING = WatchPhase.WATCHING  # used for every change; a global is faster than an enum attribute
 
 
 @dataclass
 class WatchState:
     """The copy (`view`) as of `revision`, up to which all changes were reported.
 
-    random: returns numbers in [0, 1), by which reconnections of many clients are spread. read_tokens: how many full
-    reads may begin now (a token bucket). listed, listed_revision: the pages of a full read so far.
+    random: returns numbers in [0, 1) for the jitter that spreads the reconnections of many clients. read_tokens: how
+    many full reads may start now (a token bucket). listed, listed_revision: the keys of the current full read so far,
+    and its revision.
     """
 
     limits: WatchLimits
@@ -57,16 +58,16 @@
 
     # ---- the connection ----------------------------------------------------------------------------------------------
 
-    def on_connected(self, now: float) -> list[WatchAction]:
-        """Begin on a new connection: watch from where the last one ended, or list everything."""
+    def on_connected(self, now_ms: float) -> list[WatchAction]:
+        """Start on a new connection: watch from the last known revision, or list everything."""
         self.fragments = []
         if self.revision:
             self.phase = WatchPhase.WATCHING
             return [StartWatch(self.revision + 1)]
-        return self._start_listing(now)
+        return self._start_listing(now_ms)
 
     def on_disconnected(self, reason: str) -> list[WatchAction]:
-        """Note that the connection is lost or given up. Incomplete listings and fragments are discarded."""
+        """Back off after a lost or abandoned connection. Incomplete listings and fragments are discarded."""
         self.phase = WatchPhase.DISCONNECTED
         self.listed = {}
         self.fragments = []
@@ -79,16 +80,18 @@
     # ---- a full read -------------------------------------------------------------------------------------------------
 
     def on_page(
-        self, now: float, header: ResponseHeader, page: Sequence[KeyValue], *, has_more: bool
+        self, now_ms: float, header: ResponseHeader, page: Sequence[KeyValue], *, has_more: bool
     ) -> list[WatchAction]:
-        """Take a page of a full read."""
+        """Handle a page of a full read."""
         if self.phase is not WatchPhase.LISTING:
             return []
-        if restart := self._check_cluster(now, header):
+        if restart := self._check_cluster(now_ms, header):
             return restart
         if header.revision < max(self.revision, self.listed_revision):
-            # A member that lags behind: its answer would undo changes that are known.
-            return self.on_disconnected(f"answer of revision {header.revision}, {self.revision} is known")
+            # The response of a lagging member would undo changes that were already reported.
+            return self.on_disconnected(
+                f"stale response of revision {header.revision}; revision {self.revision} is known"
+            )
         if not self.listed_revision:
             self.listed_revision = header.revision  # all pages are read at the revision of the first one
         for key_value in page:
@@ -99,41 +102,41 @@
             return [ListPage(page[-1].key, self.listed_revision)]
         return self._finish_listing()
 
-    def on_page_compacted(self, now: float) -> list[WatchAction]:
-        """Begin the full read again: the revision of its first page was compacted away."""
-        return self._start_listing(now) if self.phase is WatchPhase.LISTING else []
+    def on_page_compacted(self, now_ms: float) -> list[WatchAction]:
+        """Restart the full read: the revision of its first page was compacted."""
+        return self._start_listing(now_ms) if self.phase is WatchPhase.LISTING else []
 
     # ---- a watch -----------------------------------------------------------------------------------------------------
 
-    def on_watch_created(self, now: float, header: ResponseHeader) -> list[WatchAction]:
-        """Note that the registry serves the watch. A member that lags behind may: it sends nothing of the past."""
+    def on_watch_created(self, now_ms: float, header: ResponseHeader) -> list[WatchAction]:
+        """Handle the creation of the watch. A lagging member may serve it: a watch sends no older changes."""
         if self.phase is not WATCHING:
             return []
-        return self._check_cluster(now, header)
+        return self._check_cluster(now_ms, header)
 
     def on_changes(
-        self, now: float, header: ResponseHeader, changes: Sequence[KeyValue], *, is_fragment: bool = False
+        self, now_ms: float, header: ResponseHeader, changes: Sequence[KeyValue], *, is_fragment: bool = False
     ) -> list[WatchAction]:
-        """Take changes, in order. is_fragment: more changes of the same answer follow."""
+        """Handle changes, in revision order. is_fragment: more changes of the same response follow."""
         if self.phase is not WATCHING:
             return []
-        if restart := self._check_cluster(now, header):
+        if restart := self._check_cluster(now_ms, header):
             return restart
         self.failed_attempts = 0
         self.fragments += changes
         if not is_fragment:
             complete = self.fragments
             self.fragments = []
-            return self._apply(complete)
+            return self._apply_changes(complete)
         if len(self.fragments) > self.limits.max_fragmented_changes:
-            return self.on_disconnected(f"more than {self.limits.max_fragmented_changes} changes in one answer")
+            return self.on_disconnected(f"more than {self.limits.max_fragmented_changes} changes in one response")
         return []
 
-    def on_progress(self, now: float, header: ResponseHeader) -> list[WatchAction]:
-        """Note that all changes up to the header's revision were sent: a later watch may begin after it."""
+    def on_progress(self, now_ms: float, header: ResponseHeader) -> list[WatchAction]:
+        """Record that all changes up to the header's revision were sent: a later watch may start after it."""
         if self.phase is not WATCHING:
             return []
-        if restart := self._check_cluster(now, header):
+        if restart := self._check_cluster(now_ms, header):
             return restart
         self.failed_attempts = 0
         if not self.fragments and header.revision > self.revision:
@@ -141,55 +144,57 @@
         return []
 
     def on_watch_cancelled(
-        self, now: float, header: ResponseHeader | None, compact_revision: int, reason: str
+        self, now_ms: float, header: ResponseHeader | None, compact_revision: int, reason: str
     ) -> list[WatchAction]:
-        """Note that the registry ended the watch. compact_revision: the oldest one it has, 0 if that is not why."""
+        """Handle the end of the watch. compact_revision: the oldest available, 0 if compaction is not the reason."""
         if self.phase is not WATCHING:
             return []
         self.fragments = []
-        if header and (restart := self._check_cluster(now, header)):
+        if header and (restart := self._check_cluster(now_ms, header)):
             return restart
         if compact_revision > self.revision:
-            message = LogMessage(f"revision {self.revision} is compacted away ({compact_revision}): full read")
-            return [message, *self._start_listing(now)]
+            message = LogMessage(f"revision {self.revision} is compacted away (oldest: {compact_revision}): full read")
+            return [message, *self._start_listing(now_ms)]
         return self.on_disconnected(f"watch cancelled: {reason}")
 
-    # ---- steps -------------------------------------------------------------------------------------------------------
+    # ---- helpers -----------------------------------------------------------------------------------------------------
 
     @property
     def _max_read_tokens(self) -> float:
         return max(1.0, self.limits.max_full_reads_per_minute / 2)
 
-    def _start_listing(self, now: float) -> list[WatchAction]:
-        """Begin a full read, or wait until the bound on full reads allows it."""
+    def _start_listing(self, now_ms: float) -> list[WatchAction]:
+        """Start a full read, or wait until the rate limit of full reads allows it."""
         tokens_per_ms = self.limits.max_full_reads_per_minute / MS_PER_MINUTE
-        refilled = self.read_tokens + (now - self.read_tokens_at_ms) * tokens_per_ms
+        refilled = self.read_tokens + (now_ms - self.read_tokens_at_ms) * tokens_per_ms
         self.read_tokens = min(self._max_read_tokens, refilled)
-        self.read_tokens_at_ms = now
+        self.read_tokens_at_ms = now_ms
         if self.read_tokens < 1.0:
             self.phase = WatchPhase.DISCONNECTED
-            return [Disconnect((1.0 - self.read_tokens) / tokens_per_ms, "full reads are bounded")]
+            return [Disconnect((1.0 - self.read_tokens) / tokens_per_ms, "rate limit of full reads reached")]
         self.read_tokens -= 1.0
         self.phase = WatchPhase.LISTING
         self.listed = {}
         self.listed_revision = 0
         return [ListPage()]
 
-    def _check_cluster(self, now: float, header: ResponseHeader) -> list[WatchAction]:
-        """Nothing if the known cluster answered; else what to do instead of using the answer."""
+    def _check_cluster(self, now_ms: float, header: ResponseHeader) -> list[WatchAction]:
+        """Return [] for a response of the known cluster; otherwise discard the response and return a new full read."""
         if not self.cluster_id:
             self.cluster_id = header.cluster_id
         if header.cluster_id == self.cluster_id:
             return []
-        message = LogMessage(f"another cluster ({header.cluster_id:x} after {self.cluster_id:x}): starting over")
+        message = LogMessage(
+            f"another cluster responded ({header.cluster_id:x}, before {self.cluster_id:x}): full read"
+        )
         self.cluster_id = header.cluster_id
         self.revision = 0
         self.phase = WatchPhase.LISTING
         self.fragments = []
-        return [message, *self._start_listing(now)]
+        return [message, *self._start_listing(now_ms)]
 
     def _finish_listing(self) -> list[WatchAction]:
-        """Replace the view by what was listed, report the difference, and watch from there."""
+        """Replace the view by the listed keys, report the difference, and watch from the next revision."""
         self.failed_attempts = 0
         view = self.listed
         revision = self.listed_revision
@@ -203,21 +208,21 @@
         start = StartWatch(revision + 1)
         return [ViewChange(tuple(changes), revision, is_full_read=True), start] if changes else [start]
 
-    def _apply(self, changes: list[KeyValue]) -> list[WatchAction]:
-        """Apply the changes of a whole answer, and report them revision by revision."""
-        reported = self.revision
-        previous = 0
+    def _apply_changes(self, changes: list[KeyValue]) -> list[WatchAction]:
+        """Apply the changes of a complete response, and report them revision by revision."""
+        reported_revision = self.revision
+        previous_revision = 0
         by_revision: dict[int, dict[Key, KeyValue]] = {}
         for change in changes:
             revision = change.revision
-            if revision < previous:
-                return self.on_disconnected(f"revision {revision} after {previous}: out of order")
-            previous = revision
-            if revision > reported:  # older ones were reported before the connection was lost
+            if revision < previous_revision:
+                return self.on_disconnected(f"revision {revision} after {previous_revision}: out of order")
+            previous_revision = revision
+            if revision > reported_revision:  # older ones were already reported
                 by_revision.setdefault(revision, {})[change.key] = change
         actions: list[WatchAction] = []
         for revision, changes_by_key in by_revision.items():
-            effective = self._store(changes_by_key.values())
+            effective = self._apply_to_view(changes_by_key.values())
             self.revision = revision
             if len(self.view) > self.limits.max_keys:
                 return [*actions, *self._too_many_keys()]
@@ -225,8 +230,8 @@
                 actions.append(ViewChange(tuple(effective), revision, is_full_read=False))
         return actions
 
-    def _store(self, changes: Iterable[KeyValue]) -> list[KeyValue]:
-        """Put changes into the view, and return them without deletions of keys that are not there."""
+    def _apply_to_view(self, changes: Iterable[KeyValue]) -> list[KeyValue]:
+        """Apply changes to the view, and return them without deletions of missing keys."""
         effective = []
         for change in changes:
             if change.value is not None:
@@ -237,4 +242,4 @@
         return effective
 
     def _too_many_keys(self) -> list[WatchAction]:
-        return self.on_disconnected(f"more than {self.limits.max_keys} keys")
+        return self.on_disconnected(f"the prefix has more than {self.limits.max_keys} keys")
--- a/corallanding/registry/watcher.py
+++ b/corallanding/registry/watcher.py
@@ -1,4 +1,4 @@
-"""Runs a `WatchState` over connections: sends its requests, and reports what it says. No decisions are made here."""
+"""Runs a `WatchState` over connections: sends its requests and forwards its reports; all decisions are in the state."""
 
 from __future__ import annotations
 
@@ -28,23 +28,23 @@
 
 
 class ViewListener(Protocol):
-    """The owner of a watched prefix."""
+    """Receives the changes of a watched prefix; implemented by the owner of the watch."""
 
     def on_watching(self) -> None:
-        """The view is complete, and watched from here on."""
+        """Handle a complete view that is now being watched."""
 
     def on_view_change(self, change: ViewChange) -> None:
-        """Something changed; every change is reported once, in order."""
+        """Handle a change of the view; every change is reported once, in revision order."""
 
     def on_watch_failure(self, text: str) -> None:
-        """Something that operators should know."""
+        """Handle a failure that operators should know of."""
 
     def on_disconnected(self) -> None:
-        """The connection is lost."""
+        """Handle the loss of the connection."""
 
 
 class WatchInterruptedError(CorallandingError):
-    """A report of the watch calls for another request, which ends the watch."""
+    """The watch must end, as its state needs another request. Raised through the connection's `watch` call."""
 
     def __init__(self, next_request: WatchRequest) -> None:
         super().__init__()
@@ -52,11 +52,11 @@
 
 
 class MissingRequestError(CorallandingError):
-    """The state says nothing of what to do next: a mistake in it."""
+    """The watch state returned no next request, which is a bug in it."""
 
 
 class Watcher(Generic[ConnectionT]):
-    """Keeps one prefix watched. connect: opens a new connection. clock: ms."""
+    """Watches one prefix continuously. connect: opens a new connection. clock: returns ms."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         self.connection: ConnectionT | None = None
 
     async def run(self) -> None:
-        """Watch, over one connection after another, until cancelled."""
+        """Watch until cancelled, reconnecting after each lost connection."""
         while True:
             connection = self.connect()
             self.connection = connection
@@ -87,26 +87,26 @@
             self.listener.on_watch_failure(f"registry: {disconnect.reason}")
             await asyncio.sleep(disconnect.retry_after_ms / MS_PER_SECOND)
 
-    # ---- what a watch reports (`connection.WatchListener`) -----------------------------------------------------------
+    # ---- events of a watch (`connection.WatchListener`) --------------------------------------------------------------
 
     def on_created(self, header: ResponseHeader) -> None:
-        """The registry serves the watch."""
+        """Forward the creation of the watch to the state."""
         self._perform_watch_actions(self.state.on_watch_created(self.clock(), header))
 
     def on_changes(self, header: ResponseHeader, changes: list[KeyValue], *, is_fragment: bool) -> None:
-        """Changes, in order."""
+        """Forward changes to the state."""
         actions = self.state.on_changes(self.clock(), header, changes, is_fragment=is_fragment)
         self._perform_watch_actions(actions)
 
     def on_progress(self, header: ResponseHeader) -> None:
-        """All changes up to the header's revision were sent."""
+        """Forward a progress notification to the state."""
         self._perform_watch_actions(self.state.on_progress(self.clock(), header))
 
     def on_cancelled(self, header: ResponseHeader | None, compact_revision: int, reason: str) -> None:
-        """The registry ended the watch."""
+        """Forward the end of the watch to the state."""
         self._perform_watch_actions(self.state.on_watch_cancelled(self.clock(), header, compact_revision, reason))
 
-    # ---- steps -------------------------------------------------------------------------------------------------------
+    # ---- helpers -----------------------------------------------------------------------------------------------------
 
     async def _serve(self, connection: ConnectionT) -> Disconnect:
         request = self._perform(self.state.on_connected(self.clock()))
@@ -133,7 +133,7 @@
             return self._perform(state.on_disconnected(str(error)))
 
     def _perform(self, actions: list[WatchAction]) -> WatchRequest:
-        """Report what is to be reported, and return what is to be requested next."""
+        """Report messages and changes to the listener, and return the next request."""
         request: WatchRequest | None = None
         for action in actions:
             if isinstance(action, LogMessage):
@@ -143,13 +143,13 @@
             else:
                 request = action
         if request is None:
-            raise MissingRequestError("no request follows")
+            raise MissingRequestError("the watch state returned no next request")
         if isinstance(request, StartWatch):
             self.listener.on_watching()
         return request
 
     def _perform_watch_actions(self, actions: list[WatchAction]) -> None:
-        """Report changes; anything else ends the watch."""
+        """Report changes; end the watch at any other action by raising `WatchInterruptedError`."""
         for position, action in enumerate(actions):
             if not isinstance(action, ViewChange):
                 raise WatchInterruptedError(self._perform(actions[position:]))
--- a/tests/registry/ownership_moves.py
+++ b/tests/registry/ownership_moves.py
@@ -1,4 +1,4 @@
-"""What happens in an `OwnershipWorld`, and what is on its way there."""
+"""The steps of an `OwnershipWorld`, and its messages in transit."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from typing import Any, NamedTuple
 
 
-class BrokenRuleError(AssertionError):
-    """A slice had two writers, or two controllers that acted for it."""
+class InvariantViolationError(AssertionError):
+    """A slice had two writers, or two controllers acted for it at the same time."""
 
 
 class MoveKind(StrEnum):
-    """What can happen next."""
+    """The kinds of steps."""
 
     CLOCK = "clock"
     TICK = "tick"
@@ -31,7 +31,7 @@
 
 
 class Delivery(NamedTuple):
-    """A call of a method of `SliceOwnership`, on its way from the registry."""
+    """A message in transit from the registry: a method call of `SliceOwnership`."""
 
     method: str
     arguments: tuple[Any, ...]
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class WriteTable:
-    """A write of a slice's table under a fencing token, on its way to the registry."""
+    """A message in transit to the registry: a write of a slice's table under a fencing token."""
 
     slice: int
     fencing_token: int
--- a/tests/registry/ownership_world.py
+++ b/tests/registry/ownership_world.py
@@ -1,4 +1,4 @@
-"""Two controllers that share slices, in a world small enough to try every order of events."""
+"""A model of two controllers that share slices, small enough to try every order of events."""
 
 from __future__ import annotations
 
@@ -18,58 +18,59 @@
     ReleaseSlice,
 )
 from corallanding.registry.slice_ownership import SliceOwnership
-from tests.registry.ownership_moves import BrokenRuleError, Delivery, Move, MoveKind, OwnerKey, WriteTable
+from tests.registry.ownership_moves import Delivery, InvariantViolationError, Move, MoveKind, OwnerKey, WriteTable
 
 TIMINGS = OwnershipTimings(lease_ttl_ms=4.0, safety_margin=0.25, max_pending_claims=1, settle_ms=1.0)
 CONTROLLERS = (0, 1)
-MAX_CLOCK = 12
-WITHOUT_TIME = frozenset({"on_lease_renewed", "on_owner_observed", "on_release_finished"})
+MAX_CLOCK_MS = 12
+METHODS_WITHOUT_TIME = frozenset({"on_lease_renewed", "on_owner_observed", "on_release_finished"})
 
 
 class OwnershipWorld:
-    """Two controllers, a registry with leases, one clock; messages wait in order on each connection until delivered.
+    """Two controllers, a registry with leases and one clock; messages are queued per connection until delivered.
 
-    is_fenced: the registry compares fencing tokens. is_careless: controllers write without looking at their clocks.
+    is_fenced: the registry compares fencing tokens. ignores_lease_expiry: controllers write and act without checking
+    their lease against the clock.
     """
 
-    def __init__(self, slices: int = 1, *, is_fenced: bool = True, is_careless: bool = False) -> None:
-        self.now = 0
+    def __init__(self, slices: int = 1, *, is_fenced: bool = True, ignores_lease_expiry: bool = False) -> None:
+        self.now_ms = 0
         self.revision = 1
         self.is_fenced = is_fenced
-        self.is_careless = is_careless
+        self.ignores_lease_expiry = ignores_lease_expiry
         self.controllers = [SliceOwnership(n, range(slices), TIMINGS, is_connected=True) for n in CONTROLLERS]
         self.is_suspended = [False, False]
         self.to_registry: list[list[OwnershipAction | WriteTable]] = [[], []]
         self.to_controllers: list[list[Delivery]] = [[], []]
-        self.leases: dict[int, tuple[int, float]] = {}  # lease: (controller, when it ends)
+        self.leases: dict[int, tuple[int, float]] = {}  # by lease id: (controller, expiry in ms)
         self.owners: dict[int, OwnerKey] = {}
-        self.members: dict[int, tuple[int, MemberState]] = {}  # controller: (lease, state)
+        self.members: dict[int, tuple[int, MemberState]] = {}  # by controller: (lease id, state)
 
     def send(self, controller: int, actions: Iterable[OwnershipAction]) -> None:
-        """Put a controller's requests on their way."""
+        """Queue a controller's requests to the registry."""
         self.to_registry[controller] += [action for action in actions if not isinstance(action, OwnershipChange)]
 
     # ---- moves -------------------------------------------------------------------------------------------------------
 
-    def moves(self) -> list[Move]:
-        """All that can happen next."""
-        found = [Move(MoveKind.CLOCK, 0)] if self.now < MAX_CLOCK else []
+    def possible_moves(self) -> list[Move]:
+        """Return all possible next moves."""
+        moves = [Move(MoveKind.CLOCK, 0)] if self.now_ms < MAX_CLOCK_MS else []
         for controller in CONTROLLERS:
             if not self.is_suspended[controller]:
-                found.append(Move(MoveKind.TICK, controller))
-                found += [Move(MoveKind.DELIVER, controller)] if self.to_controllers[controller] else []
-                found += [Move(MoveKind.WRITE, controller)] if self.controllers[controller].fencing_tokens else []
-            found += [Move(MoveKind.SERVE, controller)] if self.to_registry[controller] else []
-            found.append(Move(MoveKind.RESUME if self.is_suspended[controller] else MoveKind.SUSPEND, controller))
-        return found
+                moves.append(Move(MoveKind.TICK, controller))
+                moves += [Move(MoveKind.DELIVER, controller)] if self.to_controllers[controller] else []
+                moves += [Move(MoveKind.WRITE, controller)] if self.controllers[controller].fencing_tokens else []
+            moves += [Move(MoveKind.SERVE, controller)] if self.to_registry[controller] else []
+            moves.append(Move(MoveKind.RESUME if self.is_suspended[controller] else MoveKind.SUSPEND, controller))
+        return moves
 
     def move(self, kind: MoveKind, controller: int) -> None:
-        """Make one move. Raises `BrokenRuleError`."""
+        """Make one move. Raises `InvariantViolationError`."""
         match kind:
             case MoveKind.CLOCK:
                 self.advance_clock()
             case MoveKind.TICK:
-                self.send(controller, self.controllers[controller].tick(float(self.now)))
+                self.send(controller, self.controllers[controller].tick(float(self.now_ms)))
             case MoveKind.SUSPEND | MoveKind.RESUME:
                 self.is_suspended[controller] = kind is MoveKind.SUSPEND
             case MoveKind.DELIVER:
@@ -78,59 +79,59 @@
                 self.write(controller)
             case MoveKind.SERVE:
                 self.serve(controller, self.to_registry[controller].pop(0))
-        self.check()
+        self.check_invariants()
 
     def advance_clock(self) -> None:
-        """Let time pass; leases end."""
-        self.now += 1
-        for lease_id, (_, ends_at) in list(self.leases.items()):
-            if self.now >= ends_at:
+        """Advance the clock by 1 ms, and expire leases."""
+        self.now_ms += 1
+        for lease_id, (_, ends_at_ms) in list(self.leases.items()):
+            if self.now_ms >= ends_at_ms:
                 self.end_lease(lease_id)
 
     def deliver(self, controller: int) -> None:
         """Deliver the next message to a controller."""
         delivery = self.to_controllers[controller].pop(0)
         method = getattr(self.controllers[controller], delivery.method)
-        time = [] if delivery.method in WITHOUT_TIME else [float(self.now)]
+        time = [] if delivery.method in METHODS_WITHOUT_TIME else [float(self.now_ms)]
         self.send(controller, method(*time, *delivery.arguments) or [])
 
     def write(self, controller: int) -> None:
-        """Write all tables, if the controller's own clock allows it; a careless controller does not ask."""
+        """Write all tables if the lease is valid by the controller's clock, or without that check if it is ignored."""
         ownership = self.controllers[controller]
         for slice_id, token in ownership.fencing_tokens.items():
-            if self.is_careless or ownership.has_valid_lease(float(self.now)):
+            if self.ignores_lease_expiry or ownership.has_valid_lease(float(self.now_ms)):
                 self.to_registry[controller].append(WriteTable(slice_id, token))
 
     # ---- the registry ------------------------------------------------------------------------------------------------
 
-    def answer(self, controller: int, method: str, *arguments: Any) -> None:
-        """Put a message to a controller on its way."""
+    def send_to_controller(self, controller: int, method: str, *arguments: Any) -> None:
+        """Queue a message to a controller."""
         self.to_controllers[controller].append(Delivery(method, arguments))
 
     def notify_watches(self, method: str, *arguments: Any) -> None:
-        """Put a change on its way to both."""
+        """Queue a watch event to both controllers."""
         for controller in CONTROLLERS:
-            self.answer(controller, method, *arguments)
+            self.send_to_controller(controller, method, *arguments)
 
     def end_lease(self, lease_id: int) -> None:
-        """Delete a lease, and the keys that are bound to it."""
+        """Delete a lease and the keys that are bound to it."""
         self.leases.pop(lease_id, None)
         for slice_id, owner in list(self.owners.items()):
             if owner.lease_id == lease_id:
                 del self.owners[slice_id]
                 self.notify_watches("on_owner_observed", slice_id, None, owner.create_revision)
-        for controller, (bound_to, _) in list(self.members.items()):
-            if bound_to == lease_id:
+        for controller, (bound_lease_id, _) in list(self.members.items()):
+            if bound_lease_id == lease_id:
                 del self.members[controller]
                 self.notify_watches("on_member_observed", controller, None)
 
     def serve(self, controller: int, request: OwnershipAction | WriteTable) -> None:
-        """Carry out one request. Raises `BrokenRuleError`."""
+        """Execute one request. Raises `InvariantViolationError`."""
         self.revision += 1
         match request:
             case GrantLease():
-                self.leases[self.revision] = (controller, self.now + TIMINGS.lease_ttl_ms)
-                self.answer(controller, "on_lease_granted", self.revision)
+                self.leases[self.revision] = (controller, self.now_ms + TIMINGS.lease_ttl_ms)
+                self.send_to_controller(controller, "on_lease_granted", self.revision)
             case KeepAlive(lease_id):
                 self.renew(controller, lease_id)
             case AnnounceMember(lease_id, state) if lease_id in self.leases:
@@ -144,27 +145,27 @@
                 self.write_table(controller, slice_id, token)
 
     def renew(self, controller: int, lease_id: int) -> None:
-        """Renew a lease that has not ended."""
-        is_alive = lease_id in self.leases
-        if is_alive:
-            self.leases[lease_id] = (controller, self.now + TIMINGS.lease_ttl_ms)
-        self.answer(controller, "on_lease_renewed", TIMINGS.lease_ttl_ms if is_alive else 0.0)
+        """Renew a lease that has not expired."""
+        is_valid = lease_id in self.leases
+        if is_valid:
+            self.leases[lease_id] = (controller, self.now_ms + TIMINGS.lease_ttl_ms)
+        self.send_to_controller(controller, "on_lease_renewed", TIMINGS.lease_ttl_ms if is_valid else 0.0)
 
     def claim(self, controller: int, slice_id: int, lease_id: int) -> None:
-        """Create an ownership key, if there is none."""
+        """Create an ownership key if it does not exist."""
         if slice_id in self.owners or lease_id not in self.leases:
-            self.answer(controller, "on_claim_result", slice_id, lease_id, 0)
+            self.send_to_controller(controller, "on_claim_result", slice_id, lease_id, 0)
             return
         self.owners[slice_id] = OwnerKey(controller, self.revision, lease_id)
-        self.answer(controller, "on_claim_result", slice_id, lease_id, self.revision)
+        self.send_to_controller(controller, "on_claim_result", slice_id, lease_id, self.revision)
         self.notify_watches("on_owner_observed", slice_id, controller, self.revision)
 
     def release(self, controller: int, slice_id: int, token: int) -> None:
-        """Delete an ownership key of this create revision."""
+        """Delete an ownership key if it has this create revision."""
         if slice_id in self.owners and self.owners[slice_id].create_revision == token:
             del self.owners[slice_id]
             self.notify_watches("on_owner_observed", slice_id, None, token)
-        self.answer(controller, "on_release_finished", slice_id)
+        self.send_to_controller(controller, "on_release_finished", slice_id)
 
     def write_table(self, controller: int, slice_id: int, token: int) -> None:
         """Write a table, unless the transaction's comparison fails."""
@@ -172,26 +173,28 @@
         if self.is_fenced and (owner is None or owner.create_revision != token):
             return
         if owner is None or owner[:2] != (controller, token):
-            raise BrokenRuleError(f"controller {controller} wrote slice {slice_id} under token {token}; owner: {owner}")
+            raise InvariantViolationError(
+                f"controller {controller} wrote slice {slice_id} under token {token}; owner: {owner}"
+            )
 
-    # ---- rules -------------------------------------------------------------------------------------------------------
+    # ---- invariants --------------------------------------------------------------------------------------------------
 
-    def check(self) -> None:
-        """By their own clocks, no two controllers may act for one slice at the same instant."""
-        first, second = (self.slices_acted_for(controller) for controller in CONTROLLERS)
+    def check_invariants(self) -> None:
+        """Check that no two controllers act for one slice at the same time, by their own clocks."""
+        first, second = (self.active_slices(controller) for controller in CONTROLLERS)
         if both := first & second:
-            raise BrokenRuleError(f"both controllers act for {both} at {self.now}")
+            raise InvariantViolationError(f"both controllers act for {both} at {self.now_ms} ms")
 
-    def slices_acted_for(self, controller: int) -> set[int]:
-        """The slices for which a controller would send now."""
+    def active_slices(self, controller: int) -> set[int]:
+        """Return the slices that a controller would act for now."""
         ownership = self.controllers[controller]
         if self.is_suspended[controller]:
             return set()
-        is_allowed = self.is_careless or ownership.has_valid_lease(float(self.now))
+        is_allowed = self.ignores_lease_expiry or ownership.has_valid_lease(float(self.now_ms))
         return set(ownership.fencing_tokens) if is_allowed else set()
 
-    def key(self) -> bytes:
-        """Equal for equal states."""
+    def state_key(self) -> bytes:
+        """Return a key that is equal for equal states."""
         controllers = [
             (
                 ownership.lease.id,
@@ -208,7 +211,7 @@
         ]
         return pickle.dumps(
             (
-                self.now,
+                self.now_ms,
                 controllers,
                 self.is_suspended,
                 self.to_registry,
--- a/tests/registry/support.py
+++ b/tests/registry/support.py
@@ -1,4 +1,4 @@
-"""A source against the stand-in registry, and an owner that keeps what it reports."""
+"""Runs a registry source against the stand-in registry, with an owner that records its reports."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 
 
 def host_value(number: int, **settings: Any) -> dict[str, Any]:
-    """A host's value in the registry."""
+    """Return the registry value of a host."""
     return {"address": f"127.0.0.1:{9000 + number}", "state": "up", **settings}
 
 
 class SourceOwner:
-    """Keeps the endpoint list as a controller does, and its whole history by version."""
+    """Maintains the endpoint list as a controller does, and records each reported version."""
 
     def __init__(self) -> None:
         self.view = EndpointList()
         self.failures: list[str] = []
         self.history: list[tuple[bool, int, dict[int, str]]] = []
 
-    def on_host_rows(self, full: bool, version: int, rows: list[Any]) -> None:
-        self.view.apply(0.0, 0.0, full, version, rows)
+    def on_host_rows(self, is_full: bool, version: int, rows: list[Any]) -> None:
+        self.view.apply(0.0, 0.0, is_full, version, rows)
         states = {host: entry.state + str(entry.weight) for host, entry in self.view.entries.items()}
-        self.history.append((full, version, states))
+        self.history.append((is_full, version, states))
 
-    def on_source_failure(self, why: str) -> None:
-        self.failures.append(why)
+    def on_source_failure(self, reason: str) -> None:
+        self.failures.append(reason)
 
 
 def stored_states(registry: Registry, revision: int | None = None) -> dict[int, str]:
-    """What the registry holds of each host at a revision, in the form of `SourceOwner.history`."""
+    """Return the state of each host in the registry at a revision, in the form of `SourceOwner.history`."""
     states = {}
     for key, stored in registry.store.at(registry.store.revision if revision is None else revision).items():
         if key.startswith(PREFIX.encode()):
@@ -50,7 +50,7 @@
 
 
 def start_source(registry: Registry, owner: SourceOwner, **settings: Any) -> RegistrySource:
-    """Watch the stand-in with short waits and small pages."""
+    """Start a source on the stand-in registry with short waits and small pages."""
     port = registry.consul_port if settings.get("kind") == "consul" else registry.port
     block = {
         "address": f"127.0.0.1:{port}",
@@ -67,10 +67,10 @@
     return source
 
 
-def run_scene(scenario: Callable[[Registry, SourceOwner], Any], credentials: Any = None) -> None:
-    """Run a scenario with a stand-in registry of its own."""
+def run_scenario(scenario: Callable[[Registry, SourceOwner], Any], credentials: Any = None) -> None:
+    """Run a scenario with a new stand-in registry and a time limit."""
 
-    async def scene() -> None:
+    async def run_with_timeout() -> None:
         async with asyncio.timeout(40):
             registry = Registry(credentials=credentials)
             await registry.start()
@@ -79,9 +79,9 @@
             finally:
                 await registry.stop()
 
-    asyncio.run(scene())
+    asyncio.run(run_with_timeout())
 
 
 def is_current(registry: Registry, owner: SourceOwner) -> bool:
-    """Whether the owner knows what the registry holds now."""
+    """Return whether the owner's latest state equals the registry's."""
     return bool(owner.history) and owner.history[-1][2] == stored_states(registry)
--- a/tests/registry/test_shared_slices.py
+++ b/tests/registry/test_shared_slices.py
@@ -1,4 +1,4 @@
-"""Two whole controllers share slices through the stand-in registry; what their proxies received is compared."""
+"""Two complete controllers share slices through the stand-in registry; checks the tables at their proxies."""
 
 from __future__ import annotations
 
@@ -27,36 +27,36 @@
 
 
 class ProxyTables:
-    """A proxy's end of one controller's connection: its tables, in the order in which they came."""
+    """A proxy connected to one controller; applies the received tables in order."""
 
     def __init__(self) -> None:
         self.tables: dict[int, dict[int, float]] = {}
         self.withdrawn: set[int] = set()
 
     async def listen(self, peer: Peer) -> None:
-        seen = 0
+        handled_frames = 0
         while True:
             data = await peer.reader.read(65536)
             if not data:
                 return
             peer.got += peer.frames.feed(data)
-            for frame in peer.got[seen:]:
-                seen += 1
-                self.take(peer, frame)
+            for frame in peer.got[handled_frames:]:
+                handled_frames += 1
+                self.on_frame(peer, frame)
 
-    def take(self, peer: Peer, frame: Any) -> None:
+    def on_frame(self, peer: Peer, frame: Any) -> None:
         if isinstance(frame, frames.Tables):
             for slice_id, lines in frame.tables:
                 self.tables[slice_id] = dict(lines)
                 self.withdrawn.discard(slice_id)
         elif isinstance(frame, frames.Orders):
-            self.apply(frame)
+            self.apply_orders(frame)
             if frame.version >= 0:
                 peer.say(frames.Ack(frame.version))
         elif isinstance(frame, frames.Heartbeat):
             peer.say(frames.Heartbeat(1.0))
 
-    def apply(self, orders: Any) -> None:
+    def apply_orders(self, orders: Any) -> None:
         for slice_id, host, weight in orders.lines:
             assert slice_id not in self.withdrawn, f"slice {slice_id} was withdrawn, and set again"
             table = self.tables.setdefault(slice_id, {})
@@ -68,10 +68,10 @@
             self.withdrawn.add(slice_id)
 
 
-def are_complete(proxies: list[ProxyTables], among: set[int]) -> bool:
-    """Whether every slice has a table from exactly one controller, and all of `among` sent some."""
-    slices = [slice_id for number in among for slice_id, lines in proxies[number].tables.items() if lines]
-    return sorted(slices) == list(range(SLICES)) and all(proxies[number].tables for number in among)
+def are_complete(proxies: list[ProxyTables], numbers: set[int]) -> bool:
+    """Return whether every slice has a table from exactly one of the `numbers`, each of which sent some."""
+    slices = [slice_id for number in numbers for slice_id, lines in proxies[number].tables.items() if lines]
+    return sorted(slices) == list(range(SLICES)) and all(proxies[number].tables for number in numbers)
 
 
 def make_controller(tmp_path: Path, registry: Registry, number: int) -> Running:
@@ -84,14 +84,14 @@
 
 
 async def check_registry_outage(registry: Registry, controllers: list[Running], proxies: list[ProxyTables]) -> None:
-    """The registry is gone for less than a lease: tables stand, and a drain that is known still goes out."""
+    """Stop the registry for less than the lease time: tables stay in effect, and a known drain is still sent."""
     await registry.stop()
     drain = {"host": 0, "state": "draining", "address": "127.0.0.1:9000"}
     controllers[0].steward.host_sources.on_host_rows(False, 10_000, [drain])
-    first = proxies[0].tables
-    concerned = {slice_id for slice_id, table in first.items() if set(table) == {0}}
-    await until(lambda: all(0 not in first.get(slice_id, {}) for slice_id in concerned), 3)
-    assert all(first.get(slice_id) for slice_id in concerned) or not concerned
+    tables = proxies[0].tables
+    draining_slices = {slice_id for slice_id, table in tables.items() if set(table) == {0}}
+    await until(lambda: all(0 not in tables.get(slice_id, {}) for slice_id in draining_slices), 3)
+    assert all(tables.get(slice_id) for slice_id in draining_slices) or not draining_slices
     await registry.start()
     await until(lambda: are_complete(proxies, {0, 1}), 20)
 
@@ -110,24 +110,28 @@
             peer.hello(1)
             tasks.append(asyncio.create_task(proxy.listen(peer)))
         await until(lambda: are_complete(proxies, {0, 1}), 15)
-        stored = {key: json.loads(found.value) for key, found in registry.store.keys.items() if b"tables/" in key}
+        stored = {
+            key: json.loads(stored_value.value)
+            for key, stored_value in registry.store.keys.items()
+            if b"tables/" in key
+        }
         assert len(stored) == SLICES, "tables are stored in the registry"
-        before = {slice_id: dict(table) for proxy in proxies for slice_id, table in proxy.tables.items()}
+        tables_before = {slice_id: dict(table) for proxy in proxies for slice_id, table in proxy.tables.items()}
         await check_registry_outage(registry, controllers, proxies)
 
-        # A planned end: all slices go to the other, with their tables.
+        # A planned shutdown: all slices move to the other controller, with their tables.
         await controllers[0].steward.retire()
         await until(lambda: are_complete(proxies, {1}), 15)
-        unchanged = sum(proxies[1].tables[slice_id] == before[slice_id] for slice_id in range(SLICES))
-        assert unchanged >= SLICES // 2, "a slice is handed over with its table, not assigned anew"
+        unchanged = sum(proxies[1].tables[slice_id] == tables_before[slice_id] for slice_id in range(SLICES))
+        assert unchanged >= SLICES // 2, "a slice is handed over with its table, not assigned again"
     for task in tasks:
         task.cancel()
     await registry.stop()
 
 
 def test_controllers_when_the_registry_fails_or_one_leaves_then_every_slice_keeps_its_table(tmp_path: Path) -> None:
-    async def bounded() -> None:
+    async def run_with_timeout() -> None:
         async with asyncio.timeout(60):
             await share_and_hand_over(tmp_path)
 
-    asyncio.run(bounded())
+    asyncio.run(run_with_timeout())
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -1,4 +1,4 @@
-"""Hosts from the registry: breaks, compaction, members that lag, restores, Consul."""
+"""Hosts from the registry: disconnections, compaction, lagging members, restores, Consul."""
 
 from __future__ import annotations
 
@@ -15,12 +15,20 @@
 from corallanding.lab.registry import Registry
 from corallanding.registry.source import host_row, make_source
 from corallanding.registry.watch_messages import KeyValue
-from tests.registry.support import PREFIX, SourceOwner, host_value, is_current, run_scene, start_source, stored_states
+from tests.registry.support import (
+    PREFIX,
+    SourceOwner,
+    host_value,
+    is_current,
+    run_scenario,
+    start_source,
+    stored_states,
+)
 
 
 @pytest.mark.parametrize("kind", ["etcd", "consul"])
 def test_source_when_keys_change_then_every_change_arrives_once_and_in_order(kind: str) -> None:
-    async def scene(registry: Registry, owner: SourceOwner) -> None:
+    async def scenario(registry: Registry, owner: SourceOwner) -> None:
         for number in range(7):  # more than two pages
             await registry.put(f"{PREFIX}{number}", host_value(number))
         source = start_source(registry, owner, kind=kind)
@@ -35,20 +43,20 @@
         versions = [version for _, version, _ in owner.history]
         assert versions == sorted(set(versions))
         assert owner.history[-1][2][0] == "up11.0"
-        for full, version, states in owner.history:
-            assert states == stored_states(registry, version), (full, version)
+        for is_full, version, states in owner.history:
+            assert states == stored_states(registry, version), (is_full, version)
         if kind == "etcd":
             assert len(owner.history) == 14
-            assert registry.store.calls["Range"] == 3, "a read, then a watch alone"
+            assert registry.store.calls["Range"] == 3, "three pages of one full read, then only the watch"
         source.stop()
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
-def test_source_when_the_registry_compacts_during_a_break_then_one_true_step_follows() -> None:
-    """The hard case: the revision last seen is compacted away, while hosts drain and die."""
+def test_source_when_the_registry_compacts_while_disconnected_then_one_correct_change_set_is_reported() -> None:
+    """The last seen revision is compacted during an outage in which hosts drain, are removed and are added."""
 
-    async def scene(registry: Registry, owner: SourceOwner) -> None:
+    async def scenario(registry: Registry, owner: SourceOwner) -> None:
         for number in range(6):
             await registry.put(f"{PREFIX}{number}", host_value(number))
         source = start_source(registry, owner)
@@ -64,38 +72,38 @@
         await registry.start()
         await until(lambda: is_current(registry, owner))
         after = owner.history[reported_before:]
-        assert len(after) == 1, "one step"
+        assert len(after) == 1, "one report"
         assert not after[0][0], "as changes"
         assert any("compacted away" in text for text in owner.failures)
         await registry.put(f"{PREFIX}4", host_value(4, state="draining"))
         await until(lambda: is_current(registry, owner))
         source.stop()
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
-def test_source_when_a_break_has_no_compaction_then_the_watch_resumes_without_a_read() -> None:
-    async def scene(registry: Registry, owner: SourceOwner) -> None:
+def test_source_when_disconnected_without_compaction_then_the_watch_resumes_without_a_read() -> None:
+    async def scenario(registry: Registry, owner: SourceOwner) -> None:
         for number in range(4):
             await registry.put(f"{PREFIX}{number}", host_value(number))
         source = start_source(registry, owner)
         await until(lambda: is_current(registry, owner))
-        reads = registry.store.calls["Range"]
+        reads_before = registry.store.calls["Range"]
         await registry.stop()
         for step in range(5):
             registry.store.put(f"{PREFIX}1".encode(), json.dumps(host_value(1, weight=2.0 + step)).encode())
         registry.store.faults.fragment = 2
         await registry.start()
         await until(lambda: is_current(registry, owner))
-        assert registry.store.calls["Range"] == reads
+        assert registry.store.calls["Range"] == reads_before
         assert [states[1] for _, _, states in owner.history][-5:] == [f"up{2.0 + step}" for step in range(5)]
         source.stop()
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
-def test_source_when_a_member_lags_then_its_answer_undoes_nothing() -> None:
-    async def scene(registry: Registry, owner: SourceOwner) -> None:
+def test_source_when_a_member_lags_then_its_response_reverts_nothing() -> None:
+    async def scenario(registry: Registry, owner: SourceOwner) -> None:
         await registry.put(f"{PREFIX}1", host_value(1))
         source = start_source(registry, owner)
         await until(lambda: is_current(registry, owner))
@@ -115,68 +123,68 @@
         await until(lambda: is_current(registry, owner))
         source.stop()
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
-def test_source_when_the_registry_is_restored_then_it_lists_anew_and_reports_it() -> None:
-    async def scene(registry: Registry, owner: SourceOwner) -> None:
+def test_source_when_the_registry_is_restored_then_it_lists_again_and_reports_it() -> None:
+    async def scenario(registry: Registry, owner: SourceOwner) -> None:
         for number in range(3):
             await registry.put(f"{PREFIX}{number}", host_value(number))
         source = start_source(registry, owner)
         await until(lambda: is_current(registry, owner))
-        old = registry.store.revision - 1
+        backup_revision = registry.store.revision - 1
         await registry.stop()
-        registry.store.restore(old)
+        registry.store.restore(backup_revision)
         await registry.start()
         await until(lambda: is_current(registry, owner))
         assert sorted(owner.history[-1][2]) == [0, 1]
         assert any("another cluster" in text for text in owner.failures)
         source.stop()
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 def test_source_when_a_member_loses_its_leader_then_another_member_is_used() -> None:
-    """Its watch would stay open and silent for as long as it is cut off: the first half shows that it does."""
+    """A watch of a leaderless member stays open without events, as a source without the leader check shows."""
 
-    async def scene(registry: Registry, owner: SourceOwner) -> None:
+    async def scenario(registry: Registry, owner: SourceOwner) -> None:
         second = Registry(of=registry)
         await second.start()
         await registry.put(f"{PREFIX}1", host_value(1))
-        lagging_owner = SourceOwner()
-        undemanding_source = make_source(
+        unchecked_owner = SourceOwner()
+        unchecked_source = make_source(
             RegistryBlock(address=f"127.0.0.1:{registry.port}"),
-            lagging_owner,
+            unchecked_owner,
             lambda: time.monotonic() * 1000.0,
             random.Random(1).random,
         )
-        connect_as_usual = undemanding_source.watcher.connect
+        original_connect = unchecked_source.watcher.connect
 
         def connect_without_leader_check() -> Any:
-            connection = connect_as_usual()
+            connection = original_connect()
             connection.watch_metadata = ()
             return connection
 
-        undemanding_source.watcher.connect = connect_without_leader_check
-        undemanding_source.start()
+        unchecked_source.watcher.connect = connect_without_leader_check
+        unchecked_source.start()
         source = start_source(registry, owner, others=[f"127.0.0.1:{second.port}"])
-        await until(lambda: is_current(registry, owner) and is_current(registry, lagging_owner))
+        await until(lambda: is_current(registry, owner) and is_current(registry, unchecked_owner))
         registry.faults.leaderless = True
         await second.put(f"{PREFIX}1", host_value(1, state="draining"))
         await until(lambda: is_current(registry, owner))
         await asyncio.sleep(0.3)
-        assert lagging_owner.history[-1][2] == {1: "up1.0"}, "the fault is no fault"
-        assert not lagging_owner.failures, "the fault is no fault"
+        assert unchecked_owner.history[-1][2] == {1: "up1.0"}, "the injected fault has no effect"
+        assert not unchecked_owner.failures, "the injected fault has no effect"
         assert any("no leader" in text for text in owner.failures)
         source.stop()
-        undemanding_source.stop()
+        unchecked_source.stop()
         await second.stop()
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 def test_source_when_a_value_does_not_parse_then_that_host_alone_keeps_its_entry() -> None:
-    async def scene(registry: Registry, owner: SourceOwner) -> None:
+    async def scenario(registry: Registry, owner: SourceOwner) -> None:
         for number in (1, 2):
             await registry.put(f"{PREFIX}{number}", host_value(number))
         source = start_source(registry, owner)
@@ -187,7 +195,7 @@
         assert owner.view.entries[1].state == "up"
         source.stop()
 
-    run_scene(scene)
+    run_scenario(scenario)
     assert host_row(b"/h/", KeyValue(b"/h/x", b"{}", 1)) is None
     assert host_row(b"/h/", KeyValue(b"/h/5", None, 1)) == {
         "host": 5,
@@ -197,7 +205,7 @@
 
 
 def test_source_when_fifty_reconnect_then_they_resume_without_reads() -> None:
-    async def scene(registry: Registry, owner: SourceOwner) -> None:
+    async def scenario(registry: Registry, owner: SourceOwner) -> None:
         for number in range(3):
             await registry.put(f"{PREFIX}{number}", host_value(number))
         owners = [SourceOwner() for _ in range(50)]
@@ -213,4 +221,4 @@
         for source in sources:
             source.stop()
 
-    run_scene(scene)
+    run_scenario(scenario)
--- a/tests/registry/test_source_in_controller.py
+++ b/tests/registry/test_source_in_controller.py
@@ -10,11 +10,11 @@
 from corallanding import interface as api
 from corallanding.config import ConfigError, load_controller
 from corallanding.lab.registry import Registry
-from tests.registry.support import PREFIX, SourceOwner, host_value, run_scene
+from tests.registry.support import PREFIX, SourceOwner, host_value, run_scenario
 
 
 def test_controller_when_hosts_change_in_the_registry_then_the_assigner_is_notified(tmp_path: Path) -> None:
-    async def scene(registry: Registry, owner: SourceOwner) -> None:
+    async def scenario(registry: Registry, owner: SourceOwner) -> None:
         for number in range(3):
             await registry.put(f"{PREFIX}{number}", host_value(number))
         block = f'registry {{\n  address = "127.0.0.1:{registry.port}"\n  wait_ms = 20\n}}\n'
@@ -41,7 +41,7 @@
             await registry.put(f"{PREFIX}1", None)
             await until(lambda: 1 not in run.steward.view.entries)
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 def test_configuration_when_a_registry_block_is_unusable_then_the_error_names_it(tmp_path: Path) -> None:
--- a/tests/registry/test_table_store.py
+++ b/tests/registry/test_table_store.py
@@ -1,4 +1,4 @@
-"""Controllers share slices through the stand-in registry: planned and unplanned ends, suspension, lost connections."""
+"""Controllers share slices through the stand-in registry: shutdowns, crashes, suspension, lost connections."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class OwnedSlices:
-    """Keeps what a table store notifies."""
+    """Records the notifications of a table store."""
 
     def __init__(self) -> None:
         self.tables: dict[int, Weights] = {}
@@ -72,17 +72,17 @@
         for store in self.stores:
             await store.stop()
 
-    def is_shared(self, among: set[int]) -> bool:
-        """Whether every slice has exactly one owner, and all controllers of `among` own some."""
+    def is_shared(self, numbers: set[int]) -> bool:
+        """Return whether every slice has exactly one owner, and exactly the controllers of `numbers` own some."""
         slices = [slice_id for owned in self.owned for slice_id in owned.tables]
         owners = {number for number, owned in enumerate(self.owned) if owned.tables}
-        return sorted(slices) == list(range(SLICES)) and owners == among
+        return sorted(slices) == list(range(SLICES)) and owners == numbers
 
 
-def run_scene(scenario: Callable[[Registry, Controllers], Awaitable[None]], count: int = 3) -> None:
+def run_scenario(scenario: Callable[[Registry, Controllers], Awaitable[None]], count: int = 3) -> None:
     """Run a scenario once the slices are shared among `count` controllers."""
 
-    async def scene() -> None:
+    async def run_with_timeout() -> None:
         async with asyncio.timeout(40):
             registry = Registry()
             await registry.start()
@@ -93,11 +93,11 @@
             finally:
                 await registry.stop()
 
-    asyncio.run(scene())
+    asyncio.run(run_with_timeout())
 
 
 def test_store_when_a_controller_leaves_then_its_slices_are_handed_over_with_their_tables() -> None:
-    async def scene(registry: Registry, controllers: Controllers) -> None:
+    async def scenario(registry: Registry, controllers: Controllers) -> None:
         owned_before = sorted(controllers.owned[0].tables)
         await controllers.stores[0].write({slice_id: {100 + slice_id: 1.0} for slice_id in owned_before})
         controllers.stores[0].start_leaving()
@@ -108,22 +108,22 @@
         with pytest.raises(FencedError):
             await controllers.stores[0].write({owned_before[0]: {1: 1.0}})
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
-def test_store_when_a_controller_dies_then_its_slices_are_claimed_after_its_lease() -> None:
-    async def scene(registry: Registry, controllers: Controllers) -> None:
+def test_store_when_a_controller_crashes_then_its_slices_are_claimed_after_its_lease() -> None:
+    async def scenario(registry: Registry, controllers: Controllers) -> None:
         await controllers.stores[1].stop()
         controllers.owned[1].tables.clear()
-        begun = clock_ms()
+        crashed_at_ms = clock_ms()
         await until(lambda: controllers.is_shared({0, 2}))
-        assert clock_ms() - begun > TIMINGS.lease_ttl_ms * 0.4
+        assert clock_ms() - crashed_at_ms > TIMINGS.lease_ttl_ms * 0.4
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 def test_write_when_suspended_past_the_lease_then_nothing_is_written() -> None:
-    async def scene(registry: Registry, controllers: Controllers) -> None:
+    async def scenario(registry: Registry, controllers: Controllers) -> None:
         suspended = controllers.stores[2]
         owned_before = sorted(controllers.owned[2].tables)
         for task in list(suspended.tasks):
@@ -133,7 +133,7 @@
         keys_before = dict(registry.store.keys)
         with pytest.raises(FencedError):
             await suspended.write({slice_id: {666: 1.0} for slice_id in owned_before})
-        # Even one that believed its clock: the registry's transaction refuses it.
+        # Even if its clock shows a valid lease, the registry's transaction rejects the write.
         suspended.ownership.lease.valid_until_ms = clock_ms() + 1e9
         suspended.watcher.connection = EtcdConnection(f"127.0.0.1:{registry.port}", TIMEOUT_MS)
         with pytest.raises(FencedError, match=f"{len(owned_before)} slices"):
@@ -141,11 +141,11 @@
         tables = {key: value for key, value in registry.store.keys.items() if b"tables" in key}
         assert tables == {key: value for key, value in keys_before.items() if b"tables" in key}
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 def test_store_when_disconnected_then_its_lease_is_invalid_before_slices_can_move() -> None:
-    async def scene(registry: Registry, controllers: Controllers) -> None:
+    async def scenario(registry: Registry, controllers: Controllers) -> None:
         await registry.stop()
         for store in controllers.stores:
             await until(lambda store=store: not store.ownership.has_valid_lease(clock_ms()))  # type: ignore[misc]
@@ -154,46 +154,46 @@
         await registry.start()
         await until(lambda: controllers.is_shared({0, 1, 2}), 15)
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
-def test_store_when_the_registry_changes_its_leader_then_no_slice_is_lost_or_doubled() -> None:
-    """Claims applied by a leader that fell before it answered, a time without any, leases granted anew."""
+def test_store_when_the_registry_changes_its_leader_then_no_slice_is_lost_or_owned_twice() -> None:
+    """The leader applies claims and fails before it responds; after a time without leader, leases are granted again."""
 
-    async def scene(registry: Registry, controllers: Controllers) -> None:
-        doubled: list[int] = []
+    async def scenario(registry: Registry, controllers: Controllers) -> None:
+        owned_twice: list[int] = []
 
-        def record_doubled() -> bool:
+        def record_slices_owned_twice() -> bool:
             acted_for = [
                 slice_id
                 for store, owned in zip(controllers.stores, controllers.owned, strict=True)
                 if store.ownership.has_valid_lease(clock_ms())
                 for slice_id in owned.tables
             ]
-            doubled.extend(slice_id for slice_id in acted_for if acted_for.count(slice_id) > 1)
+            owned_twice.extend(slice_id for slice_id in acted_for if acted_for.count(slice_id) > 1)
             return True
 
         await controllers.stores[0].write({slice_id: {7: 1.0} for slice_id in controllers.owned[0].tables})
-        registry.faults.unanswered = 3  # of the claims that come now, three are applied and not answered
+        registry.faults.unanswered = 3  # three of the next claims are applied, but get no response
         controllers.stores[1].start_leaving()
-        await until(lambda: record_doubled() and registry.faults.unanswered == 0)
+        await until(lambda: record_slices_owned_twice() and registry.faults.unanswered == 0)
         registry.faults.leaderless = True
         with pytest.raises((FencedError, RegistryUnavailableError)):
             await controllers.stores[0].write({slice_id: {8: 1.0} for slice_id in controllers.owned[0].tables})
         for _ in range(40):
-            record_doubled()
+            record_slices_owned_twice()
             await asyncio.sleep(0.01)
         registry.faults.leaderless = False
         registry.store.elect(asyncio.get_running_loop().time())
-        await until(lambda: record_doubled() and controllers.is_shared({0, 2}), 15)
-        assert not doubled
+        await until(lambda: record_slices_owned_twice() and controllers.is_shared({0, 2}), 15)
+        assert not owned_twice
         await controllers.stores[2].write({slice_id: {9: 1.0} for slice_id in controllers.owned[2].tables})
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 def test_write_when_large_then_it_is_sent_in_batches_within_the_registry_limits() -> None:
-    async def scene(registry: Registry, controllers: Controllers) -> None:
+    async def scenario(registry: Registry, controllers: Controllers) -> None:
         store = controllers.stores[0]
         store.ownership.slices = range(250)
         await until(lambda: len(controllers.owned[0].tables) == 250, 15)
@@ -203,4 +203,4 @@
         stored = json.loads(registry.store.keys[b"/corallanding/tables/249"].value)
         assert stored == {"0": 1.0, "1": 1.0, "2": 1.0}
 
-    run_scene(scene, count=1)
+    run_scenario(scenario, count=1)
--- a/tests/registry/watch_model.py
+++ b/tests/registry/watch_model.py
@@ -1,4 +1,4 @@
-"""A model of a registry, and a search over everything that can happen to a watch of it."""
+"""A model of a registry, and a search over all events that can affect a watch of it."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 
 
 class RegistryModel:
-    """Every revision's changes, and what is compacted away."""
+    """The changes of every revision, and the revision up to which they are compacted."""
 
     def __init__(self) -> None:
         self.cluster_id = 0xC1
         self.revision = 1
-        self.compacted = 0
+        self.compacted_revision = 0
         self.history: dict[int, list[KeyValue]] = {}
 
     def put(self, changes: dict[bytes, bytes | None]) -> None:
-        """Change keys in one revision, if anything changes; None deletes."""
+        """Put values in one new revision, None to delete; without effect, no revision is created."""
         present = self.state(self.revision)
         effective = {key: value for key, value in changes.items() if value is not None or key in present}
         if effective:
@@ -43,7 +43,7 @@
             self.history[self.revision] = [KeyValue(key, value, self.revision) for key, value in effective.items()]
 
     def state(self, revision: int) -> dict[bytes, KeyValue]:
-        """The keys as of a revision."""
+        """Return the keys as of a revision."""
         view: dict[bytes, KeyValue] = {}
         for changed_at in sorted(self.history):
             if changed_at <= revision:
@@ -54,91 +54,93 @@
         return view
 
     def restore(self, revisions_back: int) -> None:
-        """Go back to a backup: a new cluster, some revisions ago."""
+        """Restore a backup: a new cluster id, at an earlier revision."""
         self.cluster_id += 1
         self.revision -= revisions_back
-        self.compacted = min(self.compacted, self.revision)
+        self.compacted_revision = min(self.compacted_revision, self.revision)
         self.history = {revision: changes for revision, changes in self.history.items() if revision <= self.revision}
 
     @property
     def last_change(self) -> int:
-        """The last revision in which a key changed; 0 for none."""
+        """The last revision in which a key changed; 0 if none did."""
         return max(self.history, default=0)
 
 
 class WatchMachine(RuleBasedStateMachine):
-    """Plays any order of events, and checks every reported change against the model.
+    """Generates events in any order, and checks every reported change against the model.
 
-    shadow: what an owner knows from the reports, as of `shadow_revision`. request: sent to the registry and not
-    answered. next_watched: the next revision of the watch, 0 without one. covered: all revisions up to here were either
-    reported or covered by a full read.
+    shadow: the view that an owner derives from the reports, as of `shadow_revision`. request: the request in flight.
+    next_revision: the next revision that the watch delivers, 0 without a watch. covered_revision: all revisions up to
+    this one were reported or are included in a full read.
     """
 
-    kind: type[WatchState] = WatchState
+    watch_class: type[WatchState] = WatchState
 
     def __init__(self) -> None:
         super().__init__()
         self.registry = RegistryModel()
-        self.now = 0.0
+        self.now_ms = 0.0
         self.change_number = 0
-        self.watch = self.kind(WatchLimits(max_full_reads_per_minute=600.0, page_size=PAGE_SIZE), lambda: 0.5)
+        self.watch = self.watch_class(WatchLimits(max_full_reads_per_minute=600.0, page_size=PAGE_SIZE), lambda: 0.5)
         self.shadow: dict[bytes, KeyValue] = {}
         self.shadow_revision = 0
         self.request: Any = None
-        self.next_watched = 0
-        self.disconnected_until = 0.0
-        self.messages: list[str] = []
-        self.covered = 1
+        self.next_revision = 0
+        self.reconnect_at_ms = 0.0
+        self.log_messages: list[str] = []
+        self.covered_revision = 1
 
-    # ---- carrying out ------------------------------------------------------------------------------------------------
+    # ---- actions -----------------------------------------------------------------------------------------------------
 
     def perform(self, actions: list[Any]) -> None:
-        """Carry out what the watch wants."""
+        """Perform the actions of the watch state."""
         for action in actions:
             match action:
                 case ListPage() | StartWatch():
                     self.request = action
-                    self.next_watched = 0
+                    self.next_revision = 0
                 case Disconnect():
                     assert 0 <= action.retry_after_ms <= MAX_BACKOFF_MS
                     self.request = None
-                    self.next_watched = 0
-                    self.disconnected_until = self.now + action.retry_after_ms
+                    self.next_revision = 0
+                    self.reconnect_at_ms = self.now_ms + action.retry_after_ms
                 case LogMessage():
-                    self.messages.append(action.text)
+                    self.log_messages.append(action.text)
                     if "another cluster" in action.text:
                         self.shadow_revision = 0
-                        self.covered = 1
+                        self.covered_revision = 1
                 case ViewChange():
-                    self.take(action)
-
-    def take(self, reported: ViewChange) -> None:
-        """Check a reported change, and apply it to the shadow."""
-        is_newer = reported.revision > self.shadow_revision
-        assert is_newer or (reported.is_full_read and reported.revision >= self.shadow_revision)
-        changes = {change.key: change for change in reported.changes}
-        assert len(changes) == len(reported.changes)
-        if not reported.is_full_read:
-            expected = {change.key: change for change in self.registry.history[reported.revision]}
-            assert changes == expected, "a revision was reported whole and once"
-            missed = [revision for revision in self.registry.history if self.covered < revision < reported.revision]
+                    self.on_view_change(action)
+
+    def on_view_change(self, view_change: ViewChange) -> None:
+        """Check a reported change against the model, and apply it to the shadow."""
+        is_newer = view_change.revision > self.shadow_revision
+        assert is_newer or (view_change.is_full_read and view_change.revision >= self.shadow_revision)
+        changes = {change.key: change for change in view_change.changes}
+        assert len(changes) == len(view_change.changes)
+        if not view_change.is_full_read:
+            expected = {change.key: change for change in self.registry.history[view_change.revision]}
+            assert changes == expected, "a revision was reported completely and once"
+            missed = [
+                number for number in self.registry.history if self.covered_revision < number < view_change.revision
+            ]
             assert not missed, f"revisions {missed} were never reported"
-        for change in reported.changes:
+        for change in view_change.changes:
             if change.value is None:
-                assert change.key in self.shadow, "a key that was not there is deleted"
+                assert change.key in self.shadow, "a key that did not exist is deleted"
                 del self.shadow[change.key]
             else:
-                assert self.shadow.get(change.key) != change, "the same change twice"
+                assert self.shadow.get(change.key) != change, "the same change is reported twice"
                 self.shadow[change.key] = change
-        self.shadow_revision = reported.revision
-        self.covered = reported.revision
-        assert self.shadow == self.registry.state(reported.revision), "the view was the registry's at that revision"
+        self.shadow_revision = view_change.revision
+        self.covered_revision = view_change.revision
+        assert self.shadow == self.registry.state(view_change.revision), "the view equals the registry at that revision"
 
     def header(self, lag: int = 0) -> ResponseHeader:
-        """The header of an answer by a member that is so many revisions behind."""
+        """Return the header of a response by a member that lags by `lag` revisions."""
         return ResponseHeader(self.registry.cluster_id, max(1, self.registry.revision - lag))
 
-    # ---- what happens ------------------------------------------------------------------------------------------------
+    # ---- events ------------------------------------------------------------------------------------------------------
 
     @rule(keys=st.dictionaries(st.sampled_from(KEYS), st.booleans(), min_size=1, max_size=3))
     def change(self, keys: dict[bytes, bool]) -> None:
@@ -147,21 +149,21 @@
 
     @rule(ms=st.floats(1, 3000))
     def wait(self, ms: float) -> None:
-        self.now += ms
+        self.now_ms += ms
 
-    @precondition(lambda self: self.watch.phase is WatchPhase.DISCONNECTED and self.now >= self.disconnected_until)
+    @precondition(lambda self: self.watch.phase is WatchPhase.DISCONNECTED and self.now_ms >= self.reconnect_at_ms)
     @rule()
     def connect(self) -> None:
-        self.perform(self.watch.on_connected(self.now))
+        self.perform(self.watch.on_connected(self.now_ms))
 
     @precondition(lambda self: self.watch.phase is not WatchPhase.DISCONNECTED)
     @rule()
     def disconnect(self) -> None:
         self.perform(self.watch.on_disconnected("by chance"))
 
-    @rule(kept=st.integers(0, 3))
-    def compact(self, kept: int) -> None:
-        self.registry.compacted = max(self.registry.compacted, self.registry.revision - kept)
+    @rule(remaining=st.integers(0, 3))
+    def compact(self, remaining: int) -> None:
+        self.registry.compacted_revision = max(self.registry.compacted_revision, self.registry.revision - remaining)
 
     @precondition(lambda self: isinstance(self.request, ListPage))
     @rule(lag=st.sampled_from([0, 0, 0, 1, 3]))
@@ -170,79 +172,79 @@
         header = self.header(lag)
         revision = request.revision or header.revision
         self.request = None
-        if revision < self.registry.compacted:
-            self.perform(self.watch.on_page_compacted(self.now))
+        if revision < self.registry.compacted_revision:
+            self.perform(self.watch.on_page_compacted(self.now_ms))
             return
         if lag and header.revision < revision:
-            header = ResponseHeader(header.cluster_id, revision)  # a member cannot answer for a revision that it lacks
+            header = ResponseHeader(header.cluster_id, revision)  # a member cannot list a revision that it lacks
         state = self.registry.state(revision)
         rows = [key_value for key, key_value in sorted(state.items()) if key > request.after_key]
         has_more = len(rows) > PAGE_SIZE
-        self.perform(self.watch.on_page(self.now, header, rows[:PAGE_SIZE], has_more=has_more))
-        if self.watch.phase is WatchPhase.WATCHING:  # read whole, also where nothing differed and nothing was reported
-            self.covered = max(self.covered, self.watch.revision)
+        self.perform(self.watch.on_page(self.now_ms, header, rows[:PAGE_SIZE], has_more=has_more))
+        if self.watch.phase is WatchPhase.WATCHING:  # complete, even if no difference was reported
+            self.covered_revision = max(self.covered_revision, self.watch.revision)
 
     @precondition(lambda self: isinstance(self.request, StartWatch))
     @rule()
     def answer_watch(self) -> None:
         revision = self.request.revision
         self.request = None
-        if revision < self.registry.compacted:
-            compacted = self.registry.compacted
-            self.perform(self.watch.on_watch_cancelled(self.now, self.header(), compacted, "compacted"))
+        if revision < self.registry.compacted_revision:
+            compacted_revision = self.registry.compacted_revision
+            self.perform(self.watch.on_watch_cancelled(self.now_ms, self.header(), compacted_revision, "compacted"))
             return
-        self.next_watched = revision
-        self.perform(self.watch.on_watch_created(self.now, self.header()))
+        self.next_revision = revision
+        self.perform(self.watch.on_watch_created(self.now_ms, self.header()))
 
-    @precondition(lambda self: self.next_watched)
+    @precondition(lambda self: self.next_revision)
     @rule(count=st.integers(1, 4), cut=st.integers(0, 3), repeated=st.integers(0, 2))
     def deliver(self, count: int, cut: int, repeated: int) -> None:
-        """Some revisions in one answer, perhaps in fragments, perhaps with some that were sent before."""
-        first = max(1, self.next_watched - repeated)
+        """Deliver some revisions in one response, possibly in fragments, possibly with repeated ones."""
+        first = max(1, self.next_revision - repeated)
         revisions = [revision for revision in sorted(self.registry.history) if revision >= first][: count + repeated]
         if not revisions:
             return
         changes = [change for revision in revisions for change in self.registry.history[revision]]
-        self.next_watched = max(self.next_watched, revisions[-1] + 1)
+        self.next_revision = max(self.next_revision, revisions[-1] + 1)
         if 0 < cut < len(changes):
-            self.perform(self.watch.on_changes(self.now, self.header(), changes[:cut], is_fragment=True))
+            self.perform(self.watch.on_changes(self.now_ms, self.header(), changes[:cut], is_fragment=True))
             changes = changes[cut:]
         if self.watch.phase is WatchPhase.WATCHING:
-            self.perform(self.watch.on_changes(self.now, self.header(), changes))
+            self.perform(self.watch.on_changes(self.now_ms, self.header(), changes))
 
-    @precondition(lambda self: self.next_watched and self.next_watched > self.registry.last_change)
+    @precondition(lambda self: self.next_revision and self.next_revision > self.registry.last_change)
     @rule()
     def report_progress(self) -> None:
-        self.perform(self.watch.on_progress(self.now, self.header()))
-        self.covered = max(self.covered, self.registry.revision)
+        self.perform(self.watch.on_progress(self.now_ms, self.header()))
+        self.covered_revision = max(self.covered_revision, self.registry.revision)
 
-    @precondition(lambda self: self.next_watched)
+    @precondition(lambda self: self.next_revision)
     @rule()
     def cancel(self) -> None:
-        self.perform(self.watch.on_watch_cancelled(self.now, self.header(), 0, "the member leaves"))
+        self.perform(self.watch.on_watch_cancelled(self.now_ms, self.header(), 0, "the member leaves"))
 
     @precondition(lambda self: self.registry.revision > 3)
     @rule(revisions_back=st.integers(1, 3))
     def restore(self, revisions_back: int) -> None:
-        """Go back to a backup. Every connection ends."""
+        """Restore a backup. All connections are closed."""
         self.registry.restore(revisions_back)
         if self.watch.phase is not WatchPhase.DISCONNECTED:
             self.perform(self.watch.on_disconnected("restored"))
 
     def teardown(self) -> None:
-        """Whatever happened: once the connection holds, the view is the registry's, and soon."""
+        """Check that the view converges to the registry once the connection is stable."""
         for _ in range(200):
-            self.now += 2_000.0
+            self.now_ms += 2_000.0
             if self.watch.phase is WatchPhase.DISCONNECTED:
                 self.connect()
             elif isinstance(self.request, ListPage):
                 self.answer_list(0)
             elif isinstance(self.request, StartWatch):
                 self.answer_watch()
-            elif self.next_watched <= self.registry.last_change:
+            elif self.next_revision <= self.registry.last_change:
                 self.deliver(4, 0, 0)
             else:
                 break
         assert self.watch.phase is WatchPhase.WATCHING
-        assert self.next_watched
+        assert self.next_revision
         assert self.shadow == self.watch.view == self.registry.state(self.registry.revision)
