--- a/corallanding/admin/__init__.py
+++ b/corallanding/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The admin server: health, metrics and tables over HTTP, read only (`http_server`)."""
+"""The admin server: health, metrics and tables over HTTP, read-only (`http_server`)."""
--- a/corallanding/admin/http_server.py
+++ b/corallanding/admin/http_server.py
@@ -1,7 +1,7 @@
-"""The admin server, on aiohttp's server: GET and HEAD only.
+"""The admin server, based on aiohttp's server: GET and HEAD only.
 
-What aiohttp leaves open is bounded here: connections, the bytes of a request's head, and the time that a request, or a
-connection without one, may take.
+Adds limits that aiohttp lacks: on the number of connections, on the bytes of a request's header, and on the time of a
+request or of a connection without one.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class HttpResponse:
-    """What a path answers. status: of HTTP."""
+    """Response of a route. status: HTTP status code."""
 
     status: int
     body: bytes
@@ -29,15 +29,15 @@
 
 
 def error_response(status: int, text: str) -> HttpResponse:
-    """An error as one line of plain text."""
+    """Return an error response with one line of plain text."""
     return HttpResponse(int(status), f"{text}\n".encode(), "text/plain")
 
 
 class AdminServer(web.Server):
-    """Answers each path by its route; made inside the event loop.
+    """Serves each path by its route. Must be created inside the event loop.
 
-    routes: path to the function that answers. max_connections: at one time. max_header_bytes: of a request.
-    request_timeout_ms: also of a connection on which none comes. The limits may change while it runs.
+    routes: path to the function that returns its response. max_connections: open at one time. max_header_bytes: per
+    request. request_timeout_ms: also applies to a connection without a request. The limits may change while it runs.
     """
 
     def __init__(
@@ -51,20 +51,20 @@
         self.open_connections: set[AdminConnection] = set()
 
     def __call__(self) -> AdminConnection:
-        """Make the protocol of a new connection, as asyncio asks for it."""
+        """Return the protocol of a new connection, as a protocol factory of asyncio."""
         return AdminConnection(self)
 
     async def answer(self, request: web.BaseRequest) -> web.Response:
         """Answer one request."""
         cast(AdminConnection, request.protocol).await_request()
         if request.method not in ("GET", "HEAD"):
-            found = error_response(HTTPStatus.METHOD_NOT_ALLOWED, "only GET and HEAD")
+            response = error_response(HTTPStatus.METHOD_NOT_ALLOWED, "only GET and HEAD")
         elif request.path not in self.routes:
             paths = ", ".join(sorted(self.routes))
-            found = error_response(HTTPStatus.NOT_FOUND, f"no such path; there are {paths}")
+            response = error_response(HTTPStatus.NOT_FOUND, f"no such path; there are {paths}")
         else:
-            found = self.routes[request.path]()
-        return web.Response(status=found.status, body=found.body, headers={"Content-Type": found.content_type})
+            response = self.routes[request.path]()
+        return web.Response(status=response.status, body=response.body, headers={"Content-Type": response.content_type})
 
     def close(self) -> None:
         """Close all connections at once."""
@@ -78,12 +78,12 @@
     def __init__(self, server: AdminServer) -> None:
         super().__init__(server, loop=asyncio.get_running_loop(), access_log=None, lingering_time=0.0)  # type: ignore[arg-type]
         self.server = server
-        self.received_bytes = 0  # since the last complete request, its body included: none is asked for
+        self.received_bytes = 0  # since the last complete request, including any body, which no route needs
         self.is_closing = False
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take a connection, or reject it if there are too many."""
+        """Accept a connection, or reject it if too many are open."""
         self.tcp_transport = cast(asyncio.Transport, transport)
         if len(self.server.open_connections) >= self.server.max_connections:
             self.reject(error_response(HTTPStatus.SERVICE_UNAVAILABLE, "too many connections"))
@@ -93,7 +93,7 @@
         self.await_request()
 
     def await_request(self) -> None:
-        """A request is complete: the next one has its own limits."""
+        """Reset the limits for the next request."""
         self.received_bytes = 0
         if self.timer:
             self.timer.cancel()
@@ -101,14 +101,14 @@
         self.timer = asyncio.get_running_loop().call_later(timeout_s, self.on_timeout)
 
     def on_timeout(self) -> None:
-        """Answer half a request with an error; close a connection on which none was begun."""
+        """Answer an incomplete request with an error; close a connection without a request."""
         if self.received_bytes:
             self.reject(error_response(HTTPStatus.REQUEST_TIMEOUT, "the request took too long"))
         else:
             self.disconnect()
 
     def data_received(self, data: bytes) -> None:
-        """Hand data to aiohttp, up to the limit of a request."""
+        """Pass data to aiohttp, up to the size limit of a request."""
         if self.is_closing:
             return
         self.received_bytes += len(data)
@@ -119,7 +119,7 @@
             super().data_received(data)
 
     def reject(self, response: HttpResponse) -> None:
-        """Write a response outside of any request that aiohttp knows of, and close the connection."""
+        """Write a response that belongs to no request of aiohttp, and close the connection."""
         phrase = HTTPStatus(response.status).phrase
         lines = (
             f"HTTP/1.1 {response.status} {phrase}",
@@ -132,12 +132,12 @@
         self.disconnect()
 
     def disconnect(self) -> None:
-        """Close the connection; data that still comes is ignored."""
+        """Close the connection; data that arrives afterwards is ignored."""
         self.is_closing = True
         self.tcp_transport.close()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Forget the connection."""
+        """Cancel the timer of the connection and remove it from the server."""
         if self.timer:
             self.timer.cancel()
         if self in self.server.open_connections:
--- a/corallanding/cli/running_controller.py
+++ b/corallanding/cli/running_controller.py
@@ -1,4 +1,4 @@
-"""What the commands request of a running controller: a handover, and whether it is healthy."""
+"""Requests of the commands to a running controller: a handover, and its health."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 from ..endpoints.endpoint_list import parse_loopback_address
 from ..errors import HandoverError
 
-HANDOVER_PHASES = 6  # each lasts at most steward.upgrade_within_ms
-UPGRADE_TASK = "upgrade"  # where it is configured, controllers hand over one at a time
+HANDOVER_PHASES = 6  # each takes at most steward.upgrade_within_ms
+UPGRADE_TASK = "upgrade"  # if this task is configured, controllers hand over one at a time
 HEALTH_TIMEOUT_S = 1.0
 HEALTH_POLL_S = 0.05
-MAX_SHOWN_BODY = 200  # characters of a health page that an error shows
+MAX_SHOWN_BODY = 200  # characters of a health page in an error
 
 
 class UpgradeError(HandoverError):
-    """The controller did not hand over, or its successor is not healthy; the text says why."""
+    """The handover failed, or the new process is not healthy; the text gives the reason."""
 
 
 def hand_over(config: ControllerConfig, control: str, command: str | None) -> str:
     """Request a handover over the socket `control`, and return the controller's answer. Raises `UpgradeError`.
 
-    command: the new program and its arguments; without it the program that runs now.
+    command: the new program and its arguments; None for the program that is running.
     """
     request = "\0".join(["upgrade", *shlex.split(command or "")])
-    turn_ms = config.tasks.wait_most_ms if UPGRADE_TASK in config.task else 0.0
+    turn_timeout_ms = config.tasks.wait_most_ms if UPGRADE_TASK in config.task else 0.0
     with socket.socket(socket.AF_UNIX) as connection:
-        connection.settimeout((config.steward.upgrade_within_ms * HANDOVER_PHASES + turn_ms) / 1000.0)
+        connection.settimeout((config.steward.upgrade_within_ms * HANDOVER_PHASES + turn_timeout_ms) / 1000.0)
         try:
             connection.connect(control)
             connection.sendall(request.encode() + b"\n")
@@ -39,14 +39,14 @@
         except OSError as error:
             raise UpgradeError(f"{control}: {error}") from None
     if not answer.startswith("ok"):
-        raise UpgradeError(answer or "the steward ended without an answer")
+        raise UpgradeError(answer or "the steward closed the connection without an answer")
     return answer
 
 
 def wait_until_healthy(config: ControllerConfig) -> None:
-    """Poll the health page for as long as a phase of a handover may last. Raises `UpgradeError`.
+    """Poll the health page until it reports no fault, for at most one phase of a handover. Raises `UpgradeError`.
 
-    Returns at once where no admin server is configured.
+    Returns at once if no admin server is configured.
     """
     if config.door is None:
         return
@@ -57,11 +57,11 @@
         if not problem:
             return
         time.sleep(HEALTH_POLL_S)
-    raise UpgradeError(f"handed over, and not well: {problem}")
+    raise UpgradeError(f"handed over, but the new process is not healthy: {problem}")
 
 
 def health_problem(address: str) -> str:
-    """What the health page at `address` says is wrong; "" if the controller is healthy."""
+    """Return the fault that the health page at `address` reports; "" if the controller is healthy."""
     host, port = parse_loopback_address(address)
     connection = http.client.HTTPConnection(host, port, timeout=HEALTH_TIMEOUT_S)
     try:
--- a/corallanding/config/__init__.py
+++ b/corallanding/config/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration of a controller: HCL read by python-hcl2 (`hcl`) and checked by pydantic models (`models`)."""
+"""Configuration of a controller: HCL parsed by python-hcl2 (`hcl`) and validated by pydantic models (`models`)."""
 
 from .assigner_settings import assigner_settings
 from .errors import ConfigError
--- a/corallanding/config/assigner_settings.py
+++ b/corallanding/config/assigner_settings.py
@@ -7,26 +7,26 @@
 
 
 def request_classes(config: ControllerConfig) -> tuple[api.RequestClass, ...]:
-    """The request classes, in the order of the configuration."""
+    """Return the request classes in the order of the configuration."""
     return tuple(
         api.RequestClass(
             name,
-            api.Idempotency(operation.repeat),
-            operation.group,
-            operation.window_ms,
-            operation.billed_value,
-            operation.late_value,
-            operation.latency_objective_ms,
-            operation.integration_timeout_ms,
-            operation.writes,
-            operation.zone_bound,
+            api.Idempotency(block.repeat),
+            block.group,
+            block.window_ms,
+            block.billed_value,
+            block.late_value,
+            block.latency_objective_ms,
+            block.integration_timeout_ms,
+            block.writes,
+            block.zone_bound,
         )
-        for name, operation in config.operation.items()
+        for name, block in config.operation.items()
     )
 
 
 def assigner_settings(config: ControllerConfig) -> api.Settings:
-    """The assigner's settings as the configuration states them."""
+    """Return the settings of the assigner."""
     return api.Settings(
         request_classes=request_classes(config),
         zone=config.zones.index(config.steward.zone) if config.steward.zone else 0,
--- a/corallanding/config/block_shapes.py
+++ b/corallanding/config/block_shapes.py
@@ -1,7 +1,7 @@
-"""Blocks as the HCL library gives them, brought into the shape of the pydantic models.
+"""Conversion of blocks from the shape that the HCL library returns to the shape that the pydantic models expect.
 
-The library gives lists of objects keyed by label. A block without a label becomes one object; with a label it becomes
-a row of a map, or, where the model wants a list, an item whose `kind` is the label.
+The library returns lists of objects keyed by label. A block without a label becomes one object. A labelled block
+becomes an entry of a map or, where the model expects a list, an item whose `kind` is the label.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from .errors import ConfigError
 from .source_lines import UNKNOWN_LINE, KeyPath
 
-BLOCK_KEY = "__is_block__"  # the library's mark of an object that was a block
+BLOCK_KEY = "__is_block__"  # marker that the library adds to an object that was a block
 
 
 class BlockForm(Enum):
-    """How a field of a model takes the blocks of its name."""
+    """How a field of a model represents the blocks of its name."""
 
     ONE = auto()
     MAP = auto()
@@ -31,18 +31,18 @@
 
 @dataclass(frozen=True)
 class BlockField:
-    """A field that takes blocks, and the model of each."""
+    """A field that represents blocks, and the model of one block."""
 
     form: BlockForm
     model: type[BaseModel]
 
 
 def block_field(annotation: Any) -> BlockField | None:
-    """How a field with this annotation takes blocks; None if it takes plain values."""
+    """Return how a field with this annotation represents blocks; None for plain values."""
     origin = get_origin(annotation)
     if origin in (typing.Union, types.UnionType):
-        found = (block_field(part) for part in get_args(annotation))
-        return next((field for field in found if field), None)
+        alternatives = (block_field(part) for part in get_args(annotation))
+        return next((field for field in alternatives if field), None)
     if origin in (dict, list) and get_args(annotation):
         model = get_args(annotation)[-1]
         form = BlockForm.MAP if origin is dict else BlockForm.LIST
@@ -55,31 +55,31 @@
 
 
 def keys_at(model: type[BaseModel], location: tuple[Any, ...]) -> list[str]:
-    """The keys that may stand where `location` ends, for a hint at an unknown key."""
-    here = model
-    steps = list(location[:-1])
-    while steps:
-        step = steps.pop(0)
-        if step not in here.model_fields:
+    """Return the keys allowed at the end of `location`, from which a replacement for an unknown key is suggested."""
+    current = model
+    remaining = list(location[:-1])
+    while remaining:
+        key = remaining.pop(0)
+        if key not in current.model_fields:
             return []
-        field = block_field(here.model_fields[step].annotation)
+        field = block_field(current.model_fields[key].annotation)
         if field is None:
             return []
-        here = field.model
-        if field.form is not BlockForm.ONE and steps:
-            steps.pop(0)  # the label or the number of the block
-    return list(here.model_fields)
+        current = field.model
+        if field.form is not BlockForm.ONE and remaining:
+            remaining.pop(0)  # label or index of the block
+    return list(current.model_fields)
 
 
 class BlockShaper:
-    """Shapes the blocks of one file. source: the name of the file, for errors; lines: of its keys."""
+    """Converts the blocks of one file. source: name of the file, for errors. lines: line numbers of its keys."""
 
     def __init__(self, source: str, lines: Mapping[KeyPath, int]) -> None:
         self.source = source
         self.lines = lines
 
     def shape(self, raw: dict[str, Any], model: type[BaseModel], path: KeyPath = ()) -> dict[str, Any]:
-        """The object `raw` in the shape of `model`. Raises `ConfigError` on blocks that cannot be meant."""
+        """Return `raw` in the shape of `model`. Raises `ConfigError` on a repeated block or a wrong label."""
         shaped: dict[str, Any] = {}
         for key, value in raw.items():
             if key == BLOCK_KEY:
@@ -95,25 +95,25 @@
 
     def _shape_single(self, blocks: list[Any], field: BlockField, path: KeyPath) -> dict[str, Any]:
         if len(blocks) > 1:
-            raise self._error((*path, 1), "this block may stand once")
+            raise self._error((*path, 1), "only one block of this name is allowed")
         return self.shape(blocks[0], field.model, path)
 
     def _shape_labelled(self, blocks: list[Any], field: BlockField, path: KeyPath) -> Any:
         is_map = field.form is BlockForm.MAP
         by_label: dict[str, Any] = {}
         rows: list[Any] = []
-        for number, block in enumerate(blocks):
+        for index, block in enumerate(blocks):
             if BLOCK_KEY in block:
-                raise self._error((*path, number), f'a label is expected, as in {path[-1]} "NAME" {{')
+                raise self._error((*path, index), f'a label is expected, as in {path[-1]} "NAME" {{')
             label, body = next(iter(block.items()))
             if is_map and label in by_label:
-                raise self._error((*path, number), f"{label!r} stands twice")
-            by_label[label] = self.shape(body, field.model, (*path, label if is_map else number))
+                raise self._error((*path, index), f"{label!r} is defined twice")
+            by_label[label] = self.shape(body, field.model, (*path, label if is_map else index))
             rows.append({"kind": label, **by_label[label]})
         return by_label if is_map else rows
 
     def _error(self, path: KeyPath, text: str) -> ConfigError:
-        """An error on the block whose path ends in its number."""
+        """Return an error on the block whose path ends in its index."""
         line = self.lines.get(path, UNKNOWN_LINE)
         return ConfigError(f"{self.source}:{line}: {path[-2]}: {text}")
 
@@ -123,5 +123,5 @@
 
 
 def _is_block(block: dict[str, Any]) -> bool:
-    """Whether an object was a block: it, or what stands under its labels, has the library's mark."""
+    """Return whether the object was a block: it, or an object under its labels, has the library's marker."""
     return BLOCK_KEY in block or any(isinstance(value, dict) and _is_block(value) for value in block.values())
--- a/corallanding/config/errors.py
+++ b/corallanding/config/errors.py
@@ -1,4 +1,4 @@
-"""The error of this package."""
+"""Errors in configuration files."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 
 class ConfigError(ConfigurationError):
-    """`FILE:LINE: KEY: what is expected`, one line for each thing that is wrong."""
+    """An invalid configuration file. The text has one line per fault: `FILE:LINE: KEY: what is expected`."""
--- a/corallanding/config/hcl.py
+++ b/corallanding/config/hcl.py
@@ -1,6 +1,6 @@
-"""HCL files to pydantic models, with errors that name file, line and key.
+"""Loading of HCL files into pydantic models, with errors that name file, line and key.
 
-Interpolation and functions are not evaluated: the checks reject them as the text that they are.
+Interpolation and functions are not evaluated: they remain plain text, which the checks reject.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 Model = TypeVar("Model", bound=BaseModel)
 OPTIONS = hcl2.SerializationOptions(with_comments=False, strip_string_quotes=True, preserve_scientific_notation=False)
-MAX_SHOWN_VALUE = 60  # characters of a value that an error shows
-MAX_SHOWN_MESSAGE = 200  # characters of a parser's message
-MIN_SIMILARITY = 0.5  # of a known key that is suggested in place of an unknown one
+MAX_SHOWN_VALUE = 60  # characters of a value in an error
+MAX_SHOWN_MESSAGE = 200  # characters of a parser's message in an error
+MIN_SIMILARITY = 0.5  # of an unknown key to a known one that an error suggests
 FIRST_LINE = 1
 
 
 def load(path: str | Path, model: type[Model]) -> Model:
-    """Read a file as a model. Raises `ConfigError`, one line for each thing that is wrong."""
+    """Read a file into a model. Raises `ConfigError` with one line per fault."""
     source = str(path)
     text = _read(path)
     raw, lines = _parse(source, text)
@@ -47,7 +47,7 @@
 
 
 def _parse(source: str, text: str) -> tuple[dict[str, Any], dict[KeyPath, int]]:
-    """The objects of the text as the library gives them, and the lines of its keys."""
+    """Return the objects of the text as the library parses them, and the line numbers of its keys."""
     try:
         return hcl2.loads(text, serialization_options=OPTIONS), lines_of_keys(text)
     except UnexpectedInput as error:
@@ -60,19 +60,19 @@
 
 
 def _describe_all(error: ValidationError, model: type[BaseModel], source: str, lines: Mapping[KeyPath, int]) -> str:
-    """One line of text for each thing that is wrong, in the order of the file."""
+    """Return one line of text per fault, in the order of the file."""
     described = []
     for detail in error.errors():
         location = tuple(detail["loc"]) or _location_in_text(detail)
-        known = (lines[location[:length]] for length in range(len(location), 0, -1) if location[:length] in lines)
-        line = next(known, FIRST_LINE)
+        known_lines = (lines[location[:size]] for size in range(len(location), 0, -1) if location[:size] in lines)
+        line = next(known_lines, FIRST_LINE)
         key = ".".join(str(part) for part in location) or "file"
         described.append((line, f"{source}:{line}: {key}: {_describe(detail, model)}"))
     return "\n".join(text for _, text in sorted(described))
 
 
 def _location_in_text(detail: Any) -> tuple[str, ...]:
-    """The key that a check across blocks is about: its text begins with it."""
+    """Return the key that a check across blocks rejects: the first word of its message."""
     return tuple(_message(detail).split()[0].split("."))
 
 
@@ -81,17 +81,17 @@
 
 
 def _describe(detail: Any, model: type[BaseModel]) -> str:
-    """What is wrong, as pydantic states it in `detail`, in the words of a configuration."""
+    """Return the text of a fault that pydantic reports in `detail`, in the terms of a configuration file."""
     location = detail["loc"]
     if detail["type"] == "extra_forbidden":
-        near = difflib.get_close_matches(str(location[-1]), keys_at(model, location), 1, MIN_SIMILARITY)
-        return "unknown key" + (f"; did you mean {near[0]}?" if near else "")
+        similar = difflib.get_close_matches(str(location[-1]), keys_at(model, location), 1, MIN_SIMILARITY)
+        return "unknown key" + (f"; did you mean {similar[0]}?" if similar else "")
     if detail["type"] == "missing":
         return "is missing"
     text = _message(detail)
     text = text[:1].lower() + text[1:]
-    found = detail["input"]
-    return text if isinstance(found, dict) else f"{text} (found {_shortened(found)!r})"
+    value = detail["input"]
+    return text if isinstance(value, dict) else f"{text} (found {_shortened(value)!r})"
 
 
 def _shortened(value: Any) -> Any:
--- a/corallanding/config/models.py
+++ b/corallanding/config/models.py
@@ -29,11 +29,11 @@
 from .tasks import MAX_TASKS, TaskBlock, TaskGroupBlock, TasksBlock
 from .version_pinning import PinsBlock, RecordsBlock, ReleaseBlock, check_pinning
 
-ONLY_ZONE = "all"  # where no zones are configured
+ONLY_ZONE = "all"  # name of the zone if none are configured
 
 
 class ControllerConfig(Block):
-    """A controller's configuration file. The fields are the keys that stand in it."""
+    """A controller's configuration file. The fields are its top-level keys."""
 
     steward: ControllerBlock
     store: StoreBlock
@@ -64,13 +64,13 @@
 
     @model_validator(mode="after")
     def check_shared_work(self) -> ControllerConfig:
-        """Check what all controllers do together. Raises ValueError that names the key."""
+        """Check the blocks of work that controllers share. Raises ValueError with a text that begins with the key."""
         for name, budget in self.budget.items():
             budget.check(name, self.max_controllers)
         self._check_tasks()
         self._check_records()
-        waiting = [name for name, operation in self.operation.items() if operation.waits]
-        self.waiting.check(waiting, self.budget, self.task_group, has_records=bool(self.records))
+        queueing = [name for name, operation in self.operation.items() if operation.waits]
+        self.waiting.check(queueing, self.budget, self.task_group, has_records=bool(self.records))
         if self.budget or self.task or self.task_group:
             self._check_peers("budget" if self.budget else "task")
         return self
@@ -78,56 +78,58 @@
     def _check_tasks(self) -> None:
         for name, task in [*self.task.items(), *self.task_group.items()]:
             self.tasks.check(name, task, self.budgets.drift)
-        if twice := sorted(self.task.keys() & self.task_group.keys()):
-            raise ValueError(f"task_group.{twice[0]}: there is a task of that name")
+        if duplicates := sorted(self.task.keys() & self.task_group.keys()):
+            raise ValueError(f"task_group.{duplicates[0]}: a task has the same name")
         if sum(group.count for group in self.task_group.values()) + len(self.task) > MAX_TASKS:
             raise ValueError(f"task_group: more than {MAX_TASKS} tasks in all")
 
     def _check_records(self) -> None:
-        """Check pinned runs, and that something rests on the records."""
+        """Check the settings of pinned runs, and that a records block is used."""
         groups, lease_ms = self.task_group, self.tasks.lease_ms
         check_pinning(self.pins, self.release, self.operation, self.task, groups, lease_ms, self.records)
         if self.records and not self.pins and JOBS not in groups:
-            raise ValueError(f'records: nothing rests on it: neither pins nor task_group "{JOBS}"')
+            raise ValueError(f'records: the block is unused: there is neither pins nor task_group "{JOBS}"')
 
     def _check_peers(self, block: str) -> None:
-        """Check how this controller and the others know each other. block: the one that needs it."""
+        """Check that controllers can reach and number each other. block: the one that needs it."""
         number = self.steward.number
         peers = {int(peer) for peer in self.steward.peers if peer.isdigit()}
         if self.max_controllers > 1 and not (self.steward.peers and self.steward.peer_listen):
             raise ValueError(f"{block}: with more than one steward it needs steward.peer_listen and steward.peers")
         if self.budgets.office == "registry" and (self.registry is None or self.registry.kind != "etcd"):
-            raise ValueError("budgets.office: by the registry it needs a registry block of kind etcd")
+            raise ValueError("budgets.office: an election by the registry needs a registry block of kind etcd")
         if len(peers) < len(self.steward.peers) or number in peers:
             raise ValueError("steward.peers: keys must be numbers of other stewards")
         if max([number, *peers]) >= self.max_controllers:
-            raise ValueError(f"budgets.stewards_most is {self.max_controllers}: all numbers must be below")
+            raise ValueError(f"budgets.stewards_most is {self.max_controllers}: all steward numbers must be below that")
         if unknown := sorted(set(self.budgets.voters) - {number, *peers}):
             raise ValueError(f"budgets.voters: {unknown} are neither this steward nor peers")
 
     @property
     def max_controllers(self) -> int:
-        """How many controllers there may ever be."""
+        """Maximum number of controllers."""
         return self.budgets.stewards_most or self.steward.stewards
 
     @model_validator(mode="after")
     def check_site(self) -> ControllerConfig:
-        """Check blocks of one site against each other. Raises ValueError that names the key."""
+        """Check the blocks of one site against each other. Raises ValueError with a text that begins with the key."""
         if self.steward.zone is not None and self.steward.zone not in self.zones:
             raise ValueError(f"steward.zone {self.steward.zone!r} is not one of zones")
         if self.steward.number >= self.steward.stewards:
             raise ValueError("steward.number must be below steward.stewards")
         if self.store.snapshot_path and self.registry and self.registry.charge:
-            raise ValueError("store.snapshot_path: with registry.charge slices move between stewards; not both")
+            raise ValueError(
+                "store.snapshot_path: cannot be used with registry.charge, where slices move between stewards"
+            )
         if (self.roster.address is None) == (self.registry is None):
             raise ValueError("roster.address or a registry block must stand, and not both")
         if self.registry and self.roster.mode != "pushed":
-            raise ValueError("roster.mode is pushed where a registry is followed")
+            raise ValueError("roster.mode must be pushed where a registry block is set")
         # One message with two table entries of every slice must fit for each proxy, or a start cannot be published.
         min_lines = (self.channel.head_lines * 2 + 4) * self.forwarders.count
         if self.channel.queue_most_lines < min_lines:
             need = f"({min_lines:g} needed)"
-            raise ValueError(f"channel.queue_most_lines holds no message for each forwarder {need}")
+            raise ValueError(f"channel.queue_most_lines is too low for one message to each forwarder {need}")
         return self
 
 
--- a/corallanding/config/quota.py
+++ b/corallanding/config/quota.py
@@ -1,4 +1,4 @@
-"""Blocks of what all controllers share: `budget "NAME"` and `budgets`. See docs/budgets.md."""
+"""Blocks of quotas that all controllers share: `budget "NAME"` and `budgets`. See docs/budgets.md."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class BudgetKind(NamedTuple):
-    """What a budget limits: for each host or for the fleet, as a rate or as a count of what is in use."""
+    """Scope and unit of a budget: per host or for the fleet, as a rate or as a count of units in use."""
 
     per: str
     unit: str
 
 
-# Each is enforced where the action is taken.
+# Each budget is enforced where its action is taken.
 BUDGET_KINDS = {
     "probes": BudgetKind("host", "per_s"),
     "moves": BudgetKind("fleet", "per_s"),
@@ -27,19 +27,20 @@
 
 
 class BudgetBlock(Block):
-    """One budget: how much of a kind of action all controllers may take together.
+    """One budget: the units of one kind of action that all controllers together may use.
 
-    whole: for all of them; for each host, if `per` is "host". floor: what each controller may take without the others.
+    whole: units for all controllers (of each host, if `per` is "host"). floor: units that each controller may use
+    without a grant.
     """
 
     whole: Annotated[int, Field(ge=0, le=1_000_000)]
     per: Literal["host", "fleet", "operation"]
     unit: Literal["count", "per_s"]
     floor: Annotated[int, Field(ge=0, le=1_000_000)] = 0
-    span_ms: PositiveMs | None = None  # count: how long what was taken stays in use; cold_slices: rules.cold_ms
+    span_ms: PositiveMs | None = None  # unit count: time in use of a unit; default for cold_slices: rules.cold_ms
 
     def check(self, name: str, max_controllers: int) -> None:
-        """Check the budget of this name. Raises ValueError with a sentence that names the key."""
+        """Check the budget of this name. Raises ValueError with a text that begins with the key."""
         if name not in BUDGET_KINDS:
             raise ValueError(f"budget.{name}: no such budget; there are {', '.join(sorted(BUDGET_KINDS))}")
         kind = BUDGET_KINDS[name]
@@ -48,27 +49,27 @@
         if self.unit != kind.unit:
             raise ValueError(f"budget.{name}.unit must be {kind.unit!r}")
         if self.unit == "per_s" and self.span_ms is not None:
-            raise ValueError(f"budget.{name}.span_ms is for a count; a right of per_s stays in use for a second")
+            raise ValueError(f"budget.{name}.span_ms requires unit count; a unit of per_s stays in use for one second")
         if name == "emptied" and self.span_ms is None:
-            raise ValueError(f"budget.{name}.span_ms must say for how long an emptied host counts")
+            raise ValueError(f"budget.{name}.span_ms must be set to the time for which an emptied host counts")
         if self.floor * max_controllers > self.whole:
             floors = f"budget.{name}.floor for each of {max_controllers} stewards"
             raise ValueError(f"{floors} is more than whole ({self.whole})")
 
 
 class BudgetsBlock(Block):
-    """How budgets are divided, and how controllers find each other. The same at all controllers; times in ms."""
+    """Division of budgets, election and membership. Must be the same at all controllers; times in ms."""
 
     lease_ms: Annotated[float, Field(ge=100, le=600_000)] = 3_000.0
-    office: Literal["votes", "registry"] = "votes"  # by what the leader is elected; registry: kind etcd
+    office: Literal["votes", "registry"] = "votes"  # how the leader is elected; registry requires kind etcd
     office_ms: Annotated[float, Field(ge=100, le=600_000)] = 2_000.0
     drift: Annotated[float, Field(ge=0, lt=0.5)] = 0.02
-    stewards_most: Annotated[int, Field(ge=1, le=1000)] | None = None  # for floors; without it steward.stewards
+    stewards_most: Annotated[int, Field(ge=1, le=1000)] | None = None  # number of floors; default: steward.stewards
     voters: Annotated[list[int], Field(max_length=31)] = Field(
         default_factory=list
-    )  # numbers; without them the lowest five
+    )  # numbers of controllers; default: the lowest five
     keys_most: Annotated[int, Field(ge=16, le=1_000_000)] = 4_096
-    words_per_s: Annotated[float, Field(ge=1, le=100_000)] = 200.0  # messages that are taken from one peer
-    period_ms: Annotated[float, Field(ge=20, le=60_000)] = 500.0  # between two pings of the membership
+    words_per_s: Annotated[float, Field(ge=1, le=100_000)] = 200.0  # messages accepted from one peer
+    period_ms: Annotated[float, Field(ge=20, le=60_000)] = 500.0  # interval of membership pings
     timeout_ms: Annotated[float, Field(ge=5, le=60_000)] = 200.0
-    witness: str | None = None  # a file that each use is written to, for the lab's audit
+    witness: str | None = None  # file to which each use is written, for the lab's audit
--- a/corallanding/config/site.py
+++ b/corallanding/config/site.py
@@ -11,7 +11,7 @@
 
 
 class ControllerBlock(Block):
-    """The controller itself: its number among the others, its pace, and how it is reached."""
+    """The controller itself: its number among the others, the interval of its decision steps, and its addresses."""
 
     listen: Address
     number: Annotated[int, Field(ge=0, le=65535)] = 0
@@ -19,17 +19,17 @@
     seed: int = 0
     zone: str | None = None
     turn_ms: Annotated[float, Field(gt=0, le=1000)] = 2.0
-    late_ms: PositiveMs = 100.0  # its own delay from which it defers the search for better owners
-    busy_share: Annotated[float, Field(gt=0, le=1)] = 0.5  # or the share of time that its steps take
+    late_ms: PositiveMs = 100.0  # step delay from which the search for better owners is deferred
+    busy_share: Annotated[float, Field(gt=0, le=1)] = 0.5  # or share of time in steps from which it is deferred
     put_off_most_ms: PositiveMs = 5000.0
-    control: str | None = None  # a unix socket for `corallanding upgrade`
-    upgrade_within_ms: PositiveMs = 5000.0  # for each phase of a handover
+    control: str | None = None  # path of a unix socket for `corallanding upgrade`
+    upgrade_within_ms: PositiveMs = 5000.0  # timeout of each phase of a handover
     peers: dict[str, Address] = Field(default_factory=dict)
     peer_listen: Address | None = None
 
 
 class OperationBlock(Block):
-    """One request class: its latency objective and timeout, and what may be done with a request."""
+    """One request class: its latency objective and timeout, and how its requests may be retried, grouped and queued."""
 
     repeat: Literal["idempotent", "fingerprinted", "side-effecting"]
     latency_objective_ms: PositiveMs
@@ -41,19 +41,19 @@
     writes: bool = False
     zone_bound: bool = False
     waits: WaitPolicyBlock | None = None
-    no_host: Literal["refuse", "wait", "carry_over"] = "refuse"  # for a pinned run whose version no host serves
-    no_host_wait_ms: NonNegativeMs = 2000.0  # wait, carry_over: for so long, then it is rejected
+    no_host: Literal["refuse", "wait", "carry_over"] = "refuse"  # handling of a pinned run whose version no host serves
+    no_host_wait_ms: NonNegativeMs = 2000.0  # wait, carry_over: time until the request is rejected
 
     @model_validator(mode="after")
     def check_times(self) -> OperationBlock:
-        """The latency objective lies within the timeout. Raises ValueError."""
+        """Check that the latency objective is within the timeout. Raises ValueError."""
         if self.latency_objective_ms > self.integration_timeout_ms:
             raise ValueError("latency_objective_ms is above integration_timeout_ms")
         return self
 
 
 class SlicesBlock(Block):
-    """The slices of the key space. first, last: those that this controller decides on; without them all."""
+    """The slices of the key space. first, last: range that this controller decides on; default: all."""
 
     count: Annotated[int, Field(ge=0, le=65_534)]
     first: Annotated[int, Field(ge=0, le=65_534)] = 0
@@ -65,14 +65,14 @@
 
     @model_validator(mode="after")
     def check_range(self) -> SlicesBlock:
-        """The range lies within `count`. Raises ValueError."""
+        """Check that the range is within `count`. Raises ValueError."""
         if self.last is not None and not self.first <= self.last < self.count:
             raise ValueError("first and last must name a range within count")
         return self
 
 
 class RulesBlock(Block):
-    """Limits of the five rules, and how long a host warms up."""
+    """Limits of the assigner's five rules, and the warm-up of hosts."""
 
     bare_most_ms: PositiveMs = 5000.0
     drain_grace_ms: PositiveMs = 3000.0
@@ -84,7 +84,7 @@
 
 
 class ChannelBlock(Block):
-    """The channel to the proxies: its rate, its price of a message, and what it holds. Counted in table lines."""
+    """The channel to the proxies: its rate, the overhead of a message, and its queue limit, counted in table lines."""
 
     rate_lines_per_s: Annotated[float, Field(gt=0, le=1e9)] = 10000.0
     head_lines: Annotated[float, Field(ge=0, le=10000)] = 8.0
@@ -96,7 +96,7 @@
 
 
 class ReportsBlock(Block):
-    """Usage reports of proxies: how often, and how many rows a second all proxies together may send."""
+    """Usage reports of proxies: their interval, and the rows per second that all proxies together may send."""
 
     every_ms: PositiveMs = 1000.0
     lines_per_s: Annotated[float, Field(gt=0, le=1e7)] = 400.0
@@ -123,10 +123,10 @@
     bytes_per_s: Annotated[float, Field(ge=1024, le=1e9)] = 4e6
     ack_within_ms: PositiveMs = 15_000.0
     reads_per_s: Annotated[float, Field(gt=0, le=1e6)] = 200.0
-    again_ms: PositiveMs = 500.0  # between two joins of one proxy; doubles while it keeps joining
+    again_ms: PositiveMs = 500.0  # minimum time between two joins of one proxy; doubles while it keeps joining
     again_most_ms: PositiveMs = 15_000.0
     accepts_per_s: Annotated[float, Field(gt=0, le=1e6)] = 1000.0
-    strangers_most: Annotated[int, Field(ge=1, le=65535)] = 256  # connections that have not sent a hello
+    strangers_most: Annotated[int, Field(ge=1, le=65535)] = 256  # connections without a hello
 
 
 class StoreBlock(Block):
@@ -136,9 +136,9 @@
     sync: Literal["normal", "full"] = "normal"
     retry_ms: PositiveMs = 250.0
     retry_most_ms: PositiveMs = 5000.0
-    snapshot_path: str | None = None  # the assigner's state; none: a start begins from the tables
+    snapshot_path: str | None = None  # the assigner's state; if not set, a start uses the stored tables
     snapshot_every_ms: Annotated[float, Field(ge=100, le=3_600_000)] = 10_000.0
-    log_most_mb: Annotated[float, Field(gt=0, le=100_000)] = 256.0  # of the step log after a snapshot
+    log_most_mb: Annotated[float, Field(gt=0, le=100_000)] = 256.0  # size of the step log after a snapshot
 
 
 class AdminBlock(Block):
@@ -158,13 +158,13 @@
 
 
 class RecordBlock(Block):
-    """Recordings of the decisions. most_mb: the size at which one ends."""
+    """Recordings of the decisions. most_mb: size at which a recording ends."""
 
     most_mb: Annotated[float, Field(gt=0, le=1e6)] = 512.0
 
 
 class PricesBlock(Block):
-    """What each action costs in the assigner's choices."""
+    """Price of each kind of action in the assigner's choices."""
 
     probe: float = 0.0
     message: float = 0.0
--- a/corallanding/config/source_lines.py
+++ b/corallanding/config/source_lines.py
@@ -1,4 +1,4 @@
-"""Where the attributes and blocks of an HCL text stand, for errors that name the line."""
+"""Line numbers of the attributes and blocks of an HCL text, for error messages."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 import hcl2
 from lark import Token, Tree
 
-KeyPath = tuple[str | int, ...]  # names of blocks and attributes from the outside in; numbers and labels of blocks
+KeyPath = tuple[str | int, ...]  # names of blocks and attributes, outermost first, with indexes or labels of blocks
 UNKNOWN_LINE = 0
 
 
 def lines_of_keys(text: str) -> dict[KeyPath, int]:
-    """The line of every attribute and block of the text, by its path.
+    """Return the line number of every attribute and block of the text by its path.
 
-    A block is found by its number among those of its name, and by its labels. Raises what lark raises on a text that
-    is no HCL.
+    A block has two paths: one with its index among the blocks of its name, one with its labels. Raises lark's errors on
+    a text that is not HCL.
     """
     lines: dict[KeyPath, int] = {}
     for node in hcl2.parses_to_tree(text).children:
@@ -34,15 +34,15 @@
         line = _first_line(node)
         lines.setdefault((*path, name), line)
         if node.data == "block":
-            inner = next(child for child in node.children if isinstance(child, Tree) and child.data == "body")
-            for inner_path in ((*path, name, counts[name]), (*path, name, *labels)):
-                lines.setdefault(inner_path, line)
-                _collect(inner, inner_path, lines)
+            block_body = next(child for child in node.children if isinstance(child, Tree) and child.data == "body")
+            for block_path in ((*path, name, counts[name]), (*path, name, *labels)):
+                lines.setdefault(block_path, line)
+                _collect(block_body, block_path, lines)
             counts[name] += 1
 
 
 def _names(node: Any) -> list[str]:
-    """The name of an attribute or block, and the labels of a block."""
+    """Return the name of an attribute or block, and the labels of a block."""
     children = [child for child in node.children if isinstance(child, Tree)]
     return [_text(child) for child in children if child.data in ("identifier", "string")]
 
--- a/corallanding/config/sources.py
+++ b/corallanding/config/sources.py
@@ -1,4 +1,4 @@
-"""Blocks of where hosts and what is known of them come from: host list, registry, health checks, load reports."""
+"""Blocks of the sources of hosts and of their state: host list, registry, health checks, load reports."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     certificate_file: str | None = None
     key_file: str | None = None
     server_name: str | None = None
-    charge: bool = False  # slices are leased there among several controllers
+    charge: bool = False  # several controllers lease slices in the registry
     base: Annotated[str, Field(min_length=1, max_length=200)] = "/corallanding/stewards/"
     lease_ms: Annotated[float, Field(ge=1000, le=600_000)] = 5000.0
     write_within_ms: PositiveMs = 500.0
@@ -51,7 +51,7 @@
 
     @model_validator(mode="after")
     def check_kind(self) -> RegistryBlock:
-        """Keys that go together stand together, and fit the kind of the registry. Raises ValueError."""
+        """Check that related keys are set together and suit the kind of the registry. Raises ValueError."""
         if (self.certificate_file is None) != (self.key_file is None):
             raise ValueError("certificate_file and key_file stand together")
         if self.certificate_file and not self.ca_file:
@@ -63,7 +63,7 @@
         if self.kind == "consul" and self.charge:
             raise ValueError("charge: leases and fenced writes are for kind etcd")
         if self.prefix.startswith(self.base):
-            raise ValueError("base holds prefix: hosts and stewards need places of their own")
+            raise ValueError("prefix must not begin with base: keys of hosts and of stewards must be separate")
         return self
 
 
@@ -103,7 +103,7 @@
 
     @model_validator(mode="after")
     def check_expiry(self) -> LoadReportsBlock:
-        """A report outlasts two half lives. Raises ValueError."""
+        """Check that reports expire after at least two half-lives. Raises ValueError."""
         if self.expiry_ms < 2 * self.half_life_ms:
-            raise ValueError("expiry_ms is under two half lives")
+            raise ValueError("expiry_ms must be at least two times half_life_ms")
         return self
--- a/corallanding/config/tasks.py
+++ b/corallanding/config/tasks.py
@@ -1,4 +1,4 @@
-"""Blocks of what one controller does for all: `task "NAME"`, `task_group "NAME"`, `tasks`. See docs/leases.md."""
+"""Blocks of tasks that one controller runs for all: `task "NAME"`, `task_group "NAME"`, `tasks`. See docs/leases.md."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 
 from .blocks import Block, NonNegativeMs, PositiveMs
 
-MAX_TASKS = 100_000  # in all groups together
+MAX_TASKS = 100_000  # in all groups and single tasks together
 
 
 class TaskBlock(Block):
-    """One task, held by one controller at a time. The same at all controllers; times in ms."""
+    """One task, leased to one controller at a time. Must be the same at all controllers; times in ms."""
 
-    work_most_ms: Annotated[float, Field(ge=1, le=600_000)] = 500.0  # the longest time of one act
-    idle_ms: NonNegativeMs = 0.0  # without progress for so long its holder loses its turn; 0: never
-    beat_ms: NonNegativeMs = 0.0  # the interval of the holder's acts, which it tells the others; 0: none
+    work_most_ms: Annotated[float, Field(ge=1, le=600_000)] = 500.0  # maximum duration of one action
+    idle_ms: NonNegativeMs = 0.0  # time without progress after which the holder loses the task; 0: never
+    beat_ms: NonNegativeMs = 0.0  # interval of the holder's actions, reported to the other controllers; 0: none
 
 
 class TaskGroupBlock(TaskBlock):
-    """As many tasks by number, spread evenly over the controllers that are alive."""
+    """A group of `count` numbered tasks, spread evenly over the live controllers."""
 
     count: Annotated[int, Field(ge=1, le=MAX_TASKS)]
 
 
 class TasksBlock(Block):
-    """How tasks are leased; the election, voters and drift are those of `budgets`."""
+    """Leases of tasks. The election, voters and clock drift are those of `budgets`."""
 
     lease_ms: Annotated[float, Field(ge=100, le=600_000)] = 3_000.0
-    turn_leases: Annotated[float, Field(ge=1, le=1_000)] = 2.0  # for so long one that lost its turn does not ask
-    wait_most_ms: PositiveMs = 60_000.0  # that `corallanding upgrade` waits for its turn
-    witness: str | None = None  # a file that each act is written to, for the lab's audit
+    turn_leases: Annotated[float, Field(ge=1, le=1_000)] = 2.0  # wait, in leases, of a holder without progress
+    wait_most_ms: PositiveMs = 60_000.0  # maximum wait of `corallanding upgrade` for its turn
+    witness: str | None = None  # file to which each action is written, for the lab's audit
 
     def check(self, name: str, task: TaskBlock, drift: float) -> None:
-        """Check the task of this name. Raises ValueError with a sentence that names the key."""
+        """Check the task of this name. Raises ValueError with a text that begins with the key."""
         if task.work_most_ms * (1.0 + drift) > self.lease_ms * (1.0 - drift) / 2.0:
             raise ValueError(f"task.{name}.work_most_ms must be below half of tasks.lease_ms ({self.lease_ms:g})")
         if task.idle_ms and task.beat_ms and task.idle_ms < 2.0 * task.beat_ms:
-            raise ValueError(f"task.{name}.idle_ms must be at least two beats")
+            raise ValueError(f"task.{name}.idle_ms must be at least two times beat_ms")
--- a/corallanding/config/version_pinning.py
+++ b/corallanding/config/version_pinning.py
@@ -1,4 +1,4 @@
-"""Blocks of releases and of runs that keep their versions: `release "NAME"`, `pins`, `records`. See docs/pins.md."""
+"""Blocks of releases and of runs pinned to their versions: `release "NAME"`, `pins`, `records`. See docs/pins.md."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from .blocks import Block, PositiveMs
 
 Number = Annotated[int, Field(ge=1, lt=SET_NUMBER_LIMIT)]
-RELEASE = "release"  # the task whose holder writes the release register
-RUNS = "runs"  # the group of tasks among which runs are spread
-MIN_RUN_LEASES = 4.0  # leases of tasks that a run may last at least
+RELEASE = "release"  # task whose holder writes the release register
+RUNS = "runs"  # task group over which runs are spread
+MIN_RUN_LEASES = 4.0  # lower bound of pins.run_most_ms, in leases of tasks
 
 
 class ReleaseBlock(Block):
-    """A release set: a version of each operation, under a number that is never used again.
+    """A release set: one version per operation, under a number that is never reused.
 
-    carries: sets whose runs may go over to this one, where an operation says `no_host = "carry_over"`.
+    carries: sets whose runs may move to this one, for operations with `no_host = "carry_over"`.
     """
 
     number: Number
@@ -27,11 +27,11 @@
     carries: Annotated[list[Number], Field(max_length=8)] = Field(default_factory=list)
 
     def check_versions(self, name: str, operations: Collection[str]) -> None:
-        """Check that the set has a version of each operation. Raises ValueError that names the key."""
+        """Check that the set has a version of each operation. Raises ValueError with the key."""
         if unknown := sorted(set(self.versions) - set(operations)):
             raise ValueError(f"release.{name}.versions: no operation {unknown[0]!r}")
         if missing := sorted(set(operations) - set(self.versions)):
-            raise ValueError(f"release.{name}.versions says nothing of operation {missing[0]!r}")
+            raise ValueError(f"release.{name}.versions has no version of operation {missing[0]!r}")
 
 
 class RecordsBlock(Block):
@@ -41,19 +41,19 @@
     most: Annotated[int, Field(ge=16, le=10_000_000)] = 200_000
     answer_within_ms: PositiveMs = 1_500.0
     again_ms: PositiveMs = 150.0
-    questions_most: Annotated[int, Field(ge=16, le=1_000_000)] = 10_000  # that wait for an answer
-    words_per_s: Annotated[float, Field(ge=1, le=1e6)] = 2_000.0  # messages that are taken from one peer
-    witness: str | None = None  # a file that each answer is written to, for the lab's audit
+    questions_most: Annotated[int, Field(ge=16, le=1_000_000)] = 10_000  # queries without a response yet
+    words_per_s: Annotated[float, Field(ge=1, le=1e6)] = 2_000.0  # messages accepted from one peer
+    witness: str | None = None  # file to which each response is written, for the lab's audit
 
 
 class PinsBlock(Block):
-    """Runs that keep their release set. current: the set that is to be current, which a reload may change."""
+    """Pinning of runs to release sets. current: number of the set for new runs, which a reload may change."""
 
     current: Number
     run_most_ms: PositiveMs = 1_800_000.0
     settle_ms: PositiveMs = 500.0
     publish_ms: PositiveMs = 200.0
-    begins_per_s: Annotated[float, Field(gt=0, le=1e6)] = 50.0  # new runs of one client, at one controller
+    begins_per_s: Annotated[float, Field(gt=0, le=1e6)] = 50.0  # new runs of one client at one controller
 
 
 def check_pinning(
@@ -65,7 +65,7 @@
     lease_ms: float,
     records: RecordsBlock | None,
 ) -> None:
-    """Check what pinned runs need. lease_ms: of tasks. Raises ValueError with a sentence that names the key."""
+    """Check the settings that pinned runs need. lease_ms: lease of tasks. Raises ValueError with the key."""
     if pins is None:
         if releases:
             raise ValueError("release: it needs a pins block")
@@ -83,13 +83,13 @@
 
 def _check_releases(releases: Mapping[str, ReleaseBlock], operations: Collection[str]) -> set[int]:
     """Check all release sets, and return their numbers."""
-    name_of: dict[int, str] = {}
+    names_by_number: dict[int, str] = {}
     for name, release in releases.items():
-        if release.number in name_of:
-            raise ValueError(f"release.{name}.number is that of release.{name_of[release.number]}")
-        name_of[release.number] = name
+        if release.number in names_by_number:
+            raise ValueError(f"release.{name}.number is also used by release.{names_by_number[release.number]}")
+        names_by_number[release.number] = name
         release.check_versions(name, operations)
     for name, release in releases.items():
-        if unknown := sorted(set(release.carries) - set(name_of)):
+        if unknown := sorted(set(release.carries) - set(names_by_number)):
             raise ValueError(f"release.{name}.carries: no release has number {unknown[0]}")
-    return set(name_of)
+    return set(names_by_number)
--- a/corallanding/telemetry/logs.py
+++ b/corallanding/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs by structlog: JSON for machines, console for people, to standard error."""
+"""Structured logs by structlog on standard error: JSON for machines, console format for people."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 import structlog
 
-WINDOW_MS = 1_000.0  # in which the rate-limited logger counts
+WINDOW_MS = 1_000.0  # period over which the rate-limited logger counts lines
 DEFAULT_MAX_PER_WINDOW = 20
 
 log: Any = structlog.get_logger("corallanding")
 
 
 class StandardError:
-    """Standard error, whichever it is now, that never raises: the service outlives a full disk or a closed pipe there.
+    """Writer to the current `sys.stderr` that never raises: a full disk or a closed pipe must not stop the service.
 
-    Lines that it cannot write are counted, and the count is written once a line can be.
+    Lines that cannot be written are counted, and the count is written before the next line that can be.
     """
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
             self.lost_lines += 1
 
     def flush(self) -> None:
-        """Do nothing: each write has flushed."""
+        """Do nothing: each write flushes."""
 
 
 standard_error = StandardError()
@@ -63,26 +63,26 @@
 
 @dataclass
 class Window:
-    """The lines of one event since `started_at` (ms), those left out among them."""
+    """Count of the lines of one event since `started_at` (ms), including those left out."""
 
     started_at: float
     line_count: int = 0
 
 
 class RateLimitedLogger:
-    """Writes at most `max_per_second` lines of one event in a second, and then how many it left out.
+    """Writes at most `max_per_second` lines of one event per second, then the number of lines that it left out.
 
-    So a peer that breaks the protocol in a loop cannot fill the disk. Which of many peers did it is not seen beyond the
-    first lines; the metrics count all. clock: ms.
+    Thus a peer that violates the protocol in a loop cannot fill the disk. Only the first lines show which peers were at
+    fault; the metrics count all events. clock: returns ms.
     """
 
     def __init__(self, clock: Callable[[], float], max_per_second: int = DEFAULT_MAX_PER_WINDOW) -> None:
         self.clock = clock
         self.max_per_second = max_per_second
-        self.windows: dict[str, Window] = {}  # by event
+        self.windows: dict[str, Window] = {}  # key: event
 
     def warn(self, event: str, **fields: Any) -> None:
-        """Write a warning, unless there were too many of this event within the second."""
+        """Write a warning, unless too many of this event occurred within the second."""
         now = self.clock()
         window = self.windows.setdefault(event, Window(now))
         if now - window.started_at >= WINDOW_MS:
--- a/corallanding/telemetry/metrics.py
+++ b/corallanding/telemetry/metrics.py
@@ -1,6 +1,6 @@
-"""Metrics of one controller, in a registry of its own. Times are seconds, as the exposition format wants.
+"""Metrics of one controller, in a separate registry. Times are in seconds, as the exposition format requires.
 
-Names and labels of metrics are an interface to the users' dashboards; the attributes here are the project's own terms.
+Names and labels of metrics are an interface to the users' dashboards; names of the attributes here are internal.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Metrics:
-    """All metrics of one controller; a metric is set where the thing that it counts is done."""
+    """All metrics of one controller; each is updated at the place of the event that it counts."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -25,17 +25,17 @@
         self._add_load_reports()
 
     def exposition(self) -> bytes:
-        """All metrics in the text format of Prometheus."""
+        """Return all metrics in the text format of Prometheus."""
         return generate_latest(self.registry)
 
-    def _histogram(self, name: str, text: str) -> Histogram:
-        return Histogram(PREFIX + name, text, registry=self.registry, buckets=BUCKETS_S)
+    def _histogram(self, name: str, help_text: str) -> Histogram:
+        return Histogram(PREFIX + name, help_text, registry=self.registry, buckets=BUCKETS_S)
 
-    def _gauge(self, name: str, text: str, *labels: str) -> Gauge:
-        return Gauge(PREFIX + name, text, labels, registry=self.registry)
+    def _gauge(self, name: str, help_text: str, *labels: str) -> Gauge:
+        return Gauge(PREFIX + name, help_text, labels, registry=self.registry)
 
-    def _counter(self, name: str, text: str, *labels: str) -> Counter:
-        return Counter(PREFIX + name, text, labels, registry=self.registry)
+    def _counter(self, name: str, help_text: str, *labels: str) -> Counter:
+        return Counter(PREFIX + name, help_text, labels, registry=self.registry)
 
     def _add_decisions(self) -> None:
         self.step_seconds = self._histogram("step_seconds", "Time of one decision step, store included")
--- a/corallanding/wire/__init__.py
+++ b/corallanding/wire/__init__.py
@@ -1,2 +1,2 @@
-"""The protocol between controllers and proxies, without sockets: frames (`frames`) and the state of a link
-(`link_state`)."""
+"""The controller's protocols without I/O: frames to and from proxies (`frames`), the state of a link (`link_state`),
+and messages between controllers (`peer_messages`)."""
--- a/corallanding/wire/codec.py
+++ b/corallanding/wire/codec.py
@@ -1,6 +1,6 @@
-"""Encoding of frames: four bytes of length (big-endian, of what follows), then one MessagePack array.
+"""Encoding of frames: a length prefix of four bytes (big-endian, not counting itself), then one MessagePack array.
 
-The first item of the array names the kind of frame. All limits are arguments.
+The first item of the array is the tag of the frame's kind. All limits are parameters.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 PROTOCOL_VERSION = 1
 
 LENGTH_BYTES = 4
-"""Size of the length that precedes each frame."""
+"""Size of the length prefix of a frame."""
 
 MAX_ERROR_TEXT_CHARS = 180
 
 
 class Frame(msgspec.Struct, array_like=True, forbid_unknown_fields=False, gc=False):
-    """Base of all frames. Fields may be added at the end of a kind; older peers ignore them."""
+    """Base of all frames. New fields may be added at the end; older peers ignore them."""
 
 
 Number = Annotated[int, msgspec.Meta(ge=0, le=2**32 - 1)]
@@ -29,13 +29,13 @@
 Amount = Annotated[float, msgspec.Meta(ge=0.0, le=1e12)]
 Text = Annotated[str, msgspec.Meta(max_length=200)]
 HostWeights = list[tuple[int, float]]
-"""The lines of one table: host and weight."""
+"""The lines of one table: (host, weight)."""
 
 _encoder = msgspec.msgpack.Encoder()
 
 
 def encode(frame: Frame) -> bytes:
-    """Return the frame with its length before it."""
+    """Return the encoded frame with its length prefix."""
     body = _encoder.encode(frame)
     return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
@@ -43,7 +43,7 @@
 class FrameReader:
     """Decodes a stream of bytes into frames.
 
-    Holds at most one frame of `max_frame_bytes`, and what one read brought beyond it.
+    Buffers at most one frame of `max_frame_bytes` and the rest of the last read.
     """
 
     def __init__(self, decoder: msgspec.msgpack.Decoder[Any], max_frame_bytes: int) -> None:
@@ -64,7 +64,7 @@
             body_start = start + LENGTH_BYTES
             length = int.from_bytes(self.buffer[start:body_start], "big")
             if length > self.max_frame_bytes:
-                # Checked before the body has come: a length alone must not make this side buffer a gigabyte.
+                # Checked before the body arrives: a length prefix alone must not make this side buffer a gigabyte.
                 raise OversizedFrameError(f"a frame of {length} bytes; {self.max_frame_bytes} are allowed")
             if size - body_start < length:
                 break
--- a/corallanding/wire/errors.py
+++ b/corallanding/wire/errors.py
@@ -1,4 +1,4 @@
-"""Errors for a peer that breaks the protocol. Their codes are sent to the peer when its link is closed."""
+"""Protocol violations by a peer. The code of the error is sent to the peer when its link is closed."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class LinkError(ProtocolError):
-    """A peer broke the protocol: its link is closed with `code` and the text of this error. Other links go on."""
+    """A peer violated the protocol. Its link is closed with `code` and this error's text; other links stay open."""
 
     code: ClassVar[str] = "protocol"
 
 
 class MalformedFrameError(LinkError):
-    """Bytes that are no frame, or a frame with a field outside the bounds of the protocol."""
+    """Bytes that are not a frame, or a frame with a field outside the bounds of the protocol."""
 
     code: ClassVar[str] = "malformed"
 
@@ -26,12 +26,12 @@
 
 
 class UnexpectedFrameError(LinkError):
-    """A frame of a known kind that must not come now, or not from this side."""
+    """A frame of a known kind that is not allowed in the current state of the link, or not from this side."""
 
     code: ClassVar[str] = "out-of-place"
 
 
 class UnsupportedVersionError(LinkError):
-    """A hello of a protocol version that this side does not support."""
+    """A hello with a protocol version that this side does not support."""
 
     code: ClassVar[str] = "unknown-version"
--- a/corallanding/wire/frames.py
+++ b/corallanding/wire/frames.py
@@ -1,7 +1,7 @@
-"""Frames between a proxy and a controller. `docs/protocol.md` describes the protocol for others.
+"""Frames between a proxy and a controller. `docs/protocol.md` specifies the protocol.
 
-Times are milliseconds; hosts, slices and request classes are the controller's numbers. The order of the fields and the
-tags are the wire; names of classes and fields are not.
+Times are in milliseconds; hosts, slices and request classes are identified by the controller's numbers. The tags and
+the order of the fields are the wire format; names of classes and fields are not part of it.
 """
 
 from __future__ import annotations
@@ -67,8 +67,9 @@
 class Hello(Frame, tag="hello"):
     """First frame of a link.
 
-    session: names the proxy's process. is_fresh: it holds no table of this controller. start_number, seq: of the newest
-    message of this controller that it applied. features: what else it supports: 1 workflow runs, 2 jobs that may wait.
+    session: identifies the proxy's process. is_fresh: the proxy has no table of this controller. start_number, seq: of
+    the newest message of this controller that the proxy applied. features: bit mask of optional features: 1 workflow
+    runs, 2 jobs that may wait.
     """
 
     version: int
@@ -83,13 +84,13 @@
 
 
 class Ack(Frame, tag="ack"):
-    """The message that carried this version, and all before it, are applied."""
+    """Confirms that the message with this version, and all earlier ones, are applied."""
 
     version: ShortNumber
 
 
 class UsageReport(Frame, tag="sums"):
-    """What the proxy counted over the last `span_ms`.
+    """Counts of the proxy over the last `span_ms`.
 
     hosts: [host, attempts, failed, mean latency in ms of the successful ones]; slices: [slice, request class, requests,
     unanswered]; request_classes (sites without slices): [request class, requests, unanswered].
@@ -102,7 +103,7 @@
 
 
 class HeldTables(Frame, tag="held"):
-    """Answers a `HeldTablesRequest`: the tables as the proxy holds them, as of message `seq` of that start."""
+    """Response to a `HeldTablesRequest`: the proxy's tables as of message `seq` of the start `start_number`."""
 
     start_number: Number
     seq: SequenceNumber
@@ -110,11 +111,11 @@
 
 
 class TablesRequest(Frame, tag="read"):
-    """Asks for all tables again, as after joining."""
+    """Requests all tables again, as after joining."""
 
 
 class Heartbeat(Frame, tag="beat"):
-    """Sign of life, from either side. The answer of the proxy repeats `sent_at_ms`."""
+    """Heartbeat, from either side. The response of the proxy repeats `sent_at_ms`."""
 
     sent_at_ms: float = 0.0
 
@@ -123,7 +124,7 @@
 
 
 class Welcome(Frame, tag="welcome"):
-    """Answers a hello: the controller's number, its start number, and the intervals that the proxy keeps."""
+    """Response to a hello: the controller's number, its start number, and the intervals that the proxy must use."""
 
     version: int
     controller: int
@@ -135,15 +136,16 @@
 
 
 LevelRow = tuple[int, int, float, int]
-"""Admission level: table (65535: all), bits of the request classes (0: all), amount, retry."""
+"""Admission level: table (65535: all), bit mask of the request classes (0: all), amount, retry mode."""
 
 
 class Tables(Frame, tag="tables"):
-    """The tables as stored: replaces all that the proxy holds from this controller, cordons included.
+    """The stored tables: replaces everything that the proxy has from this controller, including cordons.
 
     tables: [table, [[host, weight], ...]] for each table that this controller owns; it owns no others. addresses: host
-    to "ip:port" for every host named. assigned_tables (sites without slices): table, bits of the request classes.
-    only_slices: if not empty, only these slices are replaced, and the proxy keeps the rest.
+    to "ip:port" for every host mentioned. assigned_tables (sites without slices): [table, bit mask of the request
+    classes].
+    only_slices: if not empty, only these slices are replaced and the proxy keeps all others.
     """
 
     seq: int
@@ -157,11 +159,11 @@
 
 
 class Orders(Frame, tag="orders"):
-    """Changes of the tables that one decision step ordered: one message a proxy, applied in the order of the fields.
+    """Table changes of one decision step: one message per proxy, applied in the order of the fields.
 
-    version: -1, or the number to acknowledge. reset_tables: emptied first. lines: [table, host, weight]; weight 0
-    removes the line. addresses: "ip:port" of every host that a line names with a weight above 0. withdrawn_slices: no
-    longer owned by this controller.
+    version: the number to acknowledge, or -1. reset_tables: tables to clear first. lines: [table, host, weight]; weight
+    0 removes the line. addresses: "ip:port" of every host in a line with a weight above 0. withdrawn_slices: slices
+    that this controller no longer owns.
     """
 
     seq: int
@@ -176,12 +178,12 @@
 
 
 class HeldTablesRequest(Frame, tag="recall"):
-    """Comes between welcome and tables: asks a proxy for the tables that it holds, which are newer than what the store
-    returned. Answered by `HeldTables` at once."""
+    """Sent between welcome and tables: requests the proxy's tables, which are newer than those that the store returned.
+    The proxy responds with `HeldTables` at once."""
 
 
 class Goodbye(Frame, tag="bye"):
-    """The last frame of a link, from either side: why it is closed."""
+    """Last frame of a link, from either side: the reason for closing it."""
 
     code: Text
     text: Text = ""
@@ -199,7 +201,7 @@
     | JobSubmission
     | JobWithdrawal
 )
-"""What a proxy sends."""
+"""Frames that a proxy sends."""
 
 ControllerFrame = (
     Welcome
@@ -213,10 +215,10 @@
     | JobAdmission
     | JobRelease
 )
-"""What a controller sends."""
+"""Frames that a controller sends."""
 
 controller_decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(ProxyFrame)
-"""Decodes at a controller what proxies send."""
+"""Decodes the frames of proxies, for a controller."""
 
 proxy_decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(ControllerFrame)
-"""Decodes at a proxy what controllers send."""
+"""Decodes the frames of controllers, for a proxy."""
--- a/corallanding/wire/job_frames.py
+++ b/corallanding/wire/job_frames.py
@@ -1,4 +1,4 @@
-"""Frames about jobs that may wait until there is capacity for them. `docs/protocol.md` describes the protocol."""
+"""Frames about jobs that may wait for capacity. `docs/protocol.md` specifies the protocol."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
     """Submits a job that may wait. Its body stays at the proxy, which submits it to another controller when the link
     is lost.
 
-    waited_ms: how long it has waited so far. idempotency_key: by which a client may submit it again through another
-    proxy; empty if it does not. release_set: to which its workflow run is pinned, 0 for none.
+    waited_ms: the wait so far. idempotency_key: lets the client submit the job again through another proxy; empty if
+    unused. release_set: the one to which its workflow run is pinned; 0 for none.
     """
 
     ticket: Number
@@ -23,10 +23,10 @@
 
 
 class JobWithdrawal(Frame, tag="unwait"):
-    """The job of that ticket no longer waits here.
+    """Withdraws the job with this ticket from the controller's queue.
 
-    is_abandoned: its client gave up, and no other controller has it or will get it, so that its idempotency key may be
-    used again.
+    is_abandoned: the client gave up and no other controller has the job or will receive it, so that its idempotency
+    key may be reused.
     """
 
     ticket: Number
@@ -37,10 +37,10 @@
 
 
 class JobAdmission(Frame, tag="waits"):
-    """Answers a `JobSubmission`.
+    """Response to a `JobSubmission`.
 
-    outcome: "waiting", with the longest time that it will wait from now on; or it was rejected: "full", "too-long"
-    (max_wait_ms: how long it would have to wait), "does-not-wait", "not-now".
+    outcome: "waiting" (max_wait_ms: the longest wait from now on); or, for a rejected job, "full", "too-long"
+    (max_wait_ms: the wait that it would need), "does-not-wait" or "not-now".
     """
 
     ticket: int
@@ -49,7 +49,7 @@
 
 
 class JobRelease(Frame, tag="go"):
-    """The job of that ticket may be sent (outcome "go"), or one with the same key was released elsewhere ("twin")."""
+    """Releases the job with this ticket (outcome "go"), or reports one with its key as released elsewhere ("twin")."""
 
     ticket: int
     outcome: str
--- a/corallanding/wire/link_state.py
+++ b/corallanding/wire/link_state.py
@@ -1,6 +1,6 @@
-"""The controller's side of a link to one proxy: which frame may come when, acknowledgements, limits and timeouts.
+"""The controller's side of a link to one proxy: valid order of frames, acknowledgements, limits and timeouts.
 
-Pure: no socket and no clock. Times are milliseconds. A proxy that breaks the protocol is reported by a `LinkError`.
+Uses no socket and no clock. Times are in milliseconds. A protocol violation by the proxy raises a `LinkError`.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from .frames import Ack, Goodbye, HeldTables, Hello
 
 BURST_SECONDS = 2.0
-"""Frames and bytes that may come at once, in seconds of the permitted rate."""
+"""Size of a permitted burst of frames or bytes, in seconds of the permitted rate."""
 
 
 @dataclass(frozen=True)
@@ -35,9 +35,9 @@
 class LinkState:
     """The state of one connection.
 
-    hello: None until the proxy has sent it. acked: versions that the last bytes acknowledged, with the times at which
-    they were sent. unacked_versions: the same for versions that are not acknowledged. is_recalled: a
-    `HeldTablesRequest` is not answered yet.
+    hello: None until the proxy sends it. acked: versions that the last received bytes acknowledged, each with the time
+    at which it was sent. unacked_versions: the same for sent versions without an ack. is_recalled: a
+    `HeldTablesRequest` has no response yet.
     """
 
     limits: LinkLimits
@@ -62,8 +62,8 @@
     def receive(self, now: float, data: bytes) -> list[frames.Frame]:
         """Return the frames that `data` completes. Raises a `LinkError` at the first that the protocol does not allow.
 
-        Guards against a proxy that sends nothing, floods, acknowledges what was not sent, or sends a frame out of
-        order. A proxy that wakes from a long pause with more frames than the burst is cut off too.
+        Guards against a proxy that sends nothing, floods, acknowledges versions that were not sent, or sends a frame
+        out of order. A proxy that resumes after a long pause with more frames than the burst is disconnected too.
         """
         received: list[frames.Frame] = self.reader.feed(data)
         self.acked.clear()
@@ -75,7 +75,7 @@
         return received
 
     def _spend_allowances(self, now: float, frame_count: int, byte_count: int) -> None:
-        """Take what came from the allowances, which are replenished at the permitted rates."""
+        """Deduct received frames and bytes from the allowances, which refill at the permitted rates."""
         frame_rate = self.limits.frames_per_second
         byte_rate = self.limits.bytes_per_second
         elapsed_s = (now - self.replenished_at_ms) / 1000.0
@@ -112,7 +112,7 @@
         self.hello = hello
 
     def _on_ack(self, version: int) -> None:
-        """An ack names the newest version applied; those before it on this link count as applied."""
+        """Record an ack of the newest applied version, which covers all earlier ones on this link."""
         if not any(version == sent for sent, _ in self.unacked_versions):
             raise UnexpectedFrameError(f"ack of mark {version}, which is not out on this link")
         while True:
@@ -122,15 +122,15 @@
                 return
 
     def add_unacked(self, now: float, version: int) -> bool:
-        """Note that a version is sent. False if too many are not acknowledged: the link must then be closed."""
+        """Record that a version is sent. Return False if too many are unacknowledged: the link must then be closed."""
         self.unacked_versions.append((version, now))
         return len(self.unacked_versions) <= self.limits.max_unacked_versions
 
     def overdue(self, now: float) -> str:
-        """Why the link must be closed by now: no hello, no acknowledgement, or silence. Empty if it need not."""
+        """Return why the link must be closed at `now`: no hello, no ack, or silence. Empty if it may stay open."""
         if not self.hello:
             return "no hello" if now - self.opened_at_ms > self.limits.hello_timeout_ms else ""
         if self.unacked_versions and now - self.unacked_versions[0][1] > self.limits.ack_timeout_ms:
-            # It sends heartbeats but applies nothing: migrations that wait for its acks are held up for all proxies.
+            # The proxy sends heartbeats but applies nothing: migrations that need its acks are delayed at all proxies.
             return "no acks"
         return "silent" if now - self.last_received_at_ms > self.limits.silence_timeout_ms else ""
--- a/corallanding/wire/peer_messages.py
+++ b/corallanding/wire/peer_messages.py
@@ -1,9 +1,9 @@
-"""The envelope of messages between controllers: their base class, their header, and how a package encodes its own.
+"""Messages between controllers: their base class, their common header and their codec.
 
-A message is a msgpack array that fits one datagram. Its first item is the tag that its class names; the next ones are
-the fields in the order of their declaration. Tags and order are the wire and frozen; names of classes and fields are
-not. No two classes share a tag. Each package declares its messages as subclasses of `ControllerMessage`, a function
-that tells whether the values of a message are possible, and a `MessageCodec`.
+A message is a MessagePack array that fits one datagram. Its first item is the tag of its class, followed by the fields
+in the order of their declaration. Tags and order are the wire format and never change; names of classes and fields are
+not part of it. No two classes share a tag. Each package declares its messages as subclasses of `ControllerMessage`, a
+function that validates the values of a message, and a `MessageCodec`.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 class ControllerMessage(msgspec.Struct, frozen=True, array_like=True, tag_field="t"):
     """Base of messages between controllers.
 
-    `incarnation` is a random number that each process draws at its start. `round` is that process's own count of
-    messages and never falls. An answer repeats both from the request that it answers.
+    `incarnation` is a random number that each process draws at its start. `round` counts the messages of that process
+    and never decreases. A response repeats both from its request.
     """
 
     incarnation: int
@@ -31,14 +31,14 @@
 
 @dataclass(frozen=True)
 class OutgoingMessage:
-    """A message that is to be sent to the controller with the number `to`."""
+    """A message to send to the controller with the number `to`."""
 
     to: int
     message: Any
 
 
 def has_valid_header(message: ControllerMessage) -> bool:
-    """Whether the fields that all messages have are within their bounds."""
+    """Return whether the header fields of a message are within their bounds."""
     return 0 <= message.incarnation < MAX_INCARNATION and 0 <= message.round < MAX_ROUND
 
 
@@ -48,7 +48,7 @@
 class MessageCodec(Generic[MessageT]):
     """Encodes and decodes the messages of one package.
 
-    `message_types` is the union of its classes. `is_valid` tells whether the values of a message are possible.
+    `message_types` is the union of its classes. `is_valid` returns whether the values of a message are allowed.
     """
 
     def __init__(self, message_types: Any, is_valid: Callable[[MessageT], bool]) -> None:
@@ -56,11 +56,11 @@
         self._is_valid = is_valid
 
     def encode(self, message: MessageT) -> bytes:
-        """The message as bytes of one datagram."""
+        """Return the message as the bytes of one datagram."""
         return msgspec.msgpack.encode(message)
 
     def decode(self, data: bytes) -> MessageT | None:
-        """The message in `data`; None if it is malformed, invalid, or of a class that this version does not know."""
+        """Return the message in `data`; None if it is malformed, invalid, or of a class unknown to this version."""
         try:
             message = self._decoder.decode(data)
         except (msgspec.DecodeError, msgspec.ValidationError):
--- a/corallanding/wire/run_frames.py
+++ b/corallanding/wire/run_frames.py
@@ -1,4 +1,4 @@
-"""Frames about workflow runs that are pinned to a release set. `docs/protocol.md` describes the protocol."""
+"""Frames about workflow runs that are pinned to a release set. `docs/protocol.md` specifies the protocol."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class RunQuery(Frame, tag="enter"):
-    """Asks which release set a workflow run is pinned to. A run that is not known begins.
+    """Requests the release set to which a workflow run is pinned. An unknown run is started.
 
-    query: number that the answer repeats. client: for which new runs are limited. is_ended: the run is over, and
-    nothing more of it will come.
+    query: number that the response repeats. client: the one whose rate of new runs is limited. is_ended: the run has
+    ended and sends no further requests.
     """
 
     query: Number
@@ -28,10 +28,10 @@
 
 
 class RunVersions(Frame, tag="pinned"):
-    """Answers the `RunQuery` of that number.
+    """Response to the `RunQuery` with the same number.
 
-    outcome: "pinned", "not-now" (ask again, here or elsewhere), "over" or "full". versions: [request class, version]
-    of the release set. register_version: of the release register, by which this was decided.
+    outcome: "pinned", "not-now" (retry, here or at another controller), "over" or "full". versions: [request class,
+    version] of the release set. register_version: version of the release register on which the response is based.
     """
 
     query: int
@@ -42,12 +42,12 @@
 
 
 class RunRoutes(Frame, tag="routes"):
-    """Where requests of runs of that release set go, if not by the slice's own table. Replaces all of that set.
+    """Routes of runs with this release set that differ from the slice's own table. Replaces all routes of the set.
 
-    rows: [slice, request class, version, [[host, weight], ...], max wait in ms]: the host is asked for that version;
-    without a host the request waits for up to that time, and is rejected then. live_sets: release sets that exist as
-    of `register_version`. That is a fencing token: of a set that a later register lacks, nothing with an earlier one
-    is accepted.
+    rows: [slice, request class, version, [[host, weight], ...], max wait in ms]: the proxy requests that version from
+    the host; without a host the request waits for at most that time and is then rejected. live_sets: release sets that
+    exist as of `register_version`. That version is a fencing token: once a later register lacks a set, messages about
+    the set with an earlier version are rejected.
     """
 
     release_set: int
--- a/tests/config/test_hcl_errors.py
+++ b/tests/config/test_hcl_errors.py
@@ -32,10 +32,14 @@
         ("= 1200", "= 9000", "s.hcl:16: operation.quote: latency_objective_ms is above integration_timeout_ms"),
         ("idempotent", "twice", "s.hcl:17: operation.quote.repeat: input should be 'idempotent', 'fingerprinted' or"),
         ("on_request", "asked", "s.hcl:11: roster.mode: input should be 'pushed' or 'on_request' (found 'asked')"),
-        ("slices {", "slices {\n  count = 1\n}\nslices {", "s.hcl:16: slices: this block may stand once"),
+        ("slices {", "slices {\n  count = 1\n}\nslices {", "s.hcl:16: slices: only one block of this name is allowed"),
         ('operation "quote" {', "operation {", 's.hcl:16: operation: a label is expected, as in operation "NAME" {'),
         ("steward {", "steward = {{", "s.hcl:5: not HCL"),
-        ("slices {", "channel {\n  queue_most_lines = 3\n}\nslices {", "channel.queue_most_lines holds no message"),
+        (
+            "slices {",
+            "channel {\n  queue_most_lines = 3\n}\nslices {",
+            "channel.queue_most_lines is too low for one message",
+        ),
     ],
 )
 def test_load_when_a_key_is_wrong_then_the_error_names_file_line_and_key(
--- a/tests/config/test_quota_blocks.py
+++ b/tests/config/test_quota_blocks.py
@@ -44,10 +44,14 @@
         (GOOD.replace("floor = 1", "flor = 1"), PEERS, "budget.probes.flor"),
         (GOOD, "stewards = 3\n", "needs steward.peer_listen and steward.peers"),
         (GOOD, PEERS.replace('"1" =', '"0" ='), "keys must be numbers of other stewards"),
-        (GOOD, PEERS.replace('"2" =', '"9" ='), "all numbers must be below"),
+        (GOOD, PEERS.replace('"2" =', '"9" ='), "all steward numbers must be below"),
         (GOOD + "budgets {\n voters = [0, 5]\n}\n", PEERS, "[5] are neither this steward nor peers"),
-        (GOOD.replace("floor = 1", "span_ms = 5"), PEERS, "span_ms is for a count"),
-        ('budget "emptied" {\n whole = 2\n per = "fleet"\n unit = "count"\n}\n', PEERS, "span_ms must say"),
+        (GOOD.replace("floor = 1", "span_ms = 5"), PEERS, "span_ms requires unit count"),
+        (
+            'budget "emptied" {\n whole = 2\n per = "fleet"\n unit = "count"\n}\n',
+            PEERS,
+            "span_ms must be set to the time",
+        ),
     ],
 )
 def test_budget_when_wrong_then_the_error_names_file_and_key(tmp_path: Path, more: str, peers: str, named: str) -> None:
