--- a/corallanding/cli/main.py
+++ b/corallanding/cli/main.py
@@ -80,7 +80,7 @@
 
 
 def upgrade_one(path: Path, config: ControllerConfig, command: str | None, remaining: list[str]) -> str:
-    """Hand over one controller, wait until it is healthy and return its answer. Raises typer.Exit (1) on failure.
+    """Hand over one controller, wait until it is healthy, return its answer. Raises typer.Exit with code 1 on failure.
 
     remaining: configurations of the controllers that are not upgraded if this one fails.
     """
--- a/corallanding/config/quota.py
+++ b/corallanding/config/quota.py
@@ -58,13 +58,16 @@
 
 
 class BudgetsBlock(Block):
-    """Division of budgets, election and membership. Must be the same at all controllers; times in ms."""
+    """Division of budgets, election and membership. Must be the same at all controllers; times in ms.
+
+    stewards_most: maximum number of controllers, each of which has the floors; default: steward.stewards.
+    """
 
     lease_ms: Annotated[float, Field(ge=100, le=600_000)] = 3_000.0
     office: Literal["votes", "registry"] = "votes"  # how the leader is elected; registry requires kind etcd
     office_ms: Annotated[float, Field(ge=100, le=600_000)] = 2_000.0
     drift: Annotated[float, Field(ge=0, lt=0.5)] = 0.02
-    stewards_most: Annotated[int, Field(ge=1, le=1000)] | None = None  # number of floors; default: steward.stewards
+    stewards_most: Annotated[int, Field(ge=1, le=1000)] | None = None
     voters: Annotated[list[int], Field(max_length=31)] = Field(
         default_factory=list
     )  # numbers of controllers; default: the lowest five
--- a/corallanding/config/version_pinning.py
+++ b/corallanding/config/version_pinning.py
@@ -47,7 +47,7 @@
 
 
 class PinsBlock(Block):
-    """Pinning of runs to release sets. current: number of the set for new runs, which a reload may change."""
+    """Pinning of runs to release sets. current: number of the set to make current; a reload may change it."""
 
     current: Number
     run_most_ms: PositiveMs = 1_800_000.0
--- a/corallanding/wire/frames.py
+++ b/corallanding/wire/frames.py
@@ -144,8 +144,7 @@
 
     tables: [table, [[host, weight], ...]] for each table that this controller owns; it owns no others. addresses: host
     to "ip:port" for every host mentioned. assigned_tables (sites without slices): [table, bit mask of the request
-    classes].
-    only_slices: if not empty, only these slices are replaced and the proxy keeps all others.
+    classes]. only_slices: if not empty, only these slices are replaced and the proxy keeps all others.
     """
 
     seq: int
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""Commands that read a file: the exit code tells whether it can be used."""
+"""Commands that read a file: the exit code shows whether the file is valid."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.config.support import GOOD
 
 
-def test_check_and_replay_when_the_file_is_wrong_then_the_exit_code_is_2(tmp_path: Path) -> None:
+def test_check_and_replay_when_the_file_is_invalid_then_the_exit_code_is_2(tmp_path: Path) -> None:
     path = tmp_path / "s.hcl"
     runner = CliRunner()
     path.write_text(GOOD)
--- a/tests/config/support.py
+++ b/tests/config/support.py
@@ -1,4 +1,4 @@
-"""A configuration without an error, for tests that change it."""
+"""A valid configuration, which tests change."""
 
 from __future__ import annotations
 
--- a/tests/config/test_assigner_settings.py
+++ b/tests/config/test_assigner_settings.py
@@ -1,4 +1,4 @@
-"""The assigner's settings: every one has a key in the configuration."""
+"""The assigner's settings: each has a key in the configuration."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def test_assigner_settings_when_every_key_is_set_then_none_keeps_its_default(tmp_path: Path) -> None:
-    """A configuration with no default left gives settings with no default left."""
+    """Guards against a setting that no key sets: it would keep its default although every key has another value."""
     path = tmp_path / "s.hcl"
     path.write_text(
         GOOD.replace(
@@ -61,7 +61,7 @@
 }
 """
     )
-    found = assigner_settings(load_controller(path))
+    loaded = assigner_settings(load_controller(path))
     default = api.Settings(())
-    names = [field.name for field in dataclasses.fields(found)]
-    assert [name for name in names if getattr(found, name) == getattr(default, name)] == []
+    names = [field.name for field in dataclasses.fields(loaded)]
+    assert [name for name in names if getattr(loaded, name) == getattr(default, name)] == []
--- a/tests/config/test_hcl_errors.py
+++ b/tests/config/test_hcl_errors.py
@@ -1,4 +1,4 @@
-"""Configuration files: errors name file, line and key, and all of a file come at once."""
+"""Configuration files: errors name file, line and key, and all errors of a file are reported at once."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from tests.config.support import GOOD
 
 
-def error_of(tmp_path: Path, old: str, new: str) -> str:
-    """What is said of the good configuration with `old` replaced by `new`."""
+def error_text(tmp_path: Path, old: str, new: str) -> str:
+    """Return the error of the valid configuration with `old` replaced by `new`."""
     path = tmp_path / "s.hcl"
     path.write_text(GOOD.replace(old, new))
     with pytest.raises(ConfigError) as caught:
@@ -45,9 +45,9 @@
 def test_load_when_a_key_is_wrong_then_the_error_names_file_line_and_key(
     tmp_path: Path, old: str, new: str, expected: str
 ) -> None:
-    assert expected in error_of(tmp_path, old, new)
+    assert expected in error_text(tmp_path, old, new)
 
 
-def test_load_when_several_keys_are_wrong_then_all_errors_come_at_once(tmp_path: Path) -> None:
-    text = error_of(tmp_path, 'path = "tables.db"', 'pth = "x"\n  sync = "never"')
+def test_load_when_several_keys_are_wrong_then_all_errors_are_reported_at_once(tmp_path: Path) -> None:
+    text = error_text(tmp_path, 'path = "tables.db"', 'pth = "x"\n  sync = "never"')
     assert [line.split(": ")[1] for line in text.splitlines()] == ["store.path", "store.pth", "store.sync"]
--- a/tests/config/test_quota_blocks.py
+++ b/tests/config/test_quota_blocks.py
@@ -1,4 +1,4 @@
-"""Budgets in a configuration: what the core is given, and which errors name the key."""
+"""Budgets in a configuration: the quotas that are passed to the core, and errors that name the key."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 GOOD = 'budget "probes" {\n whole = 7\n per = "host"\n unit = "per_s"\n floor = 1\n}\n'
 
 
-def config(tmp_path: Path, more: str, peers: str = PEERS) -> Path:
-    """A configuration file with further blocks, and with these keys in the block `steward`."""
+def write_config(tmp_path: Path, more: str, peers: str = PEERS) -> Path:
+    """Write a configuration file with the blocks `more`, and with the keys `peers` in the block `steward`."""
     text = CONFIG % (tmp_path / "s.db") + more
     path = tmp_path / "steward.hcl"
     path.write_text(text.replace("steward {\n", "steward {\n  " + peers, 1))
     return path
 
 
-def test_configured_quotas_when_read_then_the_core_has_sizes_spans_and_ids(tmp_path: Path) -> None:
+def test_configured_quotas_when_read_then_they_have_capacities_hold_times_and_ids(tmp_path: Path) -> None:
     cold_slices = 'budget "cold_slices" {\n whole = 4\n per = "host"\n unit = "count"\n}\n'
-    loaded = load_controller(config(tmp_path, GOOD + cold_slices))
-    budgets = configured_quotas(loaded)
-    probes = budgets["probes"]
+    loaded = load_controller(write_config(tmp_path, GOOD + cold_slices))
+    quotas = configured_quotas(loaded)
+    probes = quotas["probes"]
     assert (probes.capacity, probes.floor, probes.max_controllers, probes.hold_ms) == (7, 1, 3, 1_000.0)
-    assert budgets["cold_slices"].hold_ms == loaded.rules.cold_ms
-    assert budgets["cold_slices"].shared_capacity == 4
-    assert budgets["probes"].id != budgets["cold_slices"].id
+    assert quotas["cold_slices"].hold_ms == loaded.rules.cold_ms
+    assert quotas["cold_slices"].shared_capacity == 4
+    assert quotas["probes"].id != quotas["cold_slices"].id
 
 
 @pytest.mark.parametrize(
-    ("more", "peers", "named"),
+    ("more", "peers", "expected"),
     [
         (GOOD.replace("probes", "prbes"), PEERS, "budget.prbes: no such budget; there are cold_slices, emptied, moves"),
         (GOOD.replace('"host"', '"fleet"'), PEERS, "budget.probes.per must be 'host'"),
@@ -54,8 +54,10 @@
         ),
     ],
 )
-def test_budget_when_wrong_then_the_error_names_file_and_key(tmp_path: Path, more: str, peers: str, named: str) -> None:
+def test_budget_when_wrong_then_the_error_names_file_and_key(
+    tmp_path: Path, more: str, peers: str, expected: str
+) -> None:
     with pytest.raises(ConfigError) as caught:
-        load_controller(config(tmp_path, more, peers))
-    assert named in str(caught.value)
+        load_controller(write_config(tmp_path, more, peers))
+    assert expected in str(caught.value)
     assert "steward.hcl" in str(caught.value)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,3 +1,3 @@
-"""What holds for all tests."""
+"""Configuration of all tests."""
 
 pytest_plugins = ["known_red"]
--- a/tests/telemetry/test_logs.py
+++ b/tests/telemetry/test_logs.py
@@ -1,4 +1,4 @@
-"""The rate-limited logger: how many lines of one event go out, and how the rest are counted."""
+"""The rate-limited logger: how many lines of one event are written, and how the others are counted."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from corallanding.telemetry import RateLimitedLogger, logs
 
 
-class WrittenLines:
-    """In place of the log: keeps what is written."""
+class RecordingLog:
+    """Stand-in for the log that records the written lines."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict[str, Any]]] = []
@@ -19,15 +19,17 @@
         self.lines.append((event, fields))
 
 
-def test_logger_when_one_event_comes_too_often_then_the_rest_is_counted(monkeypatch: pytest.MonkeyPatch) -> None:
-    written = WrittenLines()
-    monkeypatch.setattr(logs, "log", written)
+def test_logger_when_one_event_is_too_frequent_then_the_lines_left_out_are_counted(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    log = RecordingLog()
+    monkeypatch.setattr(logs, "log", log)
     now = 0.0
     logger = RateLimitedLogger(lambda: now, max_per_second=2)
     for number in range(5):
         logger.warn("flood", number=number)
     logger.warn("other")
-    assert written.lines == [("flood", {"number": 0}), ("flood", {"number": 1}), ("other", {})]
+    assert log.lines == [("flood", {"number": 0}), ("flood", {"number": 1}), ("other", {})]
     now = 1_000.0
     logger.warn("flood", number=5)
-    assert written.lines[3:] == [("flood", {"left_out": 3}), ("flood", {"number": 5})]
+    assert log.lines[3:] == [("flood", {"left_out": 3}), ("flood", {"number": 5})]
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""The script that makes other customers' sites, on a small kit of the test's own."""
+"""The script that creates the sites of further customers, run on a small kit."""
 
 from __future__ import annotations
 
@@ -25,24 +25,27 @@
 """
 
 
-def make(tmp_path: Path, *lists: str) -> tuple[int, str, Path]:
+def run_make(tmp_path: Path, *change_files: str) -> tuple[int, str, Path]:
+    """Run the script with these change files. Return its exit code, its stderr and the output folder."""
     kit, out = tmp_path / "kit", tmp_path / "out"
     kit.mkdir()
     (kit / "yards.toml").write_text(SITE)
     for name in ("real.json", "wire.json", "unlock.txt"):
         (kit / name).write_text(name)
     paths = []
-    for n, text in enumerate(lists):
-        paths.append(tmp_path / f"other-{n}.toml")
+    for number, text in enumerate(change_files):
+        paths.append(tmp_path / f"other-{number}.toml")
         paths[-1].write_text(text)
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, SCRIPT, kit / "yards.toml", *paths, "--out", out], capture_output=True, text=True, timeout=60
     )
-    return done.returncode, done.stderr, out
+    return result.returncode, result.stderr, out
 
 
-def test_a_folder_has_the_changed_site_and_what_stands_beside_it(tmp_path: Path) -> None:
-    code, said, out = make(
+def test_make_when_the_changes_are_valid_then_each_folder_has_the_changed_site_and_its_other_files(
+    tmp_path: Path,
+) -> None:
+    code, stderr, out = run_make(
         tmp_path,
         """
 [change]
@@ -57,7 +60,7 @@
 """,
         "[change]\n'class.0.share' = 3\n",
     )
-    assert code == 0, said
+    assert code == 0, stderr
     folder = out / "other-0"
     assert {p.name for p in folder.iterdir()} == {"other-0.toml", "real.json", "wire.json", "unlock.txt"}
     site = tomllib.loads((folder / "other-0.toml").read_text())
@@ -72,7 +75,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "names"),
+    ("text", "expected"),
     [
         ("[change]\n'class.0.shares' = 1", "class.0.shares"),
         ("[change]\n'class.1.share' = 1", "class.1.share"),
@@ -88,7 +91,9 @@
         ("[change", "other-1.toml"),
     ],
 )
-def test_a_change_of_no_key_is_refused_by_name_and_nothing_is_written(tmp_path: Path, text: str, names: str) -> None:
-    code, said, out = make(tmp_path, "[change]\n'class.0.share' = 3\n", text)
-    assert code == 2 and names in said and "other-1.toml" in said and said.count("\n") == 1, said
+def test_make_when_a_change_is_invalid_then_the_error_names_it_and_nothing_is_written(
+    tmp_path: Path, text: str, expected: str
+) -> None:
+    code, stderr, out = run_make(tmp_path, "[change]\n'class.0.share' = 3\n", text)
+    assert code == 2 and expected in stderr and "other-1.toml" in stderr and stderr.count("\n") == 1, stderr
     assert not out.exists()
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -1,7 +1,7 @@
-"""What version 0.1.0 stored or sent is read to the same state, and written again byte for byte.
+"""Compatibility with version 0.1.0: its stored and sent data gives the same state and is written with the same bytes.
 
-`fixtures/before-rename/README.md` says how the files were written. Names in quotes here are stored names: they never
-change. Attributes may be renamed, here as everywhere; what a stored name stands for may not.
+`fixtures/before-rename/README.md` describes how the files were written. Names in quotes here are stored names, which
+never change. Attributes may be renamed, but each stored name must keep its meaning.
 """
 
 from __future__ import annotations
@@ -63,21 +63,23 @@
 from corallanding.wire.link_state import LinkLimits, LinkState
 
 FIXTURES = Path(__file__).parent / "fixtures" / "before-rename"
-SNAPSHOT_HEAD = 34  # bytes before the body
+SNAPSHOT_HEADER_BYTES = 34
 
 
-def sql(path: Path) -> str:
+def sql_dump(path: Path) -> str:
     with sqlite3.connect(path) as db:
         return "\n".join(db.iterdump()) + "\n"
 
 
-def plain(data: bytes) -> Any:
-    """A snapshot's body as maps and lists, without any class of the program."""
-    return msgspec.msgpack.decode(data[SNAPSHOT_HEAD:], strict=False)
+def decode_body(data: bytes) -> Any:
+    """Return the body of a snapshot as maps and lists, without any class of the program."""
+    return msgspec.msgpack.decode(data[SNAPSHOT_HEADER_BYTES:], strict=False)
 
 
-def recorded(path: Path, settings: api.Settings, seed: int, steps: list[Any], middle: bool = False) -> bytes:
-    recorder = record.Recorder(path, settings, seed, 1e9, starts_after_snapshot=middle)
+def recording_bytes(
+    path: Path, settings: api.Settings, seed: int, steps: list[Any], starts_after_snapshot: bool = False
+) -> bytes:
+    recorder = record.Recorder(path, settings, seed, 1e9, starts_after_snapshot=starts_after_snapshot)
     for step in steps:
         recorder.write_step(*step)
     recorder.close()
@@ -87,19 +89,20 @@
 # ---- the store ----------------------------------------------------------------------------------------------------
 
 
-def test_a_store_is_read_with_its_tables_list_addresses_and_starts(tmp_path: Path) -> None:
+def test_store_when_read_then_tables_host_list_addresses_and_start_times_are_restored(tmp_path: Path) -> None:
     shutil.copy(FIXTURES / "store.sqlite", tmp_path)
     store = SqliteStore(tmp_path / "store.sqlite")
-    life = store.open()
+    contents = store.open()
     addresses = {host: samples.ADDRESSES[host] for host in (0, 1, 5)}
     started = {host: samples.STARTED[host] for host in (0, 1, 5)}
-    listed = tuple(replace(entry, online_since=0.0) for entry in samples.ENTRIES)  # `starts` has it, by the wall clock
-    assert life == StoreContents(3, 42, {1: {2: 1.0}, 7: {0: 1.0}}, listed, 9, addresses, started)
+    # The store has the start times in `starts`, in wall-clock time, and not in the entries.
+    listed = tuple(replace(entry, online_since=0.0) for entry in samples.ENTRIES)
+    assert contents == StoreContents(3, 42, {1: {2: 1.0}, 7: {0: 1.0}}, listed, 9, addresses, started)
     store.close()
     assert (tmp_path / "store.sqlite.lock").exists(), "an old process's lock must keep a new one out"
 
 
-def test_a_store_is_written_as_before(tmp_path: Path) -> None:
+def test_store_when_written_then_its_sql_dump_is_unchanged(tmp_path: Path) -> None:
     store = SqliteStore(tmp_path / "store.sqlite")
     store.open()
     store.close()
@@ -108,29 +111,32 @@
     store.write(42, [(1, 3, 0.0), (7, 0, 1.0)], [4])
     store.save_host_list(9, samples.ENTRIES, samples.ADDRESSES, samples.STARTED)
     store.close()
-    assert sql(tmp_path / "store.sqlite") == (FIXTURES / "store.sql").read_text()
+    assert sql_dump(tmp_path / "store.sqlite") == (FIXTURES / "store.sql").read_text()
 
 
 # ---- recordings ---------------------------------------------------------------------------------------------------
 
 
-def test_a_recording_with_every_event_and_action_is_read(tmp_path: Path) -> None:
-    found = record.read_recording(FIXTURES / "recording.bin")
-    assert (found.settings, found.seed, found.is_truncated, found.starts_after_snapshot) == (
+def test_recording_when_read_then_every_event_and_action_is_restored(tmp_path: Path) -> None:
+    recording = record.read_recording(FIXTURES / "recording.bin")
+    assert (recording.settings, recording.seed, recording.is_truncated, recording.starts_after_snapshot) == (
         samples.EVERY_SETTING,
         77,
         False,
         False,
     )
     events, actions = [e for _, e in samples.EVENTS], [a for _, a in samples.ACTIONS]
-    assert found.steps == [(1.5, events, actions), (2.5, [], [])]
+    assert recording.steps == [(1.5, events, actions), (2.5, [], [])]
     assert {type(e) for e in events} == set(api.Event.__args__)
     assert {type(a) for a in actions} == set(api.Action.__args__)
-    assert recorded(tmp_path / "again", found.settings, 77, found.steps) == (FIXTURES / "recording.bin").read_bytes()
+    assert (
+        recording_bytes(tmp_path / "again", recording.settings, 77, recording.steps)
+        == (FIXTURES / "recording.bin").read_bytes()
+    )
 
 
-def test_a_recording_holds_stored_names_only() -> None:
-    """Laid open without the program: the names of types and fields, as other tools read them."""
+def test_recording_when_decoded_without_the_program_then_it_has_stored_names_only() -> None:
+    """Checks the names of types and fields as other tools read them."""
     head, step, _ = [
         msgspec.msgpack.decode(part) for part in record.split_items((FIXTURES / "recording.bin").read_bytes())
     ]
@@ -141,14 +147,14 @@
     assert step[2][2] == ["Level", {"slice": 1, "operations": 0, "amount": 0.5, "retry": 1}]
 
 
-def test_items_of_a_recording_are_shown_by_their_stored_names() -> None:
+def test_recorded_items_when_described_then_their_stored_names_are_shown() -> None:
     assert record.describe(samples.EVENTS[4][1]) == "ProbeDone(host=1, end=OK, latency=2.5, load={'cpu': 0.5})"
     assert record.describe(samples.ACTIONS[4][1]) == "Level(slice=3, operations=2, amount=1.0, retry=TWICE)"
 
 
 # ---- snapshots ----------------------------------------------------------------------------------------------------
 
-HOST: dict[str, Callable[[Host], Any]] = {
+HOST_GETTERS: dict[str, Callable[[Host], Any]] = {
     "id": lambda h: h.id,
     "listed": lambda h: h.is_listed,
     "since": lambda h: h.process_started_at_ms,
@@ -176,7 +182,7 @@
     "fair": lambda h: h.fair_load,
     "stress": lambda h: h.latency_ratio,
 }
-SLICE: dict[str, Callable[[Slice], Any]] = {
+SLICE_GETTERS: dict[str, Callable[[Slice], Any]] = {
     "id": lambda s: s.id,
     "rate": lambda s: s.requests_per_second,
     "want_at": lambda s: s.candidate_since_ms,
@@ -185,7 +191,7 @@
     "looked": lambda s: s.hosts_considered,
     "rates": lambda s: [list(row) for row in s.rate_by_class.items()],
 }
-VALUES: dict[str, Callable[[Assigner], Any]] = {
+VALUE_GETTERS: dict[str, Callable[[Assigner], Any]] = {
     "level": lambda a: a.admission.level,
     "level_at": lambda a: a.admission.changed_at_ms,
     "levels_due": lambda a: a.admission.is_due,
@@ -212,40 +218,40 @@
     "whole": lambda a: a.fleet.site_load_per_capacity,
     "heaviest": lambda a: a.fleet.max_score_factor,
 }
-DISTINCT = 900.0  # each stored figure is replaced by one of its own, so that two that change places are seen
+FIRST_DISTINCT_VALUE = 900.0  # each stored value is replaced by a distinct one, so that a swap of two is detected
 
 
-def test_each_stored_figure_of_the_module_stands_for_what_it_stood_for() -> None:
-    raw = plain((FIXTURES / "snapshot.bin").read_bytes())["module"]
-    assert raw["host_fields"] == list(HOST)
-    assert raw["slice_fields"] == list(SLICE)
-    assert list(raw["values"]) == list(VALUES)
+def test_snapshot_when_loaded_then_each_stored_value_sets_the_same_attribute() -> None:
+    raw = decode_body((FIXTURES / "snapshot.bin").read_bytes())["module"]
+    assert raw["host_fields"] == list(HOST_GETTERS)
+    assert raw["slice_fields"] == list(SLICE_GETTERS)
+    assert list(raw["values"]) == list(VALUE_GETTERS)
     for row in raw["hosts"]:
-        row[1][1:] = [DISTINCT + n for n in range(1, len(HOST))]
+        row[1][1:] = [FIRST_DISTINCT_VALUE + n for n in range(1, len(HOST_GETTERS))]
     for row in raw["slices"]:
-        row[5][1:-1] = [DISTINCT + n for n in range(1, len(SLICE) - 1)]
-    raw["values"] = {name: DISTINCT + n for n, name in enumerate(VALUES)}
+        row[5][1:-1] = [FIRST_DISTINCT_VALUE + n for n in range(1, len(SLICE_GETTERS) - 1)]
+    raw["values"] = {name: FIRST_DISTINCT_VALUE + n for n, name in enumerate(VALUE_GETTERS)}
     state = file.read(FIXTURES / "snapshot.bin", ControllerState)
-    found = load(samples.SETTINGS, msgspec.convert(raw, type(state.assigner)))
-    for row, host in zip(raw["hosts"], found.hosts.values(), strict=True):
-        assert row[1] == [of(host) for of in HOST.values()]
-    for row, slice in zip(raw["slices"], found.slices.values(), strict=True):
+    assigner = load(samples.SETTINGS, msgspec.convert(raw, type(state.assigner)))
+    for row, host in zip(raw["hosts"], assigner.hosts.values(), strict=True):
+        assert row[1] == [getter(host) for getter in HOST_GETTERS.values()]
+    for row, slice in zip(raw["slices"], assigner.slices.values(), strict=True):
         assert row[0] == [[host.id, weight] for host, weight in slice.weights.items()]
         ids = [None if host is None else host.id for host in (slice.owner, slice.candidate, slice.previous_owner)]
         assert [row[1], row[3], row[4], row[2]] == [*ids, [host.id for host in slice.replicas]]
-        assert row[5] == [of(slice) for of in SLICE.values()]
-    assert raw["values"] == {name: of(found) for name, of in VALUES.items()}
+        assert row[5] == [getter(slice) for getter in SLICE_GETTERS.values()]
+    assert raw["values"] == {name: getter(assigner) for name, getter in VALUE_GETTERS.items()}
 
 
-def test_the_figures_of_every_host_slice_and_part_are_written_as_before() -> None:
+def test_snapshot_when_loaded_and_dumped_then_its_bytes_are_unchanged() -> None:
     data = (FIXTURES / "snapshot.bin").read_bytes()
     state = file.unpack(data, ControllerState)
     assert file.pack(state) == data
     again = msgspec.msgpack.encode(dump(load(samples.SETTINGS, state.assigner)))
-    assert again == msgspec.msgpack.encode(plain(data)["module"])
+    assert again == msgspec.msgpack.encode(decode_body(data)["module"])
 
 
-def test_a_snapshot_and_its_log_are_taken_up_and_the_next_steps_are_the_same(tmp_path: Path) -> None:
+def test_snapshot_when_restored_with_its_log_then_the_next_steps_are_unchanged(tmp_path: Path) -> None:
     state = file.read(FIXTURES / "snapshot.bin", ControllerState)
     check_state(state, 1, samples.SETTINGS, "boot", 2)
     tables = json.loads((FIXTURES / "snapshot.tables.json").read_text())
@@ -256,13 +262,14 @@
     assert restore(rig.engine, state, log.steps, rig.now) == (10, [])
     rig.turns(82, 122)
     assert (
-        recorded(tmp_path / "next", samples.SETTINGS, 3, rig.steps, True) == (FIXTURES / "snapshot.next").read_bytes()
+        recording_bytes(tmp_path / "next", samples.SETTINGS, 3, rig.steps, True)
+        == (FIXTURES / "snapshot.next").read_bytes()
     )
-    again = recorded(tmp_path / "log", log.settings, log.seed, log.steps, True)
+    again = recording_bytes(tmp_path / "log", log.settings, log.seed, log.steps, True)
     assert again == (FIXTURES / "snapshot.log").read_bytes()
 
 
-def test_a_snapshot_is_written_as_before() -> None:
+def test_snapshot_when_written_then_its_bytes_are_unchanged() -> None:
     rig = samples.Rig(1)
     rig.begin()
     rig.turns(0, 72)
@@ -272,7 +279,7 @@
     assert file.pack(rig.state()) == (FIXTURES / "snapshot.bin").read_bytes()
 
 
-# ---- the file of records ------------------------------------------------------------------------------------------
+# ---- the record file ----------------------------------------------------------------------------------------------
 
 
 @pytest.fixture
@@ -282,86 +289,86 @@
     monkeypatch.setattr(time, "time", lambda: 1.7e9)
 
 
-def test_a_file_of_records_is_read(tmp_path: Path, fixed_clocks: None) -> None:
+def test_record_file_when_read_then_records_and_peers_are_restored(tmp_path: Path, fixed_clocks: None) -> None:
     shutil.copy(FIXTURES / "records.sqlite", tmp_path)
-    found, shelf = RecordStore(str(tmp_path / "records.sqlite"), lambda: 9000.0), Replica(RecordLimits())
-    assert (found.is_same_boot, found.is_blank, found.opening_number, found.writes) == (True, False, 2, 1)
-    assert found.load(shelf) == {2: (5, 77, 40), 3: (6, 78, 41)}
-    assert found.writes == shelf.write_count == 1
-    pages = [msgspec.to_builtins(shelf.on_prepare(9000.0, Prepare(1, 1, group, 0))) for group in (7, 8)]
-    assert pages[0] == [33, 1, 1, 7, 0, 13, [(99, 3, 5000, 12, 4), (100, 5, 4500, 12, 5)], False]
-    assert pages[1] == [33, 1, 1, 8, 0, 2, [(1, 6, 1000, 2, 1)], False]
-    found.close()
+    store, replica = RecordStore(str(tmp_path / "records.sqlite"), lambda: 9000.0), Replica(RecordLimits())
+    assert (store.is_same_boot, store.is_blank, store.opening_number, store.writes) == (True, False, 2, 1)
+    assert store.load(replica) == {2: (5, 77, 40), 3: (6, 78, 41)}
+    assert store.writes == replica.write_count == 1
+    replies = [msgspec.to_builtins(replica.on_prepare(9000.0, Prepare(1, 1, group, 0))) for group in (7, 8)]
+    assert replies[0] == [33, 1, 1, 7, 0, 13, [(99, 3, 5000, 12, 4), (100, 5, 4500, 12, 5)], False]
+    assert replies[1] == [33, 1, 1, 8, 0, 2, [(1, 6, 1000, 2, 1)], False]
+    store.close()
     assert (tmp_path / "records.sqlite.lock").exists()
 
 
-def test_a_file_of_records_is_written_as_before(tmp_path: Path, fixed_clocks: None) -> None:
-    found = RecordStore(str(tmp_path / "records.sqlite"), lambda: 9000.0)
-    found.load(Replica(RecordLimits()))
+def test_record_file_when_written_then_its_sql_dump_is_unchanged(tmp_path: Path, fixed_clocks: None) -> None:
+    store = RecordStore(str(tmp_path / "records.sqlite"), lambda: 9000.0)
+    store.load(Replica(RecordLimits()))
     rows = [(7, 99, 3, 12, 4, 4000.0), (7, 100, 5, 12, 5, 4500.0), (8, 1, 6, 2, 1, 8000.0)]
     peers = {2: (5, 77, 40), 3: (6, 78, 41)}
-    found.write(UnsavedChanges(rows, {7: 13, 8: 2}, [], peers, 0, 1, False, True))
-    found.close()
-    assert sql(tmp_path / "records.sqlite") == (FIXTURES / "records.sql").read_text()
+    store.write(UnsavedChanges(rows, {7: 13, 8: 2}, [], peers, 0, 1, False, True))
+    store.close()
+    assert sql_dump(tmp_path / "records.sqlite") == (FIXTURES / "records.sql").read_text()
 
 
 # ---- the handover -------------------------------------------------------------------------------------------------
 
 
-def handover_words() -> dict[str, bytes]:
-    """What the old process says, in order, through the pipe that reads it."""
+def handover_messages() -> dict[str, bytes]:
+    """Return the messages of the old process by name, in order, as read from the pipe."""
     ours, theirs = socket.socketpair()
     theirs.sendall((FIXTURES / "handover.bin").read_bytes())
     theirs.shutdown(socket.SHUT_WR)
     pipe = HandoverPipe(ours)
-    words = dict(pipe.receive_message() for _ in range(4))
+    messages = dict(pipe.receive_message() for _ in range(4))
     pipe.close()
     theirs.close()
-    return words
+    return messages
 
 
-def test_what_an_old_process_hands_over_is_taken_up_and_goes_on() -> None:
-    words = handover_words()
-    assert list(words) == ["marks", "state", "sockets", "commit"]
-    assert words["sockets"] == b"3"
-    handed = file.unpack(words["state"], HandoverState)
-    check_state(handed.controller, 1, samples.SETTINGS, "boot", 2)
+def test_handover_when_sent_by_an_old_process_then_a_new_one_continues() -> None:
+    messages = handover_messages()
+    assert list(messages) == ["marks", "state", "sockets", "commit"]
+    assert messages["sockets"] == b"3"
+    handover = file.unpack(messages["state"], HandoverState)
+    check_state(handover.controller, 1, samples.SETTINGS, "boot", 2)
     rig = samples.Rig(2, {0: {5: 1.0}})
-    rig.now = handed.controller.captured_at
-    loaded = load(samples.SETTINGS, handed.controller.assigner)
-    restore_handover(rig.engine, handed, rig.channel, rig.joins, rig.now, loaded)
-    rows = msgspec.msgpack.decode(words["marks"], type=list[StoredRanking])
+    rig.now = handover.controller.captured_at
+    loaded = load(samples.SETTINGS, handover.controller.assigner)
+    restore_handover(rig.engine, handover, rig.channel, rig.joins, rig.now, loaded)
+    rows = msgspec.msgpack.decode(messages["marks"], type=list[StoredRanking])
     assert load_rankings(loaded.rendezvous, rows) == samples.SLICES
     assert [event for _, _, event in rig.engine.pending_events][: len(samples.EVENTS)] == [e for _, e in samples.EVENTS]
-    assert capture_channel(rig.channel) == handed.channel
+    assert capture_channel(rig.channel) == handover.channel
     rig.turns(72, 110)
     assert "\n".join(rig.said) + "\n" == (FIXTURES / "handover.next").read_text()
 
 
-def test_an_old_process_would_read_what_a_new_one_hands_over() -> None:
+def test_handover_when_sent_by_a_new_process_then_its_bytes_are_unchanged() -> None:
     rig = samples.Rig(1)
     rig.begin()
     rig.turns(0, 72)
     rig.add_helper()
-    handed = samples.handed(rig)
+    handover = samples.handed(rig)
     assert isinstance(rig.engine.assigner, Assigner)
     rows = dump_rankings(rig.engine.assigner.rendezvous, range(samples.SLICES))
     ours, theirs = socket.socketpair()
-    pipe, said = HandoverPipe(ours), io.BytesIO()
+    pipe, sent = HandoverPipe(ours), io.BytesIO()
     pipe.send_message("marks", msgspec.msgpack.encode(rows))
-    pipe.send_message("state", file.pack(handed))
+    pipe.send_message("state", file.pack(handover))
     pipe.send_message("sockets", b"3")
     pipe.send_message("commit")
     pipe.close()
     while data := theirs.recv(1 << 16):
-        said.write(data)
+        sent.write(data)
     theirs.close()
-    assert said.getvalue() == (FIXTURES / "handover.bin").read_bytes()
+    assert sent.getvalue() == (FIXTURES / "handover.bin").read_bytes()
 
 
-def test_stored_names_of_a_handover() -> None:
-    """Laid open without the program. Lists stand in the order of the program's fields."""
-    body = plain(handover_words()["state"])
+def test_handover_when_decoded_without_the_program_then_its_names_are_unchanged() -> None:
+    """The order of the names is that of the program's fields."""
+    body = decode_body(handover_messages()["state"])
     state, feed = body["state"], body["feed"]
     assert list(body) == [
         *("state", "seq", "counter", "tables", "unsaved", "unsaved_resets", "inbox", "joined", "going", "gather_at"),
@@ -395,29 +402,29 @@
     }
 
 
-def test_load_reports_and_links_go_over_whole() -> None:
-    handed = file.unpack(handover_words()["state"], HandoverState)
-    assert handed.load_reports == samples.FEED
-    assert [row.entry() for row in handed.host_entries] == list(samples.ENTRIES)
-    assert handed.connections == samples.links()
+def test_handover_when_unpacked_then_load_reports_and_links_are_complete() -> None:
+    handover = file.unpack(handover_messages()["state"], HandoverState)
+    assert handover.load_reports == samples.FEED
+    assert [row.entry() for row in handover.host_entries] == list(samples.ENTRIES)
+    assert handover.connections == samples.links()
     busy, idle = LinkState(LinkLimits(), 0.0), LinkState(LinkLimits(), 0.0)
-    restore_connection(busy, handed.connections[0])
-    restore_connection(idle, handed.connections[1])
-    at = samples.START + 6.0
-    again = capture_connection(busy, is_joined=True, is_write_paused=False, heartbeat_sent_at=at)
-    assert again == handed.connections[0]
+    restore_connection(busy, handover.connections[0])
+    restore_connection(idle, handover.connections[1])
+    sent_at = samples.START + 6.0
+    captured = capture_connection(busy, is_joined=True, is_write_paused=False, heartbeat_sent_at=sent_at)
+    assert captured == handover.connections[0]
     assert busy.receive(samples.START + 9.0, frames.encode(frames.Heartbeat(3.5))[6:]) == [frames.Heartbeat(3.5)]
-    assert [number for number, _ in busy.unacked_versions] == [40, 41]
+    assert [version for version, _ in busy.unacked_versions] == [40, 41]
     assert not idle.unacked_versions
     assert idle.hello == frames.Hello(1, 2, "two")
     rig = samples.Rig(2)
-    restore_channel(rig.channel, handed.channel)
-    assert capture_channel(rig.channel) == handed.channel
+    restore_channel(rig.channel, handover.channel)
+    assert capture_channel(rig.channel) == handover.channel
 
 
-def test_each_place_in_the_arrays_of_a_handover_stands_for_what_it_stood_for() -> None:
-    handed = file.unpack(handover_words()["state"], HandoverState)
-    assert handed.connections[0] == ConnectionState(
+def test_handover_when_unpacked_then_each_array_position_sets_the_same_attribute() -> None:
+    handover = file.unpack(handover_messages()["state"], HandoverState)
+    assert handover.connections[0] == ConnectionState(
         began_at=1e9,
         hello=frames.Hello(1, 1, "one", 0, 9.5, True, 4, 5, 3),
         is_joined=True,
@@ -431,24 +438,29 @@
         partial_frame=frames.encode(frames.Heartbeat(3.5))[:6],
         heartbeat_sent_at=1e9 + 6.0,
     )
-    raw = plain(handover_words()["state"])["channel"]
-    frame, lines, mark, at, orders = raw["messages"][0]
-    message = handed.channel.messages[0]
-    assert (message.frame, message.cost_lines, message.version, message.submitted_at_ms) == (frame, lines, mark, at)
+    raw = decode_body(handover_messages()["state"])["channel"]
+    frame, lines, version, submitted_at, orders = raw["messages"][0]
+    message = handover.channel.messages[0]
+    assert (message.frame, message.cost_lines, message.version, message.submitted_at_ms) == (
+        frame,
+        lines,
+        version,
+        submitted_at,
+    )
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(message.orders)) == orders
-    forwarder, urgent, ordinary, turns, sent, blocked = raw["ports"][0]
-    port = handed.channel.queues[0]
+    proxy, urgent, ordinary, released, sent_at, is_blocked = raw["ports"][0]
+    port = handover.channel.queues[0]
     assert (port.proxy, port.urgent_messages, port.ordinary_messages, port.released) == (
-        forwarder,
+        proxy,
         urgent,
         ordinary,
-        turns,
+        released,
     )
-    assert (port.sent_at_ms, port.is_blocked) == (sent, blocked)
+    assert (port.sent_at_ms, port.is_blocked) == (sent_at, is_blocked)
 
 
-def test_the_words_of_both_processes_of_a_handover() -> None:
-    """An old process knows a new one's words, and the other way round."""
+def test_handover_when_run_then_the_messages_of_both_processes_are_unchanged() -> None:
+    """A process of either version knows the messages of the other."""
     assert PROTOCOL == 1
     old, new = Predecessor(1000.0), Successor(1000.0)
     old.start(0.0)
@@ -465,23 +477,25 @@
     assert old.on_message(3.0, "taken") == [HandoverCommand.EXIT]
 
 
-def test_an_old_process_can_start_a_new_one(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """It runs `python -m corallanding.cli.main steward --config FILE --take-over FD`."""
-    taken: list[Any] = []
+def test_command_line_when_called_by_an_old_process_then_a_new_one_takes_over(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The old process runs `python -m corallanding.cli.main steward --config FILE --take-over FD`."""
+    calls: list[Any] = []
 
     def run(config: str, record: str | None, take_over: int | None) -> int:
-        taken.append((config, record, take_over))
+        calls.append((config, record, take_over))
         return 0
 
     monkeypatch.setattr(main, "run", run)
     (tmp_path / "s.hcl").write_text("")
-    words = ["steward", "--config", f"{tmp_path}/s.hcl", "--take-over", "7"]
-    told = CliRunner().invoke(app, words)
-    assert told.exit_code == 0 and taken == [(f"{tmp_path}/s.hcl", None, 7)], told.output
+    arguments = ["steward", "--config", f"{tmp_path}/s.hcl", "--take-over", "7"]
+    result = CliRunner().invoke(app, arguments)
+    assert result.exit_code == 0 and calls == [(f"{tmp_path}/s.hcl", None, 7)], result.output
     assert successor_command("s.hcl")[1:] == ["-m", "corallanding.cli.main", "steward", "--config", "s.hcl"]
 
 
-def test_both_processes_of_a_handover_ask_for_the_same_arbiter(tmp_path: Path) -> None:
+def test_termination_lock_when_one_process_has_it_then_the_other_cannot_acquire_it(tmp_path: Path) -> None:
     first, second = TerminationLock(f"{tmp_path}/s.db.handover"), TerminationLock(f"{tmp_path}/s.db.handover")
     assert first.acquire()
     assert not second.acquire()
@@ -491,37 +505,37 @@
 # ---- further files, and messages between processes -----------------------------------------------------------------
 
 
-def test_starts_that_ended_soon_are_read_and_written_as_before(tmp_path: Path) -> None:
+def test_start_history_when_read_and_written_then_its_bytes_are_unchanged(tmp_path: Path) -> None:
     assert StartHistory(str(FIXTURES / "starts.json")).read() == [1000.5, 2000.0]
     StartHistory(str(tmp_path / "starts")).write([1000.5, 2000.0])
     assert (tmp_path / "starts").read_bytes() == (FIXTURES / "starts.json").read_bytes()
 
 
-def test_an_intake_goes_on_under_a_new_process() -> None:
-    """It outlives the process that started it; its settings are the same if their digest is."""
+def test_intake_when_its_parent_is_replaced_then_messages_and_settings_digest_are_unchanged() -> None:
+    """An intake outlives the process that started it. Equal digests mean equal settings."""
     assert encode_message(["tick", b"12345678"]).hex() == "0000001092a47469636bc4083132333435363738"
     assert list(decode_messages(bytearray.fromhex("0000000a92a57265616479cd24b8"))) == [["ready", 9400]]
-    conf = {"listen": "127.0.0.1:0", "key": "", "tick_ms": 10.0}
-    assert settings_digest(conf) == "4d62e2fa3d56263163a12caabd32e1bace8e8a96ca20af873bffb250f927e6eb"
+    settings = {"listen": "127.0.0.1:0", "key": "", "tick_ms": 10.0}
+    assert settings_digest(settings) == "4d62e2fa3d56263163a12caabd32e1bace8e8a96ca20af873bffb250f927e6eb"
 
 
 FROZEN_PEER_MESSAGES: dict[str, str] = json.loads((FIXTURES / "peer_messages.json").read_text())
 FROZEN_FRAMES: dict[str, dict[str, str]] = json.loads((FIXTURES / "frames.json").read_text())
 
 
-def test_every_message_between_peers_has_a_frozen_example() -> None:
+def test_peer_messages_when_listed_then_each_has_a_frozen_example() -> None:
     assert list(FROZEN_PEER_MESSAGES) == list(samples.PEER_MESSAGES)
 
 
 @pytest.mark.parametrize("name", FROZEN_PEER_MESSAGES)
-def test_a_message_between_peers_is_as_before(name: str) -> None:
+def test_peer_message_when_encoded_then_its_bytes_are_unchanged(name: str) -> None:
     data, message = bytes.fromhex(FROZEN_PEER_MESSAGES[name]), samples.PEER_MESSAGES[name]
     assert msgspec.msgpack.encode(message) == data
     assert msgspec.msgpack.decode(data, type=type(message)) == message
 
 
 @pytest.mark.parametrize("side", ["from_forwarder", "from_steward"])
-def test_frames_are_as_before(side: str) -> None:
+def test_frames_when_encoded_then_their_bytes_are_unchanged(side: str) -> None:
     messages = samples.FROM_FORWARDER if side == "from_forwarder" else samples.FROM_STEWARD
     decoder = frames.controller_decoder if side == "from_forwarder" else frames.proxy_decoder
     union = frames.ProxyFrame if side == "from_forwarder" else frames.ControllerFrame
@@ -531,7 +545,7 @@
         assert frames.FrameReader(decoder, 1 << 16).feed(bytes.fromhex(FROZEN_FRAMES[side][name])) == [frame]
 
 
-def test_requests_to_a_registry_are_named_by_frozen_texts() -> None:
+def test_registry_requests_when_named_then_the_texts_are_unchanged() -> None:
     requests = (
         ownership_actions.GrantLease,
         ownership_actions.KeepAlive,
@@ -541,13 +555,13 @@
     )
     assert [REQUEST_NAMES[kind] for kind in requests] == ["grantlease", "keepalive", "announce", "claim", "release"]
     assert {*requests, ownership_actions.OwnershipChange} == set(ownership_actions.OwnershipAction.__args__), (
-        "the last is no request"
+        "OwnershipChange is not a request"
     )
 
 
 @pytest.mark.parametrize("name", [name for name in samples.FROM_FORWARDER if name not in ("hello", "bye")])
-def test_a_frame_before_hello_is_named_by_its_tag(name: str) -> None:
-    """The text goes to the peer, in the last frame of the link."""
+def test_frame_when_sent_before_hello_then_the_error_has_its_tag(name: str) -> None:
+    """The text is sent to the peer in the last frame of the link."""
     link = LinkState(LinkLimits(), 0.0)
     with pytest.raises(frames.UnexpectedFrameError, match=f"^{name} before hello$"):
         link.receive(1.0, frames.encode(samples.FROM_FORWARDER[name]))
@@ -558,15 +572,15 @@
 FROZEN_METRICS: dict[str, dict[str, Any]] = json.loads((FIXTURES / "metrics.json").read_text())
 
 
-def test_metrics_have_their_frozen_names_and_labels() -> None:
-    found = {m.name for m in Metrics().registry.collect()}
-    assert found == set(FROZEN_METRICS)
+def test_metrics_when_collected_then_names_and_labels_are_unchanged() -> None:
+    names = {m.name for m in Metrics().registry.collect()}
+    assert names == set(FROZEN_METRICS)
     collectors = Metrics().registry._collector_to_names
     labels = {c._name: (c._type, list(c._labelnames)) for c in collectors}  # type: ignore[attr-defined]
     assert labels == {name: (row["type"], row["labels"]) for name, row in FROZEN_METRICS.items()}
 
 
-def test_events_and_actions_are_counted_under_their_stored_names() -> None:
+def test_metrics_when_a_step_runs_then_events_and_actions_have_their_stored_names() -> None:
     metrics = Metrics()
     events, actions = [e for _, e in samples.EVENTS], [a for _, a in samples.ACTIONS]
     engine = SimpleNamespace(
@@ -585,12 +599,12 @@
         retry_at_ms=0.0, needs_registry_write=lambda now, writes: False, write=lambda now, writes: True
     )
     channel: Any = SimpleNamespace(pump=lambda: None)
-    nothing: Any = None
+    unused: Any = None
 
-    async def scene() -> None:
-        DecisionLoop(context, cast(Any, engine), timer, persistence, nothing, channel, ()).step()
+    async def run_step() -> None:
+        DecisionLoop(context, cast(Any, engine), timer, persistence, unused, channel, ()).step()
 
-    asyncio.run(scene())
+    asyncio.run(run_step())
     for counter, counted in ((metrics.events, samples.EVENTS), (metrics.actions, samples.ACTIONS)):
         names = [name for name, _ in counted]
         rows = {r.labels["kind"]: r.value for m in counter.collect() for r in m.samples if r.name.endswith("_total")}
@@ -599,8 +613,8 @@
     assert sorted({n for n, _ in samples.ACTIONS}) == FROZEN_METRICS["corallanding_actions"]["values"]
 
 
-def test_what_became_of_load_reports_is_counted_under_its_stored_names() -> None:
-    """They are values of the label `end` of `corallanding_load_reports`, and go from an intake to its next reader."""
+def test_load_report_counts_when_named_then_the_stored_names_are_used() -> None:
+    """The names are values of the label `end` of `corallanding_load_reports`; an intake sends them to its reader."""
     assert list(samples.FEED.counts.by_name().items()) == [
         *(("counted", 1), ("unlisted", 2), ("former", 3), ("repeated", 4), ("expired", 5), ("doubtful", 6)),
         ("crowded", 7),
@@ -615,8 +629,8 @@
 # ---- the tables of stored names ------------------------------------------------------------------------------------
 
 
-def test_every_field_of_events_actions_and_settings_has_a_stored_name() -> None:
-    """One that is added without a name would be lost in recordings and handovers."""
+def test_stored_names_when_listed_then_every_field_of_events_actions_and_settings_has_one() -> None:
+    """A field without a stored name would be lost in recordings and handovers."""
     assert set(stored_names.EVENTS.values()) == set(api.Event.__args__)
     assert set(stored_names.ACTIONS.values()) == set(api.Action.__args__)
     for kind, names in stored_names.FIELDS.items():
@@ -624,17 +638,17 @@
     assert set(stored_names.FIELDS) == {*stored_names.TYPES.values(), api.HostEntry, api.RequestClass, api.Settings}
 
 
-def test_every_figure_of_hosts_and_slices_has_a_stored_name() -> None:
-    """But for what is a host, or follows from the hosts: these are kept by their ids, or worked out."""
-    apart = {"entry", "scores"}, {"weights", "owner", "replicas", "candidate", "previous_owner"}
-    for kind, names, left in (
-        (Host, stored_fields.HOST_ATTRIBUTES, apart[0]),
-        (Slice, stored_fields.SLICE_ATTRIBUTES, apart[1]),
+def test_stored_names_when_listed_then_every_attribute_of_hosts_and_slices_has_one() -> None:
+    """Except for hosts, which are stored by their ids, and for attributes that are computed from the hosts."""
+    excluded = {"entry", "scores"}, {"weights", "owner", "replicas", "candidate", "previous_owner"}
+    for kind, names, excluded_attributes in (
+        (Host, stored_fields.HOST_ATTRIBUTES, excluded[0]),
+        (Slice, stored_fields.SLICE_ATTRIBUTES, excluded[1]),
     ):
-        assert set(names.values()) == {field.name for field in fields(kind)} - left
+        assert set(names.values()) == {field.name for field in fields(kind)} - excluded_attributes
 
 
-def test_what_is_stored_of_a_wrong_form_is_refused() -> None:
+def test_stored_items_when_malformed_then_they_are_rejected() -> None:
     for raw in (["Due"], ["Dew", {"handle": 1}], ["Due", {}], ["Due", {"handle": "one"}], ["Due", [1]], 7):
         with pytest.raises((record.RecordingError, msgspec.ValidationError)):
             record.from_stored_item(raw)
@@ -646,7 +660,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """A row of the list of hosts under other names."""
+    """An entry of the host list under other names."""
 
     number: int
     zone: int = 0
@@ -654,14 +668,16 @@
 
 @dataclass(frozen=True)
 class EndpointList:
-    """A list of hosts under other names."""
+    """A host list under other names."""
 
     rows: tuple[Row, ...]
     revision: int = 0
 
 
-def test_a_renamed_class_and_attribute_keep_their_stored_names(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Only the right side of the tables changes."""
+def test_stored_names_when_a_class_and_attribute_are_renamed_then_they_are_unchanged(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A rename changes only the right side of the mappings."""
     fields_of = {EndpointList: {"entries": "rows", "version": "revision"}, Row: {"host": "number", "zone": "zone"}}
     items = {EndpointList: {"entries": Row}}
     monkeypatch.setattr(stored_names, "FIELDS", fields_of)
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -1,4 +1,4 @@
-"""The layout of the source: packages import one way, no modules import each other in a circle, files stay small."""
+"""The layout of the source: packages import only lower layers, modules have no import cycles, files are short."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 PACKAGE = ROOT / "corallanding"
 MAX_LINES = 250
 
-# The parts of the package, lowest first: each imports only from parts that stand before it.
+# Packages, lowest layer first: each may import only from itself and from those before it.
 LAYERS = (
     "errors",
     "interface",
@@ -69,24 +69,24 @@
 
 
 def module_name(path: Path) -> str:
-    """The dotted name of a source file below the root of the repository."""
+    """Return the dotted name of a source file below the root of the repository."""
     parts = path.relative_to(ROOT).with_suffix("").parts
     return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
 
 
 @cache
 def modules() -> dict[str, Path]:
-    """Every module of the package by its dotted name."""
+    """Return the path of every module of the package by its dotted name."""
     return {module_name(path): path for path in sorted(PACKAGE.rglob("*.py"))}
 
 
 def is_type_checking(node: ast.AST) -> bool:
-    """Whether the statement is `if TYPE_CHECKING:`, whose imports do not happen at run time."""
+    """Return whether the statement is `if TYPE_CHECKING:`, whose imports do not run."""
     return isinstance(node, ast.If) and isinstance(node.test, ast.Name) and node.test.id == "TYPE_CHECKING"
 
 
 def statements(node: ast.AST, at_import: bool) -> Iterator[ast.AST]:
-    """The nodes below `node`; with `at_import` only those that run when the module is imported."""
+    """Yield the nodes below `node`; with `at_import` only those that run when the module is imported."""
     for child in ast.iter_child_nodes(node):
         is_deferred = isinstance(child, ast.FunctionDef | ast.AsyncFunctionDef | ast.Lambda) or is_type_checking(child)
         if at_import and is_deferred:
@@ -96,7 +96,7 @@
 
 
 def imported_modules(name: str, at_import: bool) -> set[str]:
-    """The modules of this package that the module `name` imports."""
+    """Return the modules of this package that the module `name` imports."""
     path = modules()[name]
     package = name if path.name == "__init__.py" else name.rpartition(".")[0]
     found: set[str] = set()
@@ -112,11 +112,11 @@
 
 
 def layer_of(name: str) -> str:
-    """The part of the package to which a module belongs."""
+    """Return the top-level package (layer) of a module."""
     return name.split(".")[1] if "." in name else ""
 
 
-def test_layers_when_read_from_source_then_every_part_has_one() -> None:
+def test_layers_when_read_from_source_then_every_package_has_one() -> None:
     assert {layer_of(name) for name in modules()} - {""} == set(LAYERS)
 
 
@@ -125,16 +125,16 @@
     allowed = {*LAYERS[: LAYERS.index(layer) + 1], ""}
     for name in modules():
         if layer_of(name) == layer:
-            wrong = {m for m in imported_modules(name, at_import=False) if layer_of(m) not in allowed}
-            assert not wrong, f"{name} imports {sorted(wrong)}"
+            higher = {m for m in imported_modules(name, at_import=False) if layer_of(m) not in allowed}
+            assert not higher, f"{name} imports {sorted(higher)}"
 
 
-def test_imports_when_followed_from_any_module_then_none_comes_back() -> None:
+def test_imports_when_followed_from_any_module_then_there_is_no_cycle() -> None:
     imports = {name: imported_modules(name, at_import=True) for name in modules()}
     finished: set[str] = set()
 
     def visit(name: str, chain: tuple[str, ...]) -> None:
-        assert name not in chain, f"circle of imports: {' -> '.join([*chain[chain.index(name) :], name])}"
+        assert name not in chain, f"import cycle: {' -> '.join([*chain[chain.index(name) :], name])}"
         if name in finished:
             return
         for imported in sorted(imports[name]):
@@ -146,7 +146,7 @@
         visit(name, ())
 
 
-def test_product_files_when_counted_then_none_is_long_but_those_listed() -> None:
+def test_product_files_when_measured_then_only_listed_ones_exceed_the_limit() -> None:
     long = {
         path.relative_to(PACKAGE).as_posix()
         for path in modules().values()
--- a/tests/wire/support.py
+++ b/tests/wire/support.py
@@ -1,4 +1,4 @@
-"""What the tests of the protocol share: a hello."""
+"""A hello frame for the tests of the protocol."""
 
 from __future__ import annotations
 
--- a/tests/wire/test_frames.py
+++ b/tests/wire/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames as functions of bytes: however they are cut, whatever they hold."""
+"""Decoding of frames: bytes cut at any place, arbitrary bytes and arbitrary field values."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @given(st.lists(PROXY_FRAMES, max_size=8), st.data())
 @settings(max_examples=150, deadline=None)
-def test_frames_when_the_bytes_are_cut_anywhere_then_they_come_complete(
+def test_frames_when_the_bytes_are_cut_anywhere_then_they_are_decoded_completely(
     sent: list[frames.Frame], data: st.DataObject
 ) -> None:
     stream = b"".join(frames.encode(frame) for frame in sent)
@@ -45,7 +45,7 @@
 
 @given(st.binary(max_size=300))
 @settings(max_examples=400, deadline=None)
-def test_bytes_when_arbitrary_then_they_are_frames_or_a_named_error(data: bytes) -> None:
+def test_bytes_when_arbitrary_then_they_are_frames_or_an_error_with_a_code(data: bytes) -> None:
     reader = FrameReader(frames.controller_decoder, 200)
     code = None
     try:
@@ -58,7 +58,7 @@
 
 
 def receive(link: LinkState, data: bytes) -> list[frames.Frame] | str:
-    """The frames, or the code of the error."""
+    """Return the received frames, or the code of the error."""
     try:
         return link.receive(1.0, data)
     except LinkError as error:
@@ -67,7 +67,7 @@
 
 @given(st.sampled_from(["hello", "ack", "sums", "held", "read", "beat", "bye"]), st.lists(ANY_VALUES, max_size=8))
 @settings(max_examples=300, deadline=None)
-def test_fields_when_of_any_shape_then_they_are_within_their_bounds(tag: str, fields: list[Any]) -> None:
+def test_fields_when_arbitrary_then_accepted_values_are_within_their_bounds(tag: str, fields: list[Any]) -> None:
     body = msgspec.msgpack.encode([tag, *fields])
     link = LinkState(LinkLimits(), 0.0, hello=None if tag == "hello" else HELLO)
     received = receive(link, len(body).to_bytes(4, "big") + body)
@@ -83,7 +83,7 @@
             assert all(attempts >= 0 and failed >= 0 for _, attempts, failed, _ in frame.hosts)
 
 
-def test_frame_when_it_has_later_fields_then_they_are_ignored() -> None:
+def test_frame_when_it_has_fields_of_a_later_version_then_they_are_ignored() -> None:
     body = msgspec.msgpack.encode(["beat", 5.0, "a field of a later version"])
     received = FrameReader(frames.controller_decoder, 100).feed(len(body).to_bytes(4, "big") + body)
     assert received == [Heartbeat(5.0)]
--- a/tests/wire/test_link_state.py
+++ b/tests/wire/test_link_state.py
@@ -1,4 +1,4 @@
-"""A link's state: which frame may come when, acknowledgements, timeouts."""
+"""State of a link: valid order of frames, acknowledgements, timeouts."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 def error_text(link: LinkState, *sent: frames.Frame, now: float = 1.0) -> str:
-    """Code and text of the error that the frames raise."""
+    """Return the code and text of the error that the frames raise."""
     with pytest.raises(LinkError) as caught:
         link.receive(now, b"".join(frames.encode(frame) for frame in sent))
     return f"{caught.value.code}: {caught.value}"
 
 
-def test_link_when_the_protocol_is_broken_then_each_way_has_its_code() -> None:
+def test_link_when_the_protocol_is_violated_then_each_violation_has_its_code() -> None:
     assert error_text(LinkState(LinkLimits(), 0.0), Heartbeat()) == "out-of-place: beat before hello"
     assert error_text(LinkState(LinkLimits(), 0.0), HELLO, HELLO) == "out-of-place: a second hello on one link"
     old = Hello(99, 3, "3-1")
@@ -33,7 +33,7 @@
         LinkState(LinkLimits(), 0.0).receive(0.0, b"\x80\x00\x00\x00")
 
 
-def test_ack_when_received_then_it_covers_earlier_versions_and_has_the_time_of_sending() -> None:
+def test_ack_when_received_then_earlier_versions_are_covered_and_the_sending_time_is_recorded() -> None:
     link = LinkState(LinkLimits(), 0.0)
     link.receive(0.0, frames.encode(HELLO))
     for version, sent_at_ms in ((65535, 10.0), (0, 20.0), (1, 30.0)):
