--- a/corallanding/lab/fleet/commands.py
+++ b/corallanding/lab/fleet/commands.py
@@ -16,27 +16,27 @@
 from ...config import ConfigError
 
 if TYPE_CHECKING:  # a steward's start goes by this file, and must not wait for what experiments stand on
-    from .runs import Job, Pool, Row
+    from .runs import Job, Pool, RunResult
 
-Runs = Annotated[int, typer.Option("--runs", min=3, max=1000, help="pairs of runs at most")]
-Kept = Annotated[Path, typer.Option("--kept", help="the file of results; what stands there is not run again")]
-Workers = Annotated[int, typer.Option("--workers", min=1, max=64, help="processes")]
-Out = Annotated[Optional[Path], typer.Option("--out", help="a page: .html or .md")]  # noqa: UP045
-First = Annotated[int, typer.Option("--seed", help="the first seed")]
-Error = Annotated[float, typer.Option("--error", min=0.001, max=0.5, help="chance of a wrong word")]
-KEPT, WORKERS = Path("out/runs.db"), max(1, (os.cpu_count() or 2) - 1)
+RunsOption = Annotated[int, typer.Option("--runs", min=3, max=1000, help="pairs of runs at most")]
+ResultsOption = Annotated[Path, typer.Option("--kept", help="the file of results; what stands there is not run again")]
+WorkersOption = Annotated[int, typer.Option("--workers", min=1, max=64, help="processes")]
+ReportOption = Annotated[Optional[Path], typer.Option("--out", help="a page: .html or .md")]  # noqa: UP045
+SeedOption = Annotated[int, typer.Option("--seed", help="the first seed")]
+ErrorOption = Annotated[float, typer.Option("--error", min=0.001, max=0.5, help="chance of a wrong word")]
+DEFAULT_RESULTS_PATH, DEFAULT_WORKERS = Path("out/runs.db"), max(1, (os.cpu_count() or 2) - 1)
 
 
 @contextmanager
 def faults() -> Iterator[None]:
     """Bad input and runs that could not be made, by name. Ctrl-C keeps what is done."""
-    from .runs import RunFault
+    from .runs import RunFailedError
 
     try:
         yield
     except ConfigError as fault:
         raise fail(fault) from None
-    except RunFault as fault:
+    except RunFailedError as fault:
         raise fail(fault, 3) from None
     except KeyboardInterrupt:
         raise fail("broken off; the same command goes on from here", 130) from None
@@ -62,7 +62,7 @@
     with bar:
         task = bar.add_task("runs", total=total)
 
-        def tell(job: Job, row: Row, known: bool) -> None:
+        def tell(job: Job, row: RunResult, known: bool) -> None:
             bar.update(task, advance=1, description=f"{job.setting.label}, seed {job.seed}: {row.service:.3f}")
 
         with pool(kept, workers, tell) as found:
@@ -82,27 +82,27 @@
     module: Annotated[
         Optional[Path], typer.Option("--module", help="B decides by this checkout's module, with this version's rest")  # noqa: UP045
     ] = None,
-    runs: Runs = 40,
+    runs: RunsOption = 40,
     margin: Annotated[float, typer.Option("--margin", min=0.0, help="a difference that does not matter")] = 0.002,
     loopback: Annotated[bool, typer.Option("--loopback", help="real runs on sockets; few --workers then")] = False,
-    error: Error = 0.05,
-    seed: First = 1,
-    out: Out = None,
-    kept: Kept = KEPT,
-    workers: Workers = WORKERS,
+    error: ErrorOption = 0.05,
+    seed: SeedOption = 1,
+    out: ReportOption = None,
+    kept: ResultsOption = DEFAULT_RESULTS_PATH,
+    workers: WorkersOption = DEFAULT_WORKERS,
 ) -> None:
     """Billed service of B against A on the same emulated days, with an interval. Stops when the answer is clear."""
     from . import page
     from .compare import compare as play
     from .runs import EMULATED, LOOPBACK
-    from .settings import setting, with_pairs
+    from .settings import load_setting, with_overrides
 
     with faults():
-        one = setting(a, day)
-        two = setting(b or a, day, module)
+        one = load_setting(a, day)
+        two = load_setting(b or a, day, module)
         if b is None and not put and module is None:
             raise ConfigError("B is missing: another file, --set KEY=VALUE or --module CHECKOUT")
-        two = with_pairs(two, put)
+        two = with_overrides(two, put)
         if two.label == one.label:
             two = replace(two, label=f"{two.label} ({module or b})")
         if list(one.scenario.operation) != list(two.scenario.operation):
@@ -134,21 +134,21 @@
     key: Annotated[str, typer.Argument(help="the key, e.g. reports.every_ms")],
     values: Annotated[list[str], typer.Argument(help="its values; the first is what the others are held against")],
     day: Annotated[Optional[Path], typer.Option("--day")] = None,  # noqa: UP045
-    runs: Runs = 12,
-    error: Error = 0.05,
-    seed: First = 1,
-    out: Out = None,
-    kept: Kept = KEPT,
-    workers: Workers = WORKERS,
+    runs: RunsOption = 12,
+    error: ErrorOption = 0.05,
+    seed: SeedOption = 1,
+    out: ReportOption = None,
+    kept: ResultsOption = DEFAULT_RESULTS_PATH,
+    workers: WorkersOption = DEFAULT_WORKERS,
 ) -> None:
     """One key over several values, the same seeds for each."""
     from . import page
     from .compare import sweep as play
-    from .settings import changed, setting
+    from .settings import load_setting, with_override
 
     with faults():
-        base = setting(file, day)
-        settings = [changed(base, key, v, v) for v in values]
+        base = load_setting(file, day)
+        settings = [with_override(base, key, v, v) for v in values]
         with making(kept, workers, runs * len(values)) as by:
             rows = play(settings, runs, by, error, seed)
         for r in rows:
@@ -165,21 +165,21 @@
     budget: Annotated[int, typer.Option("--budget", min=20, max=100_000, help="runs for drawing and breeding")] = 400,
     most: Annotated[int, typer.Option("--faults", min=1, max=12, help="faults a day")] = 4,
     kind: Annotated[Optional[list[str]], typer.Option("--kind", help="only these kinds of fault")] = None,  # noqa: UP045
-    seed: First = 1,
-    kept: Kept = KEPT,
-    workers: Workers = WORKERS,
+    seed: SeedOption = 1,
+    kept: ResultsOption = DEFAULT_RESULTS_PATH,
+    workers: WorkersOption = DEFAULT_WORKERS,
 ) -> None:
     """Look for the worst day within bounds, cut it down to what matters, and keep it as a scenario."""
     from ..scenario_text import scenario_hcl
     from .search import RANGES
     from .search import search as play
-    from .settings import setting
+    from .settings import load_setting
 
     with faults():
         for k in kind or ():
             if k not in RANGES:
                 raise ConfigError(f"--kind {k}: not one of {', '.join(sorted(RANGES))}")
-        base = setting(file, day)
+        base = load_setting(file, day)
         with making(kept, workers, budget * 2) as by:
             found = play(base, budget, by, most=most, kinds=kind, seed=seed, told=lambda t: print(t, file=sys.stderr))
         out.parent.mkdir(parents=True, exist_ok=True)
@@ -200,22 +200,22 @@
     runs: Annotated[int, typer.Option("--runs", min=5, max=1000, help="emulated runs")] = 40,
     loopback: Annotated[int, typer.Option("--loopback", min=1, max=1000, help="runs on loopback")] = 20,
     level: Annotated[float, typer.Option("--level", min=0.5, max=0.99)] = 0.9,
-    seed: First = 1,
-    out: Out = None,
-    kept: Kept = KEPT,
-    workers: Workers = WORKERS,
+    seed: SeedOption = 1,
+    out: ReportOption = None,
+    kept: ResultsOption = DEFAULT_RESULTS_PATH,
+    workers: WorkersOption = DEFAULT_WORKERS,
     beside: Annotated[int, typer.Option("--beside", min=1, max=16, help="runs on loopback side by side")] = 2,
 ) -> None:
     """Say where a run on loopback will lie, run it, and count how often that was right."""
     from . import page
     from .compare import predict as play
-    from .settings import setting
+    from .settings import load_setting
 
     with faults():
         found = []
         with making(kept, workers, len(files) * runs) as by, making(kept, beside, len(files) * loopback) as real:
             for path in files:
-                found += play(setting(path, None), runs, loopback, by, real, level, seed)
+                found += play(load_setting(path, None), runs, loopback, by, real, level, seed)
         made = page.predicted(found)
         print(made.markdown())
         if out:
@@ -233,22 +233,22 @@
     ] = None,
     every: Annotated[float, typer.Option("--every", min=1.0, help="seconds of a row")] = 60.0,
     runs: Annotated[int, typer.Option("--runs", min=1, max=200)] = 3,
-    seed: First = 1,
-    out: Out = None,
-    kept: Kept = KEPT,
-    workers: Workers = WORKERS,
+    seed: SeedOption = 1,
+    out: ReportOption = None,
+    kept: ResultsOption = DEFAULT_RESULTS_PATH,
+    workers: WorkersOption = DEFAULT_WORKERS,
 ) -> None:
     """The billed service that a recorded day would have had under each setting, minute by minute."""
     from . import page
     from .runs import Job
-    from .settings import on_recording, setting, with_pairs
+    from .settings import load_setting, with_overrides, with_recording
 
     with faults():
-        one, found = on_recording(setting(like, day), recording, trace)
+        one, found = with_recording(load_setting(like, day), recording, trace)
         settings = [one]
         if other or put:
-            two = on_recording(setting(other, day), recording, trace)[0] if other else one
-            settings.append(with_pairs(two, put))
+            two = with_recording(load_setting(other, day), recording, trace)[0] if other else one
+            settings.append(with_overrides(two, put))
         seeds = range(seed, seed + runs)
         with making(kept, workers, runs * len(settings)) as by:
             done = by.all([Job(s, n) for s in settings for n in seeds])
@@ -261,17 +261,17 @@
 
 def report(
     out: Annotated[Path, typer.Option("--out", help="a page: .html or .md")],
-    kept: Kept = KEPT,
+    kept: ResultsOption = DEFAULT_RESULTS_PATH,
     name: Annotated[str, typer.Option("--scenario", help="only this one")] = "",
 ) -> None:
     """A page of all results that a file holds."""
     from . import page
-    from .runs import Runs
+    from .runs import ResultStore
 
     with faults():
         if not kept.is_file():
             raise ConfigError(f"{kept}: there is no such file of results")
-        runs = Runs(kept)
+        runs = ResultStore(kept)
         rows = runs.rows(name)
         runs.close()
         if not rows:
--- a/corallanding/lab/fleet/compare.py
+++ b/corallanding/lab/fleet/compare.py
@@ -7,14 +7,25 @@
 
 from scipy import stats
 
-from .runs import EMULATED, FIGURES, LOOPBACK, Job, Pool, Row, Setting
-from .statistics import OPEN, Interval, Outcome, Word, covered, interval, judge, looks, outcomes, prediction
-
-LEAST = 8
+from .runs import EMULATED, FIGURES, LOOPBACK, Job, Pool, RunResult, Setting
+from .statistics import (
+    UNDECIDED,
+    Interval,
+    Judgement,
+    Outcome,
+    find_outcomes,
+    hit_probability,
+    interval,
+    judge,
+    look_counts,
+    prediction_interval,
+)
+
+MIN_PAIRS = 8
 
 
 @dataclass(frozen=True)
-class Tipped:
+class LowOutcomeCounts:
     """Runs that ended in the lower of two outcomes, and how likely such a difference in pairs is by chance."""
 
     below: float
@@ -24,17 +35,17 @@
 
 
 @dataclass(frozen=True)
-class Compared:
+class Comparison:
     a: Setting
     b: Setting
-    rows_a: list[Row]
-    rows_b: list[Row]
-    word: Word  # of `service`
+    rows_a: list[RunResult]
+    rows_b: list[RunResult]
+    word: Judgement  # of `service`
     looks: int
     others: dict[str, Interval]  # differences of the other figures, each by itself at the same error
     outcomes_a: list[Outcome]
     outcomes_b: list[Outcome]
-    tipped: Tipped | None
+    tipped: LowOutcomeCounts | None
 
     @property
     def broken(self) -> tuple[int, int]:
@@ -42,16 +53,16 @@
         return sum(bool(r.broken) for r in self.rows_a), sum(bool(r.broken) for r in self.rows_b)
 
 
-def tipping(a: Sequence[float], b: Sequence[float]) -> Tipped | None:
+def count_low_outcomes(a: Sequence[float], b: Sequence[float]) -> LowOutcomeCounts | None:
     """None where neither setting has two outcomes by itself: two settings that differ are no tipping day."""
-    parts = [p for p in (outcomes(a), outcomes(b)) if len(p) == 2]
+    parts = [p for p in (find_outcomes(a), find_outcomes(b)) if len(p) == 2]
     if not parts:
         return None
     below = (parts[0][0].high + parts[0][1].low) / 2
     only_a = sum(x < below <= y for x, y in zip(a, b, strict=True))
     only_b = sum(y < below <= x for x, y in zip(a, b, strict=True))
     chance = float(stats.binomtest(only_a, only_a + only_b).pvalue) if only_a + only_b else 1.0
-    return Tipped(below, sum(x < below for x in a), sum(x < below for x in b), chance)
+    return LowOutcomeCounts(below, sum(x < below for x in a), sum(x < below for x in b), chance)
 
 
 def compare(
@@ -62,13 +73,13 @@
     margin: float = 0.002,
     error: float = 0.05,
     first: int = 1,
-    looked: Callable[[Word, int], None] = lambda *_: None,
+    looked: Callable[[Judgement, int], None] = lambda *_: None,
     model: str = EMULATED,
-) -> Compared:
+) -> Comparison:
     """Pairs of seeds from `first` on. Raises `RunFault`."""
-    counts = looks(min(LEAST, runs), runs)
-    rows_a: list[Row] = []
-    rows_b: list[Row] = []
+    counts = look_counts(min(MIN_PAIRS, runs), runs)
+    rows_a: list[RunResult] = []
+    rows_b: list[RunResult] = []
     for n, count in enumerate(counts, 1):
         seeds = range(first + len(rows_a), first + count)
         jobs = [Job(s, seed, model) for seed in seeds for s in (a, b)]
@@ -78,30 +89,39 @@
         service_a, service_b = [r.service for r in rows_a], [r.service for r in rows_b]
         word = judge(service_a, service_b, margin, error, len(counts), n == len(counts))
         looked(word, count)
-        if word.verdict != OPEN:
+        if word.verdict != UNDECIDED:
             break
     others = {
         f: interval([getattr(y, f) - getattr(x, f) for x, y in zip(rows_a, rows_b, strict=True)], 1.0 - error)
         for f in FIGURES
         if f != "service"
     }
-    return Compared(
-        a, b, rows_a, rows_b, word, n, others, outcomes(service_a), outcomes(service_b), tipping(service_a, service_b)
+    return Comparison(
+        a,
+        b,
+        rows_a,
+        rows_b,
+        word,
+        n,
+        others,
+        find_outcomes(service_a),
+        find_outcomes(service_b),
+        count_low_outcomes(service_a, service_b),
     )
 
 
 @dataclass(frozen=True)
-class Swept:
+class SweepPoint:
     """One value of a setting. against: the difference to the first value, which has none."""
 
     value: str
-    rows: list[Row]
+    rows: list[RunResult]
     service: Interval
     against: Interval | None
     outcomes: list[Outcome]
 
 
-def sweep(settings: list[Setting], runs: int, pool: Pool, error: float = 0.05, first: int = 1) -> list[Swept]:
+def sweep(settings: list[Setting], runs: int, pool: Pool, error: float = 0.05, first: int = 1) -> list[SweepPoint]:
     """The same seeds for every value. Differences share the error among them (Bonferroni)."""
     seeds = range(first, first + runs)
     done = pool.all([Job(s, seed) for seed in seeds for s in settings])
@@ -112,12 +132,12 @@
         service = [r.service for r in rows[k]]
         base = [r.service for r in rows[0]]
         against = interval([y - x for x, y in zip(base, service, strict=True)], level) if k else None
-        out.append(Swept(s.label, rows[k], interval(service, 1.0 - error), against, outcomes(service)))
+        out.append(SweepPoint(s.label, rows[k], interval(service, 1.0 - error), against, find_outcomes(service)))
     return out
 
 
 @dataclass(frozen=True)
-class Predicted:
+class Prediction:
     """Where the emulated runs expect another one, and where those on loopback came to lie."""
 
     scenario: str
@@ -135,12 +155,12 @@
     @property
     def chance(self) -> float:
         """Of so few hits, did the interval hold what it says."""
-        return covered(self.hits, len(self.loopback), self.level)
+        return hit_probability(self.hits, len(self.loopback), self.level)
 
 
 def predict(
     s: Setting, emulated: int, loopback: int, pool: Pool, real: Pool, level: float = 0.9, first: int = 1
-) -> list[Predicted]:
+) -> list[Prediction]:
     """The seeds on loopback are others than the emulated ones: it is a prediction, not the same day again."""
     jobs = [Job(s, first + k) for k in range(emulated)]
     others = [Job(s, first + 10_000 + k, LOOPBACK) for k in range(loopback)]
@@ -148,8 +168,8 @@
     out = []
     for name in ("service", "worst_10_s"):
         values = [float(getattr(done[j.key], name)) for j in jobs]
-        low, high = prediction(values, level)
+        low, high = prediction_interval(values, level)
         out.append(
-            Predicted(s.label, name, level, low, high, values, [float(getattr(met[j.key], name)) for j in others])
+            Prediction(s.label, name, level, low, high, values, [float(getattr(met[j.key], name)) for j in others])
         )
     return out
--- a/corallanding/lab/fleet/emulate.py
+++ b/corallanding/lab/fleet/emulate.py
@@ -26,8 +26,8 @@
 from ..scenario import LoadReportsTraffic, Scenario
 from ..scenario_text import steward_hcl
 from .loop import LATENCY, Machine, SimLoop, run
-from .recorded import Day, arrivals
-from .steward import MemoryStore, SimSteward
+from .recorded import RecordedDay, generate_arrivals
+from .steward import InMemoryStore, SimController
 
 if TYPE_CHECKING:
     from .registry import LocalRegistry
@@ -35,21 +35,21 @@
 NOT_EMULATED = {"upgrade": "two processes share sockets there"}
 
 
-class NotEmulated(Exception):
+class NotEmulatedError(Exception):
     """What a scenario asks for and the emulator does not have."""
 
 
-def refuse(s: Scenario) -> None:
+def check_emulated(s: Scenario) -> None:
     """Raises `NotEmulated`."""
     if s.task or s.task_group:
-        raise NotEmulated("tasks of the fleet")
+        raise NotEmulatedError("tasks of the fleet")
     for f in s.fault:
         if f.kind in NOT_EMULATED:
-            raise NotEmulated(f"fault {f.kind!r}: {NOT_EMULATED[f.kind]}")
+            raise NotEmulatedError(f"fault {f.kind!r}: {NOT_EMULATED[f.kind]}")
 
 
 @lru_cache(maxsize=64)
-def steward_of(scenario: str) -> ControllerConfig:
+def controller_config_for(scenario: str) -> ControllerConfig:
     """The configuration that the lab would write for the scenario (as JSON). Parsing takes as long as a short day."""
     s = Scenario.model_validate_json(scenario)
     with TemporaryDirectory() as folder:
@@ -70,7 +70,7 @@
         config: ControllerConfig | None = None,
         decider: Callable[[api.Settings, int], Decider] = Assigner,
         record: str | None = None,
-        recorded: Day | None = None,
+        recorded: RecordedDay | None = None,
         out: Path = Path("."),
     ) -> None:
         """recorded: a day in place of the scenario's hosts, arrivals and faults. out: a folder for the key of load
@@ -79,10 +79,14 @@
             raise ConfigError(f"{scenario.name}: budgets and runs are played by processes: `lab run`")
         self.loop, self.recorded = loop, recorded
         super().__init__(scenario, out, seed)
-        self.base, self.decider, self.record = config or steward_of(scenario.model_dump_json()), decider, record
-        self.memories = [MemoryStore() for _ in range(scenario.stewards)]
+        self.base, self.decider, self.record = (
+            config or controller_config_for(scenario.model_dump_json()),
+            decider,
+            record,
+        )
+        self.memories = [InMemoryStore() for _ in range(scenario.stewards)]
         self.machines = [Machine() for _ in range(scenario.stewards)]
-        self.stewards: dict[int, SimSteward] = {}
+        self.stewards: dict[int, SimController] = {}
         self.configs: list[ControllerConfig] = []
         self.registered: LocalRegistry | None = None
         if scenario.stewards > 1:
@@ -95,7 +99,7 @@
         if self.recorded is None:
             await super().first_hosts()
             return
-        for e in self.recorded.first:
+        for e in self.recorded.initial_hosts:
             h = await self.add_host(e.zone, self.spec(self.kind(e.kind)), cold=False, number=e.host)
             if e.state == "draining":
                 self.registry(h, "draining", 0.0)
@@ -106,7 +110,7 @@
     def arrivals(self, rates: np.ndarray, slices: np.ndarray, operations: list[OperationSpec]) -> Traffic:
         if self.recorded is None:
             return super().arrivals(rates, slices, operations)
-        return arrivals(self.recorded, self.seed, operations)
+        return generate_arrivals(self.recorded, self.seed, operations)
 
     def begin_faults(self) -> list[asyncio.Task[Any]]:
         awaited = super().begin_faults()
@@ -114,10 +118,10 @@
             self.spawn(self.again(self.recorded))
         return awaited
 
-    async def again(self, day: Day) -> None:
+    async def again(self, day: RecordedDay) -> None:
         """What was seen of the hosts, at its times."""
-        for x in day.seen:
-            await asyncio.sleep(max(0.0, self.begun + x.at - trace.clock()) / 1000.0)
+        for x in day.host_changes:
+            await asyncio.sleep(max(0.0, self.begun + x.at_ms - trace.clock()) / 1000.0)
             h = self.hosts.get(x.host)
             match x.what:
                 case "up" if h is None:
@@ -134,7 +138,7 @@
                     h.kill()
                     self.registry(h, "removed")
                 case "slow" if h:
-                    h.slowness = x.size
+                    h.slowness = x.slowness
 
     def new_port(self) -> int:
         return self.loop.new_port()
@@ -187,7 +191,7 @@
         record = None
         if self.record:
             record = f"{self.record}{me if self.scenario.stewards > 1 else ''}-{self.life[me]}.rec"
-        steward = SimSteward(self.loop, self.configs[me], self.decider, self.memories[me], record, self.registered)
+        steward = SimController(self.loop, self.configs[me], self.decider, self.memories[me], record, self.registered)
         self.stewards[me] = steward
         task = machine.start(self.loop, steward.live())
         while not steward.context.lifecycle.is_ready:
@@ -258,7 +262,7 @@
 
 
 @dataclass
-class Emulated:
+class EmulationResult:
     result: dict[str, Any]  # as `result.json` of the lab
     records: list[tuple[Any, ...]]  # as `trace.jsonl.gz`
     begun: float
@@ -275,20 +279,20 @@
     decider: Callable[[api.Settings, int], Decider] | None = None,
     record: str | None = None,
     latency: float = LATENCY,
-    recorded: Day | None = None,
-) -> Emulated:
+    recorded: RecordedDay | None = None,
+) -> EmulationResult:
     """Plays the scenario; the same arguments give the same result and records. Raises `NotEmulated`."""
-    refuse(scenario)
+    check_emulated(scenario)
     configure("json", "critical")
 
-    async def work(loop: SimLoop) -> Emulated:
+    async def work(loop: SimLoop) -> EmulationResult:
         trace.use(loop.time, loop.time)
         by = decider or PUBLISHERS[scenario.publisher]
         lab = FleetLab(loop, scenario, seed, config, by, record, recorded, Path(folder.name))
         began = loop.now
         result = await lab.run()
         took = time.perf_counter() - begun
-        return Emulated(result, lab.trace.records, lab.begun, lab.polls, loop.events, took, loop.now - began)
+        return EmulationResult(result, lab.trace.records, lab.begun, lab.polls, loop.events, took, loop.now - began)
 
     begun = time.perf_counter()
     folder = TemporaryDirectory(prefix="corallanding-")
--- a/corallanding/lab/fleet/page.py
+++ b/corallanding/lab/fleet/page.py
@@ -13,10 +13,10 @@
 import msgspec
 import numpy as np
 
-from .compare import Compared, Predicted, Swept
-from .recorded import Day
-from .runs import LOOPBACK, Row
-from .statistics import Interval, Outcome, interval, outcomes
+from .compare import Comparison, Prediction, SweepPoint
+from .recorded import RecordedDay
+from .runs import LOOPBACK, RunResult
+from .statistics import Interval, Outcome, find_outcomes, interval
 
 STYLE = (
     "body{font:15px/1.45 sans-serif;max-width:62em;margin:2em auto;padding:0 1em}table{border-collapse:collapse}"
@@ -102,7 +102,7 @@
     return "two outcomes: " + "; ".join(f"{o.mean:.4f} in {o.share:.0%} of the runs" for o in parts)
 
 
-def verdict(c: Compared) -> str:
+def verdict(c: Comparison) -> str:
     """The answer in a sentence."""
     w = c.word
     said = f"{c.b.label} against {c.a.label}, billed service: {w.verdict}, {signed(w.difference)} over "
@@ -116,7 +116,7 @@
     return said
 
 
-def compared(c: Compared, margin: float, error: float) -> Page:
+def compared(c: Comparison, margin: float, error: float) -> Page:
     page = Page(f"{c.a.label} and {c.b.label} on {c.a.scenario.name}")
     page.text(verdict(c))
     where = "Stand-ins on loopback" if c.rows_a[0].model == LOOPBACK else "Emulated fleet"
@@ -146,11 +146,11 @@
     return page
 
 
-def mean(rows: Sequence[Row], name: str) -> float:
+def mean(rows: Sequence[RunResult], name: str) -> float:
     return float(np.mean([getattr(r, name) for r in rows]))
 
 
-def scatter(ax: Any, c: Compared) -> None:
+def scatter(ax: Any, c: Comparison) -> None:
     a, b = [r.service for r in c.rows_a], [r.service for r in c.rows_b]
     ax.plot(a, b, "o", color="C0")
     low, high = min(a + b), max(a + b)
@@ -159,7 +159,7 @@
     ax.set_ylabel(c.b.label)
 
 
-def days(ax: Any, c: Compared) -> None:
+def days(ax: Any, c: Comparison) -> None:
     for label, rows, color in ((c.a.label, c.rows_a, "C0"), (c.b.label, c.rows_b, "C1")):
         span = min(len(r.asked) for r in rows)
         shares = np.array(
@@ -178,7 +178,7 @@
     ax.legend(loc="lower right")
 
 
-def swept(rows: Sequence[Swept], key: str, name: str, error: float) -> Page:
+def swept(rows: Sequence[SweepPoint], key: str, name: str, error: float) -> Page:
     page = Page(f"{key} on {name}")
     page.text(
         f"Emulated fleet, no real one; {len(rows[0].rows)} runs a value, the same seeds. Differences are against the "
@@ -214,7 +214,7 @@
     return page
 
 
-def predicted(found: Sequence[Predicted]) -> Page:
+def predicted(found: Sequence[Prediction]) -> Page:
     page = Page("Predicted by the emulated fleet, met on loopback")
     page.text(
         "Seeds on loopback are others than the emulated ones. `chance`: how likely so few runs inside would be if the "
@@ -228,7 +228,7 @@
                 p.figure.replace("_", " "),
                 len(p.emulated),
                 f"{p.low:.4f} to {p.high:.4f} ({p.level:.0%})",
-                told(outcomes(p.loopback)),
+                told(find_outcomes(p.loopback)),
                 f"{p.hits} of {len(p.loopback)}",
                 f"{p.chance:.3f}",
             )
@@ -249,7 +249,7 @@
     return page
 
 
-def buckets(row: Row, seconds: float) -> np.ndarray:
+def buckets(row: RunResult, seconds: float) -> np.ndarray:
     """Billed value asked and answered, a pair for each span of `seconds`."""
     n = -(-len(row.asked) // int(seconds))
     out = np.zeros((n, 2))
@@ -258,16 +258,16 @@
     return out
 
 
-def replayed(day: Day, pairs: Sequence[tuple[str, Sequence[Row]]], every: float) -> Page:
+def replayed(day: RecordedDay, pairs: Sequence[tuple[str, Sequence[RunResult]]], every: float) -> Page:
     """A recorded day under each setting, span by span; the mean over the seeds."""
     page = Page("A recorded day, replayed")
     page.text(
-        f"{day.length / 1000.0:.0f} s, {len(day.first)} hosts at the beginning, {len(day.forwarders)} forwarders, "
-        f"{sum(w.count for w in day.windows):.0f} invocations, of which {day.filled:.0f} stand for "
+        f"{day.length_ms / 1000.0:.0f} s, {len(day.initial_hosts)} hosts at the beginning, {len(day.proxies)} forwarders, "
+        f"{sum(w.count for w in day.windows):.0f} invocations, of which {day.filled_requests:.0f} stand for "
         f"{sum(b - a for a, b in day.gaps) / 1000.0:.1f} s that no sum covers; "
-        f"{sum(b - a for a, b in day.late) / 1000.0:.1f} s came late, in one sum. {len(day.seen)} changes of hosts."
-        + (" The recording's end is torn off." if day.torn else "")
-        + f" Forwarders told that {day.unanswered:.2%} went unanswered. Emulated; docs/fleet.md has the rules."
+        f"{sum(b - a for a, b in day.late_spans) / 1000.0:.1f} s came late, in one sum. {len(day.host_changes)} changes of hosts."
+        + (" The recording's end is torn off." if day.is_truncated else "")
+        + f" Forwarders told that {day.unanswered_share:.2%} went unanswered. Emulated; docs/fleet.md has the rules."
     )
     page.table(
         ("from, s", *(f"{label}: billed of asked" for label, _ in pairs), "marks"),
@@ -279,7 +279,7 @@
     page.table(
         ("setting", "billed service", "runs", "broken rules"),
         [
-            (label, told(outcomes([r.service for r in rows])), len(rows), sum(bool(r.broken) for r in rows))
+            (label, told(find_outcomes([r.service for r in rows])), len(rows), sum(bool(r.broken) for r in rows))
             for label, rows in pairs
         ],
     )
@@ -287,9 +287,9 @@
     def draw(ax: Any) -> None:
         for a, b in day.gaps:
             ax.axvspan(a / 1000.0, b / 1000.0, color="C3", alpha=0.25)
-        for a, b in day.late:
+        for a, b in day.late_spans:
             ax.axvspan(a / 1000.0, b / 1000.0, color="C1", alpha=0.15)
-        ax.plot(day.by_second, color="0.7", lw=1, label="as forwarders told (answered at all)")
+        ax.plot(day.answered_shares, color="0.7", lw=1, label="as forwarders told (answered at all)")
         for label, rows in pairs:
             parts = np.mean([buckets(r, 1.0) for r in same_length(rows)], axis=0)
             ax.plot(np.divide(parts[:, 1], parts[:, 0], out=np.ones(len(parts)), where=parts[:, 0] > 0), label=label)
@@ -301,32 +301,32 @@
     return page
 
 
-def same_length(rows: Sequence[Row]) -> list[Row]:
+def same_length(rows: Sequence[RunResult]) -> list[RunResult]:
     n = min(len(r.asked) for r in rows)
     return [msgspec.structs.replace(r, asked=r.asked[:n], answered=r.answered[:n]) for r in rows]
 
 
-def spans(pairs: Sequence[tuple[str, Sequence[Row]]], every: float) -> list[list[str]]:
+def spans(pairs: Sequence[tuple[str, Sequence[RunResult]]], every: float) -> list[list[str]]:
     parts = [np.mean([buckets(r, every) for r in same_length(rows)], axis=0) for _, rows in pairs]
     n = min(len(p) for p in parts)
     return [[f"{p[k, 1]:.1f} of {p[k, 0]:.1f} ({p[k, 1] / max(p[k, 0], 1e-9):.2%})" for p in parts] for k in range(n)]
 
 
-def marks(day: Day, begin: float, end: float) -> str:
+def marks(day: RecordedDay, begin: float, end: float) -> str:
     said = []
-    for name, rows in (("no sums", day.gaps), ("late sum", day.late)):
+    for name, rows in (("no sums", day.gaps), ("late sum", day.late_spans)):
         part = sum(max(0.0, min(b, end) - max(a, begin)) for a, b in rows)
         if part:
             said.append(f"{name} {part / 1000.0:.1f} s")
-    kinds = [x.what for x in day.seen if begin <= x.at < end]
+    kinds = [x.what for x in day.host_changes if begin <= x.at_ms < end]
     said += [f"{kinds.count(k)} {k}" for k in sorted(set(kinds))]
     return ", ".join(said)
 
 
-def kept(rows: Sequence[tuple[str, str, str, Row]]) -> Page:
+def kept(rows: Sequence[tuple[str, str, str, RunResult]]) -> Page:
     """All that a file of results holds, a line for each scenario, setting, version and model."""
     page = Page("Results")
-    groups: dict[tuple[str, str, str, str, str], list[Row]] = {}
+    groups: dict[tuple[str, str, str, str, str], list[RunResult]] = {}
     for label, code, config, r in rows:
         groups.setdefault((r.scenario, label, config, code, r.model), []).append(r)
     page.text(f"{len(rows)} runs, {len(groups)} groups. `version` is a digest of the program's text.")
@@ -339,7 +339,7 @@
                 code[:8],
                 model,
                 len(found),
-                told(outcomes([r.service for r in found])),
+                told(find_outcomes([r.service for r in found])),
                 span(interval([r.service for r in found])),
                 f"{mean(found, 'worst_10_s'):.4f}",
                 sum(bool(r.broken) for r in found),
--- a/corallanding/lab/fleet/recorded.py
+++ b/corallanding/lab/fleet/recorded.py
@@ -1,16 +1,17 @@
-"""A steward's recording as a day: what came for each slice, which hosts there were, what ailed them. Pure.
-
-A recording tells what the steward was told, no more. Rules, so that nothing is made up in silence:
-
-1. A sum covers the span that it names, up to the time at which it was given to the module; its invocations are spread
-   evenly over it. A span over one and a half report periods came `late`: its total is true, its shape is not known.
-2. Time that no sum covers is a `gap`. Each slice and operation goes on there at the mean of its rates in the report
-   periods before and after.
-3. The list's words are late by `notice`. A host that is listed as draining and then goes was ended in order; one that
-   goes without was dead from `notice` before. A new host, or a new start of one, begins cold.
-4. A host whose good answers took over 1.5 times the fleet's middle for two periods running was slow by that much.
-5. Not in a recording: how much work an invocation is, which forwarder it came to, how long a client waits. They are
-   the scenario's (`--like`).
+"""Reads a controller's recording as a scenario: requests of each slice, hosts, and their faults. Without side effects.
+
+A recording holds only what the controller received. The rules below fill in the rest, and the result marks it:
+
+1. A usage report covers its `span_ms`, up to the time at which it was passed to the assigner; its requests are spread
+   evenly over that span. A span longer than 1.5 report periods is marked `late`: its total is true, its shape unknown.
+2. Time that no usage report covers is a `gap`. Each slice and request class continues there at the mean of its rates
+   in the report periods before and after.
+3. Host list updates are late by `notice_ms`. A host that is listed as draining before it is removed shut down
+   gracefully; any other removed host had failed `notice_ms` earlier. A new or restarted host begins cold.
+4. A host whose latency of successful requests exceeded 1.5 times the fleet's median for two periods in a row was slow
+   by that factor.
+5. A recording lacks the work of a request, the proxy that received it and the client's timeout. These are taken from
+   the scenario (`--like`).
 """
 
 from __future__ import annotations
@@ -26,229 +27,255 @@
 from ...controller.recorder import Recording
 from ..clients import OperationSpec, Traffic
 
-LATE, SLOW, AROUND = 1.5, 1.5, 3.0  # spans in report periods; slowness; report periods around a gap
+LATE_PERIODS = 1.5  # spans longer than this many report periods are late
+SLOW_RATIO = 1.5  # latency to the fleet's median, above which a host is slow
+GAP_MARGIN_PERIODS = 3.0  # report periods on each side of a gap that give its rates
 
 
-class NoDay(Exception):
-    """What a recording lacks to be a day."""
+class UnusableRecordingError(Exception):
+    """A recording or trace lacks data that a scenario needs."""
 
 
 @dataclass(frozen=True)
-class Seen:
-    """A change of one host, ms from the beginning. what: "up", "draining", "gone", "dead", "slow"; size: of "slow"."""
+class HostChange:
+    """A change of one host."""
 
-    at: float
-    what: str
+    at_ms: float  # since the beginning
+    what: str  # "up", "draining", "gone" (shut down gracefully), "dead" (failed) or "slow"
     host: int
     zone: int = 0
     kind: int = 0
-    size: float = 1.0
+    slowness: float = 1.0  # factor of "slow"
 
 
 @dataclass(frozen=True)
-class Window:
-    begin: float
-    end: float
+class RequestWindow:
+    """Requests of one slice and request class in a span of time, in ms since the beginning."""
+
+    begin_ms: float
+    end_ms: float
     slice: int
-    operation: int
+    request_class: int
     count: float
 
 
 @dataclass
-class Day:
-    length: float  # ms
-    slices: int
-    operations: int
-    windows: list[Window]
-    late: list[tuple[float, float]]
+class RecordedDay:
+    """A recording as a scenario; times in ms since the beginning."""
+
+    length_ms: float
+    slice_count: int
+    request_class_count: int
+    windows: list[RequestWindow]
+    late_spans: list[tuple[float, float]]
     gaps: list[tuple[float, float]]
-    first: list[api.HostEntry]
-    seen: list[Seen]
-    forwarders: dict[int, tuple[int, float]]  # zone, rate
-    unanswered: float  # share of what came, as forwarders told
-    filled: float = 0.0  # invocations that the gaps were given
-    torn: bool = False
-    by_second: list[float] = field(default_factory=list)  # share answered, as told
-    exact: Traffic | None = None  # arrivals of a trace, in place of the windows
-
-
-def joined(spans: list[tuple[float, float]], slack: float = 0.0) -> list[tuple[float, float]]:
-    out: list[tuple[float, float]] = []
-    for a, b in sorted(spans):
-        if out and a <= out[-1][1] + slack:
-            out[-1] = (out[-1][0], max(out[-1][1], b))
+    initial_hosts: list[api.HostEntry]
+    host_changes: list[HostChange]
+    proxies: dict[int, tuple[int, float]]  # zone and requests per second by proxy
+    unanswered_share: float  # of all requests, as proxies reported
+    filled_requests: float = 0.0  # requests that fill the gaps
+    is_truncated: bool = False
+    answered_shares: list[float] = field(default_factory=list)  # by second, as proxies reported
+    exact_traffic: Traffic | None = None  # arrivals of a trace, in place of the windows
+
+
+def merge_spans(spans: list[tuple[float, float]], slack_ms: float = 0.0) -> list[tuple[float, float]]:
+    """Merge spans that overlap or lie at most `slack_ms` apart."""
+    merged: list[tuple[float, float]] = []
+    for begin, end in sorted(spans):
+        if merged and begin <= merged[-1][1] + slack_ms:
+            merged[-1] = (merged[-1][0], max(merged[-1][1], end))
         else:
-            out.append((a, b))
-    return out
-
-
-def day_of(rec: Recording, notice: float) -> Day:
-    """notice: ms that the list is late. Raises `NoDay`."""
-    every = rec.settings.report_interval_ms
-    sums = [(now, e) for now, events, _ in rec.steps for e in events if isinstance(e, api.SliceUsageReport)]
-    if not rec.settings.slice_count:
-        raise NoDay("a site without slices: nothing tells what came for whom")
-    if not sums:
-        raise NoDay("no sums of slices: no forwarder reported in it")
-    begin, end = min(now - e.span_ms for now, e in sums), max(now for now, _ in sums)
-    windows = [Window(now - e.span_ms - begin, now - begin, e.slice, e.request_class, e.requests) for now, e in sums]
-    covered = joined([(w.begin, w.end) for w in windows], every * 0.5)
-    gaps = [(a[1], b[0]) for a, b in itertools.pairwise(covered)]
-    late = joined([(w.begin, w.end) for w in windows if w.end - w.begin > LATE * every])
-    came = sum(w.count for w in windows)
-    more = [w for g in gaps for w in fill(windows, g, AROUND * every)]
-    first, seen = hosts_of(rec, begin, end, notice)
-    told = np.zeros((2, int((end - begin) / 1000.0) + 1))
-    for now, e in sums:
-        at = int((now - e.span_ms / 2 - begin) / 1000.0)
-        told[0, at] += e.requests
-        told[1, at] += e.unanswered
+            merged.append((begin, end))
+    return merged
+
+
+def day_from_recording(recording: Recording, notice_ms: float) -> RecordedDay:
+    """Return the recording as a scenario; the host list is late by `notice_ms`. Raises `UnusableRecordingError`."""
+    period_ms = recording.settings.report_interval_ms
+    reports = [(now, e) for now, events, _ in recording.steps for e in events if isinstance(e, api.SliceUsageReport)]
+    if not recording.settings.slice_count:
+        raise UnusableRecordingError("the site has no slices, so requests cannot be attributed to hosts")
+    if not reports:
+        raise UnusableRecordingError("no usage reports of slices in the recording")
+    begin_ms, end_ms = min(now - e.span_ms for now, e in reports), max(now for now, _ in reports)
+    windows = [
+        RequestWindow(now - e.span_ms - begin_ms, now - begin_ms, e.slice, e.request_class, e.requests)
+        for now, e in reports
+    ]
+    covered_spans = merge_spans([(w.begin_ms, w.end_ms) for w in windows], period_ms * 0.5)
+    gaps = [(a[1], b[0]) for a, b in itertools.pairwise(covered_spans)]
+    late_spans = merge_spans(
+        [(w.begin_ms, w.end_ms) for w in windows if w.end_ms - w.begin_ms > LATE_PERIODS * period_ms]
+    )
+    total_requests = sum(w.count for w in windows)
+    filled = [w for gap in gaps for w in fill_gap(windows, gap, GAP_MARGIN_PERIODS * period_ms)]
+    initial_hosts, host_changes = read_host_changes(recording, begin_ms, end_ms, notice_ms)
+    by_second = np.zeros((2, int((end_ms - begin_ms) / 1000.0) + 1))  # requests, unanswered requests
+    for now, e in reports:
+        second = int((now - e.span_ms / 2 - begin_ms) / 1000.0)
+        by_second[0, second] += e.requests
+        by_second[1, second] += e.unanswered
     proxies = {
         e.proxy: (e.zone, max(e.requests_per_second, 1e-6))
-        for _, events, _ in rec.steps
+        for _, events, _ in recording.steps
         for e in events
         if isinstance(e, api.ProxyJoined)
     }
     if not proxies:
-        raise NoDay("no forwarder joined in it")
-    return Day(
-        end - begin,
-        rec.settings.slice_count,
-        len(rec.settings.request_classes),
-        windows + more,
-        late,
+        raise UnusableRecordingError("no proxy joined in the recording")
+    return RecordedDay(
+        end_ms - begin_ms,
+        recording.settings.slice_count,
+        len(recording.settings.request_classes),
+        windows + filled,
+        late_spans,
         gaps,
-        first,
-        sorted(seen + slow_of(rec, begin), key=lambda x: (x.at, x.host)),
+        initial_hosts,
+        sorted(host_changes + detect_slowness(recording, begin_ms), key=lambda change: (change.at_ms, change.host)),
         proxies,
-        sum(e.unanswered for _, e in sums) / max(came, 1.0),
-        sum(w.count for w in more),
-        rec.is_truncated,
-        [round(float(1.0 - u / c), 4) if c else 1.0 for c, u in told.T],
+        sum(e.unanswered for _, e in reports) / max(total_requests, 1.0),
+        sum(w.count for w in filled),
+        recording.is_truncated,
+        [round(float(1.0 - unanswered / count), 4) if count else 1.0 for count, unanswered in by_second.T],
     )
 
 
-def fill(windows: list[Window], gap: tuple[float, float], around: float) -> list[Window]:
-    """Rule 2."""
+def fill_gap(windows: list[RequestWindow], gap: tuple[float, float], margin_ms: float) -> list[RequestWindow]:
+    """Return the windows that fill a gap (rule 2)."""
     rates: dict[tuple[int, int], float] = defaultdict(float)
-    sides = ((gap[0] - around, gap[0]), (gap[1], gap[1] + around))
-    for a, b in sides:
+    sides = ((gap[0] - margin_ms, gap[0]), (gap[1], gap[1] + margin_ms))
+    for begin_ms, end_ms in sides:
         for w in windows:
-            overlap = min(w.end, b) - max(w.begin, a)
-            if overlap > 0.0:
-                rates[w.slice, w.operation] += w.count * overlap / (w.end - w.begin) / (b - a) / len(sides)
-    return [Window(*gap, s, o, rate * (gap[1] - gap[0])) for (s, o), rate in sorted(rates.items())]
-
-
-def hosts_of(rec: Recording, begin: float, end: float, notice: float) -> tuple[list[api.HostEntry], list[Seen]]:
-    """Rule 3. The list as it stood when the first sums began, and its changes from there."""
-    now_is: dict[int, api.HostEntry] = {}
-    first: list[api.HostEntry] | None = None
-    seen: list[Seen] = []
-    for now, events, _ in rec.steps:
-        if first is None and now > begin:
-            first = [e for _, e in sorted(now_is.items())]
+            overlap_ms = min(w.end_ms, end_ms) - max(w.begin_ms, begin_ms)
+            if overlap_ms > 0.0:
+                share = w.count * overlap_ms / (w.end_ms - w.begin_ms) / (end_ms - begin_ms) / len(sides)
+                rates[w.slice, w.request_class] += share
+    return [RequestWindow(*gap, s, c, rate * (gap[1] - gap[0])) for (s, c), rate in sorted(rates.items())]
+
+
+def read_host_changes(
+    recording: Recording, begin_ms: float, end_ms: float, notice_ms: float
+) -> tuple[list[api.HostEntry], list[HostChange]]:
+    """Return the host list at the beginning of the first usage reports, and its changes from then on (rule 3)."""
+    current: dict[int, api.HostEntry] = {}
+    initial_hosts: list[api.HostEntry] | None = None
+    changes: list[HostChange] = []
+    for now, events, _ in recording.steps:
+        if initial_hosts is None and now > begin_ms:
+            initial_hosts = [entry for _, entry in sorted(current.items())]
         for e in events:
             if not isinstance(e, api.HostListUpdate) or e.kind is api.HostListKind.FAILED:
                 continue
-            rows = {x.host: x for x in e.entries}
+            entries = {entry.host: entry for entry in e.entries}
             if e.kind is not api.HostListKind.CHANGES:
-                rows |= {h: api.HostEntry(h, state=api.HostState.REMOVED) for h in now_is if h not in rows}
-            for host, x in sorted(rows.items()):
-                old = now_is.get(host)
-                if x.state == "removed":
-                    now_is.pop(host, None)
+                entries |= {h: api.HostEntry(h, state=api.HostState.REMOVED) for h in current if h not in entries}
+            for host, entry in sorted(entries.items()):
+                old = current.get(host)
+                if entry.state == "removed":
+                    current.pop(host, None)
                 else:
-                    now_is[host] = x
-                if first is None or now > end:
+                    current[host] = entry
+                if initial_hosts is None or now > end_ms:
                     continue
-                at = max(0.0, now - begin)
-                if x.state == "removed" and old:
+                at_ms = max(0.0, now - begin_ms)
+                noticed_ms = max(0.0, at_ms - notice_ms)
+                if entry.state == "removed" and old:
                     what = "gone" if old.state == "draining" else "dead"
-                    seen.append(Seen(max(0.0, at - notice * (what == "dead")), what, host, old.zone, old.kind))
-                elif x.state == "draining" and (old is None or old.state != "draining"):
-                    seen.append(Seen(max(0.0, at - notice), "draining", host, x.zone, x.kind))
-                elif x.state == "up" and (old is None or old.online_since != x.online_since):
+                    changes.append(
+                        HostChange(max(0.0, at_ms - notice_ms * (what == "dead")), what, host, old.zone, old.kind)
+                    )
+                elif entry.state == "draining" and (old is None or old.state != "draining"):
+                    changes.append(HostChange(noticed_ms, "draining", host, entry.zone, entry.kind))
+                elif entry.state == "up" and (old is None or old.online_since != entry.online_since):
                     if old:
-                        seen.append(Seen(max(0.0, at - notice), "dead", host, x.zone, x.kind))
-                    seen.append(Seen(max(0.0, at - notice / 2), "up", host, x.zone, x.kind))
-    return first if first is not None else [e for _, e in sorted(now_is.items())], seen
+                        changes.append(HostChange(noticed_ms, "dead", host, entry.zone, entry.kind))
+                    changes.append(HostChange(max(0.0, at_ms - notice_ms / 2), "up", host, entry.zone, entry.kind))
+    return initial_hosts if initial_hosts is not None else [entry for _, entry in sorted(current.items())], changes
 
 
-def slow_of(rec: Recording, begin: float) -> list[Seen]:
-    """Rule 4."""
-    every = rec.settings.report_interval_ms
-    rows: dict[int, dict[int, list[float]]] = defaultdict(lambda: defaultdict(list))
-    for now, events, _ in rec.steps:
+def detect_slowness(recording: Recording, begin_ms: float) -> list[HostChange]:
+    """Return when hosts became slow or recovered (rule 4)."""
+    period_ms = recording.settings.report_interval_ms
+    latencies: dict[int, dict[int, list[float]]] = defaultdict(lambda: defaultdict(list))  # ms, by period and host
+    for now, events, _ in recording.steps:
         for e in events:
             if isinstance(e, api.HostUsageReport) and e.attempts - e.failed >= 3 and e.latency_ms > 0.0:
-                rows[int((now - begin) // every)][e.host].append(e.latency_ms)
-    out: list[Seen] = []
-    runs: dict[int, int] = defaultdict(int)
+                latencies[int((now - begin_ms) // period_ms)][e.host].append(e.latency_ms)
+    changes: list[HostChange] = []
+    slow_periods: dict[int, int] = defaultdict(int)  # in a row, by host
     slow: dict[int, float] = {}
-    for period, met in sorted(rows.items()):
-        means = {h: sum(x) / len(x) for h, x in met.items()}
-        middle = sorted(means.values())[len(means) // 2]
-        for h, latency in sorted(means.items()):
-            ratio = latency / middle
-            runs[h] = runs[h] + 1 if ratio > SLOW else 0
-            if runs[h] >= 2 and h not in slow:
-                slow[h] = ratio
-                out.append(Seen(max(0.0, (period - 1) * every), "slow", h, size=round(ratio, 2)))
-            elif h in slow and ratio <= SLOW:
-                del slow[h]
-                out.append(Seen(max(0.0, period * every), "slow", h, size=1.0))
-    return out
-
-
-def arrivals(d: Day, seed: int, operations: list[OperationSpec]) -> Traffic:
-    """Times within each window, forwarders by the rates they told, work by the scenario. The same for all settings."""
-    if d.exact:
-        return d.exact
-    chance = np.random.default_rng([seed, 77])
-    at, slice, which = [], [], []
-    for w in d.windows:
-        n = int(w.count + chance.random())
-        at.append(chance.uniform(w.begin, w.end, n))
-        slice.append(np.full(n, w.slice))
-        which.append(np.full(n, w.operation))
-    times, slices, kinds = np.concatenate(at), np.concatenate(slice), np.concatenate(which)
+    for period, by_host in sorted(latencies.items()):
+        means = {host: sum(values) / len(values) for host, values in by_host.items()}
+        median = sorted(means.values())[len(means) // 2]
+        for host, latency in sorted(means.items()):
+            ratio = latency / median
+            slow_periods[host] = slow_periods[host] + 1 if ratio > SLOW_RATIO else 0
+            if slow_periods[host] >= 2 and host not in slow:
+                slow[host] = ratio
+                changes.append(HostChange(max(0.0, (period - 1) * period_ms), "slow", host, slowness=round(ratio, 2)))
+            elif host in slow and ratio <= SLOW_RATIO:
+                del slow[host]
+                changes.append(HostChange(max(0.0, period * period_ms), "slow", host, slowness=1.0))
+    return changes
+
+
+def generate_arrivals(day: RecordedDay, seed: int, request_classes: list[OperationSpec]) -> Traffic:
+    """Return the exact traffic of a trace, or random arrivals: times uniform within each window, proxies by the rates
+    that they announced, work by the scenario. One seed gives the same arrivals under every setting.
+    """
+    if day.exact_traffic:
+        return day.exact_traffic
+    rng = np.random.default_rng([seed, 77])
+    window_times, window_slices, window_classes = [], [], []
+    for w in day.windows:
+        count = int(w.count + rng.random())
+        window_times.append(rng.uniform(w.begin_ms, w.end_ms, count))
+        window_slices.append(np.full(count, w.slice))
+        window_classes.append(np.full(count, w.request_class))
+    times, slices, classes = (
+        np.concatenate(window_times),
+        np.concatenate(window_slices),
+        np.concatenate(window_classes),
+    )
     order = np.argsort(times, kind="stable")
-    times, slices, kinds = times[order], slices[order], kinds[order]
-    rates = np.array([d.forwarders[f][1] for f in sorted(d.forwarders)])
-    mean = np.array([o.work for o in operations])[kinds]
-    sigma = np.sqrt(np.log1p(np.array([o.cv for o in operations])[kinds] ** 2))
-    work = mean * np.exp(sigma * chance.standard_normal(len(times)) - sigma**2 / 2)
-    forwarder = chance.choice(len(rates), len(times), p=rates / rates.sum())
-    return Traffic(times, forwarder, slices, kinds, work)
-
-
-def of_trace(records: list[Any]) -> Traffic:
-    """The arrivals of a run that the lab or the emulator kept a trace of: exact, work and forwarders included, but for
-    invocations that never reached a host; those get their operation's mean work, and the forwarder of the one before.
-    Raises `NoDay`."""
+    times, slices, classes = times[order], slices[order], classes[order]
+    rates = np.array([day.proxies[proxy][1] for proxy in sorted(day.proxies)])
+    mean = np.array([c.work for c in request_classes])[classes]
+    sigma = np.sqrt(np.log1p(np.array([c.cv for c in request_classes])[classes] ** 2))
+    work = mean * np.exp(sigma * rng.standard_normal(len(times)) - sigma**2 / 2)
+    proxies = rng.choice(len(rates), len(times), p=rates / rates.sum())
+    return Traffic(times, proxies, slices, classes, work)
+
+
+def traffic_from_trace(records: list[Any]) -> Traffic:
+    """Return the arrivals of a run from its trace, as the lab or the emulator wrote it.
+
+    Times, work and proxies are exact, except for requests that never reached a host: these get the mean work of their
+    request class, and the proxy of the request before. Raises `UnusableRecordingError`.
+    """
     asked = [r for r in records if r[3] == "asked"]
     if not asked:
-        raise NoDay("no client asked anything in that trace")
-    begin = float(min(r[2] for r in asked))
-    forwarder: dict[int, int] = {}
-    work: dict[int, float] = {}
+        raise UnusableRecordingError("no client request in the trace")
+    begin_ms = float(min(r[2] for r in asked))
+    proxy_of: dict[int, int] = {}
+    work_of: dict[int, float] = {}
     for r in records:
         if r[3] in ("send", "none", "refused"):
-            inv = r[5] if r[3] == "none" else r[4]
-            forwarder.setdefault(inv, int(r[0].split()[1]))
+            request = r[5] if r[3] == "none" else r[4]
+            proxy_of.setdefault(request, int(r[0].split()[1]))
         elif r[3] == "take":
-            work.setdefault(r[4], float(r[10]))
+            work_of.setdefault(r[4], float(r[10]))
     asked.sort(key=lambda r: (r[2], r[4]))
-    operation = np.array([r[5] for r in asked])
-    known = np.array([work.get(r[4], np.nan) for r in asked])
-    for o in set(operation.tolist()):
-        mine = known[operation == o]
-        mean = float(np.nanmean(mine)) if not np.isnan(mine).all() else 1.0
-        known[(operation == o) & np.isnan(known)] = mean
-    by, last = [], 0
+    classes = np.array([r[5] for r in asked])
+    work = np.array([work_of.get(r[4], np.nan) for r in asked])
+    for request_class in set(classes.tolist()):
+        class_work = work[classes == request_class]
+        mean = float(np.nanmean(class_work)) if not np.isnan(class_work).all() else 1.0
+        work[(classes == request_class) & np.isnan(work)] = mean
+    proxies, last = [], 0
     for r in asked:
-        last = forwarder.get(r[4], last)
-        by.append(last)
-    at = np.array([float(r[2]) - begin for r in asked])
-    return Traffic(at, np.array(by), np.array([r[6] for r in asked]), operation, known)
+        last = proxy_of.get(r[4], last)
+        proxies.append(last)
+    times = np.array([float(r[2]) - begin_ms for r in asked])
+    return Traffic(times, np.array(proxies), np.array([r[6] for r in asked]), classes, work)
--- a/corallanding/lab/fleet/runs.py
+++ b/corallanding/lab/fleet/runs.py
@@ -29,13 +29,13 @@
 from ..publishers import PUBLISHERS
 from ..scenario import Scenario
 from .emulate import emulate
-from .recorded import Day, day_of, of_trace
+from .recorded import RecordedDay, day_from_recording, traffic_from_trace
 
 EMULATED, LOOPBACK = "emulated", "loopback"
 ROOT = Path(__file__).resolve().parents[2]
 
 
-class Row(msgspec.Struct, frozen=True):
+class RunResult(msgspec.Struct, frozen=True):
     """What one run came to. asked, answered: billed value by the second in which it was asked."""
 
     scenario: str
@@ -66,7 +66,7 @@
 
 
 @lru_cache(maxsize=16)
-def code_of(path: str) -> str:
+def code_digest(path: str) -> str:
     """Of the program's text: this one's, or that of a module elsewhere together with this one's rest."""
     h = hashlib.sha256()
     for file in sorted(ROOT.rglob("*.py")):
@@ -90,12 +90,12 @@
     trace: str = ""  # of the same day: its arrivals are exact
 
     @cached_property
-    def named(self) -> tuple[str, str, str]:
+    def digests(self) -> tuple[str, str, str]:
         """Digests of code, scenario and configuration."""
         config = self.config.model_dump_json() if self.config else ""
         for file in (self.recording, self.trace):
             config += hashlib.sha256(Path(file).read_bytes()).hexdigest() if file else ""
-        return code_of(self.module), digest(self.scenario.model_dump_json()), digest(config)
+        return code_digest(self.module), digest(self.scenario.model_dump_json()), digest(config)
 
 
 @dataclass(frozen=True)
@@ -106,7 +106,7 @@
 
     @property
     def key(self) -> str:
-        return digest(json.dumps([*self.setting.named, self.seed, self.model]))
+        return digest(json.dumps([*self.setting.digests, self.seed, self.model]))
 
 
 @lru_cache(maxsize=4)
@@ -126,15 +126,15 @@
 
 
 @lru_cache(maxsize=2)
-def recorded_day(recording: str, of: str, notice: float) -> Day:
+def recorded_day(recording: str, of: str, notice: float) -> RecordedDay:
     """The day of a recording; of: a trace of the same day, or "". Raises what their readers raise, and `NoDay`."""
-    day = day_of(read_recording(recording), notice)
+    day = day_from_recording(read_recording(recording), notice)
     if of:
-        day.exact = of_trace(trace.read(Path(of)))
+        day.exact_traffic = traffic_from_trace(trace.read(Path(of)))
     return day
 
 
-def made(job: Job) -> Row:
+def execute_job(job: Job) -> RunResult:
     """Makes the run. Raises what the run raises."""
     s = job.setting
     decider = decider_of(s.module) if s.module else PUBLISHERS[s.scenario.publisher]
@@ -145,7 +145,7 @@
         with tempfile.TemporaryDirectory(prefix="corallanding-") as folder:
             result = play(s.scenario, Path(folder), job.seed)
             records: Any = trace.read(Path(folder) / "trace.jsonl.gz")
-        started, simulated, events = first_asked(records), s.scenario.seconds, 0
+        started, simulated, events = first_request_ms(records), s.scenario.seconds, 0
     else:
         recorded = recorded_day(s.recording, s.trace, s.scenario.roster.notice_ms) if s.recording else None
         e = emulate(s.scenario, job.seed, s.config, decider, recorded=recorded)
@@ -153,7 +153,7 @@
         started = e.begun
     asked, answered = report.service_by_second(records, started)
     broken = [r["rule"] for r in result["rules"] if r["kept"] is not True]
-    return Row(
+    return RunResult(
         s.scenario.name,
         job.seed,
         job.model,
@@ -175,17 +175,17 @@
     )
 
 
-def first_asked(records: Iterable[Any]) -> float:
+def first_request_ms(records: Iterable[Any]) -> float:
     """When a run on loopback began, to within its first arrival."""
     return float(min(r[2] for r in records if r[3] == "asked"))
 
 
-class RunFault(Exception):
+class RunFailedError(Exception):
     """A run that could not be made, by its setting and seed."""
 
 
 @dataclass
-class Runs:
+class ResultStore:
     """The file of all results. Bounded by `most` rows; the oldest go first."""
 
     path: Path
@@ -201,12 +201,12 @@
             " config text, name text, seed integer, model text, service real, row blob)"
         )
 
-    def get(self, key: str) -> Row | None:
+    def get(self, key: str) -> RunResult | None:
         found = self.db.execute("select row from run where key = ?", (key,)).fetchone()
-        return msgspec.msgpack.decode(found[0], type=Row) if found else None
+        return msgspec.msgpack.decode(found[0], type=RunResult) if found else None
 
-    def put(self, job: Job, row: Row) -> None:
-        code, scenario, config = job.setting.named
+    def put(self, job: Job, row: RunResult) -> None:
+        code, scenario, config = job.setting.digests
         self.db.execute(
             "insert or replace into run values (?, (select coalesce(max(made), 0) + 1 from run)" + ", ?" * 9 + ")",
             (
@@ -224,12 +224,12 @@
         )
         self.db.execute("delete from run where made <= (select max(made) from run) - ?", (self.most,))
 
-    def rows(self, name: str = "") -> list[tuple[str, str, str, Row]]:
+    def rows(self, name: str = "") -> list[tuple[str, str, str, RunResult]]:
         """(label, code, configuration, row), in the order in which they were made; of one scenario if it is named."""
         found = self.db.execute(
             "select label, code, config, row from run where ? in ('', name) order by made", (name,)
         ).fetchall()
-        return [(a, b, c, msgspec.msgpack.decode(raw, type=Row)) for a, b, c, raw in found]
+        return [(a, b, c, msgspec.msgpack.decode(raw, type=RunResult)) for a, b, c, raw in found]
 
     def close(self) -> None:
         self.db.close()
@@ -238,14 +238,16 @@
 class Pool:
     """Makes jobs in `workers` processes, and hands back what the file has."""
 
-    def __init__(self, runs: Runs, workers: int, tell: Callable[[Job, Row, bool], None] = lambda *_: None) -> None:
+    def __init__(
+        self, runs: ResultStore, workers: int, tell: Callable[[Job, RunResult, bool], None] = lambda *_: None
+    ) -> None:
         """tell(job, row, known): called once for each job that is done."""
         self.runs, self.workers, self.tell = runs, max(1, workers), tell
         self.pool: ProcessPoolExecutor | None = None
 
-    def all(self, jobs: list[Job]) -> dict[str, Row]:
+    def all(self, jobs: list[Job]) -> dict[str, RunResult]:
         """Every job's row by its key. What is done stays in the file. Raises `RunFault`."""
-        rows: dict[str, Row] = {}
+        rows: dict[str, RunResult] = {}
         left: list[Job] = []
         for job in jobs:
             if row := self.runs.get(job.key):
@@ -255,20 +257,20 @@
                 left.append(job)
         if self.workers == 1 or len(left) == 1:
             for job in left:
-                rows[job.key] = self.kept(job, lambda job=job: made(job))  # type: ignore[misc]
+                rows[job.key] = self.kept(job, lambda job=job: execute_job(job))  # type: ignore[misc]
             return rows
         if left and self.pool is None:
             self.pool = ProcessPoolExecutor(self.workers, multiprocessing.get_context("spawn"))
-        coming = {self.pool.submit(made, job): job for job in left} if self.pool else {}
+        coming = {self.pool.submit(execute_job, job): job for job in left} if self.pool else {}
         for future in as_completed(coming):
             rows[coming[future].key] = self.kept(coming[future], future.result)
         return rows
 
-    def kept(self, job: Job, result: Callable[[], Row]) -> Row:
+    def kept(self, job: Job, result: Callable[[], RunResult]) -> RunResult:
         try:
             row = result()
         except Exception as fault:
-            raise RunFault(f"{job.setting.label}, seed {job.seed}: {type(fault).__name__}: {fault}") from fault
+            raise RunFailedError(f"{job.setting.label}, seed {job.seed}: {type(fault).__name__}: {fault}") from fault
         self.runs.put(job, row)
         self.tell(job, row, False)
         return row
@@ -279,8 +281,8 @@
 
 
 @contextmanager
-def pool(path: Path, workers: int, tell: Callable[[Job, Row, bool], None] = lambda *_: None) -> Iterator[Pool]:
-    runs = Runs(path)
+def pool(path: Path, workers: int, tell: Callable[[Job, RunResult, bool], None] = lambda *_: None) -> Iterator[Pool]:
+    runs = ResultStore(path)
     made_by = Pool(runs, workers, tell)
     try:
         yield made_by
--- a/corallanding/lab/fleet/search.py
+++ b/corallanding/lab/fleet/search.py
@@ -8,7 +8,7 @@
 import numpy as np
 
 from ..scenario import Fault, Scenario
-from .runs import Job, Pool, Row, Setting
+from .runs import Job, Pool, RunResult, Setting
 
 Span = tuple[float, float]
 
@@ -74,7 +74,7 @@
     return out
 
 
-def score(rows: list[Row]) -> float:
+def score(rows: list[RunResult]) -> float:
     """Lower is worse; a broken rule is worse than anything else."""
     return sum(r.service - (1.0 if r.broken else 0.0) for r in rows) / len(rows)
 
@@ -106,7 +106,7 @@
     kinds = kinds or sorted(RANGES)
     spent = 0
 
-    def tried(days: list[list[Fault]]) -> list[tuple[float, list[Row]]]:
+    def tried(days: list[list[Fault]]) -> list[tuple[float, list[RunResult]]]:
         nonlocal spent
         settings = [Setting(base.label, day(s, f), base.config, base.module) for f in days]
         done = pool.all([Job(x, n) for x in settings for n in seeds])
--- a/corallanding/lab/fleet/statistics.py
+++ b/corallanding/lab/fleet/statistics.py
@@ -49,7 +49,7 @@
     return Interval(mean, float(low), float(high), level, len(x))
 
 
-def looks(least: int, most: int) -> list[int]:
+def look_counts(least: int, most: int) -> list[int]:
     """After how many pairs to look: from `least` on, half as many again each time, up to `most`."""
     out, n = [], least
     while n < most:
@@ -58,29 +58,35 @@
     return [*out, most]
 
 
-BETTER, WORSE, SAME, OPEN, UNSEEN = "better", "worse", "same within the margin", "open", "no difference seen"
+BETTER, WORSE, SAME, UNDECIDED, NO_DIFFERENCE_SEEN = (
+    "better",
+    "worse",
+    "same within the margin",
+    "open",
+    "no difference seen",
+)
 
 
 @dataclass(frozen=True)
-class Word:
+class Judgement:
     """What the pairs so far say of B against A."""
 
     verdict: str
     difference: Interval
 
 
-def judge(a: Sequence[float], b: Sequence[float], margin: float, error: float, count: int, last: bool) -> Word:
+def judge(a: Sequence[float], b: Sequence[float], margin: float, error: float, count: int, last: bool) -> Judgement:
     """One of `count` looks at pairs `a[i], b[i]`; higher is better. `margin`: a difference that does not matter."""
     if len(a) != len(b):
         raise ValueError(f"{len(a)} runs of A and {len(b)} of B are no pairs")
     found = interval(np.subtract(b, a).tolist(), 1.0 - error / count)
     if found.low > 0.0:
-        return Word(BETTER, found)
+        return Judgement(BETTER, found)
     if found.high < 0.0:
-        return Word(WORSE, found)
+        return Judgement(WORSE, found)
     if -margin < found.low and found.high < margin:
-        return Word(SAME, found)
-    return Word(UNSEEN if last else OPEN, found)
+        return Judgement(SAME, found)
+    return Judgement(NO_DIFFERENCE_SEEN if last else UNDECIDED, found)
 
 
 @dataclass(frozen=True)
@@ -91,7 +97,7 @@
     share: float  # of the runs
 
 
-def outcomes(values: Sequence[float], gap: float = 0.02, apart: float = 5.0) -> list[Outcome]:
+def find_outcomes(values: Sequence[float], gap: float = 0.02, apart: float = 5.0) -> list[Outcome]:
     """One outcome, or two where runs tip: a mean between them would be a day that never comes.
 
     Two if the best split into a lower and an upper part leaves at least two runs and a tenth of them in each, `gap`
@@ -113,7 +119,7 @@
     return [Outcome(float(p.mean()), float(p.min()), float(p.max()), len(p) / n) for p in parts]
 
 
-def prediction(values: Sequence[float], level: float) -> tuple[float, float]:
+def prediction_interval(values: Sequence[float], level: float) -> tuple[float, float]:
     """Where one further run is expected, with `level` of all cases: Student's interval for a single value, widened to
     the runs' own range of that share, for they need not be normal."""
     x = np.asarray(values, dtype=float)
@@ -124,6 +130,6 @@
     return min(float(low), float(x.mean()) - half), max(float(high), float(x.mean()) + half)
 
 
-def covered(hits: int, runs: int, level: float) -> float:
+def hit_probability(hits: int, runs: int, level: float) -> float:
     """How likely so few hits would be if intervals of `level` held what they say."""
     return float(stats.binom.cdf(hits, runs, level))
--- a/corallanding/lab/fleet/steward.py
+++ b/corallanding/lab/fleet/steward.py
@@ -25,7 +25,7 @@
     from .registry import LocalRegistry
 
 
-class MemoryStore:
+class InMemoryStore:
     """What the store's file is to a daemon: it outlives the process. `down`: writes fail meanwhile."""
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
 class Handle:
     """One process's hold on a `MemoryStore`, fenced by its life."""
 
-    def __init__(self, store: MemoryStore) -> None:
+    def __init__(self, store: InMemoryStore) -> None:
         self.store, self.life = store, -1
 
     def open(self) -> StoreContents:
@@ -49,7 +49,7 @@
         tables = {t: dict(row) for t, row in sorted(s.tables.items()) if row}
         return StoreContents(s.life, seq, tables, entries, version, dict(addresses), dict(starts))
 
-    def check(self) -> MemoryStore:
+    def check(self) -> InMemoryStore:
         if self.life != self.store.life:
             raise StoreLockedError(f"taken by a later steward (life {self.store.life}, this is {self.life})")
         if self.store.down:
@@ -127,7 +127,7 @@
         machine.kill()
 
 
-class SimSteward(Controller):
+class SimController(Controller):
     """A controller on the simulated loop. registry: reached without a network, where the configuration asks for one."""
 
     def __init__(
@@ -135,7 +135,7 @@
         loop: SimLoop,
         config: ControllerConfig,
         decider: Callable[[api.Settings, int], Decider],
-        store: MemoryStore,
+        store: InMemoryStore,
         record: str | None = None,
         registry: LocalRegistry | None = None,
     ) -> None:
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -18,20 +18,20 @@
 from corallanding.lab.commands import lab
 from corallanding.lab.fleet import compare, page, recorded, runs, search
 from corallanding.lab.fleet.emulate import emulate
-from corallanding.lab.fleet.runs import Job, Row, Runs, Setting, pool
-from corallanding.lab.fleet.settings import changed, put, setting
+from corallanding.lab.fleet.runs import Job, ResultStore, RunResult, Setting, pool
+from corallanding.lab.fleet.settings import load_setting, with_key, with_override
 from corallanding.lab.fleet.statistics import (
     BETTER,
-    OPEN,
+    NO_DIFFERENCE_SEEN,
     SAME,
-    UNSEEN,
+    UNDECIDED,
     WORSE,
-    covered,
+    find_outcomes,
+    hit_probability,
     interval,
     judge,
-    looks,
-    outcomes,
-    prediction,
+    look_counts,
+    prediction_interval,
 )
 from corallanding.lab.scenario import Fault, load_scenario
 from corallanding.lab.scenario_text import scenario_hcl
@@ -41,9 +41,9 @@
 SHORT = HARD.model_copy(update={"seconds": 4.0, "fault": [Fault(kind="crash", at_s=1, for_s=1, part=0.2)]})
 
 
-def row(seed: int, service: float, **more: Any) -> Row:
+def row(seed: int, service: float, **more: Any) -> RunResult:
     given = {"broken": [], "worst_10_s": service, "worst_operation": service, "moves": 1.0, **more}
-    return Row(
+    return RunResult(
         "s",
         seed,
         "emulated",
@@ -81,7 +81,7 @@
 
 def test_looks_in_between_do_not_cost_the_promise() -> None:
     """No difference at all: "better" or "worse" is said in 5 of 100 experiments at most."""
-    chance, wrong, counts = np.random.default_rng(2), 0, looks(8, 40)
+    chance, wrong, counts = np.random.default_rng(2), 0, look_counts(8, 40)
     assert counts[0] == 8
     assert counts[-1] == 40
     assert counts == sorted(counts)
@@ -103,8 +103,8 @@
     near = [x + 0.0003 * (-1) ** k for k, x in enumerate(a)]
     assert judge(a, near, 0.002, 0.05, 1, False).verdict == SAME
     wild = [x + 0.05 * (-1) ** k for k, x in enumerate(a)]
-    assert judge(a, wild, 0.002, 0.05, 1, False).verdict == OPEN
-    assert judge(a, wild, 0.002, 0.05, 1, True).verdict == UNSEEN
+    assert judge(a, wild, 0.002, 0.05, 1, False).verdict == UNDECIDED
+    assert judge(a, wild, 0.002, 0.05, 1, True).verdict == NO_DIFFERENCE_SEEN
     assert math.isinf(interval([1.0, 2.0]).low)
     with pytest.raises(ValueError, match="pairs"):
         judge(a, up[:-1], 0.002, 0.05, 1, True)
@@ -113,31 +113,31 @@
 def test_two_outcomes_are_told_and_one_is_not_split() -> None:
     chance = np.random.default_rng(3)
     for draw in (chance.normal, lambda m, s, n: chance.uniform(m - s, m + s, n)):
-        split = sum(len(outcomes(draw(0.8, 0.05, 20).tolist())) > 1 for _ in range(300))
+        split = sum(len(find_outcomes(draw(0.8, 0.05, 20).tolist())) > 1 for _ in range(300))
         assert split / 300 < 0.03, "a day that does not tip"
     tips = [0.93 + 0.004 * (k % 4) if k % 3 else 0.41 + 0.01 * (k % 5) for k in range(21)]
-    low, high = outcomes(tips)
+    low, high = find_outcomes(tips)
     assert low.share == pytest.approx(1 / 3)
     assert low.mean < 0.5
     assert high.mean > 0.9
     other = [0.93] * 21
-    t = compare.tipping(tips, other)
+    t = compare.count_low_outcomes(tips, other)
     assert t
     assert (t.a, t.b) == (7, 0)
     assert t.chance == pytest.approx(2 * 0.5**7)
-    assert compare.tipping(other, other) is None
+    assert compare.count_low_outcomes(other, other) is None
 
 
 def test_a_prediction_covers_another_run() -> None:
     chance, hits = np.random.default_rng(4), 0
     for _ in range(400):
         x = chance.normal(0.9, 0.01, 21)
-        low, high = prediction(x[:20].tolist(), 0.9)
+        low, high = prediction_interval(x[:20].tolist(), 0.9)
         hits += low <= x[20] <= high
     assert hits / 400 > 0.87
-    assert covered(18, 20, 0.9) > 0.05 > covered(14, 20, 0.9)
+    assert hit_probability(18, 20, 0.9) > 0.05 > hit_probability(14, 20, 0.9)
     with pytest.raises(ValueError, match="too few"):
-        prediction([0.9] * 4, 0.9)
+        prediction_interval([0.9] * 4, 0.9)
 
 
 # ---- runs --------------------------------------------------------------------------------------------------
@@ -172,7 +172,7 @@
     other = Setting("a", SHORT.model_copy(update={"reports": SHORT.reports.model_copy(update={"every_ms": 777.0})}))
     assert Job(other, 1).key != jobs[0].key
     assert Job(Setting("a", SHORT), 1, "loopback").key != jobs[0].key
-    bounded = Runs(tmp_path / "few.db", most=2)
+    bounded = ResultStore(tmp_path / "few.db", most=2)
     for n in range(5):
         bounded.put(Job(Setting("a", SHORT), n), row(n, 0.9))
     assert [bounded.get(Job(Setting("a", SHORT), n).key) is not None for n in range(5)] == [False] * 3 + [True] * 2
@@ -180,11 +180,14 @@
 
 
 def test_a_run_that_fails_is_named(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(job: Job) -> Row:
+    def broken(job: Job) -> RunResult:
         raise RuntimeError("no such day")
 
-    monkeypatch.setattr(runs, "made", broken)
-    with pool(tmp_path / "runs.db", 1) as p, pytest.raises(runs.RunFault, match="a, seed 7: RuntimeError: no such day"):
+    monkeypatch.setattr(runs, "execute_job", broken)
+    with (
+        pool(tmp_path / "runs.db", 1) as p,
+        pytest.raises(runs.RunFailedError, match="a, seed 7: RuntimeError: no such day"),
+    ):
         p.all([Job(Setting("a", SHORT), 7)])
 
 
@@ -194,11 +197,11 @@
         Path(api.__file__).parent.parent / "assignment", folder, ignore=shutil.ignore_patterns("__pycache__")
     )
     (tmp_path / "day.hcl").write_text(scenario_hcl(SHORT))
-    same = setting(tmp_path / "day.hcl", None, tmp_path / "other")
+    same = load_setting(tmp_path / "day.hcl", None, tmp_path / "other")
     ours = emulate(SHORT, 2)
     theirs = emulate(SHORT, 2, decider=runs.decider_of(same.module))
     assert ours.records == theirs.records
-    assert same.named[0] != Setting("a", SHORT).named[0]
+    assert same.digests[0] != Setting("a", SHORT).digests[0]
     told = CliRunner().invoke(lab, ["compare", str(tmp_path / "day.hcl"), "--module", str(tmp_path)])
     assert told.exit_code == 2
 
@@ -251,22 +254,22 @@
 
 
 def test_a_stewards_configuration_meets_a_day(tmp_path: Path) -> None:
-    from corallanding.lab.fleet.emulate import steward_of
+    from corallanding.lab.fleet.emulate import controller_config_for
 
-    config = steward_of(SHORT.model_dump_json())
+    config = controller_config_for(SHORT.model_dump_json())
     one = Setting("whole", SHORT, config)
     assert emulate(SHORT, 1, config).records == emulate(SHORT, 1).records
-    two = changed(one, "reports.every_ms", "2000")
+    two = with_override(one, "reports.every_ms", "2000")
     assert two.config
     assert two.config.reports.every_ms == 2000.0
     assert two.label == "whole with reports.every_ms = 2000"
     assert emulate(SHORT, 1, two.config).records != emulate(SHORT, 1).records
-    assert put(SHORT, "seconds", "9").seconds == 9.0
+    assert with_key(SHORT, "seconds", "9").seconds == 9.0
 
 
 def test_a_sweep_holds_each_value_against_the_first(tmp_path: Path) -> None:
     with pool(tmp_path / "runs.db", 1) as p:
-        settings = [changed(Setting("s", SHORT), "reports.every_ms", v, v) for v in ("500", "500.0", "3000")]
+        settings = [with_override(Setting("s", SHORT), "reports.every_ms", v, v) for v in ("500", "500.0", "3000")]
         rows = compare.sweep(settings, 3, p)
     assert rows[0].against is None
     assert rows[1].against
@@ -306,26 +309,26 @@
     steps.append((14_000.0, [api.SliceUsageReport(0, 0, 40, 0, 4000.0)]))  # one that came late, for four periods
     steps.append((4_500.0, [changes(entry(1, "draining")), changes(entry(2, "removed"))]))
     steps.append((6_500.0, [changes(entry(1, "removed")), changes(entry(7, since=6_000.0))]))
-    d = recorded.day_of(recording(*sorted(steps, key=lambda s: s[0])), notice=400.0)
-    assert d.length == 14_000.0
+    d = recorded.day_from_recording(recording(*sorted(steps, key=lambda s: s[0])), notice_ms=400.0)
+    assert d.length_ms == 14_000.0
     assert d.gaps == [(3_000.0, 6_000.0)]
-    assert d.late == [(10_000.0, 14_000.0)]
-    filled = [w for w in d.windows if (w.begin, w.end) == d.gaps[0]]
+    assert d.late_spans == [(10_000.0, 14_000.0)]
+    filled = [w for w in d.windows if (w.begin_ms, w.end_ms) == d.gaps[0]]
     assert [(w.slice, w.count) for w in filled] == [(0, pytest.approx(30.0)), (1, pytest.approx(60.0))]
-    assert d.filled == pytest.approx(90.0)
-    assert d.forwarders == {4: (1, 9.0)}
-    assert [(x.at, x.what, x.host) for x in d.seen] == [
+    assert d.filled_requests == pytest.approx(90.0)
+    assert d.proxies == {4: (1, 9.0)}
+    assert [(x.at_ms, x.what, x.host) for x in d.host_changes] == [
         (4_100.0, "draining", 1),
         (4_100.0, "dead", 2),
         (6_300.0, "up", 7),
         (6_500.0, "gone", 1),
     ]
     spec = [recorded.OperationSpec("o", 1.0, 100.0, 0.5, 1000.0, 3000.0, 1.0, 0.0, True)]
-    t = recorded.arrivals(d, 1, spec)
+    t = recorded.generate_arrivals(d, 1, spec)
     assert len(t.at) == pytest.approx(70 + 140 + 40 + 90, abs=1)
     assert (np.diff(t.at) >= 0).all()
     assert ((t.at >= 3_000) & (t.at < 6_000)).sum() == pytest.approx(90, abs=1)
-    again = recorded.arrivals(d, 1, spec)
+    again = recorded.generate_arrivals(d, 1, spec)
     assert (again.at == t.at).all()
     assert (again.work == t.work).all()
 
@@ -337,16 +340,19 @@
         slow = 900.0 if 3 <= k <= 5 else 200.0
         met = [api.HostUsageReport(0, h, 9, 0, slow if h == 1 else 200.0, 1000.0) for h in range(3)]
         steps.append((k * 1000.0, [api.SliceUsageReport(0, 0, 5, 0, 1000.0), *met]))
-    d = recorded.day_of(recording(*steps), 0.0)
-    assert [(x.at, x.what, x.host, x.size) for x in d.seen] == [(3_000.0, "slow", 1, 4.5), (6_000.0, "slow", 1, 1.0)]
+    d = recorded.day_from_recording(recording(*steps), 0.0)
+    assert [(x.at_ms, x.what, x.host, x.slowness) for x in d.host_changes] == [
+        (3_000.0, "slow", 1, 4.5),
+        (6_000.0, "slow", 1, 1.0),
+    ]
 
 
 @pytest.mark.parametrize(
-    ("events", "why"), [([], "no sums"), ([api.SliceUsageReport(0, 0, 1, 0, 1000.0)], "no forwarder joined")]
+    ("events", "why"), [([], "no usage reports"), ([api.SliceUsageReport(0, 0, 1, 0, 1000.0)], "no proxy joined")]
 )
 def test_what_is_no_day_says_why(events: list[Any], why: str) -> None:
-    with pytest.raises(recorded.NoDay, match=why):
-        recorded.day_of(recording((5_000.0, events)), 0.0)
+    with pytest.raises(recorded.UnusableRecordingError, match=why):
+        recorded.day_from_recording(recording((5_000.0, events)), 0.0)
 
 
 def test_an_emulated_day_s_own_recording_comes_back_as_that_day(tmp_path: Path) -> None:
@@ -355,10 +361,10 @@
     faults = [Fault(kind="crash", at_s=3, for_s=3, part=0.2), Fault(kind="deploy", at_s=5, for_s=6, part=0.3, extra=1)]
     day = HARD.model_copy(update={"seconds": 14.0, "fault": faults})
     e = emulate(day, 1, record=str(tmp_path / "s"))
-    d = recorded.day_of(read_recording(tmp_path / "s-1.rec"), day.roster.notice_ms)
+    d = recorded.day_from_recording(read_recording(tmp_path / "s-1.rec"), day.roster.notice_ms)
     asked = sum(w.count for w in d.windows)
     assert asked == pytest.approx(e.result["invocations"], rel=0.12)  # the last period was never told
-    kinds = [x.what for x in d.seen]
+    kinds = [x.what for x in d.host_changes]
     died = sum(r[3] == "stop" and r[2] < e.begun + 13_900.0 for r in e.records)
     assert kinds.count("dead") >= 1
     assert kinds.count("gone") >= 1
@@ -392,15 +398,15 @@
 
 def test_a_trace_of_the_day_gives_its_very_arrivals(tmp_path: Path) -> None:
     e = emulate(SHORT, 3)
-    t = recorded.of_trace(e.records)
+    t = recorded.traffic_from_trace(e.records)
     asked = [r for r in e.records if r[3] == "asked"]
     work = {r[4]: r[10] for r in e.records if r[3] == "take"}
     assert len(t.at) == len(asked)
     assert t.slice.tolist() == [r[6] for r in asked]
     assert all(t.work[k] == work[r[4]] for k, r in enumerate(asked) if r[4] in work)
     assert not np.isnan(t.work).any()
-    with pytest.raises(recorded.NoDay, match="no client"):
-        recorded.of_trace([])
+    with pytest.raises(recorded.UnusableRecordingError, match="no client request"):
+        recorded.traffic_from_trace([])
 
 
 def test_a_report_shows_what_the_file_holds(tmp_path: Path) -> None:
@@ -469,7 +475,7 @@
     tips = [row(k, 0.9 if k % 2 else 0.4) for k in range(10)]
     good = [row(k, 0.9) for k in range(10)]
     word = judge([r.service for r in tips], [r.service for r in good], 0.002, 0.05, 1, True)
-    c = compare.Compared(
+    c = compare.Comparison(
         a,
         b,
         tips,
@@ -477,9 +483,9 @@
         word,
         1,
         {},
-        outcomes([r.service for r in tips]),
-        outcomes([0.9] * 10),
-        compare.tipping([r.service for r in tips], [r.service for r in good]),
+        find_outcomes([r.service for r in tips]),
+        find_outcomes([0.9] * 10),
+        compare.count_low_outcomes([r.service for r in tips], [r.service for r in good]),
     )
     said = page.compared(c, 0.002, 0.05).markdown()
     assert "two outcomes: 0.4000 in 50% of the runs; 0.9000 in 50%" in said
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,9 +17,9 @@
 
 from corallanding.cli.main import app
 from corallanding.lab.chance import at, uniform
-from corallanding.lab.fleet.emulate import NotEmulated, emulate
+from corallanding.lab.fleet.emulate import NotEmulatedError, emulate
 from corallanding.lab.fleet.loop import Machine, SimLoop, run
-from corallanding.lab.fleet.steward import Handle, MemoryStore
+from corallanding.lab.fleet.steward import Handle, InMemoryStore
 from corallanding.lab.publishers import PUBLISHERS
 from corallanding.lab.scenario import Fault, load_scenario
 from corallanding.store import StoreError, StoreLockedError
@@ -51,7 +51,7 @@
 
 
 def pair(loop: SimLoop, server: list[Any], client: list[Any]) -> Any:
-    async def made() -> tuple[Any, Any]:
+    async def connect() -> tuple[Any, Any]:
         ears = list[Ear]()
 
         def factory() -> Ear:
@@ -63,7 +63,7 @@
         await asyncio.sleep(0)
         return transport, ears[0]
 
-    return made()
+    return connect()
 
 
 def test_what_falls_due_together_runs_in_the_order_it_was_asked_for() -> None:
@@ -162,7 +162,7 @@
 
 
 def test_the_store_in_memory_outlives_its_process_and_fences_it() -> None:
-    memory = MemoryStore()
+    memory = InMemoryStore()
     first = Handle(memory)
     assert first.open().start_number == 1
     first.write(7, [(0, 5, 1.0), (1, 5, 1.0), (1, 6, 0.5)])
@@ -254,7 +254,7 @@
 
 
 def test_what_is_not_emulated_is_refused_by_name() -> None:
-    with pytest.raises(NotEmulated, match="upgrade"):
+    with pytest.raises(NotEmulatedError, match="upgrade"):
         emulate(HARD.model_copy(update={"fault": [Fault(kind="upgrade", at_s=1)]}), 1)
 
 
