--- a/corallanding/lab/fleet/commands.py
+++ b/corallanding/lab/fleet/commands.py
@@ -122,9 +122,11 @@
                 LOOPBACK if loopback else EMULATED,
             )
         print(page.verdict(found))
-        for name, i in found.others.items():
+        for name, i in found.other_differences.items():
             print(f"  {name.replace('_', ' '):16} {page.signed(i)}")
-        print(f"  runs with a broken rule: {found.broken[0]} and {found.broken[1]} of {len(found.rows_a)}")
+        print(
+            f"  runs with a broken rule: {found.broken_counts[0]} and {found.broken_counts[1]} of {len(found.rows_a)}"
+        )
         if out:
             page.compared(found, margin, error).write(out)
 
@@ -152,7 +154,7 @@
         with making(kept, workers, runs * len(values)) as by:
             rows = play(settings, runs, by, error, seed)
         for r in rows:
-            against = f"  {page.signed(r.against)}" if r.against else ""
+            against = f"  {page.signed(r.difference)}" if r.difference else ""
             print(f"{key} = {r.value:10} {page.told(r.outcomes)}{against}")
         if out:
             page.swept(rows, key, base.label, error).write(out)
@@ -163,7 +165,7 @@
     out: Annotated[Path, typer.Option("--out", help="the scenario file for the worst day")],
     day: Annotated[Optional[Path], typer.Option("--day")] = None,  # noqa: UP045
     budget: Annotated[int, typer.Option("--budget", min=20, max=100_000, help="runs for drawing and breeding")] = 400,
-    most: Annotated[int, typer.Option("--faults", min=1, max=12, help="faults a day")] = 4,
+    max_faults: Annotated[int, typer.Option("--faults", min=1, max=12, help="faults a day")] = 4,
     kind: Annotated[Optional[list[str]], typer.Option("--kind", help="only these kinds of fault")] = None,  # noqa: UP045
     seed: SeedOption = 1,
     kept: ResultsOption = DEFAULT_RESULTS_PATH,
@@ -181,14 +183,22 @@
                 raise ConfigError(f"--kind {k}: not one of {', '.join(sorted(RANGES))}")
         base = load_setting(file, day)
         with making(kept, workers, budget * 2) as by:
-            found = play(base, budget, by, most=most, kinds=kind, seed=seed, told=lambda t: print(t, file=sys.stderr))
+            found = play(
+                base,
+                budget,
+                by,
+                max_faults=max_faults,
+                kinds=kind,
+                seed=seed,
+                on_progress=lambda t: print(t, file=sys.stderr),
+            )
         out.parent.mkdir(parents=True, exist_ok=True)
         out.write_text(scenario_hcl(found.scenario))
         print(
-            f"{out}: service {found.score:.4f} by {len(found.without)} faults, {found.quiet:.4f} without any; "
+            f"{out}: service {found.score:.4f} by {len(found.scores_without_fault)} faults, {found.baseline:.4f} without any; "
             f"{found.runs} emulated runs"
         )
-        for f, without in found.without:
+        for f, without in found.scores_without_fault:
             print(f"  {f.kind} at {f.at_s:g} s for {f.for_s:g} s: without it {without:.4f}")
         if found.broken:
             print(f"  rules broken: {'; '.join(found.broken)}")
--- a/corallanding/lab/fleet/compare.py
+++ b/corallanding/lab/fleet/compare.py
@@ -1,4 +1,4 @@
-"""Two settings on the same days: pairs of runs until the answer is clear, or the runs are used up."""
+"""Comparison of settings by paired runs, sweeps over values, and predictions of runs on loopback."""
 
 from __future__ import annotations
 
@@ -21,48 +21,55 @@
     prediction_interval,
 )
 
-MIN_PAIRS = 8
+MIN_PAIRS = 8  # before the first look
 
 
 @dataclass(frozen=True)
 class LowOutcomeCounts:
-    """Runs that ended in the lower of two outcomes, and how likely such a difference in pairs is by chance."""
+    """Number of runs that ended in the lower of two outcomes, with a test of the difference."""
 
-    below: float
-    a: int
-    b: int
-    chance: float  # McNemar's exact test on the pairs that disagree
+    threshold: float  # between the outcomes
+    count_a: int
+    count_b: int
+    p_value: float  # McNemar's exact test on the pairs that disagree
 
 
 @dataclass(frozen=True)
 class Comparison:
+    """Paired runs of two settings, with the judgement on B against A."""
+
     a: Setting
     b: Setting
     rows_a: list[RunResult]
     rows_b: list[RunResult]
-    word: Judgement  # of `service`
+    judgement: Judgement  # of `service`
     looks: int
-    others: dict[str, Interval]  # differences of the other figures, each by itself at the same error
+    other_differences: dict[str, Interval]  # differences of the other figures, each by itself at the same error
     outcomes_a: list[Outcome]
     outcomes_b: list[Outcome]
-    tipped: LowOutcomeCounts | None
+    low_outcomes: LowOutcomeCounts | None
 
     @property
-    def broken(self) -> tuple[int, int]:
-        """Runs in which a rule broke, or could not be judged."""
+    def broken_counts(self) -> tuple[int, int]:
+        """Number of runs of A and of B in which a rule was broken or could not be judged."""
         return sum(bool(r.broken) for r in self.rows_a), sum(bool(r.broken) for r in self.rows_b)
 
 
-def count_low_outcomes(a: Sequence[float], b: Sequence[float]) -> LowOutcomeCounts | None:
-    """None where neither setting has two outcomes by itself: two settings that differ are no tipping day."""
-    parts = [p for p in (find_outcomes(a), find_outcomes(b)) if len(p) == 2]
+def count_low_outcomes(values_a: Sequence[float], values_b: Sequence[float]) -> LowOutcomeCounts | None:
+    """Count the runs in the lower outcome, if a setting by itself has two; otherwise return None.
+
+    Two settings that merely differ from each other are not bimodal.
+    """
+    parts = [outcomes for outcomes in (find_outcomes(values_a), find_outcomes(values_b)) if len(outcomes) == 2]
     if not parts:
         return None
-    below = (parts[0][0].high + parts[0][1].low) / 2
-    only_a = sum(x < below <= y for x, y in zip(a, b, strict=True))
-    only_b = sum(y < below <= x for x, y in zip(a, b, strict=True))
-    chance = float(stats.binomtest(only_a, only_a + only_b).pvalue) if only_a + only_b else 1.0
-    return LowOutcomeCounts(below, sum(x < below for x in a), sum(x < below for x in b), chance)
+    threshold = (parts[0][0].high + parts[0][1].low) / 2
+    only_a = sum(x < threshold <= y for x, y in zip(values_a, values_b, strict=True))
+    only_b = sum(y < threshold <= x for x, y in zip(values_a, values_b, strict=True))
+    p_value = float(stats.binomtest(only_a, only_a + only_b).pvalue) if only_a + only_b else 1.0
+    return LowOutcomeCounts(
+        threshold, sum(x < threshold for x in values_a), sum(x < threshold for x in values_b), p_value
+    )
 
 
 def compare(
@@ -72,38 +79,43 @@
     pool: Pool,
     margin: float = 0.002,
     error: float = 0.05,
-    first: int = 1,
-    looked: Callable[[Judgement, int], None] = lambda *_: None,
+    first_seed: int = 1,
+    on_look: Callable[[Judgement, int], None] = lambda *_: None,
     model: str = EMULATED,
 ) -> Comparison:
-    """Pairs of seeds from `first` on. Raises `RunFault`."""
+    """Run pairs of seeds from `first_seed` until the answer is clear or `runs` pairs are used up.
+
+    `on_look` is called after each look with the number of pairs. Raises `RunFailedError`.
+    """
     counts = look_counts(min(MIN_PAIRS, runs), runs)
     rows_a: list[RunResult] = []
     rows_b: list[RunResult] = []
-    for n, count in enumerate(counts, 1):
-        seeds = range(first + len(rows_a), first + count)
-        jobs = [Job(s, seed, model) for seed in seeds for s in (a, b)]
-        done = pool.all(jobs)
-        rows_a += [done[Job(a, seed, model).key] for seed in seeds]
-        rows_b += [done[Job(b, seed, model).key] for seed in seeds]
+    for look, count in enumerate(counts, 1):
+        seeds = range(first_seed + len(rows_a), first_seed + count)
+        jobs = [Job(setting, seed, model) for seed in seeds for setting in (a, b)]
+        results = pool.all(jobs)
+        rows_a += [results[Job(a, seed, model).key] for seed in seeds]
+        rows_b += [results[Job(b, seed, model).key] for seed in seeds]
         service_a, service_b = [r.service for r in rows_a], [r.service for r in rows_b]
-        word = judge(service_a, service_b, margin, error, len(counts), n == len(counts))
-        looked(word, count)
-        if word.verdict != UNDECIDED:
+        judgement = judge(service_a, service_b, margin, error, len(counts), look == len(counts))
+        on_look(judgement, count)
+        if judgement.verdict != UNDECIDED:
             break
-    others = {
-        f: interval([getattr(y, f) - getattr(x, f) for x, y in zip(rows_a, rows_b, strict=True)], 1.0 - error)
-        for f in FIGURES
-        if f != "service"
+    other_differences = {
+        figure: interval(
+            [getattr(y, figure) - getattr(x, figure) for x, y in zip(rows_a, rows_b, strict=True)], 1.0 - error
+        )
+        for figure in FIGURES
+        if figure != "service"
     }
     return Comparison(
         a,
         b,
         rows_a,
         rows_b,
-        word,
-        n,
-        others,
+        judgement,
+        look,
+        other_differences,
         find_outcomes(service_a),
         find_outcomes(service_b),
         count_low_outcomes(service_a, service_b),
@@ -112,33 +124,37 @@
 
 @dataclass(frozen=True)
 class SweepPoint:
-    """One value of a setting. against: the difference to the first value, which has none."""
+    """Results of one value; `difference` is against the first value, which has none."""
 
     value: str
-    rows: list[RunResult]
+    results: list[RunResult]
     service: Interval
-    against: Interval | None
+    difference: Interval | None
     outcomes: list[Outcome]
 
 
-def sweep(settings: list[Setting], runs: int, pool: Pool, error: float = 0.05, first: int = 1) -> list[SweepPoint]:
-    """The same seeds for every value. Differences share the error among them (Bonferroni)."""
-    seeds = range(first, first + runs)
-    done = pool.all([Job(s, seed) for seed in seeds for s in settings])
-    rows = [[done[Job(s, seed).key] for seed in seeds] for s in settings]
+def sweep(settings: list[Setting], runs: int, pool: Pool, error: float = 0.05, first_seed: int = 1) -> list[SweepPoint]:
+    """Run all settings on the same seeds. The differences share the error (Bonferroni). Raises `RunFailedError`."""
+    seeds = range(first_seed, first_seed + runs)
+    by_key = pool.all([Job(setting, seed) for seed in seeds for setting in settings])
+    results = [[by_key[Job(setting, seed).key] for seed in seeds] for setting in settings]
     level = 1.0 - error / max(1, len(settings) - 1)
-    out = []
-    for k, s in enumerate(settings):
-        service = [r.service for r in rows[k]]
-        base = [r.service for r in rows[0]]
-        against = interval([y - x for x, y in zip(base, service, strict=True)], level) if k else None
-        out.append(SweepPoint(s.label, rows[k], interval(service, 1.0 - error), against, find_outcomes(service)))
-    return out
+    points = []
+    for index, setting in enumerate(settings):
+        service = [r.service for r in results[index]]
+        base = [r.service for r in results[0]]
+        difference = interval([y - x for x, y in zip(base, service, strict=True)], level) if index else None
+        points.append(
+            SweepPoint(
+                setting.label, results[index], interval(service, 1.0 - error), difference, find_outcomes(service)
+            )
+        )
+    return points
 
 
 @dataclass(frozen=True)
 class Prediction:
-    """Where the emulated runs expect another one, and where those on loopback came to lie."""
+    """Interval that the emulated runs predict for another run, and the results of the runs on loopback."""
 
     scenario: str
     figure: str
@@ -150,26 +166,44 @@
 
     @property
     def hits(self) -> int:
+        """Number of runs on loopback within the interval."""
         return sum(self.low <= x <= self.high for x in self.loopback)
 
     @property
-    def chance(self) -> float:
-        """Of so few hits, did the interval hold what it says."""
+    def p_value(self) -> float:
+        """Probability of at most so many hits if the interval covers its level."""
         return hit_probability(self.hits, len(self.loopback), self.level)
 
 
 def predict(
-    s: Setting, emulated: int, loopback: int, pool: Pool, real: Pool, level: float = 0.9, first: int = 1
+    setting: Setting,
+    emulated_runs: int,
+    loopback_runs: int,
+    pool: Pool,
+    loopback_pool: Pool,
+    level: float = 0.9,
+    first_seed: int = 1,
 ) -> list[Prediction]:
-    """The seeds on loopback are others than the emulated ones: it is a prediction, not the same day again."""
-    jobs = [Job(s, first + k) for k in range(emulated)]
-    others = [Job(s, first + 10_000 + k, LOOPBACK) for k in range(loopback)]
-    done, met = pool.all(jobs), real.all(others)
-    out = []
-    for name in ("service", "worst_10_s"):
-        values = [float(getattr(done[j.key], name)) for j in jobs]
+    """Predict runs on loopback from emulated runs, then run them. Raises `RunFailedError`.
+
+    The seeds on loopback differ from the emulated ones, so that no run is predicted by an emulation of itself.
+    """
+    emulated_jobs = [Job(setting, first_seed + index) for index in range(emulated_runs)]
+    loopback_jobs = [Job(setting, first_seed + 10_000 + index, LOOPBACK) for index in range(loopback_runs)]
+    emulated_results, loopback_results = pool.all(emulated_jobs), loopback_pool.all(loopback_jobs)
+    predictions = []
+    for figure in ("service", "worst_10_s"):
+        values = [float(getattr(emulated_results[job.key], figure)) for job in emulated_jobs]
         low, high = prediction_interval(values, level)
-        out.append(
-            Prediction(s.label, name, level, low, high, values, [float(getattr(met[j.key], name)) for j in others])
+        predictions.append(
+            Prediction(
+                setting.label,
+                figure,
+                level,
+                low,
+                high,
+                values,
+                [float(getattr(loopback_results[job.key], figure)) for job in loopback_jobs],
+            )
         )
-    return out
+    return predictions
--- a/corallanding/lab/fleet/page.py
+++ b/corallanding/lab/fleet/page.py
@@ -104,14 +104,14 @@
 
 def verdict(c: Comparison) -> str:
     """The answer in a sentence."""
-    w = c.word
+    w = c.judgement
     said = f"{c.b.label} against {c.a.label}, billed service: {w.verdict}, {signed(w.difference)} over "
     said += f"{w.difference.runs} pairs."
-    if c.tipped:
-        t = c.tipped
+    if c.low_outcomes:
+        t = c.low_outcomes
         said += (
-            f" Days tip: below {t.below:.3f} ended {t.a} of {len(c.rows_a)} runs under {c.a.label} and {t.b} under "
-            f"{c.b.label} (chance of such pairs alike: {t.chance:.3f}); no day looks like the mean."
+            f" Days tip: below {t.threshold:.3f} ended {t.count_a} of {len(c.rows_a)} runs under {c.a.label} and {t.count_b} under "
+            f"{c.b.label} (chance of such pairs alike: {t.p_value:.3f}); no day looks like the mean."
         )
     return said
 
@@ -126,12 +126,12 @@
     )
     page.table(
         ("figure", c.a.label, c.b.label, "difference, with its interval"),
-        [("service", told(c.outcomes_a), told(c.outcomes_b), signed(c.word.difference))]
+        [("service", told(c.outcomes_a), told(c.outcomes_b), signed(c.judgement.difference))]
         + [
             (f.replace("_", " "), f"{mean(c.rows_a, f):.4f}", f"{mean(c.rows_b, f):.4f}", signed(i))
-            for f, i in c.others.items()
+            for f, i in c.other_differences.items()
         ]
-        + [("runs with a broken rule", c.broken[0], c.broken[1], "")]
+        + [("runs with a broken rule", c.broken_counts[0], c.broken_counts[1], "")]
         + [("doubled", sum(r.doubles for r in c.rows_a), sum(r.doubles for r in c.rows_b), "")],
     )
     page.chart("billed service by run", figure(lambda ax: scatter(ax, c)))
@@ -181,7 +181,7 @@
 def swept(rows: Sequence[SweepPoint], key: str, name: str, error: float) -> Page:
     page = Page(f"{key} on {name}")
     page.text(
-        f"Emulated fleet, no real one; {len(rows[0].rows)} runs a value, the same seeds. Differences are against the "
+        f"Emulated fleet, no real one; {len(rows[0].results)} runs a value, the same seeds. Differences are against the "
         f"first value, all at once at an error of {error:g}."
     )
     page.table(
@@ -190,10 +190,10 @@
             (
                 r.value,
                 told(r.outcomes),
-                *(f"{mean(r.rows, f):.4f}" for f in ("worst_10_s", "worst_operation")),
-                f"{mean(r.rows, 'moves'):.1f}",
-                signed(r.against) if r.against else "",
-                sum(bool(x.broken) for x in r.rows),
+                *(f"{mean(r.results, f):.4f}" for f in ("worst_10_s", "worst_operation")),
+                f"{mean(r.results, 'moves'):.1f}",
+                signed(r.difference) if r.difference else "",
+                sum(bool(x.broken) for x in r.results),
             )
             for r in rows
         ],
@@ -202,7 +202,7 @@
     def draw(ax: Any) -> None:
         at = range(len(rows))
         for k in at:
-            ax.plot([k] * len(rows[k].rows), [x.service for x in rows[k].rows], ".", color="0.7")
+            ax.plot([k] * len(rows[k].results), [x.service for x in rows[k].results], ".", color="0.7")
         means = np.array([r.service.mean for r in rows])
         ends = np.array([(r.service.low, r.service.high) for r in rows])
         ax.errorbar(at, means, yerr=np.abs(ends.T - means), fmt="o-", color="C0", capsize=4)
@@ -230,7 +230,7 @@
                 f"{p.low:.4f} to {p.high:.4f} ({p.level:.0%})",
                 told(find_outcomes(p.loopback)),
                 f"{p.hits} of {len(p.loopback)}",
-                f"{p.chance:.3f}",
+                f"{p.p_value:.3f}",
             )
             for p in found
         ],
--- a/corallanding/lab/fleet/registry.py
+++ b/corallanding/lab/fleet/registry.py
@@ -1,7 +1,7 @@
-"""The stand-in registry without its sockets: the etcd client's own calls, answered by the stand-in's own handlers.
+"""The stand-in registry without sockets: the calls of the etcd client, answered by the stand-in's own handlers.
 
-What gRPC does between them is here: the way there and back, deadlines, aborts by their code, streams that end. A
-message is handed over as it is; its bytes are tested on sockets (`tests/registry/test_source.py`).
+What gRPC does between them is emulated here: latency, deadlines, aborts with their status code, and streams that end.
+Messages are passed as objects; their encoding is tested on sockets (`tests/registry/test_source.py`).
 """
 
 from __future__ import annotations
@@ -13,97 +13,110 @@
 import grpc
 import grpc.aio
 
-from ...registry.etcd import EtcdConnection as Client
-from ..registry import Etcd as Handlers
+from ...registry.etcd import EtcdConnection
+from ..registry import Etcd as EtcdHandlers
 from ..registry import Mvcc, Registry
 from ..roster import RegistryRoster
 from ..trace import Trace
 from .loop import SimLoop
 
 
-class Aborted(Exception):
-    def __init__(self, code: grpc.StatusCode, why: str) -> None:
-        self.code, self.why = code, why
+class AbortedError(Exception):
+    """A handler aborted its call."""
 
+    def __init__(self, code: grpc.StatusCode, details: str) -> None:
+        self.code, self.details = code, details
 
-def fault(code: grpc.StatusCode, why: str) -> grpc.aio.AioRpcError:
-    return grpc.aio.AioRpcError(code, grpc.aio.Metadata(), grpc.aio.Metadata(), details=why)
 
+def rpc_error(code: grpc.StatusCode, details: str) -> grpc.aio.AioRpcError:
+    """Return the error that a gRPC client raises for a status code."""
+    return grpc.aio.AioRpcError(code, grpc.aio.Metadata(), grpc.aio.Metadata(), details=details)
 
-class Context:
-    """What a handler sees of its call."""
 
-    def __init__(self, meta: Any, write: Callable[[Any], None]) -> None:
-        self.meta, self.put = tuple(meta or ()), write
+class HandlerContext:
+    """The call context that a handler gets."""
+
+    def __init__(self, metadata: Any, on_message: Callable[[Any], None]) -> None:
+        self.metadata, self.on_message = tuple(metadata or ()), on_message
 
     def invocation_metadata(self) -> Any:
-        return self.meta
+        """Return the client's metadata."""
+        return self.metadata
 
-    async def abort(self, code: grpc.StatusCode, why: str) -> None:
-        raise Aborted(code, why)
+    async def abort(self, code: grpc.StatusCode, details: str) -> None:
+        """Raise `AbortedError`."""
+        raise AbortedError(code, details)
 
     async def write(self, message: Any) -> None:
-        self.put(message)
+        """Send a message of a streamed response."""
+        self.on_message(message)
 
 
 class LocalRegistry(Registry):
-    """`up`: whether it can be reached. Streams that are open break when it stops."""
+    """The registry in this process; `up` is whether it is reachable. Open streams break when it stops."""
 
     def __init__(self, loop: SimLoop) -> None:
         self.loop, self.up, self.port = loop, False, 1
         self.store = Mvcc()
         self.faults = self.store.faults
-        self.handlers = Handlers(self.store, self.faults)
-        self.streams: dict[Call, None] = {}
+        self.handlers = EtcdHandlers(self.store, self.faults)
+        self.streams: dict[StreamCall, None] = {}
 
     async def start(self) -> None:
+        """Make the registry reachable and let its leases expire."""
         self.up = True
         self.clock = asyncio.get_running_loop().create_task(self.run_leases())
 
     async def stop(self) -> None:
+        """Make the registry unreachable and break all streams."""
         self.up = False
         self.clock.cancel()
         for call in list(self.streams):
-            call.broken(fault(grpc.StatusCode.UNAVAILABLE, "the connection broke"))
+            call.on_connection_lost(rpc_error(grpc.StatusCode.UNAVAILABLE, "connection lost"))
 
     def check(self) -> None:
+        """Raise `AioRpcError` (UNAVAILABLE) if the registry is not reachable."""
         if not self.up:
-            raise fault(grpc.StatusCode.UNAVAILABLE, "nothing listens there")
+            raise rpc_error(grpc.StatusCode.UNAVAILABLE, "connection refused")
 
 
-class Call:
-    """A stream of answers, as grpc.aio gives it: iterated, and cancelled."""
+class StreamCall:
+    """A call with streamed responses, which can be iterated and cancelled as in grpc.aio."""
 
-    def __init__(self, registry: LocalRegistry, handler: Any, asks: Any, meta: Any) -> None:
+    def __init__(self, registry: LocalRegistry, handler: Any, requests: Any, metadata: Any) -> None:
         self.registry, self.loop = registry, registry.loop
         self.queue: asyncio.Queue[Any] = asyncio.Queue()
-        self.context = Context(meta, lambda message: self.later(message))
+        self.context = HandlerContext(metadata, lambda message: self.deliver_later(message))
         registry.streams[self] = None
-        self.task = asyncio.get_running_loop().create_task(self.serve(handler, asks))
+        self.task = asyncio.get_running_loop().create_task(self.serve(handler, requests))
 
-    def later(self, item: Any) -> None:
+    def deliver_later(self, item: Any) -> None:
+        """Deliver a response, an error or the end (None) after the latency."""
         self.loop.call_later(self.loop.latency, self.queue.put_nowait, item)
 
-    async def serve(self, handler: Any, asks: Any) -> None:
-        end: Any = None
+    async def serve(self, handler: Any, requests: Any) -> None:
+        """Run the handler, then deliver its error or the end of the stream."""
+        final_item: Any = None
         try:
             await asyncio.sleep(self.loop.latency)
             self.registry.check()
-            await handler(asks, self.context)
-        except Aborted as abort:
-            end = fault(abort.code, abort.why)
-        except grpc.aio.AioRpcError as refused:
-            end = refused
+            await handler(requests, self.context)
+        except AbortedError as abort:
+            final_item = rpc_error(abort.code, abort.details)
+        except grpc.aio.AioRpcError as error:
+            final_item = error
         finally:
             self.registry.streams.pop(self, None)
-        self.later(end)
+        self.deliver_later(final_item)
 
-    def broken(self, why: Exception) -> None:
+    def on_connection_lost(self, error: Exception) -> None:
+        """Cancel the call and deliver the error."""
         self.task.cancel()
         self.registry.streams.pop(self, None)
-        self.later(why)
+        self.deliver_later(error)
 
     def cancel(self) -> None:
+        """Cancel the call; no more responses are sent."""
         self.task.cancel()
         self.registry.streams.pop(self, None)
 
@@ -114,8 +127,8 @@
             yield item
 
 
-class Stub:
-    """Stands for the generated stubs: a method of the handlers, called over the simulated way."""
+class LocalStub:
+    """Replaces the generated stubs: calls the handlers' methods with the simulated latency."""
 
     def __init__(self, registry: LocalRegistry) -> None:
         self.registry = registry
@@ -123,37 +136,41 @@
     def __getattr__(self, name: str) -> Any:
         handler = getattr(self.registry.handlers, name)
         if name in ("Watch", "LeaseKeepAlive"):
-            return lambda asks, timeout=None, metadata=None: Call(self.registry, handler, asks, metadata)
-        return lambda request, timeout=None, metadata=None: self.ask(handler, request, timeout, metadata)
+            return lambda requests, timeout=None, metadata=None: StreamCall(self.registry, handler, requests, metadata)
+        return lambda request, timeout=None, metadata=None: self.call_unary(handler, request, timeout, metadata)
 
-    async def ask(self, handler: Any, request: Any, timeout: float | None, metadata: Any) -> Any:
-        r = self.registry
+    async def call_unary(self, handler: Any, request: Any, timeout: float | None, metadata: Any) -> Any:
+        """Call a handler that returns one response. Raises `AioRpcError`."""
+        registry = self.registry
         try:
             async with asyncio.timeout(timeout):
-                await asyncio.sleep(r.loop.latency)
-                r.check()
-                answer = await handler(request, Context(metadata, lambda _: None))
-                await asyncio.sleep(r.loop.latency)
-                r.check()  # an answer on a connection that broke meanwhile never comes
-                return answer
-        except Aborted as abort:
-            raise fault(abort.code, abort.why) from None
+                await asyncio.sleep(registry.loop.latency)
+                registry.check()
+                response = await handler(request, HandlerContext(metadata, lambda _: None))
+                await asyncio.sleep(registry.loop.latency)
+                registry.check()  # a response is lost if the connection broke before it arrived
+                return response
+        except AbortedError as abort:
+            raise rpc_error(abort.code, abort.details) from None
         except TimeoutError:
-            raise fault(grpc.StatusCode.DEADLINE_EXCEEDED, "Deadline Exceeded") from None
+            raise rpc_error(grpc.StatusCode.DEADLINE_EXCEEDED, "Deadline Exceeded") from None
+
 
+class LocalEtcdConnection(EtcdConnection):
+    """An etcd client whose stubs call the local registry; `timeout_ms` is the deadline of a call."""
 
-class LocalClient(Client):
-    def __init__(self, registry: LocalRegistry, timeout: float) -> None:
-        self.timeout_seconds, self.is_closed, self.metadata = timeout / 1000.0, False, ()
+    def __init__(self, registry: LocalRegistry, timeout_ms: float) -> None:
+        self.timeout_seconds, self.is_closed, self.metadata = timeout_ms / 1000.0, False, ()
         self.watch_metadata = (("hasleader", "true"),)
-        self.kv_stub = self.watch_stub = self.lease_stub = Stub(registry)
+        self.kv_stub = self.watch_stub = self.lease_stub = LocalStub(registry)
 
     async def close(self) -> None:
+        """Close the client."""
         self.is_closed = True
 
 
 class LocalRoster(RegistryRoster):
-    """The roster that is kept in it."""
+    """The lab's host list that is stored in the local registry."""
 
     def __init__(self, trace: Trace, loop: SimLoop) -> None:
         super().__init__(trace)
@@ -161,6 +178,7 @@
         self.port = 1
 
     async def start(self) -> None:
+        """Start the registry and write the host list to it."""
         await self.registry.start()
         self.up = True
         self.changed()
--- a/corallanding/lab/fleet/search.py
+++ b/corallanding/lab/fleet/search.py
@@ -1,4 +1,4 @@
-"""The worst day within bounds: drawn, bred from the worst so far, cut down to what matters, kept as a scenario."""
+"""Search for the worst combination of faults within bounds: random and mutated candidates, then minimization."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 Span = tuple[float, float]
 
-# What one fault may come to, by kind. A day within these is bad, and still one that a steward is there for: no
-# kind takes more than a third of the hosts.
+# Ranges of a fault's fields, by kind. A scenario within them is severe, but one that a controller has to handle: few
+# faults make more than a third of the hosts unavailable.
 RANGES: dict[str, dict[str, Span | tuple[str, ...]]] = {
     "crash": {"part": (0.04, 0.2), "for_s": (2.0, 8.0)},
     "drain": {"part": (0.05, 0.3), "for_s": (3.0, 8.0)},
@@ -37,56 +37,64 @@
     "store_down": {"for_s": (2.0, 8.0)},
     "grow": {"for_s": (1.0, 1.0), "size": (1.05, 1.3)},
 }
-EVERY_NAME = ("part", "for_s", "size", "extra")
+REDUCIBLE_FIELDS = ("part", "for_s", "size", "extra")
 
 
-def drawn(kind: str, seconds: float, chance: np.random.Generator) -> Fault:
-    values: dict[str, float | str] = {"at_s": round(float(chance.uniform(0.1, 0.75)) * seconds, 1)}
+def random_fault(kind: str, seconds: float, rng: np.random.Generator) -> Fault:
+    """Return a random fault of a kind within `RANGES`, for a run of so many seconds."""
+    values: dict[str, float | str] = {"at_s": round(float(rng.uniform(0.1, 0.75)) * seconds, 1)}
     for name, span in RANGES[kind].items():
         if isinstance(span[0], str):
-            values[name] = str(span[int(chance.integers(len(span)))])
+            values[name] = str(span[int(rng.integers(len(span)))])
         else:
-            values[name] = round(float(chance.uniform(*span)), 3)
+            values[name] = round(float(rng.uniform(*span)), 3)
     if "for_s" in values:
-        # It ends within the day, so that its end is in the figures too.
+        # The fault ends within the run, so that the results include the recovery.
         values["for_s"] = round(min(float(values["for_s"]), seconds * 0.9 - float(values["at_s"])), 2)
     return Fault.model_validate({"kind": kind, **values})
 
 
-def day(s: Scenario, faults: list[Fault]) -> Scenario:
-    return s.model_copy(update={"fault": sorted(faults, key=lambda f: (f.at_s, f.kind))})
+def with_faults(scenario: Scenario, faults: list[Fault]) -> Scenario:
+    """Return the scenario with these faults, in order of time."""
+    return scenario.model_copy(update={"fault": sorted(faults, key=lambda fault: (fault.at_s, fault.kind))})
 
 
-def bred(faults: list[Fault], most: int, kinds: list[str], seconds: float, chance: np.random.Generator) -> list[Fault]:
-    """One fault more, less, drawn anew, or at another time."""
-    out, act = list(faults), chance.random()
-    k = int(chance.integers(len(out))) if out else 0
-    if not out or (act < 0.3 and len(out) < most):
-        out.append(drawn(kinds[int(chance.integers(len(kinds)))], seconds, chance))
-    elif act < 0.4 and len(out) > 1:
-        del out[k]
-    elif act < 0.7:
-        out[k] = drawn(out[k].kind, seconds, chance)
+def mutated(
+    faults: list[Fault], max_faults: int, kinds: list[str], seconds: float, rng: np.random.Generator
+) -> list[Fault]:
+    """Return the faults with one added, removed, replaced by a random one of its kind, or moved in time."""
+    result, action = list(faults), rng.random()
+    index = int(rng.integers(len(result))) if result else 0
+    if not result or (action < 0.3 and len(result) < max_faults):
+        result.append(random_fault(kinds[int(rng.integers(len(kinds)))], seconds, rng))
+    elif action < 0.4 and len(result) > 1:
+        del result[index]
+    elif action < 0.7:
+        result[index] = random_fault(result[index].kind, seconds, rng)
     else:
-        at = float(np.clip(out[k].at_s + chance.normal(0.0, seconds / 10), 0.05 * seconds, 0.75 * seconds))
-        left = max(0.5, seconds * 0.9 - at)
-        out[k] = out[k].model_copy(update={"at_s": round(at, 1), "for_s": round(min(out[k].for_s, left), 2)})
-    return out
+        at_s = float(np.clip(result[index].at_s + rng.normal(0.0, seconds / 10), 0.05 * seconds, 0.75 * seconds))
+        max_for_s = max(0.5, seconds * 0.9 - at_s)
+        result[index] = result[index].model_copy(
+            update={"at_s": round(at_s, 1), "for_s": round(min(result[index].for_s, max_for_s), 2)}
+        )
+    return result
 
 
-def score(rows: list[RunResult]) -> float:
-    """Lower is worse; a broken rule is worse than anything else."""
-    return sum(r.service - (1.0 if r.broken else 0.0) for r in rows) / len(rows)
+def score(results: list[RunResult]) -> float:
+    """Return the mean service; lower is worse, and each run that broke a rule costs 1."""
+    return sum(result.service - (1.0 if result.broken else 0.0) for result in results) / len(results)
 
 
 @dataclass(frozen=True)
-class Worst:
+class SearchResult:
+    """The worst scenario found; scores are mean services, lower is worse."""
+
     scenario: Scenario
     score: float
-    quiet: float  # the same without any fault
-    without: list[tuple[Fault, float]]  # the score if that fault alone were not
-    runs: int
-    broken: list[str]
+    baseline: float  # score without any fault
+    scores_without_fault: list[tuple[Fault, float]]  # score if only that fault is left out
+    runs: int  # emulated runs of the search
+    broken: list[str]  # rules that the worst scenario broke
 
 
 def search(
@@ -94,81 +102,103 @@
     budget: int,
     pool: Pool,
     seeds: tuple[int, ...] = (1, 2),
-    most: int = 4,
-    keep: float = 0.9,
+    max_faults: int = 4,
+    min_harm_share: float = 0.9,
     kinds: list[str] | None = None,
     seed: int = 1,
-    told: Callable[[str], None] = lambda _: None,
-) -> Worst:
-    """budget: runs for drawing and breeding; cutting down takes about as many again at most. Days are tried on the
-    same seeds. The chances of the search itself go by `seed`. Raises `RunFault`."""
-    chance, s = np.random.default_rng([seed, 9]), base.scenario
+    on_progress: Callable[[str], None] = lambda _: None,
+) -> SearchResult:
+    """Search for the worst faults on the base scenario. Raises `RunFailedError`.
+
+    `budget` is the number of runs for candidates; minimization takes about as many again at most. All candidates are
+    run with the same `seeds`; `seed` is that of the search itself. The minimized faults keep `min_harm_share` of the
+    loss of service.
+    """
+    rng, scenario = np.random.default_rng([seed, 9]), base.scenario
     kinds = kinds or sorted(RANGES)
     spent = 0
 
-    def tried(days: list[list[Fault]]) -> list[tuple[float, list[RunResult]]]:
+    def evaluate(candidates: list[list[Fault]]) -> list[tuple[float, list[RunResult]]]:
         nonlocal spent
-        settings = [Setting(base.label, day(s, f), base.config, base.module) for f in days]
-        done = pool.all([Job(x, n) for x in settings for n in seeds])
-        spent += len(days) * len(seeds)
-        rows = [[done[Job(x, n).key] for n in seeds] for x in settings]
-        return [(score(r), r) for r in rows]
-
-    quiet = tried([[]])[0][0]
-    wave = max(4, pool.workers)
-    known: list[tuple[float, int, list[Fault]]] = []
-    while spent + wave * len(seeds) <= budget or not known:
-        if len(known) < budget // len(seeds) // 3:
-            days = [
+        settings = [Setting(base.label, with_faults(scenario, f), base.config, base.module) for f in candidates]
+        by_key = pool.all([Job(setting, run_seed) for setting in settings for run_seed in seeds])
+        spent += len(candidates) * len(seeds)
+        results = [[by_key[Job(setting, run_seed).key] for run_seed in seeds] for setting in settings]
+        return [(score(r), r) for r in results]
+
+    baseline = evaluate([[]])[0][0]
+    batch_size = max(4, pool.workers)
+    ranked: list[tuple[float, int, list[Fault]]] = []
+    while spent + batch_size * len(seeds) <= budget or not ranked:
+        if len(ranked) < budget // len(seeds) // 3:
+            candidates = [
                 [
-                    drawn(kinds[int(chance.integers(len(kinds)))], s.seconds, chance)
-                    for _ in range(int(chance.integers(1, most + 1)))
+                    random_fault(kinds[int(rng.integers(len(kinds)))], scenario.seconds, rng)
+                    for _ in range(int(rng.integers(1, max_faults + 1)))
                 ]
-                for _ in range(wave)
+                for _ in range(batch_size)
             ]
         else:
-            best = [f for _, _, f in known[:6]]
-            days = [bred(best[int(chance.integers(len(best)))], most, kinds, s.seconds, chance) for _ in range(wave)]
-        known += [(x, len(known) + k, f) for k, ((x, _), f) in enumerate(zip(tried(days), days, strict=True))]
-        known.sort(key=lambda item: item[:2])
-        told(f"{spent} runs: worst {known[0][0]:.4f}, quiet {quiet:.4f}: {', '.join(f.kind for f in known[0][2])}")
-    worst, _, faults = known[0]
-    target = quiet - keep * (quiet - worst)  # what is left out or made less must leave this much of the harm
-    faults = cut(faults, target, lambda days: [x for x, _ in tried(days)])
-    (final, rows), *less = tried([faults, *([g for g in faults if g is not f] for f in faults)])
-    told(f"{spent} runs: cut down to {len(faults)} faults, {final:.4f}")
-    broken = sorted({b for r in rows for b in r.broken})
-    kept = day(s, faults).model_copy(update={"name": f"{s.name}-worst"})
-    return Worst(kept, final, quiet, [(f, x) for f, (x, _) in zip(faults, less, strict=True)], spent, broken)
-
-
-def cut(faults: list[Fault], target: float, scores: Callable[[list[list[Fault]]], list[float]]) -> list[Fault]:
-    """Drop what is not needed to stay at or under `target`, then halve what need not be so long or so large. Each
-    round tries all of its steps at once and takes the one that stays lowest, so that none hides another."""
+            parents = [f for _, _, f in ranked[:6]]
+            candidates = [
+                mutated(parents[int(rng.integers(len(parents)))], max_faults, kinds, scenario.seconds, rng)
+                for _ in range(batch_size)
+            ]
+        ranked += [
+            (value, len(ranked) + k, faults)
+            for k, ((value, _), faults) in enumerate(zip(evaluate(candidates), candidates, strict=True))
+        ]
+        ranked.sort(key=lambda item: item[:2])
+        on_progress(
+            f"{spent} runs: worst {ranked[0][0]:.4f}, quiet {baseline:.4f}: {', '.join(f.kind for f in ranked[0][2])}"
+        )
+    worst, _, faults = ranked[0]
+    target = baseline - min_harm_share * (baseline - worst)  # minimized faults must keep this share of the harm
+    faults = minimized(faults, target, lambda candidates: [value for value, _ in evaluate(candidates)])
+    (final, results), *reduced = evaluate([faults, *([g for g in faults if g is not f] for f in faults)])
+    on_progress(f"{spent} runs: cut down to {len(faults)} faults, {final:.4f}")
+    broken_rules = sorted({b for r in results for b in r.broken})
+    minimal = with_faults(scenario, faults).model_copy(update={"name": f"{scenario.name}-worst"})
+    return SearchResult(
+        minimal,
+        final,
+        baseline,
+        [(f, value) for f, (value, _) in zip(faults, reduced, strict=True)],
+        spent,
+        broken_rules,
+    )
+
+
+def minimized(faults: list[Fault], target: float, evaluate: Callable[[list[list[Fault]]], list[float]]) -> list[Fault]:
+    """Remove faults that are not needed for a score of at most `target`, then reduce the others' fields by halves.
+
+    Each round evaluates all possible steps and takes the one with the lowest score, so that the result does not depend
+    on the order of the faults.
+    """
     while len(faults) > 1:
-        days = [[g for g in faults if g is not f] for f in faults]
-        found = scores(days)
-        k = int(np.argmin(found))
-        if found[k] > target:
+        candidates = [[g for g in faults if g is not f] for f in faults]
+        found_scores = evaluate(candidates)
+        index = int(np.argmin(found_scores))
+        if found_scores[index] > target:
             break
-        faults = days[k]
+        faults = candidates[index]
     for _ in range(4):
-        days = []
-        for k, f in enumerate(faults):
-            for name in EVERY_NAME:
+        candidates = []
+        for index, f in enumerate(faults):
+            for name in REDUCIBLE_FIELDS:
                 span = RANGES.get(f.kind, {}).get(name)
                 if span is None or isinstance(span[0], str):
                     continue
                 low = float(span[0])
-                now = float(getattr(f, name))
-                if now - low > 0.1 * (float(span[1]) - low):
-                    half = round((now + low) / 2, 3)
-                    days.append([*faults[:k], f.model_copy(update={name: half}), *faults[k + 1 :]])
-        if not days:
+                current = float(getattr(f, name))
+                if current - low > 0.1 * (float(span[1]) - low):
+                    halved = round((current + low) / 2, 3)
+                    candidates.append([*faults[:index], f.model_copy(update={name: halved}), *faults[index + 1 :]])
+        if not candidates:
             break
-        found = scores(days)
-        k = int(np.argmin(found))
-        if found[k] > target:
+        found_scores = evaluate(candidates)
+        index = int(np.argmin(found_scores))
+        if found_scores[index] > target:
             break
-        faults = days[k]
+        faults = candidates[index]
     return faults
--- a/corallanding/lab/fleet/settings.py
+++ b/corallanding/lab/fleet/settings.py
@@ -60,12 +60,14 @@
     decisions in the emulation would then differ from those in operation.
     """
     if config.slices.count != scenario.fleet.slices:
-        raise ConfigError(f"{path}: slices.count: {config.slices.count}; the day has {scenario.fleet.slices}")
+        raise ConfigError(f"{path}: slices.count: {config.slices.count}; the scenario has {scenario.fleet.slices}")
     if list(config.operation) != list(scenario.operation):
         names = ", ".join(scenario.operation)
-        raise ConfigError(f"{path}: operation: {', '.join(config.operation)}; the day has {names}")
+        raise ConfigError(f"{path}: operation: {', '.join(config.operation)}; the scenario has {names}")
     if config.forwarders.most < scenario.fleet.forwarders:
-        raise ConfigError(f"{path}: forwarders.most: {config.forwarders.most}; the day has {scenario.fleet.forwarders}")
+        raise ConfigError(
+            f"{path}: forwarders.most: {config.forwarders.most}; the scenario has {scenario.fleet.forwarders}"
+        )
     if config.registry:
         raise ConfigError(f"{path}: registry: hosts from a registry are not emulated")
 
--- a/corallanding/lab/fleet/statistics.py
+++ b/corallanding/lab/fleet/statistics.py
@@ -1,9 +1,9 @@
-"""What runs of two settings say: differences with intervals, when to stop, and whether there are two outcomes. Pure.
+"""Statistics of paired runs: differences with intervals, when to stop, and whether there are two outcomes. Pure.
 
-Runs are paired by seed: the same arrivals, work and faults under both. What is compared is the mean of the paired
+Runs are paired by seed: the same arrivals, work and faults under both settings. Compared is the mean of the paired
 differences, by the bootstrap (BCa) and by Student's t, whichever interval is wider: with few runs each is too narrow
-somewhere. Looks in between are paid for: each of K looks takes a K-th of the error (Bonferroni), so that the chance
-of a wrong word over all of them stays under `error`.
+in some cases. Interim looks are corrected for: each of K looks takes a K-th of the error (Bonferroni), so that the
+probability of a wrong verdict over all looks stays under `error`.
 """
 
 from __future__ import annotations
@@ -21,6 +21,8 @@
 
 @dataclass(frozen=True)
 class Interval:
+    """A mean with its confidence interval."""
+
     mean: float
     low: float
     high: float
@@ -29,36 +31,44 @@
 
 
 def interval(values: Sequence[float], level: float = 0.95, seed: int = 0) -> Interval:
-    """Of the mean. With fewer than three values nothing is known: from minus to plus infinity."""
-    x = np.asarray(values, dtype=float)
-    if not len(x):
+    """Return the confidence interval of the mean; infinite with fewer than three values.
+
+    `seed` is that of the bootstrap. Raises `ValueError` without values.
+    """
+    sample = np.asarray(values, dtype=float)
+    if not len(sample):
         raise ValueError("no values")
-    mean = float(x.mean())
-    if len(x) < 3:
-        return Interval(mean, -math.inf, math.inf, level, len(x))
-    if np.ptp(x) == 0.0:
-        return Interval(mean, mean, mean, level, len(x))
-    low, high = stats.t.interval(level, len(x) - 1, mean, float(x.std(ddof=1)) / math.sqrt(len(x)))
+    mean = float(sample.mean())
+    if len(sample) < 3:
+        return Interval(mean, -math.inf, math.inf, level, len(sample))
+    if np.ptp(sample) == 0.0:
+        return Interval(mean, mean, mean, level, len(sample))
+    low, high = stats.t.interval(level, len(sample) - 1, mean, float(sample.std(ddof=1)) / math.sqrt(len(sample)))
     with warnings.catch_warnings():
-        warnings.simplefilter("ignore")  # a degenerate resampling says so by NaN
-        drawn = stats.bootstrap(
-            (x,), np.mean, confidence_level=level, n_resamples=RESAMPLES, method="BCa", rng=np.random.default_rng(seed)
+        warnings.simplefilter("ignore")  # a degenerate resampling returns NaN
+        resampled = stats.bootstrap(
+            (sample,),
+            np.mean,
+            confidence_level=level,
+            n_resamples=RESAMPLES,
+            method="BCa",
+            rng=np.random.default_rng(seed),
         ).confidence_interval
-    if math.isfinite(drawn.low) and math.isfinite(drawn.high):
-        low, high = min(low, drawn.low), max(high, drawn.high)
-    return Interval(mean, float(low), float(high), level, len(x))
+    if math.isfinite(resampled.low) and math.isfinite(resampled.high):
+        low, high = min(low, resampled.low), max(high, resampled.high)
+    return Interval(mean, float(low), float(high), level, len(sample))
 
 
-def look_counts(least: int, most: int) -> list[int]:
-    """After how many pairs to look: from `least` on, half as many again each time, up to `most`."""
-    out, n = [], least
-    while n < most:
-        out.append(n)
-        n = math.ceil(n * 1.5)
-    return [*out, most]
+def look_counts(min_pairs: int, max_pairs: int) -> list[int]:
+    """Return after how many pairs to look: from `min_pairs`, growing by half each time, up to `max_pairs`."""
+    counts, count = [], min_pairs
+    while count < max_pairs:
+        counts.append(count)
+        count = math.ceil(count * 1.5)
+    return [*counts, max_pairs]
 
 
-BETTER, WORSE, SAME, UNDECIDED, NO_DIFFERENCE_SEEN = (
+BETTER, WORSE, SAME, UNDECIDED, NO_DIFFERENCE = (
     "better",
     "worse",
     "same within the margin",
@@ -69,67 +79,81 @@
 
 @dataclass(frozen=True)
 class Judgement:
-    """What the pairs so far say of B against A."""
+    """Verdict on B against A by the pairs so far, with the mean difference."""
 
     verdict: str
     difference: Interval
 
 
-def judge(a: Sequence[float], b: Sequence[float], margin: float, error: float, count: int, last: bool) -> Judgement:
-    """One of `count` looks at pairs `a[i], b[i]`; higher is better. `margin`: a difference that does not matter."""
-    if len(a) != len(b):
-        raise ValueError(f"{len(a)} runs of A and {len(b)} of B are no pairs")
-    found = interval(np.subtract(b, a).tolist(), 1.0 - error / count)
-    if found.low > 0.0:
-        return Judgement(BETTER, found)
-    if found.high < 0.0:
-        return Judgement(WORSE, found)
-    if -margin < found.low and found.high < margin:
-        return Judgement(SAME, found)
-    return Judgement(NO_DIFFERENCE_SEEN if last else UNDECIDED, found)
+def judge(
+    values_a: Sequence[float], values_b: Sequence[float], margin: float, error: float, look_count: int, is_last: bool
+) -> Judgement:
+    """Judge B against A by one of `look_count` looks at the pairs; higher values are better.
+
+    Differences below `margin` do not matter; `error` is that of all looks together. Raises `ValueError` if the values
+    are not paired.
+    """
+    if len(values_a) != len(values_b):
+        raise ValueError(f"{len(values_a)} runs of A and {len(values_b)} of B are not pairs")
+    difference = interval(np.subtract(values_b, values_a).tolist(), 1.0 - error / look_count)
+    if difference.low > 0.0:
+        return Judgement(BETTER, difference)
+    if difference.high < 0.0:
+        return Judgement(WORSE, difference)
+    if -margin < difference.low and difference.high < margin:
+        return Judgement(SAME, difference)
+    return Judgement(NO_DIFFERENCE if is_last else UNDECIDED, difference)
 
 
 @dataclass(frozen=True)
 class Outcome:
+    """A cluster of runs with similar values."""
+
     mean: float
     low: float
     high: float
     share: float  # of the runs
 
 
-def find_outcomes(values: Sequence[float], gap: float = 0.02, apart: float = 5.0) -> list[Outcome]:
-    """One outcome, or two where runs tip: a mean between them would be a day that never comes.
+def find_outcomes(values: Sequence[float], min_gap: float = 0.02, min_separation: float = 5.0) -> list[Outcome]:
+    """Return one outcome, or two if the values are bimodal: no run is near a mean that lies between two clusters.
 
-    Two if the best split into a lower and an upper part leaves at least two runs and a tenth of them in each, `gap`
-    or more between the parts, and Ashman's D over `apart` (the halves of a normal sample have 2.7, of an even one 3.5).
+    There are two if the best split into a lower and an upper part leaves at least two runs and a tenth of them in each,
+    `min_gap` or more between the parts, and Ashman's D over `min_separation` (the halves of a normal sample have 2.7,
+    those of a uniform one 3.5).
     """
-    x = np.sort(np.asarray(values, dtype=float))
-    n, least = len(x), max(2, math.ceil(len(x) / 10))
+    ordered = np.sort(np.asarray(values, dtype=float))
+    count, min_part = len(ordered), max(2, math.ceil(len(ordered) / 10))
     best: tuple[float, int] | None = None
-    for k in range(least, n - least + 1):
-        spread = x[:k].var() * k + x[k:].var() * (n - k)
+    for split in range(min_part, count - min_part + 1):
+        spread = ordered[:split].var() * split + ordered[split:].var() * (count - split)
         if best is None or spread < best[0]:
-            best = (float(spread), k)
-    parts = [x]
-    if best and x[best[1]] - x[best[1] - 1] >= gap:
-        low, high = x[: best[1]], x[best[1] :]
+            best = (float(spread), split)
+    parts = [ordered]
+    if best and ordered[best[1]] - ordered[best[1] - 1] >= min_gap:
+        low, high = ordered[: best[1]], ordered[best[1] :]
         within = math.sqrt(float(low.var(ddof=1)) + float(high.var(ddof=1)))
-        if math.sqrt(2.0) * (high.mean() - low.mean()) > apart * within:
+        if math.sqrt(2.0) * (high.mean() - low.mean()) > min_separation * within:
             parts = [low, high]
-    return [Outcome(float(p.mean()), float(p.min()), float(p.max()), len(p) / n) for p in parts]
+    return [Outcome(float(p.mean()), float(p.min()), float(p.max()), len(p) / count) for p in parts]
 
 
 def prediction_interval(values: Sequence[float], level: float) -> tuple[float, float]:
-    """Where one further run is expected, with `level` of all cases: Student's interval for a single value, widened to
-    the runs' own range of that share, for they need not be normal."""
-    x = np.asarray(values, dtype=float)
-    if len(x) < 5:
-        raise ValueError(f"{len(x)} runs are too few to say where another will be")
-    half = float(stats.t.ppf((1 + level) / 2, len(x) - 1) * x.std(ddof=1) * math.sqrt(1 + 1 / len(x)))
-    low, high = np.quantile(x, [(1 - level) / 2, (1 + level) / 2])
-    return min(float(low), float(x.mean()) - half), max(float(high), float(x.mean()) + half)
+    """Return the interval that holds one further run with probability `level`.
+
+    It is Student's interval for a single value, widened to the quantiles of the runs for that share, because they need
+    not be normal. Raises `ValueError` with fewer than five runs.
+    """
+    sample = np.asarray(values, dtype=float)
+    if len(sample) < 5:
+        raise ValueError(f"{len(sample)} runs are too few to predict another")
+    half_width = float(
+        stats.t.ppf((1 + level) / 2, len(sample) - 1) * sample.std(ddof=1) * math.sqrt(1 + 1 / len(sample))
+    )
+    low, high = np.quantile(sample, [(1 - level) / 2, (1 + level) / 2])
+    return min(float(low), float(sample.mean()) - half_width), max(float(high), float(sample.mean()) + half_width)
 
 
 def hit_probability(hits: int, runs: int, level: float) -> float:
-    """How likely so few hits would be if intervals of `level` held what they say."""
+    """Return the probability of at most `hits` hits in `runs` if intervals of `level` cover that share."""
     return float(stats.binom.cdf(hits, runs, level))
--- a/corallanding/lab/fleet/steward.py
+++ b/corallanding/lab/fleet/steward.py
@@ -1,4 +1,4 @@
-"""The daemon in simulated time: its listener and its store are objects; everything else is as it runs on sockets."""
+"""The controller daemon in simulated time, with simulated listener, store and load report intake; the rest is real."""
 
 from __future__ import annotations
 
@@ -26,47 +26,52 @@
 
 
 class InMemoryStore:
-    """What the store's file is to a daemon: it outlives the process. `down`: writes fail meanwhile."""
+    """The content of a controller's store file, which outlives its process. While `is_down`, writes fail."""
 
     def __init__(self) -> None:
-        self.life, self.seq, self.down = 0, 0, False
+        self.incarnation, self.message_number, self.is_down = 0, 0, False
         self.tables: dict[int, dict[int, float]] = {}
-        self.roster: tuple[int, tuple[api.HostEntry, ...], dict[int, str], dict[int, float]] = (0, (), {}, {})
+        self.host_list: tuple[int, tuple[api.HostEntry, ...], dict[int, str], dict[int, float]] = (0, (), {}, {})
 
 
-class Handle:
-    """One process's hold on a `MemoryStore`, fenced by its life."""
+class StoreHandle:
+    """One process's access to an `InMemoryStore`, fenced by its incarnation."""
 
     def __init__(self, store: InMemoryStore) -> None:
-        self.store, self.life = store, -1
+        self.store, self.incarnation = store, -1
 
     def open(self) -> StoreContents:
-        s = self.store
-        s.life += 1
-        self.life = s.life
-        seq, s.seq = s.seq, 0
-        version, entries, addresses, starts = s.roster
-        tables = {t: dict(row) for t, row in sorted(s.tables.items()) if row}
-        return StoreContents(s.life, seq, tables, entries, version, dict(addresses), dict(starts))
+        """Begin a new incarnation, which fences all earlier handles; return the stored contents."""
+        store = self.store
+        store.incarnation += 1
+        self.incarnation = store.incarnation
+        message_number, store.message_number = store.message_number, 0
+        version, entries, addresses, starts = store.host_list
+        tables = {slice_id: dict(row) for slice_id, row in sorted(store.tables.items()) if row}
+        return StoreContents(store.incarnation, message_number, tables, entries, version, dict(addresses), dict(starts))
 
     def check(self) -> InMemoryStore:
-        if self.life != self.store.life:
-            raise StoreLockedError(f"taken by a later steward (life {self.store.life}, this is {self.life})")
-        if self.store.down:
-            raise StoreError("the store does not write")
+        """Return the store. Raises `StoreLockedError` if a later incarnation opened it, `StoreError` while it is down."""
+        if self.incarnation != self.store.incarnation:
+            raise StoreLockedError(
+                f"locked by incarnation {self.store.incarnation}; this is incarnation {self.incarnation}"
+            )
+        if self.store.is_down:
+            raise StoreError("writes to the store fail")
         return self.store
 
     def write(self, message_number: int, entries: Sequence[TableEntry], resets: Sequence[int] = ()) -> None:
-        s = self.check()
-        for t in resets:
-            s.tables.pop(t, None)
-        for t, host, weight in entries:
-            row = s.tables.setdefault(t, {})
+        """Store table entries, after clearing the tables in `resets`; a weight of zero removes an entry."""
+        store = self.check()
+        for slice_id in resets:
+            store.tables.pop(slice_id, None)
+        for slice_id, host, weight in entries:
+            row = store.tables.setdefault(slice_id, {})
             if weight > 0:
                 row[host] = weight
             else:
                 row.pop(host, None)
-        s.seq = message_number
+        store.message_number = message_number
 
     def save_host_list(
         self,
@@ -75,42 +80,50 @@
         addresses: Mapping[int, str],
         started_at_ms: Mapping[int, float],
     ) -> None:
-        self.check().roster = (version, tuple(entries), dict(addresses), dict(started_at_ms))
+        """Store the host list."""
+        self.check().host_list = (version, tuple(entries), dict(addresses), dict(started_at_ms))
 
     def close(self) -> None:
-        """The next one may open it."""
+        """Do nothing: the store needs no closing."""
 
 
 class SimListener:
-    """Stands for `steward.listen.Listener`; the pace of accepting is not emulated."""
+    """Replaces the controller's listener; the rate limit of accepted connections is not emulated."""
 
     def __init__(self, server: Server) -> None:
         self.server, self.sockets = server, server.sockets
 
     def hold(self, on: bool) -> None:
+        """Raise `NotImplementedError`."""
         raise NotImplementedError("handovers are not emulated")
 
     def close(self) -> None:
+        """Stop listening."""
         self.server.close()
 
 
 class SimIntake(LoadReportIntake):
+    """A load report intake on simulated datagrams."""
+
     def kernel_drops(self) -> int:
+        """Return 0: simulated datagrams have no kernel queue."""
         return 0
 
 
 class SimFeed(LoadReportFeed):
-    """The steward's end of an intake that is a machine of its own."""
+    """The controller's end of an intake that runs as a separate simulated machine."""
 
     @property
     def loop(self) -> SimLoop:
+        """The running loop."""
         return cast(SimLoop, asyncio.get_running_loop())
 
     async def keep_intake(self, state: FeedState | None, intake_socket: Any) -> None:
+        """Run the intake's machine and restart it after it exits, until the feed is stopped."""
         while not self.is_stopped:
             machine = Machine()
-            near, far = self.loop.pair(machine.inside())
-            near.begin(self)
+            near, far = self.loop.pair(machine.new_context())
+            near.attach(self)
             machine.start(self.loop, self.intake(far, machine))
             self.send(["hosts", self.hosts])
             await self.wait_disconnected()
@@ -118,9 +131,10 @@
                 await asyncio.sleep(0.2)
 
     async def intake(self, far: Stream, machine: Machine) -> None:
+        """Run the intake until it ends; `far` is its end of the stream to the controller."""
         intake = SimIntake(self.settings, lambda: self.loop.now * 1000.0)
         host, port = parse_loopback_address(self.settings["listen"])
-        far.begin(intake)
+        far.attach(intake)
         udp, _ = await self.loop.create_datagram_endpoint(lambda: DatagramReceiver(intake), (host, port))
         await serve(intake, host, port)
         udp.close()
@@ -128,7 +142,7 @@
 
 
 class SimController(Controller):
-    """A controller on the simulated loop. registry: reached without a network, where the configuration asks for one."""
+    """A controller on the simulated loop; `registry` replaces the one that the configuration names."""
 
     def __init__(
         self,
@@ -142,7 +156,7 @@
         self.loop = loop
         self.registry = registry
         factories = Factories(listener=self.make_listener, dial_registry=self.dial_registry, feed=SimFeed)
-        super().__init__(config, decider, record, None, Handle(store), loop.time, loop.time, factories)
+        super().__init__(config, decider, record, None, StoreHandle(store), loop.time, loop.time, factories)
 
     def make_listener(
         self,
@@ -157,15 +171,15 @@
         """A listener on the simulated network."""
         return SimListener(self.loop.listen(factory, host, port))
 
-    def dial_registry(self, g: RegistryBlock, said: Callable[[str], None]) -> Callable[[], Any]:
+    def dial_registry(self, settings: RegistryBlock, on_warning: Callable[[str], None]) -> Callable[[], Any]:
         """A function that makes clients of the simulated registry."""
-        from .registry import LocalClient
+        from .registry import LocalEtcdConnection
 
         assert self.registry
         registry = self.registry
-        return lambda: LocalClient(registry, g.timeout_ms)
+        return lambda: LocalEtcdConnection(registry, settings.timeout_ms)
 
-    async def live(self) -> None:
+    async def run_until_stopped(self) -> None:
         """Run until the controller stops."""
         await self.start()
         await self.wait_stopped()
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -22,7 +22,7 @@
 from corallanding.lab.fleet.settings import load_setting, with_key, with_override
 from corallanding.lab.fleet.statistics import (
     BETTER,
-    NO_DIFFERENCE_SEEN,
+    NO_DIFFERENCE,
     SAME,
     UNDECIDED,
     WORSE,
@@ -104,7 +104,7 @@
     assert judge(a, near, 0.002, 0.05, 1, False).verdict == SAME
     wild = [x + 0.05 * (-1) ** k for k, x in enumerate(a)]
     assert judge(a, wild, 0.002, 0.05, 1, False).verdict == UNDECIDED
-    assert judge(a, wild, 0.002, 0.05, 1, True).verdict == NO_DIFFERENCE_SEEN
+    assert judge(a, wild, 0.002, 0.05, 1, True).verdict == NO_DIFFERENCE
     assert math.isinf(interval([1.0, 2.0]).low)
     with pytest.raises(ValueError, match="pairs"):
         judge(a, up[:-1], 0.002, 0.05, 1, True)
@@ -123,8 +123,8 @@
     other = [0.93] * 21
     t = compare.count_low_outcomes(tips, other)
     assert t
-    assert (t.a, t.b) == (7, 0)
-    assert t.chance == pytest.approx(2 * 0.5**7)
+    assert (t.count_a, t.count_b) == (7, 0)
+    assert t.p_value == pytest.approx(2 * 0.5**7)
     assert compare.count_low_outcomes(other, other) is None
 
 
@@ -172,7 +172,7 @@
     other = Setting("a", SHORT.model_copy(update={"reports": SHORT.reports.model_copy(update={"every_ms": 777.0})}))
     assert Job(other, 1).key != jobs[0].key
     assert Job(Setting("a", SHORT), 1, "loopback").key != jobs[0].key
-    bounded = ResultStore(tmp_path / "few.db", most=2)
+    bounded = ResultStore(tmp_path / "few.db", max_rows=2)
     for n in range(5):
         bounded.put(Job(Setting("a", SHORT), n), row(n, 0.9))
     assert [bounded.get(Job(Setting("a", SHORT), n).key) is not None for n in range(5)] == [False] * 3 + [True] * 2
@@ -234,7 +234,7 @@
         (["compare", "DAY", "--set", "traffic.per_s=-1"], "traffic.per_s = -1:"),
         (["compare", "DAY"], "B is missing"),
         (["compare", "STEWARD"], "needs a --day"),
-        (["compare", "STEWARD", "--day", "DAY", "--set", "probe.allowed=false"], "slices.count: 9; the day has"),
+        (["compare", "STEWARD", "--day", "DAY", "--set", "probe.allowed=false"], "slices.count: 9; the scenario has"),
         (["compare", "NONE", "--set", "a=1"], "cannot be read"),
         (["sweep", "DAY", "reports.every", "1", "2"], "there is no 'every'"),
         (["search", "DAY", "--out", "x.hcl", "--kind", "rain"], "--kind rain: not one of"),
@@ -271,9 +271,9 @@
     with pool(tmp_path / "runs.db", 1) as p:
         settings = [with_override(Setting("s", SHORT), "reports.every_ms", v, v) for v in ("500", "500.0", "3000")]
         rows = compare.sweep(settings, 3, p)
-    assert rows[0].against is None
-    assert rows[1].against
-    assert rows[1].against.mean == 0.0
+    assert rows[0].difference is None
+    assert rows[1].difference
+    assert rows[1].difference.mean == 0.0
     assert "3000" in page.swept(rows, "reports.every_ms", "s", 0.05).markdown()
 
 
@@ -392,7 +392,7 @@
         pages.append(out.read_bytes())
     assert pages[0] == pages[1]
     with pool(tmp_path / "1.db", 1) as p:
-        rows = [r for (r,) in p.runs.db.execute("select service from run")]
+        rows = [r for (r,) in p.store.db.execute("select service from run")]
     assert abs(rows[0] - e.result["service"]) < 0.05, (rows, e.result["service"])
 
 
@@ -415,7 +415,7 @@
     assert "no such file of results" in told.output + (told.stderr or "")
     with pool(tmp_path / "runs.db", 1) as p:
         for n in range(4):
-            p.runs.put(Job(Setting("a", SHORT), n), row(n, 0.9 + n / 1000))
+            p.store.put(Job(Setting("a", SHORT), n), row(n, 0.9 + n / 1000))
     told = CliRunner().invoke(lab, ["report", "--kept", str(tmp_path / "runs.db"), "--out", str(tmp_path / "r.md")])
     assert told.exit_code == 0
     assert "| a |" in (tmp_path / "r.md").read_text()
@@ -428,11 +428,11 @@
     harm = {"crash": 0.3, "slow": 0.02, "drain": 0.0}
     faults = [Fault(kind=k, at_s=1.0, for_s=8.0 if k == "crash" else 4.0, part=0.2) for k in harm]
 
-    def scores(days: list[list[Fault]]) -> list[float]:
+    def evaluate(days: list[list[Fault]]) -> list[float]:
         # A crash of less than five seconds does nothing; its part does not matter.
         return [1.0 - sum(harm[f.kind] * (f.kind != "crash" or f.for_s >= 5.0) for f in d) for d in days]
 
-    left = search.cut(faults, target=1.0 - 0.9 * 0.32, scores=scores)
+    left = search.minimized(faults, target=1.0 - 0.9 * 0.32, evaluate=evaluate)
     assert [f.kind for f in left] == ["crash"]
     assert left[0].for_s >= 5.0
     assert left[0].part < 0.1
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -19,7 +19,7 @@
 from corallanding.lab.chance import at, uniform
 from corallanding.lab.fleet.emulate import NotEmulatedError, emulate
 from corallanding.lab.fleet.loop import Machine, SimLoop, run
-from corallanding.lab.fleet.steward import Handle, InMemoryStore
+from corallanding.lab.fleet.steward import StoreHandle, InMemoryStore
 from corallanding.lab.publishers import PUBLISHERS
 from corallanding.lab.scenario import Fault, load_scenario
 from corallanding.store import StoreError, StoreLockedError
@@ -59,7 +59,7 @@
             return ears[-1]
 
         listening = loop.listen(factory, "127.0.0.1", 0)
-        transport, _ = await loop.create_connection(lambda: Ear(client, loop), "127.0.0.1", listening.where[1])
+        transport, _ = await loop.create_connection(lambda: Ear(client, loop), "127.0.0.1", listening.address[1])
         await asyncio.sleep(0)
         return transport, ears[0]
 
@@ -84,7 +84,7 @@
     async def work(loop: SimLoop) -> None:
         await loop.create_future()
 
-    with pytest.raises(RuntimeError, match="nothing is left"):
+    with pytest.raises(RuntimeError, match="no callback is scheduled"):
         run(work)
 
 
@@ -163,16 +163,16 @@
 
 def test_the_store_in_memory_outlives_its_process_and_fences_it() -> None:
     memory = InMemoryStore()
-    first = Handle(memory)
+    first = StoreHandle(memory)
     assert first.open().start_number == 1
     first.write(7, [(0, 5, 1.0), (1, 5, 1.0), (1, 6, 0.5)])
     first.write(8, [(1, 5, 0.0)], [0])
-    second = Handle(memory)
-    life = second.open()
-    assert (life.start_number, life.message_number, life.tables) == (2, 8, {1: {6: 0.5}})
+    second = StoreHandle(memory)
+    contents = second.open()
+    assert (contents.start_number, contents.message_number, contents.tables) == (2, 8, {1: {6: 0.5}})
     with pytest.raises(StoreLockedError):
         first.write(9, [(0, 1, 1.0)])
-    memory.down = True
+    memory.is_down = True
     with pytest.raises(StoreError):
         second.write(1, [])
 
