--- a/corallanding/lab/fleet/__init__.py
+++ b/corallanding/lab/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet emulator: the daemon, its cores and the lab's stand-ins in simulated time, in one process."""
+"""The fleet emulator: the controller daemon and the lab's stand-ins in simulated time, in one process."""
--- a/corallanding/lab/fleet/commands.py
+++ b/corallanding/lab/fleet/commands.py
@@ -15,42 +15,42 @@
 from ...cli import fail
 from ...config import ConfigError
 
-if TYPE_CHECKING:  # a steward's start goes by this file, and must not wait for what experiments stand on
+if TYPE_CHECKING:  # a controller's start imports this file, and must not wait for the imports of experiments
     from .runs import Job, Pool, RunResult
 
 RunsOption = Annotated[int, typer.Option("--runs", min=3, max=1000, help="pairs of runs at most")]
-ResultsOption = Annotated[Path, typer.Option("--kept", help="the file of results; what stands there is not run again")]
+ResultsOption = Annotated[Path, typer.Option("--kept", help="the file of results; runs that it has are not repeated")]
 WorkersOption = Annotated[int, typer.Option("--workers", min=1, max=64, help="processes")]
-ReportOption = Annotated[Optional[Path], typer.Option("--out", help="a page: .html or .md")]  # noqa: UP045
+ReportOption = Annotated[Optional[Path], typer.Option("--out", help="a page to write: .html or .md")]  # noqa: UP045
 SeedOption = Annotated[int, typer.Option("--seed", help="the first seed")]
-ErrorOption = Annotated[float, typer.Option("--error", min=0.001, max=0.5, help="chance of a wrong word")]
+ErrorOption = Annotated[float, typer.Option("--error", min=0.001, max=0.5, help="probability of a wrong verdict")]
 DEFAULT_RESULTS_PATH, DEFAULT_WORKERS = Path("out/runs.db"), max(1, (os.cpu_count() or 2) - 1)
 
 
 @contextmanager
-def faults() -> Iterator[None]:
-    """Bad input and runs that could not be made, by name. Ctrl-C keeps what is done."""
+def reported_errors() -> Iterator[None]:
+    """Exit with a message on bad input, failed runs and Ctrl-C; completed runs stay stored."""
     from .runs import RunFailedError
 
     try:
         yield
-    except ConfigError as fault:
-        raise fail(fault) from None
-    except RunFailedError as fault:
-        raise fail(fault, 3) from None
+    except ConfigError as error:
+        raise fail(error) from None
+    except RunFailedError as error:
+        raise fail(error, 3) from None
     except KeyboardInterrupt:
-        raise fail("broken off; the same command goes on from here", 130) from None
+        raise fail("interrupted; the same command continues with the remaining runs", 130) from None
 
 
 @contextmanager
-def making(kept: Path, workers: int, total: int) -> Iterator[Pool]:
-    """A pool that shows how far it is where somebody looks."""
+def pool_with_progress(results_path: Path, workers: int, total: int) -> Iterator[Pool]:
+    """Open a pool that shows its progress if stderr is a terminal."""
     from rich.console import Console
     from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
     from .runs import pool
 
-    bar = Progress(
+    progress = Progress(
         TextColumn("{task.description}"),
         BarColumn(),
         MofNCompleteColumn(),
@@ -59,147 +59,152 @@
         disable=not sys.stderr.isatty(),
         transient=True,
     )
-    with bar:
-        task = bar.add_task("runs", total=total)
+    with progress:
+        task = progress.add_task("runs", total=total)
 
-        def tell(job: Job, row: RunResult, known: bool) -> None:
-            bar.update(task, advance=1, description=f"{job.setting.label}, seed {job.seed}: {row.service:.3f}")
+        def on_done(job: Job, result: RunResult, is_stored: bool) -> None:
+            progress.update(task, advance=1, description=f"{job.setting.label}, seed {job.seed}: {result.service:.3f}")
 
-        with pool(kept, workers, tell) as found:
-            yield found
+        with pool(results_path, workers, on_done) as jobs:
+            yield jobs
 
 
 def add(lab: typer.Typer) -> None:
+    """Add the commands to `corallanding lab`."""
     for name, command in COMMANDS.items():
         lab.command(name)(command)
 
 
 def compare(
-    a: Annotated[Path, typer.Argument(help="a scenario, or a steward's configuration (then --day)")],
+    a: Annotated[Path, typer.Argument(help="a scenario, or a controller's configuration (with --day)")],
     b: Annotated[Optional[Path], typer.Argument(help="the other; without it, --set or --module")] = None,  # noqa: UP045
-    day: Annotated[Optional[Path], typer.Option("--day", help="the scenario that both stewards meet")] = None,  # noqa: UP045
-    put: Annotated[Optional[list[str]], typer.Option("--set", help="KEY=VALUE: what B has otherwise")] = None,  # noqa: UP045
+    day: Annotated[Optional[Path], typer.Option("--day", help="the scenario that both controllers are run on")] = None,  # noqa: UP045
+    overrides: Annotated[Optional[list[str]], typer.Option("--set", help="KEY=VALUE: what differs in B")] = None,  # noqa: UP045
     module: Annotated[
-        Optional[Path], typer.Option("--module", help="B decides by this checkout's module, with this version's rest")  # noqa: UP045
+        Optional[Path], typer.Option("--module", help="checkout whose assigner B uses, with the rest of this version")  # noqa: UP045
     ] = None,
     runs: RunsOption = 40,
-    margin: Annotated[float, typer.Option("--margin", min=0.0, help="a difference that does not matter")] = 0.002,
-    loopback: Annotated[bool, typer.Option("--loopback", help="real runs on sockets; few --workers then")] = False,
+    margin: Annotated[float, typer.Option("--margin", min=0.0, help="differences below this do not matter")] = 0.002,
+    loopback: Annotated[bool, typer.Option("--loopback", help="real runs on sockets; use few --workers")] = False,
     error: ErrorOption = 0.05,
     seed: SeedOption = 1,
-    out: ReportOption = None,
-    kept: ResultsOption = DEFAULT_RESULTS_PATH,
+    page_path: ReportOption = None,
+    results_path: ResultsOption = DEFAULT_RESULTS_PATH,
     workers: WorkersOption = DEFAULT_WORKERS,
 ) -> None:
-    """Billed service of B against A on the same emulated days, with an interval. Stops when the answer is clear."""
+    """Compare the billed service of B and A on the same emulated runs, until the answer is clear."""
     from . import page
-    from .compare import compare as play
+    from .compare import compare as run_comparison
     from .runs import EMULATED, LOOPBACK
     from .settings import load_setting, with_overrides
 
-    with faults():
-        one = load_setting(a, day)
-        two = load_setting(b or a, day, module)
-        if b is None and not put and module is None:
+    with reported_errors():
+        setting_a = load_setting(a, day)
+        setting_b = load_setting(b or a, day, module)
+        if b is None and not overrides and module is None:
             raise ConfigError("B is missing: another file, --set KEY=VALUE or --module CHECKOUT")
-        two = with_overrides(two, put)
-        if two.label == one.label:
-            two = replace(two, label=f"{two.label} ({module or b})")
-        if list(one.scenario.operation) != list(two.scenario.operation):
-            raise ConfigError(f"{b}: operation: other than those of {a}")
-        if loopback and (one.config or two.config or two.module):
-            raise ConfigError("--loopback: goes with scenarios and the module as it is")
-        with making(kept, workers, runs * 2) as by:
-            found = play(
-                one,
-                two,
+        setting_b = with_overrides(setting_b, overrides)
+        if setting_b.label == setting_a.label:
+            setting_b = replace(setting_b, label=f"{setting_b.label} ({module or b})")
+        if list(setting_a.scenario.operation) != list(setting_b.scenario.operation):
+            raise ConfigError(f"{b}: operation: not the same as in {a}")
+        if loopback and (setting_a.config or setting_b.config or setting_b.module):
+            raise ConfigError("--loopback: only for scenarios, without --module")
+        with pool_with_progress(results_path, workers, runs * 2) as job_pool:
+            found = run_comparison(
+                setting_a,
+                setting_b,
                 runs,
-                by,
+                job_pool,
                 margin,
                 error,
                 seed,
-                lambda w, n: print(f"{n:4} pairs: {w.verdict}, {page.signed(w.difference)}", file=sys.stderr),
+                lambda judgement, pairs: print(
+                    f"{pairs:4} pairs: {judgement.verdict}, {page.signed(judgement.difference)}", file=sys.stderr
+                ),
                 LOOPBACK if loopback else EMULATED,
             )
-        print(page.verdict(found))
-        for name, i in found.other_differences.items():
-            print(f"  {name.replace('_', ' '):16} {page.signed(i)}")
+        print(page.format_verdict(found))
+        for name, difference in found.other_differences.items():
+            print(f"  {name.replace('_', ' '):16} {page.signed(difference)}")
         print(
             f"  runs with a broken rule: {found.broken_counts[0]} and {found.broken_counts[1]} of {len(found.rows_a)}"
         )
-        if out:
-            page.compared(found, margin, error).write(out)
+        if page_path:
+            page.comparison_page(found, margin, error).write(page_path)
 
 
 def sweep(
-    file: Annotated[Path, typer.Argument(help="a scenario, or a steward's configuration (then --day)")],
+    file: Annotated[Path, typer.Argument(help="a scenario, or a controller's configuration (with --day)")],
     key: Annotated[str, typer.Argument(help="the key, e.g. reports.every_ms")],
-    values: Annotated[list[str], typer.Argument(help="its values; the first is what the others are held against")],
+    values: Annotated[list[str], typer.Argument(help="its values; the others are compared with the first")],
     day: Annotated[Optional[Path], typer.Option("--day")] = None,  # noqa: UP045
     runs: RunsOption = 12,
     error: ErrorOption = 0.05,
     seed: SeedOption = 1,
-    out: ReportOption = None,
-    kept: ResultsOption = DEFAULT_RESULTS_PATH,
+    page_path: ReportOption = None,
+    results_path: ResultsOption = DEFAULT_RESULTS_PATH,
     workers: WorkersOption = DEFAULT_WORKERS,
 ) -> None:
-    """One key over several values, the same seeds for each."""
+    """Run one key with several values on the same seeds."""
     from . import page
-    from .compare import sweep as play
+    from .compare import sweep as run_sweep
     from .settings import load_setting, with_override
 
-    with faults():
+    with reported_errors():
         base = load_setting(file, day)
-        settings = [with_override(base, key, v, v) for v in values]
-        with making(kept, workers, runs * len(values)) as by:
-            rows = play(settings, runs, by, error, seed)
-        for r in rows:
-            against = f"  {page.signed(r.difference)}" if r.difference else ""
-            print(f"{key} = {r.value:10} {page.told(r.outcomes)}{against}")
-        if out:
-            page.swept(rows, key, base.label, error).write(out)
+        settings = [with_override(base, key, value, value) for value in values]
+        with pool_with_progress(results_path, workers, runs * len(values)) as job_pool:
+            points = run_sweep(settings, runs, job_pool, error, seed)
+        for point in points:
+            difference = f"  {page.signed(point.difference)}" if point.difference else ""
+            print(f"{key} = {point.value:10} {page.outcomes_text(point.outcomes)}{difference}")
+        if page_path:
+            page.sweep_page(points, key, base.label, error).write(page_path)
 
 
 def search(
-    file: Annotated[Path, typer.Argument(help="the day without its faults: a scenario, or a configuration with --day")],
-    out: Annotated[Path, typer.Option("--out", help="the scenario file for the worst day")],
+    file: Annotated[Path, typer.Argument(help="a scenario whose faults are replaced, or a configuration with --day")],
+    out: Annotated[Path, typer.Option("--out", help="the scenario file to write")],
     day: Annotated[Optional[Path], typer.Option("--day")] = None,  # noqa: UP045
-    budget: Annotated[int, typer.Option("--budget", min=20, max=100_000, help="runs for drawing and breeding")] = 400,
-    max_faults: Annotated[int, typer.Option("--faults", min=1, max=12, help="faults a day")] = 4,
-    kind: Annotated[Optional[list[str]], typer.Option("--kind", help="only these kinds of fault")] = None,  # noqa: UP045
+    budget: Annotated[
+        int, typer.Option("--budget", min=20, max=100_000, help="runs for random and mutated candidates")
+    ] = 400,
+    max_faults: Annotated[int, typer.Option("--faults", min=1, max=12, help="maximum number of faults")] = 4,
+    kinds: Annotated[Optional[list[str]], typer.Option("--kind", help="only these kinds of fault")] = None,  # noqa: UP045
     seed: SeedOption = 1,
-    kept: ResultsOption = DEFAULT_RESULTS_PATH,
+    results_path: ResultsOption = DEFAULT_RESULTS_PATH,
     workers: WorkersOption = DEFAULT_WORKERS,
 ) -> None:
-    """Look for the worst day within bounds, cut it down to what matters, and keep it as a scenario."""
+    """Search for the worst faults within bounds, minimize them, and write them as a scenario."""
     from ..scenario_text import scenario_hcl
     from .search import RANGES
-    from .search import search as play
+    from .search import search as run_search
     from .settings import load_setting
 
-    with faults():
-        for k in kind or ():
-            if k not in RANGES:
-                raise ConfigError(f"--kind {k}: not one of {', '.join(sorted(RANGES))}")
+    with reported_errors():
+        for kind in kinds or ():
+            if kind not in RANGES:
+                raise ConfigError(f"--kind {kind}: not one of {', '.join(sorted(RANGES))}")
         base = load_setting(file, day)
-        with making(kept, workers, budget * 2) as by:
-            found = play(
+        with pool_with_progress(results_path, workers, budget * 2) as job_pool:
+            found = run_search(
                 base,
                 budget,
-                by,
+                job_pool,
                 max_faults=max_faults,
-                kinds=kind,
+                kinds=kinds,
                 seed=seed,
-                on_progress=lambda t: print(t, file=sys.stderr),
+                on_progress=lambda text: print(text, file=sys.stderr),
             )
         out.parent.mkdir(parents=True, exist_ok=True)
         out.write_text(scenario_hcl(found.scenario))
         print(
-            f"{out}: service {found.score:.4f} by {len(found.scores_without_fault)} faults, {found.baseline:.4f} without any; "
-            f"{found.runs} emulated runs"
+            f"{out}: service {found.score:.4f} with {len(found.scores_without_fault)} faults, "
+            f"{found.baseline:.4f} without any; {found.runs} emulated runs"
         )
-        for f, without in found.scores_without_fault:
-            print(f"  {f.kind} at {f.at_s:g} s for {f.for_s:g} s: without it {without:.4f}")
+        for fault, without in found.scores_without_fault:
+            print(f"  {fault.kind} at {fault.at_s:g} s for {fault.for_s:g} s: without it {without:.4f}")
         if found.broken:
             print(f"  rules broken: {'; '.join(found.broken)}")
         print(f"  on sockets: corallanding lab run {out} --out out/worst")
@@ -211,83 +216,90 @@
     loopback: Annotated[int, typer.Option("--loopback", min=1, max=1000, help="runs on loopback")] = 20,
     level: Annotated[float, typer.Option("--level", min=0.5, max=0.99)] = 0.9,
     seed: SeedOption = 1,
-    out: ReportOption = None,
-    kept: ResultsOption = DEFAULT_RESULTS_PATH,
+    page_path: ReportOption = None,
+    results_path: ResultsOption = DEFAULT_RESULTS_PATH,
     workers: WorkersOption = DEFAULT_WORKERS,
-    beside: Annotated[int, typer.Option("--beside", min=1, max=16, help="runs on loopback side by side")] = 2,
+    loopback_workers: Annotated[int, typer.Option("--beside", min=1, max=16, help="concurrent runs on loopback")] = 2,
 ) -> None:
-    """Say where a run on loopback will lie, run it, and count how often that was right."""
+    """Predict the results of runs on loopback, run them, and count how often the prediction holds."""
     from . import page
-    from .compare import predict as play
+    from .compare import predict as run_prediction
     from .settings import load_setting
 
-    with faults():
-        found = []
-        with making(kept, workers, len(files) * runs) as by, making(kept, beside, len(files) * loopback) as real:
+    with reported_errors():
+        predictions = []
+        with (
+            pool_with_progress(results_path, workers, len(files) * runs) as job_pool,
+            pool_with_progress(results_path, loopback_workers, len(files) * loopback) as loopback_pool,
+        ):
             for path in files:
-                found += play(load_setting(path, None), runs, loopback, by, real, level, seed)
-        made = page.predicted(found)
-        print(made.markdown())
-        if out:
-            made.write(out)
+                predictions += run_prediction(
+                    load_setting(path, None), runs, loopback, job_pool, loopback_pool, level, seed
+                )
+        result_page = page.prediction_page(predictions)
+        print(result_page.markdown())
+        if page_path:
+            result_page.write(page_path)
 
 
 def replay_day(
-    recording: Annotated[Path, typer.Argument(help="a steward's recording (--record)")],
-    like: Annotated[Path, typer.Option("--like", help="that day's setting: a scenario, or a configuration with --day")],
+    recording: Annotated[Path, typer.Argument(help="a controller's recording (--record)")],
+    like: Annotated[
+        Path, typer.Option("--like", help="setting of the recording: a scenario, or a configuration with --day")
+    ],
     other: Annotated[Optional[Path], typer.Option("--with", help="the other setting, in the same form")] = None,  # noqa: UP045
-    put: Annotated[Optional[list[str]], typer.Option("--set", help="KEY=VALUE in the other setting")] = None,  # noqa: UP045
-    day: Annotated[Optional[Path], typer.Option("--day", help="hosts, operations and clients of both")] = None,  # noqa: UP045
+    overrides: Annotated[Optional[list[str]], typer.Option("--set", help="KEY=VALUE in the other setting")] = None,  # noqa: UP045
+    day: Annotated[Optional[Path], typer.Option("--day", help="scenario of both configurations")] = None,  # noqa: UP045
     trace: Annotated[
-        Optional[Path], typer.Option("--trace", help="a trace of the same day: its arrivals, exactly")  # noqa: UP045
+        Optional[Path], typer.Option("--trace", help="a trace of the same time span, for exact arrivals")  # noqa: UP045
     ] = None,
-    every: Annotated[float, typer.Option("--every", min=1.0, help="seconds of a row")] = 60.0,
+    span_s: Annotated[float, typer.Option("--every", min=1.0, help="seconds per table row")] = 60.0,
     runs: Annotated[int, typer.Option("--runs", min=1, max=200)] = 3,
     seed: SeedOption = 1,
-    out: ReportOption = None,
-    kept: ResultsOption = DEFAULT_RESULTS_PATH,
+    page_path: ReportOption = None,
+    results_path: ResultsOption = DEFAULT_RESULTS_PATH,
     workers: WorkersOption = DEFAULT_WORKERS,
 ) -> None:
-    """The billed service that a recorded day would have had under each setting, minute by minute."""
+    """Replay a recording under each setting and show the billed service by spans of time."""
     from . import page
     from .runs import Job
     from .settings import load_setting, with_overrides, with_recording
 
-    with faults():
-        one, found = with_recording(load_setting(like, day), recording, trace)
-        settings = [one]
-        if other or put:
-            two = with_recording(load_setting(other, day), recording, trace)[0] if other else one
-            settings.append(with_overrides(two, put))
+    with reported_errors():
+        setting, recorded = with_recording(load_setting(like, day), recording, trace)
+        settings = [setting]
+        if other or overrides:
+            other_setting = with_recording(load_setting(other, day), recording, trace)[0] if other else setting
+            settings.append(with_overrides(other_setting, overrides))
         seeds = range(seed, seed + runs)
-        with making(kept, workers, runs * len(settings)) as by:
-            done = by.all([Job(s, n) for s in settings for n in seeds])
-        pairs = [(s.label, [done[Job(s, n).key] for n in seeds]) for s in settings]
-        made = page.replayed(found, pairs, every)
-        print(made.markdown())
-        if out:
-            made.write(out)
+        with pool_with_progress(results_path, workers, runs * len(settings)) as job_pool:
+            results = job_pool.all([Job(s, run_seed) for s in settings for run_seed in seeds])
+        results_by_label = [(s.label, [results[Job(s, run_seed).key] for run_seed in seeds]) for s in settings]
+        result_page = page.replay_page(recorded, results_by_label, span_s)
+        print(result_page.markdown())
+        if page_path:
+            result_page.write(page_path)
 
 
 def report(
-    out: Annotated[Path, typer.Option("--out", help="a page: .html or .md")],
-    kept: ResultsOption = DEFAULT_RESULTS_PATH,
-    name: Annotated[str, typer.Option("--scenario", help="only this one")] = "",
+    page_path: Annotated[Path, typer.Option("--out", help="a page: .html or .md")],
+    results_path: ResultsOption = DEFAULT_RESULTS_PATH,
+    scenario: Annotated[str, typer.Option("--scenario", help="only this one")] = "",
 ) -> None:
-    """A page of all results that a file holds."""
+    """Write a page of all results in a file."""
     from . import page
     from .runs import ResultStore
 
-    with faults():
-        if not kept.is_file():
-            raise ConfigError(f"{kept}: there is no such file of results")
-        runs = ResultStore(kept)
-        rows = runs.rows(name)
-        runs.close()
+    with reported_errors():
+        if not results_path.is_file():
+            raise ConfigError(f"{results_path}: there is no such file of results")
+        store = ResultStore(results_path)
+        rows = store.rows(scenario)
+        store.close()
         if not rows:
-            raise ConfigError(f"{kept}: no runs" + (f" of {name}" if name else ""))
-        page.kept(rows).write(out)
-        print(f"{out}: {len(rows)} runs")
+            raise ConfigError(f"{results_path}: no runs" + (f" of {scenario}" if scenario else ""))
+        page.results_page(rows).write(page_path)
+        print(f"{page_path}: {len(rows)} runs")
 
 
 COMMANDS: dict[str, Callable[..., None]] = {
--- a/corallanding/lab/fleet/search.py
+++ b/corallanding/lab/fleet/search.py
@@ -12,8 +12,8 @@
 
 Span = tuple[float, float]
 
-# Ranges of a fault's fields, by kind. A scenario within them is severe, but one that a controller has to handle: few
-# faults make more than a third of the hosts unavailable.
+# Ranges of a fault's fields, by kind. A scenario within them is severe, but one that a controller has to handle: no
+# kind takes more than a third of the hosts out of service.
 RANGES: dict[str, dict[str, Span | tuple[str, ...]]] = {
     "crash": {"part": (0.04, 0.2), "for_s": (2.0, 8.0)},
     "drain": {"part": (0.05, 0.3), "for_s": (3.0, 8.0)},
@@ -150,13 +150,14 @@
         ]
         ranked.sort(key=lambda item: item[:2])
         on_progress(
-            f"{spent} runs: worst {ranked[0][0]:.4f}, quiet {baseline:.4f}: {', '.join(f.kind for f in ranked[0][2])}"
+            f"{spent} runs: worst {ranked[0][0]:.4f}, without faults {baseline:.4f}: "
+            f"{', '.join(f.kind for f in ranked[0][2])}"
         )
     worst, _, faults = ranked[0]
     target = baseline - min_harm_share * (baseline - worst)  # minimized faults must keep this share of the harm
     faults = minimized(faults, target, lambda candidates: [value for value, _ in evaluate(candidates)])
     (final, results), *reduced = evaluate([faults, *([g for g in faults if g is not f] for f in faults)])
-    on_progress(f"{spent} runs: cut down to {len(faults)} faults, {final:.4f}")
+    on_progress(f"{spent} runs: minimized to {len(faults)} faults, {final:.4f}")
     broken_rules = sorted({b for r in results for b in r.broken})
     minimal = with_faults(scenario, faults).model_copy(update={"name": f"{scenario.name}-worst"})
     return SearchResult(
--- a/corallanding/lab/fleet/steward.py
+++ b/corallanding/lab/fleet/steward.py
@@ -51,7 +51,7 @@
         return StoreContents(store.incarnation, message_number, tables, entries, version, dict(addresses), dict(starts))
 
     def check(self) -> InMemoryStore:
-        """Return the store. Raises `StoreLockedError` if a later incarnation opened it, `StoreError` while it is down."""
+        """Return the store. Raises `StoreLockedError` after a later incarnation, `StoreError` while it is down."""
         if self.incarnation != self.store.incarnation:
             raise StoreLockedError(
                 f"locked by incarnation {self.store.incarnation}; this is incarnation {self.incarnation}"
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -274,7 +274,7 @@
     assert rows[0].difference is None
     assert rows[1].difference
     assert rows[1].difference.mean == 0.0
-    assert "3000" in page.swept(rows, "reports.every_ms", "s", 0.05).markdown()
+    assert "3000" in page.sweep_page(rows, "reports.every_ms", "s", 0.05).markdown()
 
 
 # ---- recorded days -----------------------------------------------------------------------------------------
@@ -487,10 +487,10 @@
         find_outcomes([0.9] * 10),
         compare.count_low_outcomes([r.service for r in tips], [r.service for r in good]),
     )
-    said = page.compared(c, 0.002, 0.05).markdown()
+    said = page.comparison_page(c, 0.002, 0.05).markdown()
     assert "two outcomes: 0.4000 in 50% of the runs; 0.9000 in 50%" in said
     assert "ended 5 of 10 runs under a and 0 under b" in said
-    assert "no day looks like the mean" in said
+    assert "no run is near the mean" in said
 
 
 def test_the_commands_are_there() -> None:
