--- a/corallanding/lab/fleet/commands.py
+++ b/corallanding/lab/fleet/commands.py
@@ -127,9 +127,8 @@
         print(page.format_verdict(found))
         for name, difference in found.other_differences.items():
             print(f"  {name.replace('_', ' '):16} {page.signed(difference)}")
-        print(
-            f"  runs with a broken rule: {found.broken_counts[0]} and {found.broken_counts[1]} of {len(found.rows_a)}"
-        )
+        broken_a, broken_b = found.broken_counts
+        print(f"  runs with a broken rule: {broken_a} and {broken_b} of {len(found.results_a)}")
         if page_path:
             page.comparison_page(found, margin, error).write(page_path)
 
--- a/corallanding/lab/fleet/compare.py
+++ b/corallanding/lab/fleet/compare.py
@@ -40,8 +40,8 @@
 
     a: Setting
     b: Setting
-    rows_a: list[RunResult]
-    rows_b: list[RunResult]
+    results_a: list[RunResult]
+    results_b: list[RunResult]
     judgement: Judgement  # of `service`
     looks: int
     other_differences: dict[str, Interval]  # differences of the other figures, each by itself at the same error
@@ -52,7 +52,7 @@
     @property
     def broken_counts(self) -> tuple[int, int]:
         """Number of runs of A and of B in which a rule was broken or could not be judged."""
-        return sum(bool(r.broken) for r in self.rows_a), sum(bool(r.broken) for r in self.rows_b)
+        return sum(bool(r.broken) for r in self.results_a), sum(bool(r.broken) for r in self.results_b)
 
 
 def count_low_outcomes(values_a: Sequence[float], values_b: Sequence[float]) -> LowOutcomeCounts | None:
@@ -88,22 +88,22 @@
     `on_look` is called after each look with the number of pairs. Raises `RunFailedError`.
     """
     counts = look_counts(min(MIN_PAIRS, runs), runs)
-    rows_a: list[RunResult] = []
-    rows_b: list[RunResult] = []
+    results_a: list[RunResult] = []
+    results_b: list[RunResult] = []
     for look, count in enumerate(counts, 1):
-        seeds = range(first_seed + len(rows_a), first_seed + count)
+        seeds = range(first_seed + len(results_a), first_seed + count)
         jobs = [Job(setting, seed, model) for seed in seeds for setting in (a, b)]
         results = pool.all(jobs)
-        rows_a += [results[Job(a, seed, model).key] for seed in seeds]
-        rows_b += [results[Job(b, seed, model).key] for seed in seeds]
-        service_a, service_b = [r.service for r in rows_a], [r.service for r in rows_b]
+        results_a += [results[Job(a, seed, model).key] for seed in seeds]
+        results_b += [results[Job(b, seed, model).key] for seed in seeds]
+        service_a, service_b = [r.service for r in results_a], [r.service for r in results_b]
         judgement = judge(service_a, service_b, margin, error, len(counts), look == len(counts))
         on_look(judgement, count)
         if judgement.verdict != UNDECIDED:
             break
     other_differences = {
         figure: interval(
-            [getattr(y, figure) - getattr(x, figure) for x, y in zip(rows_a, rows_b, strict=True)], 1.0 - error
+            [getattr(y, figure) - getattr(x, figure) for x, y in zip(results_a, results_b, strict=True)], 1.0 - error
         )
         for figure in FIGURES
         if figure != "service"
@@ -111,8 +111,8 @@
     return Comparison(
         a,
         b,
-        rows_a,
-        rows_b,
+        results_a,
+        results_b,
         judgement,
         look,
         other_differences,
--- a/corallanding/lab/fleet/emulate.py
+++ b/corallanding/lab/fleet/emulate.py
@@ -288,7 +288,7 @@
 
     result: dict[str, Any]  # as `result.json` of the lab
     records: list[tuple[Any, ...]]  # as `trace.jsonl.gz`
-    begun: float  # start of the traffic on the lab's clock, ms
+    begun_ms: float  # start of the traffic on the lab's clock
     polls: list[dict[str, float]]  # samples of the first controller
     events: int  # callbacks that the loop ran
     took: float  # seconds of real time
@@ -301,12 +301,12 @@
     config: ControllerConfig | None = None,
     decider: Callable[[api.Settings, int], Decider] | None = None,
     record: str | None = None,
-    latency: float = DEFAULT_LATENCY_S,
+    latency_s: float = DEFAULT_LATENCY_S,
     recorded: RecordedDay | None = None,
 ) -> EmulationResult:
     """Run the scenario; the same arguments give the same result and records. Raises `NotEmulatedError`.
 
-    `record` is a path prefix for the controllers' recordings; `latency` is one way of every stream, in seconds.
+    `record` is a path prefix for the controllers' recordings; `latency_s` is one way of every stream.
     """
     check_emulated(scenario)
     configure("json", "critical")
@@ -325,7 +325,7 @@
     started = time.perf_counter()
     folder = TemporaryDirectory(prefix="corallanding-")
     try:
-        return run(work, latency)
+        return run(work, latency_s)
     finally:
         trace.use()
         folder.cleanup()
--- a/corallanding/lab/fleet/loop.py
+++ b/corallanding/lab/fleet/loop.py
@@ -2,7 +2,7 @@
 
 The loop runs the same code that runs on sockets: timers fire in the order of their due times, nothing waits, and two
 runs of one seed are identical to the last byte. Simulated time does not advance while code runs, so the cost of
-computation is not in the results. Streams keep their order, take `latency` one way and lose nothing: loss and broken
+computation is not in the results. Streams keep their order, take `latency_s` one way and lose nothing: loss and broken
 connections are injected by the stand-ins (`lab.net`), as on loopback.
 """
 
@@ -142,7 +142,7 @@
     def send(self, item: bytes | BaseException | None) -> None:
         """Send data, an end of file (None) or a connection error to the other end."""
         if peer := self.peer:
-            due = self.loop.now + self.loop.latency
+            due = self.loop.now + self.loop.latency_s
             peer.incoming.append((due, item))
             self.loop.call_at(due, peer.deliver, context=peer.context)
 
@@ -224,7 +224,7 @@
     def sendto(self, data: Any, addr: Any = None) -> None:
         """Send a datagram to an address, or to the connected port."""
         port = int(addr[1]) if addr else self.remote_port
-        self.loop.call_later(self.loop.latency, self.loop.deliver_datagram, port, bytes(data), self.port)
+        self.loop.call_later(self.loop.latency_s, self.loop.deliver_datagram, port, bytes(data), self.port)
 
     def is_closing(self) -> bool:
         """Return whether this end is closed or closing."""
@@ -242,15 +242,15 @@
 class SimLoop(asyncio.BaseEventLoop):
     """An event loop on a simulated clock.
 
-    `now` is the simulated time and `latency` one way of every stream, both in seconds; `events` counts the callbacks
+    `now` is the simulated time and `latency_s` one way of every stream, both in seconds; `events` counts the callbacks
     that ran. Depends on private names of asyncio (`_run_once`, `_ready`, handles' `_scheduled`); tests fail if
     they change.
     """
 
     _ready: deque[asyncio.Handle]
 
-    def __init__(self, latency: float = DEFAULT_LATENCY_S) -> None:
-        self.now, self.latency, self.events = START_S, latency, 0
+    def __init__(self, latency_s: float = DEFAULT_LATENCY_S) -> None:
+        self.now, self.latency_s, self.events = START_S, latency_s, 0
         super().__init__()
         self.timers: list[tuple[float, int, asyncio.TimerHandle]] = []
         self.timer_count = self.cancelled_count = 0  # cancelled: handles that are still in the heap
@@ -389,7 +389,7 @@
         self, factory: Any, host: Any = None, port: Any = None, **_: Any
     ) -> Any:
         """Connect to a simulated server after a round trip. Raises `ConnectionRefusedError` without a listener."""
-        await asyncio.sleep(self.latency * 2)
+        await asyncio.sleep(self.latency_s * 2)
         server = self.servers.get(int(port or 0))
         if server is None:
             raise ConnectionRefusedError(f"no listener on port {port}")
@@ -400,9 +400,9 @@
         return near, protocol
 
 
-def run(main: Callable[[SimLoop], Coroutine[Any, Any, Result]], latency: float = DEFAULT_LATENCY_S) -> Result:
-    """Run `main(loop)` to its end without waiting for real time; `latency` is in seconds."""
-    loop = SimLoop(latency)
+def run(main: Callable[[SimLoop], Coroutine[Any, Any, Result]], latency_s: float = DEFAULT_LATENCY_S) -> Result:
+    """Run `main(loop)` to its end without waiting for real time."""
+    loop = SimLoop(latency_s)
     try:
         return loop.run_until_complete(main(loop))
     finally:
--- a/corallanding/lab/fleet/page.py
+++ b/corallanding/lab/fleet/page.py
@@ -122,7 +122,7 @@
     if found.low_outcomes:
         low = found.low_outcomes
         text += (
-            f" Runs have two outcomes: below {low.threshold:.3f} ended {low.count_a} of {len(found.rows_a)} runs "
+            f" Runs have two outcomes: below {low.threshold:.3f} ended {low.count_a} of {len(found.results_a)} runs "
             f"under {found.a.label} and {low.count_b} under {found.b.label} "
             f"(probability of such pairs without a difference: {low.p_value:.3f}); no run is near the mean."
         )
@@ -133,7 +133,7 @@
     """Return the page of a comparison."""
     page = Page(f"{found.a.label} and {found.b.label} on {found.a.scenario.name}")
     page.text(format_verdict(found))
-    model_name = "Stand-ins on loopback" if found.rows_a[0].model == LOOPBACK else "Emulated fleet"
+    model_name = "Stand-ins on loopback" if found.results_a[0].model == LOOPBACK else "Emulated fleet"
     page.text(
         f"{model_name}, not a real fleet. Pairs share arrivals, work and faults by their seed. "
         f"{found.looks} looks share an error of {error:g}; a difference under {margin:g} does not matter. "
@@ -152,14 +152,14 @@
         + [
             (
                 name.replace("_", " "),
-                f"{mean(found.rows_a, name):.4f}",
-                f"{mean(found.rows_b, name):.4f}",
+                f"{mean(found.results_a, name):.4f}",
+                f"{mean(found.results_b, name):.4f}",
                 signed(difference),
             )
             for name, difference in found.other_differences.items()
         ]
         + [("runs with a broken rule", found.broken_counts[0], found.broken_counts[1], "")]
-        + [("doubled", sum(r.doubles for r in found.rows_a), sum(r.doubles for r in found.rows_b), "")],
+        + [("doubled", sum(r.doubles for r in found.results_a), sum(r.doubles for r in found.results_b), "")],
     )
     page.chart("billed service by run", render_chart(lambda ax: draw_service_pairs(ax, found)))
     page.chart(
@@ -170,7 +170,7 @@
         ("seed", found.a.label, found.b.label, "rules broken"),
         [
             (x.seed, f"{x.service:.4f}", f"{y.service:.4f}", "; ".join([*x.broken, *y.broken]) or "none")
-            for x, y in zip(found.rows_a, found.rows_b, strict=True)
+            for x, y in zip(found.results_a, found.results_b, strict=True)
         ],
     )
     return page
@@ -183,7 +183,7 @@
 
 def draw_service_pairs(ax: Any, found: Comparison) -> None:
     """Draw the service of each pair of runs, with the line of equality."""
-    service_a, service_b = [r.service for r in found.rows_a], [r.service for r in found.rows_b]
+    service_a, service_b = [r.service for r in found.results_a], [r.service for r in found.results_b]
     ax.plot(service_a, service_b, "o", color="C0")
     low, high = min(service_a + service_b), max(service_a + service_b)
     ax.plot([low, high], [low, high], color="0.6", lw=1)
@@ -193,7 +193,7 @@
 
 def draw_answered_shares(ax: Any, found: Comparison) -> None:
     """Draw the answered share by second under each setting, with the faults of A."""
-    for label, results, color in ((found.a.label, found.rows_a, "C0"), (found.b.label, found.rows_b, "C1")):
+    for label, results, color in ((found.a.label, found.results_a, "C0"), (found.b.label, found.results_b, "C1")):
         seconds = min(len(r.asked) for r in results)
         shares = np.array(
             [
--- a/corallanding/lab/fleet/recorded.py
+++ b/corallanding/lab/fleet/recorded.py
@@ -105,17 +105,16 @@
     ]
     covered_spans = merge_spans([(w.begin_ms, w.end_ms) for w in windows], period_ms * 0.5)
     gaps = [(a[1], b[0]) for a, b in itertools.pairwise(covered_spans)]
-    late_spans = merge_spans(
-        [(w.begin_ms, w.end_ms) for w in windows if w.end_ms - w.begin_ms > LATE_PERIODS * period_ms]
-    )
+    late_windows = [w for w in windows if w.end_ms - w.begin_ms > LATE_PERIODS * period_ms]
+    late_spans = merge_spans([(w.begin_ms, w.end_ms) for w in late_windows])
     total_requests = sum(w.count for w in windows)
     filled = [w for gap in gaps for w in fill_gap(windows, gap, GAP_MARGIN_PERIODS * period_ms)]
     initial_hosts, host_changes = read_host_changes(recording, begin_ms, end_ms, notice_ms)
     by_second = np.zeros((2, int((end_ms - begin_ms) / 1000.0) + 1))  # requests, unanswered requests
-    for now, e in reports:
-        second = int((now - e.span_ms / 2 - begin_ms) / 1000.0)
-        by_second[0, second] += e.requests
-        by_second[1, second] += e.unanswered
+    for now, event in reports:
+        second = int((now - event.span_ms / 2 - begin_ms) / 1000.0)
+        by_second[0, second] += event.requests
+        by_second[1, second] += event.unanswered
     proxies = {
         e.proxy: (e.zone, max(e.requests_per_second, 1e-6))
         for _, events, _ in recording.steps
@@ -164,11 +163,11 @@
     for now, events, _ in recording.steps:
         if initial_hosts is None and now > begin_ms:
             initial_hosts = [entry for _, entry in sorted(current.items())]
-        for e in events:
-            if not isinstance(e, api.HostListUpdate) or e.kind is api.HostListKind.FAILED:
+        for event in events:
+            if not isinstance(event, api.HostListUpdate) or event.kind is api.HostListKind.FAILED:
                 continue
-            entries = {entry.host: entry for entry in e.entries}
-            if e.kind is not api.HostListKind.CHANGES:
+            entries = {entry.host: entry for entry in event.entries}
+            if event.kind is not api.HostListKind.CHANGES:
                 entries |= {h: api.HostEntry(h, state=api.HostState.REMOVED) for h in current if h not in entries}
             for host, entry in sorted(entries.items()):
                 old = current.get(host)
@@ -182,9 +181,8 @@
                 noticed_ms = max(0.0, at_ms - notice_ms)
                 if entry.state == "removed" and old:
                     what = "gone" if old.state == "draining" else "dead"
-                    changes.append(
-                        HostChange(max(0.0, at_ms - notice_ms * (what == "dead")), what, host, old.zone, old.kind)
-                    )
+                    changed_ms = noticed_ms if what == "dead" else at_ms
+                    changes.append(HostChange(changed_ms, what, host, old.zone, old.kind))
                 elif entry.state == "draining" and (old is None or old.state != "draining"):
                     changes.append(HostChange(noticed_ms, "draining", host, entry.zone, entry.kind))
                 elif entry.state == "up" and (old is None or old.online_since != entry.online_since):
@@ -199,9 +197,9 @@
     period_ms = recording.settings.report_interval_ms
     latencies: dict[int, dict[int, list[float]]] = defaultdict(lambda: defaultdict(list))  # ms, by period and host
     for now, events, _ in recording.steps:
-        for e in events:
-            if isinstance(e, api.HostUsageReport) and e.attempts - e.failed >= 3 and e.latency_ms > 0.0:
-                latencies[int((now - begin_ms) // period_ms)][e.host].append(e.latency_ms)
+        for event in events:
+            if isinstance(event, api.HostUsageReport) and event.attempts - event.failed >= 3 and event.latency_ms > 0.0:
+                latencies[int((now - begin_ms) // period_ms)][event.host].append(event.latency_ms)
     changes: list[HostChange] = []
     slow_periods: dict[int, int] = defaultdict(int)  # in a row, by host
     slow: dict[int, float] = {}
@@ -233,11 +231,9 @@
         window_times.append(rng.uniform(w.begin_ms, w.end_ms, count))
         window_slices.append(np.full(count, w.slice))
         window_classes.append(np.full(count, w.request_class))
-    times, slices, classes = (
-        np.concatenate(window_times),
-        np.concatenate(window_slices),
-        np.concatenate(window_classes),
-    )
+    times = np.concatenate(window_times)
+    slices = np.concatenate(window_slices)
+    classes = np.concatenate(window_classes)
     order = np.argsort(times, kind="stable")
     times, slices, classes = times[order], slices[order], classes[order]
     rates = np.array([day.proxies[proxy][1] for proxy in sorted(day.proxies)])
@@ -254,28 +250,28 @@
     Times, work and proxies are exact, except for requests that never reached a host: these get the mean work of their
     request class, and the proxy of the request before. Raises `UnusableRecordingError`.
     """
-    asked = [r for r in records if r[3] == "asked"]
+    asked = [record for record in records if record[3] == "asked"]
     if not asked:
         raise UnusableRecordingError("no client request in the trace")
-    begin_ms = float(min(r[2] for r in asked))
+    begin_ms = float(min(record[2] for record in asked))
     proxy_of: dict[int, int] = {}
     work_of: dict[int, float] = {}
-    for r in records:
-        if r[3] in ("send", "none", "refused"):
-            request = r[5] if r[3] == "none" else r[4]
-            proxy_of.setdefault(request, int(r[0].split()[1]))
-        elif r[3] == "take":
-            work_of.setdefault(r[4], float(r[10]))
-    asked.sort(key=lambda r: (r[2], r[4]))
-    classes = np.array([r[5] for r in asked])
-    work = np.array([work_of.get(r[4], np.nan) for r in asked])
+    for record in records:
+        if record[3] in ("send", "none", "refused"):
+            request = record[5] if record[3] == "none" else record[4]
+            proxy_of.setdefault(request, int(record[0].split()[1]))
+        elif record[3] == "take":
+            work_of.setdefault(record[4], float(record[10]))
+    asked.sort(key=lambda record: (record[2], record[4]))
+    classes = np.array([record[5] for record in asked])
+    work = np.array([work_of.get(record[4], np.nan) for record in asked])
     for request_class in set(classes.tolist()):
         class_work = work[classes == request_class]
         mean = float(np.nanmean(class_work)) if not np.isnan(class_work).all() else 1.0
         work[(classes == request_class) & np.isnan(work)] = mean
     proxies, last = [], 0
-    for r in asked:
-        last = proxy_of.get(r[4], last)
+    for record in asked:
+        last = proxy_of.get(record[4], last)
         proxies.append(last)
-    times = np.array([float(r[2]) - begin_ms for r in asked])
-    return Traffic(times, np.array(proxies), np.array([r[6] for r in asked]), classes, work)
+    times = np.array([float(record[2]) - begin_ms for record in asked])
+    return Traffic(times, np.array(proxies), np.array([record[6] for record in asked]), classes, work)
--- a/corallanding/lab/fleet/registry.py
+++ b/corallanding/lab/fleet/registry.py
@@ -92,13 +92,13 @@
 
     def deliver_later(self, item: Any) -> None:
         """Deliver a response, an error or the end (None) after the latency."""
-        self.loop.call_later(self.loop.latency, self.queue.put_nowait, item)
+        self.loop.call_later(self.loop.latency_s, self.queue.put_nowait, item)
 
     async def serve(self, handler: Any, requests: Any) -> None:
         """Run the handler, then deliver its error or the end of the stream."""
         final_item: Any = None
         try:
-            await asyncio.sleep(self.loop.latency)
+            await asyncio.sleep(self.loop.latency_s)
             self.registry.check()
             await handler(requests, self.context)
         except AbortedError as abort:
@@ -144,10 +144,10 @@
         registry = self.registry
         try:
             async with asyncio.timeout(timeout):
-                await asyncio.sleep(registry.loop.latency)
+                await asyncio.sleep(registry.loop.latency_s)
                 registry.check()
                 response = await handler(request, HandlerContext(metadata, lambda _: None))
-                await asyncio.sleep(registry.loop.latency)
+                await asyncio.sleep(registry.loop.latency_s)
                 registry.check()  # a response is lost if the connection broke before it arrived
                 return response
         except AbortedError as abort:
--- a/corallanding/lab/fleet/runs.py
+++ b/corallanding/lab/fleet/runs.py
@@ -31,7 +31,7 @@
 from .emulate import emulate
 from .recorded import RecordedDay, day_from_recording, traffic_from_trace
 
-EMULATED, LOOPBACK = "emulated", "loopback"
+EMULATED, LOOPBACK = "emulated", "loopback"  # where a job runs
 PACKAGE_PATH = Path(__file__).resolve().parents[2]
 
 
@@ -58,6 +58,7 @@
     events: int
 
 
+# Fields of `RunResult` that settings are compared by.
 FIGURES = ("service", "worst_10_s", "worst_operation", "moves")
 
 
@@ -156,7 +157,7 @@
         day = recorded_day(path, setting.trace, setting.scenario.roster.notice_ms) if path else None
         run = emulate(setting.scenario, job.seed, setting.config, decider, recorded=day)
         result, records, length_s, events = run.result, run.records, run.simulated, run.events
-        begun_ms = run.begun
+        begun_ms = run.begun_ms
     asked, answered = report.service_by_second(records, begun_ms)
     broken_rules = [rule["rule"] for rule in result["rules"] if rule["kept"] is not True]
     return RunResult(
