--- a/corallanding/lab/fleet/page.py
+++ b/corallanding/lab/fleet/page.py
@@ -254,13 +254,13 @@
 
 def prediction_page(predictions: Sequence[Prediction]) -> Page:
     """Return the page of predictions and the runs on loopback."""
-    page = Page("Predicted by the emulated fleet, met on loopback")
+    page = Page("Predicted by the emulated fleet, observed on loopback")
     page.text(
         "The seeds on loopback differ from the emulated ones. `chance`: probability of so few runs inside if the "
         "interval covers its level; below 0.05 it does not."
     )
     page.table(
-        ("day", "figure", "emulated runs", "predicted", "on loopback", "inside", "chance"),
+        ("scenario", "figure", "emulated runs", "predicted", "on loopback", "inside", "chance"),
         [
             (
                 prediction.scenario,
@@ -334,12 +334,12 @@
             ax.axvspan(begin_ms / 1000.0, end_ms / 1000.0, color="C3", alpha=0.25)
         for begin_ms, end_ms in day.late_spans:
             ax.axvspan(begin_ms / 1000.0, end_ms / 1000.0, color="C1", alpha=0.15)
-        ax.plot(day.answered_shares, color="0.7", lw=1, label="as forwarders told (answered at all)")
+        ax.plot(day.answered_shares, color="0.7", lw=1, label="as proxies reported (any answer)")
         for label, results in results_by_label:
             sums = np.mean([sum_by_span(r, 1.0) for r in truncate_to_shortest(results)], axis=0)
             ax.plot(np.divide(sums[:, 1], sums[:, 0], out=np.ones(len(sums)), where=sums[:, 0] > 0), label=label)
         ax.set_ylim(0, 1.05)
-        ax.set_xlabel("seconds (red: no sums; orange: one late sum)")
+        ax.set_xlabel("seconds (red: no reports; orange: one late report)")
         ax.legend(loc="lower left")
 
     page.chart("billed value answered of asked", render_chart(draw))
@@ -368,7 +368,7 @@
 def describe_span(day: RecordedDay, begin_ms: float, end_ms: float) -> str:
     """Return the gaps, late reports and changes of hosts between two times of a recording."""
     parts = []
-    for name, spans in (("no sums", day.gaps), ("late sum", day.late_spans)):
+    for name, spans in (("no reports", day.gaps), ("late report", day.late_spans)):
         overlap_ms = sum(max(0.0, min(to_ms, end_ms) - max(from_ms, begin_ms)) for from_ms, to_ms in spans)
         if overlap_ms:
             parts.append(f"{name} {overlap_ms / 1000.0:.1f} s")
@@ -409,7 +409,7 @@
         ax.set_yticks(range(len(names)), names, fontsize=7)
         ax.set_xlabel("billed service")
 
-    page.chart("billed service, a mark a run", render_chart(draw, min(40.0, 1.5 + 0.3 * len(groups))))
+    page.chart("billed service, one mark per run", render_chart(draw, min(40.0, 1.5 + 0.3 * len(groups))))
     return page
 
 
