--- a/corallanding/lease/__init__.py
+++ b/corallanding/lease/__init__.py
@@ -1,2 +1,4 @@
-"""Leader election by a majority's votes, and leases of tasks that the leader grants with fencing tokens. No input or
-output of its own. See docs/leases.md."""
+"""Leader election by majority vote, and task leases that the leader grants with fencing tokens.
+
+Performs no I/O. See docs/leases.md.
+"""
--- a/corallanding/lease/election.py
+++ b/corallanding/lease/election.py
@@ -1,7 +1,7 @@
-"""The election of one leader among the controllers, as one of them takes part in it.
+"""The election of one leader among the controllers, as seen by one of them.
 
-What rests on the leadership (quotas, task leases) asks `is_leader` at the instant of each action, and begins anew when
-`term` has changed.
+Users of the leadership (quotas, task leases) call `is_leader` before each action, and reset their state when `term` has
+changed.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 
 class Term(NamedTuple):
-    """Our present leadership: when it began (ms), and the lowest round by which others can name it."""
+    """The current leadership of this controller: its start (ms) and the lowest round by which others can name it."""
 
     leader_since: float
     first_round: int
 
 
 class Leader(NamedTuple):
-    """The leader as far as we know: its number, its epoch, and the round in which it claimed the leadership."""
+    """The known leader: its number, its epoch, and the round in which it claimed the leadership."""
 
     controller: int | None
     epoch: int
@@ -32,33 +32,33 @@
 
 
 class LeaderElection(Protocol):
-    """An election, whatever decides it: votes of a majority (`VotedElection`) or the registry (`RegistryElection`)."""
+    """An election decided by votes of a majority (`VotedElection`) or by the registry (`RegistryElection`)."""
 
     controller_id: int
     peer_ids: tuple[int, ...]
     incarnation: int
 
-    def is_leader(self, now: float) -> bool:
-        """Whether we lead at this instant; to be asked at each action."""
+    def is_leader(self, now_ms: float) -> bool:
+        """Return whether this controller leads at this time; call it before each action."""
         ...
 
     @property
     def term(self) -> Term | None:
-        """Our present leadership; None without one. True right after `is_leader`."""
+        """The current leadership of this controller, as of the last call of `is_leader`; None without one."""
         ...
 
     @property
     def epoch(self) -> int:
-        """The number by which others name our leadership."""
+        """The number that identifies the leadership of this controller to others."""
         ...
 
     @property
     def leader(self) -> Leader:
-        """The leader as far as we know."""
+        """The known leader."""
         ...
 
     def first_token(self, wall_clock_ms: float) -> int:
-        """The fencing token above which a new leader begins."""
+        """Return the fencing token above which a new leader starts."""
         ...
 
     @property
@@ -67,29 +67,29 @@
         ...
 
     def reserve_tokens(self, max_token: int) -> None:
-        """Ask that fencing tokens up to `max_token` may be granted."""
+        """Request that fencing tokens up to `max_token` may be granted."""
         ...
 
     @property
     def rejected(self) -> int:
-        """How many messages were rejected."""
+        """The number of rejected messages."""
         ...
 
-    def tick(self, now: float, alive: Iterable[int]) -> list[OutgoingMessage]:
-        """The messages that are due. `alive` are the controllers that membership counts as alive."""
+    def tick(self, now_ms: float, alive: Iterable[int]) -> list[OutgoingMessage]:
+        """Return the messages that are due. `alive` are the controllers that are alive according to the membership."""
         ...
 
-    def on_message(self, now: float, sender: int, message: ElectionMessage) -> list[OutgoingMessage]:
-        """Take a message of another controller; returns the answers."""
+    def on_message(self, now_ms: float, sender: int, message: ElectionMessage) -> list[OutgoingMessage]:
+        """Handle a message of another controller and return the replies."""
         ...
 
-    def resign(self, now: float) -> list[OutgoingMessage]:
-        """Give the leadership back before a planned end."""
+    def resign(self, now_ms: float) -> list[OutgoingMessage]:
+        """Give up the leadership before a planned shutdown and return the messages to send."""
         ...
 
 
 class VotedElection:
-    """An election by the votes of a majority of `voters`. All times are in ms by this controller's clock."""
+    """An election by a majority of `voters`. All times are in ms by this controller's clock."""
 
     def __init__(
         self,
@@ -109,83 +109,83 @@
         self.voter = Voter(timings, started_at, electorate_digest(voters))
         self.candidate = Candidate(controller_id, incarnation, voters, timings, random_fraction, started_at)
         self.rate_limiter = PeerRateLimiter(peer_ids, max_messages_per_second, started_at)
-        self.dropped_messages = 0  # of unknown senders, or too many
+        self.dropped_messages = 0  # messages of unknown senders, or above the rate limit
 
-    def is_leader(self, now: float) -> bool:
-        """Whether we lead at this instant; to be asked at each action."""
-        return self.candidate.is_leader(now)
+    def is_leader(self, now_ms: float) -> bool:
+        """Return whether this controller leads at this time; call it before each action."""
+        return self.candidate.is_leader(now_ms)
 
     @property
     def term(self) -> Term | None:
-        """Our present leadership; None without one. True right after `is_leader`."""
+        """The current leadership of this controller, as of the last call of `is_leader`; None without one."""
         candidate = self.candidate
         return None if candidate.leader_since is None else Term(candidate.leader_since, candidate.round + 1)
 
     @property
     def epoch(self) -> int:
-        """The number by which others name our leadership: our incarnation."""
+        """The number that identifies the leadership of this controller to others: its incarnation."""
         return self.incarnation
 
     @property
     def leader(self) -> Leader:
-        """The leader as far as we know; its epoch is its incarnation."""
+        """The known leader; its epoch is its incarnation."""
         return Leader(self.candidate.leader, self.candidate.leader_epoch, self.candidate.leader_round)
 
     def first_token(self, wall_clock_ms: float) -> int:
-        """The fencing token above which a new leader begins: above all that voters know, and by the wall clock."""
+        """Return the fencing token above which a new leader starts: the wall clock or the highest known token."""
         clock_token = int(wall_clock_ms) << TOKEN_SALT_BITS
         return max(self.candidate.highest_known_token, self.voter.max_token, clock_token)
 
     @property
     def max_token(self) -> int:
-        """The highest fencing token that may be granted now: one that a majority knows."""
+        """The highest fencing token that may be granted now: the highest one that a majority knows."""
         return self.candidate.max_token
 
     def reserve_tokens(self, max_token: int) -> None:
-        """Announce `max_token` to the voters, or the highest that we know of others."""
+        """Announce `max_token` to the voters, or the highest known token if that is higher."""
         candidate = self.candidate
         known = max(candidate.announced_token, candidate.highest_known_token, self.voter.max_token)
         candidate.announced_token = max(known, max_token)
 
     @property
     def rejected(self) -> int:
-        """How many messages were rejected."""
+        """The number of rejected messages."""
         return self.dropped_messages + self.voter.rejected
 
-    def tick(self, now: float, alive: Iterable[int]) -> list[OutgoingMessage]:
-        """The messages that are due; to be called every 50 ms or so."""
+    def tick(self, now_ms: float, alive: Iterable[int]) -> list[OutgoingMessage]:
+        """Return the messages that are due; call it about every 50 ms."""
         known = {self.controller_id, *alive}
-        able = [voter for voter in self.voters if voter in known]
-        rank = able.index(self.controller_id) if self.controller_id in able else len(able)
-        message = self.candidate.tick(now, rank)
-        return self.broadcast(now, message) if message else []
+        live_voters = [voter for voter in self.voters if voter in known]
+        rank = live_voters.index(self.controller_id) if self.controller_id in live_voters else len(live_voters)
+        message = self.candidate.tick(now_ms, rank)
+        return self.broadcast(now_ms, message) if message else []
 
-    def broadcast(self, now: float, message: VoteRequest | VoteRelease) -> list[OutgoingMessage]:
-        """Hand a message to our own voter, and return it for all others."""
+    def broadcast(self, now_ms: float, message: VoteRequest | VoteRelease) -> list[OutgoingMessage]:
+        """Pass a message to the local voter, and return it for all peers."""
         if self.controller_id in self.voters:
             if isinstance(message, VoteRequest):
-                reply = self.voter.on_vote_request(now, self.controller_id, message)
-                self.candidate.on_vote_reply(now, self.controller_id, reply)
+                reply = self.voter.on_vote_request(now_ms, self.controller_id, message)
+                self.candidate.on_vote_reply(now_ms, self.controller_id, reply)
             else:
                 self.voter.on_vote_release(self.controller_id, message)
         return [OutgoingMessage(peer, message) for peer in self.peer_ids]
 
-    def on_message(self, now: float, sender: int, message: ElectionMessage) -> list[OutgoingMessage]:
-        """Take a message of another controller; returns the answers."""
-        if not self.rate_limiter.try_take(sender, now):
+    def on_message(self, now_ms: float, sender: int, message: ElectionMessage) -> list[OutgoingMessage]:
+        """Handle a message of another controller and return the replies."""
+        if not self.rate_limiter.try_take(sender, now_ms):
             self.dropped_messages += 1
             return []
         match message:
             case VoteRequest():
-                self.candidate.on_vote_request(now, sender, message)
+                self.candidate.on_vote_request(now_ms, sender, message)
                 if self.controller_id in self.voters and sender in self.voters:
-                    return [OutgoingMessage(sender, self.voter.on_vote_request(now, sender, message))]
+                    return [OutgoingMessage(sender, self.voter.on_vote_request(now_ms, sender, message))]
             case VoteReply():
-                self.candidate.on_vote_reply(now, sender, message)
+                self.candidate.on_vote_reply(now_ms, sender, message)
             case VoteRelease():
                 self.voter.on_vote_release(sender, message)
         return []
 
-    def resign(self, now: float) -> list[OutgoingMessage]:
-        """Give the leadership back before a planned end."""
-        return self.broadcast(now, self.candidate.resign())
+    def resign(self, now_ms: float) -> list[OutgoingMessage]:
+        """Give up the leadership before a planned shutdown and return the messages to send."""
+        return self.broadcast(now_ms, self.candidate.resign())
--- a/corallanding/lease/messages.py
+++ b/corallanding/lease/messages.py
@@ -1,17 +1,17 @@
-"""Messages between controllers on the election and on task leases. Their tags and the order of fields are frozen."""
+"""Messages between controllers for the election and for task leases. Tags and field order are fixed."""
 
 from __future__ import annotations
 
 from ..wire.peer_messages import ControllerMessage, MessageCodec, has_valid_header
 
-SHARD_SET_BYTES = 32  # a set of shards, one bit each
+SHARD_SET_BYTES = 32  # size of a set of shards, one bit per shard
 MAX_TOKEN = 1 << 63  # exclusive
 
 
 class VoteRequest(ControllerMessage, frozen=True, array_like=True, tag=11):
-    """A candidate's request for a vote; a leader renews its votes by it.
+    """A candidate's request for votes; a leader renews its votes with it.
 
-    `electorate_digest` identifies the voters as the sender knows them. The sender grants no fencing token above
+    `electorate_digest` identifies the voters configured at the sender. The sender grants no fencing token above
     `max_token` until a majority has voted for this request.
     """
 
@@ -21,23 +21,23 @@
 
 
 class VoteReply(ControllerMessage, frozen=True, array_like=True, tag=12):
-    """The answer to a vote request. `max_token` is the highest that any candidate announced to this voter."""
+    """The reply to a vote request. `max_token` is the highest token that any candidate announced to this voter."""
 
     is_granted: bool = False
     max_token: int = 0
 
 
 class VoteRelease(ControllerMessage, frozen=True, array_like=True, tag=13):
-    """The sender no longer uses votes up to this round: a voter may vote for another."""
+    """The sender no longer uses votes up to this round, so its voters may vote for another candidate."""
 
 
 class LeaseRequest(ControllerMessage, frozen=True, array_like=True, tag=16):
     """A lease holder's request to the leader, for all shards at once.
 
-    `leader_epoch` and `leader_round` name the last message by which the leader claimed its leadership. `held_shards`
-    are those that the sender holds or still acts on, by the grant that answered its round `applied_round`.
-    `tasks_digest` identifies the configured tasks. `highest_token` is the highest fencing token that the sender has
-    met.
+    `leader_epoch` and `leader_round` identify the last message in which the leader claimed its leadership.
+    `held_shards` are the shards that the sender holds or still acts on after applying the grant for its round
+    `applied_round`. `tasks_digest` identifies the configured tasks. `highest_token` is the highest fencing token that a
+    fenced resource has reported to the sender.
     """
 
     leader_epoch: int = 0
@@ -50,25 +50,25 @@
 
 
 class LeaseGrant(ControllerMessage, frozen=True, array_like=True, tag=17):
-    """The answer to a lease request: all shards that the receiver holds, under one fencing token."""
+    """The reply to a lease request: all shards that the receiver holds, under one fencing token."""
 
     granted_shards: bytes = b""
     fencing_token: int = 0
 
 
 class FencedAction(ControllerMessage, frozen=True, array_like=True, tag=18):
-    """A lease holder acts on a task; whoever receives it is a fenced resource. `round` is the number of the task."""
+    """A notice that a lease holder acts on a task. Its receivers are fenced resources. `round` is the task number."""
 
     fencing_token: int = 0
 
     @property
     def task(self) -> int:
-        """The number of the task."""
+        """The task number."""
         return self.round
 
 
 class ActionRejected(ControllerMessage, frozen=True, array_like=True, tag=19):
-    """A fenced resource rejects an action on a task (`round`): it has accepted one with `highest_token`."""
+    """A fenced resource rejected an action on task `round`: it has accepted one under `highest_token`."""
 
     highest_token: int = 0
 
@@ -78,7 +78,7 @@
 
 
 def is_valid(message: ControllerMessage) -> bool:
-    """Whether the values of a message are possible."""
+    """Return whether all field values of a message are in their valid ranges."""
     if not has_valid_header(message):
         return False
     match message:
--- a/corallanding/lease/process_key.py
+++ b/corallanding/lease/process_key.py
@@ -1,4 +1,4 @@
-"""What identifies one process of a controller: a controller that is started again is another process."""
+"""The identity of one controller process; a restarted controller is a different process."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ProcessKey(NamedTuple):
-    """One process of a controller. incarnation: drawn when the process started."""
+    """One process of a controller. `incarnation` is drawn when the process starts."""
 
     controller: int
     incarnation: int
--- a/corallanding/lease/shard_plan.py
+++ b/corallanding/lease/shard_plan.py
@@ -1,4 +1,4 @@
-"""Which controller is to hold which shard: evenly by weight, with as few moves as possible, in fair turns."""
+"""Plan which controller holds which shard: balanced by weight, with as few moves as possible, in fair rotation."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Move(NamedTuple):
-    """A shard that would go to another controller. Moves compare by what they leave of the difference in load."""
+    """A possible move of a shard to another controller. Moves are ordered by the load difference that remains."""
 
     remaining_difference: int
     shard: int
@@ -20,21 +20,21 @@
     held: Mapping[int, int],
     wanted: Mapping[int, int],
     weights: Sequence[int],
-    last_held_at: Mapping[tuple[int, int], float],
+    last_held_at_ms: Mapping[tuple[int, int], float],
     sticky_shards: int = 0,
 ) -> dict[int, int]:
-    """The set of shards that each controller is to hold.
+    """Return the planned set of shards of each controller.
 
-    `held` and `wanted` map a controller to a set of shards; no shard is held twice. `last_held_at` tells for (shard,
-    controller) when it last held it. Sticky shards move only when they are given back.
+    `held` and `wanted` map a controller to a set of shards; no shard is held twice. `last_held_at_ms` maps (shard,
+    controller) to the time at which that controller last held the shard. Sticky shards move only when released.
 
-    A shard stays where it is wanted, unless its holder has more than an even part and another less. A free shard goes
-    to the controller with the least load, and among equals to the one that held it longest ago. Only controllers in
-    `wanted` get any.
+    A shard stays with a holder that wants it, unless that holder has more than an even share and another one less. A
+    free shard goes to the controller with the least load, and among equals to the one that held it longest ago. Only
+    controllers in `wanted` get shards.
     """
     planned = {controller: held.get(controller, 0) & wanted[controller] for controller in wanted}
     load = {controller: sum(weights[shard] for shard in shard_list(shards)) for controller, shards in planned.items()}
-    _assign_free_shards(planned, load, wanted, weights, last_held_at)
+    _assign_free_shards(planned, load, wanted, weights, last_held_at_ms)
     for _ in range(len(weights)):
         if not _move_one_shard(planned, load, wanted, weights, sticky_shards):
             break
@@ -46,12 +46,12 @@
     load: dict[int, int],
     wanted: Mapping[int, int],
     weights: Sequence[int],
-    last_held_at: Mapping[tuple[int, int], float],
+    last_held_at_ms: Mapping[tuple[int, int], float],
 ) -> None:
     free = _union(wanted.values()) & ~_union(planned.values())
     for shard in sorted(shard_list(free), key=lambda shard: (-weights[shard], shard)):
         candidates = [controller for controller, shards in wanted.items() if shards >> shard & 1]
-        receiver = min(candidates, key=lambda c: (load[c], last_held_at.get((shard, c), float("-inf")), c))
+        receiver = min(candidates, key=lambda c: (load[c], last_held_at_ms.get((shard, c), float("-inf")), c))
         planned[receiver] |= 1 << shard
         load[receiver] += weights[shard]
 
@@ -63,7 +63,7 @@
     weights: Sequence[int],
     sticky_shards: int,
 ) -> bool:
-    """Move one shard from the controller with the most load, if that evens out the load; False if none does."""
+    """Move one shard away from the most loaded controller if that balances the load; return whether one moved."""
     sender = max(load, key=lambda controller: (load[controller], controller), default=None)
     if sender is None:
         return False
@@ -85,7 +85,10 @@
     weights: Sequence[int],
     sticky_shards: int,
 ) -> Move | None:
-    """The move to the controller with the least load that wants a shard of the sender: any other would be repeated."""
+    """Return the best move to the least loaded controller that wants a shard of the sender; None if there is none.
+
+    A move to any other controller would have to be repeated.
+    """
     for receiver in sorted(load, key=lambda controller: (load[controller], controller)):
         gap = load[sender] - load[receiver]
         if gap < 2:
--- a/corallanding/lease/tasks.py
+++ b/corallanding/lease/tasks.py
@@ -1,7 +1,7 @@
 """The configured tasks of all controllers, and the shards in which they are leased.
 
-The size of messages must follow the number of controllers, not of tasks: tasks are leased by shards, and a set of all
-shards fits one datagram. As long as there are no more tasks than shards, each task has a shard for itself.
+Message sizes must depend on the number of controllers, not on the number of tasks. Tasks are therefore leased by shard,
+and a set of all shards fits into one datagram. While there are no more tasks than shards, each task has its own shard.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 class TaskSpec:
     """A task, or a group of `count` tasks of one kind.
 
-    One action takes at most `max_work_ms`. A holder that makes no progress for `max_idle_ms` gives the task back; 0: it
-    never has to. A task that is not `is_always_wanted` is requested only by controllers that ask for it.
+    One action takes at most `max_work_ms`. A holder that makes no progress for `max_idle_ms` releases the task; 0 means
+    no limit. A task that is not `is_always_wanted` is requested only after a call of `TaskLeases.request_task`.
     """
 
     name: str
@@ -32,19 +32,19 @@
 
 
 class NumberedSpec(NamedTuple):
-    """A task or group, and the number of its first task."""
+    """A task or group with the number of its first task."""
 
     first_number: int
     spec: TaskSpec
 
     @property
     def numbers(self) -> range:
-        """The numbers of its tasks."""
+        """The numbers of the tasks of this group."""
         return range(self.first_number, self.first_number + self.spec.count)
 
 
 class TaskCatalog:
-    """All tasks in an order that controllers share: by name. Tasks are numbered through all of them, from 0."""
+    """All tasks, ordered by name and numbered from 0, so that all controllers use the same numbers."""
 
     def __init__(self, specs: Mapping[str, TaskSpec]) -> None:
         self.specs = dict(sorted(specs.items()))
@@ -67,11 +67,11 @@
         return self.shard_set(number for row in specs for number in row.numbers)
 
     def _digest_text(self) -> str:
-        """What the digest is computed from. Frozen: controllers of other versions compare their digest with it."""
+        """Return the text that is hashed. Its format is fixed: controllers of other versions compare digests."""
         return f"[{', '.join(_digest_row(spec) for spec in self.specs.values())}]"
 
     def number(self, name: str, index: int = 0) -> int:
-        """The number of a task, by its name and its index in the group.
+        """Return the number of a task, given its name and its index in the group.
 
         Raises KeyError for a task that is not configured.
         """
@@ -81,33 +81,36 @@
         return self.first_numbers[name] + index
 
     def numbered_spec(self, number: int) -> NumberedSpec:
-        """The task or group to which a number belongs."""
+        """Return the task or group to which a task number belongs."""
         return next(row for row in reversed(self.numbered_specs) if row.first_number <= number)
 
     def spec(self, number: int) -> TaskSpec:
-        """What is configured of the task with this number."""
+        """Return the configuration of the task with this number."""
         return self.numbered_spec(number).spec
 
     def label(self, number: int) -> str:
-        """The name of a task; within a group, with its index in brackets."""
+        """Return the name of a task; in a group, with its index in brackets."""
         first_number, spec = self.numbered_spec(number)
         return spec.name if spec.count == 1 else f"{spec.name}[{number - first_number}]"
 
     @staticmethod
     def shard_of(number: int) -> int:
-        """The shard of a task."""
+        """Return the shard of a task."""
         return number % SHARDS
 
     @staticmethod
     def shard_set(numbers: Iterable[int]) -> int:
-        """The shards of these tasks, as the bits of an integer."""
+        """Return the shards of these tasks as a bit set."""
         shards = 0
         for number in numbers:
             shards |= 1 << number % SHARDS
         return shards
 
     def tasks_in(self, shards: int) -> list[int]:
-        """The numbers of the tasks in a set of shards, ascending. The last answer is cached: each tick asks for it."""
+        """Return the numbers of the tasks in a set of shards, ascending.
+
+        The last result is cached, because each tick requests it.
+        """
         if self._cached_shards != shards:
             self._cached_shards = shards
             self._cached_tasks = sorted(n for shard in shard_list(shards) for n in range(shard, self.count, SHARDS))
@@ -121,17 +124,17 @@
 
 
 def pack(shards: int) -> bytes:
-    """A set of shards as messages hold it."""
+    """Encode a set of shards for a message."""
     return shards.to_bytes(SHARD_SET_BYTES, "little")
 
 
 def unpack(data: bytes) -> int:
-    """The set of shards that `pack` wrote."""
+    """Decode a set of shards that `pack` encoded."""
     return int.from_bytes(data, "little")
 
 
 def shard_list(shards: int) -> list[int]:
-    """The shards of a set, ascending."""
+    """Return the shards of a set, ascending."""
     found = []
     while shards:
         lowest_bit = shards & -shards
--- a/tests/lease/support_mistakes.py
+++ b/tests/lease/support_mistakes.py
@@ -22,10 +22,10 @@
 def lease_counted_from_the_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     real = LeaseHolder.on_grant
 
-    def on_grant(self: LeaseHolder, now: float, message: LeaseGrant) -> bool:
-        if message.round in self.requested_at:
-            self.requested_at[message.round] = now
-        return real(self, now, message)
+    def on_grant(self: LeaseHolder, now_ms: float, message: LeaseGrant) -> bool:
+        if message.round in self.requested_at_ms:
+            self.requested_at_ms[message.round] = now_ms
+        return real(self, now_ms, message)
 
     monkeypatch.setattr(LeaseHolder, "on_grant", on_grant)
 
@@ -47,10 +47,10 @@
 def former_process_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
     real = ShardAllocator.on_request
 
-    def on_request(self: ShardAllocator, now: float, sender: int, message: LeaseRequest) -> LeaseGrant | None:
+    def on_request(self: ShardAllocator, now_ms: float, sender: int, message: LeaseRequest) -> LeaseGrant | None:
         for who in [w for w in self.leases if w[0] == sender and w[1] != message.incarnation]:
             del self.leases[who]
-        return real(self, now, sender, message)
+        return real(self, now_ms, sender, message)
 
     monkeypatch.setattr(ShardAllocator, "on_request", on_request)
 
@@ -58,29 +58,29 @@
 def grants_applied_in_any_order(monkeypatch: pytest.MonkeyPatch) -> None:
     real = LeaseHolder.on_grant
 
-    def on_grant(self: LeaseHolder, now: float, message: LeaseGrant) -> bool:
+    def on_grant(self: LeaseHolder, now_ms: float, message: LeaseGrant) -> bool:
         self.applied_round = -1
-        return real(self, now, message)
+        return real(self, now_ms, message)
 
     monkeypatch.setattr(LeaseHolder, "on_grant", on_grant)
 
 
 def actions_outlast_the_lease(monkeypatch: pytest.MonkeyPatch) -> None:
-    def begin(self: LeaseHolder, now: float, task: int) -> int:
-        return self.fencing_token if self.holds(now, task) else 0
+    def begin(self: LeaseHolder, now_ms: float, task: int) -> int:
+        return self.fencing_token if self.holds(now_ms, task) else 0
 
     monkeypatch.setattr(LeaseHolder, "begin_action", begin)
 
 
 def running_actions_not_reported(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(LeaseHolder, "busy_shards", lambda self, now: 0)
+    monkeypatch.setattr(LeaseHolder, "busy_shards", lambda self, now_ms: 0)
 
 
 def grants_on_their_way_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
     real = ShardAllocator.settle_grants
 
-    def settle(self: ShardAllocator, now: float, leases: Any, applied_round: int, held: int) -> None:
-        real(self, now, leases, applied_round, held)
+    def settle(self: ShardAllocator, now_ms: float, leases: Any, applied_round: int, held: int) -> None:
+        real(self, now_ms, leases, applied_round, held)
         leases.grants = [grant for grant in leases.grants if grant.round <= applied_round]
 
     monkeypatch.setattr(ShardAllocator, "settle_grants", settle)
@@ -89,11 +89,11 @@
 def request_to_a_former_term_counts(monkeypatch: pytest.MonkeyPatch) -> None:
     real = ShardAllocator.on_request
 
-    def on_request(self: ShardAllocator, now: float, sender: int, message: LeaseRequest) -> LeaseGrant | None:
+    def on_request(self: ShardAllocator, now_ms: float, sender: int, message: LeaseRequest) -> LeaseGrant | None:
         to = (self.epoch, self.first_round)
         return real(
             self,
-            now,
+            now_ms,
             sender,
             LeaseRequest(
                 message.incarnation,
@@ -115,7 +115,7 @@
 
 def only_the_last_grant_counts(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        shard_allocator.ProcessLeases, "leased_shards", lambda self, now: self.grants[-1][1] if self.grants else 0
+        shard_allocator.ProcessLeases, "leased_shards", lambda self, now_ms: self.grants[-1][1] if self.grants else 0
     )
 
 
@@ -136,7 +136,9 @@
 
 def new_leader_begins_tokens_from_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     real = ShardAllocator.begin_term
-    monkeypatch.setattr(ShardAllocator, "begin_term", lambda self, now, first, token: real(self, now, first, 1 << 12))
+    monkeypatch.setattr(
+        ShardAllocator, "begin_term", lambda self, now_ms, first, token: real(self, now_ms, first, 1 << 12)
+    )
 
 
 def resource_accepts_any_token(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/lease/support_scenes.py
+++ b/tests/lease/support_scenes.py
@@ -26,31 +26,31 @@
         self.holders = [LeaseHolder(n + 1, TIGHT, TASKS, -1e6) for n in range(2)]
         self.acts: list[Any] = []
 
-    def elect(self, now: float, incarnation: int) -> ShardAllocator:
+    def elect(self, now_ms: float, incarnation: int) -> ShardAllocator:
         self.allocator = ShardAllocator(TIGHT, TASKS, incarnation, max_token=1 << 60)
-        self.allocator.begin_term(now, 1, incarnation << 20)
+        self.allocator.begin_term(now_ms, 1, incarnation << 20)
         return self.allocator
 
-    def request(self, now: float, n: int, holder: LeaseHolder | None = None) -> LeaseRequest:
+    def request(self, now_ms: float, n: int, holder: LeaseHolder | None = None) -> LeaseRequest:
         h = holder or self.holders[n]
-        h.last_request_at = float("-inf")
-        message = h.next_request(now, self.allocator.epoch, self.allocator.first_round)
+        h.last_request_at_ms = float("-inf")
+        message = h.next_request(now_ms, self.allocator.epoch, self.allocator.first_round)
         assert message
         return message
 
-    def answer(self, now: float, n: int, message: LeaseRequest) -> LeaseGrant:
-        grant = self.allocator.on_request(now, n, message)
+    def answer(self, now_ms: float, n: int, message: LeaseRequest) -> LeaseGrant:
+        grant = self.allocator.on_request(now_ms, n, message)
         assert grant
         return grant
 
-    def both(self, now: float, n: int) -> None:
-        self.holders[n].on_grant(now, self.answer(now, n, self.request(now, n)))
+    def both(self, now_ms: float, n: int) -> None:
+        self.holders[n].on_grant(now_ms, self.answer(now_ms, n, self.request(now_ms, n)))
 
-    def act(self, now: float, n: int, holder: LeaseHolder | None = None) -> None:
+    def act(self, now_ms: float, n: int, holder: LeaseHolder | None = None) -> None:
         h = holder or self.holders[n]
         for task in range(TASKS.count):
-            if token := h.begin_action(now, task):
-                self.acts.append((now, now + TASKS.spec(task).max_work_ms, task, n, h.incarnation, token))
+            if token := h.begin_action(now_ms, task):
+                self.acts.append((now_ms, now_ms + TASKS.spec(task).max_work_ms, task, n, h.incarnation, token))
 
     def overlaps(self) -> int:
         return int(judge(self.acts)["overlaps"])
@@ -60,7 +60,7 @@
     d = ManualExchange()
     late = d.answer(1.0, 0, d.request(0.0, 0))
     d.allocator.on_request(2.0, 1, d.request(2.0, 1))
-    d.allocator.planned_at = -1e9
+    d.allocator.planned_at_ms = -1e9
     d.both(3.0, 0)
     d.both(4.0, 0)  # confirms the second answer
     assert d.holders[0].shards.bit_count() == 4
@@ -89,7 +89,7 @@
     late = d.request(10.0, 0)
     d.holders[0].is_leaving = True
     d.holders[0].on_grant(21.0, d.answer(20.0, 0, d.request(20.0, 0)))
-    d.allocator.on_request(22.0, 0, d.request(22.0, 0)) if d.holders[0].shards or d.holders[0].busy_until else None
+    d.allocator.on_request(22.0, 0, d.request(22.0, 0)) if d.holders[0].shards or d.holders[0].busy_until_ms else None
     d.holders[0].is_leaving = False
     d.allocator.leases.clear()  # as once its messages have said that nothing is held
     d.both(30.0, 1)
--- a/tests/lease/test_election_orders.py
+++ b/tests/lease/test_election_orders.py
@@ -44,7 +44,7 @@
             case "time":
                 self.now += 55.0
             case "stand":
-                self.candidates[n].next_request_at = float("-inf")
+                self.candidates[n].next_request_at_ms = float("-inf")
                 message = self.candidates[n].tick(self.clock(n), 0)
                 if not isinstance(message, VoteRequest):
                     return False
@@ -68,17 +68,17 @@
 
     def key(self) -> str:
         voters = [
-            (v.started_at, v.voted_for, v.voted_until, v.voted_round, sorted(v.unsuccessful_since.items()))
+            (v.started_at, v.voted_for, v.voted_until_ms, v.voted_round, sorted(v.unsuccessful_since_ms.items()))
             for v in self.voters
         ]
         candidates = [
             (
                 c.round,
-                sorted(c.requested_at.items()),
+                sorted(c.requested_at_ms.items()),
                 sorted(c.votes_until.items()),
                 c.leader_since,
-                c.candidate_since,
-                c.next_request_at,
+                c.candidate_since_ms,
+                c.next_request_at_ms,
             )
             for c in self.candidates
         ]
@@ -115,9 +115,9 @@
 def voter_votes_right_after_its_start(monkeypatch: pytest.MonkeyPatch) -> None:
     real = voting.Voter.on_vote_request
 
-    def on_request(self: Any, now: float, candidate: int, message: VoteRequest) -> VoteReply:
+    def on_request(self: Any, now_ms: float, candidate: int, message: VoteRequest) -> VoteReply:
         self.started_at = -1e12
-        return real(self, now, candidate, message)
+        return real(self, now_ms, candidate, message)
 
     monkeypatch.setattr(voting.Voter, "on_vote_request", on_request)
 
--- a/tests/lease/test_lease_orders.py
+++ b/tests/lease/test_lease_orders.py
@@ -65,7 +65,7 @@
         return plays[kind](number)
 
     def play_request(self, number: int) -> bool:
-        self.holders[number].last_request_at = float("-inf")
+        self.holders[number].last_request_at_ms = float("-inf")
         request = self.holders[number].next_request(self.now, 9, 1)
         if request is None:
             return False
@@ -118,7 +118,7 @@
     def key(self) -> str:
         """Two worlds of one key go on alike."""
         book = [
-            (w, x.last_round, x.wanted_shards, x.requested_at, x.fencing_token, sorted(x.grants))
+            (w, x.last_round, x.wanted_shards, x.requested_at_ms, x.fencing_token, sorted(x.grants))
             for w, x in sorted(self.allocator.leases.items())
         ]
         holders = [
@@ -129,8 +129,8 @@
                 h.leased_until,
                 h.applied_round,
                 h.round,
-                sorted(h.requested_at.items()),
-                sorted(h.busy_until.items()),
+                sorted(h.requested_at_ms.items()),
+                sorted(h.busy_until_ms.items()),
             )
             for h in self.holders
         ]
