--- a/corallanding/version_pinning/__init__.py
+++ b/corallanding/version_pinning/__init__.py
@@ -1,4 +1,4 @@
-"""Version pinning: a workflow run keeps the release set with which it began. See `docs/pins.md`.
+"""Version pinning: a workflow run keeps the release set with which it started. See `docs/pins.md`.
 
-Pure state machines: callers bring the clock, the messages and the files.
+Pure state machines: callers supply the clock, the messages and the files.
 """
--- a/corallanding/version_pinning/core.py
+++ b/corallanding/version_pinning/core.py
@@ -1,7 +1,7 @@
 """Version pinning at one controller: workflow runs and releases on quorum records.
 
-Without I/O: the actions that it returns stand in the order in which they must be carried out, writes to the file before
-the messages that rest on them.
+Performs no I/O. Returned actions are in the order in which they must be executed: file writes precede the messages that
+depend on them.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 def run_record_limits(
     limits: PinningLimits, max_records: int = DEFAULT_MAX_RECORDS, retry_ms: float = DEFAULT_RETRY_MS
 ) -> RecordLimits:
-    """Limits of the quorum records of runs.
+    """Return the limits of the quorum records of runs.
 
-    A run that is over stays on record, and is answered as over, for as long again as it may last.
+    The record of an ended run is kept, and answered as over, for another `max_run_ms`.
     """
-    keep_ms = 2.0 * limits.max_run_ms
-    live_ms = limits.max_run_ms * (1.0 + limits.max_clock_drift)
-    return RecordLimits(keep_ms, live_ms, max_records, retry_ms)
+    retention_ms = 2.0 * limits.max_run_ms
+    max_live_ms = limits.max_run_ms * (1.0 + limits.max_clock_drift)
+    return RecordLimits(retention_ms, max_live_ms, max_records, retry_ms)
 
 
 def build_version_pinning(
@@ -46,9 +46,9 @@
     capacity_of_set: Callable[[int], float],
     on_change: Callable[[str], None] = ignore_change,
 ) -> VersionPinning:
-    """Version pinning on quorum records that have groups for runs and for the register.
+    """Build version pinning on quorum records that have groups for runs and for the register.
 
-    From then on replicas accept records of runs by the register that they have accepted.
+    Afterwards replicas accept records of runs according to the register that they have accepted.
     """
     run_groups = fleet.groups_by_name[RUNS_TASK_GROUP]
     register_group = fleet.groups_by_name[RELEASE_TASK][0]
@@ -60,10 +60,10 @@
 
 
 class VersionPinning:
-    """Workflow runs and releases, as one controller takes part in them.
+    """Workflow runs and releases at one controller.
 
     `run_groups` and `register_group` are groups of quorum records. `release_sets` are the configured sets by number,
-    `wanted_set` the one that is to be current. `capacity_of_set` returns what hosts can do now for a set.
+    `wanted_set` is the intended current set. `capacity_of_set` returns the current capacity of the hosts for a set.
     """
 
     def __init__(
@@ -89,27 +89,28 @@
         self.workflow_runs = WorkflowRuns(queries, run_groups, limits, lambda: self.releases.register, capacity_of_set)
 
     def may_accept(self, value: int, is_new_run: bool) -> bool:
-        """Whether this replica accepts a record of a run; one that is over needs no release set."""
+        """Return whether this replica accepts a record of a run; an ended run needs no release set."""
         return bool(value & ENDED_FLAG) or self.releases.may_accept(value, is_new_run)
 
     def request_run(self, now_ms: float, key: int, client: str = "", *, has_ended: bool = False) -> int:
-        """Ask for the release set of a run, or report its end; `take_answers` has the answer under the number returned.
+        """Submit a query for the release set of a run, or report its end, and return the number of the query.
 
-        `key` is the number of the run, not 0. New runs are limited by `client`.
+        `take_answers` returns the answer under that number. `key` is the number of the run, not 0. New runs are
+        rate-limited per `client`.
         """
         return self.workflow_runs.request_run(now_ms, key, client, has_ended=has_ended)
 
     def take_answers(self) -> list[QueryResult]:
-        """Answers to `request_run` since the last call."""
+        """Return the answers to `request_run` since the last call."""
         return self.queries.take_results(self.workflow_runs.groups[0])
 
     def tick(self, now_ms: float) -> list[Action]:
-        """Carry a release on; call it before each tick of the records."""
+        """Advance a release and return the actions; call it before each tick of the records."""
         capacities = {number: self.capacity_of_set(number) for number in self.release_sets}
         return list(self.releases.tick(now_ms, self.wanted_set, self.release_sets, capacities))
 
     def on_message(self, sender: int, message: PinningMessage) -> list[OutgoingMessage]:
-        """Take a message of another controller; returns the answers to send."""
+        """Handle a message of another controller and return the replies to send."""
         match message:
             case RegisterAnnouncement():
                 self.releases.on_announcement(message)
@@ -120,10 +121,10 @@
         return []
 
     def status(self) -> dict[str, Any]:
-        """Releases and runs as the status page shows them."""
+        """Return the entries of the status page on releases and runs."""
         register = self.releases.register
-        tallies = self.records.replica.value_counts
-        live_runs = {str(number): runs for number, runs in sorted(tallies.items()) if not number & ENDED_FLAG}
+        run_counts = self.records.replica.value_counts
+        live_runs = {str(number): runs for number, runs in sorted(run_counts.items()) if not number & ENDED_FLAG}
         return {
             "current": register.current_set if register else None,
             "open": register.open_sets if register else [],
--- a/corallanding/version_pinning/limits.py
+++ b/corallanding/version_pinning/limits.py
@@ -9,9 +9,9 @@
 class PinningLimits:
     """Bounds of workflow runs; the same at all controllers.
 
-    After `max_run_ms` a run counts as over. `max_clock_drift` is the fraction by which clocks of two controllers may
-    differ in speed. The holder of the release task announces the register in force every `announce_interval_ms`. One
-    controller begins at most `begins_per_second` runs of one client; clients are counted by `client_buckets` hashes.
+    After `max_run_ms` a run counts as over. `max_clock_drift` is the fraction by which the clocks of two controllers
+    may differ in speed. The holder of the release task announces the current register every `announce_interval_ms`. One
+    controller starts at most `begins_per_second` runs per client; clients are hashed into `client_buckets` buckets.
     """
 
     max_run_ms: float = 1_800_000.0
--- a/corallanding/version_pinning/messages.py
+++ b/corallanding/version_pinning/messages.py
@@ -1,4 +1,4 @@
-"""Messages between controllers on workflow runs and releases: msgpack arrays, each within one datagram."""
+"""Messages between controllers about workflow runs and releases: msgpack arrays, each within one datagram."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 from ..wire.peer_messages import ControllerMessage, has_valid_header
 
-MAX_COUNTED_SETS = 8  # release sets in one report of run counts
+MAX_COUNTED_SETS = 8  # maximum number of release sets in one report of run counts
 
 REGISTER_LIMIT = 1 << 63
-SET_VALUE_LIMIT = 1 << 21  # a set with the flag of an ended run
+SET_VALUE_LIMIT = 1 << 21  # exclusive; a set number including the flag of an ended run
 RUN_COUNT_LIMIT = 1 << 32
 
 
 class RunQueryKind(IntEnum):
-    """What is asked about a workflow run. The numbers are on the wire."""
+    """The kind of a query about a workflow run. The numbers are sent in messages."""
 
-    CONTINUE = 0  # the run begins or goes on
-    END = 1  # the run is over
+    CONTINUE = 0  # the run starts or continues
+    END = 1  # the run has ended
 
 
 class RunStatus(IntEnum):
-    """What a query on a workflow run is answered. The numbers are on the wire."""
+    """The answer to a query about a workflow run. The numbers are sent in messages."""
 
     UNAVAILABLE = 0  # no majority could answer in time
     PINNED = 1
@@ -33,24 +33,24 @@
 
 
 class RunCount(NamedTuple):
-    """How many live runs of one release set a replica has."""
+    """The number of live runs of one release set at a replica."""
 
     release_set: int
     runs: int
 
 
 class RegisterAnnouncement(ControllerMessage, frozen=True, array_like=True, tag=38):
-    """The release register in force, from the holder of the release task."""
+    """The current release register, sent by the holder of the release task."""
 
     packed_register: int = 0
 
 
 class RunCountQuery(ControllerMessage, frozen=True, array_like=True, tag=39):
-    """The holder of the release task asks a replica how many live runs of each release set it has."""
+    """A request of the release task's holder for the number of live runs of each release set at a replica."""
 
 
 class RunCountReport(ControllerMessage, frozen=True, array_like=True, tag=40):
-    """The answer to the `RunCountQuery` of that incarnation and round, with the register that the replica accepted."""
+    """The reply to the `RunCountQuery` of that incarnation and round, with the register that the replica accepted."""
 
     packed_register: int = 0
     run_counts: list[RunCount] = msgspec.field(default_factory=list)
@@ -60,7 +60,7 @@
 
 
 def is_valid(message: ControllerMessage) -> bool:
-    """Whether the fields of a message lie within what a correct controller sends."""
+    """Return whether all field values of a message are in their valid ranges."""
     if not has_valid_header(message):
         return False
     match message:
--- a/corallanding/version_pinning/releases.py
+++ b/corallanding/version_pinning/releases.py
@@ -1,4 +1,4 @@
-"""The release register of the fleet: written by the holder of the release task, in force once a majority has it."""
+"""The release register of the fleet: written by the release task's holder, in force once a majority accepted it."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from .release_register import ReleaseRegister, unpack_register
 from .rollout import first_register, next_register
 
-REGISTER_KEY = 1  # of the record that holds the register, in its group
+REGISTER_KEY = 1  # key of the register's record in its group
 
 
 def ignore_change(text: str) -> None:
-    """Take no notice of a change of releases."""
+    """Ignore a change of releases: the default `on_change`."""
 
 
 @dataclass
 class RunCounts:
-    """A query for run counts that is out, and the replies to it.
+    """The pending query for run counts and the replies to it.
 
-    `runs_by_replica` maps a replica to its live runs of each release set; `register_by_replica` to the packed register
-    that it had accepted when it counted.
+    `runs_by_replica` maps a replica to its number of live runs per release set; `register_by_replica` maps it to the
+    packed register that it had accepted when it counted.
     """
 
     round: int = 0
@@ -34,10 +34,10 @@
 
 
 class ReleaseCoordinator:
-    """Carries out releases where this controller holds the release task, and follows the register elsewhere.
+    """Performs releases while this controller holds the release task, and follows the announced register otherwise.
 
-    `register` is the register in force as far as known here. `on_change` receives a text when it changes or when
-    something stands in the way of a release.
+    `register` is the latest known register in force. `on_change` receives a text when the register changes or when
+    something blocks a release.
     """
 
     def __init__(
@@ -60,22 +60,22 @@
         self.register: ReleaseRegister | None = None
         self.run_counts = RunCounts()
         self.announced_at_ms = float("-inf")
-        self.obstacle = ""  # what stands in the way of the wanted release, as last passed to `on_change`
+        self.obstacle = ""  # what blocks the wanted release, as last passed to `on_change`
 
     def accepted_register(self) -> ReleaseRegister | None:
-        """The register that this replica has accepted, in force or not: it binds which runs the replica accepts."""
+        """Return the register accepted by this replica, in force or not; it decides which runs the replica accepts."""
         record = self.records.replica.groups.get(self.group, {}).get(REGISTER_KEY)
         return unpack_register(record.value) if record else None
 
     def may_accept(self, release_set: int, is_new_run: bool) -> bool:
-        """Whether this replica may accept the record of a run with that release set."""
+        """Return whether this replica may accept the record of a run with that release set."""
         register = self.accepted_register()
         return register is not None and release_set in (register.open_sets if is_new_run else register.live_sets)
 
     def tick(
         self, now_ms: float, wanted_set: int, configured_sets: Collection[int], capacities: Mapping[int, float]
     ) -> list[OutgoingMessage]:
-        """Carry the release on if this controller holds the task; returns the messages to send."""
+        """Advance the release if this controller holds the task, and return the messages to send."""
         proposer = self.records.proposers.get(self.group)
         if proposer is None or not proposer.is_ready or proposer.superseded_by:
             self.run_counts = RunCounts()
@@ -106,13 +106,13 @@
         return messages
 
     def _report_obstacle(self, obstacle: str) -> None:
-        """Report once what stands in the way of a release; "" if nothing does."""
+        """Report once what blocks a release; "" if nothing does."""
         if obstacle not in ("", self.obstacle):
             self.on_change(obstacle)
         self.obstacle = obstacle
 
     def _announce(self, now_ms: float, register: ReleaseRegister) -> list[OutgoingMessage]:
-        """Tell the peers which register is in force, when it is new and once in each announce interval."""
+        """Return announcements of the register in force: when it is new, and once per announce interval."""
         is_new = self.register is None or register.version > self.register.version
         if not is_new and now_ms - self.announced_at_ms < self.limits.announce_interval_ms:
             return []
@@ -122,13 +122,13 @@
         return [OutgoingMessage(peer, announcement) for peer in self.peers]
 
     def on_announcement(self, message: RegisterAnnouncement) -> None:
-        """Take the register of the task's holder, if it is newer than the one known here."""
+        """Adopt the announced register if it is newer than the known one."""
         register = unpack_register(message.packed_register)
         if register and (self.register is None or register.version > self.register.version):
             self.register = register
 
     def _query_run_counts(self, now_ms: float) -> list[OutgoingMessage]:
-        """Ask all replicas anew for their run counts; this controller's own count is taken at once."""
+        """Start a new query for run counts; the local replica is counted at once."""
         self.run_counts = RunCounts(next(self.records.rounds), now_ms)
         query = RunCountQuery(self.incarnation, self.run_counts.round)
         if self.records.has_replica:
@@ -136,10 +136,10 @@
         return [OutgoingMessage(replica, query) for replica in self.records.replica_ids if replica != self.member]
 
     def on_run_count_query(self, query: RunCountQuery) -> RunCountReport:
-        """Count the live runs of this replica.
+        """Return the number of live runs of this replica per release set.
 
-        The report is empty while the replica recovers, and when it has more sets than fit: a set that is missing from a
-        report would count as unused.
+        The report is empty while the replica recovers and when there are more sets than fit into it, because a set that
+        is missing from a report would count as unused.
         """
         record = self.records.replica.groups.get(self.group, {}).get(REGISTER_KEY)
         counts = sorted(self.records.replica.value_counts.items(), key=lambda count: (-count[1], count[0]))
@@ -148,17 +148,17 @@
         return RunCountReport(query.incarnation, query.round, record.value, [RunCount(*count) for count in counts])
 
     def on_run_count_report(self, replica: int, report: RunCountReport) -> None:
-        """Take the report of a replica, if it answers the query that is out."""
+        """Record the report of a replica if it answers the pending query."""
         is_answer = report.incarnation == self.incarnation and report.round == self.run_counts.round
         if is_answer and replica in self.records.replica_ids:
             self.run_counts.runs_by_replica[replica] = dict(report.run_counts)
             self.run_counts.register_by_replica[replica] = report.packed_register
 
     def is_unused(self, packed_register: int, release_set: int) -> bool:
-        """Whether no run has that closed release set.
+        """Return whether no run has that closed release set.
 
-        True if a majority of replicas, which have accepted the register that closed it and so accept no new run of it,
-        have no live run of it.
+        This is the case if a majority of replicas have accepted the register that closed the set, so that they accept
+        no new run of it, and none of these replicas has a live run of it.
         """
         counts = self.run_counts
         replicas = [replica for replica, packed in counts.register_by_replica.items() if packed == packed_register]
--- a/corallanding/version_pinning/rollout.py
+++ b/corallanding/version_pinning/rollout.py
@@ -1,7 +1,8 @@
-"""Rollout of releases: the next step of the release register, as the holder of the release task decides it.
+"""Rollout of releases: how the holder of the release task decides the next change of the release register.
 
-One step at a time: a closed set without runs is retired; then the wanted set opens beside the current one, once some
-host serves it; then the old set closes, once the new one has as much capacity or nothing serves the old one.
+Each change is one step: a closed set without runs is retired; then the wanted set opens beside the current one, once
+some host serves it; then the old set closes, once the new one has at least its capacity or no host serves
+the old one.
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
 from .release_register import MAX_LIVE_SETS, ReleaseRegister
 
 NO_CAPACITY = 0.0
-BOTH_OPEN = 2  # open sets while a release goes on
+OPEN_SETS_DURING_RELEASE = 2
 
 
 class RolloutDecision(NamedTuple):
-    """The next register and why it changes; or no register and what stands in the way ("" if nothing is to do)."""
+    """The next register and the reason for the change; or None and what blocks the release ("" if nothing does)."""
 
     register: ReleaseRegister | None
     reason: str
@@ -27,7 +28,7 @@
 
 
 def first_register(wanted_set: int) -> ReleaseRegister:
-    """The register of a fleet that had none."""
+    """Return the first register of a fleet."""
     return ReleaseRegister(1, wanted_set, (wanted_set,))
 
 
@@ -38,10 +39,10 @@
     capacities: Mapping[int, float],
     unused_sets: Collection[int],
 ) -> RolloutDecision:
-    """Decide the next step towards `wanted_set`.
+    """Return the next step towards `wanted_set`.
 
-    `capacities` has for each set what the eligible hosts that serve all of it can do now. `unused_sets` are closed sets
-    that no run needs any more.
+    `capacities` maps a set to the current capacity of the eligible hosts that serve all of it. `unused_sets` are closed
+    sets that have no runs left.
     """
     for number in register.closed_sets:
         if number in unused_sets:
@@ -56,20 +57,20 @@
 def open_set(
     register: ReleaseRegister, wanted_set: int, configured_sets: Collection[int], capacities: Mapping[int, float]
 ) -> RolloutDecision:
-    """Open `wanted_set` beside the current one, if it is configured, not retired, and some host serves it."""
+    """Open `wanted_set` beside the current one if it is configured, not retired, and served by some host."""
     if wanted_set not in configured_sets:
         return RolloutDecision(None, f"set {wanted_set} is not configured here")
     if wanted_set not in register.live_sets and wanted_set <= register.highest_set:
         return RolloutDecision(None, f"set {wanted_set} is retired")
     if capacities.get(wanted_set, NO_CAPACITY) <= NO_CAPACITY:
-        return RolloutDecision(None, f"no host serves set {wanted_set} whole")
+        return RolloutDecision(None, f"no host serves all of set {wanted_set}")
     others = tuple(number for number in register.live_sets if number != wanted_set)
     if len(others) >= MAX_LIVE_SETS:
-        return RolloutDecision(None, f"{MAX_LIVE_SETS} sets are alive")
+        return RolloutDecision(None, f"{MAX_LIVE_SETS} sets are already live")
     opened = replace(
         _next_version(register),
         live_sets=(wanted_set, *others),
-        open_count=BOTH_OPEN,
+        open_count=OPEN_SETS_DURING_RELEASE,
         highest_set=max(register.highest_set, wanted_set),
     )
     return RolloutDecision(opened, f"set {wanted_set} opened")
--- a/corallanding/version_pinning/routes.py
+++ b/corallanding/version_pinning/routes.py
@@ -1,4 +1,4 @@
-"""Routes of pinned workflow runs: what proxies are told where the tables of the slices do not serve a version."""
+"""Routes of pinned workflow runs, for the slices whose tables do not serve a pinned version."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 @dataclass(frozen=True)
 class NoHostPolicy:
-    """What becomes of a request whose version no host serves.
+    """The handling of a request whose version no host serves.
 
-    It waits for `wait_ms`, or is rejected at once with 0. With `may_carry_over` the run may go over to another release
-    set that is declared compatible.
+    It waits for `wait_ms`, or is rejected at once if that is 0. With `may_carry_over` the run may switch to another
+    release set that is declared compatible.
     """
 
     wait_ms: float = 0.0
@@ -35,8 +35,8 @@
 
 
 @dataclass(frozen=True)
-class _Fleet:
-    """What one plan of routes rests on. `tables` maps a slice to the weights of its hosts."""
+class _PlanInput:
+    """The input of one plan of routes. `tables` maps a slice to the weights of its hosts."""
 
     live_sets: tuple[int, ...]
     tables: Mapping[int, Mapping[int, float]]
@@ -44,9 +44,9 @@
     eligible_hosts: Mapping[int, PinningHost]
 
     def slices_to_check(self, request_class: str, version: int) -> list[int]:
-        """Slices whose table may not serve the version.
+        """Return the slices whose table may not serve the version.
 
-        Without a release under way all eligible hosts serve it, and only tables with other hosts are left to look at.
+        Unless a release is in progress all eligible hosts serve it, and only tables with other hosts need a check.
         """
         if all(host.serves(request_class, version) for host in self.eligible_hosts.values()):
             eligible = self.eligible_hosts.keys()
@@ -54,7 +54,7 @@
         return list(self.tables)
 
 
-class _Subject(NamedTuple):
+class _SliceClass(NamedTuple):
     """One slice and request class for which a route is planned."""
 
     slice: int
@@ -65,9 +65,9 @@
 class RoutePlanner:
     """Plans the routes of all live release sets.
 
-    `request_classes` are in the order of their indexes. `predecessors` maps a release set to those whose runs may go
-    over to it. `may_take_slice` tells whether a warming host may take one more slice now; it is asked once for each
-    slice and request class that the host is given beyond its table entries.
+    `request_classes` are in the order of their indexes. `predecessors` maps a release set to those whose runs may
+    switch to it. `may_take_slice` returns whether a warming host may take one more slice now; it is called once for
+    each slice and request class that the host is assigned beyond its table entries.
     """
 
     def __init__(
@@ -86,81 +86,81 @@
         self.extra_hosts: dict[tuple[int, int], set[int]] = {}  # warming hosts, by slice and class index
         self._former_extra_hosts: dict[tuple[int, int], set[int]] = {}
         self.unserved_count = 0  # routes without a host in the last plan
-        self.carried_over_count = 0  # routes of the last plan that go over to another release set
+        self.carried_over_count = 0  # routes of the last plan that use another release set
 
     def plan(
         self, live_sets: Iterable[int], tables: Mapping[int, Mapping[int, float]], hosts: Mapping[int, PinningHost]
     ) -> dict[int, list[Route]]:
-        """The routes by release set; a route stands only where the table of the slice does not serve the version.
+        """Return the routes by release set, only for slices whose table does not serve the version.
 
         `tables` are those of the slices that this controller owns.
         """
         eligible_hosts = {number: host for number, host in hosts.items() if host.is_eligible}
         known_sets = tuple(number for number in live_sets if number in self.release_sets)
-        fleet = _Fleet(known_sets, tables, hosts, eligible_hosts)
+        plan_input = _PlanInput(known_sets, tables, hosts, eligible_hosts)
         self.unserved_count = 0
         self.carried_over_count = 0
         self._former_extra_hosts = self.extra_hosts
         self.extra_hosts = {}
-        return {number: self._plan_set(fleet, number) for number in known_sets}
+        return {number: self._plan_set(plan_input, number) for number in known_sets}
 
-    def _plan_set(self, fleet: _Fleet, release_set: int) -> list[Route]:
+    def _plan_set(self, plan_input: _PlanInput, release_set: int) -> list[Route]:
         routes: list[Route] = []
         for class_index, request_class in enumerate(self.request_classes):
             version = self.release_sets[release_set][request_class]
-            for slice_number in fleet.slices_to_check(request_class, version):
-                route = self._plan_route(fleet, release_set, _Subject(slice_number, class_index, request_class))
+            for slice_number in plan_input.slices_to_check(request_class, version):
+                route = self._plan_route(plan_input, release_set, _SliceClass(slice_number, class_index, request_class))
                 if route is not None:
                     routes.append(route)
         return routes
 
-    def _plan_route(self, fleet: _Fleet, release_set: int, subject: _Subject) -> Route | None:
-        """The route of one slice and class; None if the table of the slice serves the version."""
-        version = self.release_sets[release_set][subject.request_class]
-        hosts = self._select(fleet, subject, version)
+    def _plan_route(self, plan_input: _PlanInput, release_set: int, slice_class: _SliceClass) -> Route | None:
+        """Return the route of one slice and class; None if the table of the slice serves the version."""
+        version = self.release_sets[release_set][slice_class.request_class]
+        hosts = self._select(plan_input, slice_class, version)
         if hosts is None:
             return None
-        policy = self.no_host_policies[subject.request_class]
+        policy = self.no_host_policies[slice_class.request_class]
         if not hosts and policy.may_carry_over:
-            carried = self._carry_over(fleet, release_set, subject)
+            carried = self._carry_over(plan_input, release_set, slice_class)
             if carried is not None:
                 self.carried_over_count += 1
                 return carried
         self.unserved_count += not hosts
-        return _route(subject, version, hosts, policy)
+        return _route(slice_class, version, hosts, policy)
 
-    def _carry_over(self, fleet: _Fleet, release_set: int, subject: _Subject) -> Route | None:
-        """The route to the first live release set that takes runs of `release_set` over and has a host."""
-        for successor in fleet.live_sets:
+    def _carry_over(self, plan_input: _PlanInput, release_set: int, slice_class: _SliceClass) -> Route | None:
+        """Return a route to the first live release set that accepts runs of `release_set` and has a host."""
+        for successor in plan_input.live_sets:
             if release_set not in self.predecessors.get(successor, ()):
                 continue
-            version = self.release_sets[successor][subject.request_class]
-            hosts = self._select(fleet, subject, version)
+            version = self.release_sets[successor][slice_class.request_class]
+            hosts = self._select(plan_input, slice_class, version)
             if hosts is None:
-                hosts = dict(fleet.tables[subject.slice])
+                hosts = dict(plan_input.tables[slice_class.slice])
             if hosts:
-                return _route(subject, version, hosts, self.no_host_policies[subject.request_class])
+                return _route(slice_class, version, hosts, self.no_host_policies[slice_class.request_class])
         return None
 
-    def _select(self, fleet: _Fleet, subject: _Subject, version: int) -> dict[int, float] | None:
-        weights = fleet.tables[subject.slice]
-        key = (subject.slice, subject.class_index)
+    def _select(self, plan_input: _PlanInput, slice_class: _SliceClass, version: int) -> dict[int, float] | None:
+        weights = plan_input.tables[slice_class.slice]
+        key = (slice_class.slice, slice_class.class_index)
         return select_hosts(
-            subject.slice,
-            subject.request_class,
+            slice_class.slice,
+            slice_class.request_class,
             version,
             weights,
-            fleet.hosts,
+            plan_input.hosts,
             lambda host: self._may_use_warming_host(key, host),
         )
 
     def _may_use_warming_host(self, key: tuple[int, int], host: int) -> bool:
-        """Whether a warming host may serve that slice and class; a host of the last plan is not asked for again."""
+        """Return whether a warming host may serve that slice and class; hosts of the last plan stay allowed."""
         may_use = host in self._former_extra_hosts.get(key, ()) or self.may_take_slice(host)
         if may_use:
             self.extra_hosts.setdefault(key, set()).add(host)
         return may_use
 
 
-def _route(subject: _Subject, version: int, hosts: Mapping[int, float], policy: NoHostPolicy) -> Route:
-    return Route(subject.slice, subject.class_index, version, sorted(hosts.items()), policy.wait_ms)
+def _route(slice_class: _SliceClass, version: int, hosts: Mapping[int, float], policy: NoHostPolicy) -> Route:
+    return Route(slice_class.slice, slice_class.class_index, version, sorted(hosts.items()), policy.wait_ms)
--- a/corallanding/version_pinning/version_selection.py
+++ b/corallanding/version_pinning/version_selection.py
@@ -1,4 +1,4 @@
-"""Which release set a workflow run begins with, and which hosts serve a request of a pinned run."""
+"""Selection of the release set of a new workflow run, and of the hosts for requests of a pinned run."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from ..assignment.rendezvous import rendezvous_score
 
-FULL_CAPACITY = 1.0  # the capacity share of a host that has warmed up
+FULL_CAPACITY = 1.0  # capacity share of a host that has warmed up
 SOLE_HOST_WEIGHT = 1.0
 
 ReleaseSet = Mapping[str, int]  # request class to version
 
 
 def choose_set(key: int, sets: Sequence[int], capacities: Sequence[float]) -> int:
-    """The release set of the run `key`: drawn by a hash of the key, in proportion to the capacities of the sets."""
+    """Return the release set for the run `key`, drawn by a hash of the key in proportion to the sets' capacities."""
     position = (zlib.crc32(b"%d" % key) + 0.5) / 2.0**32 * sum(capacities)
     for number, capacity in zip(sets, capacities, strict=True):
         position -= capacity
@@ -28,9 +28,9 @@
 class PinningHost:
     """A host and the versions that it serves.
 
-    `capacity_share` is the fraction of its full capacity that it has now, less than 1 while it warms up. Only an
-    eligible host is given requests. `is_in_tables` tells whether some table of this controller names it; if none does,
-    it may have been found dead or slow.
+    `capacity_share` is its current fraction of full capacity, less than 1 while it warms up. Only an eligible host is
+    assigned requests. `is_in_tables` is true if some table of this controller contains the host; a host in no table may
+    have failed its health checks or be slow.
     """
 
     host: int
@@ -46,16 +46,16 @@
         return self.capacity_share >= FULL_CAPACITY
 
     def serves(self, request_class: str, version: int) -> bool:
-        """Whether the host serves that version of the request class."""
+        """Return whether the host serves that version of the request class."""
         return version in self.versions.get(request_class, ())
 
     def serves_all(self, release_set: ReleaseSet) -> bool:
-        """Whether the host serves every version of the release set."""
+        """Return whether the host serves every version of the release set."""
         return all(self.serves(request_class, version) for request_class, version in release_set.items())
 
 
 def serving_capacity(release_set: ReleaseSet, hosts: Iterable[PinningHost]) -> float:
-    """The present capacity of the eligible hosts that serve all of the release set, in units of host weight."""
+    """Return the current capacity of the eligible hosts that serve all of the release set, in units of host weight."""
     return sum(host.weight * host.capacity_share for host in hosts if host.is_eligible and host.serves_all(release_set))
 
 
@@ -67,15 +67,15 @@
     hosts: Mapping[int, PinningHost],
     may_take_slice: Callable[[int], bool],
 ) -> dict[int, float] | None:
-    """The hosts, with weights, for requests of a slice that are pinned to a version.
+    """Return the hosts, with weights, for requests of a slice that are pinned to a version.
 
-    `weights` is the table of the slice. None stands for that table as it is, since all its hosts serve the version; an
-    empty dict says that no host may. `may_take_slice` tells whether a warming host may take one slice beyond its table
-    entries; it is asked only where no other host serves the version.
+    `weights` is the table of the slice. Return None if that table applies unchanged, since all its hosts serve the
+    version, and an empty dict if no host may serve it. `may_take_slice` returns whether a warming host may take one
+    slice beyond its table entries; it is called only if no other host serves the version.
 
-    Hosts of the table go first, if a warm one is among them. Else the eligible warm host with the highest weighted
-    rendezvous score joins them, and only without any warm host a warming one is taken. A host that is draining or gone
-    has no part, whatever is pinned to it.
+    Hosts of the table are preferred, if one of them is warm. Otherwise the eligible warm host with the highest weighted
+    rendezvous score is added, hosts in tables first; a warming host is selected only if there is no warm one. Draining
+    and removed hosts are never selected, whatever is pinned to them.
     """
     in_table = {}
     for number, weight in weights.items():
--- a/corallanding/version_pinning/workflow_runs.py
+++ b/corallanding/version_pinning/workflow_runs.py
@@ -1,4 +1,4 @@
-"""Workflow runs: which release set each has, as the holder of the run's record group answers."""
+"""Workflow runs and their release sets, as answered by the holder of the run's record group."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
 from .release_register import ReleaseRegister
 from .version_selection import choose_set
 
-ENDED_FLAG = 1 << 20  # added to the release set in the record of a run that is over
-NO_SET = 0  # in an answer that names no release set
+ENDED_FLAG = 1 << 20  # added to the release set in the record of an ended run
+NO_SET = 0  # value of an answer without a release set
 
 
 class WorkflowRuns:
-    """Answers queries on runs, and begins runs that are not known.
+    """Answers queries about runs, and starts unknown runs.
 
-    `groups` are the record groups over which runs are spread, the same at all controllers. `current_register` returns
-    the register in force, or None while it is not known. `capacity_of_set` returns what hosts can do for a release set.
+    `groups` are the record groups among which runs are distributed, the same at all controllers. `current_register`
+    returns the current register, or None while it is unknown. `capacity_of_set` returns the current capacity of the
+    hosts for a release set.
     """
 
     def __init__(
@@ -43,16 +44,16 @@
         queries.register(groups, self.on_query, self.on_write_denied)
 
     def request_run(self, now_ms: float, key: int, client: str = "", *, has_ended: bool = False) -> int:
-        """Ask for the release set of the run `key` (not 0), or report that it has ended.
+        """Submit a query for the release set of the run `key` (not 0), or report that the run has ended.
 
-        Returns the number of the answer. New runs are limited by `client`.
+        Return the query number, which the answer repeats. New runs are rate-limited per `client`.
         """
         kind = RunQueryKind.END if has_ended else RunQueryKind.CONTINUE
         bucket = zlib.crc32(client.encode()) % self.limits.client_buckets
         return self.queries.submit(now_ms, self.groups[key % len(self.groups)], key, kind, bucket)
 
     def on_query(self, now_ms: float, group: int, key: int, kind: int, bucket: int) -> Outcome | None:
-        """Answer a query on a run as the holder of its group; None until a majority has what the answer says."""
+        """Answer a query about a run as the holder of its group; None until a majority has the answer's record."""
         proposer = self.records.proposers[group]
         record = proposer.get(key)
         if record is None:
@@ -68,15 +69,15 @@
             return Outcome(RunStatus.OVER, NO_SET)
         return Outcome(RunStatus.PINNED, record.value)
 
-    def _is_expired(self, now_ms: float, begun_at_ms: float) -> bool:
-        return now_ms - begun_at_ms > self.limits.max_run_ms * (1.0 - self.limits.max_clock_drift)
+    def _is_expired(self, now_ms: float, started_at_ms: float) -> bool:
+        return now_ms - started_at_ms > self.limits.max_run_ms * (1.0 - self.limits.max_clock_drift)
 
     def _begin(self, now_ms: float, group: int, key: int, bucket: int) -> Outcome | None:
-        """Begin to write the record of a new run; the answer follows once a majority has it."""
+        """Write the record of a new run; return None, as the answer follows once a majority has the record."""
         register = self.current_register()
         if register is None:
             return None
-        if not self._take_permit(now_ms, bucket):
+        if not self._take_start_permit(now_ms, bucket):
             self.rejected_count += 1
             return Outcome(RunStatus.REJECTED, NO_SET)
         capacities = [self.capacity_of_set(number) for number in register.open_sets]
@@ -84,15 +85,18 @@
         self.records.proposers[group].write(now_ms, key, release_set, now_ms)
         return None
 
-    def _take_permit(self, now_ms: float, bucket: int) -> bool:
-        """Whether the client in that bucket may begin one more run now."""
+    def _take_start_permit(self, now_ms: float, bucket: int) -> bool:
+        """Return whether the clients of that bucket may start one more run now, and use up one permit if so."""
         bucket %= self.limits.client_buckets
         rate = self.limits.begins_per_second
         limiter = self.client_rate_limits.setdefault(bucket, TokenBucket(rate, rate, now_ms))
         return limiter.try_take(now_ms)
 
     def on_write_denied(self, reason: int) -> Outcome | None:
-        """A majority did not accept the record: with None the query is handled anew, in the set that is open now."""
+        """Return the final answer after a majority rejected the record.
+
+        None repeats the query, which then uses the release sets that are open at that time.
+        """
         if reason != ReplicaStatus.FULL:
             return None
         self.rejected_count += 1
--- a/tests/version_pinning/test_rollout.py
+++ b/tests/version_pinning/test_rollout.py
@@ -8,7 +8,7 @@
 
 def test_release_when_rolled_out_then_opens_beside_the_old_set_and_closes_it_at_equal_capacity() -> None:
     one = ReleaseRegister(1, 1, (1,))
-    assert next_register(one, 2, {1, 2}, {1: 10.0, 2: 0.0}, ()) == (None, "no host serves set 2 whole")
+    assert next_register(one, 2, {1, 2}, {1: 10.0, 2: 0.0}, ()) == (None, "no host serves all of set 2")
     assert next_register(one, 2, {1}, {1: 10.0, 2: 1.0}, ()) == (None, "set 2 is not configured here")
     both, _ = next_register(one, 2, {1, 2}, {1: 10.0, 2: 1.0}, ())
     assert both == ReleaseRegister(2, 2, (2, 1), 2)
@@ -21,4 +21,4 @@
     assert gone == ReleaseRegister(4, 2, (2,), 1)
     assert next_register(gone, 1, {1, 2}, {1: 9.0, 2: 9.0}, ()) == (None, "set 1 is retired")
     full = ReleaseRegister(9, 3, (3, 2, 1), 1)
-    assert next_register(full, 4, {4}, {4: 1.0}, ()) == (None, "3 sets are alive")
+    assert next_register(full, 4, {4}, {4: 1.0}, ()) == (None, "3 sets are already live")
