--- a/tests/lease/support_exploration.py
+++ b/tests/lease/support_exploration.py
@@ -1,4 +1,4 @@
-"""Exploration of every order of events in a small world, layer by layer."""
+"""Breadth-first exploration of every order of events in a small world."""
 
 from __future__ import annotations
 
@@ -6,26 +6,27 @@
 from typing import Any
 
 
-def explore(deep: int, start: Any) -> tuple[int, str]:
-    """Worlds seen, and what went wrong in the first that did."""
-    seen, layer = {start.key()}, [start]
-    for _ in range(deep):
-        after: list[Any] = []
-        for world in layer:
+def explore(depth: int, start: Any) -> tuple[int, str]:
+    """Return the number of distinct worlds, and the violation in the first world that has one ("" if none has)."""
+    seen, frontier = {start.state_key()}, [start]
+    for _ in range(depth):
+        next_frontier: list[Any] = []
+        for world in frontier:
             for move in world.moves():
                 new = copy.deepcopy(world)
-                if not new.play(move):
+                if not new.apply(move):
                     continue
-                if new.wrong:
-                    return len(seen), new.wrong
-                if (key := new.key()) not in seen:
+                if new.violation:
+                    return len(seen), new.violation
+                if (key := new.state_key()) not in seen:
                     seen.add(key)
-                    after.append(new)
-        layer = after
+                    next_frontier.append(new)
+        frontier = next_frontier
     return len(seen), ""
 
 
-def after(start: Any, *moves: tuple[str, int]) -> Any:
+def apply_moves(start: Any, *moves: tuple[str, int]) -> Any:
+    """Apply the moves to the world `start` and return it."""
     for move in moves:
-        assert start.play(move), move
+        assert start.apply(move), move
     return start
--- a/tests/lease/support_mistakes.py
+++ b/tests/lease/support_mistakes.py
@@ -1,4 +1,4 @@
-"""Mistakes that tests plant in the code, each to be found by a scene or a simulated day."""
+"""Mistakes that tests inject into the code. A scenario or a simulation with faults must detect each of them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from corallanding.lease.tasks import unpack
 
 
-def lease_counted_from_the_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+def lease_starts_at_the_reply(monkeypatch: pytest.MonkeyPatch) -> None:
     real = LeaseHolder.on_grant
 
     def on_grant(self: LeaseHolder, now_ms: float, message: LeaseGrant) -> bool:
@@ -44,12 +44,12 @@
     monkeypatch.setattr(ShardAllocator, "grant", grant)
 
 
-def former_process_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
+def previous_process_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
     real = ShardAllocator.on_request
 
     def on_request(self: ShardAllocator, now_ms: float, sender: int, message: LeaseRequest) -> LeaseGrant | None:
-        for who in [w for w in self.leases if w[0] == sender and w[1] != message.incarnation]:
-            del self.leases[who]
+        for process in [key for key in self.leases if key[0] == sender and key[1] != message.incarnation]:
+            del self.leases[process]
         return real(self, now_ms, sender, message)
 
     monkeypatch.setattr(ShardAllocator, "on_request", on_request)
@@ -66,31 +66,31 @@
 
 
 def actions_outlast_the_lease(monkeypatch: pytest.MonkeyPatch) -> None:
-    def begin(self: LeaseHolder, now_ms: float, task: int) -> int:
+    def begin_action(self: LeaseHolder, now_ms: float, task: int) -> int:
         return self.fencing_token if self.holds(now_ms, task) else 0
 
-    monkeypatch.setattr(LeaseHolder, "begin_action", begin)
+    monkeypatch.setattr(LeaseHolder, "begin_action", begin_action)
 
 
 def running_actions_not_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(LeaseHolder, "busy_shards", lambda self, now_ms: 0)
 
 
-def grants_on_their_way_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
+def grants_in_flight_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
     real = ShardAllocator.settle_grants
 
-    def settle(self: ShardAllocator, now_ms: float, leases: Any, applied_round: int, held: int) -> None:
+    def settle_grants(self: ShardAllocator, now_ms: float, leases: Any, applied_round: int, held: int) -> None:
         real(self, now_ms, leases, applied_round, held)
         leases.grants = [grant for grant in leases.grants if grant.round <= applied_round]
 
-    monkeypatch.setattr(ShardAllocator, "settle_grants", settle)
+    monkeypatch.setattr(ShardAllocator, "settle_grants", settle_grants)
 
 
-def request_to_a_former_term_counts(monkeypatch: pytest.MonkeyPatch) -> None:
+def request_to_a_previous_term_is_accepted(monkeypatch: pytest.MonkeyPatch) -> None:
     real = ShardAllocator.on_request
 
     def on_request(self: ShardAllocator, now_ms: float, sender: int, message: LeaseRequest) -> LeaseGrant | None:
-        to = (self.epoch, self.first_round)
+        current_term = (self.epoch, self.first_round)
         return real(
             self,
             now_ms,
@@ -98,7 +98,7 @@
             LeaseRequest(
                 message.incarnation,
                 message.round,
-                *to,
+                *current_term,
                 message.wanted_shards,
                 message.held_shards,
                 message.applied_round,
@@ -134,7 +134,7 @@
     monkeypatch.setattr(ShardAllocator, "grant", grant)
 
 
-def new_leader_begins_tokens_from_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def new_leader_restarts_tokens(monkeypatch: pytest.MonkeyPatch) -> None:
     real = ShardAllocator.begin_term
     monkeypatch.setattr(
         ShardAllocator, "begin_term", lambda self, now_ms, first, token: real(self, now_ms, first, 1 << 12)
@@ -142,26 +142,26 @@
 
 
 def resource_accepts_any_token(monkeypatch: pytest.MonkeyPatch) -> None:
-    def takes(self: FencedResource, task: int, token: int) -> bool:
+    def accept(self: FencedResource, task: int, token: int) -> bool:
         self.highest_tokens[task] = max(token, self.highest_tokens.get(task, 0))
         return True
 
-    monkeypatch.setattr(FencedResource, "accept", takes)
+    monkeypatch.setattr(FencedResource, "accept", accept)
 
 
 MISTAKES: list[Callable[[pytest.MonkeyPatch], None]] = [
-    lease_counted_from_the_answer,
+    lease_starts_at_the_reply,
     clock_margin_on_the_wrong_side,
     grants_without_learning,
-    former_process_forgotten,
+    previous_process_forgotten,
     grants_applied_in_any_order,
     actions_outlast_the_lease,
     running_actions_not_reported,
-    grants_on_their_way_forgotten,
-    request_to_a_former_term_counts,
+    grants_in_flight_forgotten,
+    request_to_a_previous_term_is_accepted,
     half_of_the_votes_is_enough,
     only_the_last_grant_counts,
     tokens_do_not_rise,
-    new_leader_begins_tokens_from_nothing,
+    new_leader_restarts_tokens,
     resource_accepts_any_token,
 ]
--- a/tests/lease/support_scenes.py
+++ b/tests/lease/support_scenes.py
@@ -1,4 +1,4 @@
-"""Orders of events that are played by hand, each of which a planted mistake breaks."""
+"""Scripted orders of events, each of which shows an overlap with one of the injected mistakes."""
 
 from __future__ import annotations
 
@@ -13,117 +13,121 @@
     LeaseRequest,
 )
 from corallanding.lease.shard_allocator import ShardAllocator
-from tests.lease.support import LONG, TASKS, TIGHT
+from tests.lease.support import LONG_LEASES, SHORT_LEASES, TASKS
 
-ALL = (1 << 8) - 1
+ALL_TASK_SHARDS = (1 << 8) - 1
 
 
 class ManualExchange:
-    """Two holders and an allocator by hand: which message is sent when, and which answer arrives."""
+    """Two holders and an allocator; the scenario decides when each message is sent and which reply arrives."""
 
     def __init__(self) -> None:
-        self.allocator = self.elect(-1e6, 9)
-        self.holders = [LeaseHolder(n + 1, TIGHT, TASKS, -1e6) for n in range(2)]
-        self.acts: list[Any] = []
+        self.allocator = self.start_term(-1e6, 9)
+        self.holders = [LeaseHolder(number + 1, SHORT_LEASES, TASKS, -1e6) for number in range(2)]
+        self.actions: list[Any] = []
 
-    def elect(self, now_ms: float, incarnation: int) -> ShardAllocator:
-        self.allocator = ShardAllocator(TIGHT, TASKS, incarnation, max_token=1 << 60)
+    def start_term(self, now_ms: float, incarnation: int) -> ShardAllocator:
+        self.allocator = ShardAllocator(SHORT_LEASES, TASKS, incarnation, max_token=1 << 60)
         self.allocator.begin_term(now_ms, 1, incarnation << 20)
         return self.allocator
 
-    def request(self, now_ms: float, n: int, holder: LeaseHolder | None = None) -> LeaseRequest:
-        h = holder or self.holders[n]
-        h.last_request_at_ms = float("-inf")
-        message = h.next_request(now_ms, self.allocator.epoch, self.allocator.first_round)
+    def request(self, now_ms: float, number: int, holder: LeaseHolder | None = None) -> LeaseRequest:
+        holder_in_use = holder or self.holders[number]
+        holder_in_use.last_request_at_ms = float("-inf")
+        message = holder_in_use.next_request(now_ms, self.allocator.epoch, self.allocator.first_round)
         assert message
         return message
 
-    def answer(self, now_ms: float, n: int, message: LeaseRequest) -> LeaseGrant:
-        grant = self.allocator.on_request(now_ms, n, message)
+    def grant(self, now_ms: float, number: int, message: LeaseRequest) -> LeaseGrant:
+        grant = self.allocator.on_request(now_ms, number, message)
         assert grant
         return grant
 
-    def both(self, now_ms: float, n: int) -> None:
-        self.holders[n].on_grant(now_ms, self.answer(now_ms, n, self.request(now_ms, n)))
+    def renew(self, now_ms: float, number: int) -> None:
+        self.holders[number].on_grant(now_ms, self.grant(now_ms, number, self.request(now_ms, number)))
 
-    def act(self, now_ms: float, n: int, holder: LeaseHolder | None = None) -> None:
-        h = holder or self.holders[n]
+    def begin_actions(self, now_ms: float, number: int, holder: LeaseHolder | None = None) -> None:
+        holder_in_use = holder or self.holders[number]
         for task in range(TASKS.count):
-            if token := h.begin_action(now_ms, task):
-                self.acts.append((now_ms, now_ms + TASKS.spec(task).max_work_ms, task, n, h.incarnation, token))
+            if token := holder_in_use.begin_action(now_ms, task):
+                end_ms = now_ms + TASKS.spec(task).max_work_ms
+                self.actions.append((now_ms, end_ms, task, number, holder_in_use.incarnation, token))
 
     def overlaps(self) -> int:
-        return int(judge(self.acts)["overlaps"])
+        return int(judge(self.actions)["overlaps"])
 
 
 def older_grant_after_a_newer() -> int:
-    d = ManualExchange()
-    late = d.answer(1.0, 0, d.request(0.0, 0))
-    d.allocator.on_request(2.0, 1, d.request(2.0, 1))
-    d.allocator.planned_at_ms = -1e9
-    d.both(3.0, 0)
-    d.both(4.0, 0)  # confirms the second answer
-    assert d.holders[0].shards.bit_count() == 4
-    d.both(5.0, 1)
-    d.holders[0].on_grant(6.0, late)
-    d.act(10.0, 0)
-    d.act(10.0, 1)
-    assert d.acts
-    return d.overlaps()
-
-
-def process_that_succeeds_another() -> int:
-    d = ManualExchange()
-    d.both(0.0, 0)
-    new = LeaseHolder(77, TIGHT, TASKS, 0.0)
-    new.on_grant(10.0, d.answer(10.0, 0, d.request(10.0, 0, new)))
-    d.act(20.0, 0)
-    d.act(20.0, 0, new)
-    return d.overlaps()
-
-
-def request_to_a_former_term() -> int:
-    """It says that it holds what it has given back since, and another has."""
-    d = ManualExchange()
-    d.both(0.0, 0)
-    late = d.request(10.0, 0)
-    d.holders[0].is_leaving = True
-    d.holders[0].on_grant(21.0, d.answer(20.0, 0, d.request(20.0, 0)))
-    d.allocator.on_request(22.0, 0, d.request(22.0, 0)) if d.holders[0].shards or d.holders[0].busy_until_ms else None
-    d.holders[0].is_leaving = False
-    d.allocator.leases.clear()  # as once its messages have said that nothing is held
-    d.both(30.0, 1)
-    assert d.holders[1].shards == ALL
-    d.elect(40.0, 10)
-    d.allocator.on_request(41.0, 0, late)
-    d.both(50.0, 0)
-    d.act(60.0, 0)
-    d.act(60.0, 1)
-    return d.overlaps()
-
-
-def leader_that_was_paused() -> int:
-    """Its term has ended, another leads, and it wakes cut off with one controller that still sends it requests."""
-    found = 0
+    exchange = ManualExchange()
+    late_message = exchange.grant(1.0, 0, exchange.request(0.0, 0))
+    exchange.allocator.on_request(2.0, 1, exchange.request(2.0, 1))
+    exchange.allocator.planned_at_ms = -1e9
+    exchange.renew(3.0, 0)
+    exchange.renew(4.0, 0)  # confirms the second grant
+    assert exchange.holders[0].shards.bit_count() == 4
+    exchange.renew(5.0, 1)
+    exchange.holders[0].on_grant(6.0, late_message)
+    exchange.begin_actions(10.0, 0)
+    exchange.begin_actions(10.0, 1)
+    assert exchange.actions
+    return exchange.overlaps()
+
+
+def process_that_replaces_another() -> int:
+    exchange = ManualExchange()
+    exchange.renew(0.0, 0)
+    new = LeaseHolder(77, SHORT_LEASES, TASKS, 0.0)
+    new.on_grant(10.0, exchange.grant(10.0, 0, exchange.request(10.0, 0, new)))
+    exchange.begin_actions(20.0, 0)
+    exchange.begin_actions(20.0, 0, new)
+    return exchange.overlaps()
+
+
+def request_to_a_previous_term() -> int:
+    """A late request reports shards as held that were released since and granted to another holder."""
+    exchange = ManualExchange()
+    exchange.renew(0.0, 0)
+    late_message = exchange.request(10.0, 0)
+    exchange.holders[0].is_leaving = True
+    exchange.holders[0].on_grant(21.0, exchange.grant(20.0, 0, exchange.request(20.0, 0)))
+    holder = exchange.holders[0]
+    exchange.allocator.on_request(22.0, 0, exchange.request(22.0, 0)) if holder.shards or holder.busy_until_ms else None
+    exchange.holders[0].is_leaving = False
+    exchange.allocator.leases.clear()  # as after its requests have reported that it holds nothing
+    exchange.renew(30.0, 1)
+    assert exchange.holders[1].shards == ALL_TASK_SHARDS
+    exchange.start_term(40.0, 10)
+    exchange.allocator.on_request(41.0, 0, late_message)
+    exchange.renew(50.0, 0)
+    exchange.begin_actions(60.0, 0)
+    exchange.begin_actions(60.0, 1)
+    return exchange.overlaps()
+
+
+def leader_that_was_stopped() -> int:
+    """A stopped leader resumes after another was elected, isolated with one controller that still sends it requests."""
+    overlap_count = 0
     for seed in range(4):
-        w = TaskWorld(seed, 5, 5, TASKS, LONG, acting=8)
-        w.usual = w.rest = Way(mean=60.0)
-        w.run(4_000.0)
-        slept = next((n for n, p in w.processes.items() if p.quota.update_leadership(p.clock(w.now))), None)
-        if slept is not None:
-            w.stop(slept)
-            p = w.processes[slept]
-            w.at(4_600.0, lambda w=w, n=slept, p=p: w.wake(n) if p.alive else None)  # type: ignore[misc]
-            w.part({slept, (slept + 1) % 5})
-            w.at(8_500.0, w.heal)
-        w.run(9_000.0)
-        found += judge(w.acts, w.takings)["overlaps"]
-    return found
-
-
-SCENES = [
+        world = TaskWorld(seed, 5, 5, TASKS, LONG_LEASES, acting=8)
+        world.usual = world.rest = Way(mean=60.0)
+        world.run(4_000.0)
+        stopped = next(
+            (number for number, p in world.processes.items() if p.quota.update_leadership(p.clock(world.now))), None
+        )
+        if stopped is not None:
+            world.stop(stopped)
+            process = world.processes[stopped]
+            world.at(4_600.0, lambda w=world, n=stopped, p=process: w.wake(n) if p.alive else None)  # type: ignore[misc]
+            world.part({stopped, (stopped + 1) % 5})
+            world.at(8_500.0, world.heal)
+        world.run(9_000.0)
+        overlap_count += judge(world.acts, world.takings)["overlaps"]
+    return overlap_count
+
+
+SCENARIOS = [
     older_grant_after_a_newer,
-    process_that_succeeds_another,
-    request_to_a_former_term,
-    leader_that_was_paused,
+    process_that_replaces_another,
+    request_to_a_previous_term,
+    leader_that_was_stopped,
 ]
--- a/tests/lease/test_election_orders.py
+++ b/tests/lease/test_election_orders.py
@@ -12,99 +12,118 @@
 from corallanding.lease.messages import VoteReply, VoteRequest
 from corallanding.lease.voting import Candidate, Voter, electorate_digest
 from tests.lease import support_mistakes as mistakes
-from tests.lease.support_exploration import after, explore
+from tests.lease.support_exploration import apply_moves, explore
 
-DRIFT = LeaseTimings(vote_lease_ms=200.0, max_clock_drift=0.1)
+DRIFTING_CLOCKS = LeaseTimings(vote_lease_ms=200.0, max_clock_drift=0.1)
 
 
 class SmallElectionWorld:
-    """Two candidates, the first with a slow clock, the second with a fast one, and three voters, two of them they.
-    A vote is asked of one voter at a time: others' words are lost."""
+    """Two candidates, the first with a slow clock, the second with a fast one, and three voters.
+
+    Both candidates are voters too. A vote request is delivered to one voter at a time; the copies to others are lost.
+    """
 
     def __init__(self) -> None:
-        self.now, self.starts = 0.0, 0
-        self.voters = [Voter(DRIFT, -1e6, electorate_digest((0, 1, 2))) for _ in range(3)]
-        self.candidates = [Candidate(n, n + 1, (0, 1, 2), DRIFT, lambda: 0.0, -1e6) for n in range(2)]
-        self.stands: list[VoteRequest | None] = [None, None]
+        self.now_ms, self.restart_count = 0.0, 0
+        self.voters = [Voter(DRIFTING_CLOCKS, -1e6, electorate_digest((0, 1, 2))) for _ in range(3)]
+        self.candidates = [
+            Candidate(number, number + 1, (0, 1, 2), DRIFTING_CLOCKS, lambda: 0.0, -1e6) for number in range(2)
+        ]
+        self.vote_requests: list[VoteRequest | None] = [None, None]
         self.votes: list[tuple[int, int, VoteReply]] = []
-        self.wrong = ""
+        self.violation = ""
 
-    def clock(self, who: int) -> float:
-        return self.now * (0.9, 1.1, 1.0)[who]
+    def clock(self, controller: int) -> float:
+        return self.now_ms * (0.9, 1.1, 1.0)[controller]
 
     def moves(self) -> list[tuple[str, int, int]]:
-        out = [("time", 0, 0)] + [("stand", c, 0) for c in range(2)]
-        out += [("ask", c, v) for c in range(2) for v in range(3) if self.stands[c]]
-        out += [("vote", k, 0) for k in range(len(self.votes))]
-        return out + ([("start", v, 0) for v in range(3)] if self.starts < 1 else [])
-
-    def play(self, move: tuple[str, int, int]) -> bool:
-        kind, n, v = move
+        moves = [("advance_time", 0, 0)] + [("request_votes", candidate, 0) for candidate in range(2)]
+        requesters = [candidate for candidate in range(2) if self.vote_requests[candidate]]
+        moves += [("deliver_request", candidate, voter) for candidate in requesters for voter in range(3)]
+        moves += [("deliver_vote", index, 0) for index in range(len(self.votes))]
+        return moves + ([("restart_voter", voter, 0) for voter in range(3)] if self.restart_count < 1 else [])
+
+    def apply(self, move: tuple[str, int, int]) -> bool:
+        kind, number, voter = move
         match kind:
-            case "time":
-                self.now += 55.0
-            case "stand":
-                self.candidates[n].next_request_at_ms = float("-inf")
-                message = self.candidates[n].tick(self.clock(n), 0)
+            case "advance_time":
+                self.now_ms += 55.0
+            case "request_votes":
+                self.candidates[number].next_request_at_ms = float("-inf")
+                message = self.candidates[number].tick(self.clock(number), 0)
                 if not isinstance(message, VoteRequest):
                     return False
-                self.stands[n] = message
-            case "ask":
-                message = self.stands[n]
+                self.vote_requests[number] = message
+            case "deliver_request":
+                message = self.vote_requests[number]
                 assert message
-                vote = self.voters[v].on_vote_request(self.clock(v), n, message)
+                vote = self.voters[voter].on_vote_request(self.clock(voter), number, message)
                 if not vote.is_granted or len(self.votes) > 2:
                     return False
-                self.votes.append((n, v, vote))
-            case "vote":
-                to, voter, vote = self.votes.pop(n)
-                self.candidates[to].on_vote_reply(self.clock(to), voter, vote)
-            case "start":
-                self.starts += 1
-                self.voters[n] = Voter(DRIFT, self.clock(n), electorate_digest((0, 1, 2)))
-        if all(c.is_leader(self.clock(k)) for k, c in enumerate(self.candidates)):
-            self.wrong = "two hold the office"
+                self.votes.append((number, voter, vote))
+            case "deliver_vote":
+                candidate_number, voter, vote = self.votes.pop(number)
+                self.candidates[candidate_number].on_vote_reply(self.clock(candidate_number), voter, vote)
+            case "restart_voter":
+                self.restart_count += 1
+                self.voters[number] = Voter(DRIFTING_CLOCKS, self.clock(number), electorate_digest((0, 1, 2)))
+        if all(candidate.is_leader(self.clock(index)) for index, candidate in enumerate(self.candidates)):
+            self.violation = "two controllers lead at the same time"
         return True
 
-    def key(self) -> str:
+    def state_key(self) -> str:
         voters = [
-            (v.started_at, v.voted_for, v.voted_until_ms, v.voted_round, sorted(v.unsuccessful_since_ms.items()))
-            for v in self.voters
+            (
+                voter.started_at,
+                voter.voted_for,
+                voter.voted_until_ms,
+                voter.voted_round,
+                sorted(voter.unsuccessful_since_ms.items()),
+            )
+            for voter in self.voters
         ]
         candidates = [
             (
-                c.round,
-                sorted(c.requested_at_ms.items()),
-                sorted(c.votes_until.items()),
-                c.leader_since,
-                c.candidate_since_ms,
-                c.next_request_at_ms,
+                candidate.round,
+                sorted(candidate.requested_at_ms.items()),
+                sorted(candidate.votes_until.items()),
+                candidate.leader_since,
+                candidate.candidate_since_ms,
+                candidate.next_request_at_ms,
             )
-            for c in self.candidates
+            for candidate in self.candidates
         ]
-        return repr((self.now, voters, candidates, self.stands, self.votes, self.starts))
+        return repr((self.now_ms, voters, candidates, self.vote_requests, self.votes, self.restart_count))
 
 
 ELECTED: tuple[tuple[str, int, int], ...] = (
-    ("stand", 0, 0),
-    ("ask", 0, 0),
-    ("ask", 0, 2),
-    ("vote", 0, 0),
-    ("vote", 0, 0),
-    ("time", 0, 0),
-    ("time", 0, 0),
+    ("request_votes", 0, 0),
+    ("deliver_request", 0, 0),
+    ("deliver_request", 0, 2),
+    ("deliver_vote", 0, 0),
+    ("deliver_vote", 0, 0),
+    ("advance_time", 0, 0),
+    ("advance_time", 0, 0),
 )
 
 
-ENDING = (*ELECTED, ("time", 0, 0), ("time", 0, 0), ("stand", 1, 0), ("ask", 1, 1))
-ANEW = (*ELECTED, ("start", 2, 0), ("stand", 1, 0), ("ask", 1, 1))
+EXPIRING = (
+    *ELECTED,
+    ("advance_time", 0, 0),
+    ("advance_time", 0, 0),
+    ("request_votes", 1, 0),
+    ("deliver_request", 1, 1),
+)
+VOTER_RESTARTED = (*ELECTED, ("restart_voter", 2, 0), ("request_votes", 1, 0), ("deliver_request", 1, 1))
 
 
-@pytest.mark.parametrize("start", [ELECTED, ENDING, ANEW], ids=["held", "ending", "a voter anew"])
-def test_election_when_events_come_in_any_order_then_two_never_lead(start: Any) -> None:
-    worlds, wrong = explore(5, after(SmallElectionWorld(), *start))
-    assert not wrong, (worlds, wrong)
-    assert worlds > 300, (worlds, wrong)
+@pytest.mark.parametrize(
+    "start", [ELECTED, EXPIRING, VOTER_RESTARTED], ids=["leader elected", "votes near expiry", "voter restarted"]
+)
+def test_election_when_events_occur_in_any_order_then_at_most_one_candidate_leads(start: Any) -> None:
+    world_count, violation = explore(5, apply_moves(SmallElectionWorld(), *start))
+    assert not violation, (world_count, violation)
+    assert world_count > 300, (world_count, violation)
 
 
 def clock_drift_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -122,16 +141,16 @@
     monkeypatch.setattr(voting.Voter, "on_vote_request", on_request)
 
 
-FOUND_BY: dict[Callable[..., None], Any] = {
-    clock_drift_ignored: ENDING,
-    voter_votes_right_after_its_start: ANEW,
+START_BY_MISTAKE: dict[Callable[..., None], Any] = {
+    clock_drift_ignored: EXPIRING,
+    voter_votes_right_after_its_start: VOTER_RESTARTED,
     mistakes.half_of_the_votes_is_enough: ELECTED,
 }
 
 
-@pytest.mark.parametrize("mistake", FOUND_BY, ids=lambda f: f.__name__)
+@pytest.mark.parametrize("mistake", START_BY_MISTAKE, ids=lambda mistake: mistake.__name__)
 def test_planted_mistake_when_election_orders_are_explored_then_is_found(
     mistake: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     mistake(monkeypatch)
-    assert explore(5, after(SmallElectionWorld(), *FOUND_BY[mistake]))[1]
+    assert explore(5, apply_moves(SmallElectionWorld(), *START_BY_MISTAKE[mistake]))[1]
--- a/tests/lease/test_lease_holder.py
+++ b/tests/lease/test_lease_holder.py
@@ -7,19 +7,21 @@
     LeaseGrant,
 )
 from corallanding.lease.tasks import pack
-from tests.lease.support import TASKS, TIGHT
+from tests.lease.support import SHORT_LEASES, TASKS
 
 
 def test_action_when_it_could_outlast_the_lease_then_does_not_begin() -> None:
-    h = LeaseHolder(1, TIGHT, TASKS, 0.0)
-    request = h.next_request(0.0, 9, 1)
+    holder = LeaseHolder(1, SHORT_LEASES, TASKS, 0.0)
+    request = holder.next_request(0.0, 9, 1)
     assert request
-    assert not h.on_grant(10.0, LeaseGrant(1, request.round, pack(1), 5))
-    assert h.leased_until == TIGHT.usable_ms(600.0), "counted from when it was asked for"
-    assert h.begin_action(100.0, 0) == 5, "one act on a task at a time"
-    assert h.begin_action(150.0, 0) == 0, "one act on a task at a time"
-    h.end_action(160.0, 0)
-    assert h.begin_action(h.leased_until - 101.0, 0) == 0
-    assert h.holds(h.leased_until - 101.0, 0)
-    h.on_action_rejected(7)
-    assert h.begin_action(200.0, 0) == 0, "a place has seen more: not before a higher fence"
+    assert not holder.on_grant(10.0, LeaseGrant(1, request.round, pack(1), 5))
+    assert holder.leased_until == SHORT_LEASES.usable_ms(600.0), "the lease starts at the send time of its request"
+    assert holder.begin_action(100.0, 0) == 5, "one action on a task at a time"
+    assert holder.begin_action(150.0, 0) == 0, "one action on a task at a time"
+    holder.end_action(160.0, 0)
+    assert holder.begin_action(holder.leased_until - 101.0, 0) == 0
+    assert holder.holds(holder.leased_until - 101.0, 0)
+    holder.on_action_rejected(7)
+    assert holder.begin_action(200.0, 0) == 0, (
+        "a resource has accepted a higher token: no action before a grant above it"
+    )
--- a/tests/lease/test_lease_orders.py
+++ b/tests/lease/test_lease_orders.py
@@ -1,4 +1,4 @@
-"""Every order of events with one task, two holders and an allocator. Messages are lost, late, swapped or repeated."""
+"""Every order of events with one task, two holders and an allocator. Messages are lost, late, reordered or repeated."""
 
 from __future__ import annotations
 
@@ -17,175 +17,205 @@
 from corallanding.lease.shard_allocator import ShardAllocator
 from corallanding.lease.tasks import TaskCatalog, TaskSpec
 from tests.lease import support_mistakes as mistakes
-from tests.lease.support_exploration import after, explore
+from tests.lease.support_exploration import apply_moves, explore
 
-# A lease of three steps and an act of one and a half: a few steps see leases end, and acts that would outlast them.
-TERMS = LeaseTimings(lease_ms=300.0, vote_lease_ms=200.0, max_clock_drift=0.0)
+# A lease lasts three steps and an action one and a half: leases expire, and actions would outlast them, in a few steps.
+SHORT_LEASES = LeaseTimings(lease_ms=300.0, vote_lease_ms=200.0, max_clock_drift=0.0)
 TASKS = TaskCatalog({"sweep": TaskSpec("sweep", max_work_ms=150.0)})
-STEP = 100.0
+STEP_MS = 100.0
 
 
 class SmallLeaseWorld:
-    """Two holders; each act is looked at, then written at the place, at any time after."""
+    """Two holders. Each action begins, and its write reaches the fenced resource at any later time."""
 
     def __init__(self) -> None:
-        self.now, self.incarnations = 0.0, 10
-        self.allocator = ShardAllocator(TERMS, TASKS, 9, max_token=1 << 60)
+        self.now_ms, self.last_incarnation = 0.0, 10
+        self.allocator = ShardAllocator(SHORT_LEASES, TASKS, 9, max_token=1 << 60)
         self.allocator.begin_term(-1e6, 1, 1 << 20)
-        self.holders = [LeaseHolder(n + 1, TERMS, TASKS, -1e6) for n in range(2)]
-        self.messages: list[tuple[int, Any]] = []  # on their way: whose, what
-        self.looks: list[tuple[int, int]] = []  # acts begun and not written: whose, fence
-        self.ends: dict[tuple[int, int], float] = {}  # (steward, life): when its act has ended at the longest
-        self.place, self.highest = FencedResource(1), 0
-        self.wrong = ""
+        self.holders = [LeaseHolder(number + 1, SHORT_LEASES, TASKS, -1e6) for number in range(2)]
+        self.messages: list[tuple[int, Any]] = []  # in flight: (holder number, message)
+        self.started_actions: list[tuple[int, int]] = []  # not yet written: (holder number, fencing token)
+        self.action_ends_ms: dict[tuple[int, int], float] = {}  # latest end by (number, incarnation)
+        self.fenced_resource, self.highest_written_token = FencedResource(1), 0
+        self.violation = ""
 
     def moves(self) -> list[tuple[str, int]]:
-        out: list[tuple[str, int]] = [("time", 0)]
+        moves: list[tuple[str, int]] = [("advance_time", 0)]
         if len(self.messages) < 3:
-            out += [("ask", 0), ("ask", 1)]
-        out += [(kind, k) for kind in ("word", "again") for k in range(len(self.messages))]
-        out += [("look", n) for n in range(2)] if len(self.looks) < 2 else []
-        out += [("write", k) for k in range(len(self.looks))]
-        return [*out, ("start", 0)] if self.incarnations < 11 else out
-
-    def play(self, move: tuple[str, int]) -> bool:
-        """False if nothing came of it."""
+            moves += [("request", 0), ("request", 1)]
+        moves += [(kind, index) for kind in ("deliver", "deliver_copy") for index in range(len(self.messages))]
+        moves += [("begin_action", number) for number in range(2)] if len(self.started_actions) < 2 else []
+        moves += [("write", index) for index in range(len(self.started_actions))]
+        return [*moves, ("restart_holder", 0)] if self.last_incarnation < 11 else moves
+
+    def apply(self, move: tuple[str, int]) -> bool:
+        """Apply a move and return whether it had an effect."""
         kind, number = move
-        if kind == "time":
-            self.now += STEP
+        if kind == "advance_time":
+            self.now_ms += STEP_MS
             return True
-        plays = {
-            "ask": self.play_request,
-            "word": self.play_message,
-            "again": self.play_repeated_message,
-            "look": self.play_begin,
-            "write": self.play_write,
-            "start": self.play_start,
+        handlers = {
+            "request": self.apply_request,
+            "deliver": self.apply_delivery,
+            "deliver_copy": self.apply_repeated_delivery,
+            "begin_action": self.apply_begin_action,
+            "write": self.apply_write,
+            "restart_holder": self.apply_restart,
         }
-        return plays[kind](number)
+        return handlers[kind](number)
 
-    def play_request(self, number: int) -> bool:
+    def apply_request(self, number: int) -> bool:
         self.holders[number].last_request_at_ms = float("-inf")
-        request = self.holders[number].next_request(self.now, 9, 1)
+        request = self.holders[number].next_request(self.now_ms, 9, 1)
         if request is None:
             return False
         self.messages.append((number, request))
         return True
 
-    def play_message(self, number: int) -> bool:
-        self.deliver(*self.messages.pop(number))
+    def apply_delivery(self, index: int) -> bool:
+        self.deliver(*self.messages.pop(index))
         return True
 
-    def play_repeated_message(self, number: int) -> bool:
-        return self.deliver(*self.messages[number])
+    def apply_repeated_delivery(self, index: int) -> bool:
+        return self.deliver(*self.messages[index])
 
-    def deliver(self, who: int, message: Any) -> bool:
-        """False if a request got no answer."""
+    def deliver(self, number: int, message: Any) -> bool:
+        """Deliver a message; return False if it is a request that was not answered."""
         if isinstance(message, LeaseRequest):
-            grant = self.allocator.on_request(self.now, who, message)
+            grant = self.allocator.on_request(self.now_ms, number, message)
             if grant:
-                self.messages.append((who, grant))
+                self.messages.append((number, grant))
             return grant is not None
         assert isinstance(message, LeaseGrant)
-        self.holders[who].on_grant(self.now, message)
+        self.holders[number].on_grant(self.now_ms, message)
         return True
 
-    def play_begin(self, number: int) -> bool:
+    def apply_begin_action(self, number: int) -> bool:
         holder = self.holders[number]
-        token = holder.begin_action(self.now, 0)
+        token = holder.begin_action(self.now_ms, 0)
         if not token:
             return False
         process = (number, holder.incarnation)
-        if any(end > self.now for other, end in self.ends.items() if other != process):
-            self.wrong = "two act at one instant"
-        self.ends[process] = self.now + 150.0
-        self.looks.append((number, token))
+        if any(end_ms > self.now_ms for other, end_ms in self.action_ends_ms.items() if other != process):
+            self.violation = "two processes act at the same time"
+        self.action_ends_ms[process] = self.now_ms + 150.0
+        self.started_actions.append((number, token))
         return True
 
-    def play_write(self, number: int) -> bool:
-        _, token = self.looks.pop(number)
-        if self.place.accept(0, token):
-            if token < self.highest:
-                self.wrong = "an act behind a later one was taken"
-            self.highest = max(self.highest, token)
+    def apply_write(self, index: int) -> bool:
+        _, token = self.started_actions.pop(index)
+        if self.fenced_resource.accept(0, token):
+            if token < self.highest_written_token:
+                self.violation = "a write under a lower token was accepted"
+            self.highest_written_token = max(self.highest_written_token, token)
         return True
 
-    def play_start(self, number: int) -> bool:
-        self.incarnations += 1
-        self.holders[0] = LeaseHolder(self.incarnations, TERMS, TASKS, self.now)
+    def apply_restart(self, number: int) -> bool:
+        self.last_incarnation += 1
+        self.holders[0] = LeaseHolder(self.last_incarnation, SHORT_LEASES, TASKS, self.now_ms)
         return True
 
-    def key(self) -> str:
-        """Two worlds of one key go on alike."""
-        book = [
-            (w, x.last_round, x.wanted_shards, x.requested_at_ms, x.fencing_token, sorted(x.grants))
-            for w, x in sorted(self.allocator.leases.items())
+    def state_key(self) -> str:
+        """Return a key that is equal for worlds with the same future behaviour."""
+        allocator_state = [
+            (
+                process,
+                leases.last_round,
+                leases.wanted_shards,
+                leases.requested_at_ms,
+                leases.fencing_token,
+                sorted(leases.grants),
+            )
+            for process, leases in sorted(self.allocator.leases.items())
         ]
         holders = [
             (
-                h.incarnation,
-                h.shards,
-                h.fencing_token,
-                h.leased_until,
-                h.applied_round,
-                h.round,
-                sorted(h.requested_at_ms.items()),
-                sorted(h.busy_until_ms.items()),
+                holder.incarnation,
+                holder.shards,
+                holder.fencing_token,
+                holder.leased_until,
+                holder.applied_round,
+                holder.round,
+                sorted(holder.requested_at_ms.items()),
+                sorted(holder.busy_until_ms.items()),
             )
-            for h in self.holders
+            for holder in self.holders
         ]
-        ends = sorted((w, e) for w, e in self.ends.items() if e > self.now)
+        action_ends_ms = sorted(
+            (process, end_ms) for process, end_ms in self.action_ends_ms.items() if end_ms > self.now_ms
+        )
         return repr(
             (
-                self.now,
-                book,
+                self.now_ms,
+                allocator_state,
                 self.allocator.last_token,
                 holders,
                 self.messages,
-                self.looks,
-                ends,
-                self.place.highest_tokens,
+                self.started_actions,
+                action_ends_ms,
+                self.fenced_resource.highest_tokens,
             )
         )
 
 
-HELD = (("ask", 0), ("word", 0), ("word", 0))  # the first holds it
-LATER = (("time", 0), ("time", 0))
+HELD = (("request", 0), ("deliver", 0), ("deliver", 0))  # the first holder has the lease
+TWO_STEPS_LATER = (("advance_time", 0), ("advance_time", 0))
 STARTS: dict[str, tuple[tuple[str, int], ...]] = {
     "held": HELD,
-    "a first answer late, a second taken up": (("ask", 0), ("word", 0), ("ask", 0), ("word", 1), ("word", 1)),
-    "answered late": (("ask", 0), ("word", 0), *LATER, ("word", 0), ("time", 0), ("ask", 1)),
-    "near its end": (*HELD, *LATER, ("ask", 1)),
-    "started anew": (*HELD, ("look", 0), ("start", 0), ("ask", 0)),
-    "looked and stopped": (*HELD, ("look", 0), *LATER, ("time", 0), ("ask", 1), ("word", 0), ("word", 0)),
+    "first grant late, second applied": (
+        ("request", 0),
+        ("deliver", 0),
+        ("request", 0),
+        ("deliver", 1),
+        ("deliver", 1),
+    ),
+    "granted late": (
+        ("request", 0),
+        ("deliver", 0),
+        *TWO_STEPS_LATER,
+        ("deliver", 0),
+        ("advance_time", 0),
+        ("request", 1),
+    ),
+    "near expiry": (*HELD, *TWO_STEPS_LATER, ("request", 1)),
+    "restarted": (*HELD, ("begin_action", 0), ("restart_holder", 0), ("request", 0)),
+    "stopped before writing": (
+        *HELD,
+        ("begin_action", 0),
+        *TWO_STEPS_LATER,
+        ("advance_time", 0),
+        ("request", 1),
+        ("deliver", 0),
+        ("deliver", 0),
+    ),
 }
 
 
 @pytest.mark.parametrize("start", STARTS)
-def test_lease_when_events_come_in_any_order_then_two_never_act_at_once(start: str) -> None:
-    worlds, wrong = explore(5, after(SmallLeaseWorld(), *STARTS[start]))
-    assert not wrong, (worlds, wrong)
-    assert worlds > 500, (worlds, wrong)
+def test_lease_when_events_occur_in_any_order_then_two_processes_never_act_at_once(start: str) -> None:
+    world_count, violation = explore(5, apply_moves(SmallLeaseWorld(), *STARTS[start]))
+    assert not violation, (world_count, violation)
+    assert world_count > 500, (world_count, violation)
 
 
-FOUND: dict[Callable[..., None], str] = {
-    mistakes.lease_counted_from_the_answer: "answered late",
-    mistakes.actions_outlast_the_lease: "near its end",
-    mistakes.former_process_forgotten: "started anew",
-    mistakes.resource_accepts_any_token: "looked and stopped",
+START_BY_MISTAKE: dict[Callable[..., None], str] = {
+    mistakes.lease_starts_at_the_reply: "granted late",
+    mistakes.actions_outlast_the_lease: "near expiry",
+    mistakes.previous_process_forgotten: "restarted",
+    mistakes.resource_accepts_any_token: "stopped before writing",
 }
 
 
-@pytest.mark.parametrize("mistake", FOUND, ids=lambda f: f.__name__)
+@pytest.mark.parametrize("mistake", START_BY_MISTAKE, ids=lambda mistake: mistake.__name__)
 def test_planted_mistake_when_lease_orders_are_explored_then_is_found(
     mistake: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     mistake(monkeypatch)
-    assert explore(5, after(SmallLeaseWorld(), *STARTS[FOUND[mistake]]))[1]
+    assert explore(5, apply_moves(SmallLeaseWorld(), *STARTS[START_BY_MISTAKE[mistake]]))[1]
 
 
 class RandomWalk(RuleBasedStateMachine):
-    """The same world by long walks that hypothesis draws and makes shorter."""
+    """Long random walks in the same world, drawn and shrunk by hypothesis."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -197,11 +227,11 @@
         for move in self.world.moves():
             kinds.setdefault(move[0], []).append(move)
         kind = data.draw(st.sampled_from(sorted(kinds)))
-        self.world.play(data.draw(st.sampled_from(kinds[kind])))
+        self.world.apply(data.draw(st.sampled_from(kinds[kind])))
 
     @invariant()
     def one_holder(self) -> None:
-        assert not self.world.wrong, self.world.wrong
+        assert not self.world.violation, self.world.violation
 
 
 TestRandomWalk = RandomWalk.TestCase
--- a/tests/lease/test_shard_plan.py
+++ b/tests/lease/test_shard_plan.py
@@ -1,4 +1,4 @@
-"""The plan of shards: each once, evenly, with few moves."""
+"""The plan of shards: each is assigned once, balanced, with few moves."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
 
 @given(st.integers(1, 6), st.integers(0, 2**40 - 1), st.randoms())
-def test_plan_when_made_then_gives_each_wanted_shard_once_evenly_and_moves_little(
-    n: int, free: int, r: random.Random
+def test_plan_when_made_then_assigns_each_wanted_shard_once_evenly_with_fewest_moves(
+    controller_count: int, wanted_shards: int, rng: random.Random
 ) -> None:
     weights = [1] * 40
-    wants = dict.fromkeys(range(n), free)
-    has, rest = dict.fromkeys(range(n), 0), shard_list(free)
-    r.shuffle(rest)
-    for shard in rest[: r.randint(0, len(rest))]:
-        has[r.randrange(n)] |= 1 << shard
-    out = plan_shards(has, wants, weights, {})
-    together = 0
-    for bits in out.values():
-        assert not together & bits
-        together |= bits
-    sizes = [bits.bit_count() for bits in out.values()]
-    assert together == free
+    wanted = dict.fromkeys(range(controller_count), wanted_shards)
+    held, shuffled = dict.fromkeys(range(controller_count), 0), shard_list(wanted_shards)
+    rng.shuffle(shuffled)
+    for shard in shuffled[: rng.randint(0, len(shuffled))]:
+        held[rng.randrange(controller_count)] |= 1 << shard
+    planned = plan_shards(held, wanted, weights, {})
+    assigned = 0
+    for shards in planned.values():
+        assert not assigned & shards
+        assigned |= shards
+    sizes = [shards.bit_count() for shards in planned.values()]
+    assert assigned == wanted_shards
     assert max(sizes) - min(sizes) <= 1
-    moved = sum((has[w] & ~out[w]).bit_count() for w in has)
-    # Whoever has most keeps the odd ones; all that is above has to go, whatever is free.
-    even, odd = divmod(free.bit_count(), n)
-    had = sorted((bits.bit_count() for bits in has.values()), reverse=True)
-    assert moved == sum(max(0, count - even - (k < odd)) for k, count in enumerate(had))
+    moved_count = sum((held[controller] & ~planned[controller]).bit_count() for controller in held)
+    # The holders of most shards keep the remainder; all shards above their share must move, whichever are free.
+    even_share, remainder = divmod(wanted_shards.bit_count(), controller_count)
+    held_counts = sorted((shards.bit_count() for shards in held.values()), reverse=True)
+    assert moved_count == sum(max(0, count - even_share - (rank < remainder)) for rank, count in enumerate(held_counts))
