--- a/tests/version_pinning/support.py
+++ b/tests/version_pinning/support.py
@@ -1,4 +1,4 @@
-"""Worlds of workflow runs under faults, and mistakes that tests plant in the code."""
+"""Simulated workflow runs under faults, and mistakes that tests inject into the code."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 from corallanding.version_pinning.rollout import RolloutDecision
 
 
-def play_world(seed: int, until: float = 16_000.0) -> RunWorld:
-    """Releases forward and back, all faults, files lost and put back."""
+def run_faulty_world(seed: int, until: float = 16_000.0) -> RunWorld:
+    """Run a world until `until` ms with releases to newer and older sets, all faults, and lost and restored files."""
     world = RunWorld(seed, 5, 5, per_s=60, runs=25)
-    chance = random.Random(f"goal {seed}")
+    rng = random.Random(f"goal {seed}")
     troubled(world, until - 3_000.0, 2_500.0)
-    newest = itertools.count(2)
+    set_numbers = itertools.count(2)
 
-    def release_one() -> None:
-        top = min(8, next(newest))
-        world.goal = chance.randint(max(1, top - 2), top)
-        world.at(world.now + chance.uniform(600.0, 2_500.0), release_one)
+    def start_release() -> None:
+        newest_set = min(8, next(set_numbers))
+        world.goal = rng.randint(max(1, newest_set - 2), newest_set)
+        world.at(world.now + rng.uniform(600.0, 2_500.0), start_release)
 
-    world.at(2_500.0, release_one)
-    world.disk_faults(chance)
+    world.at(2_500.0, start_release)
+    world.disk_faults(rng)
     world.run(until)
     return world
 
@@ -41,11 +41,11 @@
 def accept_without_fencing(patch: Any) -> None:
     real = Replica.acceptance_status
 
-    def acceptance_status(self: Replica, word: Any) -> int:
-        seen = self.highest_tokens.pop(word.group, 0)
-        out = real(self, word)
-        self.highest_tokens[word.group] = seen
-        return out
+    def acceptance_status(self: Replica, message: Any) -> int:
+        token_before = self.highest_tokens.pop(message.group, 0)
+        reply = real(self, message)
+        self.highest_tokens[message.group] = token_before
+        return reply
 
     patch.setattr(Replica, "acceptance_status", acceptance_status)
 
@@ -53,11 +53,11 @@
 def forget_promises(patch: Any) -> None:
     real = Replica.on_prepare
 
-    def on_prepare(self: Replica, now: float, word: Any) -> Any:
-        seen = dict(self.highest_tokens)
-        out = real(self, now, word)
-        self.highest_tokens = seen
-        return out
+    def on_prepare(self: Replica, now_ms: float, message: Any) -> Any:
+        token_before = dict(self.highest_tokens)
+        reply = real(self, now_ms, message)
+        self.highest_tokens = token_before
+        return reply
 
     patch.setattr(Replica, "on_prepare", on_prepare)
 
@@ -65,27 +65,31 @@
 def skip_reading(patch: Any) -> None:
     real = QuorumRecords.acquire_group
 
-    def acquire_group(self: QuorumRecords, group: int, fence: int) -> None:
-        real(self, group, fence)
+    def acquire_group(self: QuorumRecords, group: int, fencing_token: int) -> None:
+        real(self, group, fencing_token)
         self.proposers[group].is_ready = True
 
     patch.setattr(QuorumRecords, "acquire_group", acquire_group)
 
 
 def keep_first_read(patch: Any) -> None:
-    def merge_read(self: Proposer, keeper: int, key: int, value: int, born: float, order: tuple[int, int]) -> None:
+    def merge_read(
+        self: Proposer, replica: int, key: int, value: int, created_at_ms: float, ballot: tuple[int, int]
+    ) -> None:
         record = self.records.get(key)
         if record is None:
-            self.records[key] = ProposedRecord(value, born, order, votes=self.vote_bits[keeper])
-        elif order == record.read_ballot:
-            record.votes |= self.vote_bits[keeper]
+            self.records[key] = ProposedRecord(value, created_at_ms, ballot, votes=self.vote_bits[replica])
+        elif ballot == record.read_ballot:
+            record.votes |= self.vote_bits[replica]
 
     patch.setattr(Proposer, "merge_read", merge_read)
 
 
-def deny_on_one_refusal(patch: Any) -> None:
-    def reject_undecidable(self: Proposer, o: Any, why: int) -> None:
-        self.rejected_keys.update((k, why) for k in o.keys if (e := self.records.get(k)) and not e.is_decided)
+def deny_on_one_rejection(patch: Any) -> None:
+    def reject_undecidable(self: Proposer, write: Any, status: int) -> None:
+        self.rejected_keys.update(
+            (key, status) for key in write.keys if (record := self.records.get(key)) and not record.is_decided
+        )
 
     patch.setattr(Proposer, "reject_undecidable", reject_undecidable)
 
@@ -94,8 +98,8 @@
     for world in (RunWorld, Walk):
         real = world.carry
 
-        def carry(self: Any, *rest: Any, real: Any = real) -> None:
-            real(self, *rest[:-1], [a for a in rest[-1] if not isinstance(a, Persist)])
+        def carry(self: Any, *args: Any, real: Any = real) -> None:
+            real(self, *args[:-1], [action for action in args[-1] if not isinstance(action, Persist)])
 
         patch.setattr(world, "carry", carry)
 
@@ -121,6 +125,7 @@
 
 
 def begin_runs(world: RunWorld) -> RunWorld:
+    """Run the world until some runs are pinned, and return it."""
     world.run(4_000.0)
     assert any(row[3] == RunStatus.PINNED for row in world.told)
     return world
--- a/tests/version_pinning/test_failures.py
+++ b/tests/version_pinning/test_failures.py
@@ -1,4 +1,4 @@
-"""Workflow runs through partitions, restarts and absences."""
+"""Workflow runs during partitions, restarts and outages of controllers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.version_pinning.support import begin_runs
 
 
-def test_run_when_begun_in_both_halves_of_a_partition_then_has_one_set_or_none() -> None:
+def test_run_when_started_in_both_halves_of_a_partition_then_has_at_most_one_set() -> None:
     world = begin_runs(RunWorld(3, 5, 5))
     world.part({0, 1})
     key = 12_345
@@ -20,7 +20,7 @@
     world.run(world.now + 3_000.0)
     rows = [row for row in world.told if row[1] == key]
     assert len(rows) == 5
-    assert len({row[4] for row in rows if row[3] == RunStatus.PINNED}) == 1, "whoever is told one is told the same"
+    assert len({row[4] for row in rows if row[3] == RunStatus.PINNED}) == 1, "all answers with a set name the same one"
     assert {row[3] for row in rows if row[2] in (0, 1)} <= {RunStatus.UNAVAILABLE, RunStatus.PINNED}
     world.heal()
     world.run(world.now + 2_000.0)
@@ -29,7 +29,7 @@
     assert not world.split()
 
 
-def test_runs_when_all_controllers_restart_then_are_read_from_files() -> None:
+def test_runs_when_all_controllers_restart_then_are_restored_from_files() -> None:
     world = begin_runs(RunWorld(5, 5, 5))
     before = {row[1]: row[4] for row in world.told if row[3] == RunStatus.PINNED}
     world.goal = 2
@@ -38,7 +38,7 @@
     for controller in range(5):
         world.start(controller)
     world.run(world.now + 2_500.0)
-    world.strong[1] = 0.0  # nothing serves set 1 any more: what begins now begins in set 2
+    world.strong[1] = 0.0  # no host serves set 1 any more: new runs start in set 2
     world.run(world.now + 1_000.0)
     for key in list(before)[-10:]:
         world.ask(key)
@@ -49,7 +49,7 @@
 
 
 def test_replicas_when_started_one_after_the_other_then_all_recover() -> None:
-    """The earlier ones' first questions are lost: they are said again, and the answers to them are good."""
+    """The first recovery requests of earlier replicas are lost; they are repeated, and their replies are accepted."""
     world = RunWorld(1, 5, 5)
     for controller in range(1, 5):
         world.kill(controller)
@@ -57,11 +57,11 @@
         world.run(1_000.0 * controller)
         world.start(controller)
     world.run(7_000.0)
-    assert [f.records.recovery.is_ready for f in world.fleets.values()] == [True] * 5
-    assert [f.status()["waits_for"] for f in world.fleets.values()] == [[]] * 5
+    assert [fleet.records.recovery.is_ready for fleet in world.fleets.values()] == [True] * 5
+    assert [fleet.status()["waits_for"] for fleet in world.fleets.values()] == [[]] * 5
 
 
-def test_controller_when_away_during_a_retirement_then_does_not_revive_the_set() -> None:
+def test_controller_when_stopped_during_a_retirement_then_does_not_reopen_the_set() -> None:
     world = begin_runs(RunWorld(7, 5, 5))
     world.stop(4)
     world.goal = 2
--- a/tests/version_pinning/test_fencing.py
+++ b/tests/version_pinning/test_fencing.py
@@ -1,4 +1,4 @@
-"""Two holders of one record group: the earlier one is refused."""
+"""Two holders of one record group: writes of the earlier one are rejected."""
 
 from __future__ import annotations
 
@@ -14,43 +14,45 @@
 from tests.version_pinning.support import accept_without_fencing, forget_promises
 
 
-def test_former_holder_when_a_later_one_has_read_then_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The first of two holders has written to one replica; the second reads from the two others, and writes; then the
-    messages of the first arrive there."""
+def test_previous_holder_when_a_later_one_has_read_then_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The first holder writes to one replica only. The second one reads from the two others and writes there. Then the
+    delayed writes of the first holder arrive at these."""
 
-    def scene() -> list[bool]:
+    def run_scenario() -> list[bool]:
         replicas = {number: Replica(RecordLimits()) for number in range(3)}
         rounds = itertools.count(1)
-        first, second = (Proposer(life, 7, (0, 1, 2), RecordLimits(), life, rounds.__next__) for life in (1, 2))
+        first, second = (
+            Proposer(incarnation, 7, (0, 1, 2), RecordLimits(), incarnation, rounds.__next__) for incarnation in (1, 2)
+        )
 
         def deliver(messages: list[Any], receivers: set[int]) -> list[Any]:
-            late = []
+            delayed = []
             for message in messages:
                 proposer = first if message.message.incarnation == 1 else second
                 if message.to not in receivers:
-                    late.append(message)
+                    delayed.append(message)
                 elif isinstance(message.message, Accept):
                     reply = replicas[message.to].on_accept(0.0, message.message)
                     proposer.on_accept_reply(0.0, message.to, reply)
                 else:
                     reply = replicas[message.to].on_prepare(0.0, message.message)
                     assert not proposer.on_prepare_reply(0.0, message.to, reply)
-            return late
+            return delayed
 
         deliver(first.tick(0.0), {0, 1, 2})
         first.write(0.0, 99, 1, 0.0)
-        late = deliver(first.tick(0.0), {0})
+        delayed = deliver(first.tick(0.0), {0})
         deliver(second.tick(0.0), {1, 2})
         assert second.is_ready
         assert second.get(99) is None
         second.write(0.0, 99, 2, 0.0)
-        copies = second.tick(0.0)
-        deliver(late, {1, 2})
-        deliver(copies, {1, 2})
-        return [world.records[99].is_decided for world in (first, second)]
+        accept_requests = second.tick(0.0)
+        deliver(delayed, {1, 2})
+        deliver(accept_requests, {1, 2})
+        return [proposer.records[99].is_decided for proposer in (first, second)]
 
-    assert scene() == [False, True]
-    for plant in (accept_without_fencing, forget_promises):
+    assert run_scenario() == [False, True]
+    for inject_mistake in (accept_without_fencing, forget_promises):
         with monkeypatch.context() as patch:
-            plant(patch)
-            assert scene() == [True, True], "both told: the mistake shows"
+            inject_mistake(patch)
+            assert run_scenario() == [True, True], "both writes are decided with the mistake"
--- a/tests/version_pinning/test_planted_mistakes.py
+++ b/tests/version_pinning/test_planted_mistakes.py
@@ -1,4 +1,4 @@
-"""Mistakes planted in the code: the simulations of faults must find each of them."""
+"""Mistakes injected into the code: the simulations of faults must detect each of them."""
 
 from __future__ import annotations
 
@@ -11,46 +11,46 @@
 from corallanding.quorum_records.proposer import Proposer
 from corallanding.version_pinning.releases import ReleaseCoordinator
 from tests.version_pinning.support import (
-    deny_on_one_refusal,
+    deny_on_one_rejection,
     keep_first_read,
-    play_world,
     reopen_retired_set,
+    run_faulty_world,
     send_before_writing,
     skip_reading,
 )
 
 MISTAKES: dict[str, tuple[Callable[[Any], None], str, int]] = {
-    # name: the mistake, where it is looked for, the seed from which on
-    "told before a majority has it": (
-        lambda patch: patch.setattr(Proposer, "quorum_size", property(lambda s: 1)),
+    # name: (mistake, simulation that detects it, first seed)
+    "answered before a majority has the record": (
+        lambda patch: patch.setattr(Proposer, "quorum_size", property(lambda self: 1)),
         "world",
         0,
     ),
-    "a new holder does not read": (skip_reading, "walk", 0),
-    "what was read is told unconfirmed": (
-        lambda patch: patch.setattr(Proposer, "confirm", lambda self, now, key: True),
+    "a new holder does not read the records": (skip_reading, "walk", 0),
+    "a read record is answered without confirmation": (
+        lambda patch: patch.setattr(Proposer, "confirm", lambda self, now_ms, key: True),
         "world",
         2,
     ),
-    "the first that is read wins": (keep_first_read, "world", 10),
-    "one refusal counts for all": (deny_on_one_refusal, "world", 10),
-    "retired without a tally": (
+    "the first record that is read wins": (keep_first_read, "world", 10),
+    "one rejection counts as a majority": (deny_on_one_rejection, "world", 10),
+    "retired without run counts": (
         lambda patch: patch.setattr(ReleaseCoordinator, "is_unused", lambda self, packed_register, release_set: True),
         "world",
         0,
     ),
-    "words go before the file is written": (send_before_writing, "world", 1),
+    "messages are sent before the file is written": (send_before_writing, "world", 1),
     "a retired set opens again": (reopen_retired_set, "walk", 0),
 }
 
 
 @pytest.mark.parametrize("name", MISTAKES)
 def test_simulation_when_a_mistake_is_planted_then_finds_it(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    plant, where, first = MISTAKES[name]
-    plant(monkeypatch)
-    for seed in range(first, first + (6 if where == "world" else 40)):
-        if where == "world":
-            world = play_world(seed)
+    inject_mistake, simulation, first_seed = MISTAKES[name]
+    inject_mistake(monkeypatch)
+    for seed in range(first_seed, first_seed + (6 if simulation == "world" else 40)):
+        if simulation == "world":
+            world = run_faulty_world(seed)
             if world.split() or world.revived():
                 return
         elif Walk(seed, keepers=3 + 2 * (seed % 2)).run(4_000):
--- a/tests/version_pinning/test_simulated_faults.py
+++ b/tests/version_pinning/test_simulated_faults.py
@@ -1,4 +1,4 @@
-"""Workflow runs under all faults at once, and under leases that exclude nobody."""
+"""Workflow runs under all faults at once, and with leases that several controllers hold at a time."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from corallanding.lab.stewards.walk import Walk
 from corallanding.version_pinning.messages import RunStatus
 from tests.version_pinning.support import (
-    play_world,
+    run_faulty_world,
 )
 
 
-@pytest.mark.parametrize("seeds", [range(k, k + 4) for k in range(0, 16, 4)])
-def test_runs_when_all_faults_strike_then_keep_their_set_and_no_retired_set_returns(seeds: range) -> None:
+@pytest.mark.parametrize("seeds", [range(first_seed, first_seed + 4) for first_seed in range(0, 16, 4)])
+def test_runs_when_all_faults_occur_then_keep_their_set_and_no_retired_set_reopens(seeds: range) -> None:
     pinned = retired = 0
     for seed in seeds:
-        world = play_world(seed)
+        world = run_faulty_world(seed)
         assert not world.split(), seed
         assert not world.revived(), seed
         pinned += sum(row[3] == RunStatus.PINNED for row in world.told)
@@ -24,8 +24,8 @@
     assert retired >= 4
 
 
-@pytest.mark.parametrize("seeds", [range(k, k + 25) for k in range(0, 100, 25)])
-def test_runs_when_leases_exclude_nobody_then_keep_their_set(seeds: range) -> None:
+@pytest.mark.parametrize("seeds", [range(first_seed, first_seed + 25) for first_seed in range(0, 100, 25)])
+def test_runs_when_leases_overlap_then_keep_their_set(seeds: range) -> None:
     answers = 0
     for seed in seeds:
         world = Walk(seed, keepers=3 + 2 * (seed % 2))
