--- a/corallanding/lease/shard_allocator.py
+++ b/corallanding/lease/shard_allocator.py
@@ -122,9 +122,8 @@
         leases.last_round = request.round
         leases.requested_at_ms = now_ms
         leases.wanted_shards = unpack(request.wanted_shards)
-        self.last_token = max(
-            self.last_token, request.highest_token
-        )  # the next token must exceed those that resources accepted
+        # The next token must exceed those that fenced resources have accepted.
+        self.last_token = max(self.last_token, request.highest_token)
         self.settle_grants(now_ms, leases, request.applied_round, held)
         return self.grant(now_ms, key, leases, request)
 
--- a/corallanding/lease/voting.py
+++ b/corallanding/lease/voting.py
@@ -71,7 +71,7 @@
     def _may_continue(self, now_ms: float, candidate: int, request: VoteRequest) -> bool:
         """Return whether the candidate leads, or has not yet been unsuccessful for too long.
 
-        Otherwise a candidate that never receives its votes would block all other candidates forever.
+        Without this limit a candidate that never receives its votes would block all other candidates forever.
         """
         if request.is_leader:
             self.unsuccessful_since_ms.pop(candidate, None)
@@ -100,7 +100,7 @@
     started_at: float
     round: int = 0
     requested_at_ms: dict[int, float] = field(default_factory=dict)  # send times of vote requests, by round
-    votes_until: dict[int, float] = field(default_factory=dict)  # end of the validity of each vote, by voter
+    votes_until: dict[int, float] = field(default_factory=dict)  # time until which its vote is valid, by voter
     announced_token: int = 0  # highest fencing token, as announced in vote requests
     announced_tokens: dict[int, int] = field(default_factory=dict)  # token announced in the request, by round
     acknowledged_tokens: dict[int, int] = field(default_factory=dict)  # highest acknowledged token, by voter
--- a/corallanding/version_pinning/rollout.py
+++ b/corallanding/version_pinning/rollout.py
@@ -1,8 +1,8 @@
 """Rollout of releases: how the holder of the release task decides the next change of the release register.
 
 Each change is one step: a closed set without runs is retired; then the wanted set opens beside the current one, once
-some host serves it; then the old set closes, once the new one has at least its capacity or no host serves
-the old one.
+some host serves it; then the old set closes, once the new one has at least the same capacity or no host serves the old
+one.
 """
 
 from __future__ import annotations
--- a/tests/lease/support_scenes.py
+++ b/tests/lease/support_scenes.py
@@ -32,9 +32,9 @@
         return self.allocator
 
     def request(self, now_ms: float, number: int, holder: LeaseHolder | None = None) -> LeaseRequest:
-        holder_in_use = holder or self.holders[number]
-        holder_in_use.last_request_at_ms = float("-inf")
-        message = holder_in_use.next_request(now_ms, self.allocator.epoch, self.allocator.first_round)
+        chosen_holder = holder or self.holders[number]
+        chosen_holder.last_request_at_ms = float("-inf")
+        message = chosen_holder.next_request(now_ms, self.allocator.epoch, self.allocator.first_round)
         assert message
         return message
 
@@ -47,11 +47,11 @@
         self.holders[number].on_grant(now_ms, self.grant(now_ms, number, self.request(now_ms, number)))
 
     def begin_actions(self, now_ms: float, number: int, holder: LeaseHolder | None = None) -> None:
-        holder_in_use = holder or self.holders[number]
+        chosen_holder = holder or self.holders[number]
         for task in range(TASKS.count):
-            if token := holder_in_use.begin_action(now_ms, task):
+            if token := chosen_holder.begin_action(now_ms, task):
                 end_ms = now_ms + TASKS.spec(task).max_work_ms
-                self.actions.append((now_ms, end_ms, task, number, holder_in_use.incarnation, token))
+                self.actions.append((now_ms, end_ms, task, number, chosen_holder.incarnation, token))
 
     def overlaps(self) -> int:
         return int(judge(self.actions)["overlaps"])
