--- a/corallanding/scheduling/__init__.py
+++ b/corallanding/scheduling/__init__.py
@@ -1,4 +1,4 @@
-"""Scheduling of jobs that may wait: one order by aging priority at all controllers. See `docs/waiting.md`.
+"""Scheduling of deferrable jobs in one order at all controllers, by priority aging. See `docs/waiting.md`.
 
-Pure state machines: callers bring the clock, the messages and the quota.
+Pure state machines: callers supply the clock, the messages and the quota.
 """
--- a/corallanding/scheduling/actions.py
+++ b/corallanding/scheduling/actions.py
@@ -1,4 +1,4 @@
-"""What the scheduler gives out and takes in: actions, results of admission and of claims."""
+"""Types that the scheduler exchanges with its caller: actions, results of admission and of claims."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 class Dispatch:
     """The job may be sent to a host.
 
-    `effective_priority` is that of the job at this instant; `observed_peers` are the controllers whose queues were
-    taken into account.
+    `effective_priority` is the priority of the job at the time of dispatch. `observed_peers` are the controllers whose
+    queues were taken into account.
     """
 
     job: Job
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class ClaimKey:
-    """The idempotency key of the job is to be claimed; `Scheduler.on_claim_result` takes what came of it."""
+    """The idempotency key of the job must be claimed; `Scheduler.on_claim_result` takes the outcome."""
 
     job: Job
 
@@ -34,16 +34,16 @@
 
 
 class RejectionReason(StrEnum):
-    """Why a job is not admitted. The values are on the wire to proxies and labels of metrics."""
+    """Why a job is not admitted. The values are sent to proxies and are labels of metrics."""
 
-    FULL = "full"  # the controller holds as many jobs of the class as it may
-    TOO_LONG = "too-long"  # the job would wait for longer than its class allows
+    FULL = "full"  # the controller holds `max_jobs` jobs of the class
+    TOO_LONG = "too-long"  # the expected wait is longer than `max_wait_ms` of the class
 
 
 class AdmissionResult(NamedTuple):
-    """A job that was admitted, or why it was not.
+    """An admitted job, or the reason for its rejection.
 
-    `max_wait_ms` is the longest that the job will wait from now on; with `TOO_LONG` the wait that was expected.
+    `max_wait_ms` is the longest remaining wait of an admitted job; for `TOO_LONG` it is the expected wait.
     """
 
     job: Job | None
@@ -52,7 +52,7 @@
 
 
 class ClaimOutcome(Enum):
-    """What came of the claim of an idempotency key."""
+    """The outcome of a claim of an idempotency key."""
 
     GRANTED = auto()
     DUPLICATE = auto()  # another ticket owns the key
@@ -60,14 +60,14 @@
 
 
 class BlockedJob(NamedTuple):
-    """A job whose idempotency key could not be claimed; it takes part in the order again at `until_ms`."""
+    """The number of a job whose idempotency key could not be claimed. The job becomes ready again at `until_ms`."""
 
     until_ms: float
     number: int
 
 
 class TickResult(NamedTuple):
-    """What is to be done after a tick: jobs to dispatch or claim, and messages to send."""
+    """The result of a tick: jobs to dispatch, keys to claim, and messages to send."""
 
     actions: list[SchedulingAction]
     messages: list[OutgoingMessage]
--- a/corallanding/scheduling/core.py
+++ b/corallanding/scheduling/core.py
@@ -1,8 +1,8 @@
-"""The scheduler of one controller: admits jobs, and dispatches them in the order that one scheduler of all would give.
+"""The scheduler of one controller: admits jobs, and dispatches them in the order of one queue shared by the fleet.
 
-Without I/O. A job is dispatched when no job that waits elsewhere has a higher effective priority, by the last
-summaries, and a permit of the fleet's quota is free. A controller whose jobs rank lower asks for no permits, so that
-they are where the highest priority waits.
+No I/O. A job is dispatched when, by the last summaries, no job queued at another controller has a higher effective
+priority, and a permit of the fleet's quota is available. A controller whose jobs rank lower requests no permits, so
+that they go to the controllers with the jobs of the highest priority.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 from .peer_queues import PeerQueues
 from .queue import Job, JobQueue, JobState
 
-DEFAULT_MESSAGES_PER_SECOND = 200.0  # that one other controller may send
+DEFAULT_MESSAGES_PER_SECOND = 200.0  # accepted from one peer
 
 
 class Scheduler:
-    """Jobs that wait at this controller, and what it knows of those elsewhere.
+    """The jobs queued at this controller, and the last summaries of the other controllers' queues.
 
-    `job_classes` stand in an order that all controllers share. `take_permit` takes one permit to dispatch, if there is
-    one. `set_demand` states how many permits a second would be used here.
+    `job_classes` are in the same order at all controllers. `take_permit` takes one permit to dispatch and returns false
+    if none is available. `set_demand` reports how many permits per second this controller would use.
     """
 
     def __init__(
@@ -57,20 +57,20 @@
         self.queue = JobQueue(job_classes, limits.retirement_boost)
         self.peer_queues = PeerQueues(job_classes, limits.retirement_boost, limits.peer_timeout_ms)
         self.rate_limits = PeerRateLimiter(peers, messages_per_second, started_at_ms)
-        self.tickets: dict[tuple[int, int], Job] = {}  # by proxy and its ticket
+        self.tickets: dict[tuple[int, int], Job] = {}  # by proxy and ticket
         self.claims_in_flight = 0
         self.blocked: deque[BlockedJob] = deque()
         self.round = 0
         self.announced_at_ms = float("-inf")
-        self.starved_since_ms: float | None = None  # since when a job could have gone and there was no permit
-        self.is_starved = False  # as last announced: the others do not wait for the jobs here
+        self.starved_since_ms: float | None = None  # since when jobs lack a permit; None if they do not
+        self.is_starved = False  # as last announced: if true, peers do not wait for the jobs here
         self.order_slack = limits.order_slack(job_classes)
         self.dispatched_count = 0
         self.rejected_count = 0
         self.longest_wait_ms = 0.0
 
     def expected_wait_ms(self, now_ms: float, alive_peers: Iterable[int]) -> float:
-        """How long a new job waits at most, if all jobs that wait anywhere go before it and none fails."""
+        """Return the longest wait of a new job, if all jobs of the fleet go before it and none fails."""
         jobs = len(self.queue.jobs) + self.peer_queues.total_jobs(now_ms, alive_peers) + 1
         return jobs / self.limits.dispatches_per_second * 1000.0
 
@@ -87,7 +87,7 @@
     ) -> AdmissionResult:
         """Queue a job, or reject it.
 
-        A queued ticket is the same job and keeps its age. A job that waited elsewhere is not rejected as too long.
+        A queued ticket is the same job and keeps its age. A job that has waited elsewhere is not rejected as too long.
         """
         job_class = self.job_classes[class_number]
         queued = self.tickets.get((proxy, ticket))
@@ -107,7 +107,7 @@
         return AdmissionResult(job, None, max(job_class.max_wait_ms - waited_ms, 0.0))
 
     def remove(self, proxy: int, ticket: int, *, is_abandoned: bool = False) -> Job | None:
-        """Take a job out of the queue; `is_abandoned` if its client gave it up."""
+        """Remove a job from the queue and return it; None if there is none. `is_abandoned`: its client gave it up."""
         job = self.tickets.pop((proxy, ticket), None)
         if job is not None:
             job.is_abandoned = is_abandoned
@@ -116,12 +116,12 @@
         return job
 
     def on_proxy_left(self, proxy: int) -> None:
-        """Remove the jobs of a proxy: it hands them to another controller, with their ages."""
+        """Remove the jobs of a proxy, which submits them to another controller with their ages."""
         for ticket in [ticket for owner, ticket in self.tickets if owner == proxy]:
             self.remove(proxy, ticket)
 
     def set_waiting_since(self, job: Job, waiting_since_ms: float) -> None:
-        """Let a job be as old as that, if it was younger: its client brought it before, elsewhere."""
+        """Move the start of a job's wait back to that time: its client submitted it earlier at another controller."""
         if waiting_since_ms < job.waiting_since_ms and self._is_queued(job):
             state = job.state
             self.queue.make_unready(job, state)
@@ -130,14 +130,14 @@
                 self.queue.make_ready(job)
 
     def on_set_change(self, class_number: int, release_set: int, *, is_served: bool, is_boosted: bool) -> None:
-        """Tell jobs of a class and release set whether a host serves them and whether they hold up its retirement."""
+        """Update jobs of a class and release set: whether a host serves it, and whether they delay its retirement."""
         for number in list(self.queue.jobs_by_set.get(release_set, ())):
             job = self.queue.jobs[number]
             if job.job_class == class_number:
                 self.queue.on_set_change(job, is_served=is_served, is_boosted=is_boosted)
 
     def tick(self, now_ms: float, alive_peers: Iterable[int]) -> TickResult:
-        """Dispatch what may go, and announce the queue when it is due; call it every 50 ms or so.
+        """Dispatch the jobs that may be sent, and announce the queue when that is due. Called about every 50 ms.
 
         `alive_peers` are the controllers that the membership counts as alive.
         """
@@ -152,10 +152,10 @@
         return TickResult(actions, self._announce(now_ms, priorities))
 
     def dispatch_ready(self, now_ms: float, alive_peers: list[int]) -> list[SchedulingAction]:
-        """Dispatch jobs in order while they are above the watermark and permits are free.
+        """Dispatch jobs in order while they are above the watermark and permits are available.
 
-        Idempotency keys are claimed before a permit is taken: one that waits for an answer would be lost to jobs that
-        need none.
+        Idempotency keys are claimed before a permit is taken: a permit held while a claim is pending could not be used
+        by jobs without a key.
         """
         self._unblock(now_ms)
         actions: list[SchedulingAction] = []
@@ -183,21 +183,21 @@
         return actions
 
     def _unblock(self, now_ms: float) -> None:
-        """Let jobs take part in the order again whose key could not be claimed a while ago."""
+        """Make jobs ready again whose `blocked_ms` after an unsuccessful claim have passed."""
         while self.blocked and self.blocked[0].until_ms <= now_ms:
             job = self.queue.jobs.get(self.blocked.popleft().number)
             if job is not None and job.state is JobState.BLOCKED:
                 self.queue.make_ready(job)
 
     def dispatch(self, now_ms: float, job: Job, effective_priority: float, observed_peers: tuple[int, ...]) -> Dispatch:
-        """Take the job out of the queue to be sent."""
+        """Remove the job from the queue and return the action that sends it."""
         self.remove(job.proxy, job.ticket)
         self.dispatched_count += 1
         self.longest_wait_ms = max(self.longest_wait_ms, now_ms - job.waiting_since_ms)
         return Dispatch(job, effective_priority, observed_peers)
 
     def start_claim(self, job: Job) -> ClaimKey | None:
-        """Begin to claim the idempotency key of a job; None if the job is gone or its claim is out already."""
+        """Begin to claim the idempotency key of a job; return None if it is not queued or its claim is in flight."""
         if not self._is_queued(job) or job.state is JobState.CLAIMING:
             return None
         self.queue.make_unready(job, JobState.CLAIMING)
@@ -205,11 +205,11 @@
         return ClaimKey(job)
 
     def on_claim_result(self, now_ms: float, job: Job, outcome: ClaimOutcome) -> bool:
-        """Take the answer to a claim; True if the claim must be given back.
+        """Handle the outcome of a claim; return True if the claim must be released.
 
-        It must only where the client gave the job up. A job whose proxy was lost is handed to another controller, which
-        is granted the same claim and may have dispatched the job. A job with an unknown outcome stands aside for a
-        while, so that others can go.
+        It must be released only if the client abandoned the job. A job whose proxy was lost is submitted to another
+        controller, which is granted the same claim and may have dispatched the job. A job with an unknown outcome is
+        blocked for `blocked_ms`, so that others can be dispatched.
         """
         if not self._is_queued(job) or job.state is not JobState.CLAIMING:
             return outcome is ClaimOutcome.GRANTED and job.is_abandoned
@@ -229,7 +229,7 @@
         return self.tickets.get((job.proxy, job.ticket)) is job
 
     def _announce(self, now_ms: float, priorities: list[float]) -> list[OutgoingMessage]:
-        """Tell the peers what waits here and could go; a controller long without permits announces no jobs."""
+        """Return summaries of the ready jobs for all peers; after `blocked_ms` without a permit they list no jobs."""
         self.announced_at_ms = now_ms
         self.round += 1
         starved_since_ms = self.starved_since_ms
@@ -243,7 +243,7 @@
         return [OutgoingMessage(peer, summary) for peer in self.peers]
 
     def on_summary(self, now_ms: float, sender: int, summary: QueueSummary) -> None:
-        """Take the summary of another controller, within the rate that it may send."""
+        """Store the summary of another controller, unless it exceeds its message rate."""
         if self.rate_limits.try_take(sender, now_ms):
             self.peer_queues.on_summary(now_ms, sender, summary)
         else:
--- a/corallanding/scheduling/limits.py
+++ b/corallanding/scheduling/limits.py
@@ -1,4 +1,4 @@
-"""How jobs of each class age, and limits of scheduling."""
+"""Priority aging of each job class, and limits of scheduling."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @dataclass(frozen=True)
 class JobClass:
-    """A request class whose requests may wait.
+    """A request class whose requests may be deferred.
 
-    A job begins with `priority` and gains one for every `aging_interval_ms` of waiting. It shall not wait for longer
-    than `max_wait_ms`. One controller holds at most `max_jobs` jobs of the class.
+    A job begins with `priority` and gains 1 for every `aging_interval_ms` of waiting. A job that has waited for
+    `max_wait_ms` is overdue. One controller holds at most `max_jobs` jobs of the class.
     """
 
     name: str
@@ -23,7 +23,7 @@
     max_jobs: int = 100_000
 
     def effective_priority(self, waited_ms: float, boost: float = 0.0) -> float:
-        """The priority after `waited_ms`; overdue jobs go before all others, the oldest first."""
+        """Return the priority after `waited_ms`; overdue jobs go before all others, the oldest first."""
         aged = self.priority + boost + max(0.0, waited_ms) / self.aging_interval_ms
         return aged + (OVERDUE_PRIORITY if waited_ms >= self.max_wait_ms else 0.0)
 
@@ -32,12 +32,12 @@
 class SchedulingLimits:
     """Limits of scheduling; the same at all controllers.
 
-    A controller sends a summary of its queue every `announce_interval_ms`; one without a summary for `peer_timeout_ms`
-    is not waited for. A job may go before another one elsewhere whose priority is higher by up to `order_slack_ms` of
-    waiting. For `blocked_ms` a controller without permits still holds up the others, and a job whose idempotency key
-    could not be claimed stands aside. Jobs whose run keeps a release set from retirement gain `retirement_boost`
-    priorities. The fleet dispatches `dispatches_per_second`; one controller at most `max_dispatches_per_tick`, with
-    `max_claims_in_flight` claims that are not answered.
+    A controller sends a summary of its queue every `announce_interval_ms`; a peer that sent none for `peer_timeout_ms`
+    is not waited for. A job may be dispatched before one at another controller whose priority is higher by up to
+    `order_slack_ms` of waiting. For `blocked_ms` the jobs of a controller without permits still delay those of others,
+    and a job whose idempotency key could not be claimed is blocked. Jobs of a workflow run that keeps a release set
+    from retirement gain `retirement_boost` in priority. The fleet dispatches `dispatches_per_second`; one controller at
+    most `max_dispatches_per_tick`, with `max_claims_in_flight` unanswered claims.
     """
 
     announce_interval_ms: float = 100.0
@@ -50,6 +50,6 @@
     max_claims_in_flight: int = 256
 
     def order_slack(self, job_classes: Iterable[JobClass]) -> float:
-        """`order_slack_ms` in priorities, by the class that ages fastest."""
+        """Return `order_slack_ms` as a difference in priority, by the class that ages fastest."""
         min_aging_interval_ms = min((job_class.aging_interval_ms for job_class in job_classes), default=1.0)
         return self.order_slack_ms / min_aging_interval_ms
--- a/corallanding/scheduling/messages.py
+++ b/corallanding/scheduling/messages.py
@@ -1,4 +1,4 @@
-"""The message between controllers on queued jobs: a msgpack array within one datagram."""
+"""The message between controllers that summarizes queued jobs: a msgpack array within one datagram."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 from ..wire.peer_messages import ControllerMessage, has_valid_header
 
-MAX_ROWS = 10  # groups of jobs in one summary
-MAX_LEVELS = 12  # priorities in one summary: those of the first 2**11 jobs
+MAX_ROWS = 10  # groups in one summary
+MAX_LEVELS = 12  # priority levels in one summary; they cover the first 2**11 jobs
 LEVELS_PER_PRIORITY = 1_000.0  # priorities are sent in thousandths
-LEVEL_RANKS = tuple(2**exponent - 1 for exponent in range(MAX_LEVELS))  # of the jobs whose priorities are sent
+LEVEL_RANKS = tuple(2**exponent - 1 for exponent in range(MAX_LEVELS))  # indexes of the jobs whose priorities are sent
 
 GROUP_LIMIT = 1 << 12
 COUNT_LIMIT = 1 << 40
@@ -21,7 +21,7 @@
 
 
 class QueueRow(NamedTuple):
-    """The ready jobs of one group, see `group_of`. `oldest_waited_ms` is how long the oldest of them has waited."""
+    """The ready jobs of one group (see `group_of`). `oldest_waited_ms` is the time that the oldest has waited."""
 
     group: int
     oldest_waited_ms: int
@@ -29,9 +29,9 @@
 
 
 class QueueSummary(ControllerMessage, frozen=True, array_like=True, tag=41):
-    """What waits at a controller.
+    """A summary of the queue of a controller.
 
-    `groups` are those with ready jobs, the highest effective priority first. `priority_levels` are the priorities, in
+    `groups` have ready jobs, the highest effective priority first. `priority_levels` are the priorities, in
     thousandths, of the first, second, fourth, eighth ... ready job. `job_count` counts all jobs, ready or not.
     """
 
@@ -41,27 +41,27 @@
 
 
 def group_of(job_class: int, is_boosted: bool) -> int:
-    """The group of jobs that age alike: those of one class, apart by whether they have the retirement boost."""
+    """Return the group of jobs that age alike: one class, with or without the retirement boost."""
     return job_class * 2 + is_boosted
 
 
 def class_of_group(group: int) -> int:
-    """The job class of a group."""
+    """Return the job class of a group."""
     return group // 2
 
 
 def is_boosted_group(group: int) -> bool:
-    """Whether jobs of the group have the retirement boost."""
+    """Return whether jobs of the group have the retirement boost."""
     return bool(group & 1)
 
 
 def sample_levels(priorities: Sequence[float]) -> list[int]:
-    """The `QueueSummary.priority_levels` of jobs whose priorities are given in descending order."""
+    """Return `QueueSummary.priority_levels` of jobs; `priorities` are in descending order."""
     return [int(priorities[rank] * LEVELS_PER_PRIORITY) for rank in LEVEL_RANKS if rank < len(priorities)]
 
 
 def is_valid(message: QueueSummary) -> bool:
-    """Whether the fields of a message lie within what a correct controller sends."""
+    """Return whether all fields of a message are within the bounds of what a correct controller sends."""
     if not has_valid_header(message):
         return False
     if not 0 <= message.job_count < COUNT_LIMIT:
--- a/corallanding/scheduling/peer_queues.py
+++ b/corallanding/scheduling/peer_queues.py
@@ -1,4 +1,4 @@
-"""The queues of the other controllers, as their last summaries tell."""
+"""The queues of the other controllers, by their last summaries."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 class PeerQueues:
     """The queues of all other controllers.
 
-    What was in a summary is taken to have aged on this controller's clock since then: it is behind by the time that the
-    message took, and ahead by no more than the drift of the clocks. A controller without a summary for
-    `peer_timeout_ms` is left out.
+    The jobs of a summary age on this controller's clock from its arrival: their ages are too low by the transit time of
+    the message, and too high by at most the drift of the clocks. A controller without a summary for `peer_timeout_ms`
+    is ignored.
     """
 
     def __init__(self, job_classes: Sequence[JobClass], retirement_boost: float, peer_timeout_ms: float) -> None:
@@ -40,7 +40,7 @@
         self.rejected_count = 0
 
     def on_summary(self, now_ms: float, sender: int, summary: QueueSummary) -> None:
-        """Take a summary; one that is older than the last is passed over, one with other job classes is rejected."""
+        """Store a summary; one that is older than the last is ignored, one with unknown job classes is rejected."""
         if any(class_of_group(group) >= len(self.job_classes) for group, _, _ in summary.groups):
             self.rejected_count += 1
             return
@@ -56,7 +56,7 @@
             )
 
     def observed_peers(self, now_ms: float, alive_peers: Iterable[int]) -> list[int]:
-        """The controllers that are waited for: alive, and with a recent summary."""
+        """Return the controllers whose jobs are taken into account: alive, and with a recent summary."""
         return [peer for peer in alive_peers if self._is_recent(now_ms, peer)]
 
     def _is_recent(self, now_ms: float, peer: int) -> bool:
@@ -64,7 +64,7 @@
         return queue is not None and now_ms - queue.received_at_ms <= self.peer_timeout_ms
 
     def watermark(self, now_ms: float, alive_peers: Iterable[int]) -> float:
-        """The highest effective priority that waits at another controller; `NO_PRIORITY` if none does."""
+        """Return the highest effective priority queued at another controller; `NO_PRIORITY` if there is none."""
         queues = [self.by_peer[peer] for peer in self.observed_peers(now_ms, alive_peers)]
         return max(
             (self.effective_priority(now_ms, queue, row) for queue in queues for row in queue.groups),
@@ -72,21 +72,21 @@
         )
 
     def effective_priority(self, now_ms: float, queue: PeerQueue, row: QueueRow) -> float:
-        """The priority of the oldest job of a group, as it has aged until now."""
+        """Return the current priority of the oldest job of a group."""
         group, waited_ms, _ = row
         boost = self.retirement_boost if is_boosted_group(group) else 0.0
         job_class = self.job_classes[class_of_group(group)]
         return job_class.effective_priority(waited_ms + now_ms - queue.received_at_ms, boost)
 
     def own_share(self, now_ms: float, alive_peers: Iterable[int], own_priorities: Sequence[float], count: int) -> int:
-        """How many of the next `count` jobs of the fleet wait here.
+        """Return how many of the next `count` jobs of the fleet are queued at this controller.
 
-        `own_priorities` are the highest ones of this controller, descending.
+        `own_priorities` are the highest priorities at this controller, in descending order.
         """
         levels_of_peers = [self.by_peer[peer].priority_levels for peer in self.observed_peers(now_ms, alive_peers)]
 
         def rank_in_fleet(own_rank: int) -> float:
-            """About how many jobs of the fleet go up to this controller's `own_rank`-th, itself included."""
+            """Estimate the rank in the fleet of this controller's `own_rank`-th job."""
             level = own_priorities[own_rank - 1] * LEVELS_PER_PRIORITY
             return own_rank + sum(estimate_jobs_above(levels, level) for levels in levels_of_peers)
 
@@ -94,14 +94,14 @@
         return max(min(1, len(own_priorities)), bisect_right(own_ranks, float(count), key=rank_in_fleet))
 
     def total_jobs(self, now_ms: float, alive_peers: Iterable[int]) -> int:
-        """How many jobs the observed controllers have."""
+        """Return the number of jobs that the observed controllers have."""
         return sum(self.by_peer[peer].job_count for peer in self.observed_peers(now_ms, alive_peers))
 
 
 def estimate_jobs_above(levels: Sequence[int], level: float) -> float:
-    """About how many jobs have a priority above `level`.
+    """Estimate the number of jobs with a priority above `level`.
 
-    `levels` are the priorities of the first, second, fourth, eighth ... job; between two of them jobs are taken to be
+    `levels` are the priorities of the first, second, fourth, eighth ... job. Jobs between two of them are assumed to be
     spread evenly.
     """
     levels_above = sum(other > level for other in levels)
--- a/corallanding/scheduling/queue.py
+++ b/corallanding/scheduling/queue.py
@@ -1,4 +1,4 @@
-"""The queue of one controller: jobs by group. All jobs of a group age alike, so that their order never changes."""
+"""The queue of one controller, by group. All jobs of a group age alike, so their order never changes."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
     """Whether a job may be dispatched."""
 
     READY = auto()
-    BLOCKED = auto()  # no host serves its version, or its idempotency key could not be claimed
-    CLAIMING = auto()  # the claim of its idempotency key is not answered yet
+    BLOCKED = auto()  # no host serves its release set, or its idempotency key could not be claimed
+    CLAIMING = auto()  # the claim of its idempotency key is in flight
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A request that waits at a proxy.
+    """A deferred request, held by a proxy until it is dispatched.
 
     `ticket` is the proxy's number for it. `waiting_since_ms` is when it began to wait, at any controller, on this
-    controller's clock. `idempotency_key` is the number of its key, `release_set` the set that its run is pinned to; 0
-    stands for none. A job with `has_claim` owns its idempotency key; one that `is_abandoned` was given up by its
-    client. `heap_entry` numbers its valid entry in the heap of its group; older entries are passed over.
+    controller's clock. `idempotency_key` is the number of its key, `release_set` the set that its workflow run is
+    pinned to; 0 means none. `has_claim`: the job owns its idempotency key. `is_abandoned`: its client gave it up.
+    `heap_entry` is the number of its valid entry in the heap of its group; entries with lower numbers are ignored.
     """
 
     number: int
@@ -45,7 +45,7 @@
 
     @property
     def group(self) -> int:
-        """The group of jobs that age as this one does."""
+        """The group of jobs that age like this one."""
         return group_of(self.job_class, self.is_boosted)
 
 
@@ -56,13 +56,13 @@
     job: Job
 
 
-# A job in the heap of its group, the oldest first: since when it waits, its number, its `heap_entry` at that time.
+# A job in the heap of its group, the oldest first: `waiting_since_ms`, its number, its `heap_entry` at that time.
 # A plain tuple, which the garbage collector does not track: there may be a million of them.
 HeapEntry = tuple[float, int, int]
 
 
 class JobQueue:
-    """Jobs of all classes; `job_classes` are in the order of their numbers, the same at all controllers."""
+    """Jobs of all classes. `job_classes` are in the order of their numbers, which are the same at all controllers."""
 
     def __init__(self, job_classes: Sequence[JobClass], retirement_boost: float) -> None:
         self.job_classes = job_classes
@@ -75,7 +75,7 @@
         self.last_number = 0
 
     def add(self, job: Job) -> Job:
-        """Add a job and give it its number."""
+        """Add a job, assign its number, and return it."""
         self.last_number += 1
         job.number = self.last_number
         self.jobs[job.number] = job
@@ -87,7 +87,7 @@
         return job
 
     def make_ready(self, job: Job) -> None:
-        """Let a job take part in the order."""
+        """Mark a job as ready, and push it to the heap of its group."""
         job.state = JobState.READY
         job.heap_entry += 1
         group = job.group
@@ -95,14 +95,14 @@
         self.ready_counts[group] = self.ready_counts.get(group, 0) + 1
 
     def make_unready(self, job: Job, state: JobState) -> None:
-        """Take a job out of the order; its heap entry is passed over when it comes up."""
+        """Set another state than ready; the heap entry of the job becomes invalid and is removed later."""
         if job.state is JobState.READY:
             self.ready_counts[job.group] -= 1
             job.heap_entry += 1
         job.state = state
 
     def remove(self, job: Job) -> None:
-        """Remove a job; one that is not in the queue any more is left alone."""
+        """Remove a job; do nothing if it is not in the queue."""
         self.make_unready(job, JobState.BLOCKED)
         if self.jobs.pop(job.number, None) is None:
             return
@@ -114,9 +114,9 @@
                 del self.jobs_by_set[job.release_set]
 
     def on_set_change(self, job: Job, *, is_served: bool, is_boosted: bool) -> None:
-        """Block the job unless a host serves its version, and give or take its retirement boost.
+        """Make the job ready if a host serves its release set, else blocked; set its retirement boost.
 
-        A job whose claim is not answered yet stays as it is.
+        A job whose claim is in flight stays as it is.
         """
         is_ready = job.state is JobState.READY
         if job.state is JobState.CLAIMING or (is_ready == is_served and job.is_boosted == is_boosted):
@@ -127,7 +127,7 @@
             self.make_ready(job)
 
     def oldest_ready(self, group: int) -> Job | None:
-        """The ready job of the group that has waited longest."""
+        """Return the ready job of the group that has waited longest; remove invalid heap entries before it."""
         heap = self.heaps.get(group, [])
         while heap:
             job = self._ready_job(heap[0])
@@ -137,7 +137,7 @@
         return None
 
     def _ready_job(self, entry: HeapEntry) -> Job | None:
-        """The job of a heap entry, unless the entry is void."""
+        """Return the job of a heap entry; None if the entry is invalid."""
         _, number, heap_entry = entry
         job = self.jobs.get(number)
         if job is not None and job.heap_entry == heap_entry and job.state is JobState.READY:
@@ -145,19 +145,19 @@
         return None
 
     def effective_priority(self, now_ms: float, job: Job) -> float:
-        """The priority of a job as it has aged until now."""
+        """Return the current priority of a job."""
         boost = self.retirement_boost if job.is_boosted else 0.0
         return self.job_classes[job.job_class].effective_priority(now_ms - job.waiting_since_ms, boost)
 
     def oldest_by_group(self, now_ms: float) -> Iterator[RankedJob]:
-        """The oldest ready job of each group."""
+        """Yield the oldest ready job of each group."""
         for group in self.heaps:
             job = self.oldest_ready(group)
             if job is not None:
                 yield RankedJob(self.effective_priority(now_ms, job), job)
 
     def highest(self, now_ms: float) -> RankedJob | None:
-        """The ready job that goes next; of two with the same priority the older one."""
+        """Return the ready job with the highest priority; of two with the same priority the older one."""
         return max(
             self.oldest_by_group(now_ms),
             key=lambda ranked: (ranked.effective_priority, -ranked.job.waiting_since_ms, -ranked.job.number),
@@ -165,7 +165,7 @@
         )
 
     def highest_priorities(self, now_ms: float, max_count: int) -> list[float]:
-        """The highest effective priorities of ready jobs, descending; the queue stays as it is."""
+        """Return the highest effective priorities of ready jobs in descending order; no job is removed."""
         found: list[float] = []
         for group in self.heaps:
             if self.oldest_ready(group) is not None:
@@ -173,22 +173,22 @@
         return sorted(found, reverse=True)[:max_count]
 
     def _oldest_jobs(self, group: int, max_count: int) -> list[Job]:
-        """The oldest ready jobs of a group, in order: walks its heap from the root without changing it."""
+        """Return the oldest ready jobs of a group in order, by a walk of its heap that does not change it."""
         heap = self.heaps[group]
-        frontier = [(heap[0], 0)]  # entries whose parents were visited, and their places in the heap
+        frontier = [(heap[0], 0)]  # entries whose parents were visited, with their heap indexes
         jobs: list[Job] = []
         while frontier and len(jobs) < max_count:
-            entry, place = heappop(frontier)
+            entry, index = heappop(frontier)
             job = self._ready_job(entry)
             if job is not None:
                 jobs.append(job)
-            for child in (2 * place + 1, 2 * place + 2):
+            for child in (2 * index + 1, 2 * index + 2):
                 if child < len(heap):
                     heappush(frontier, (heap[child], child))
         return jobs
 
     def summarize(self, now_ms: float, max_rows: int) -> list[QueueRow]:
-        """The groups with ready jobs as peers are told of them, the highest effective priority first."""
+        """Return the rows of a summary, one for each group with ready jobs, the highest effective priority first."""
         oldest = sorted(self.oldest_by_group(now_ms), key=lambda ranked: -ranked.effective_priority)[:max_rows]
         return [
             QueueRow(job.group, int(max(0.0, now_ms - job.waiting_since_ms)), self.ready_counts[job.group])
--- a/corallanding/scheduling/status.py
+++ b/corallanding/scheduling/status.py
@@ -1,4 +1,4 @@
-"""Queued jobs as the status page shows them."""
+"""The section of the status page on queued jobs."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def scheduler_status(scheduler: Scheduler, now_ms: float, alive_peers: Iterable[int]) -> dict[str, Any]:
-    """The part `waiting` of the status page; its keys are an interface for operators."""
+    """Return the section `waiting` of the status page. Its keys are an interface for operators."""
     alive_peers = [peer for peer in alive_peers if peer in scheduler.peers]
     queue = scheduler.queue
     peer_queues = scheduler.peer_queues
@@ -33,7 +33,7 @@
 
 
 def oldest_by_class(scheduler: Scheduler, now_ms: float) -> dict[str, float]:
-    """How long the oldest ready job of each class has waited, in ms."""
+    """Return the time in ms that the oldest ready job of each class has waited, by the name of the class."""
     oldest_ms: dict[str, float] = {}
     for _, job in scheduler.queue.oldest_by_group(now_ms):
         name = scheduler.job_classes[job.job_class].name
