--- a/corallanding/quota/__init__.py
+++ b/corallanding/quota/__init__.py
@@ -1,4 +1,4 @@
-"""Budgets of all controllers together, shared among them by demand, as Doorman does. No I/O. See docs/budgets.md."""
+"""Quotas of the fleet, shared among all controllers by demand, as in Doorman. No I/O. See docs/budgets.md."""
 
 from ..lease.messages import VoteRelease, VoteReply, VoteRequest
 from ..lease.voting import Candidate, Voter
--- a/corallanding/quota/core.py
+++ b/corallanding/quota/core.py
@@ -1,4 +1,4 @@
-"""Quotas of one controller: its client, its vote in the election, and the allocator while it leads. No I/O."""
+"""Quotas of one controller: its client, its part in the leader election, and the allocator while it leads. No I/O."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 @dataclass
 class QuotaManager:
-    """The quotas of one controller. All times in ms by one clock.
+    """The quotas of one controller. All times are in ms on its clock.
 
-    me, others, voters: numbers of controllers. budgets: by name, as configured. incarnation: drawn at the start.
-    shared_election: a leader election on which others rest too; whoever made it ticks it and hands it its messages.
-    Without one, this class holds an election of its own.
+    me, others, voters: numbers of controllers. budgets: by name, as configured. incarnation: drawn at random at start.
+    shared_election: a leader election that other components use too; its creator ticks it and passes it its messages.
+    If None, this class runs an election of its own.
     """
 
     me: int
@@ -34,8 +34,8 @@
     incarnation: int
     created_at_ms: float
     chance: Callable[[], float]
-    rejected_count: int = 0  # messages of unknown senders, or beyond a sender's rate
-    words_per_s: float = 200.0  # taken from one sender
+    rejected_count: int = 0  # messages of unknown senders, and those over a sender's rate
+    words_per_s: float = 200.0  # messages accepted from one sender
     shared_election: LeaderElection | None = None
 
     def __post_init__(self) -> None:
@@ -55,99 +55,99 @@
         )
         self.allocator = QuotaAllocator(self.limits, self.budgets_by_id, self.incarnation)
 
-    # ---- asked at the instant of a use ---------------------------------------------------------------------
+    # ---- acquiring units -----------------------------------------------------------------------------------
 
-    def available(self, now: float, name: str, subject: int = 0) -> float:
-        """How many units may be acquired now; infinity if there is no such budget."""
+    def available(self, now_ms: float, name: str, subject: int = 0) -> float:
+        """Return how many units may be acquired now; infinity if there is no such budget."""
         budget = self.budgets.get(name)
-        return float("inf") if budget is None else self.client.available(now, budget, subject)
+        return float("inf") if budget is None else self.client.available(now_ms, budget, subject)
 
-    def acquire(self, now: float, name: str, subject: int = 0, count: int = 1) -> bool:
-        """Acquire units if so many are available; always true if there is no such budget."""
+    def acquire(self, now_ms: float, name: str, subject: int = 0, count: int = 1) -> bool:
+        """Acquire `count` units and return true, if so many are available; always true if there is no such budget."""
         budget = self.budgets.get(name)
-        return budget is None or self.client.acquire(now, budget, subject, count)
+        return budget is None or self.client.acquire(now_ms, budget, subject, count)
 
-    def record_demand(self, now: float, name: str, subject: int = 0, count: int = 1) -> None:
-        """Count units that would be used, so that they are requested."""
+    def record_demand(self, now_ms: float, name: str, subject: int = 0, count: int = 1) -> None:
+        """Add units to the demand without acquiring them, so that they are requested."""
         if budget := self.budgets.get(name):
-            self.client.record_unmet(now, budget, subject, count)
+            self.client.record_unmet(now_ms, budget, subject, count)
 
-    def set_demand(self, now: float, name: str, count: int, subject: int = 0) -> None:
-        """State how many units would be in use at once; what is not in use or requested yet is added to the demand."""
+    def set_demand(self, now_ms: float, name: str, count: int, subject: int = 0) -> None:
+        """Raise the demand to `count` units in use at once; units in use and unmet demand count towards it."""
         budget = self.budgets[name]
-        if account := self.client.account(now, budget, subject):
-            known = account.uses.count(now) + account.unmet.count(now)
+        if account := self.client.account(now_ms, budget, subject):
+            known = account.uses.count(now_ms) + account.unmet.count(now_ms)
             if count > known:
-                self.client.record_unmet(now, budget, subject, count - known)
+                self.client.record_unmet(now_ms, budget, subject, count - known)
 
     # ---- time and messages ---------------------------------------------------------------------------------
 
-    def is_allocating(self, now: float) -> bool:
-        """Whether this controller allocates at this instant. Each new term begins with empty ledgers."""
-        term = self.election.term if self.election.is_leader(now) else None
+    def is_allocating(self, now_ms: float) -> bool:
+        """Return whether this controller allocates at this instant. Each new term begins with empty ledgers."""
+        term = self.election.term if self.election.is_leader(now_ms) else None
         if term is None:
             self.allocator.started_at_ms = None
             return False
-        began_at_ms, first_round = term
-        if self.allocator.started_at_ms is None or self.allocator.started_at_ms < began_at_ms:
+        leader_since_ms, first_round = term
+        if self.allocator.started_at_ms is None or self.allocator.started_at_ms < leader_since_ms:
             self.allocator.incarnation = self.election.epoch
-            self.allocator.begin_term(now, first_round)
+            self.allocator.begin_term(now_ms, first_round)
         return True
 
-    def tick(self, now: float, alive: Iterable[int]) -> list[OutgoingMessage]:
-        """Messages that are due; called every 50 ms or so. alive: controllers that the membership counts on."""
+    def tick(self, now_ms: float, alive: Iterable[int]) -> list[OutgoingMessage]:
+        """Return messages that are due. Called about every 50 ms. alive: controllers that are alive by the membership."""
         messages: list[OutgoingMessage] = []
-        self.is_allocating(now)
+        self.is_allocating(now_ms)
         for budget in self.budgets.values():
             if budget.scope == BudgetScope.FLEET and budget.shared_capacity > 0:
-                self.client.account(now, budget, 0)
+                self.client.account(now_ms, budget, 0)
         if not self.has_shared_election:
-            messages += self.election.tick(now, alive)
-            self.is_allocating(now)
-        return messages + self.request_capacity(now)
+            messages += self.election.tick(now_ms, alive)
+            self.is_allocating(now_ms)
+        return messages + self.request_capacity(now_ms)
 
-    def request_capacity(self, now: float) -> list[OutgoingMessage]:
-        """Requests that are due, to the leader; those to this controller itself are answered here."""
+    def request_capacity(self, now_ms: float) -> list[OutgoingMessage]:
+        """Return requests to the leader that are due; if this controller leads, it answers them itself."""
         messages: list[OutgoingMessage] = []
         leader, epoch, first_round = self.election.leader
-        for request in self.client.due_requests(now, epoch, first_round):
+        for request in self.client.due_requests(now_ms, epoch, first_round):
             if leader is None:
-                continue  # the client asks again
+                continue  # the client requests again later
             if leader != self.me:
                 messages.append(OutgoingMessage(leader, request))
-            elif self.is_allocating(now):
-                self.client.on_grant(now, self.allocator.on_request(now, self.me, request))
+            elif self.is_allocating(now_ms):
+                self.client.on_grant(now_ms, self.allocator.on_request(now_ms, self.me, request))
         return messages
 
-    def on_message(self, now: float, sender: int, message: QuotaMessage) -> list[OutgoingMessage]:
-        """Take a message of a known controller, and return the answers."""
+    def on_message(self, now_ms: float, sender: int, message: QuotaMessage) -> list[OutgoingMessage]:
+        """Handle a message of another controller, and return the answers."""
         if isinstance(message, VoteRequest | VoteReply | VoteRelease):
-            answers = self.election.on_message(now, sender, message)
-            self.is_allocating(now)
+            answers = self.election.on_message(now_ms, sender, message)
+            self.is_allocating(now_ms)
             return answers
-        if not self.rate_limiter.try_take(sender, now):
+        if not self.rate_limiter.try_take(sender, now_ms):
             self.rejected_count += 1
             return []
         match message:
             case CapacityRequest():
-                if self.is_allocating(now):
-                    return [OutgoingMessage(sender, self.allocator.on_request(now, sender, message))]
+                if self.is_allocating(now_ms):
+                    return [OutgoingMessage(sender, self.allocator.on_request(now_ms, sender, message))]
             case CapacityGrant():
-                if self.client.on_grant(now, message):
-                    return self.request_capacity(now)
+                if self.client.on_grant(now_ms, message):
+                    return self.request_capacity(now_ms)
         return []
 
     def resize(self, capacities: dict[str, int]) -> None:
-        """Set new capacities. What is granted beyond a smaller one expires and is not renewed."""
+        """Set new capacities, by the budget's name. Grants beyond a reduced capacity expire and are not renewed."""
         for name, capacity in capacities.items():
             budget = replace(self.budgets[name], capacity=capacity)
             self.budgets[name] = budget
             self.budgets_by_id[budget.id] = budget
 
-    def leave(self, now: float) -> list[OutgoingMessage]:
-        """Messages of a graceful shutdown: capacity and leadership are released."""
+    def leave(self, now_ms: float) -> list[OutgoingMessage]:
+        """Return the messages of a graceful shutdown, which release capacity and leadership."""
         self.client.is_leaving = True
         for account in self.client.accounts.values():
             account.requested_at_ms = NEVER
-        released = self.request_capacity(now)
-        return released if self.has_shared_election else [*released, *self.election.resign(now)]
+        released = self.request_capacity(now_ms)
+        return released if self.has_shared_election else [*released, *self.election.resign(now_ms)]
--- a/corallanding/quota/fair_share.py
+++ b/corallanding/quota/fair_share.py
@@ -1,4 +1,4 @@
-"""Max-min fair division of whole units among those that want them."""
+"""Max-min fair division of indivisible units among clients."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 def share(pool: int, wants: Mapping[int, int], rotation: int = 0) -> dict[int, int]:
     """Divide `pool` units max-min fairly; nobody gets more than it wants.
 
-    rotation: whose turn it is to get one of the units that cannot be divided evenly. The shares add up to the pool or,
-    if that is less, to the sum of the wants.
+    wants: units by client. rotation: offset of the clients that get one more where units cannot be divided evenly. The
+    shares add up to the pool or, if that is less, to the sum of the wants.
     """
     shares = dict.fromkeys(wants, 0)
     remaining = max(0, pool)
--- a/corallanding/quota/limits.py
+++ b/corallanding/quota/limits.py
@@ -1,4 +1,4 @@
-"""Budgets: limits on what all controllers do together, and the timings and bounds of sharing them."""
+"""Budgets, which limit all controllers together, and the timings and bounds of sharing them."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class BudgetScope(StrEnum):
-    """What a budget's capacity counts for."""
+    """Scope of the capacity of a budget."""
 
     FLEET = "fleet"  # all controllers together
     HOST = "host"  # all controllers together, at each host
 
 
 class BudgetKey(NamedTuple):
-    """The unit that is shared: a budget, or one host of a budget."""
+    """The key of a ledger or account: a budget, or one host of a budget."""
 
     budget_id: int
     subject: int  # a host's number, or 0 for a budget of the fleet
@@ -28,9 +28,9 @@
 class Budget:
     """A limit of all controllers together.
 
-    capacity: units for all controllers (of each host, if `scope` is HOST). floor: units that each of `max_controllers`
-    has without a grant. hold_ms: for how long one unit stays in use once it was acquired. A rate a second is a count
-    whose units stay in use for a second each, so that no second ever sees more than the capacity.
+    capacity: units for all controllers (for each host, if `scope` is HOST). floor: units that each of `max_controllers`
+    has without a grant. hold_ms: how long a unit stays in use once it was acquired. A rate per second is a budget whose
+    units stay in use for one second each, so that the capacity is not exceeded in any second.
 
     Raises ValueError if the floors add up to more than the capacity.
     """
@@ -50,7 +50,7 @@
 
     @property
     def id(self) -> int:
-        """A digest of all that must be equal at every controller; the capacity may change by a reload."""
+        """A digest of the settings that must be equal at all controllers. The capacity may change by a reload."""
         return zlib.crc32(f"{self.name}|{self.floor}|{self.max_controllers}|{self.hold_ms}|{self.scope}".encode())
 
     @property
@@ -63,8 +63,8 @@
 class QuotaLimits(ElectionTimings):
     """Timings and bounds of sharing budgets.
 
-    lease_ms: a granted unit may be acquired for this long. max_accounts: pairs of budget and host that one controller
-    keeps. max_rows: rows of one message.
+    lease_ms: how long granted units may be acquired. max_accounts: pairs of budget and host that one controller keeps.
+    max_rows: rows in one message.
     """
 
     lease_ms: float = 3_000.0
@@ -72,5 +72,5 @@
     max_rows: int = 8
 
     def grant_lifetime_ms(self, budget: Budget) -> float:
-        """How long a grant lasts: the lease, and the time for which a unit acquired under it stays in use."""
+        """Return the lifetime of a grant in ms: the lease, and the time that a unit acquired under it stays in use."""
         return budget.hold_ms * (1.0 + self.max_clock_drift) + self.lease_ms
--- a/corallanding/quota/messages.py
+++ b/corallanding/quota/messages.py
@@ -12,18 +12,18 @@
 
 
 class RequestRow(NamedTuple):
-    """What a client requests of one budget, or of one host of a budget."""
+    """The request of a client for one budget, or for one host of a budget."""
 
     budget_id: int
     subject: int
     wanted: int
-    granted: int  # by a grant that has not expired
-    in_use: int  # at most, beyond the floor
-    grant_round: int  # of the last grant that the client took
+    granted: int  # units of a grant that has not expired
+    in_use: int  # upper bound of the units in use beyond the floor
+    grant_round: int  # round of the last grant that the client accepted
 
 
 class GrantRow(NamedTuple):
-    """What a client is granted of one budget, or of one host of a budget."""
+    """The units granted to a client of one budget, or of one host of a budget."""
 
     budget_id: int
     subject: int
@@ -31,10 +31,10 @@
 
 
 class CapacityRequest(ControllerMessage, frozen=True, array_like=True, tag=14):
-    """A client asks the allocator for capacity.
+    """A request for capacity, from a client to the allocator.
 
-    allocator, allocator_round: incarnation and round of the last message in which that allocator said that it leads.
-    They tell the allocator that each row was so in its own term, and that no predecessor can have granted it since.
+    allocator, allocator_round: incarnation and round of the last message in which that allocator claimed to lead. They
+    prove to the allocator that each row was valid in its own term, so that no predecessor can have granted it since.
     """
 
     allocator: int = 0
@@ -43,7 +43,7 @@
 
 
 class CapacityGrant(ControllerMessage, frozen=True, array_like=True, tag=15):
-    """The answer to the capacity request of that incarnation and round."""
+    """The answer to the capacity request with that incarnation and round."""
 
     rows: list[GrantRow] = msgspec.field(default_factory=list)
 
@@ -52,7 +52,7 @@
 
 
 def is_valid(message: QuotaMessage) -> bool:
-    """Whether every field lies within its bounds."""
+    """Return whether every field is within its bounds."""
     if isinstance(message, CapacityRequest):
         return min(message.incarnation, message.round) >= 0 and all(min(row) >= 0 for row in message.rows)
     if isinstance(message, CapacityGrant):
--- a/corallanding/quota/usage_window.py
+++ b/corallanding/quota/usage_window.py
@@ -1,11 +1,11 @@
-"""How many units are in use, counted by the instants at which their use ends."""
+"""A count of the units in use, in buckets by the end of their use."""
 
 from __future__ import annotations
 
 from collections import deque
 from dataclasses import dataclass, field
 
-BUCKETS = 64  # of one window; every use in a bucket counts until the last of them ends
+BUCKETS_PER_WINDOW = 64  # units of a bucket count until the last of them ends
 
 
 @dataclass(slots=True)
@@ -18,26 +18,26 @@
 
 @dataclass(slots=True)
 class UsageWindow:
-    """Units in use. hold_ms: for how long each stays in use; it sets the width of a bucket."""
+    """The units in use. hold_ms: how long each stays in use; it determines the width of a bucket."""
 
     hold_ms: float
-    buckets: deque[UsageBucket] = field(default_factory=deque)  # by ascending end
+    buckets: deque[UsageBucket] = field(default_factory=deque)  # in ascending order of `ends_at_ms`
 
     def add(self, ends_at_ms: float, count: int) -> None:
-        """Count units whose use ends then; ends are added in ascending order."""
-        if self.buckets and ends_at_ms - self.buckets[-1].ends_at_ms < self.hold_ms / BUCKETS:
+        """Add units whose use ends at `ends_at_ms`. Must be called in ascending order of `ends_at_ms`."""
+        if self.buckets and ends_at_ms - self.buckets[-1].ends_at_ms < self.hold_ms / BUCKETS_PER_WINDOW:
             last = self.buckets[-1]
             last.ends_at_ms = ends_at_ms
             last.count += count
         else:
             self.buckets.append(UsageBucket(ends_at_ms, count))
 
-    def count(self, now: float) -> int:
-        """How many are in use now. Buckets that have ended are dropped."""
-        while self.buckets and self.buckets[0].ends_at_ms <= now:
+    def count(self, now_ms: float) -> int:
+        """Return the number of units in use now. Buckets that have ended are dropped."""
+        while self.buckets and self.buckets[0].ends_at_ms <= now_ms:
             self.buckets.popleft()
         return sum(bucket.count for bucket in self.buckets)
 
-    def count_after(self, instant: float) -> int:
-        """How many are still in use after the instant."""
-        return sum(bucket.count for bucket in self.buckets if bucket.ends_at_ms > instant)
+    def count_after(self, instant_ms: float) -> int:
+        """Return the number of units still in use after that instant."""
+        return sum(bucket.count for bucket in self.buckets if bucket.ends_at_ms > instant_ms)
--- a/tests/quota/orders.py
+++ b/tests/quota/orders.py
@@ -13,10 +13,10 @@
     exchange = Exchange()
     grant = exchange.answer(1.0, 0, exchange.request(0.0, 0))
     exchange.clients[0].on_grant(500.0, grant)
-    for now in every(20, 500, 1_400):
-        exchange.use(now, 0)
-        exchange.exchange(now, 1)
-        exchange.use(now, 1)
+    for now_ms in every(20, 500, 1_400):
+        exchange.use(now_ms, 0)
+        exchange.exchange(now_ms, 1)
+        exchange.use(now_ms, 1)
     return exchange.ms_over_capacity()
 
 
@@ -24,9 +24,9 @@
     exchange = Exchange()
     exchange.clients[0].on_grant(1.0, exchange.answer(0.0, 0, exchange.request(0.0, 0)))
     exchange.use(700.0, 0)
-    for now in every(20, 820, 1_000):
-        exchange.exchange(now, 1)
-        exchange.use(now, 1)
+    for now_ms in every(20, 820, 1_000):
+        exchange.exchange(now_ms, 1)
+        exchange.use(now_ms, 1)
     return exchange.ms_over_capacity()
 
 
@@ -36,9 +36,9 @@
     exchange.answer(2.0, 1, exchange.request(2.0, 1))
     exchange.clients[0].on_grant(4.0, exchange.answer(3.0, 0, exchange.request(3.0, 0)))
     exchange.answer(6.0, 0, exchange.request(5.0, 0))  # reports that the second grant was taken
-    for now in every(20, 10, 400):
-        exchange.exchange(now, 1)
-        exchange.use(now, 1)
+    for now_ms in every(20, 10, 400):
+        exchange.exchange(now_ms, 1)
+        exchange.use(now_ms, 1)
     exchange.clients[0].on_grant(400.0, late)
     exchange.use(400.0, 0)
     return exchange.ms_over_capacity()
@@ -65,9 +65,9 @@
     exchange.clients[1].on_grant(4.0, lost)
     exchange.elect(5.0)
     exchange.use(6.0, 1)
-    for now in every(10, 10, 300):
-        exchange.exchange(now, 0)
-        exchange.use(now, 0)
+    for now_ms in every(10, 10, 300):
+        exchange.exchange(now_ms, 0)
+        exchange.use(now_ms, 0)
     assert {use[0] < 300.0 for use in exchange.uses} == {True}
     return exchange.ms_over_capacity()
 
@@ -76,10 +76,10 @@
     exchange = Exchange()
     exchange.clients[0].on_grant(1.0, exchange.answer(0.0, 0, exchange.request(0.0, 0)))
     exchange.use(200.0, 0)
-    for now in every(10, 210, 1_000):
-        exchange.exchange(now, 1)
-        exchange.use(now, 1)
-        exchange.exchange(now, 0)
+    for now_ms in every(10, 210, 1_000):
+        exchange.exchange(now_ms, 1)
+        exchange.use(now_ms, 1)
+        exchange.exchange(now_ms, 0)
     return exchange.ms_over_capacity()
 
 
--- a/tests/quota/support.py
+++ b/tests/quota/support.py
@@ -34,8 +34,8 @@
     }
     chance = random.Random(f"wishes {seed}")
 
-    def demand(now: float, controller: int) -> list[tuple[str, int]]:
-        greed = random.Random(f"{seed} {int(now // 2000.0)} {controller}").random()
+    def demand(now_ms: float, controller: int) -> list[tuple[str, int]]:
+        greed = random.Random(f"{seed} {int(now_ms // 2000.0)} {controller}").random()
         wanted = [("moves", 0)] * (chance.random() < greed) + [("cold", chance.randrange(2))] * (chance.random() < 0.3)
         return wanted * (1 + (greed > 0.7))
 
@@ -61,32 +61,32 @@
         self.clients = [QuotaClient(number + 1, LIMITS, LONG_AGO) for number in range(2)]
         self.uses: list[Use] = []
 
-    def elect(self, now: float) -> None:
+    def elect(self, now_ms: float) -> None:
         """Another allocator begins its term, and all have received its first message."""
         self.allocator = QuotaAllocator(LIMITS, {BUDGET.id: BUDGET}, self.allocator.incarnation + 1)
-        self.allocator.begin_term(now, 1)
+        self.allocator.begin_term(now_ms, 1)
 
-    def request(self, now: float, number: int, demand: int = 7) -> CapacityRequest:
+    def request(self, now_ms: float, number: int, demand: int = 7) -> CapacityRequest:
         """What a client sends, whether or not it is due."""
         client = self.clients[number]
         if demand:
-            client.record_unmet(now, BUDGET, 0, demand)
+            client.record_unmet(now_ms, BUDGET, 0, demand)
         for account in client.accounts.values():
             account.requested_at_ms = float("-inf")
-        return client.due_requests(now, self.allocator.incarnation, self.allocator.first_round)[0]
+        return client.due_requests(now_ms, self.allocator.incarnation, self.allocator.first_round)[0]
 
-    def answer(self, now: float, number: int, request: CapacityRequest) -> CapacityGrant:
+    def answer(self, now_ms: float, number: int, request: CapacityRequest) -> CapacityGrant:
         """What the allocator answers to a client."""
-        return self.allocator.on_request(now, number, request)
+        return self.allocator.on_request(now_ms, number, request)
 
-    def exchange(self, now: float, number: int) -> None:
+    def exchange(self, now_ms: float, number: int) -> None:
         """A client requests, and takes the answer at once."""
-        self.clients[number].on_grant(now, self.answer(now, number, self.request(now, number)))
+        self.clients[number].on_grant(now_ms, self.answer(now_ms, number, self.request(now_ms, number)))
 
-    def use(self, now: float, number: int) -> None:
+    def use(self, now_ms: float, number: int) -> None:
         """A client acquires all that it may."""
-        while self.clients[number].acquire(now, BUDGET):
-            self.uses.append((now, now + BUDGET.hold_ms, BUDGET.name, 0, 1))
+        while self.clients[number].acquire(now_ms, BUDGET):
+            self.uses.append((now_ms, now_ms + BUDGET.hold_ms, BUDGET.name, 0, 1))
 
     def ms_over_capacity(self) -> float:
         """For how long more than the capacity was in use."""
@@ -108,20 +108,20 @@
         return voting.Voter(LIMITS, started_at, voting.electorate_digest(VOTERS))
 
     def stand(
-        self, now: float, candidate: voting.Candidate, voters: tuple[int, ...], answered_at: float | None = None
+        self, now_ms: float, candidate: voting.Candidate, voters: tuple[int, ...], answered_at: float | None = None
     ) -> None:
         """A candidate asks some voters; their votes arrive at `answered_at`, or at once."""
-        request = candidate.tick(now, 0)
+        request = candidate.tick(now_ms, 0)
         assert isinstance(request, VoteRequest)
         votes = {
-            number: self.voters[number].on_vote_request(now, candidate.controller_id, request) for number in voters
+            number: self.voters[number].on_vote_request(now_ms, candidate.controller_id, request) for number in voters
         }
         for number, vote in votes.items():
-            candidate.on_vote_reply(now if answered_at is None else answered_at, number, vote)
+            candidate.on_vote_reply(now_ms if answered_at is None else answered_at, number, vote)
 
-    def two_leaders(self, now: float) -> float:
+    def two_leaders(self, now_ms: float) -> float:
         """1 if both candidates hold the leadership at that instant."""
-        return float(self.first.is_leader(now) and self.second.is_leader(now))
+        return float(self.first.is_leader(now_ms) and self.second.is_leader(now_ms))
 
 
 def every(step: int, first: int, end: int) -> Iterator[float]:
--- a/tests/quota/test_every_order.py
+++ b/tests/quota/test_every_order.py
@@ -40,7 +40,7 @@
     """Two clients, an allocator, and the messages between them."""
 
     def __init__(self) -> None:
-        self.now = 0.0
+        self.now_ms = 0.0
         self.allocator = QuotaAllocator(LIMITS, {BUDGET.id: BUDGET})
         self.allocator.begin_term(-1e6)
         self.clients = [QuotaClient(1, LIMITS, -1e6), QuotaClient(2, LIMITS, -1e6)]
@@ -50,7 +50,7 @@
 
     def in_use(self) -> int:
         """How many units are in use now."""
-        return sum(end > self.now for end in self.use_ends)
+        return sum(end > self.now_ms for end in self.use_ends)
 
     def moves(self) -> list[Move]:
         """What can happen next. A message that never arrives is lost: that needs no move of its own."""
@@ -64,16 +64,16 @@
         """Make it happen. False if nothing came of it."""
         match move.event:
             case Event.TIME:
-                self.now += STEP_MS
-                self.use_ends = [end for end in self.use_ends if end > self.now]
+                self.now_ms += STEP_MS
+                self.use_ends = [end for end in self.use_ends if end > self.now_ms]
             case Event.REQUEST:
                 return self._request(move.number)
             case Event.REQUEST_ARRIVES:
                 sender, request = self.requests.pop(move.number)
-                self.grants.append((sender, self.allocator.on_request(self.now, sender, request)))
+                self.grants.append((sender, self.allocator.on_request(self.now_ms, sender, request)))
             case Event.GRANT_ARRIVES:
                 receiver, grant = self.grants.pop(move.number)
-                self.clients[receiver].on_grant(self.now, grant)
+                self.clients[receiver].on_grant(self.now_ms, grant)
             case Event.USE:
                 return self._use(move.number)
         return True
@@ -81,19 +81,19 @@
     def _request(self, number: int) -> bool:
         client = self.clients[number]
         if not client.accounts:
-            client.record_unmet(self.now, BUDGET, 0, 2)
+            client.record_unmet(self.now_ms, BUDGET, 0, 2)
         for account in client.accounts.values():
             account.requested_at_ms = float("-inf")
-        requests = client.due_requests(self.now)
+        requests = client.due_requests(self.now_ms)
         self.requests += [(number, request) for request in requests]
         return bool(requests)
 
     def _use(self, number: int) -> bool:
-        available = self.clients[number].available(self.now, BUDGET)
+        available = self.clients[number].available(self.now_ms, BUDGET)
         if not available:
             return False
-        assert self.clients[number].acquire(self.now, BUDGET, 0, available)
-        self.use_ends += [self.now + BUDGET.hold_ms] * available
+        assert self.clients[number].acquire(self.now_ms, BUDGET, 0, available)
+        self.use_ends += [self.now_ms + BUDGET.hold_ms] * available
         return True
 
     def key(self) -> str:
@@ -114,7 +114,7 @@
             )
             for client in self.clients
         ]
-        return repr((self.now, ledgers, clients, self.requests, self.grants, sorted(self.use_ends)))
+        return repr((self.now_ms, ledgers, clients, self.requests, self.grants, sorted(self.use_ends)))
 
 
 class Explored(NamedTuple):
