--- a/corallanding/load_reports/__init__.py
+++ b/corallanding/load_reports/__init__.py
@@ -1,3 +1,6 @@
-"""Load reports of hosts: their form (`envelope`, `orca`), which are processed when there are too many
-(`load_shedding`), and the weights that follow from them (`load_estimator`, `weights`), all pure; the process that
-receives them (`intake`) and the controller's end of it (`feed`)."""
+"""Load reports of hosts.
+
+Without I/O: their encoding (`envelope`, `orca`), the selection of reports under overload (`load_shedding`), and the
+weights derived from them (`load_estimator`, `weights`). With I/O: the process that receives them (`intake`) and the
+controller's connection to it (`feed`).
+"""
--- a/corallanding/load_reports/envelope.py
+++ b/corallanding/load_reports/envelope.py
@@ -1,9 +1,9 @@
-"""The envelope of a load report: which host and process sent it, in which order and when. ORCA itself says none of it.
+"""The envelope of a load report: its sender, sequence number and times, which ORCA itself does not contain.
 
 Binary, big-endian: "oL", version, flags (1: JSON body, 2: signed), host u32, process u16, process start u64 (ms of the
 wall clock, as in the host list), seq u64, uptime f64 (ms on the process's monotonic clock), time of sending f64 (ms of
 the wall clock), echoed nonce of 8 bytes, then 16 bytes of MAC if signed, then the body. A datagram that begins with "{"
-is the same as one JSON object.
+is one JSON object with the same fields.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class ReportHeader:
-    """Who sent a report, and when. Times in ms; echoed_nonce: the last that the sender got from this controller."""
+    """The sender of a report, and its times in ms. echoed_nonce: the last nonce that the sender received."""
 
     host: int
     process: int
@@ -46,14 +46,14 @@
 
 
 class Report(NamedTuple):
-    """A report that was checked."""
+    """A valid report."""
 
     header: ReportHeader
     load: ReportedLoad
 
 
 class _Envelope(NamedTuple):
-    """An envelope that was opened: signed_header is what the MAC covers beside the body."""
+    """A decoded envelope. signed_header: the bytes that the MAC covers together with the body."""
 
     header: ReportHeader
     signed_header: bytes
@@ -63,7 +63,7 @@
 
 
 class _JsonReport(msgspec.Struct):
-    """The JSON form; the names of the fields are sent."""
+    """The JSON encoding; the field names are sent."""
 
     host: int
     process: int
@@ -99,13 +99,13 @@
 
 
 def encode_binary(header: ReportHeader, body: bytes, key: bytes | None = None, *, is_json: bool = False) -> bytes:
-    """Return a binary report, signed if a key is given. is_json: the body is JSON."""
+    """Return the report in binary encoding, signed if a key is given. is_json: the body is JSON."""
     raw = _pack_header(header, (JSON_BODY if is_json else 0) | (SIGNED if key else 0))
     return raw + (_mac(key, raw, body) if key else b"") + body
 
 
 def encode_json(header: ReportHeader, body: bytes, key: bytes | None = None) -> bytes:
-    """Return the report as one JSON object; the MAC is over the binary header and the body's bytes."""
+    """Return the report as one JSON object. The MAC covers the binary header and the bytes of the body."""
     mac = _mac(key, _pack_header(header, JSON_BODY | SIGNED), body).hex() if key else ""
     row = {
         "host": header.host,
@@ -122,12 +122,12 @@
 
 
 def read_sender(data: bytes) -> tuple[int, int]:
-    """Return host and process of a report as cheaply as possible; nothing else of it is checked.
+    """Return host and process of a report at low cost; the rest of it is not checked.
 
-    Raises `InvalidReportError` if the bytes are not even that.
+    Raises `InvalidReportError` if the bytes are too long or have no sender.
     """
     if len(data) > MAX_REPORT_BYTES:
-        raise InvalidReportError(f"{len(data)} bytes; {MAX_REPORT_BYTES} are allowed")
+        raise InvalidReportError(f"report of {len(data)} bytes; at most {MAX_REPORT_BYTES} are allowed")
     if data[:1] == b"{":
         try:
             report = _json_decoder.decode(data)
@@ -135,11 +135,11 @@
             raise InvalidReportError(str(error)[:MAX_ERROR_TEXT_CHARS]) from None
         return report.host, report.process
     if len(data) < HEADER.size or data[:2] != MAGIC:
-        raise InvalidReportError("no report")
+        raise InvalidReportError("not a load report")
     return int.from_bytes(data[4:8], "big"), int.from_bytes(data[8:10], "big")
 
 
-def _open_json(data: bytes) -> _Envelope:
+def _decode_json(data: bytes) -> _Envelope:
     try:
         report = _json_decoder.decode(data)
         nonce = bytes.fromhex(report.echo) or NO_NONCE
@@ -147,52 +147,55 @@
         header = ReportHeader(report.host, report.process, report.started, report.seq, report.uptime, report.at, nonce)
         signed_header = _pack_header(header, JSON_BODY | SIGNED)
     except (msgspec.DecodeError, ValueError, struct.error, UnicodeDecodeError) as error:
-        raise InvalidReportError(f"head: {error}"[:MAX_ERROR_TEXT_CHARS]) from None
+        raise InvalidReportError(f"header: {error}"[:MAX_ERROR_TEXT_CHARS]) from None
     return _Envelope(header, signed_header, mac, bytes(report.orca), is_json=True)
 
 
-def _open_binary(data: bytes) -> _Envelope:
+def _decode_binary(data: bytes) -> _Envelope:
     if len(data) < HEADER.size:
-        raise InvalidReportError("no report")
+        raise InvalidReportError("not a load report")
     _, version, flags, *fields = HEADER.unpack_from(data)
     if version != VERSION:
-        raise InvalidReportError(f"version {version}; this side reads {VERSION}")
-    rest = data[HEADER.size :]
+        raise InvalidReportError(f"unsupported version {version}; expected {VERSION}")
+    mac_and_body = data[HEADER.size :]
     mac_size = MAC_BYTES if flags & SIGNED else 0
     signed_header = data[: HEADER.size]
     is_json = bool(flags & JSON_BODY)
-    return _Envelope(ReportHeader(*fields), signed_header, rest[:mac_size], rest[mac_size:], is_json)
+    return _Envelope(ReportHeader(*fields), signed_header, mac_and_body[:mac_size], mac_and_body[mac_size:], is_json)
 
 
-def _open(data: bytes, key: bytes | None) -> _Envelope:
-    """Open the envelope. Raises `InvalidReportError`, also for a missing or wrong MAC if there is a key."""
-    envelope = _open_json(data) if data[:1] == b"{" else _open_binary(data)
+def _decode_envelope(data: bytes, key: bytes | None) -> _Envelope:
+    """Decode and check the envelope.
+
+    Raises `InvalidReportError`, also for a missing or wrong MAC if there is a key.
+    """
+    envelope = _decode_json(data) if data[:1] == b"{" else _decode_binary(data)
     header = envelope.header
     if not (math.isfinite(header.uptime_ms) and math.isfinite(header.sent_at_ms)) or header.uptime_ms < 0:
-        raise InvalidReportError("uptime or time is no time")
+        raise InvalidReportError("uptime or time of sending is not a valid time")
     if key is not None:
         expected = _mac(key, envelope.signed_header, envelope.body)
         if len(envelope.mac) != MAC_BYTES or not hmac.compare_digest(envelope.mac, expected):
-            raise InvalidReportError("forged")
+            raise InvalidReportError("MAC is missing or wrong")
     return envelope
 
 
 def is_authentic(data: bytes, key: bytes) -> bool:
-    """Whether the MAC is right. Checked before anything else: a forged report must not even take a sender's slot."""
+    """Return whether the MAC is correct. Checked first, so that a forged report cannot take a sender's slot."""
     if data[:1] != b"{":
         if len(data) < HEADER.size + MAC_BYTES or not data[3] & SIGNED:
             return False
         mac = data[HEADER.size : HEADER.size + MAC_BYTES]
         return hmac.compare_digest(mac, _mac(key, data[: HEADER.size], data[HEADER.size + MAC_BYTES :]))
     try:
-        _open(data, key)
+        _decode_envelope(data, key)
     except InvalidReportError:
         return False
     return True
 
 
 def read_report(data: bytes, key: bytes | None) -> Report:
-    """Return a complete report, checked. Raises `InvalidReportError`."""
-    envelope = _open(data, key)
+    """Decode and check a complete report. Raises `InvalidReportError`."""
+    envelope = _decode_envelope(data, key)
     load = parse_json(envelope.body) if envelope.is_json else parse_protobuf(envelope.body)
     return Report(envelope.header, load)
--- a/corallanding/load_reports/errors.py
+++ b/corallanding/load_reports/errors.py
@@ -6,4 +6,4 @@
 
 
 class InvalidReportError(ProtocolError):
-    """Bytes that are no report, or a figure outside its bounds. The text says which."""
+    """Bytes are not a load report, or a value is out of bounds. The message states which."""
--- a/corallanding/load_reports/feed.py
+++ b/corallanding/load_reports/feed.py
@@ -1,4 +1,4 @@
-"""The controller's end of load reports: runs the intake process, and feeds its reports to the estimator."""
+"""The controller's side of load reports: runs the intake process, and passes its reports to the estimator."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 
 class LoadReportFeed(asyncio.Protocol):
-    """Keeps an intake process, and an estimator that its reports go to.
+    """Supervises an intake process, and passes its reports to an estimator.
 
-    clock: the controller's, in ms; wall_ms: the wall clock; monotonic_zero_ms: the controller's time of monotonic 0.
-    on_factors_changed: called when `estimator.factors()` changed. intake_counts: the newest counts of the intake.
-    process_id: of the intake, 0 while there is none.
+    clock: the controller's clock in ms; wall_ms: the wall clock in ms; monotonic_zero_ms: the reading of `clock` at
+    zero of the monotonic clock. on_factors_changed: called when `estimator.factors()` has changed. intake_counts: the
+    newest counts of the intake. process_id: id of the intake process, 0 while there is none.
     """
 
     def __init__(
@@ -59,16 +59,16 @@
         self._log = log
         self._restart_count = 0
         self._buffer = bytearray()
-        self._inherited_bytes = b""  # the part of a message that the process before this one had read
-        self._connection_ended: asyncio.Future[None] | None = None  # of an intake that is no child of this process
+        self._inherited_bytes = b""  # partial message read by the predecessor process
+        self._connection_ended: asyncio.Future[None] | None = None  # for an intake that is not a child process
         self._task: asyncio.Task[None] | None = None
         self._update_timer: asyncio.TimerHandle | None = None
         self._nonce_timer: asyncio.TimerHandle | None = None
 
     def start(self, state: FeedState | None = None, intake_socket: socket.socket | None = None) -> None:
-        """Start, with what the process before this one handed over: its state, and its end of the intake's socket.
+        """Start, with the state and the intake's socket that the predecessor process handed over, if any.
 
-        The intake is kept if its settings are the same; otherwise closing the socket ends it, and another is started.
+        The intake is kept if its settings are the same; otherwise closing the socket ends it, and a new one is started.
         """
         if state:
             restore_state(self.estimator, state)
@@ -83,7 +83,7 @@
         self._send_nonce()
 
     async def keep_intake(self, state: FeedState | None, intake_socket: socket.socket | None) -> None:
-        """Run the intake, and again with backoff if it ends. Without it the reports only age."""
+        """Run the intake, and restart it with backoff when it ends. Until then the known reports only age."""
         while not self.is_stopped:
             started_at_ms = self._clock()
             if state and intake_socket:
@@ -103,7 +103,7 @@
             await asyncio.sleep(delay_ms / 1000.0)
 
     async def _run_inherited(self, state: FeedState, intake_socket: socket.socket) -> None:
-        """Go on with the intake of the process before this one until it ends."""
+        """Use the intake of the predecessor process until it ends."""
         self.process_id = state.process_id
         self.port = state.port
         self._inherited_bytes = state.partial_message
@@ -114,14 +114,14 @@
 
     async def _run_new(self) -> int:
         """Start an intake and wait until it ends; return its exit code."""
-        process, ours = await spawn_intake(self.settings)
-        await asyncio.get_running_loop().create_connection(lambda: self, sock=ours)
+        process, intake_socket = await spawn_intake(self.settings)
+        await asyncio.get_running_loop().create_connection(lambda: self, sock=intake_socket)
         self.process_id = process.pid
         self.send(["hosts", self.hosts])
         return await process.wait()
 
     async def wait_disconnected(self) -> None:
-        """Wait until the intake closes its end of the socket: so ends one that is no child of this process."""
+        """Wait until the intake closes its socket, the sign that an intake has ended that is not a child process."""
         self._connection_ended = asyncio.get_running_loop().create_future()
         if self.transport:
             await self._connection_ended
@@ -129,24 +129,24 @@
     # ---- messages --------------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin with the part of a message that was handed over."""
+        """Begin with the partial message that was handed over."""
         self.transport = cast(asyncio.Transport, transport)
         self._buffer = bytearray(self._inherited_bytes)
         self._inherited_bytes = b""
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Note that the intake is gone."""
+        """Record that the connection to the intake is lost."""
         self.transport = None
         if self._connection_ended and not self._connection_ended.done():
             self._connection_ended.set_result(None)
 
     def send(self, message: list[Any]) -> None:
-        """Send a message to the intake, if it is there."""
+        """Send a message to the intake, if it is connected."""
         if self.transport and not self.transport.is_closing():
             self.transport.write(encode_message(message))
 
     def data_received(self, data: bytes) -> None:
-        """Take the intake's messages."""
+        """Handle the messages of the intake."""
         self._buffer += data
         for kind, value in decode_messages(self._buffer):
             if kind == "reports":
@@ -158,7 +158,7 @@
                 self._log.info("load reports ready", port=value)
 
     def _on_reports(self, rows: list[Any]) -> None:
-        """Take rows of reports; `intake.report_row` has their form."""
+        """Pass reports to the estimator; `intake.report_row` defines the rows."""
         wall_ms = self._wall_ms()
         for arrived_ms, host, process, started, seq, uptime, sent_at, nonce, utilization, rps, eps in rows:
             header = ReportHeader(host, process, started, seq, uptime, sent_at, nonce)
@@ -166,7 +166,7 @@
             self.estimator.on_report(self._monotonic_zero_ms + arrived_ms, wall_ms, header, load)
 
     def set_hosts(self, entries: dict[int, api.HostEntry], starts_ms: dict[int, float], warm_up_ms: float) -> None:
-        """Set the host list. starts_ms: when each process started, on the wall clock."""
+        """Set the host list. starts_ms: when each host's process started, on the wall clock."""
         starts = {
             host: ListedStart(
                 entry.online_since,
@@ -188,7 +188,7 @@
         self._update_timer = asyncio.get_running_loop().call_later(delay_ms / 1000.0, self._update)
 
     def _send_nonce(self) -> None:
-        """Issue a nonce, whose echo proves the age of a report. It is random: nobody can echo it in advance."""
+        """Issue a random nonce, which cannot be echoed in advance: its echo proves the age of a report."""
         nonce = os.urandom(NONCE_BYTES)
         self.estimator.add_nonce(self._clock(), nonce)
         self.send(["tick", nonce])
@@ -198,13 +198,13 @@
     # ---- handover --------------------------------------------------------------------------------------
 
     def pause(self) -> None:
-        """Read and send nothing: the socket may be another process's."""
+        """Stop reading and sending: another process may use the socket."""
         self._cancel_timers()
         if self.transport:
             self.transport.pause_reading()
 
     def capture(self) -> tuple[FeedState, socket.socket | None]:
-        """Return the state and the end of the intake's socket, between `pause` and `resume`."""
+        """Return the state and the socket to the intake. Called between `pause` and `resume`."""
         intake_socket = self.transport.get_extra_info("socket") if self.transport else None
         state = capture_state(
             self.estimator,
@@ -217,31 +217,31 @@
         return state, intake_socket
 
     def resume(self, *, is_stale: bool) -> None:
-        """Go on after `pause`.
+        """Continue after `pause`.
 
-        is_stale: another process may have read from the intake, so that what comes next may begin in the middle of a
-        message. The intake is then ended, and another one started.
+        is_stale: another process may have read from the intake, so that the next bytes may begin within a message. The
+        intake is then terminated, and a new one started.
         """
         if self.transport and is_stale:
-            self._end_intake()
+            self._terminate_intake()
         elif self.transport:
             self.transport.resume_reading()
         self._update()
         self._send_nonce()
 
     def stop(self) -> None:
-        """End the intake, for good."""
+        """Terminate the intake; it is not started again."""
         self.is_stopped = True
         self._cancel_timers()
-        self._end_intake()
+        self._terminate_intake()
 
     def _cancel_timers(self) -> None:
         for timer in (self._update_timer, self._nonce_timer):
             if timer:
                 timer.cancel()
 
-    def _end_intake(self) -> None:
-        """End the intake process. While its socket is open the process exists, and its id is no other process's."""
+    def _terminate_intake(self) -> None:
+        """Terminate the intake process. It exists while its socket is open, so that its id cannot be reused."""
         if self.transport and self.process_id:
             with suppress(ProcessLookupError):
                 os.kill(self.process_id, signal.SIGTERM)
--- a/corallanding/load_reports/framing.py
+++ b/corallanding/load_reports/framing.py
@@ -1,4 +1,4 @@
-"""Messages between the controller and its intake process: four bytes of length, then MessagePack. Pure."""
+"""Framing of messages between the controller and its intake process: four bytes of length, then MessagePack."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 def encode_message(message: Any) -> bytes:
-    """Return the message with its length before it."""
+    """Return the encoded message, preceded by its length."""
     body = msgspec.msgpack.encode(message)
     return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
 
 def decode_messages(buffer: bytearray) -> Iterator[Any]:
-    """Take the complete messages out of `buffer`, which keeps the rest.
+    """Yield the complete messages in `buffer` and remove them; a partial message stays.
 
-    Both ends are this project's: nothing is bounded or checked here.
+    Both processes are trusted: lengths are not bounded, and messages are not validated.
     """
     while len(buffer) >= LENGTH_BYTES:
         end = LENGTH_BYTES + int.from_bytes(buffer[:LENGTH_BYTES], "big")
--- a/corallanding/load_reports/host_load.py
+++ b/corallanding/load_reports/host_load.py
@@ -1,4 +1,4 @@
-"""What is known of the load of hosts and of their processes, and how much a report counts by its age. Pure.
+"""The known load of hosts and of their processes, and the influence of a report by its age. No I/O.
 
 Times are milliseconds on the controller's clock, unless said otherwise.
 """
@@ -15,14 +15,16 @@
 
 @dataclass(frozen=True)
 class EstimatorPolicy:
-    """How reports become factors. `docs/reports.md` says why each value stands.
-
-    window_ms: a factor moves one step in a window at most. step: in powers of two: factors are 2^(-k * step).
-    min_factor: no factor is lower. min_busy_utilization: a host below it is never lowered. tolerance: powers of two
-    above the fleet's median that are ignored. gain: part of the difference to the fleet that is learned in a window.
-    min_reporting_share: of the listed hosts, which must have fresh reports. max_lowered_share: of the hosts, whose
-    factor may be lowered in a window. constant_after_ms: a value repeated for longer loses influence as if it aged.
-    max_clock_lead_ms: how far ahead of its quickest report a sender's clock may run.
+    """Parameters of the computation of factors. `docs/reports.md` gives the reason for each value.
+
+    half_life_ms, expiry_ms: ages at which a report has half of its influence and none. window_ms: a factor changes by
+    at most one step per window. step: exponent of a step; factors are 2^(-k * step). min_factor: lower bound of
+    factors. min_busy_utilization: the factor of a host below it is never lowered. tolerance: difference above the
+    fleet's median that is ignored, as a power of two. gain: fraction of the difference to the fleet learned per window.
+    min_reporting_share: minimum fraction of the listed hosts with fresh reports. max_lowered_share: maximum fraction of
+    the hosts whose factor is lowered in one window. constant_after_ms: a value that is constant for longer loses
+    influence as if it aged. max_clock_lead_ms: how far a sender's clock may be ahead: its zero is at most so long
+    before the listed start of the process. max_processes: processes of one host.
     """
 
     half_life_ms: float = 5_000.0
@@ -41,12 +43,12 @@
 
 
 class ReportCounts(msgspec.Struct):
-    """What became of reports that were read.
+    """Counts of decoded reports by outcome.
 
-    counted: changed what is known of their host. unlisted: of no host on the list. former: of another process of the
-    host than the list has. repeated: a sequence number seen before, or older than the newest. doubtful: age not proven.
-    crowded: more processes than a host may have. The stored names are frozen: handovers hold them, and metrics have
-    them as values of a label.
+    counted: accepted. unlisted: the host is not on the list. former: another process of the host than the listed one.
+    repeated: a sequence number that was received before, or is older than the newest. expired: too old. doubtful: the
+    age is not proven. crowded: the host has too many processes. The stored names must not change: handovers contain
+    them, and they are values of a metric label.
     """
 
     counted: int = msgspec.field(name="counted", default=0)
@@ -63,11 +65,12 @@
 
 
 class ProcessLoad(msgspec.Struct):
-    """One process that reports. All values are a minimum, a maximum or the newest: the order of arrival is irrelevant.
+    """A process that sends reports. Its values do not depend on the order in which the reports arrive.
 
-    started_ms: wall clock, as in the host list. changed_uptime_ms: newest uptime at which it reported another value.
-    first_uptime_ms: oldest uptime reported. clock_zero_ms: the least of arrival minus uptime, where its clock's zero
-    lies on ours at the latest; proven_zero_ms: the same, from reports whose age was proven.
+    Each value is a minimum, a maximum or the newest. started_ms: start on the wall clock, as in the host list.
+    changed_uptime_ms: newest uptime at which it reported another value. first_uptime_ms: lowest uptime reported.
+    clock_zero_ms: minimum of arrival time minus uptime, an upper bound of the zero of its clock on the controller's
+    clock. proven_zero_ms: the same, by reports of proven age only.
     """
 
     started_ms: int = msgspec.field(name="started")
@@ -81,7 +84,7 @@
     proven_zero_ms: float = msgspec.field(name="proven", default=math.inf)
 
     def observe_clock(self, arrived_at_ms: float, uptime_ms: float, min_zero_ms: float, *, is_proven: bool) -> None:
-        """Learn from a report where the zero of the process's clock lies. It is not before `min_zero_ms`."""
+        """Update the bounds of the zero of the process's clock by a report. It is never set before `min_zero_ms`."""
         zero_ms = arrived_at_ms - uptime_ms
         self.clock_zero_ms = max(min(self.clock_zero_ms, zero_ms), min_zero_ms)
         if is_proven:
@@ -89,7 +92,7 @@
         self.first_uptime_ms = min(self.first_uptime_ms, uptime_ms)
 
     def accept(self, arrived_at_ms: float, header: ReportHeader, utilization: float) -> bool:
-        """Store a report if it is the newest; false if a newer one came, or the same."""
+        """Store a report and return true if it is newer than all others of the process."""
         is_changed = utilization != self.utilization
         if header.seq <= self.seq:
             if header.seq < self.seq and is_changed:
@@ -103,21 +106,21 @@
         self.utilization = utilization
         return True
 
-    def age_ms(self, now: float, policy: EstimatorPolicy) -> float:
-        """Return the age of its newest report; infinite if that was never proven."""
+    def age_ms(self, now_ms: float, policy: EstimatorPolicy) -> float:
+        """Return the age of its newest report in ms; infinity if no report had a proven age."""
         if self.proven_zero_ms == math.inf:
             return math.inf
-        age_ms = now - (min(self.clock_zero_ms, self.proven_zero_ms) + self.uptime_ms)
+        age_ms = now_ms - (min(self.clock_zero_ms, self.proven_zero_ms) + self.uptime_ms)
         constant_ms = self.uptime_ms - max(self.changed_uptime_ms, self.first_uptime_ms)
-        return max(0.0, age_ms, now - self.arrived_at_ms, age_ms + constant_ms - policy.constant_after_ms)
+        return max(0.0, age_ms, now_ms - self.arrived_at_ms, age_ms + constant_ms - policy.constant_after_ms)
 
 
 class HostLoad(msgspec.Struct):
-    """One host.
+    """The known load of one host.
 
-    started_at_ms: of its process, 0 for long ago. list_started_ms: the same as in the host list. warm_at_ms: when it
-    is no longer warming up. learned: log2 of the factor as learned, 0 or less. level: steps below 1, as published.
-    attempts, failed, latency_ms: what proxies observed; the counts decay.
+    started_at_ms: start of its process, 0 if long ago. list_started_ms: the same as stated in the host list.
+    warm_at_ms: end of its warm-up. learned: log2 of the learned factor, 0 or less. level: published number of steps
+    below 1. attempts, failed, latency_ms: as observed by proxies; the counts decay.
     """
 
     started_at_ms: float = msgspec.field(name="since", default=0.0)
@@ -132,7 +135,7 @@
 
 
 def influence(age_ms: float, policy: EstimatorPolicy) -> float:
-    """Return how much a report of that age counts: 1 if new, half after each half-life, 0 from the expiry on."""
+    """Return the influence of a report by its age: 1 if new, half after each half-life, 0 from the expiry on."""
     if age_ms >= policy.expiry_ms:
         return 0.0
     return math.pow(2.0, -max(0.0, age_ms) / policy.half_life_ms)
--- a/corallanding/load_reports/intake.py
+++ b/corallanding/load_reports/intake.py
@@ -1,8 +1,8 @@
 """The intake process: `python -m corallanding.load_reports.intake FD SETTINGS`. Receives datagrams and streams.
 
-It is a process of its own, so that a flood of reports takes its core and never the controller's. It checks and parses
-at most `reports_per_s`, as `load_shedding` selects them; what it reads goes to the controller by the socket FD, and
-what it rejects is counted by reason. What the kernel dropped unread is taken from /proc and counted too.
+It is a separate process, so that a flood of reports uses its core and not the controller's. It checks and parses at
+most `reports_per_s`, selected by `load_shedding`. Valid reports are sent to the controller on the socket FD; rejected
+ones are counted by reason, together with datagrams that the kernel dropped (from /proc).
 """
 
 from __future__ import annotations
@@ -32,26 +32,26 @@
 COUNTS_INTERVAL_S = 0.5
 STREAM_BACKLOG = 512
 NICE_INCREMENT = 5
-"""On a small machine the controller takes precedence."""
+"""Gives the controller precedence on a small machine."""
 
 
 def monotonic_ms() -> float:
-    """Return the machine's monotonic clock, the same for all its processes."""
+    """Return the time in ms on the monotonic clock, which all processes of the machine share."""
     return time.monotonic() * 1000.0
 
 
 def report_row(arrived_at_ms: float, header: ReportHeader, load: ReportedLoad) -> tuple[Any, ...]:
-    """Return a report as it goes to the controller, which may be of another version: the order is frozen."""
+    """Return a report as sent to the controller, which may be of another version: the order must not change."""
     sender = (header.host, header.process, header.process_started_ms, header.seq)
     times = (header.uptime_ms, header.sent_at_ms, header.echoed_nonce)
     return (arrived_at_ms, *sender, *times, load.utilization, load.rps_fractional, load.eps)
 
 
 class LoadReportIntake(asyncio.Protocol):
-    """Selects, checks and parses reports, and passes them on by its connection to the controller.
+    """Selects, checks and parses reports, and sends them on its connection to the controller.
 
-    settings: listen, sender_rate, sender_burst, processes_most, reports_per_s, tick_ms, streams_most, key (hex);
-    the names are those of the command line's JSON. ended: done when the controller is gone.
+    settings: listen, sender_rate, sender_burst, processes_most, reports_per_s, tick_ms, streams_most, key (hex), named
+    as in the JSON of the command line. ended: done when the controller has closed the connection.
     """
 
     def __init__(self, settings: dict[str, Any], clock: Callable[[], float] = monotonic_ms) -> None:
@@ -59,7 +59,7 @@
         self.shedder = LoadShedder(settings["sender_rate"], settings["sender_burst"], settings["processes_most"])
         self.datagrams: asyncio.DatagramTransport | None = None
         self.streams: set[StreamReceiver] = set()
-        self.refused_streams = 0
+        self.rejected_streams = 0
         self.ended = asyncio.get_running_loop().create_future()
         self._clock = clock
         self._key = bytes.fromhex(settings["key"]) if settings["key"] else None
@@ -73,7 +73,7 @@
     # ---- reports ---------------------------------------------------------------------------------------
 
     def on_report(self, data: bytes, source: Any) -> bool:
-        """Take a report; false if it was rejected. source: the address of a datagram, or the stream."""
+        """Queue a report; return false if it is rejected. source: the sender's address (datagram), or the stream."""
         try:
             sender = read_sender(data)
         except InvalidReportError:
@@ -82,19 +82,21 @@
             return False
         if self._key and not is_authentic(data, self._key):
             self.shedder.counts.arrived += 1
-            self._forged += 1  # before load shedding: a forger must not take the slot of the host that it names
+            self._forged += (
+                1  # checked before load shedding: a forged report must not take the slot of the host that it names
+            )
             return False
         return self.shedder.offer(self._clock(), sender, (data, source))
 
     def process_waiting(self) -> None:
-        """Check, parse and pass on as many reports as the rate permits in one interval, again and again."""
+        """Check, parse and send as many reports as the rate permits in one interval; repeat every `tick_ms`."""
         if self.ended.done():
-            return  # the loop runs on for a moment after the controller's death, and its socket takes no more
+            return  # the event loop runs briefly after the controller has exited, and its socket is closed
         interval_ms = self.settings["tick_ms"]
         permitted = self.settings["reports_per_s"] * interval_ms / 1000.0
         asyncio.get_running_loop().call_later(interval_ms / 1000.0, self.process_waiting)
         self._allowance = min(permitted + 1.0, self._allowance + permitted)
-        # Hold back while the controller does not read: the newest report of each sender waits in its slot.
+        # Send nothing while the controller does not read: the newest report of each sender stays in its slot.
         if self._unsent_bytes() > 0:
             return
         rows = []
@@ -121,7 +123,7 @@
             self.datagrams.sendto(message, source)
 
     def send_counts(self) -> None:
-        """Send to the controller what became of all reports, again and again."""
+        """Send the counts of all reports by outcome to the controller; repeat every `COUNTS_INTERVAL_S`."""
         if self.ended.done():
             return
         asyncio.get_running_loop().call_later(COUNTS_INTERVAL_S, self.send_counts)
@@ -130,7 +132,7 @@
             forged=self._forged,
             body=self._invalid_bodies,
             kernel=self.kernel_drops(),
-            refused=self.refused_streams,
+            refused=self.rejected_streams,
             senders=len(self.shedder.slots),
             waiting=len(self.shedder.waiting),
         )
@@ -144,7 +146,7 @@
     # ---- the controller --------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection to the controller."""
+        """Store the connection to the controller."""
         self._controller = cast(asyncio.Transport, transport)
 
     def _unsent_bytes(self) -> int:
@@ -156,7 +158,7 @@
             self._controller.write(encode_message(message))
 
     def data_received(self, data: bytes) -> None:
-        """Take the controller's messages."""
+        """Handle the messages of the controller."""
         self._buffer += data
         for kind, value in decode_messages(self._buffer):
             if kind == "hosts":
@@ -165,13 +167,13 @@
                 self._nonce = value
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """End with the controller."""
+        """End the intake when the controller has closed the connection."""
         if not self.ended.done():
             self.ended.set_result(None)
 
 
 async def main(fd: int, settings: dict[str, Any]) -> None:
-    """Run the intake until its controller is gone. fd: its end of the socket."""
+    """Run the intake until the controller closes the connection. fd: the intake's end of the socket."""
     loop = asyncio.get_running_loop()
     intake = LoadReportIntake(settings)
     await loop.create_connection(lambda: intake, sock=socket.socket(fileno=fd))
@@ -185,7 +187,7 @@
 
 
 async def serve(intake: LoadReportIntake, host: str, port: int) -> None:
-    """Listen for streams and process reports, until the controller is gone. Datagrams are received already."""
+    """Accept streams and process reports until the controller closes the connection. Datagrams are received already."""
     loop = asyncio.get_running_loop()
     server = await loop.create_server(lambda: StreamReceiver(intake), host, port, backlog=STREAM_BACKLOG)
     intake.send(["ready", port])
--- a/corallanding/load_reports/kernel_drops.py
+++ b/corallanding/load_reports/kernel_drops.py
@@ -10,7 +10,7 @@
 
 
 def count_kernel_drops(transport: asyncio.DatagramTransport | None) -> int:
-    """Return the datagrams that were dropped on the transport's socket, by /proc; 0 where there is no such file."""
+    """Return the number of datagrams dropped on the transport's socket, by /proc; 0 where that is not available."""
     if transport is None:
         return 0
     try:
--- a/corallanding/load_reports/load_shedding.py
+++ b/corallanding/load_reports/load_shedding.py
@@ -1,7 +1,7 @@
-"""Decides which reports are processed when there are too many. Pure.
+"""Selects the reports that are processed under overload. No I/O.
 
-There is one slot for each sender: the newest report replaces the one that waits, so that memory grows with senders and
-not with reports, and a sender that floods takes nobody's place. Slots are served in turn.
+There is one slot per sender, in which the newest report replaces the one that waits. So memory is bounded by the number
+of senders, not of reports, and a flood by one sender does not displace the reports of others. Slots are served in turn.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 from typing import Any
 
 Sender = tuple[int, int]
-"""Host and process."""
+"""The numbers of a host and of its process."""
 
 
 @dataclass
 class SheddingCounts:
-    """What became of all reports that arrived: passed on for processing, or rejected by reason.
+    """Counts of all reports that arrived: passed on for processing, or rejected by reason.
 
-    unlisted_host: of no host on the list. excess_process: more processes of a host than the settings allow. invalid: no
-    report, or too long. over_rate: over its sender's rate. replaced: a newer one of the same sender came first.
+    unlisted_host: the host is not on the list. excess_process: the host has more processes than allowed. invalid: not a
+    report, or too long. over_rate: over the sender's rate. replaced: by a newer report of the same sender.
     """
 
     arrived: int = 0
@@ -31,7 +31,7 @@
     replaced: int = 0
 
     def by_name(self) -> dict[str, int]:
-        """Return the counts by frozen names: they go to the controller's process, and into the labels of metrics."""
+        """Return the counts by name. The names are sent to the controller and are metric labels: do not change them."""
         return {
             "came": self.arrived,
             "taken": self.passed,
@@ -45,7 +45,7 @@
 
 @dataclass
 class SenderSlot:
-    """A sender's token bucket, and its report that waits (data: None if there is none; it is not inspected)."""
+    """A sender's token bucket, and its waiting report. data: opaque to this class; None if no report waits."""
 
     allowance: float
     replenished_at_ms: float
@@ -55,7 +55,7 @@
 
 @dataclass
 class LoadShedder:
-    """Admits reports by sender. reports_per_second, burst: of one sender. waiting: senders in the order served."""
+    """Admits reports by sender. reports_per_second, burst: limits of one sender. waiting: senders in serving order."""
 
     reports_per_second: float
     burst: float
@@ -67,39 +67,39 @@
     counts: SheddingCounts = field(default_factory=SheddingCounts)
 
     def set_hosts(self, hosts: Iterable[int]) -> None:
-        """Set the hosts on the list. Slots of hosts that left it are dropped."""
+        """Set the listed hosts. Slots of hosts that are no longer listed are dropped."""
         self.hosts = set(hosts)
         for sender in [sender for sender in self.slots if sender[0] not in self.hosts]:
             del self.slots[sender]
             self.waiting.pop(sender, None)
             self.process_counts.pop(sender[0], None)
 
-    def offer(self, now: float, sender: Sender, data: Any) -> bool:
-        """Take a report that has arrived; true if it waits now. Costs one look-up, whatever becomes of it."""
+    def offer(self, now_ms: float, sender: Sender, data: Any) -> bool:
+        """Offer a report that has arrived; return true if it waits now. Costs one look-up in any case."""
         self.counts.arrived += 1
         slot = self.slots.get(sender)
         if slot is None:
-            slot = self._add_slot(now, sender)
+            slot = self._add_slot(now_ms, sender)
             if slot is None:
                 return False
         elif slot.data is not None:
             self.counts.replaced += 1
             slot.data = data
-            slot.arrived_at_ms = now
+            slot.arrived_at_ms = now_ms
             return True
-        replenished = (now - slot.replenished_at_ms) * self.reports_per_second / 1000.0
+        replenished = (now_ms - slot.replenished_at_ms) * self.reports_per_second / 1000.0
         slot.allowance = min(self.burst, slot.allowance + replenished)
-        slot.replenished_at_ms = now
+        slot.replenished_at_ms = now_ms
         if slot.allowance < 1.0:
             self.counts.over_rate += 1
             return False
         slot.allowance -= 1.0
         slot.data = data
-        slot.arrived_at_ms = now
+        slot.arrived_at_ms = now_ms
         self.waiting[sender] = None
         return True
 
-    def _add_slot(self, now: float, sender: Sender) -> SenderSlot | None:
+    def _add_slot(self, now_ms: float, sender: Sender) -> SenderSlot | None:
         host = sender[0]
         if host not in self.hosts:
             self.counts.unlisted_host += 1
@@ -108,12 +108,12 @@
             self.counts.excess_process += 1
             return None
         self.process_counts[host] = self.process_counts.get(host, 0) + 1
-        slot = SenderSlot(self.burst, now)
+        slot = SenderSlot(self.burst, now_ms)
         self.slots[sender] = slot
         return slot
 
     def take(self, max_count: int) -> list[tuple[float, Any]]:
-        """Return up to `max_count` reports in the order served: time of arrival and data. The rest keeps its place."""
+        """Remove up to `max_count` reports in serving order; return arrival times (ms) and data. Others keep their turn."""
         taken: list[tuple[float, Any]] = []
         while self.waiting and len(taken) < max_count:
             sender = next(iter(self.waiting))
--- a/corallanding/load_reports/orca.py
+++ b/corallanding/load_reports/orca.py
@@ -1,4 +1,4 @@
-"""The body of a load report: ORCA's `xds.data.orca.v3.OrcaLoadReport`, as protobuf or as its JSON form."""
+"""The body of a load report: ORCA's `xds.data.orca.v3.OrcaLoadReport`, as protobuf or JSON."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
     ("rps_fractional", "rpsFractional"),
     ("eps", "eps"),
 )
-"""Names of the fields as in the proto file, and in camel case."""
+"""Names of the fields as in the proto file and in camel case."""
 
 _decoder = msgspec.json.Decoder(dict)
 
 
 @dataclass(frozen=True)
 class ReportedLoad:
-    """What is used of an ORCA report. utilization: a share; rps_fractional: requests a second; eps: errors a second."""
+    """The used fields of an ORCA report. utilization: a fraction; rps_fractional, eps: requests, errors per second."""
 
     utilization: float
     rps_fractional: float = 0.0
@@ -34,9 +34,9 @@
 
 
 def checked_load(cpu: float, application: float, rps_fractional: float, eps: float) -> ReportedLoad:
-    """Return the load: the application's utilization where a host reports one (as in ORCA's consumers), else the CPU's.
+    """Return the load, with the application utilization if reported (as other ORCA consumers do), else the CPU's.
 
-    Raises `InvalidReportError` for a figure outside its bounds.
+    Raises `InvalidReportError` for a value out of bounds.
     """
     for name, value, maximum in (
         ("cpu_utilization", cpu, MAX_UTILIZATION),
@@ -44,29 +44,32 @@
         ("rps_fractional", rps_fractional, MAX_RATE_PER_SECOND),
         ("eps", eps, MAX_RATE_PER_SECOND),
     ):
-        if not 0.0 <= value <= maximum:  # also false for NaN
-            raise InvalidReportError(f"{name} {value:g} is not within 0 and {maximum:g}")
+        if not 0.0 <= value <= maximum:  # the comparison is false for NaN
+            raise InvalidReportError(f"{name} {value:g} is not between 0 and {maximum:g}")
     return ReportedLoad(application or cpu, rps_fractional, eps)
 
 
 def parse_json(body: bytes) -> ReportedLoad:
-    """Parse the JSON form, with names as in the proto file or in camel case. Raises `InvalidReportError`."""
+    """Parse a JSON body, with names as in the proto file or in camel case. Raises `InvalidReportError`."""
     try:
         raw: dict[str, Any] = _decoder.decode(body)
-        figures = [float(raw.get(name, raw.get(camel_case, 0.0))) for name, camel_case in JSON_FIELDS]
+        values = [float(raw.get(name, raw.get(camel_case, 0.0))) for name, camel_case in JSON_FIELDS]
     except (msgspec.DecodeError, ValueError, TypeError, UnicodeDecodeError) as error:
         raise InvalidReportError(f"orca: {error}"[:MAX_ERROR_TEXT_CHARS]) from None
-    return checked_load(*figures)
+    return checked_load(*values)
 
 
 def parse_protobuf(body: bytes) -> ReportedLoad:
-    """Parse the protobuf form. Only the intake process imports the library. Raises `InvalidReportError`."""
+    """Parse a protobuf body. Raises `InvalidReportError`.
+
+    The imports are local because only the intake process needs the library.
+    """
     from google.protobuf.message import DecodeError
     from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
 
     try:
         report = OrcaLoadReport.FromString(body)
     except DecodeError:
-        raise InvalidReportError("orca: no OrcaLoadReport") from None
+        raise InvalidReportError("orca: not a valid OrcaLoadReport") from None
     rps_fractional = report.rps_fractional or float(report.rps)
     return checked_load(report.cpu_utilization, report.application_utilization, rps_fractional, report.eps)
--- a/corallanding/load_reports/receivers.py
+++ b/corallanding/load_reports/receivers.py
@@ -1,4 +1,4 @@
-"""The sockets on which load reports arrive: datagrams, and streams."""
+"""Protocols of the sockets on which load reports arrive: datagrams and streams."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 
 
 class DatagramReceiver(asyncio.DatagramProtocol):
-    """Takes each datagram as one report."""
+    """Receives one report per datagram."""
 
     def __init__(self, intake: LoadReportIntake) -> None:
         self._intake = intake
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Let the intake answer by this socket."""
+        """Make the socket available to the intake for answers."""
         self._intake.datagrams = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Take a report."""
+        """Pass a report to the intake."""
         self._intake.on_report(data, addr)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore that a sender which is gone refuses its nonce."""
+        """Ignore the error if a nonce was sent to a sender that has closed its socket."""
 
 
 class StreamReceiver(asyncio.Protocol):
-    """Takes reports with two bytes of length before each. A stream that sends too fast is read more slowly."""
+    """Receives reports that are preceded by two bytes of length each. A stream over its rate is read more slowly."""
 
     def __init__(self, intake: LoadReportIntake) -> None:
         self._intake = intake
@@ -43,16 +43,16 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Refuse the stream if there are too many."""
+        """Register the stream, or close it if there are too many."""
         self._transport = cast(asyncio.Transport, transport)
         if len(self._intake.streams) >= self._intake.settings["streams_most"]:
-            self._intake.refused_streams += 1
+            self._intake.rejected_streams += 1
             self._transport.abort()
             return
         self._intake.streams.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take the reports that are complete."""
+        """Pass complete reports to the intake; pause a stream whose last report was rejected."""
         self._buffer += data
         is_accepted = True
         while len(self._buffer) >= STREAM_LENGTH_BYTES:
@@ -76,12 +76,12 @@
             self._transport.resume_reading()
 
     def send_nonce(self, message: bytes) -> None:
-        """Send a nonce, unless the stream does not read."""
+        """Send a nonce, unless the sender does not read."""
         if self._transport is None or self._transport.is_closing():
             return
         if self._transport.get_write_buffer_size() < MAX_UNSENT_STREAM_BYTES:
             self._transport.write(message)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Forget the stream."""
+        """Unregister the stream."""
         self._intake.streams.discard(self)
--- a/corallanding/load_reports/state.py
+++ b/corallanding/load_reports/state.py
@@ -1,6 +1,6 @@
-"""What a controller knows by load reports, as values: handed to its successor process beside the intake's socket.
+"""The state of load reports, which is handed over to the successor process together with the intake's socket.
 
-Pure. Times are on the controller's clock, which continues.
+No I/O. Times are in ms on the controller's clock, which the successor continues.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class FeedState(msgspec.Struct):
-    """The state of the feed. intake_digest: of the settings that the intake was started with."""
+    """The state of the feed. intake_digest: digest of the settings that the intake was started with."""
 
     intake_digest: str = msgspec.field(name="intake")
     process_id: int = msgspec.field(name="process")
@@ -30,7 +30,7 @@
 
 
 def settings_digest(settings: dict[str, Any]) -> str:
-    """Return a digest of an intake's settings, its key included; the key itself is not handed over."""
+    """Return a digest of an intake's settings, including its key; the key itself is not handed over."""
     return hashlib.sha256(json.dumps(settings, sort_keys=True).encode()).hexdigest()
 
 
@@ -57,7 +57,7 @@
 
 
 def restore_state(estimator: LoadEstimator, state: FeedState) -> None:
-    """Let a new estimator continue where the captured one was."""
+    """Set a new estimator to the captured state."""
     estimator.hosts = dict(state.hosts)
     estimator.nonces = dict(state.nonces)
     estimator.counts = state.counts
--- a/corallanding/quota/core.py
+++ b/corallanding/quota/core.py
@@ -95,7 +95,7 @@
         return True
 
     def tick(self, now_ms: float, alive: Iterable[int]) -> list[OutgoingMessage]:
-        """Return messages that are due. Called about every 50 ms. alive: controllers that are alive by the membership."""
+        """Return messages that are due. Call it every 50 ms. alive: controllers that the membership has as alive."""
         messages: list[OutgoingMessage] = []
         self.is_allocating(now_ms)
         for budget in self.budgets.values():
--- a/tests/load_reports/support.py
+++ b/tests/load_reports/support.py
@@ -31,7 +31,7 @@
 
     def __init__(self, count: int) -> None:
         self.estimator = LoadEstimator(POLICY)
-        self.now = 100_000.0
+        self.now_ms = 100_000.0
         self.seq = 0
         self.estimator.set_hosts(dict.fromkeys(range(count), ListedStart(0.0, STARTED_MS, 0.0)))
 
@@ -39,7 +39,7 @@
         """Issue a nonce."""
         self.seq += 1
         nonce = self.seq.to_bytes(8, "big")
-        self.estimator.add_nonce(self.now, nonce)
+        self.estimator.add_nonce(self.now_ms, nonce)
         return nonce
 
     def report(self, host: int, load: float, nonce: bytes = NO_NONCE, late_ms: float = 0.0, **more: Any) -> bool:
@@ -49,18 +49,18 @@
             "process": 0,
             "process_started_ms": STARTED_MS,
             "seq": self.seq,
-            "uptime_ms": self.now - late_ms,
+            "uptime_ms": self.now_ms - late_ms,
             "sent_at_ms": 0.0,
             **more,
         }
         header = ReportHeader(host=host, echoed_nonce=nonce, **fields)
-        return self.estimator.on_report(self.now, WRONG_WALL_MS, header, ReportedLoad(load))
+        return self.estimator.on_report(self.now_ms, WRONG_WALL_MS, header, ReportedLoad(load))
 
     def run(self, seconds: float, loads: dict[int, float]) -> None:
         """Send reports of these loads four times a second, with echoes."""
         for _ in range(round(seconds * 4)):
-            self.now += 250.0
+            self.now_ms += 250.0
             nonce = self.add_nonce()
             for host, load in loads.items():
                 self.report(host, load, nonce)
-            self.estimator.update(self.now)
+            self.estimator.update(self.now_ms)
--- a/tests/load_reports/test_envelope.py
+++ b/tests/load_reports/test_envelope.py
@@ -50,7 +50,7 @@
     unsigned = encode_binary(HEADER_1, ORCA.SerializeToString())
     for data in (unsigned, encode_binary(HEADER_1, b"", b"other"), signed[:-1], encode_json(HEADER_1, b"{}")):
         assert not is_authentic(data, KEY)
-        with pytest.raises(InvalidReportError, match="forged"):
+        with pytest.raises(InvalidReportError, match="MAC is missing or wrong"):
             read_report(data, KEY)
     assert is_authentic(signed, KEY)
     assert is_authentic(encode_json(HEADER_1, b"{}", KEY), KEY)
@@ -60,7 +60,7 @@
         with pytest.raises(InvalidReportError):
             read_report(bytes(changed), KEY)
     for fields, text in (
-        ({"cpu_utilization": -0.1}, "cpu_utilization -0.1 is not within 0 and 100"),
+        ({"cpu_utilization": -0.1}, "cpu_utilization -0.1 is not between 0 and 100"),
         ({"application_utilization": math.nan}, "application_utilization nan"),
         ({"eps": math.inf}, "eps inf"),
         ({"cpu_utilization": 1e9}, "cpu_utilization 1e[+]09"),
--- a/tests/load_reports/test_estimator_states.py
+++ b/tests/load_reports/test_estimator_states.py
@@ -22,7 +22,7 @@
             half_life_ms=1000.0, expiry_ms=4000.0, window_ms=1000.0, min_reporting_share=0.2, max_lowered_share=0.2
         )
         self.estimator = LoadEstimator(self.policy)
-        self.now = 1e6
+        self.now_ms = 1e6
         self.seq = 0
         self.nonce = NO_NONCE
         self.started_ms = dict.fromkeys(range(6), STARTED_MS)
@@ -36,13 +36,13 @@
 
     @rule(ms=st.floats(1, 3000))
     def wait(self, ms: float) -> None:
-        self.now += ms
+        self.now_ms += ms
 
     @rule()
     def issue_nonce(self) -> None:
         self.seq += 1
         self.nonce = self.seq.to_bytes(8, "big")
-        self.estimator.add_nonce(self.now, self.nonce)
+        self.estimator.add_nonce(self.now_ms, self.nonce)
 
     @rule(
         hosts=st.sets(st.integers(0, 5)),
@@ -55,12 +55,12 @@
         for host in hosts:
             self.seq += 1
             started_ms = self.started_ms[host] - (1000 if is_former else 0)
-            uptime_ms = max(0.0, self.now + clock_error_ms)
+            uptime_ms = max(0.0, self.now_ms + clock_error_ms)
             nonce = self.nonce if echoes else NO_NONCE
             header = ReportHeader(host, 0, started_ms, self.seq, uptime_ms, 0.0, nonce)
-            self.estimator.on_report(self.now, 1e14, header, ReportedLoad(load))
+            self.estimator.on_report(self.now_ms, 1e14, header, ReportedLoad(load))
             if not is_former:
-                self.proven_at_ms[host] = self.now
+                self.proven_at_ms[host] = self.now_ms
 
     @rule(host=st.integers(0, 5))
     def restart(self, host: int) -> None:
@@ -75,7 +75,7 @@
     @rule()
     def update(self) -> None:
         before = {number: host.level for number, host in self.estimator.hosts.items()}
-        self.estimator.update(self.now)
+        self.estimator.update(self.now_ms)
         lowered = 0
         for number, host in self.estimator.hosts.items():
             assert host.level == 0 or abs(host.level - before[number]) <= 1
@@ -90,15 +90,15 @@
     @invariant()
     def silent_hosts_have_no_influence(self) -> None:
         for number, host in self.estimator.hosts.items():
-            if self.now - self.proven_at_ms.get(number, -1e9) > self.policy.expiry_ms:
-                assert self.estimator.reported(self.now, host).confidence == 0.0
+            if self.now_ms - self.proven_at_ms.get(number, -1e9) > self.policy.expiry_ms:
+                assert self.estimator.reported(self.now_ms, host).confidence == 0.0
 
     @precondition(lambda self: self.estimator.hosts)
     @invariant()
     def confidence_falls_with_age(self) -> None:
         for host in self.estimator.hosts.values():
-            times = (self.now + later_ms for later_ms in (0.0, 10.0, 500.0, 3999.0, 4000.0, 1e6))
-            confidences = [self.estimator.reported(now, host).confidence for now in times]
+            times = (self.now_ms + later_ms for later_ms in (0.0, 10.0, 500.0, 3999.0, 4000.0, 1e6))
+            confidences = [self.estimator.reported(now_ms, host).confidence for now_ms in times]
             assert confidences == sorted(confidences, reverse=True)
             assert confidences[-1] == 0.0
 
--- a/tests/load_reports/test_load_shedding.py
+++ b/tests/load_reports/test_load_shedding.py
@@ -8,9 +8,9 @@
 def test_sender_when_it_floods_then_it_takes_nobodys_place() -> None:
     shedder = LoadShedder(reports_per_second=1.0, burst=2.0, max_processes=4)
     shedder.set_hosts(range(50))
-    for now in range(20):
+    for now_ms in range(20):
         for _ in range(1000):
-            shedder.offer(now * 10.0, (0, 0), b"loud")
+            shedder.offer(now_ms * 10.0, (0, 0), b"loud")
     for host in range(1, 50):
         shedder.offer(200.0, (host, 0), b"quiet")
     taken = [data for _, data in shedder.take(50)]
--- a/tests/load_reports/test_report_age.py
+++ b/tests/load_reports/test_report_age.py
@@ -23,8 +23,8 @@
     assert fleet.estimator.counts.doubtful == 1, "no echo, start and clock both disagree"
     nonce = fleet.add_nonce()
     assert fleet.report(1, 0.5, nonce)
-    fleet.now += 3_600_000.0
-    assert not fleet.report(1, 0.5, uptime_ms=fleet.now - 3_600_000.0 + 50.0)
+    fleet.now_ms += 3_600_000.0
+    assert not fleet.report(1, 0.5, uptime_ms=fleet.now_ms - 3_600_000.0 + 50.0)
     assert fleet.estimator.counts.expired == 1
     assert not fleet.report(1, 0.5, nonce, seq=1), "a replay"
     assert fleet.estimator.counts.repeated == 1, "a replay"
@@ -35,15 +35,15 @@
 def test_report_when_its_clock_is_off_then_an_echoed_nonce_proves_its_age() -> None:
     fleet = Fleet(2)
     for host, skew_ms in enumerate((-300_000.0, 300_000.0)):
-        assert fleet.report(host, 0.5, fleet.add_nonce(), uptime_ms=fleet.now + skew_ms + 1e6)
-    assert fleet.report(1, 0.6, uptime_ms=fleet.now + 300_000.0 + 1e6), "once proven, its own clock carries on"
+        assert fleet.report(host, 0.5, fleet.add_nonce(), uptime_ms=fleet.now_ms + skew_ms + 1e6)
+    assert fleet.report(1, 0.6, uptime_ms=fleet.now_ms + 300_000.0 + 1e6), "once proven, its own clock carries on"
 
 
 def test_report_when_of_a_former_process_then_it_counts_for_nothing() -> None:
     fleet = Fleet(1)
     fleet.report(0, 0.9, fleet.add_nonce())
-    fleet.estimator.set_hosts({0: ListedStart(fleet.now, STARTED_MS + 5000, fleet.now)})
-    assert fleet.estimator.reported(fleet.now, fleet.estimator.hosts[0]).confidence == 0.0
+    fleet.estimator.set_hosts({0: ListedStart(fleet.now_ms, STARTED_MS + 5000, fleet.now_ms)})
+    assert fleet.estimator.reported(fleet.now_ms, fleet.estimator.hosts[0]).confidence == 0.0
     assert not fleet.report(0, 0.9, fleet.add_nonce())
     assert fleet.estimator.counts.former == 1
     assert not fleet.report(0, 0.9, fleet.add_nonce(), process_started_ms=STARTED_MS + 9000)
@@ -56,13 +56,13 @@
 def test_host_when_it_repeats_one_value_then_its_influence_ends() -> None:
     fleet = Fleet(2)
     for _ in range(4 * 70):
-        fleet.now += 250.0
+        fleet.now_ms += 250.0
         fleet.report(0, 0.9, fleet.add_nonce())
-    age = fleet.estimator.hosts[0].processes[0].age_ms(fleet.now, POLICY)
+    age = fleet.estimator.hosts[0].processes[0].age_ms(fleet.now_ms, POLICY)
     assert age == pytest.approx(70_000.0 - 250.0 - POLICY.constant_after_ms)
-    assert fleet.estimator.reported(fleet.now, fleet.estimator.hosts[0]).confidence == 0.0
+    assert fleet.estimator.reported(fleet.now_ms, fleet.estimator.hosts[0]).confidence == 0.0
     fleet.report(0, 0.91, fleet.add_nonce())
-    assert fleet.estimator.reported(fleet.now, fleet.estimator.hosts[0]).confidence == 1.0
+    assert fleet.estimator.reported(fleet.now_ms, fleet.estimator.hosts[0]).confidence == 1.0
 
 
 def test_host_when_some_of_its_processes_are_silent_then_confidence_falls() -> None:
@@ -72,10 +72,10 @@
     assert not fleet.report(0, 0.6, fleet.add_nonce(), process=9)
     assert fleet.estimator.counts.crowded == 1
     host = fleet.estimator.hosts[0]
-    assert fleet.estimator.reported(fleet.now, host) == (0.6, 1.0)
-    fleet.now += 6000.0
+    assert fleet.estimator.reported(fleet.now_ms, host) == (0.6, 1.0)
+    fleet.now_ms += 6000.0
     fleet.report(0, 0.9, fleet.add_nonce(), process=0)
-    assert fleet.estimator.reported(fleet.now, host) == (0.9, pytest.approx(1 / 3))
+    assert fleet.estimator.reported(fleet.now_ms, host) == (0.9, pytest.approx(1 / 3))
 
 
 @given(st.floats(0, 1e5), st.floats(0, 1e5))
@@ -114,7 +114,7 @@
             header = ReportHeader(host, process, STARTED_MS, seq, uptime_ms, 0.0, nonce)
             arrived_at_ms = 100_200.0 + seq * 100.0 + delay_ms
             estimator.on_report(arrived_at_ms, WRONG_WALL_MS, header, ReportedLoad(load))
-        now = 104_000.0 + later_ms
-        results.append([estimator.reported(now, estimator.hosts[host]) for host in (0, 1)])
+        now_ms = 104_000.0 + later_ms
+        results.append([estimator.reported(now_ms, estimator.hosts[host]) for host in (0, 1)])
     for in_order, shuffled_order in zip(*results, strict=True):
         assert in_order == pytest.approx(shuffled_order)
--- a/tests/load_reports/test_state.py
+++ b/tests/load_reports/test_state.py
@@ -17,15 +17,15 @@
 
 def step(estimator: LoadEstimator, number: int) -> dict[int, float]:
     """Send one round of reports; return the factors."""
-    now = 1e6 + number * 50.0
-    estimator.add_nonce(now, bytes([number]) * 8)
+    now_ms = 1e6 + number * 50.0
+    estimator.add_nonce(now_ms, bytes([number]) * 8)
     for host in range(5 if number < LAST_STEP_OF_ALL_HOSTS else 3):
         nonce = bytes([max(0, number - host)]) * 8
-        header = ReportHeader(host, 0, 0, number, now, 5.0, nonce)
+        header = ReportHeader(host, 0, 0, number, now_ms, 5.0, nonce)
         load = ReportedLoad(2.0 if host == 4 else 0.5 + 0.01 * (number % 2))
-        estimator.on_report(now, now, header, load)
+        estimator.on_report(now_ms, now_ms, header, load)
         estimator.on_usage(host, 4, number % 2, 300.0 + host)
-    estimator.update(now)
+    estimator.update(now_ms)
     return estimator.factors()
 
 
