--- a/corallanding/load_reports/load_shedding.py
+++ b/corallanding/load_reports/load_shedding.py
@@ -113,7 +113,7 @@
         return slot
 
     def take(self, max_count: int) -> list[tuple[float, Any]]:
-        """Remove up to `max_count` reports in serving order; return arrival times (ms) and data. Others keep their turn."""
+        """Remove up to `max_count` reports in serving order; return arrival times and data. Others keep their turn."""
         taken: list[tuple[float, Any]] = []
         while self.waiting and len(taken) < max_count:
             sender = next(iter(self.waiting))
--- a/tests/load_reports/support.py
+++ b/tests/load_reports/support.py
@@ -1,4 +1,4 @@
-"""What the tests of load reports share: reports, and a fleet that sends them."""
+"""Reports for the tests of load reports, and a simulated fleet that sends them."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 ORCA = OrcaLoadReport(cpu_utilization=0.4, application_utilization=0.7, rps_fractional=12.5, eps=0.5)
 KEY = b"secret"
 STARTED_MS = 1_700_000_000_000
-WRONG_WALL_MS = 1e13  # agrees with no report
+WRONG_WALL_MS = 1e13  # wall clock that agrees with no report
 POLICY = EstimatorPolicy(
     half_life_ms=1000.0, expiry_ms=5000.0, window_ms=1000.0, max_processes=3, min_reporting_share=0.3
 )
 
 
 def orca(**fields: Any) -> bytes:
-    """A body in protobuf."""
+    """Return a report body in protobuf."""
     return OrcaLoadReport(**fields).SerializeToString()
 
 
 class Fleet:
-    """Honest hosts on a clock of the test's; reports are not encoded, headers and loads are real."""
+    """Hosts that report correctly, on a clock set by the test. Reports are passed to the estimator without encoding."""
 
     def __init__(self, count: int) -> None:
         self.estimator = LoadEstimator(POLICY)
@@ -42,22 +42,22 @@
         self.estimator.add_nonce(self.now_ms, nonce)
         return nonce
 
-    def report(self, host: int, load: float, nonce: bytes = NO_NONCE, late_ms: float = 0.0, **more: Any) -> bool:
-        """Send a report. more: other fields of its header."""
+    def report(self, host: int, load: float, nonce: bytes = NO_NONCE, late_ms: float = 0.0, **fields: Any) -> bool:
+        """Send a report; return whether it has influence. fields: other fields of its header."""
         self.seq += 1
-        fields = {
+        header_fields = {
             "process": 0,
             "process_started_ms": STARTED_MS,
             "seq": self.seq,
             "uptime_ms": self.now_ms - late_ms,
             "sent_at_ms": 0.0,
-            **more,
+            **fields,
         }
-        header = ReportHeader(host=host, echoed_nonce=nonce, **fields)
+        header = ReportHeader(host=host, echoed_nonce=nonce, **header_fields)
         return self.estimator.on_report(self.now_ms, WRONG_WALL_MS, header, ReportedLoad(load))
 
     def run(self, seconds: float, loads: dict[int, float]) -> None:
-        """Send reports of these loads four times a second, with echoes."""
+        """Send reports with these loads four times per second, which echo current nonces."""
         for _ in range(round(seconds * 4)):
             self.now_ms += 250.0
             nonce = self.add_nonce()
--- a/tests/load_reports/test_envelope.py
+++ b/tests/load_reports/test_envelope.py
@@ -1,4 +1,4 @@
-"""Reports as functions of bytes: their forms, what is signed, what is rejected."""
+"""Encodings of reports, signatures, and rejected reports."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("key", [None, KEY])
-def test_report_when_in_any_form_then_it_reads_the_same(key: bytes | None) -> None:
+def test_report_when_in_any_encoding_then_it_decodes_to_the_same(key: bytes | None) -> None:
     expected = (HEADER_1, ReportedLoad(0.7, 12.5, 0.5))
     snake = b'{"cpu_utilization": 0.4, "application_utilization": 0.7, "rps_fractional": 12.5, "eps": 0.5}'
     camel = b'{"cpuUtilization": 0.4, "applicationUtilization": 0.7, "rpsFractional": 12.5, "eps": 0.5}'
@@ -45,7 +45,7 @@
     assert read_report(data, None).load == ReportedLoad(0.4, 9.0, 0.0)
 
 
-def test_report_when_forged_or_out_of_bounds_then_the_error_says_why() -> None:
+def test_report_when_forged_or_out_of_bounds_then_the_error_names_the_fault() -> None:
     signed = encode_binary(HEADER_1, ORCA.SerializeToString(), KEY)
     unsigned = encode_binary(HEADER_1, ORCA.SerializeToString())
     for data in (unsigned, encode_binary(HEADER_1, b"", b"other"), signed[:-1], encode_json(HEADER_1, b"{}")):
@@ -54,18 +54,18 @@
             read_report(data, KEY)
     assert is_authentic(signed, KEY)
     assert is_authentic(encode_json(HEADER_1, b"{}", KEY), KEY)
-    for position in (5, 10, 20, 30, len(signed) - 3):  # any byte that is changed
+    for position in (5, 10, 20, 30, len(signed) - 3):  # a change of any byte
         changed = bytearray(signed)
         changed[position] ^= 1
         with pytest.raises(InvalidReportError):
             read_report(bytes(changed), KEY)
-    for fields, text in (
+    for fields, message in (
         ({"cpu_utilization": -0.1}, "cpu_utilization -0.1 is not between 0 and 100"),
         ({"application_utilization": math.nan}, "application_utilization nan"),
         ({"eps": math.inf}, "eps inf"),
         ({"cpu_utilization": 1e9}, "cpu_utilization 1e[+]09"),
     ):
-        with pytest.raises(InvalidReportError, match=text):
+        with pytest.raises(InvalidReportError, match=message):
             read_report(encode_binary(HEADER_1, orca(**fields)), None)
     with pytest.raises(InvalidReportError, match="uptime"):
         read_report(encode_binary(ReportHeader(1, 1, 1, 1, math.nan, 0.0), b""), None)
@@ -73,7 +73,7 @@
 
 @given(st.binary(max_size=200) | st.binary(max_size=100).map(lambda b: b"oL\x01\x00" + b))
 @settings(max_examples=400, deadline=None)
-def test_bytes_when_arbitrary_then_they_are_a_report_or_an_error(data: bytes) -> None:
+def test_bytes_when_random_then_they_are_a_report_or_an_error(data: bytes) -> None:
     for read in (read_sender, lambda data: read_report(data, None), lambda data: read_report(data, KEY)):
         try:
             read(data)
@@ -81,8 +81,8 @@
             continue
 
 
-def test_header_when_encoded_then_it_is_as_the_page_says() -> None:
-    """Byte for byte: as docs/reports.md describes it for others."""
+def test_header_when_encoded_then_it_is_as_documented() -> None:
+    """The bytes are as docs/reports.md describes them to other implementations."""
     raw = encode_binary(HEADER_1, b"")
     assert raw[:4] == b"oL\x01\x00"
     assert HEADER.size == 50
--- a/tests/load_reports/test_estimator_states.py
+++ b/tests/load_reports/test_estimator_states.py
@@ -1,4 +1,4 @@
-"""Search over states: hosts that lie, stall and restart never break the estimator's invariants."""
+"""Search over states: hosts with false reports, stalls and restarts never break the estimator's invariants."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from tests.load_reports.support import STARTED_MS
 
 
-class Senders(RuleBasedStateMachine):
-    """Hosts that lie, stall, restart and lose reports, on clocks that drift; the invariants hold after each step."""
+class ReportSenders(RuleBasedStateMachine):
+    """Hosts that send false reports, stall, restart and lose reports, on clocks with errors."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -26,7 +26,7 @@
         self.seq = 0
         self.nonce = NO_NONCE
         self.started_ms = dict.fromkeys(range(6), STARTED_MS)
-        self.proven_at_ms: dict[int, float] = {}  # when a report of a host could last be known to be fresh
+        self.proven_at_ms: dict[int, float] = {}  # last time at which a report of the host could be proven fresh
         self.set_hosts()
 
     def set_hosts(self) -> None:
@@ -103,5 +103,5 @@
             assert confidences[-1] == 0.0
 
 
-Senders.TestCase.settings = settings(max_examples=80, stateful_step_count=40, deadline=None)
-TestSenders = Senders.TestCase
+ReportSenders.TestCase.settings = settings(max_examples=80, stateful_step_count=40, deadline=None)
+TestReportSenders = ReportSenders.TestCase
--- a/tests/load_reports/test_feed.py
+++ b/tests/load_reports/test_feed.py
@@ -1,4 +1,4 @@
-"""The intake and the controller's feed, on sockets."""
+"""The intake process and the controller's feed, with real sockets."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class NonceReceiver(asyncio.DatagramProtocol):
-    """Keeps the newest nonce that the intake sent."""
+    """Stores the newest nonce that the intake sent."""
 
     def __init__(self) -> None:
         self.nonce = NO_NONCE
@@ -45,7 +45,7 @@
 
 
 def listed_weights(running: Running) -> dict[int, float]:
-    """Weights as the assigner got them."""
+    """Return the weights that the assigner received, by host."""
     weights: dict[int, float] = {}
     for event in running.module.told:
         if isinstance(event, api.HostListUpdate):
@@ -54,7 +54,7 @@
 
 
 def send_round(udp: asyncio.DatagramTransport, writer: asyncio.StreamWriter, nonce: bytes) -> None:
-    """Send a report of each host, one by a stream; one of a host that is not listed, forged ones and garbage."""
+    """Send a report of each host (host 2 on a stream), one of an unlisted host, forged reports and garbage."""
     for host in (0, 1, 2, 3, 4, 77):
         uptime_ms = time.monotonic() * 1000.0
         header = ReportHeader(host, 0, 0, int(uptime_ms * 10), uptime_ms, 5.0, nonce)
@@ -72,7 +72,7 @@
     (tmp_path / "key").write_bytes(KEY + b"\n")
     rows = [{"host": host, "address": "127.0.0.1:9", "state": "up", "started": 0.0, "weight": 2.0} for host in range(5)]
 
-    async def scene() -> None:
+    async def run_scenario() -> None:
         async with Running(tmp_path, BLOCK.format(key=tmp_path / "key"), config=CONFIG) as running:
             feed = running.steward.load_weights.feed
             assert feed is not None
@@ -83,33 +83,33 @@
             running.steward.host_sources.on_host_rows(True, 1, rows)
             await until(lambda: feed.transport and feed.hosts == [0, 1, 2, 3, 4])
 
-            deadline = time.monotonic() + 15.0
-            while time.monotonic() < deadline and listed_weights(running).get(4) != 1.0:
+            deadline_s = time.monotonic() + 15.0
+            while time.monotonic() < deadline_s and listed_weights(running).get(4) != 1.0:
                 send_round(udp, writer, receiver.nonce)
                 await asyncio.sleep(0.03)
             weights = {0: 2.0, 1: 2.0, 2: 2.0, 3: 2.0, 4: 1.0}
-            assert listed_weights(running) == weights, "half of its listed weight, the others in full"
+            assert listed_weights(running) == weights, "host 4 has half of its listed weight, the others all of it"
             await until(lambda: feed.intake_counts.get("forged"))
             assert feed.intake_counts["unknown"] > 0
             assert feed.intake_counts["bad"] > 0
             assert feed.intake_counts["senders"] == 5
-            stopped = time.monotonic()
+            stopped_at_s = time.monotonic()
             await until(lambda: listed_weights(running)[4] == 2.0)
-            assert time.monotonic() - stopped < 5.0
-            # The intake dies: it is started again, and the controller has not stopped.
-            killed = feed.process_id
-            os.kill(killed, signal.SIGKILL)
-            await until(lambda: feed.process_id not in (0, killed) and feed.transport)
+            assert time.monotonic() - stopped_at_s < 5.0
+            # The intake is killed: it is restarted, and the controller continues.
+            killed_process_id = feed.process_id
+            os.kill(killed_process_id, signal.SIGKILL)
+            await until(lambda: feed.process_id not in (0, killed_process_id) and feed.transport)
             udp.close()
             writer.close()
 
-    asyncio.run(scene())
+    asyncio.run(run_scenario())
 
 
-def test_intake_when_its_controller_is_gone_then_it_sends_nothing_more() -> None:
-    """Reports still wait when the controller dies: its socket is closed, the loop runs on for a moment."""
+def test_intake_when_its_controller_has_exited_then_it_sends_nothing_more() -> None:
+    """Reports are still queued when the controller exits: its socket is closed, but the event loop runs briefly."""
 
-    async def scene() -> None:
+    async def run_scenario() -> None:
         settings = {
             "sender_rate": 10.0,
             "sender_burst": 10,
@@ -118,25 +118,25 @@
             "tick_ms": 1000,
         }
         intake = LoadReportIntake({**settings, "key": ""})
-        ours, theirs = socket.socketpair()
-        ours.setblocking(False)
-        await asyncio.get_running_loop().create_connection(lambda: intake, sock=ours)
+        intake_socket, controller_socket = socket.socketpair()
+        intake_socket.setblocking(False)
+        await asyncio.get_running_loop().create_connection(lambda: intake, sock=intake_socket)
         intake.shedder.set_hosts([1])
         report = encode_binary(ReportHeader(1, 0, 0, 1, 1.0, 5.0), orca(application_utilization=0.5))
         assert intake.on_report(report, None)
-        theirs.close()
+        controller_socket.close()
         await intake.ended
         await asyncio.sleep(0.05)
         intake.process_waiting()
         intake.send_counts()
 
-    uvloop.run(scene())
+    uvloop.run(run_scenario())
 
 
 def test_key_when_missing_then_the_error_names_its_file(tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def run_scenario() -> None:
         with pytest.raises(OSError, match=r"none\.key"):
             async with Running(tmp_path, BLOCK.format(key=tmp_path / "none.key"), config=CONFIG):
                 pass
 
-    asyncio.run(scene())
+    asyncio.run(run_scenario())
--- a/tests/load_reports/test_load_shedding.py
+++ b/tests/load_reports/test_load_shedding.py
@@ -1,11 +1,11 @@
-"""Which reports are processed when there are too many."""
+"""The selection of reports under overload."""
 
 from __future__ import annotations
 
 from corallanding.load_reports.load_shedding import LoadShedder
 
 
-def test_sender_when_it_floods_then_it_takes_nobodys_place() -> None:
+def test_sender_when_it_floods_then_reports_of_others_are_not_displaced() -> None:
     shedder = LoadShedder(reports_per_second=1.0, burst=2.0, max_processes=4)
     shedder.set_hosts(range(50))
     for now_ms in range(20):
@@ -20,7 +20,7 @@
     assert len(shedder.slots) == 50
 
 
-def test_slots_when_served_then_in_turn_and_with_the_newest_report() -> None:
+def test_slots_when_served_then_they_are_served_in_turn_with_the_newest_report() -> None:
     shedder = LoadShedder(reports_per_second=100.0, burst=9.0, max_processes=4)
     shedder.set_hosts([1, 2, 3])
     for host in (1, 2, 3):
@@ -28,10 +28,10 @@
     shedder.offer(1.0, (1, 0), "1b")
     assert shedder.take(2) == [(1.0, "1b"), (0.0, "2a")]
     shedder.offer(2.0, (1, 0), "1c")
-    assert shedder.take(9) == [(0.0, "3a"), (2.0, "1c")], "3 waited longer"
+    assert shedder.take(9) == [(0.0, "3a"), (2.0, "1c")], "host 3 waited longer"
 
 
-def test_slots_when_many_processes_report_then_bounded_and_none_for_unlisted_hosts() -> None:
+def test_slots_when_many_processes_report_then_they_are_bounded_and_none_is_for_unlisted_hosts() -> None:
     shedder = LoadShedder(reports_per_second=1.0, burst=1.0, max_processes=3)
     shedder.set_hosts([1])
     for process in range(1000):
--- a/tests/load_reports/test_report_age.py
+++ b/tests/load_reports/test_report_age.py
@@ -1,4 +1,4 @@
-"""How old a report is taken to be, and how much it counts."""
+"""The age of a report, and its influence by age."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 NONCE = b"tick-one"
 
 
-def test_report_when_an_hour_old_then_it_counts_for_nothing() -> None:
+def test_report_when_an_hour_old_then_it_has_no_influence() -> None:
     fleet = Fleet(3)
     assert not fleet.report(0, 5.0, late_ms=3_600_000.0, uptime_ms=1_000.0)
-    assert fleet.estimator.counts.doubtful == 1, "no echo, start and clock both disagree"
+    assert fleet.estimator.counts.doubtful == 1, "no echo, and both start and clock disagree"
     nonce = fleet.add_nonce()
     assert fleet.report(1, 0.5, nonce)
     fleet.now_ms += 3_600_000.0
@@ -36,10 +36,12 @@
     fleet = Fleet(2)
     for host, skew_ms in enumerate((-300_000.0, 300_000.0)):
         assert fleet.report(host, 0.5, fleet.add_nonce(), uptime_ms=fleet.now_ms + skew_ms + 1e6)
-    assert fleet.report(1, 0.6, uptime_ms=fleet.now_ms + 300_000.0 + 1e6), "once proven, its own clock carries on"
+    assert fleet.report(1, 0.6, uptime_ms=fleet.now_ms + 300_000.0 + 1e6), (
+        "after one proven report the sender's own clock is sufficient"
+    )
 
 
-def test_report_when_of_a_former_process_then_it_counts_for_nothing() -> None:
+def test_report_when_of_a_former_process_then_it_has_no_influence() -> None:
     fleet = Fleet(1)
     fleet.report(0, 0.9, fleet.add_nonce())
     fleet.estimator.set_hosts({0: ListedStart(fleet.now_ms, STARTED_MS + 5000, fleet.now_ms)})
@@ -58,14 +60,14 @@
     for _ in range(4 * 70):
         fleet.now_ms += 250.0
         fleet.report(0, 0.9, fleet.add_nonce())
-    age = fleet.estimator.hosts[0].processes[0].age_ms(fleet.now_ms, POLICY)
-    assert age == pytest.approx(70_000.0 - 250.0 - POLICY.constant_after_ms)
+    age_ms = fleet.estimator.hosts[0].processes[0].age_ms(fleet.now_ms, POLICY)
+    assert age_ms == pytest.approx(70_000.0 - 250.0 - POLICY.constant_after_ms)
     assert fleet.estimator.reported(fleet.now_ms, fleet.estimator.hosts[0]).confidence == 0.0
     fleet.report(0, 0.91, fleet.add_nonce())
     assert fleet.estimator.reported(fleet.now_ms, fleet.estimator.hosts[0]).confidence == 1.0
 
 
-def test_host_when_some_of_its_processes_are_silent_then_confidence_falls() -> None:
+def test_host_when_some_of_its_processes_stop_reporting_then_confidence_falls() -> None:
     fleet = Fleet(1)
     for process in range(3):
         fleet.report(0, 0.6, fleet.add_nonce(), process=process)
@@ -102,7 +104,7 @@
 @given(REPORTS, st.randoms(use_true_random=False), st.floats(0, 4000))
 @settings(max_examples=300, deadline=None)
 def test_reports_when_in_any_order_then_the_result_is_the_same(rows: list[Any], rng: Any, later_ms: float) -> None:
-    """Sequence numbers grow with a process's own clock, as they must; order and delays are any."""
+    """Reports arrive in any order and with any delay; sequence numbers increase with the uptime of their process."""
     results = []
     for shuffled in (rows, rng.sample(rows, len(rows))):
         estimator = LoadEstimator(POLICY)
--- a/tests/load_reports/test_state.py
+++ b/tests/load_reports/test_state.py
@@ -1,4 +1,4 @@
-"""The state of the feed as values: an estimator continues in another process."""
+"""Handover of the feed's state: an estimator continues in another process."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from corallanding.snapshot import file
 
 STEPS = 60
-LAST_STEP_OF_ALL_HOSTS = 40
+FULL_REPORT_STEPS = 40  # steps in which all hosts report
 
 
 def step(estimator: LoadEstimator, number: int) -> dict[int, float]:
-    """Send one round of reports; return the factors."""
+    """Send one round of reports, update the estimator, and return the factors."""
     now_ms = 1e6 + number * 50.0
     estimator.add_nonce(now_ms, bytes([number]) * 8)
-    for host in range(5 if number < LAST_STEP_OF_ALL_HOSTS else 3):
+    for host in range(5 if number < FULL_REPORT_STEPS else 3):
         nonce = bytes([max(0, number - host)]) * 8
         header = ReportHeader(host, 0, 0, number, now_ms, 5.0, nonce)
         load = ReportedLoad(2.0 if host == 4 else 0.5 + 0.01 * (number % 2))
@@ -30,7 +30,7 @@
 
 
 def hand_over(estimator: LoadEstimator) -> LoadEstimator:
-    """Hand the state over as bytes; return the estimator that continues."""
+    """Hand the state over as bytes, and return the estimator that continues."""
     state = file.unpack(file.pack(capture_state(estimator, "x", 1, 2, b"half", {})), FeedState)
     assert (state.partial_message, state.process_id, state.port) == (b"half", 1, 2)
     successor = LoadEstimator(estimator.policy)
@@ -38,8 +38,8 @@
     return successor
 
 
-def play(handover_step: int | None) -> list[dict[int, float]]:
-    """The factors after each step."""
+def run_steps(handover_step: int | None) -> list[dict[int, float]]:
+    """Return the factors after each step, with a handover after `handover_step`."""
     estimator = LoadEstimator(EstimatorPolicy(window_ms=100.0, half_life_ms=1_000.0, expiry_ms=4_000.0))
     estimator.set_hosts(dict.fromkeys(range(5), ListedStart(0.0, 0, 0.0)))
     factors = []
@@ -50,8 +50,8 @@
     return factors
 
 
-@pytest.mark.parametrize("at", [1, 7, 30, 59])
-def test_estimator_when_handed_over_then_it_continues_as_before(at: int) -> None:
-    undisturbed = play(None)
-    assert play(at) == undisturbed
-    assert any(undisturbed)
+@pytest.mark.parametrize("handover_step", [1, 7, 30, 59])
+def test_estimator_when_handed_over_then_it_continues_as_before(handover_step: int) -> None:
+    factors_without_handover = run_steps(None)
+    assert run_steps(handover_step) == factors_without_handover
+    assert any(factors_without_handover)
--- a/tests/quota/mistakes.py
+++ b/tests/quota/mistakes.py
@@ -1,4 +1,4 @@
-"""Mistakes to be planted in quotas and in the election: each takes away one step on which the capacity rests."""
+"""Mutations of quotas and of the election. Each removes one step that keeps the capacity from being exceeded."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 Mistake = Callable[[pytest.MonkeyPatch], None]
 
 
-def count_grants_from_the_answer(patch: pytest.MonkeyPatch) -> None:
+def start_grant_lifetime_at_the_answer(patch: pytest.MonkeyPatch) -> None:
     real = QuotaClient.on_grant
 
     def on_grant(self: QuotaClient, now_ms: float, message: CapacityGrant) -> bool:
@@ -40,7 +40,7 @@
     patch.setattr(QuotaClient, "on_grant", on_grant)
 
 
-def add_the_drift_where_it_is_subtracted(patch: pytest.MonkeyPatch) -> None:
+def add_the_clock_drift_to_usable_time(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(QuotaLimits, "usable_ms", lambda self, span_ms: span_ms * 1.3)
 
 
@@ -51,7 +51,7 @@
     )
 
 
-def forget_former_incarnations(patch: pytest.MonkeyPatch) -> None:
+def drop_former_incarnations(patch: pytest.MonkeyPatch) -> None:
     real = QuotaAllocator.grant_row
 
     def grant_row(
@@ -81,7 +81,7 @@
     patch.setattr(voting.Voter, "on_vote_request", on_vote_request)
 
 
-def take_grants_in_any_order(patch: pytest.MonkeyPatch) -> None:
+def accept_grants_in_any_order(patch: pytest.MonkeyPatch) -> None:
     real = QuotaClient.on_grant
 
     def on_grant(self: QuotaClient, now_ms: float, message: CapacityGrant) -> bool:
@@ -101,7 +101,7 @@
     patch.setattr(QuotaClient, "available", available)
 
 
-def report_no_use(patch: pytest.MonkeyPatch) -> None:
+def report_no_use_beyond_the_grant(patch: pytest.MonkeyPatch) -> None:
     real = QuotaClient.request_row
 
     def request_row(self: QuotaClient, now_ms: float, key: BudgetKey) -> RequestRow:
@@ -111,7 +111,7 @@
     patch.setattr(QuotaClient, "request_row", request_row)
 
 
-def forget_grants_on_their_way(patch: pytest.MonkeyPatch) -> None:
+def drop_grants_in_transit(patch: pytest.MonkeyPatch) -> None:
     real = QuotaAllocator.settle
 
     def settle(
@@ -132,8 +132,10 @@
     real = QuotaAllocator.on_request
 
     def on_request(self: QuotaAllocator, now_ms: float, sender: int, message: CapacityRequest) -> CapacityGrant:
-        renamed = CapacityRequest(message.incarnation, message.round, self.incarnation, self.first_round, message.rows)
-        return real(self, now_ms, sender, renamed)
+        current_request = CapacityRequest(
+            message.incarnation, message.round, self.incarnation, self.first_round, message.rows
+        )
+        return real(self, now_ms, sender, current_request)
 
     patch.setattr(QuotaAllocator, "on_request", on_request)
 
@@ -145,7 +147,9 @@
         self: QuotaAllocator, now_ms: float, sender: int, message: CapacityRequest, row: RequestRow
     ) -> GrantRow | None:
         ledger = self.ledgers.get(BudgetKey(row.budget_id, row.subject), {})
-        ledger.pop(quota_allocator.ClientId(sender, message.incarnation), None)  # as if it reported for the first time
+        ledger.pop(
+            quota_allocator.ClientId(sender, message.incarnation), None
+        )  # as if the client reported for the first time
         return real(self, now_ms, sender, message, row)
 
     patch.setattr(QuotaAllocator, "grant_row", grant_row)
@@ -179,33 +183,35 @@
     patch.setattr(voting.Candidate, "give_up_candidacy", give_up_candidacy)
 
 
-def count_votes_from_the_answer(patch: pytest.MonkeyPatch) -> None:
+def start_vote_lease_at_the_answer(patch: pytest.MonkeyPatch) -> None:
     real = voting.Candidate.on_vote_reply
 
     def on_vote_reply(self: voting.Candidate, now_ms: float, voter: int, message: VoteReply) -> None:
         real(self, now_ms, voter, message)
         if message.is_granted and message.incarnation == self.incarnation:
-            self.votes_until[voter] = now_ms + self.timings.vote_lease_ms  # from the answer, not from the request
+            self.votes_until[voter] = (
+                now_ms + self.timings.vote_lease_ms
+            )  # counted from the reply instead of the request
 
     patch.setattr(voting.Candidate, "on_vote_reply", on_vote_reply)
 
 
 MISTAKES: list[Mistake] = [
-    count_grants_from_the_answer,
-    add_the_drift_where_it_is_subtracted,
+    start_grant_lifetime_at_the_answer,
+    add_the_clock_drift_to_usable_time,
     grant_without_learning,
-    forget_former_incarnations,
+    drop_former_incarnations,
     use_the_floor_at_once,
     vote_at_once_after_a_start,
-    take_grants_in_any_order,
+    accept_grants_in_any_order,
     let_uses_outlast_the_grant,
-    report_no_use,
-    forget_grants_on_their_way,
+    report_no_use_beyond_the_grant,
+    drop_grants_in_transit,
     answer_requests_of_a_former_term,
     count_inherited_capacity_again,
     lead_with_half_the_votes,
     stay_leader_over_a_pause,
     count_only_the_last_grant,
     count_votes_after_a_release,
-    count_votes_from_the_answer,
+    start_vote_lease_at_the_answer,
 ]
--- a/tests/quota/orders.py
+++ b/tests/quota/orders.py
@@ -1,21 +1,23 @@
-"""Single orders of events that once were, or could be, dangerous. Each returns for how long the capacity was exceeded,
-or 1 if there were two leaders."""
+"""Orders of events that may violate the capacity or the uniqueness of the leader.
+
+Each function returns for how many ms the capacity was exceeded, or 1 if there were two leaders.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 from corallanding.quota import VoteRequest
-from tests.quota.support import VOTERS, Exchange, Vote, every
+from tests.quota.support import VOTERS, Election, Exchange, instants_ms
 
 
 def grant_that_arrives_late() -> float:
     exchange = Exchange()
     grant = exchange.answer(1.0, 0, exchange.request(0.0, 0))
     exchange.clients[0].on_grant(500.0, grant)
-    for now_ms in every(20, 500, 1_400):
+    for now_ms in instants_ms(20, 500, 1_400):
         exchange.use(now_ms, 0)
-        exchange.exchange(now_ms, 1)
+        exchange.request_and_accept(now_ms, 1)
         exchange.use(now_ms, 1)
     return exchange.ms_over_capacity()
 
@@ -24,8 +26,8 @@
     exchange = Exchange()
     exchange.clients[0].on_grant(1.0, exchange.answer(0.0, 0, exchange.request(0.0, 0)))
     exchange.use(700.0, 0)
-    for now_ms in every(20, 820, 1_000):
-        exchange.exchange(now_ms, 1)
+    for now_ms in instants_ms(20, 820, 1_000):
+        exchange.request_and_accept(now_ms, 1)
         exchange.use(now_ms, 1)
     return exchange.ms_over_capacity()
 
@@ -36,8 +38,8 @@
     exchange.answer(2.0, 1, exchange.request(2.0, 1))
     exchange.clients[0].on_grant(4.0, exchange.answer(3.0, 0, exchange.request(3.0, 0)))
     exchange.answer(6.0, 0, exchange.request(5.0, 0))  # reports that the second grant was taken
-    for now_ms in every(20, 10, 400):
-        exchange.exchange(now_ms, 1)
+    for now_ms in instants_ms(20, 10, 400):
+        exchange.request_and_accept(now_ms, 1)
         exchange.use(now_ms, 1)
     exchange.clients[0].on_grant(400.0, late)
     exchange.use(400.0, 0)
@@ -58,15 +60,17 @@
 
 
 def allocator_that_continues_from_reports() -> float:
-    """It grants what is reported anew before its predecessor's other grants have expired, and no more than that."""
+    """A new allocator grants only the reported capacity before its predecessor's other grants have expired."""
     exchange = Exchange()
     exchange.clients[0].on_grant(1.0, exchange.answer(0.0, 0, exchange.request(0.0, 0, 3)))
-    lost = exchange.answer(3.0, 1, exchange.request(2.0, 1))  # to a client of which the new allocator does not hear
-    exchange.clients[1].on_grant(4.0, lost)
+    unreported = exchange.answer(
+        3.0, 1, exchange.request(2.0, 1)
+    )  # for a client that sends nothing to the new allocator
+    exchange.clients[1].on_grant(4.0, unreported)
     exchange.elect(5.0)
     exchange.use(6.0, 1)
-    for now_ms in every(10, 10, 300):
-        exchange.exchange(now_ms, 0)
+    for now_ms in instants_ms(10, 10, 300):
+        exchange.request_and_accept(now_ms, 0)
         exchange.use(now_ms, 0)
     assert {use[0] < 300.0 for use in exchange.uses} == {True}
     return exchange.ms_over_capacity()
@@ -76,40 +80,40 @@
     exchange = Exchange()
     exchange.clients[0].on_grant(1.0, exchange.answer(0.0, 0, exchange.request(0.0, 0)))
     exchange.use(200.0, 0)
-    for now_ms in every(10, 210, 1_000):
-        exchange.exchange(now_ms, 1)
+    for now_ms in instants_ms(10, 210, 1_000):
+        exchange.request_and_accept(now_ms, 1)
         exchange.use(now_ms, 1)
-        exchange.exchange(now_ms, 0)
+        exchange.request_and_accept(now_ms, 0)
     return exchange.ms_over_capacity()
 
 
 def voter_that_restarts() -> float:
-    vote = Vote()
-    vote.stand(0.0, vote.first, (0, 2))
-    vote.voters[2] = vote.new_voter(100.0)
-    vote.stand(110.0, vote.second, (1, 2))
-    return vote.two_leaders(120.0)
+    election = Election()
+    election.request_votes(0.0, election.first, (0, 2))
+    election.voters[2] = election.new_voter(100.0)
+    election.request_votes(110.0, election.second, (1, 2))
+    return election.has_two_leaders(120.0)
 
 
 def votes_that_arrive_late() -> float:
-    vote = Vote()
-    vote.stand(0.0, vote.first, VOTERS, answered_at=350.0)
-    vote.stand(415.0, vote.second, VOTERS)
-    return vote.two_leaders(420.0)
+    election = Election()
+    election.request_votes(0.0, election.first, VOTERS, answered_at_ms=350.0)
+    election.request_votes(415.0, election.second, VOTERS)
+    return election.has_two_leaders(420.0)
 
 
 def votes_after_a_release() -> float:
-    vote = Vote()
-    request = vote.first.tick(0.0, 0)
+    election = Election()
+    request = election.first.tick(0.0, 0)
     assert isinstance(request, VoteRequest)
-    votes = {number: vote.voters[number].on_vote_request(0.0, 0, request) for number in (1, 2)}
-    release = vote.first.give_up_candidacy()
+    votes = {number: election.voters[number].on_vote_request(0.0, 0, request) for number in (1, 2)}
+    release = election.first.give_up_candidacy()
     for number in (1, 2):
-        vote.voters[number].on_vote_release(0, release)
-    vote.stand(10.0, vote.second, (1, 2))
+        election.voters[number].on_vote_release(0, release)
+    election.request_votes(10.0, election.second, (1, 2))
     for number, answer in votes.items():
-        vote.first.on_vote_reply(20.0, number, answer)
-    return vote.two_leaders(20.0)
+        election.first.on_vote_reply(20.0, number, answer)
+    return election.has_two_leaders(20.0)
 
 
 ORDERS: list[Callable[[], float]] = [
--- a/tests/quota/test_every_order.py
+++ b/tests/quota/test_every_order.py
@@ -1,4 +1,7 @@
-"""Every order of events in a small world: two clients, an allocator, two units; messages are lost, late or swapped."""
+"""Exhaustive search over orders of events with two clients, an allocator and two units.
+
+Messages are lost, delayed or reordered.
+"""
 
 from __future__ import annotations
 
@@ -11,16 +14,16 @@
 from corallanding.quota import Budget, CapacityGrant, CapacityRequest, QuotaAllocator, QuotaClient, QuotaLimits
 from tests.quota import mistakes
 
-# A grant of two steps and a use of one and a half: a few steps see grants expire, and uses that would outlast them.
+# A grant lasts two steps and a use one and a half, so within a few steps grants expire, and uses could outlast them.
 LIMITS = QuotaLimits(lease_ms=50.0, vote_lease_ms=100.0, max_clock_drift=0.0)
 BUDGET = Budget("moves", 2, 0, 2, 150.0)
 STEP_MS = 100.0
 DEPTH = 8
-MAX_REQUESTS = 2  # on their way at once
+MAX_REQUESTS = 2  # requests in transit at once
 
 
 class Event(Enum):
-    """What can happen next; the number beside it is of a client, or of a message on its way."""
+    """What can happen next to a client, or to a message in transit."""
 
     TIME = "time"
     REQUEST = "request"
@@ -30,13 +33,13 @@
 
 
 class Move(NamedTuple):
-    """An event, and with which client or message."""
+    """An event, and the number of its client or index of its message."""
 
     event: Event
     number: int
 
 
-class SmallWorld:
+class SmallModel:
     """Two clients, an allocator, and the messages between them."""
 
     def __init__(self) -> None:
@@ -49,19 +52,19 @@
         self.use_ends: list[float] = []
 
     def in_use(self) -> int:
-        """How many units are in use now."""
+        """Return the number of units in use now."""
         return sum(end > self.now_ms for end in self.use_ends)
 
     def moves(self) -> list[Move]:
-        """What can happen next. A message that never arrives is lost: that needs no move of its own."""
+        """Return all possible moves. The loss of a message needs no move: it is a message that never arrives."""
         moves = [Move(Event.TIME, 0)]
         moves += [Move(Event.REQUEST, client) for client in range(2) if len(self.requests) < MAX_REQUESTS]
         moves += [Move(Event.REQUEST_ARRIVES, index) for index in range(len(self.requests))]
         moves += [Move(Event.GRANT_ARRIVES, index) for index in range(len(self.grants))]
         return moves + [Move(Event.USE, client) for client in range(2)]
 
-    def play(self, move: Move) -> bool:
-        """Make it happen. False if nothing came of it."""
+    def apply(self, move: Move) -> bool:
+        """Apply a move; return False if it has no effect."""
         match move.event:
             case Event.TIME:
                 self.now_ms += STEP_MS
@@ -96,8 +99,8 @@
         self.use_ends += [self.now_ms + BUDGET.hold_ms] * available
         return True
 
-    def key(self) -> str:
-        """Two worlds of one key go on alike."""
+    def state_key(self) -> str:
+        """Return a key that is equal only for models that behave alike from now on."""
         ledgers = [
             (client, state.round, state.wanted, state.reported_at_ms, sorted(state.grants))
             for ledger in self.allocator.ledgers.values()
@@ -110,7 +113,7 @@
                     (a.granted, a.expires_at_ms, a.round, a.uses.buckets, a.unmet.buckets, a.peak, a.peak_at_ms)
                     for a in client.accounts.values()
                 ],
-                sorted((round_, request.sent_at_ms) for round_, request in client.pending.items()),
+                sorted((number, request.sent_at_ms) for number, request in client.pending.items()),
             )
             for client in self.clients
         ]
@@ -118,53 +121,53 @@
 
 
 class Explored(NamedTuple):
-    """Worlds seen, and the most that was in use in any of them."""
+    """Result of a search: the number of distinct states, and the most units in use in any of them."""
 
-    worlds: int
+    state_count: int
     most_in_use: int
 
 
-def explore(depth: int, start: SmallWorld) -> Explored:
-    """Every world that so many moves lead to; it stops at the first that exceeds the capacity."""
-    seen = {start.key()}
+def explore(depth: int, start: SmallModel) -> Explored:
+    """Search all states reached by up to `depth` moves; stop at the first that exceeds the capacity."""
+    seen = {start.state_key()}
     most_in_use = 0
-    layer = [start]
+    states = [start]
     for _ in range(depth):
-        next_layer: list[SmallWorld] = []
-        for world in layer:
-            for move in world.moves():
-                changed = copy.deepcopy(world)
-                if not changed.play(move):
+        next_states: list[SmallModel] = []
+        for model in states:
+            for move in model.moves():
+                changed = copy.deepcopy(model)
+                if not changed.apply(move):
                     continue
                 most_in_use = max(most_in_use, changed.in_use())
                 if most_in_use > BUDGET.capacity:
                     return Explored(len(seen), most_in_use)
-                key = changed.key()
-                if key not in seen:
-                    seen.add(key)
-                    next_layer.append(changed)
-        layer = next_layer
+                state_key = changed.state_key()
+                if state_key not in seen:
+                    seen.add(state_key)
+                    next_states.append(changed)
+        states = next_states
     return Explored(len(seen), most_in_use)
 
 
-def world_after(moves: tuple[Move, ...]) -> SmallWorld:
-    world = SmallWorld()
+def model_after(moves: tuple[Move, ...]) -> SmallModel:
+    model = SmallModel()
     for move in moves:
-        assert world.play(move), move
-    return world
+        assert model.apply(move), move
+    return model
 
 
-FIRST_GRANT_ON_ITS_WAY = (Move(Event.REQUEST, 0), Move(Event.REQUEST_ARRIVES, 0))
+FIRST_GRANT_IN_TRANSIT = (Move(Event.REQUEST, 0), Move(Event.REQUEST_ARRIVES, 0))
 # The first client has both units, and the second wants some.
 BOTH_GRANTED = (
-    *FIRST_GRANT_ON_ITS_WAY,
+    *FIRST_GRANT_IN_TRANSIT,
     Move(Event.GRANT_ARRIVES, 0),
     Move(Event.REQUEST, 1),
     Move(Event.REQUEST_ARRIVES, 0),
 )
-# The first client's first grant is late; it took a second one, of fewer units, and the allocator has heard so.
+# The first client's first grant is late; it accepted a second one, of fewer units, and the allocator knows.
 FIRST_GRANT_LATE = (
-    *FIRST_GRANT_ON_ITS_WAY,
+    *FIRST_GRANT_IN_TRANSIT,
     Move(Event.REQUEST, 1),
     Move(Event.REQUEST_ARRIVES, 0),
     Move(Event.REQUEST, 0),
@@ -173,27 +176,27 @@
     Move(Event.REQUEST, 0),
     Move(Event.REQUEST_ARRIVES, 0),
 )
-STARTS = {"on its way": FIRST_GRANT_ON_ITS_WAY, "both granted": BOTH_GRANTED, "late": FIRST_GRANT_LATE}
+STARTS = {"in transit": FIRST_GRANT_IN_TRANSIT, "both granted": BOTH_GRANTED, "late": FIRST_GRANT_LATE}
 
 
 @pytest.mark.parametrize("start", STARTS)
 def test_use_when_events_come_in_any_order_then_the_capacity_is_reached_and_not_exceeded(start: str) -> None:
-    explored = explore(DEPTH - 1, world_after(STARTS[start]))
-    assert explored.most_in_use == BUDGET.capacity, "both units are used in some order, and never three"
-    assert explored.worlds > 2_000
+    explored = explore(DEPTH - 1, model_after(STARTS[start]))
+    assert explored.most_in_use == BUDGET.capacity, "some order uses both units, and none uses three"
+    assert explored.state_count > 2_000
 
 
-FOUND_FROM = {
-    mistakes.count_grants_from_the_answer: "on its way",
-    mistakes.let_uses_outlast_the_grant: "on its way",
-    mistakes.take_grants_in_any_order: "late",
+START_BY_MISTAKE = {
+    mistakes.start_grant_lifetime_at_the_answer: "in transit",
+    mistakes.let_uses_outlast_the_grant: "in transit",
+    mistakes.accept_grants_in_any_order: "late",
     mistakes.count_only_the_last_grant: "both granted",
 }
 
 
-@pytest.mark.parametrize("mistake", FOUND_FROM, ids=lambda mistake: mistake.__name__)
+@pytest.mark.parametrize("mistake", START_BY_MISTAKE, ids=lambda mistake: mistake.__name__)
 def test_use_when_a_mistake_is_planted_then_some_order_exceeds_the_capacity(
     mistake: mistakes.Mistake, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     mistake(monkeypatch)
-    assert explore(DEPTH, world_after(STARTS[FOUND_FROM[mistake]])).most_in_use > BUDGET.capacity
+    assert explore(DEPTH, model_after(STARTS[START_BY_MISTAKE[mistake]])).most_in_use > BUDGET.capacity
--- a/tests/quota/test_planted_mistakes.py
+++ b/tests/quota/test_planted_mistakes.py
@@ -1,4 +1,4 @@
-"""Planted mistakes are found: by a dangerous order of events, or in a simulated world with faults."""
+"""Mutations are detected by a dangerous order of events, or by a simulation with faults."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from tests.quota.mistakes import MISTAKES, Mistake
 from tests.quota.orders import ORDERS
-from tests.quota.support import ms_over_capacity, play_world
+from tests.quota.support import ms_over_capacity, run_simulation
 
 
 @pytest.mark.parametrize("mistake", MISTAKES, ids=lambda mistake: mistake.__name__)
@@ -14,4 +14,4 @@
     mistake: Mistake, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     mistake(monkeypatch)
-    assert any(order() > 0 for order in ORDERS) or any(ms_over_capacity(play_world(seed)) > 0 for seed in range(60))
+    assert any(order() > 0 for order in ORDERS) or any(ms_over_capacity(run_simulation(seed)) > 0 for seed in range(60))
--- a/tests/scheduling/support.py
+++ b/tests/scheduling/support.py
@@ -1,4 +1,4 @@
-"""Worlds of waiting jobs under faults."""
+"""A simulation of queued jobs under faults."""
 
 from __future__ import annotations
 
@@ -7,11 +7,13 @@
 from corallanding.lab.stewards.waits import QUOTA, TERMS, WaitWorld, bound_of
 from corallanding.lab.stewards.world import troubled
 
-BOUND = bound_of(TERMS, QUOTA.max_clock_drift, 15_000.0)
+# Longest time, in ms, by which a job may be dispatched out of order.
+ORDER_BOUND_MS = bound_of(TERMS, QUOTA.max_clock_drift, 15_000.0)
 
 
-def play_world(seed: int, until: float = 30_000.0, **more: Any) -> WaitWorld:
-    world = WaitWorld(seed, 5, 5, per_s=16, skew=1 + seed % 3, **more)
-    troubled(world, until - 10_000.0, 3_000.0)
-    world.run(until)
+def run_simulation(seed: int, until_ms: float = 30_000.0, **options: Any) -> WaitWorld:
+    """Run a world with random faults, which end 10 s before `until_ms`."""
+    world = WaitWorld(seed, 5, 5, per_s=16, skew=1 + seed % 3, **options)
+    troubled(world, until_ms - 10_000.0, 3_000.0)
+    world.run(until_ms)
     return world
--- a/tests/scheduling/test_planted_mistakes.py
+++ b/tests/scheduling/test_planted_mistakes.py
@@ -1,4 +1,4 @@
-"""Mistakes planted in the code: the simulation of faults must find each of them."""
+"""Mutations of the scheduler: the simulation of faults must detect each of them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from corallanding.scheduling.limits import JobClass
 from corallanding.scheduling.peer_queues import PeerQueues
 from corallanding.scheduling.queue import JobQueue
-from tests.scheduling.support import BOUND, play_world
+from tests.scheduling.support import ORDER_BOUND_MS, run_simulation
 
 
 def forget_ages(patch: Any) -> None:
@@ -22,8 +22,8 @@
     patch.setattr(
         Scheduler,
         "admit",
-        lambda self, now_ms, alive, proxy, ticket, kind, waited_ms, *rest: real(
-            self, now_ms, alive, proxy, ticket, kind, 0.0, *rest
+        lambda self, now_ms, alive_peers, proxy, ticket, class_number, waited_ms, *rest: real(
+            self, now_ms, alive_peers, proxy, ticket, class_number, 0.0, *rest
         ),
     )
 
@@ -33,15 +33,15 @@
     patch.setattr(
         PeerQueues,
         "effective_priority",
-        lambda self, now, other, row: real(self, other.received_at_ms, other, row) - 1.5,
+        lambda self, now_ms, queue, row: real(self, queue.received_at_ms, queue, row) - 1.5,
     )
 
 
-def lose_when_moved(self: WaitWorld, world: Any, real: Any = WaitWorld.hand) -> None:
-    if world.begun and world.at < 0:
-        world.done = True
+def lose_when_moved(self: WaitWorld, job: Any, real: Any = WaitWorld.hand) -> None:
+    if job.begun and job.at < 0:
+        job.done = True
     else:
-        real(self, world)
+        real(self, job)
 
 
 def with_wide_slack(self: Scheduler) -> Scheduler:
@@ -49,41 +49,49 @@
     return self
 
 
-def dispatch_without_permits(self: Scheduler, now: float, alive: list[int], real: Any) -> Any:
+def dispatch_without_permits(self: Scheduler, now_ms: float, alive_peers: list[int], real: Any) -> Any:
     take_permit = self.take_permit
     self.take_permit = lambda: True
     try:
-        return real(self, now, alive)
+        return real(self, now_ms, alive_peers)
     finally:
         self.take_permit = take_permit
 
 
 MISTAKES: dict[str, Callable[[Any], None]] = {
-    "nobody else is looked at": lambda p: p.setattr(PeerQueues, "watermark", lambda self, now, alive: float("-inf")),
-    "no age is carried along": forget_ages,
-    "priority without patience": lambda p: p.setattr(
-        JobClass, "effective_priority", lambda self, waited, rise=0.0: self.priority
+    "peers are not taken into account": lambda patch: patch.setattr(
+        PeerQueues, "watermark", lambda self, now_ms, alive_peers: float("-inf")
     ),
-    "the youngest first": lambda p: p.setattr(
-        JobQueue, "highest", lambda self, now: min(self.oldest_by_group(now), key=lambda row: row[0], default=None)
+    "ages are lost on resubmission": forget_ages,
+    "priority does not age": lambda patch: patch.setattr(
+        JobClass, "effective_priority", lambda self, waited_ms, boost=0.0: self.priority
     ),
-    "released and kept": lambda p: p.setattr(
-        Scheduler, "dispatch", lambda self, now, job, standing, counted: Dispatch(job, standing, counted)
+    "the lowest priority first": lambda patch: patch.setattr(
+        JobQueue,
+        "highest",
+        lambda self, now_ms: min(self.oldest_by_group(now_ms), key=lambda row: row[0], default=None),
     ),
-    "patience is not compared": lambda p: p.setattr(
-        JobClass, "effective_priority", lambda self, waited, rise=0.0: self.priority + waited / 1_000.0
+    "a dispatched job stays queued": lambda patch: patch.setattr(
+        Scheduler, "dispatch", lambda self, now_ms, job, priority, observed: Dispatch(job, priority, observed)
     ),
-    "a slack of seconds": lambda p: p.setattr(
+    "all classes age alike": lambda patch: patch.setattr(
+        JobClass, "effective_priority", lambda self, waited_ms, boost=0.0: self.priority + waited_ms / 1_000.0
+    ),
+    "the order slack is seconds": lambda patch: patch.setattr(
         Scheduler,
         "dispatch_ready",
-        lambda self, now, alive, real=Scheduler.dispatch_ready: real(with_wide_slack(self), now, alive),
+        lambda self, now_ms, alive_peers, real=Scheduler.dispatch_ready: real(
+            with_wide_slack(self), now_ms, alive_peers
+        ),
     ),
-    "what others have is taken for younger": stop_aging_of_peers,
-    "jobs of a link that is gone are forgotten": lambda p: p.setattr(WaitWorld, "hand", lose_when_moved),
-    "rights are not asked for": lambda p: p.setattr(
+    "jobs of peers are underrated": stop_aging_of_peers,
+    "jobs of a lost link are dropped": lambda patch: patch.setattr(WaitWorld, "hand", lose_when_moved),
+    "permits are not taken": lambda patch: patch.setattr(
         Scheduler,
         "dispatch_ready",
-        lambda self, now, alive, real=Scheduler.dispatch_ready: dispatch_without_permits(self, now, alive, real),
+        lambda self, now_ms, alive_peers, real=Scheduler.dispatch_ready: dispatch_without_permits(
+            self, now_ms, alive_peers, real
+        ),
     ),
 }
 
@@ -92,10 +100,10 @@
 def test_simulation_when_a_mistake_is_planted_then_finds_it(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     MISTAKES[name](monkeypatch)
     for seed in range(6):
-        world = play_world(seed)
-        found = world.found(BOUND)
-        fault = found["doubled"] or found["lost"] or found["inversions_over_bound"]
-        paid = len(world.uses) < len(world.went)
-        if fault or paid or world.again or most(world.uses, {"releases": 20})[0]["over_ms"]:
+        world = run_simulation(seed)
+        audit = world.found(ORDER_BOUND_MS)
+        is_faulty = audit["doubled"] or audit["lost"] or audit["inversions_over_bound"]
+        lacks_permits = len(world.uses) < len(world.went)
+        if is_faulty or lacks_permits or world.again or most(world.uses, {"releases": 20})[0]["over_ms"]:
             return
-    pytest.fail(f"{name}: not found")
+    pytest.fail(f"{name}: not detected")
