--- a/corallanding/load_reports/feed.py
+++ b/corallanding/load_reports/feed.py
@@ -60,7 +60,7 @@
         self._restart_count = 0
         self._buffer = bytearray()
         self._inherited_bytes = b""  # partial message read by the predecessor process
-        self._connection_ended: asyncio.Future[None] | None = None  # for an intake that is not a child process
+        self._connection_ended: asyncio.Future[None] | None = None  # awaited for an intake that is no child process
         self._task: asyncio.Task[None] | None = None
         self._update_timer: asyncio.TimerHandle | None = None
         self._nonce_timer: asyncio.TimerHandle | None = None
--- a/corallanding/load_reports/load_estimator.py
+++ b/corallanding/load_reports/load_estimator.py
@@ -228,7 +228,7 @@
         return host.level if abs(steps - host.level) < MIN_LEVEL_CHANGE else max(0, round(steps))
 
     def _drop_expired(self, now_ms: float) -> bool:
-        """Reset factors whose reports have all expired at once; return true if a published level changed."""
+        """Reset the factors of hosts without fresh reports; return true if a published level changed."""
         is_changed = False
         for host in self.hosts.values():
             if (host.level or host.learned) and self.reported(now_ms, host).confidence <= 0.0:
--- a/corallanding/scheduling/core.py
+++ b/corallanding/scheduling/core.py
@@ -57,13 +57,13 @@
         self.queue = JobQueue(job_classes, limits.retirement_boost)
         self.peer_queues = PeerQueues(job_classes, limits.retirement_boost, limits.peer_timeout_ms)
         self.rate_limits = PeerRateLimiter(peers, messages_per_second, started_at_ms)
-        self.tickets: dict[tuple[int, int], Job] = {}  # by proxy and ticket
+        self.tickets: dict[tuple[int, int], Job] = {}  # jobs by proxy and ticket
         self.claims_in_flight = 0
         self.blocked: deque[BlockedJob] = deque()
         self.round = 0
         self.announced_at_ms = float("-inf")
-        self.starved_since_ms: float | None = None  # since when jobs lack a permit; None if they do not
-        self.is_starved = False  # as last announced: if true, peers do not wait for the jobs here
+        self.starved_since_ms: float | None = None  # start of the lack of permits; None if there is none
+        self.is_starved = False  # announced state; if true, peers do not wait for the jobs here
         self.order_slack = limits.order_slack(job_classes)
         self.dispatched_count = 0
         self.rejected_count = 0
--- a/corallanding/scheduling/idempotency.py
+++ b/corallanding/scheduling/idempotency.py
@@ -16,7 +16,7 @@
 from .queue import Job
 
 NO_OWNER = 1  # the value of an unclaimed record
-NO_VALUE = 0  # in answers without a value
+NO_VALUE = 0  # value in answers that have none
 
 
 class KeyQuery(IntEnum):
--- a/corallanding/scheduling/queue.py
+++ b/corallanding/scheduling/queue.py
@@ -68,8 +68,8 @@
         self.job_classes = job_classes
         self.retirement_boost = retirement_boost
         self.jobs: dict[int, Job] = {}
-        self.heaps: dict[int, list[HeapEntry]] = {}  # by group
-        self.ready_counts: dict[int, int] = {}  # by group
+        self.heaps: dict[int, list[HeapEntry]] = {}  # heaps by group
+        self.ready_counts: dict[int, int] = {}  # numbers of ready jobs by group
         self.counts_by_class = [0] * len(job_classes)
         self.jobs_by_set: dict[int, set[int]] = {}
         self.last_number = 0
