--- a/corallanding/quota/core.py
+++ b/corallanding/quota/core.py
@@ -21,36 +21,37 @@
 class QuotaManager:
     """The quotas of one controller. All times are in ms on its clock.
 
-    me, others, voters: numbers of controllers. budgets: by name, as configured. incarnation: drawn at random at start.
+    controller_id, peer_ids, voters: numbers of controllers. budgets: by name, as configured. incarnation: drawn at
+    random at start. random_fraction: returns a random number from 0 to 1.
     shared_election: a leader election that other components use too; its creator ticks it and passes it its messages.
     If None, this class runs an election of its own.
     """
 
-    me: int
-    others: tuple[int, ...]
+    controller_id: int
+    peer_ids: tuple[int, ...]
     voters: tuple[int, ...]
     budgets: dict[str, Budget]
     limits: QuotaLimits
     incarnation: int
     created_at_ms: float
-    chance: Callable[[], float]
+    random_fraction: Callable[[], float]
     rejected_count: int = 0  # messages of unknown senders, and those over a sender's rate
     words_per_s: float = 200.0  # messages accepted from one sender
     shared_election: LeaderElection | None = None
 
     def __post_init__(self) -> None:
-        self.rate_limiter = PeerRateLimiter(self.others, self.words_per_s, self.created_at_ms)
+        self.rate_limiter = PeerRateLimiter(self.peer_ids, self.words_per_s, self.created_at_ms)
         self.budgets_by_id = {budget.id: budget for budget in self.budgets.values()}
         self.client = QuotaClient(self.incarnation, self.limits, self.created_at_ms)
         self.has_shared_election = self.shared_election is not None
         self.election: LeaderElection = self.shared_election or VotedElection(
-            self.me,
-            self.others,
+            self.controller_id,
+            self.peer_ids,
             self.voters,
             self.limits,
             self.incarnation,
             self.created_at_ms,
-            self.chance,
+            self.random_fraction,
             self.words_per_s,
         )
         self.allocator = QuotaAllocator(self.limits, self.budgets_by_id, self.incarnation)
@@ -113,10 +114,10 @@
         for request in self.client.due_requests(now_ms, epoch, first_round):
             if leader is None:
                 continue  # the client requests again later
-            if leader != self.me:
+            if leader != self.controller_id:
                 messages.append(OutgoingMessage(leader, request))
             elif self.is_allocating(now_ms):
-                self.client.on_grant(now_ms, self.allocator.on_request(now_ms, self.me, request))
+                self.client.on_grant(now_ms, self.allocator.on_request(now_ms, self.controller_id, request))
         return messages
 
     def on_message(self, now_ms: float, sender: int, message: QuotaMessage) -> list[OutgoingMessage]:
