--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -0,0 +1,1 @@
+"""Benchmarks of the product; their results are in bench/results."""
--- a/bench/load_reports.py
+++ b/bench/load_reports.py
@@ -1,9 +1,9 @@
-"""Load reports at scale: `python -m bench.load_reports`. Results go to bench/results/load_reports.json and charts.
+"""Load reports at scale: `python -m bench.load_reports`. Results go to bench/results/load_reports.json and .png.
 
-1. The same steward with 5,000 senders at their normal volume, at ten times that, and at normal again: turns,
-   channel, memory, in one run. 2. What the intake takes in a second on one core, beside bare receive-and-drop.
+1. One controller with 5,000 senders at their normal rate, at ten times that, and at normal again: turns, channel and
+   memory, in one run. 2. Reports per second that the intake processes on one core, beside a bare receive-and-drop.
 3. Service and moves with and without reports on a quiet day, with hidden slowness, and with noisy neighbours.
-4. How long a silent sender's influence lasts.
+4. How long a sender that stopped keeps its influence.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 KEY = b"bench"
 HOSTS, PROCESSES = 78, 64
-BLOCK = """
+LOAD_REPORTS_BLOCK = """
 load_reports {{
   listen = "127.0.0.1:{port}"
   key_file = "{key}"
@@ -53,101 +53,120 @@
 """
 
 
-def blast(port: int, per_s: float, seconds: float, senders: int, sent: Any) -> None:
-    """Signed reports of `senders` senders in turn, each with its own number and clock, at `per_s`."""
-    out = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    texts = [body(0.5 + 0.01 * k, False) for k in range(8)]
-    begun, n = time.monotonic(), 0
-    while (spent := time.monotonic() - begun) < seconds:
-        for _ in range(max(0, min(1000, int(per_s * spent) - n))):
-            sender = n % senders
-            up = time.monotonic() * 1000.0
-            head = ReportHeader(
-                sender % HOSTS, sender // HOSTS, 0, n + 1 + int(begun * 1e6), up, time.time() * 1000.0, NO_NONCE
+def send_reports(port: int, reports_per_second: float, seconds: float, sender_count: int, total_sent: Any) -> None:
+    """Send signed reports, of the senders in turn; each report has its own sequence number and time."""
+    sender_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    bodies = [body(0.5 + 0.01 * index, False) for index in range(8)]
+    begun_at, sent_count = time.monotonic(), 0
+    while (elapsed_s := time.monotonic() - begun_at) < seconds:
+        for _ in range(max(0, min(1000, int(reports_per_second * elapsed_s) - sent_count))):
+            sender = sent_count % sender_count
+            uptime_ms = time.monotonic() * 1000.0
+            header = ReportHeader(
+                sender % HOSTS,
+                sender // HOSTS,
+                0,
+                sent_count + 1 + int(begun_at * 1e6),
+                uptime_ms,
+                time.time() * 1000.0,
+                NO_NONCE,
             )
-            out.sendto(encode_binary(head, texts[n % 8], KEY), ("127.0.0.1", port))
-            n += 1
+            sender_socket.sendto(encode_binary(header, bodies[sent_count % 8], KEY), ("127.0.0.1", port))
+            sent_count += 1
         time.sleep(0.001)
-    sent.value = n
+    total_sent.value = sent_count
 
 
-def flood() -> dict[str, Any]:
+def measure_rates() -> dict[str, Any]:
+    """Return the figures of a controller at each rate of reports, and the ratios of ten times over normal."""
     port, seconds = free_port(), 12.0
-    procs: list[Any] = []
+    sending_processes: list[Any] = []
 
     def send(per_s: float, processes: int) -> Any:
+        """Return a function that starts this many sending processes."""
+
         def start() -> None:
+            """Start the sending processes."""
             for _ in range(processes):
                 sent = multiprocessing.Value("q", 0)
                 args = (port, per_s / processes, seconds, HOSTS * PROCESSES, sent)
-                p = multiprocessing.Process(target=blast, args=args, daemon=True)
-                p.start()
-                procs.append((p, sent))
+                process = multiprocessing.Process(target=send_reports, args=args, daemon=True)
+                process.start()
+                sending_processes.append((process, sent))
 
         return start
 
     with tempfile.TemporaryDirectory() as folder:
         key = Path(folder) / "key"
         key.write_bytes(KEY)
-        more = BLOCK.format(port=port, key=key, processes=PROCESSES)
-        usual = HOSTS * PROCESSES * 1.0
+        extra_config = LOAD_REPORTS_BLOCK.format(port=port, key=key, processes=PROCESSES)
+        normal_per_second = HOSTS * PROCESSES * 1.0
         phases = [
             (seconds, lambda: None),
-            (seconds, send(usual, 1)),
-            (seconds, send(usual * 10, 3)),
-            (seconds, send(usual, 1)),
+            (seconds, send(normal_per_second, 1)),
+            (seconds, send(normal_per_second * 10, 3)),
+            (seconds, send(normal_per_second, 1)),
         ]
-        found = uvloop.run(measure(HOSTS, 12, 468, phases, more))
-    for p, _ in procs:
-        p.join(5)
+        figures = uvloop.run(measure(HOSTS, 12, 468, phases, extra_config))
+    for process, _ in sending_processes:
+        process.join(5)
     names = ("silence", "normal", "ten times", "normal again")
     before: dict[str, int] = {}
-    out = {}
-    for name, phase in zip(names, found, strict=True):
+    results = {}
+    for name, phase in zip(names, figures, strict=True):
         after = phase.pop("intake")
-        phase["intake"] = {k: v - before.get(k, 0) for k, v in after.items() if k not in ("senders", "waiting")}
+        phase["intake"] = {
+            key: count - before.get(key, 0) for key, count in after.items() if key not in ("senders", "waiting")
+        }
         phase["senders"], before = after.get("senders", 0), after
-        out[name] = phase
-    base, high = out["normal"], out["ten times"]
+        results[name] = phase
+    normal, tenfold = results["normal"], results["ten times"]
     ratios = {
-        "turn_p50": high["turn_ms"]["p50"] / base["turn_ms"]["p50"],
-        "turn_p99": high["turn_ms"]["p99"] / base["turn_ms"]["p99"],
-        "ack_p99": high["ack_ms"]["p99"] / base["ack_ms"]["p99"],
-        "resident": high["resident_mib"] / base["resident_mib"],
-        "lines_waiting": high["most_lines_waiting"] / max(base["most_lines_waiting"], 1.0),
+        "turn_p50": tenfold["turn_ms"]["p50"] / normal["turn_ms"]["p50"],
+        "turn_p99": tenfold["turn_ms"]["p99"] / normal["turn_ms"]["p99"],
+        "ack_p99": tenfold["ack_ms"]["p99"] / normal["ack_ms"]["p99"],
+        "resident": tenfold["resident_mib"] / normal["resident_mib"],
+        "lines_waiting": tenfold["most_lines_waiting"] / max(normal["most_lines_waiting"], 1.0),
     }
     return {
         "senders": HOSTS * PROCESSES,
-        "per_s": usual,
-        "phases": out,
-        "ten_times_over_normal": {k: round(v, 3) for k, v in ratios.items()},
+        "per_s": normal_per_second,
+        "phases": results,
+        "ten_times_over_normal": {key: round(ratio, 3) for key, ratio in ratios.items()},
     }
 
 
-class Drop(asyncio.DatagramProtocol):
+class DroppingProtocol(asyncio.DatagramProtocol):
+    """Receiver that counts datagrams and drops them."""
+
     count = 0
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        Drop.count += 1
+        """Count the datagram."""
+        DroppingProtocol.count += 1
 
 
-async def bare(port: int, seconds: float) -> None:
-    transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(Drop, local_addr=("127.0.0.1", port))
+async def receive_and_drop(port: int, seconds: float) -> None:
+    """Receive and drop datagrams for `seconds`."""
+    transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
+        DroppingProtocol, local_addr=("127.0.0.1", port)
+    )
     await asyncio.sleep(seconds)
     transport.close()
 
 
-def bare_process(port: int, seconds: float, out: Any) -> None:
-    uvloop.run(bare(port, seconds))
-    out.value = Drop.count
+def run_bare_receiver(port: int, seconds: float, received_count: Any) -> None:
+    """Run the bare receiver and write its count to `received_count`."""
+    uvloop.run(receive_and_drop(port, seconds))
+    received_count.value = DroppingProtocol.count
 
 
-def take(signed: bool, seconds: float) -> float:
-    """Reports a second that the intake process looks at, under more than it can take."""
+def measure_intake_rate(signed: bool, seconds: float) -> float:
+    """Return the reports per second that the intake process reads while more arrive than it can read."""
     port = free_port()
     ours, theirs = socket.socketpair()
     theirs.set_inheritable(True)
-    conf = {
+    settings = {
         "listen": f"127.0.0.1:{port}",
         "sender_rate": 1000.0,
         "sender_burst": 1000.0,
@@ -158,17 +177,19 @@
         "buffer_bytes": 4 << 20,
         "key": KEY.hex() if signed else "",
     }
-    command = [sys.executable, "-m", "corallanding.load_reports.intake", str(theirs.fileno()), json.dumps(conf)]
+    command = [sys.executable, "-m", "corallanding.load_reports.intake", str(theirs.fileno()), json.dumps(settings)]
     process = subprocess.Popen(command, pass_fds=[theirs.fileno()])
     theirs.close()
 
-    async def go() -> float:
+    async def measure_rate() -> float:
+        """Send hosts to the intake, flood it and return the rate of its counter."""
         import msgspec
 
         reader, writer = await asyncio.open_connection(sock=ours)
         counts: dict[str, int] = {}
 
         async def listen() -> None:
+            """Update the counters from messages of the intake."""
             while True:
                 size = int.from_bytes(await reader.readexactly(4), "big")
                 kind, value = msgspec.msgpack.decode(await reader.readexactly(size))
@@ -179,40 +200,45 @@
         hosts = msgspec.msgpack.encode(["hosts", list(range(HOSTS))])
         writer.write(len(hosts).to_bytes(4, "big") + hosts)
         await asyncio.sleep(1.0)
-        begin(port, seconds)
+        start_senders(port, seconds)
         await asyncio.sleep(1.0)
-        before, at = counts.get("came", 0), time.monotonic()
+        count_before, begun_at = counts.get("came", 0), time.monotonic()
         await asyncio.sleep(seconds - 2.0)
-        rate = (counts["came"] - before) / (time.monotonic() - at)
+        reports_per_second = (counts["came"] - count_before) / (time.monotonic() - begun_at)
         task.cancel()
         writer.close()
-        return rate
+        return reports_per_second
 
     try:
-        return asyncio.run(go())
+        return asyncio.run(measure_rate())
     finally:
         process.terminate()
         process.wait()
 
 
-def begin(port: int, seconds: float) -> None:
+def start_senders(port: int, seconds: float) -> None:
+    """Start four processes that send as fast as they can."""
     for _ in range(4):
         sent = multiprocessing.Value("q", 0)
-        multiprocessing.Process(target=blast, args=(port, 1e6, seconds, HOSTS * PROCESSES, sent), daemon=True).start()
+        multiprocessing.Process(
+            target=send_reports, args=(port, 1e6, seconds, HOSTS * PROCESSES, sent), daemon=True
+        ).start()
 
 
-def drop(seconds: float) -> float:
-    port, out = free_port(), multiprocessing.Value("q", 0)
-    receiver = multiprocessing.Process(target=bare_process, args=(port, seconds, out))
+def measure_bare_rate(seconds: float) -> float:
+    """Return the datagrams per second that the bare receiver reads under the same load."""
+    port, received_count = free_port(), multiprocessing.Value("q", 0)
+    receiver = multiprocessing.Process(target=run_bare_receiver, args=(port, seconds, received_count))
     receiver.start()
     time.sleep(0.5)
-    begin(port, seconds - 0.5)
+    start_senders(port, seconds - 0.5)
     receiver.join()
-    return float(out.value) / (seconds - 0.5)
+    return float(received_count.value) / (seconds - 0.5)
 
 
-def intake() -> dict[str, Any]:
-    rows = [(take(True, 6.0), take(False, 6.0), drop(6.0)) for _ in range(3)]
+def measure_intake() -> dict[str, Any]:
+    """Return the median of three runs of signed and unsigned intake beside the bare receiver."""
+    rows = [(measure_intake_rate(True, 6.0), measure_intake_rate(False, 6.0), measure_bare_rate(6.0)) for _ in range(3)]
     rows.sort()
     signed, plain, dropped = rows[1]
     return {
@@ -225,127 +251,146 @@
     }
 
 
-DAYS = {
+SCENARIO_FAULTS = {
     "quiet": [],
     "hidden slowness": [Fault(kind="slow", at_s=3, for_s=27, part=0.15, size=2.5)],
     "noisy neighbours": [Fault(kind="neighbour", at_s=3, for_s=27, part=0.2, size=0.6, extra=2)],
 }
 
 
-def day(job: tuple[str, bool, int]) -> dict[str, Any]:
+def run_scenario(job: tuple[str, bool, int]) -> dict[str, Any]:
+    """Run one scenario in the lab and return its row of results. `job`: scenario, with reports or not, seed."""
     name, reports, seed = job
     base = load_scenario("examples/load-reports.hcl")
     assert base.load_reports is not None
-    loads = base.load_reports.model_copy(update={"processes": 4}) if reports else None
-    s = base.model_copy(update={"name": name, "seconds": 30.0, "fault": DAYS[name], "load_reports": loads})
+    load_reports = base.load_reports.model_copy(update={"processes": 4}) if reports else None
+    scenario = base.model_copy(
+        update={"name": name, "seconds": 30.0, "fault": SCENARIO_FAULTS[name], "load_reports": load_reports}
+    )
     with tempfile.TemporaryDirectory() as folder:
-        path, out = Path(folder) / "s.hcl", Path(folder) / "out"
-        path.write_text(scenario_hcl(s))
+        path, output_path = Path(folder) / "s.hcl", Path(folder) / "out"
+        path.write_text(scenario_hcl(scenario))
         command = [sys.executable, "-c", "from corallanding.cli.main import main; main()", "lab", "run", str(path)]
-        subprocess.run([*command, "--out", str(out), "--seed", str(seed)], capture_output=True, check=False)
-        r = json.loads((out / "result.json").read_text())
-        records = read(out / "trace.jsonl.gz")
-    frames = [x[4] for x in records if x[0] == "forwarder 0" and x[3] == "frame" and x[4][0] == "orders"]
-    lines = sum(1 for f in frames for row in f[4] if row[2] > 0)
-    first = s.fleet.slices  # the first placement is no move
-    kept = all(x["kept"] for x in r["rules"])
+        subprocess.run([*command, "--out", str(output_path), "--seed", str(seed)], capture_output=True, check=False)
+        result = json.loads((output_path / "result.json").read_text())
+        records = read(output_path / "trace.jsonl.gz")
+    frames = [
+        record[4]
+        for record in records
+        if record[0] == "forwarder 0" and record[3] == "frame" and record[4][0] == "orders"
+    ]
+    lines = sum(1 for frame in frames for row in frame[4] if row[2] > 0)
+    initial_lines = scenario.fleet.slices  # lines of the first placement, which are not moves
+    is_each_rule_kept = all(rule["kept"] for rule in result["rules"])
     return {
         "day": name,
         "reports": reports,
         "seed": seed,
-        "service": r["service"],
-        "worst_10_s": r["worst_10_s"],
-        "moves_a_slice": round((lines - first) / first, 4),
-        "rules_kept": kept,
+        "service": result["service"],
+        "worst_10_s": result["worst_10_s"],
+        "moves_a_slice": round((lines - initial_lines) / initial_lines, 4),
+        "rules_kept": is_each_rule_kept,
     }
 
 
-def days() -> list[dict[str, Any]]:
-    jobs = [(name, reports, seed) for name in DAYS for seed in (1, 2, 3) for reports in (False, True)]
-    with ThreadPoolExecutor(3) as pool:
-        return list(pool.map(day, jobs))
+def run_scenarios() -> list[dict[str, Any]]:
+    """Return the rows of all scenarios, seeds 1 to 3, with and without reports."""
+    jobs = [(name, reports, seed) for name in SCENARIO_FAULTS for seed in (1, 2, 3) for reports in (False, True)]
+    with ThreadPoolExecutor(3) as executor:
+        return list(executor.map(run_scenario, jobs))
 
 
-class Weights:
-    """A decider that lays the listed weights into table 0: so that they show on the forwarders' sockets."""
+class HostWeightPublisher:
+    """A decider that writes the weights of the host list into table 0, so that proxies receive them."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None: ...
 
     def step(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
-        lists = [e for e in events if isinstance(e, api.HostListUpdate)]
-        return [api.SetWeight(0, x.host, x.weight) for e in lists for x in e.entries if x.state == "up"]
+        """Return the weights of listed hosts that are up."""
+        lists = [event for event in events if isinstance(event, api.HostListUpdate)]
+        return [
+            api.SetWeight(0, entry.host, entry.weight)
+            for update in lists
+            for entry in update.entries
+            if entry.state == "up"
+        ]
 
 
-async def silent() -> dict[str, Any]:
-    """One host of ten says that it is overloaded, then nothing: how long its table line's weight stays lowered."""
+async def measure_silent_sender() -> dict[str, Any]:
+    """Return how long a table line keeps a lowered weight.
+
+    One host of ten reports overload until its weight falls, then stops reporting.
+    """
     with tempfile.TemporaryDirectory() as folder:
         key = Path(folder) / "key"
         key.write_bytes(KEY)
         port = free_port()
         text = CONFIG.format(port=0, folder=folder, roster=1, slices=20, forwarders=1, rate=1e4, queue=1e4, lines=100)
-        more = "half_life_ms = 1500\n  expiry_ms = 6000\n  window_ms = 1000\n  reports_per_s"
-        text += BLOCK.format(port=port, key=key, processes=4).replace("reports_per_s", more)
+        overrides = "half_life_ms = 1500\n  expiry_ms = 6000\n  window_ms = 1000\n  reports_per_s"
+        text += LOAD_REPORTS_BLOCK.format(port=port, key=key, processes=4).replace("reports_per_s", overrides)
         text = text.replace("forwarders {", "forwarders {\n  silence_ms = 600000")
         (Path(folder) / "s.hcl").write_text(text)
         configure("json", "error")
-        steward = Controller(load_controller(Path(folder) / "s.hcl"), Weights)
-        await steward.start()
-        rows = [{"host": h, "state": "up", "address": "127.0.0.1:9"} for h in range(10)]
-        steward.host_sources.on_host_rows(True, 1, rows)
-        where = steward.network.servers[0].sockets[0].getsockname()[:2]
-        reader, writer = await asyncio.open_connection(*where)
+        controller = Controller(load_controller(Path(folder) / "s.hcl"), HostWeightPublisher)
+        await controller.start()
+        rows = [{"host": host, "state": "up", "address": "127.0.0.1:9"} for host in range(10)]
+        controller.host_sources.on_host_rows(True, 1, rows)
+        address = controller.network.servers[0].sockets[0].getsockname()[:2]
+        reader, writer = await asyncio.open_connection(*address)
         writer.write(frames.encode(frames.Hello(frames.PROTOCOL_VERSION, 1, "1")))
-        told, weights = frames.FrameReader(frames.proxy_decoder, 16 << 20), dict[int, float]()
+        frame_reader, weights = frames.FrameReader(frames.proxy_decoder, 16 << 20), dict[int, float]()
 
         async def listen() -> None:
+            """Record the weights that the proxy receives."""
             while data := await reader.read(65536):
-                for f in told.feed(data):
-                    if isinstance(f, frames.Orders):
-                        weights.update({h: w for t, h, w in f.lines if t == 0})
+                for frame in frame_reader.feed(data):
+                    if isinstance(frame, frames.Orders):
+                        weights.update({host: weight for slice_id, host, weight in frame.lines if slice_id == 0})
 
         listening = asyncio.create_task(listen())
-        out = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        n, fell, gone, begun = 0, 0.0, 0.0, time.monotonic()
-        while time.monotonic() - begun < 60 and not gone:
-            for h in range(10):
-                if h == 9 and fell:
+        sender_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        sequence, fell_at, restored_at, begun_at = 0, 0.0, 0.0, time.monotonic()
+        while time.monotonic() - begun_at < 60 and not restored_at:
+            for host in range(10):
+                if host == 9 and fell_at:
                     continue
-                n += 1
-                up = time.monotonic() * 1000.0
-                head = ReportHeader(h, 0, 0, n, up, time.time() * 1000.0, NO_NONCE)
-                load = 3.0 if h == 9 else 0.5 + 0.001 * (n % 9)
-                out.sendto(encode_binary(head, body(load, False), KEY), ("127.0.0.1", port))
-            if not fell and weights.get(9, 1.0) <= 0.6:
-                fell = time.monotonic()
-            elif fell and weights[9] == 1.0:
-                gone = time.monotonic()
+                sequence += 1
+                uptime_ms = time.monotonic() * 1000.0
+                header = ReportHeader(host, 0, 0, sequence, uptime_ms, time.time() * 1000.0, NO_NONCE)
+                load = 3.0 if host == 9 else 0.5 + 0.001 * (sequence % 9)
+                sender_socket.sendto(encode_binary(header, body(load, False), KEY), ("127.0.0.1", port))
+            if not fell_at and weights.get(9, 1.0) <= 0.6:
+                fell_at = time.monotonic()
+            elif fell_at and weights[9] == 1.0:
+                restored_at = time.monotonic()
             await asyncio.sleep(0.05)
         listening.cancel()
         writer.close()
-        steward.stop()
+        controller.stop()
         await asyncio.sleep(0.1)
     return {
         "expiry_ms": 6000,
         "half_life_ms": 1500,
         "lowest_weight": 0.59,
-        "weight_on_the_socket_whole_after_ms": round((gone - fell) * 1000) if gone else None,
+        "weight_on_the_socket_whole_after_ms": round((restored_at - fell_at) * 1000) if restored_at else None,
     }
 
 
-def chart(found: dict[str, Any]) -> None:
+def chart(results: dict[str, Any]) -> None:
+    """Draw turn time, memory and rate of reports by phase."""
     import matplotlib
 
     matplotlib.use("Agg")
     import matplotlib.pyplot as plt
 
-    phases = found["flood"]["phases"]
+    phases = results["flood"]["phases"]
     fig, axes = plt.subplots(1, 3, figsize=(11, 3.5))
-    for ax, label, pick in (
-        (axes[0], "turn p99, ms", lambda p: p["turn_ms"]["p99"]),
-        (axes[1], "memory, MiB", lambda p: p["resident_mib"]),
-        (axes[2], "reports a second that came", lambda p: p["intake"].get("came", 0) / 12.0),
+    for ax, label, value_of in (
+        (axes[0], "turn p99, ms", lambda phase: phase["turn_ms"]["p99"]),
+        (axes[1], "memory, MiB", lambda phase: phase["resident_mib"]),
+        (axes[2], "reports a second that came", lambda phase: phase["intake"].get("came", 0) / 12.0),
     ):
-        ax.bar(list(phases), [pick(p) for p in phases.values()], color="C0")
+        ax.bar(list(phases), [value_of(phase) for phase in phases.values()], color="C0")
         ax.set_ylabel(label)
         ax.tick_params(axis="x", rotation=25)
     fig.tight_layout()
@@ -353,16 +398,22 @@
 
 
 def main() -> None:
-    parts = {"flood": flood, "intake": intake, "days": days, "silent": lambda: asyncio.run(silent())}
-    wanted = sys.argv[1:] or list(parts)
+    """Run the parts that are named on the command line, or all, and update the results."""
+    parts = {
+        "flood": measure_rates,
+        "intake": measure_intake,
+        "days": run_scenarios,
+        "silent": lambda: asyncio.run(measure_silent_sender()),
+    }
+    names = sys.argv[1:] or list(parts)
     path = RESULTS / "load_reports.json"
-    found: dict[str, Any] = json.loads(path.read_text()) if path.exists() else {}
-    found["machine"] = machine()
-    for name in wanted:
-        found[name] = parts[name]()
-        path.write_text(json.dumps(found, indent=1) + "\n")
-    chart(found)
-    print(json.dumps({k: found[k] for k in wanted}, indent=1))
+    results: dict[str, Any] = json.loads(path.read_text()) if path.exists() else {}
+    results["machine"] = machine()
+    for name in names:
+        results[name] = parts[name]()
+        path.write_text(json.dumps(results, indent=1) + "\n")
+    chart(results)
+    print(json.dumps({name: results[name] for name in names}, indent=1))
 
 
 if __name__ == "__main__":
--- a/bench/machine.py
+++ b/bench/machine.py
@@ -1,4 +1,4 @@
-"""What machine a figure came from, without names."""
+"""Description of the machine that produced the results, without its name."""
 
 from __future__ import annotations
 
@@ -7,10 +7,11 @@
 
 
 def machine() -> dict[str, object]:
-    pages = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
+    """Return cores, memory, Python version, operating system and architecture of this machine."""
+    memory_bytes = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
     return {
         "cores": os.cpu_count(),
-        "memory_gib": round(pages / 2**30, 1),
+        "memory_gib": round(memory_bytes / 2**30, 1),
         "python": platform.python_version(),
         "system": platform.system(),
         "arch": platform.machine(),
--- a/bench/measured.py
+++ b/bench/measured.py
@@ -1,6 +1,7 @@
-"""The real daemon with two histograms: `python -m bench.measured CONFIG OUT`. OUT gets the figures at its end.
+"""The real controller daemon with histograms of its times: `python -m bench.measured CONFIG OUT`.
 
-SIGUSR1 ends a phase: its figures are kept, and counting begins anew.
+SIGUSR1 ends a phase: its figures are recorded, and the histograms are reset. The figures of all phases are written to
+OUT at exit.
 """
 
 from __future__ import annotations
@@ -26,99 +27,104 @@
 from corallanding.wire import frames
 
 
-def figures(h: HdrHistogram) -> dict[str, Any]:
-    ms = {f"p{p:g}": round(h.get_value_at_percentile(p) / 1000.0, 3) for p in (50, 90, 99, 99.9)}
-    return {"count": h.get_total_count(), **ms, "max": round(h.get_max_value() / 1000.0, 3)}
+def summarize_histogram(histogram: HdrHistogram) -> dict[str, Any]:
+    """Return count, percentiles and maximum in ms of a histogram in microseconds."""
+    percentiles_ms = {
+        f"p{percent:g}": round(histogram.get_value_at_percentile(percent) / 1000.0, 3) for percent in (50, 90, 99, 99.9)
+    }
+    return {"count": histogram.get_total_count(), **percentiles_ms, "max": round(histogram.get_max_value() / 1000.0, 3)}
 
 
 def resident_mib() -> float:
+    """Return the resident memory of this process in MiB."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * 4096 / 2**20
 
 
 class Histograms:
-    """What is measured in one phase; times are kept in microseconds."""
+    """Times of the current phase in microseconds: duration of steps, delay until an ack, lateness of steps."""
 
     def __init__(self) -> None:
-        self.begin()
+        self.reset()
 
-    def begin(self) -> None:
-        """Forget everything."""
+    def reset(self) -> None:
+        """Reset all histograms."""
         self.turns = HdrHistogram(1, 120_000_000, 3)
         self.acks = HdrHistogram(1, 120_000_000, 3)
         self.late = HdrHistogram(1, 120_000_000, 3)
 
 
-HISTOGRAMS = Histograms()  # of this process, which runs one controller
+HISTOGRAMS = Histograms()  # one set, since this process runs one controller
 
 
 class MeasuredLoop(DecisionLoop):
-    """Times each step."""
+    """Decision loop that times each step."""
 
     def step(self) -> None:
-        """Run one step, and note how late it began and how long it took."""
+        """Run one step; record how late it begins and, if it had events, how long it takes."""
         HISTOGRAMS.late.record_value(max(1, int((self._context.clock() - self._timer.due_at_ms) * 1000.0)))
-        begun = time.perf_counter()
+        begun_at = time.perf_counter()
         super().step()
-        took = (time.perf_counter() - begun) * 1e6
+        duration_us = (time.perf_counter() - begun_at) * 1e6
         if self._engine.last_step and self._engine.last_step[1]:
-            HISTOGRAMS.turns.record_value(max(1, int(took)))
+            HISTOGRAMS.turns.record_value(max(1, int(duration_us)))
 
 
 class MeasuredConnections(ProxyConnections):
-    """Times each acknowledgement."""
+    """Proxy connections that time each ack."""
 
     def on_frame(self, link: ProxyConnection, frame: frames.Frame) -> None:
-        """Take a frame, and note how long an acknowledged version was out."""
+        """Process a frame; for an ack, record the time since the version was sent."""
         if isinstance(frame, frames.Ack) and link.is_joined and link.link.acked:
             HISTOGRAMS.acks.record_value(max(1, int((self.clock() - link.link.acked[0][1]) * 1000.0)))
         super().on_frame(link, frame)
 
 
-class Measured(Controller):
-    """A controller that reports its figures by phases."""
+class MeasuredController(Controller):
+    """A controller that records its figures by phase."""
 
     def __init__(self, config: ControllerConfig, path: str) -> None:
         factories = Factories(decision_loop=MeasuredLoop, proxy_connections=MeasuredConnections)
         super().__init__(config, config_path=path, factories=factories)
         self.phases: list[dict[str, Any]] = []
-        self.begin()
+        self.begin_phase()
 
-    def begin(self) -> None:
+    def begin_phase(self) -> None:
         """Begin a phase."""
-        HISTOGRAMS.begin()
+        HISTOGRAMS.reset()
         self.channel.max_queued_lines = self.channel.queued_lines
-        self.cpu, self.begun = time.process_time(), time.monotonic()
+        self.cpu_begun_at, self.begun_at = time.process_time(), time.monotonic()
 
-    def phase(self) -> None:
-        """End a phase: keep its figures."""
-        spent = time.monotonic() - self.begun
+    def end_phase(self) -> None:
+        """End a phase: record its figures and begin the next."""
+        duration_s = time.monotonic() - self.begun_at
         feed = self.load_weights.feed
         self.phases.append(
             {
-                "turn_ms": figures(HISTOGRAMS.turns),
-                "late_ms": figures(HISTOGRAMS.late),
-                "ack_ms": figures(HISTOGRAMS.acks),
+                "turn_ms": summarize_histogram(HISTOGRAMS.turns),
+                "late_ms": summarize_histogram(HISTOGRAMS.late),
+                "ack_ms": summarize_histogram(HISTOGRAMS.acks),
                 "most_lines_waiting": self.channel.max_queued_lines,
                 "resident_mib": round(resident_mib(), 1),
-                "cpu_share": round((time.process_time() - self.cpu) / spent, 3),
+                "cpu_share": round((time.process_time() - self.cpu_begun_at) / duration_s, 3),
                 "intake": dict(feed.intake_counts) if feed else {},
                 "worth": dict(vars(feed.estimator.counts)) if feed else {},
             }
         )
-        self.begin()
+        self.begin_phase()
 
 
-async def main(config: str, out: str) -> None:
+async def main(config: str, results_path: str) -> None:
+    """Run a controller until SIGTERM, then write the figures of its phases to `results_path`."""
     loaded = load_controller(config)
     configure("json", "error")
-    steward = Measured(loaded, config)
-    await steward.start()
+    controller = MeasuredController(loaded, config)
+    await controller.start()
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGTERM, steward.stop)
-    loop.add_signal_handler(signal.SIGUSR1, steward.phase)
-    await steward.wait_stopped()
-    steward.phase()
-    Path(out).write_text(json.dumps(steward.phases))
+    loop.add_signal_handler(signal.SIGTERM, controller.stop)
+    loop.add_signal_handler(signal.SIGUSR1, controller.end_phase)
+    await controller.wait_stopped()
+    controller.end_phase()
+    Path(results_path).write_text(json.dumps(controller.phases))
 
 
 if __name__ == "__main__":
--- a/bench/ready.py
+++ b/bench/ready.py
@@ -1,12 +1,12 @@
-"""How long the platform's steward takes from its start to its first sign of life, by phase, on a share of a core.
+"""Time from the start of the platform's controller to its first heartbeat reply, by phase, with a share of a core.
 
     .venv/bin/python -m bench.ready [--restarts 20] [--shares 0.1 0.25 1.0]
 
-Its peers are stand-ins of this process: 200 hosts in the list, 1,600 proxies joined and 1,200 slices of two lines each
-in the relay, all of it this steward's: the most that one is ever told. The share is kept by stopping the steward for
-the rest of each 50 ms. Phases: load (interpreter and imports, up to opening the configuration), begin (configuration,
-module, listening), ask (the first turn, up to asking for news), settle (up to the sign of life). Results go to
-bench/results/ready.json.
+Its peers are stand-ins in this process: 200 hosts in the list, 1,600 proxies joined and 1,200 slices of two lines each
+in the relay, all of them owned by this controller: the most that one controller ever receives. The share is enforced by
+stopping the controller for the rest of each 50 ms. Phases: load (interpreter and imports, until the configuration is
+opened), begin (configuration, module, listening), ask (the first turn, until the controller requests watch events),
+settle (until the heartbeat reply). Results go to bench/results/ready.json.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 from .machine import machine
 
 HOSTS, PROXIES, SLICES = 200, 1_600, 1_200
-PERIOD = 0.05  # s
+PERIOD_S = 0.05
 PHASES = ("load", "begin", "ask", "settle", "all")
-NEWS = b'{"seq":1,"whole":false,"hosts":[]}'  # none
-HB = b"*1\r\n$2\r\nhb\r\n"
+EMPTY_WATCH_REPLY = b'{"seq":1,"whole":false,"hosts":[]}'  # no changes
+HEARTBEAT_REQUEST = b"*1\r\n$2\r\nhb\r\n"
 SETTINGS = {
     "zones": ["a", "b", "c", "d"],
     "kinds": ["std"],
@@ -63,69 +63,83 @@
 }
 
 
-def row(n: int) -> dict[str, Any]:
+def host_row(number: int) -> dict[str, Any]:
+    """Return row `number` of the host list."""
     return {
-        "host": f"s-{n:08x}",
+        "host": f"s-{number:08x}",
         "dial": "127.0.0.1:9",
-        "site": "abcd"[n % 4],
+        "site": "abcd"[number % 4],
         "class": "std",
-        "block": n // 8,
+        "block": number // 8,
         "health": "in_service",
         "share": 1.0,
         "born_ms": 0,
     }
 
 
-def line(method: str, **params: Any) -> bytes:
+def notification(method: str, **params: Any) -> bytes:
+    """Return a JSON-RPC notification as a line."""
     return msgspec.json.encode({"jsonrpc": "2.0", "method": method, "params": params}) + b"\n"
 
 
-class Peers:
-    """Relay and agent, as far as a start needs them. asked: when news was last asked for."""
+class PeerStandIn:
+    """Stand-in of relay and agent for a start. `polled_at`: time in seconds of the last request for watch events."""
 
     def __init__(self) -> None:
-        self.asked = 0.0
-        rows = [line("attach", node=n, locality="abcd"[n % 4], w=2.5, cold=False) for n in range(PROXIES)]
-        for n in range(SLICES):
-            rows.append(line("owner", shard=n, set=True))
-            rows += [line("entry", shard=n, endpoint=f"s-{(n + k) % HOSTS:08x}", w=1.0) for k in range(2)]
-        self.stands = b"".join(rows)
+        self.polled_at = 0.0
+        rows = [
+            notification("attach", node=number, locality="abcd"[number % 4], w=2.5, cold=False)
+            for number in range(PROXIES)
+        ]
+        for number in range(SLICES):
+            rows.append(notification("owner", shard=number, set=True))
+            rows += [
+                notification("entry", shard=number, endpoint=f"s-{(number + offset) % HOSTS:08x}", w=1.0)
+                for offset in range(2)
+            ]
+        self.state = b"".join(rows)
 
     async def relay(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Confirm updates; answer any other call with the complete state of the relay."""
         with contextlib.suppress(ConnectionError):
-            while said := await reader.readline():
-                call = msgspec.json.decode(said)
+            while request := await reader.readline():
+                call = msgspec.json.decode(request)
                 head = {"jsonrpc": "2.0", "id": call["id"]}
                 if call["method"] == "relay.apply":
                     writer.write(msgspec.json.encode({**head, "result": {"taken": len(call["params"]["ops"])}}) + b"\n")
                     continue
-                self.asked = time.perf_counter()
-                writer.write(msgspec.json.encode({**head, "result": True}) + b"\n" + self.stands + line("ping"))
+                self.polled_at = time.perf_counter()
+                writer.write(msgspec.json.encode({**head, "result": True}) + b"\n" + self.state + notification("ping"))
         writer.close()
 
     async def agent(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer each request after one second with no changes."""
         loop = asyncio.get_running_loop()
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             while await reader.readuntil(b"\r\n\r\n"):
-                loop.call_later(1.0, writer.write, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(NEWS) + NEWS)
+                loop.call_later(
+                    1.0,
+                    writer.write,
+                    b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(EMPTY_WATCH_REPLY) + EMPTY_WATCH_REPLY,
+                )
         writer.close()
 
 
 async def throttle(pid: int, share: float) -> None:
-    """Lets the process run for its share of each period."""
+    """Let the process run for its share of each period and stop it for the rest."""
     while share < 1.0:
         os.kill(pid, signal.SIGCONT)
-        await asyncio.sleep(PERIOD * share)
+        await asyncio.sleep(PERIOD_S * share)
         os.kill(pid, signal.SIGSTOP)
-        await asyncio.sleep(PERIOD * (1.0 - share))
+        await asyncio.sleep(PERIOD_S * (1.0 - share))
 
 
-async def start(folder: Path, config: dict[str, Any], peers: Peers, share: float) -> dict[str, float]:
-    """One start; seconds by phase."""
+async def measure_start(folder: Path, config: dict[str, Any], peers: PeerStandIn, share: float) -> dict[str, float]:
+    """Start and kill the controller once; return the duration of each phase in seconds."""
     path = folder / "config.json"
     path.unlink(missing_ok=True)
     os.mkfifo(path)
-    begun = time.perf_counter()
+    begun_at = time.perf_counter()
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -136,7 +150,7 @@
     throttling = asyncio.create_task(throttle(process.pid, share))
     try:
         pipe = await asyncio.to_thread(os.open, path, os.O_WRONLY)
-        loaded = time.perf_counter()
+        loaded_at = time.perf_counter()
         await asyncio.to_thread(os.write, pipe, msgspec.json.encode(config))
         os.close(pipe)
         host, _, port = str(config["listen"]).rpartition(":")
@@ -146,61 +160,79 @@
                 break
             except ConnectionError:
                 await asyncio.sleep(0.002)
-        listening = time.perf_counter()
-        writer.write(HB)
+        listening_at = time.perf_counter()
+        writer.write(HEARTBEAT_REQUEST)
         await reader.readuntil(b"hb_ok\r\n")
-        alive = time.perf_counter()
+        alive_at = time.perf_counter()
         writer.close()
     finally:
         throttling.cancel()
         with contextlib.suppress(ProcessLookupError):
             process.kill()
         await process.wait()
-    marks = [begun, loaded, listening, peers.asked, alive]
-    return dict(zip(PHASES, [*(b - a for a, b in itertools.pairwise(marks)), alive - begun], strict=True))
+    instants = [begun_at, loaded_at, listening_at, peers.polled_at, alive_at]
+    return dict(
+        zip(
+            PHASES,
+            [*(after - before for before, after in itertools.pairwise(instants)), alive_at - begun_at],
+            strict=True,
+        )
+    )
 
 
-def free() -> str:
-    with socket.socket() as s:
-        s.bind(("127.0.0.1", 0))
-        return f"127.0.0.1:{s.getsockname()[1]}"
+def free_address() -> str:
+    """Return a free address of the loopback interface."""
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        return f"127.0.0.1:{listener.getsockname()[1]}"
 
 
-def figures(s: list[float]) -> dict[str, float]:
-    s = sorted(s)
-    return {"min": s[0], "median": statistics.median(s), "nine_in_ten": s[math.ceil(0.9 * len(s)) - 1], "max": s[-1]}
+def summarize(values: list[float]) -> dict[str, float]:
+    """Return minimum, median, 90th percentile and maximum."""
+    values = sorted(values)
+    return {
+        "min": values[0],
+        "median": statistics.median(values),
+        "nine_in_ten": values[math.ceil(0.9 * len(values)) - 1],
+        "max": values[-1],
+    }
 
 
 async def measure(shares: list[float], restarts: int) -> dict[str, Any]:
-    peers = Peers()
+    """Return the figures of each phase by share, of `restarts` starts each."""
+    peers = PeerStandIn()
     servers = [await asyncio.start_server(serve, "127.0.0.1", 0) for serve in (peers.relay, peers.agent)]
-    relay, agent = (f"127.0.0.1:{s.sockets[0].getsockname()[1]}" for s in servers)
+    relay, agent = (f"127.0.0.1:{server.sockets[0].getsockname()[1]}" for server in servers)
     config = {
         "name": "n0",
         "discovery": agent,
         "store": {"address": relay},
         "seed": "1",
         "settings": SETTINGS,
-        "known": {"seq": 1, "whole": True, "hosts": [row(n) for n in range(HOSTS)]},
+        "known": {"seq": 1, "whole": True, "hosts": [host_row(number) for number in range(HOSTS)]},
     }
-    found: dict[str, Any] = {}
+    results: dict[str, Any] = {}
     with tempfile.TemporaryDirectory() as folder:
         for share in shares:
-            starts = [await start(Path(folder), {**config, "listen": free()}, peers, share) for _ in range(restarts)]
-            found[f"{share:g}"] = {phase: figures([one[phase] for one in starts]) for phase in PHASES}
-    return found
+            starts = [
+                await measure_start(Path(folder), {**config, "listen": free_address()}, peers, share)
+                for _ in range(restarts)
+            ]
+            results[f"{share:g}"] = {phase: summarize([durations[phase] for durations in starts]) for phase in PHASES}
+    return results
 
 
 def main() -> None:
+    """Measure with the options of the command line and write ready.json."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--restarts", type=int, default=20)
     parser.add_argument("--shares", type=float, nargs="+", default=[0.1, 0.25, 1.0])
-    told = parser.parse_args()
-    found = {"machine": machine(), "restarts": told.restarts, "s": asyncio.run(measure(told.shares, told.restarts))}
-    (Path(__file__).parent / "results" / "ready.json").write_text(json.dumps(found, indent=1) + "\n")
-    for share, phases in found["s"].items():
-        for phase, s in phases.items():
-            print(f"{share:>5} {phase:>7} " + " ".join(f"{key} {value:.2f}" for key, value in s.items()))
+    args = parser.parse_args()
+    results = {"machine": machine(), "restarts": args.restarts, "s": asyncio.run(measure(args.shares, args.restarts))}
+    (Path(__file__).parent / "results" / "ready.json").write_text(json.dumps(results, indent=1) + "\n")
+    for share, phases in results["s"].items():
+        for phase, quantiles in phases.items():
+            print(f"{share:>5} {phase:>7} " + " ".join(f"{key} {value:.2f}" for key, value in quantiles.items()))
 
 
 if __name__ == "__main__":
--- a/bench/registry.py
+++ b/bench/registry.py
@@ -1,7 +1,7 @@
-"""The registry client, measured: `python -m bench.registry`. Results go to bench/results/registry.json.
+"""The registry client under load: `python -m bench.registry`. Results go to bench/results/registry.json.
 
-Three steward processes share 468 slices of 78 hosts for 130 forwarders, which are raw links here; the registry is the
-stand-in, in this process. Times include its own work and that of the 390 links.
+Three controller processes share 468 slices of 78 hosts for 130 proxies, which are raw connections in this process; the
+registry is the stand-in, also in this process. Times include its own work and that of the 390 connections.
 """
 
 from __future__ import annotations
@@ -31,51 +31,57 @@
 
 from .machine import machine
 from .run import RESULTS
-from .turns import CONFIG, Raw
+from .turns import CONFIG, TableKeepingProxy
 
-HOSTS, FORWARDERS, SLICES, STEWARDS = 78, 130, 468, 3
+HOSTS, PROXIES, SLICES, CONTROLLERS = 78, 130, 468, 3
+# hosts, proxies, slices
 LARGE = (200, 300, 1200)
 PREFIX = "/corallanding/hosts/"
 
 
-class Link(Raw):
-    """Beats, and counts with all others how many lines name each host."""
+class LineCountingProxy(TableKeepingProxy):
+    """Proxy connection that sends heartbeats; `lines_by_host` counts table lines by host over all connections."""
 
-    naming: Counter[int] = Counter()
+    lines_by_host: Counter[int] = Counter()
 
-    def lines(self, t: int, row: set[int]) -> None:
-        self.naming.subtract(self.tables.get(t, ()))
-        self.naming.update(row)
-        self.tables[t] = row
+    def set_hosts(self, slice_id: int, hosts: set[int]) -> None:
+        """Replace the hosts of slice `slice_id`."""
+        self.lines_by_host.subtract(self.tables.get(slice_id, ()))
+        self.lines_by_host.update(hosts)
+        self.tables[slice_id] = hosts
 
     def data_received(self, data: bytes) -> None:
-        for f in self.reader.feed(data):
-            if isinstance(f, frames.Tables):
-                if not f.only_slices:
-                    for t in list(self.tables):
-                        self.lines(t, set())
-                for t, rows in f.tables:
-                    self.lines(t, {h for h, _ in rows})
-            elif isinstance(f, frames.Orders):
-                for t in f.withdrawn_slices:
-                    self.lines(t, set())
-                for t, h, w in f.lines:
-                    row = set(self.tables.get(t, ()))
-                    (row.add if w > 0 else row.discard)(h)
-                    self.lines(t, row)
-                if f.version >= 0:
-                    self.transport.write(frames.encode(frames.Ack(f.version)))
-
-    def beat(self) -> None:
+        """Apply tables and orders, and ack the version."""
+        for frame in self.reader.feed(data):
+            if isinstance(frame, frames.Tables):
+                if not frame.only_slices:
+                    for slice_id in list(self.tables):
+                        self.set_hosts(slice_id, set())
+                for slice_id, rows in frame.tables:
+                    self.set_hosts(slice_id, {host_id for host_id, _ in rows})
+            elif isinstance(frame, frames.Orders):
+                for slice_id in frame.withdrawn_slices:
+                    self.set_hosts(slice_id, set())
+                for slice_id, host_id, weight in frame.lines:
+                    row = set(self.tables.get(slice_id, ()))
+                    (row.add if weight > 0 else row.discard)(host_id)
+                    self.set_hosts(slice_id, row)
+                if frame.version >= 0:
+                    self.transport.write(frames.encode(frames.Ack(frame.version)))
+
+    def send_heartbeat(self) -> None:
+        """Send a heartbeat unless the connection is closing."""
         if not self.transport.is_closing():
             self.transport.write(frames.encode(frames.Heartbeat(1.0)))
 
 
-def host(n: int, state: str = "up") -> dict[str, Any]:
-    return {"address": f"127.0.0.1:{20000 + n}", "state": state}
+def host_value(number: int, state: str = "up") -> dict[str, Any]:
+    """Return the registry value of host `number`."""
+    return {"address": f"127.0.0.1:{20000 + number}", "state": state}
 
 
 def quantiles(values: list[float]) -> dict[str, float]:
+    """Return count, p50 and p99 of times in ms."""
     return {
         "count": len(values),
         "p50_ms": round(float(np.percentile(values, 50)), 1),
@@ -83,260 +89,306 @@
     }
 
 
-async def until(wanted: Any, within: float = 60.0) -> float:
-    begun = time.monotonic()
-    while not wanted():
-        if time.monotonic() - begun > within:
+async def wait_until(condition: Any, timeout_s: float = 60.0) -> float:
+    """Wait until the condition holds and return the time in ms. Raises TimeoutError after `timeout_s` seconds."""
+    begun_at = time.monotonic()
+    while not condition():
+        if time.monotonic() - begun_at > timeout_s:
             raise TimeoutError
         await asyncio.sleep(0.002)
-    return (time.monotonic() - begun) * 1000.0
+    return (time.monotonic() - begun_at) * 1000.0
 
 
-async def large() -> dict[str, Any]:
-    return await fleet(*LARGE)
+async def measure_large_fleet() -> dict[str, Any]:
+    """Run `measure_fleet` with the large size."""
+    return await measure_fleet(*LARGE)
 
 
-async def fleet(hosts: int = HOSTS, forwarders: int = FORWARDERS, slices: int = SLICES) -> dict[str, Any]:
-    Link.naming = Counter()
-    r, chance = Registry(), np.random.default_rng(1)
-    await r.start()
-    for n in range(hosts):
-        await r.put(f"{PREFIX}{n}", host(n))
-    links: list[list[Link]] = [[] for _ in range(STEWARDS)]
+async def measure_fleet(
+    host_count: int = HOSTS, proxy_count: int = PROXIES, slice_count: int = SLICES
+) -> dict[str, Any]:
+    """Return the delay from a change in the registry to all proxies, and the takeover time after a kill."""
+    LineCountingProxy.lines_by_host = Counter()
+    registry, rng = Registry(), np.random.default_rng(1)
+    await registry.start()
+    for host_id in range(host_count):
+        await registry.put(f"{PREFIX}{host_id}", host_value(host_id))
+    links: list[list[LineCountingProxy]] = [[] for _ in range(CONTROLLERS)]
     with tempfile.TemporaryDirectory() as folder:
-        processes, ports = [], [free_port() for _ in range(STEWARDS)]
-        for me in range(STEWARDS):
+        processes, ports = [], [free_port() for _ in range(CONTROLLERS)]
+        for controller_id in range(CONTROLLERS):
             text = CONFIG.format(
-                port=ports[me],
+                port=ports[controller_id],
                 folder=folder,
                 roster=1,
-                slices=slices,
-                forwarders=forwarders,
-                rate=1e3 * forwarders,
-                queue=(8 + 2 * slices) * forwarders * 2,
+                slices=slice_count,
+                forwarders=proxy_count,
+                rate=1e3 * proxy_count,
+                queue=(8 + 2 * slice_count) * proxy_count * 2,
                 lines=2000,
             )
-            block = f'registry {{\n  address = "127.0.0.1:{r.port}"\n  charge = true\n  lease_ms = 3000\n}}\n'
-            text = text.replace('roster {\n  address = "127.0.0.1:1"\n}\n', block).replace("/s.db", f"/{me}.db")
-            text = text.replace("steward {", f"steward {{\n  number = {me}\n  stewards = {STEWARDS}")
-            path = Path(folder) / f"{me}.hcl"
+            block = f'registry {{\n  address = "127.0.0.1:{registry.port}"\n  charge = true\n  lease_ms = 3000\n}}\n'
+            text = text.replace('roster {\n  address = "127.0.0.1:1"\n}\n', block).replace(
+                "/s.db", f"/{controller_id}.db"
+            )
+            text = text.replace("steward {", f"steward {{\n  number = {controller_id}\n  stewards = {CONTROLLERS}")
+            path = Path(folder) / f"{controller_id}.hcl"
             path.write_text(text + 'log {\n  level = "warning"\n}\n')
             command = [sys.executable, "-m", "corallanding.cli.main", "steward", "--config", str(path)]
             processes.append(await asyncio.create_subprocess_exec(*command))
         loop = asyncio.get_running_loop()
-        stop = False
+        is_stopped = False
 
-        async def beats() -> None:
-            while not stop:
+        async def send_heartbeats() -> None:
+            """Send heartbeats on all connections until the end."""
+            while not is_stopped:
                 for row in links:
                     for link in row:
-                        link.beat()
+                        link.send_heartbeat()
                 await asyncio.sleep(0.7)
 
-        beating = asyncio.create_task(beats())
+        heartbeat_task = asyncio.create_task(send_heartbeats())
         try:
-            for me in range(STEWARDS):
-                for f in range(forwarders):
+            for controller_id in range(CONTROLLERS):
+                for proxy in range(proxy_count):
                     for _ in range(200):
                         try:
-                            made = await loop.create_connection(lambda f=f: Link(f, chance), "127.0.0.1", ports[me])  # type: ignore[misc]
-                            links[me].append(made[1])
+                            connection = await loop.create_connection(
+                                lambda proxy=proxy: LineCountingProxy(proxy, rng),  # type: ignore[misc]
+                                "127.0.0.1",
+                                ports[controller_id],
+                            )
+                            links[controller_id].append(connection[1])
                             break
                         except OSError:
                             await asyncio.sleep(0.1)
 
-            def spoken(among: list[int]) -> bool:
-                """Each slice has a line at every forwarder, from one steward or another."""
+            def all_slices_assigned(controller_ids: list[int]) -> bool:
+                """Return whether each slice has a line at three sampled proxies, from any of these controllers."""
                 return all(
-                    len({t for me in among for t, row in links[me][f].tables.items() if row}) == slices
-                    for f in (0, forwarders // 2, forwarders - 1)
+                    len(
+                        {
+                            slice_id
+                            for controller_id in controller_ids
+                            for slice_id, row in links[controller_id][proxy].tables.items()
+                            if row
+                        }
+                    )
+                    == slice_count
+                    for proxy in (0, proxy_count // 2, proxy_count - 1)
                 )
 
-            await until(lambda: spoken(list(range(STEWARDS))), 60)
+            await wait_until(lambda: all_slices_assigned(list(range(CONTROLLERS))), 60)
             await asyncio.sleep(5.0)
-            drains = []
-            for k in range(30):
-                n = k % hosts
-                await r.put(f"{PREFIX}{n}", host(n, "draining"))
-                gone = lambda n=n: not Link.naming[n]  # noqa: E731
-                drains.append(await until(gone, 20))
-                await r.put(f"{PREFIX}{n}", host(n))
+            drain_delays_ms = []
+            for index in range(30):
+                host_id = index % host_count
+                await registry.put(f"{PREFIX}{host_id}", host_value(host_id, "draining"))
+                has_no_lines = lambda host_id=host_id: not LineCountingProxy.lines_by_host[host_id]  # noqa: E731
+                drain_delays_ms.append(await wait_until(has_no_lines, 20))
+                await registry.put(f"{PREFIX}{host_id}", host_value(host_id))
                 await asyncio.sleep(0.3)
-            before = {t for t, row in links[0][0].tables.items() if row}
+            killed_slices = {slice_id for slice_id, row in links[0][0].tables.items() if row}
             processes[0].send_signal(signal.SIGKILL)
-            for x in links[0]:
-                for t in list(x.tables):
-                    x.lines(t, set())
-            takeover = await until(lambda: spoken([1, 2]), 30)
+            for link in links[0]:
+                for slice_id in list(link.tables):
+                    link.set_hosts(slice_id, set())
+            takeover_ms = await wait_until(lambda: all_slices_assigned([1, 2]), 30)
         finally:
-            stop = True
-            beating.cancel()
-            for p in processes:
-                if p.returncode is None:
-                    p.kill()
-            await r.stop()
+            is_stopped = True
+            heartbeat_task.cancel()
+            for process in processes:
+                if process.returncode is None:
+                    process.kill()
+            await registry.stop()
     return {
-        "hosts": hosts,
-        "forwarders": forwarders,
-        "slices": slices,
-        "change_to_every_forwarder": quantiles(drains),
-        "slices_of_the_killed_steward": len(before),
-        "killed_to_all_slices_spoken_for_ms": round(takeover),
+        "hosts": host_count,
+        "forwarders": proxy_count,
+        "slices": slice_count,
+        "change_to_every_forwarder": quantiles(drain_delays_ms),
+        "slices_of_the_killed_steward": len(killed_slices),
+        "killed_to_all_slices_spoken_for_ms": round(takeover_ms),
         "lease_ms": 3000,
     }
 
 
-class Seat:
+class HostRowReceiver:
+    """Receiver of a host source that keeps the state of each host."""
+
     def __init__(self) -> None:
-        self.view: dict[int, str] = {}
+        self.states: dict[int, str] = {}
         self.rows = 0
 
     def on_host_rows(self, full: bool, version: int, rows: list[Any]) -> None:
+        """Apply a complete list or changes."""
         self.rows += len(rows)
-        self.view = {} if full else self.view
+        self.states = {} if full else self.states
         for row in rows:
-            self.view[row["host"]] = row["state"]
+            self.states[row["host"]] = row["state"]
             if row["state"] == "removed":
-                del self.view[row["host"]]
+                del self.states[row["host"]]
 
-    def on_source_failure(self, why: str) -> None: ...
+    def on_source_failure(self, why: str) -> None:
+        """Ignore the failure; the source retries."""
 
 
-def source(r: Registry, seat: Seat, k: int) -> Any:
-    block = RegistryBlock(address=f"127.0.0.1:{r.port}")
-    made = make_source(block, seat, lambda: time.monotonic() * 1000.0, random.Random(k).random)
-    made.start()
-    return made
+def start_source(registry: Registry, receiver: HostRowReceiver, seed: int) -> Any:
+    """Start a host source that reads this registry into `receiver`."""
+    block = RegistryBlock(address=f"127.0.0.1:{registry.port}")
+    host_source = make_source(block, receiver, lambda: time.monotonic() * 1000.0, random.Random(seed).random)
+    host_source.start()
+    return host_source
 
 
-def truth(r: Registry) -> dict[int, str]:
-    return {int(k[len(PREFIX) :]): json.loads(v.value)["state"] for k, v in r.store.keys.items()}
+def registry_states(registry: Registry) -> dict[int, str]:
+    """Return the state of each host in the registry."""
+    return {int(key[len(PREFIX) :]): json.loads(stored.value)["state"] for key, stored in registry.store.keys.items()}
 
 
-def write(r: Registry, k: int) -> None:
-    row = host(k % HOSTS, ("draining", "up")[k % 2])
-    r.store.put(f"{PREFIX}{k % HOSTS}".encode(), json.dumps(row).encode())
+def write_change(registry: Registry, index: int) -> None:
+    """Write change number `index`: one host becomes draining or up."""
+    row = host_value(index % HOSTS, ("draining", "up")[index % 2])
+    registry.store.put(f"{PREFIX}{index % HOSTS}".encode(), json.dumps(row).encode())
 
 
-async def breaks() -> list[dict[str, Any]]:
-    out = []
-    for seconds in (1.0, 10.0, 60.0):
+async def measure_outages() -> list[dict[str, Any]]:
+    """Return the recovery times after registry outages of several lengths, with the history compacted or not."""
+    results = []
+    for outage_s in (1.0, 10.0, 60.0):
         for compacted in (False, True):
-            r, seat = Registry(), Seat()
-            await r.start()
-            for n in range(HOSTS):
-                await r.put(f"{PREFIX}{n}", host(n))
-            s = source(r, seat, 1)
-            await until(lambda: seat.view == truth(r))  # noqa: B023
-            await r.stop()
-            for k in range(200):
-                write(r, k)
-            r.store.put(f"{PREFIX}5".encode(), None)
+            registry, receiver = Registry(), HostRowReceiver()
+            await registry.start()
+            for host_id in range(HOSTS):
+                await registry.put(f"{PREFIX}{host_id}", host_value(host_id))
+            host_source = start_source(registry, receiver, 1)
+            await wait_until(lambda: receiver.states == registry_states(registry))  # noqa: B023
+            await registry.stop()
+            for index in range(200):
+                write_change(registry, index)
+            registry.store.put(f"{PREFIX}5".encode(), None)
             if compacted:
-                r.store.compact(r.store.revision)
-            await asyncio.sleep(seconds)
-            await r.start()
-            took = await until(lambda: seat.view == truth(r))  # noqa: B023
-            out.append(
+                registry.store.compact(registry.store.revision)
+            await asyncio.sleep(outage_s)
+            await registry.start()
+            recovery_ms = await wait_until(lambda: receiver.states == registry_states(registry))  # noqa: B023
+            results.append(
                 {
-                    "break_s": seconds,
+                    "break_s": outage_s,
                     "compacted": compacted,
-                    "true_view_after_ms": round(took),
-                    "full_reads": r.store.calls["Range"],
+                    "true_view_after_ms": round(recovery_ms),
+                    "full_reads": registry.store.calls["Range"],
                 }
             )
-            s.stop()
-            await r.stop()
-    return out
-
-
-async def stampede() -> dict[str, Any]:
-    r = Registry()
-    await r.start()
-    for n in range(HOSTS):
-        await r.put(f"{PREFIX}{n}", host(n))
-    seats = [Seat() for _ in range(50)]
-    sources = [source(r, seat, k) for k, seat in enumerate(seats)]
-    await until(lambda: all(x.view == truth(r) for x in seats))
-    await r.stop()
+            host_source.stop()
+            await registry.stop()
+    return results
+
+
+async def measure_reconnects() -> dict[str, Any]:
+    """Return the recovery time and the requests of 50 sources after a registry restart."""
+    registry = Registry()
+    await registry.start()
+    for host_id in range(HOSTS):
+        await registry.put(f"{PREFIX}{host_id}", host_value(host_id))
+    receivers = [HostRowReceiver() for _ in range(50)]
+    sources = [start_source(registry, receiver, index) for index, receiver in enumerate(receivers)]
+    await wait_until(lambda: all(receiver.states == registry_states(registry) for receiver in receivers))
+    await registry.stop()
     await asyncio.sleep(2.0)
-    r.store.calls.clear()
-    r.store.put(f"{PREFIX}1".encode(), json.dumps(host(1, "draining")).encode())
-    await r.start()
-    took = await until(lambda: all(x.view == truth(r) for x in seats))
-    for s in sources:
-        s.stop()
-    await r.stop()
-    return {"stewards": 50, "all_true_after_ms": round(took), "requests": dict(r.store.calls)}
+    registry.store.calls.clear()
+    registry.store.put(f"{PREFIX}1".encode(), json.dumps(host_value(1, "draining")).encode())
+    await registry.start()
+    recovery_ms = await wait_until(lambda: all(receiver.states == registry_states(registry) for receiver in receivers))
+    for host_source in sources:
+        host_source.stop()
+    await registry.stop()
+    return {"stewards": 50, "all_true_after_ms": round(recovery_ms), "requests": dict(registry.store.calls)}
 
 
-class Count:
+class CountingWatcher:
+    """Watch receiver that only counts changes."""
+
     def __init__(self) -> None:
         self.rows = 0
 
-    def on_created(self, header: Any) -> None: ...
+    def on_created(self, header: Any) -> None:
+        """Ignore the start of the watch."""
 
-    def on_progress(self, header: Any) -> None: ...
+    def on_progress(self, header: Any) -> None:
+        """Ignore progress notifications."""
 
     def on_changes(self, header: Any, rows: list[Any], *, is_fragment: bool) -> None:
+        """Count the changes."""
         self.rows += len(rows)
 
-    def on_cancelled(self, header: Any, compacted: int, why: str) -> None: ...
+    def on_cancelled(self, header: Any, compacted: int, why: str) -> None:
+        """Ignore the end of the watch."""
 
 
-async def pace() -> dict[str, Any]:
-    """Changes a second through the whole source, and through the bare client stream, from the same registry."""
+async def measure_throughput() -> dict[str, Any]:
+    """Return changes per second through the complete source and through the bare client stream."""
     rates: dict[str, list[float]] = {"source": [], "bare": []}
-    total = 20_000
+    change_count = 20_000
     for _ in range(3):
         for kind in rates:
-            r, seat, count = Registry(), Seat(), Count()
-            await r.start()
-            await r.put(f"{PREFIX}0", host(0))
-            conn = EtcdConnection(f"127.0.0.1:{r.port}", 5000.0)
+            registry, receiver, counter = Registry(), HostRowReceiver(), CountingWatcher()
+            await registry.start()
+            await registry.put(f"{PREFIX}0", host_value(0))
+            connection = EtcdConnection(f"127.0.0.1:{registry.port}", 5000.0)
             if kind == "source":
-                s = source(r, seat, 1)
-                await until(lambda: seat.view)  # noqa: B023
+                host_source = start_source(registry, receiver, 1)
+                await wait_until(lambda: receiver.states)  # noqa: B023
             else:
 
                 async def watch(
-                    conn: EtcdConnection = conn, count: Count = count, at: int = r.store.revision + 1
+                    connection: EtcdConnection = connection,
+                    counter: CountingWatcher = counter,
+                    start_revision: int = registry.store.revision + 1,
                 ) -> None:
                     try:
-                        await conn.watch(PREFIX.encode(), at, count)
+                        await connection.watch(PREFIX.encode(), start_revision, counter)
                     except RegistryUnavailableError:
                         return
 
                 task = asyncio.create_task(watch())
                 await asyncio.sleep(0.3)
-            start = seat.rows
-            for k in range(total):
-                write(r, k)
-            begun = time.monotonic()
-            r.store.poke()
-            await until(lambda: (seat.rows - start if kind == "source" else count.rows) >= total)  # noqa: B023
-            rates[kind].append(total / (time.monotonic() - begun))
+            rows_before = receiver.rows
+            for index in range(change_count):
+                write_change(registry, index)
+            begun_at = time.monotonic()
+            registry.store.poke()
+            await wait_until(
+                lambda: (receiver.rows - rows_before if kind == "source" else counter.rows) >= change_count  # noqa: B023
+            )
+            rates[kind].append(change_count / (time.monotonic() - begun_at))
             if kind == "source":
-                s.stop()
+                host_source.stop()
             else:
                 task.cancel()
-            await conn.close()
-            await r.stop()
+            await connection.close()
+            await registry.stop()
     ours, bare = float(np.median(rates["source"])), float(np.median(rates["bare"]))
     return {"source_per_s": round(ours), "bare_stream_per_s": round(bare), "ratio": round(ours / bare, 3)}
 
 
 def main() -> None:
+    """Run the measurements that are named on the command line, or all, and update registry.json."""
     os.environ.setdefault("PYTHONPATH", ".")
-    found: dict[str, Any] = {"machine": machine()}
-    for name, work in (("pace", pace), ("stampede", stampede), ("breaks", breaks), ("fleet", fleet), ("large", large)):
+    results: dict[str, Any] = {"machine": machine()}
+    for name, run in (
+        ("pace", measure_throughput),
+        ("stampede", measure_reconnects),
+        ("breaks", measure_outages),
+        ("fleet", measure_fleet),
+        ("large", measure_large_fleet),
+    ):
         if len(sys.argv) > 1 and name not in sys.argv[1:]:
             continue
-        found[name] = uvloop.run(work())
-        print(name, json.dumps(found[name]), flush=True)
+        results[name] = uvloop.run(run())
+        print(name, json.dumps(results[name]), flush=True)
     path = RESULTS / "registry.json"
-    old = json.loads(path.read_text()) if path.exists() else {}
-    path.write_text(json.dumps({**old, **found}, indent=1) + "\n")
+    previous = json.loads(path.read_text()) if path.exists() else {}
+    path.write_text(json.dumps({**previous, **results}, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/bench/turn.py
+++ b/bench/turn.py
@@ -1,9 +1,10 @@
-"""Cost of the module's turns by size of fleet, in one process, beside an older text of the module if one is given.
+"""Cost of the decider's turns by size of fleet, in one process, beside an older version of it if one is given.
 
     python -m bench.turn [--against FILE] [--out NAME]
 
-Every host and slice has sums each second; a turn is the step of the module's own timer. A drain's step is urgent,
-between turns. `marks` is what the lists of rendezvous marks cost at a start, ahead of need.
+Every host and slice has usage reports each second. A turn is the step at the decider's own timer; a drain step is an
+urgent one between turns. `marks` in the results is the cost of the lists of rendezvous scores, which are computed ahead
+of need after a start.
 """
 
 from __future__ import annotations
@@ -23,12 +24,14 @@
 from .machine import machine
 from .run import RESULTS
 
+# hosts, slices, proxies
 SIZES = [(24, 144, 12), (78, 468, 130), (300, 1800, 500), (1000, 6000, 1000)]
 QUOTE = api.RequestClass("quote", api.Idempotency.IDEMPOTENT, "all", 5000, 3, 0.1, 1200, 3000)
-STRAINED = 0.1  # part of the hosts that answer late in the second half: turns that look for other owners
+SLOW_HOSTS_PART = 0.1  # part of the hosts that are slow in the second half, so that turns look for other owners
 
 
 def settings(hosts: int, slices: int, proxies: int) -> api.Settings:
+    """Return the settings of the decider for this size of fleet."""
     return api.Settings(
         request_classes=(QUOTE,),
         slice_count=slices,
@@ -41,122 +44,146 @@
 
 
 class Fleet:
+    """A decider built by `make` with its hosts, slices and proxies, which all exist from the first step on.
+
+    `slow`: hosts that answer late. `first_step_ms`: duration of the first step.
+    """
+
     def __init__(self, make: Any, hosts: int, slices: int, proxies: int) -> None:
-        self.chance = np.random.default_rng(1)
+        self.rng = np.random.default_rng(1)
         self.hosts, self.slices, self.proxies, self.now = hosts, slices, proxies, 1e9
-        self.module, self.version = make(settings(hosts, slices, proxies), 7), 1
+        self.decider, self.version = make(settings(hosts, slices, proxies), 7), 1
         self.slow: set[int] = set()
-        self.owner = {s: s % hosts for s in range(slices)}
-        entries = tuple(api.HostEntry(h) for h in range(hosts))
+        self.owner = {slice_id: slice_id % hosts for slice_id in range(slices)}
+        entries = tuple(api.HostEntry(host) for host in range(hosts))
         events: list[api.Event] = [api.HostListUpdate(api.HostListKind.FULL, 1, entries)]
-        for s in range(slices):
-            events += [api.SliceOwnershipChange(s, True), api.StoredWeight(s, s % hosts, 1.0)]
-        events += [api.ProxyJoined(p, 0, 10.0, True) for p in range(proxies)]
-        self.first = self.step(events)
+        for slice_id in range(slices):
+            events += [api.SliceOwnershipChange(slice_id, True), api.StoredWeight(slice_id, slice_id % hosts, 1.0)]
+        events += [api.ProxyJoined(proxy, 0, 10.0, True) for proxy in range(proxies)]
+        self.first_step_ms = self.step(events)
 
     def step(self, events: list[api.Event]) -> float:
-        """One step, ms; every mark is acked at once."""
-        begun = time.perf_counter()
-        out = self.module.step(self.now, events)
-        took = (time.perf_counter() - begun) * 1000.0
-        acks: list[api.Event] = []
-        for a in out:
-            if isinstance(a, api.SetWeight) and a.weight > 0:
-                self.owner[a.slice] = a.host
-            elif isinstance(a, api.PublishVersion):
-                acks += [api.VersionAcked(p, a.version) for p in range(self.proxies)]
-            elif isinstance(a, api.CheckHealth):
-                acks.append(api.HealthCheckResult(a.host, api.HealthCheckOutcome.OK))
-        if acks:
+        """Run one step, ack its versions and answer its health checks at once, and return the duration in ms."""
+        begun_at = time.perf_counter()
+        actions = self.decider.step(self.now, events)
+        duration_ms = (time.perf_counter() - begun_at) * 1000.0
+        answers: list[api.Event] = []
+        for action in actions:
+            if isinstance(action, api.SetWeight) and action.weight > 0:
+                self.owner[action.slice] = action.host
+            elif isinstance(action, api.PublishVersion):
+                answers += [api.VersionAcked(proxy, action.version) for proxy in range(self.proxies)]
+            elif isinstance(action, api.CheckHealth):
+                answers.append(api.HealthCheckResult(action.host, api.HealthCheckOutcome.OK))
+        if answers:
             self.now += 1.0
-            self.module.step(self.now, acks)
-        return took
+            self.decider.step(self.now, answers)
+        return duration_ms
 
-    def sums(self) -> None:
-        r = self.chance
-        late = r.uniform(200, 300, self.hosts)
+    def report_usage(self) -> None:
+        """Report the usage of every host and slice."""
+        rng = self.rng
+        latencies_ms = rng.uniform(200, 300, self.hosts)
         events: list[api.Event] = [
-            api.HostUsageReport(0, h, 60, 0, float(late[h]) * (6.0 if h in self.slow else 1.0), 1000.0)
-            for h in range(self.hosts)
+            api.HostUsageReport(0, host, 60, 0, float(latencies_ms[host]) * (6.0 if host in self.slow else 1.0), 1000.0)
+            for host in range(self.hosts)
         ]
-        came = r.poisson(8, self.slices)
+        request_counts = rng.poisson(8, self.slices)
         self.now += 1.0
-        self.module.step(
-            self.now, [*events, *(api.SliceUsageReport(s, 0, int(came[s]), 0, 1000.0) for s in range(self.slices))]
+        self.decider.step(
+            self.now,
+            [
+                *events,
+                *(
+                    api.SliceUsageReport(slice_id, 0, int(request_counts[slice_id]), 0, 1000.0)
+                    for slice_id in range(self.slices)
+                ),
+            ],
         )
 
     def turn(self) -> float:
+        """Run the step at the timer, 500 ms later, and return its duration in ms."""
         self.now += 500.0
         return self.step([api.TimerFired(0)])
 
-    def listed(self, h: int, state: str) -> float:
+    def change_host(self, host: int, state: str) -> float:
+        """Change the state of a host in the host list and return the duration of the step in ms."""
         self.now += 10.0
         self.version += 1
-        return self.step([api.HostListUpdate(api.HostListKind.CHANGES, self.version, (api.HostEntry(h, state=state),))])
+        return self.step(
+            [api.HostListUpdate(api.HostListKind.CHANGES, self.version, (api.HostEntry(host, state=state),))]
+        )
 
 
-def measure(makes: list[Any], size: tuple[int, int, int], turns: int) -> list[dict[str, Any]]:
-    """A row for each module, played turn by turn in turns: what the machine does meanwhile strikes all alike."""
+def measure(makes: list[Any], size: tuple[int, int, int], turn_count: int) -> list[dict[str, Any]]:
+    """Return a row of results for each decider.
+
+    Their turns alternate, so that other load of the machine affects all of them alike.
+    """
     hosts, slices, proxies = size
     fleets = [Fleet(make, hosts, slices, proxies) for make in makes]
     rows: list[dict[str, Any]] = []
-    for f in fleets:
-        begun = time.perf_counter()
-        while f.module.rendezvous.precompute(range(slices), 100_000):
+    for fleet in fleets:
+        begun_at = time.perf_counter()
+        while fleet.decider.rendezvous.precompute(range(slices), 100_000):
             pass
-        warming = (time.perf_counter() - begun) * 1000.0
+        precompute_ms = (time.perf_counter() - begun_at) * 1000.0
         rows.append(
             {
                 "hosts": hosts,
                 "slices": slices,
                 "forwarders": proxies,
-                "turns": turns,
-                "marks_ms": round(warming, 1),
-                "first_step_ms": round(f.first, 1),
+                "turns": turn_count,
+                "marks_ms": round(precompute_ms, 1),
+                "first_step_ms": round(fleet.first_step_ms, 1),
             }
         )
-    took: list[dict[str, list[float]]] = [{"turn": [], "strained": [], "drain": []} for _ in fleets]
-    for k in range(2 * turns):
-        for f, mine in zip(fleets, took, strict=True):
-            if k == turns:
-                f.slow = set(range(0, hosts, round(1 / STRAINED)))
-            f.sums()
+    durations_ms: list[dict[str, list[float]]] = [{"turn": [], "strained": [], "drain": []} for _ in fleets]
+    for index in range(2 * turn_count):
+        for fleet, fleet_durations in zip(fleets, durations_ms, strict=True):
+            if index == turn_count:
+                fleet.slow = set(range(0, hosts, round(1 / SLOW_HOSTS_PART)))
+            fleet.report_usage()
             gc.collect()
-            mine["turn" if k < turns else "strained"].append(f.turn())
-            if k % 4 == 0:
-                mine["drain"].append(f.listed(k % hosts, "draining"))
-                f.listed(k % hosts, "up")
-    for row, mine in zip(rows, took, strict=True):
-        for kind, values in mine.items():
+            fleet_durations["turn" if index < turn_count else "strained"].append(fleet.turn())
+            if index % 4 == 0:
+                fleet_durations["drain"].append(fleet.change_host(index % hosts, "draining"))
+                fleet.change_host(index % hosts, "up")
+    for row, fleet_durations in zip(rows, durations_ms, strict=True):
+        for kind, values in fleet_durations.items():
             row[f"{kind}_p50_ms"] = round(float(np.percentile(values, 50)), 3)
             row[f"{kind}_p99_ms"] = round(float(np.percentile(values, 99)), 3)
     return rows
 
 
-def exponent(rows: list[dict[str, Any]], key: str) -> float:
-    """Growth: the slope of log(time) over log(hosts) from 78 hosts up."""
-    big = [r for r in rows if r["hosts"] >= 78 and r[key] > 0]
-    return round(float(np.polyfit(np.log([r["hosts"] for r in big]), np.log([r[key] for r in big]), 1)[0]), 2)
+def growth_exponent(rows: list[dict[str, Any]], key: str) -> float:
+    """Return the exponent of growth: the slope of log(time) over log(hosts) from 78 hosts on."""
+    large_rows = [row for row in rows if row["hosts"] >= 78 and row[key] > 0]
+    return round(
+        float(np.polyfit(np.log([row["hosts"] for row in large_rows]), np.log([row[key] for row in large_rows]), 1)[0]),
+        2,
+    )
 
 
 def main() -> None:
-    ask = argparse.ArgumentParser()
-    ask.add_argument("--against", help="the module of another checkout: its assignment/__init__.py")
-    ask.add_argument("--out", default="turn")
-    ask.add_argument("--turns", type=int, default=60)
-    args = ask.parse_args()
-    found: dict[str, Any] = {"machine": machine(), "now": [], "before": []}
-    sides = {"now": Assigner, **({"before": decider_of(args.against)} if args.against else {})}
+    """Measure all sizes and write the results."""
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--against", help="the decider of another checkout: its assignment/__init__.py")
+    parser.add_argument("--out", default="turn")
+    parser.add_argument("--turns", type=int, default=60)
+    args = parser.parse_args()
+    results: dict[str, Any] = {"machine": machine(), "now": [], "before": []}
+    deciders = {"now": Assigner, **({"before": decider_of(args.against)} if args.against else {})}
     for size in SIZES:
-        for side, row in zip(sides, measure(list(sides.values()), size, args.turns), strict=True):
-            found[side].append(row)
+        for side, row in zip(deciders, measure(list(deciders.values()), size, args.turns), strict=True):
+            results[side].append(row)
             print(side, json.dumps(row), flush=True)
     for side in ("now", "before"):
-        if found[side]:
+        if results[side]:
             keys = ("turn_p50_ms", "strained_p50_ms", "drain_p50_ms")
-            found[f"growth_{side}"] = {k: exponent(found[side], k) for k in keys}
-    print(json.dumps({k: v for k, v in found.items() if k.startswith("growth")}))
-    (RESULTS / f"{args.out}.json").write_text(json.dumps(found, indent=1) + "\n")
+            results[f"growth_{side}"] = {key: growth_exponent(results[side], key) for key in keys}
+    print(json.dumps({key: value for key, value in results.items() if key.startswith("growth")}))
+    (RESULTS / f"{args.out}.json").write_text(json.dumps(results, indent=1) + "\n")
 
 
 if __name__ == "__main__":
