--- a/bench/ready.py
+++ b/bench/ready.py
@@ -5,7 +5,7 @@
 Its peers are stand-ins in this process: 200 hosts in the list, 1,600 proxies joined and 1,200 slices of two lines each
 in the relay, all of them owned by this controller: the most that one controller ever receives. The share is enforced by
 stopping the controller for the rest of each 50 ms. Phases: load (interpreter and imports, until the configuration is
-opened), begin (configuration, module, listening), ask (the first turn, until the controller requests watch events),
+opened), begin (configuration, decider, listening), ask (the first turn, until the controller requests watch events),
 settle (until the heartbeat reply). Results go to bench/results/ready.json.
 """
 
