--- a/tests/collector/test_server.py
+++ b/tests/collector/test_server.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from forced_order import Side, busy, play, turns, until
+from forced_order import PeerConnection, block_loop, run_async, until, yield_to_loop
 from platform_samples import host_report, intake, slice_report
 
 from corallanding.collector import server as server_module
@@ -29,10 +29,10 @@
             ("127.0.0.1", 0), intake({3}), max_unidentified, self.events.extend, lambda text: None
         )
 
-    async def connect(self, *messages: bytes) -> Side:
-        side = Side(*await asyncio.open_connection(*self.server.listener.socket.getsockname()))
-        side.say(*messages)
-        return side
+    async def connect(self, *messages: bytes) -> PeerConnection:
+        peer = PeerConnection(*await asyncio.open_connection(*self.server.listener.socket.getsockname()))
+        peer.send(*messages)
+        return peer
 
 
 @contextlib.asynccontextmanager
@@ -44,9 +44,9 @@
         harness.server.close()
 
 
-async def read_all(side: Side) -> bytes:
+async def read_all(peer: PeerConnection) -> bytes:
     """Return the bytes received until the connection ends."""
-    return await side.reader.read()
+    return await peer.reader.read()
 
 
 @pytest.fixture
@@ -59,15 +59,15 @@
 
     async def scenario() -> None:
         async with server_harness() as harness:
-            side = await harness.connect()
+            peer = await harness.connect()
             await until(lambda: harness.server.unidentified)
-            busy(lambda: side.now(IDENTIFICATION, encode(host_report())), 0.1)
+            block_loop(lambda: peer.send_at_once(IDENTIFICATION, encode(host_report())), 0.1)
             await until(lambda: harness.events)
             assert not harness.server.close_reasons
             assert 0 in harness.server.collectors
-            side.close()
+            peer.close()
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_unidentified_connection_when_it_never_identifies_itself_then_it_is_rejected(short_timeout: None) -> None:
@@ -76,25 +76,25 @@
             harness.server.set_ready()
             for message in (b"", HEARTBEAT[:5], IDENTIFICATION[:9]):
                 assert await read_all(await harness.connect(message)) == REJECT
-            side = await harness.connect(HEARTBEAT)
+            peer = await harness.connect(HEARTBEAT)
             for _ in range(3):
-                assert await side.reader.readexactly(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
-                side.say(HEARTBEAT)
-            assert (await read_all(side)).endswith(REJECT)
+                assert await peer.reader.readexactly(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
+                peer.send(HEARTBEAT)
+            assert (await read_all(peer)).endswith(REJECT)
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_heartbeat_when_requested_before_ready_then_it_is_answered_once_ready(short_timeout: None) -> None:
     async def scenario() -> None:
         async with server_harness() as harness:
-            side, silent = await harness.connect(HEARTBEAT), await harness.connect()
+            peer, silent = await harness.connect(HEARTBEAT), await harness.connect()
             assert await read_all(silent) == REJECT
             assert len(harness.server.unidentified) == 1
             harness.server.set_ready()
-            assert await read_all(side) == HEARTBEAT_ANSWER + REJECT
+            assert await read_all(peer) == HEARTBEAT_ANSWER + REJECT
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_collector_when_hundreds_are_unidentified_then_it_can_identify_itself(short_timeout: None) -> None:
@@ -105,13 +105,13 @@
             flood = [await harness.connect(b"") for _ in range(300)]
             late = await harness.connect(IDENTIFICATION, encode(slice_report()))
             await until(lambda: harness.events)
-            for side in flood:
-                assert await read_all(side) == REJECT
-            collector.say(encode(slice_report()))
+            for peer in flood:
+                assert await read_all(peer) == REJECT
+            collector.send(encode(slice_report()))
             await until(lambda: len(harness.events) == 2)
             late.close()
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_heartbeat_when_hundreds_are_unidentified_then_its_requester_is_not_rejected() -> None:
@@ -125,7 +125,7 @@
             assert await waiting.reader.readexactly(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
             assert len(flood) == 100
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_messages_when_received_in_pieces_or_many_at_once_then_they_are_all_parsed() -> None:
@@ -134,41 +134,41 @@
             raw = IDENTIFICATION + encode(host_report()) + encode(slice_report())
             bytewise = await harness.connect()
             for byte in raw:
-                bytewise.say(bytes([byte]))
-                await turns(1)
+                bytewise.send(bytes([byte]))
+                await yield_to_loop(1)
             await until(lambda: len(harness.events) == 2)
             await harness.connect(raw + encode(slice_report()) * 200)
             await until(lambda: len(harness.events) == 2 + 2 + 200)
             assert not harness.server.close_reasons
             assert not harness.server.intake.rejected
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_unidentified_connection_when_it_sends_without_end_then_it_is_closed() -> None:
     async def scenario() -> None:
         async with server_harness() as harness:
-            side = await harness.connect(b"*1\r\n$9999\r\n")
+            peer = await harness.connect(b"*1\r\n$9999\r\n")
             with contextlib.suppress(ConnectionError):
-                while not side.writer.transport.is_closing():
-                    side.say(b"x" * 4_096)
+                while not peer.writer.transport.is_closing():
+                    peer.send(b"x" * 4_096)
                     await asyncio.sleep(0)
-            await side.gone()
+            await peer.wait_closed()
             assert harness.server.close_reasons
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_unidentified_connection_when_it_half_closes_then_it_is_closed() -> None:
     async def scenario() -> None:
         async with server_harness() as harness:
             harness.server.set_ready()
-            side = await harness.connect(HEARTBEAT)
-            side.writer.write_eof()
-            assert await read_all(side) == HEARTBEAT_ANSWER
+            peer = await harness.connect(HEARTBEAT)
+            peer.writer.write_eof()
+            assert await read_all(peer) == HEARTBEAT_ANSWER
             await until(lambda: not harness.server.unidentified)
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_collector_when_it_reconnects_before_the_old_connection_ends_then_it_is_accepted() -> None:
@@ -180,31 +180,31 @@
             await until(lambda: len(harness.events) == 1)
             first.reset()
             await until(lambda: len(harness.server.collectors[0]) == 1)
-            second.say(encode(slice_report()))
+            second.send(encode(slice_report()))
             await until(lambda: len(harness.events) == 2)
             half_open = [
                 await harness.connect(IDENTIFICATION) for _ in range(6)
             ]  # the oldest are closed without an answer
-            await second.gone()
+            await second.wait_closed()
             await until(lambda: harness.server.close_reasons["replaced by a newer collector of its zone"] == 3)
             assert len(harness.server.collectors[0]) == 4
             assert len(half_open) == 6
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_report_when_its_host_or_slice_was_just_removed_then_only_it_is_rejected() -> None:
     async def scenario() -> None:
         async with server_harness() as harness:
-            side = await harness.connect(
+            peer = await harness.connect(
                 IDENTIFICATION, encode(slice_report(shard=4)), encode(host_report(endpoint="s-77"))
             )
-            side.say(encode(slice_report()))
+            peer.send(encode(slice_report()))
             await until(lambda: harness.events)
             assert dict(harness.server.intake.rejected) == {"shard not owned": 1, "endpoint unknown": 1}
             assert not harness.server.close_reasons
 
-    play(scenario)
+    run_async(scenario)
 
 
 @pytest.mark.parametrize(
@@ -232,7 +232,7 @@
         async with server_harness() as harness:
             collector = await harness.connect(IDENTIFICATION)
             assert await read_all(await harness.connect(raw)) == REJECT
-            collector.say(encode(slice_report()))
+            collector.send(encode(slice_report()))
             await until(lambda: harness.events)
 
-    play(scenario)
+    run_async(scenario)
--- a/tests/discovery/support.py
+++ b/tests/discovery/support.py
@@ -6,7 +6,7 @@
 from contextlib import asynccontextmanager
 from typing import Any, NamedTuple
 
-from forced_order import FOR_EVER, Side, Stand
+from forced_order import LONG_TIMEOUT_MS, PeerConnection, StandInServer
 
 from corallanding import interface as api
 from corallanding.discovery.host_list import HostListView, ListAnswer
@@ -33,42 +33,42 @@
         self.failures.append(reason)
 
 
-def make_client(server: Stand, receiver: RecordingReceiver, **overrides: Any) -> DiscoveryClient:
+def make_client(server: StandInServer, receiver: RecordingReceiver, **overrides: Any) -> DiscoveryClient:
     return DiscoveryClient(
-        server.where,
+        server.address,
         receiver,
-        **{"poll_wait_ms": FOR_EVER, "answer_timeout_ms": FOR_EVER, "max_backoff_ms": 20.0, **overrides},
+        **{"poll_wait_ms": LONG_TIMEOUT_MS, "answer_timeout_ms": LONG_TIMEOUT_MS, "max_backoff_ms": 20.0, **overrides},
     )
 
 
-async def accept_request(server: Stand, path: str) -> Side:
+async def accept_request(server: StandInServer, path: str) -> PeerConnection:
     """Accept the next connection and check the path of its first request."""
-    peer = await server.next()
-    assert await peer.question() == path
+    peer = await server.next_connection()
+    assert await peer.read_request_path() == path
     return peer
 
 
-def poll_path(version: int, wait_ms: float = FOR_EVER) -> str:
+def poll_path(version: int, wait_ms: float = LONG_TIMEOUT_MS) -> str:
     return f"/v1/servers?index={version}&wait={wait_ms:.0f}"
 
 
 class PollingClient(NamedTuple):
     """A client whose first poll was received and is not answered yet. peer: the service's end of its connection."""
 
-    server: Stand
+    server: StandInServer
     receiver: RecordingReceiver
     client: DiscoveryClient
-    peer: Side
+    peer: PeerConnection
 
 
 @asynccontextmanager
 async def polling_client(**overrides: Any) -> AsyncIterator[PollingClient]:
     """Start a client and receive its first poll; the client is stopped at the end."""
     receiver = RecordingReceiver()
-    async with Stand() as server:
+    async with StandInServer() as server:
         client = make_client(server, receiver, **overrides)
         client.start()
-        peer = await accept_request(server, poll_path(0, overrides.get("poll_wait_ms", FOR_EVER)))
+        peer = await accept_request(server, poll_path(0, overrides.get("poll_wait_ms", LONG_TIMEOUT_MS)))
         yield PollingClient(server, receiver, client, peer)
         client.stop()
 
--- a/tests/discovery/test_long_poll.py
+++ b/tests/discovery/test_long_poll.py
@@ -9,117 +9,117 @@
 import asyncio
 from typing import Any
 
-from forced_order import Dials, Stand, nobody, play, turns, until
+from forced_order import ConnectionAttempts, StandInServer, run_async, until, unused_address, yield_to_loop
 
 from tests.discovery.support import RecordingReceiver, accept_request, make_client, poll_path, polling_client
 
 
 def test_client_when_the_old_address_connects_after_the_new_one_then_it_is_not_used() -> None:
     async def scenario() -> None:
-        dials, receiver = Dials(), RecordingReceiver()
-        async with Stand() as old, Stand() as new:
-            dials.early(old.where)
+        attempts, receiver = ConnectionAttempts(), RecordingReceiver()
+        async with StandInServer() as old, StandInServer() as new:
+            attempts.hold_before_connect(old.address)
             client = make_client(old, receiver)
             client.start()
-            await until(lambda: dials.count.get(old.where))
-            client.set_address(new.where)
-            new_peer = await new.next()
-            await turns()
-            dials.let(old.where)
-            assert await new_peer.question() == poll_path(0)
-            await turns()
+            await until(lambda: attempts.started.get(old.address))
+            client.set_address(new.address)
+            new_peer = await new.next_connection()
+            await yield_to_loop()
+            attempts.release(old.address)
+            assert await new_peer.read_request_path() == poll_path(0)
+            await yield_to_loop()
             assert client.connection
-            assert client.connection.transport.get_extra_info("peername") == new.where
-            for peer in old.sides:
-                await peer.gone()
+            assert client.connection.transport.get_extra_info("peername") == new.address
+            for peer in old.connections:
+                await peer.wait_closed()
             client.stop()
-            await new_peer.gone()
+            await new_peer.wait_closed()
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_client_when_the_address_is_changed_back_then_the_old_connection_stays() -> None:
     async def scenario() -> None:
-        dials, receiver = Dials(), RecordingReceiver()
-        async with Stand() as old, Stand() as new:
+        attempts, receiver = ConnectionAttempts(), RecordingReceiver()
+        async with StandInServer() as old, StandInServer() as new:
             client = make_client(old, receiver)
             client.start()
             peer = await accept_request(old, poll_path(0))
-            dials.early(new.where)
-            client.set_address(new.where)
-            await until(lambda: dials.count.get(new.where))
-            client.set_address(old.where)
+            attempts.hold_before_connect(new.address)
+            client.set_address(new.address)
+            await until(lambda: attempts.started.get(new.address))
+            client.set_address(old.address)
             next_peer = await accept_request(old, poll_path(0))
-            dials.let(new.where)
-            await peer.gone()
-            for peer_of_new in new.sides:
-                await peer_of_new.gone()
-            next_peer.answer(b"3")
-            assert await next_peer.question() == poll_path(3)
+            attempts.release(new.address)
+            await peer.wait_closed()
+            for peer_of_new in new.connections:
+                await peer_of_new.wait_closed()
+            next_peer.send_answer(b"3")
+            assert await next_peer.read_request_path() == poll_path(3)
             client.stop()
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_client_when_the_new_address_is_unreachable_then_the_old_connection_is_used() -> None:
     async def scenario() -> None:
-        dials, receiver = Dials(), RecordingReceiver()
-        closed_address = await nobody()
-        async with Stand() as old:
+        attempts, receiver = ConnectionAttempts(), RecordingReceiver()
+        closed_address = await unused_address()
+        async with StandInServer() as old:
             client = make_client(old, receiver)
             client.start()
             peer = await accept_request(old, poll_path(0))
             client.set_address(closed_address)
             for version in (1, 2):
-                await until(lambda version=version: dials.over.get(closed_address, 0) >= version)
-                await turns()
-                peer.answer(b"%d" % version)
-                assert await peer.question() == poll_path(version)
-            await until(lambda: dials.count[closed_address] == 3)
+                await until(lambda version=version: attempts.ended.get(closed_address, 0) >= version)
+                await yield_to_loop()
+                peer.send_answer(b"%d" % version)
+                assert await peer.read_request_path() == poll_path(version)
+            await until(lambda: attempts.started[closed_address] == 3)
             assert not receiver.failures
             client.stop()
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_fetch_when_the_address_changes_then_it_is_sent_again_and_no_failure_is_reported() -> None:
     async def scenario() -> None:
         receiver = RecordingReceiver()
-        async with Stand() as old, Stand() as new:
+        async with StandInServer() as old, StandInServer() as new:
             client = make_client(old, receiver, on_request=True)
             client.start()
             client.fetch()
             peer = await accept_request(old, "/v1/servers")
-            client.set_address(new.where)
+            client.set_address(new.address)
             new_peer = await accept_request(new, "/v1/servers")
-            await peer.gone()
-            new_peer.answer(b"5")
+            await peer.wait_closed()
+            new_peer.send_answer(b"5")
             await until(lambda: receiver.version == 5)
             assert not receiver.failures
             client.stop()
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_client_when_stopped_then_it_opens_no_connection() -> None:
     async def scenario() -> None:
-        dials, receiver = Dials(), RecordingReceiver()
-        async with Stand() as old, Stand() as new:
-            dials.early(old.where)
+        attempts, receiver = ConnectionAttempts(), RecordingReceiver()
+        async with StandInServer() as old, StandInServer() as new:
+            attempts.hold_before_connect(old.address)
             client = make_client(old, receiver)
             client.start()
-            await until(lambda: dials.count.get(old.where))
+            await until(lambda: attempts.started.get(old.address))
             client.stop()
-            client.set_address(new.where)
+            client.set_address(new.address)
             client.fetch()
-            dials.let(old.where)
-            await turns()
-            assert new.where not in dials.count
+            attempts.release(old.address)
+            await yield_to_loop()
+            assert new.address not in attempts.started
             assert client.connection is None
-            for peer in old.sides:
-                await peer.gone()
+            for peer in old.connections:
+                await peer.wait_closed()
 
-    play(scenario)
+    run_async(scenario)
 
 
 # ---- receivers that raise exceptions, and requests that fail ----------------------------------------------
@@ -130,36 +130,36 @@
         receiver = RecordingReceiver(error_count=2)
         exceptions: list[Any] = []
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: exceptions.append(context))
-        async with Stand() as server:
+        async with StandInServer() as server:
             client = make_client(server, receiver)
             client.start()
             for _ in range(3):
-                (await accept_request(server, poll_path(0))).answer(b"4")
+                (await accept_request(server, poll_path(0))).send_answer(b"4")
             await until(lambda: receiver.version == 4)
             assert len(exceptions) == 2, "each exception is reported to the event loop"
             client.stop()
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_fetch_when_requests_fail_then_it_is_repeated() -> None:
     async def scenario() -> None:
         async with polling_client() as (server, _, client, peer):
             client.fetch()
-            peer.answer(b"1")
-            assert await peer.question() == "/v1/servers"
+            peer.send_answer(b"1")
+            assert await peer.read_request_path() == "/v1/servers"
             peer.reset()
             peer = await accept_request(server, "/v1/servers")
-            peer.answer(b"2")
-            assert await peer.question() == poll_path(2)
+            peer.send_answer(b"2")
+            assert await peer.read_request_path() == poll_path(2)
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_watch_when_repeated_during_a_failing_request_then_one_failure_is_reported() -> None:
     async def scenario() -> None:
         receiver = RecordingReceiver()
-        async with Stand() as server:
+        async with StandInServer() as server:
             client = make_client(server, receiver, on_request=True)
             client.start()
             client.watch(True)
@@ -168,12 +168,12 @@
             peer.reset()
             await until(lambda: receiver.failures)
             assert len(receiver.failures) == 1
-            await turns()
-            assert server.came.empty(), (
+            await yield_to_loop()
+            assert server.accepted.empty(), (
                 "one failure report for each `watch`; the receiver decides whether to request again"
             )
             client.watch(True)
             await accept_request(server, poll_path(0))
             client.stop()
 
-    play(scenario)
+    run_async(scenario)
--- a/tests/forced_order.py
+++ b/tests/forced_order.py
@@ -1,6 +1,6 @@
-"""Peers on loopback that send nothing but what the test says, and connections established when it says so.
+"""Loopback peers and connection attempts that a test controls step by step.
 
-With them a test forces each order of events that could otherwise occur by chance.
+With these a test forces an order of events that would otherwise occur only by chance.
 """
 
 from __future__ import annotations
@@ -16,166 +16,182 @@
 
 import msgspec
 import uvloop
-from platform_standins import LONG
+from platform_standins import TEST_TIMEOUT_SECONDS
 
 Address = tuple[str, int]
-FOR_EVER = 60_000.0  # ms
+LONG_TIMEOUT_MS = 60_000.0  # longer than any test may run
 
 
 def clock() -> float:
+    """Return the monotonic time in milliseconds."""
     return time.monotonic() * 1000.0
 
 
-def play(scene: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """On the loop that the steward runs on; faults of callbacks fail the test."""
-    faults: list[dict[str, Any]] = []
+def run_async(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
+    """Run a scenario on the event loop that the controller uses. Exceptions in callbacks fail the test."""
+    callback_errors: list[dict[str, Any]] = []
 
-    async def bounded() -> None:
-        asyncio.get_running_loop().set_exception_handler(lambda loop, context: faults.append(context))
-        async with asyncio.timeout(LONG):
-            await scene()
+    async def run_with_timeout() -> None:
+        asyncio.get_running_loop().set_exception_handler(lambda loop, context: callback_errors.append(context))
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
+            await scenario()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(bounded())
-    assert not faults, faults
+        runner.run(run_with_timeout())
+    assert not callback_errors, callback_errors
 
 
-async def until(true: Callable[[], Any]) -> None:
-    """Turns of the loop, until it is so."""
-    while not true():  # noqa: ASYNC110 - the condition belongs to the code under test
+async def until(condition: Callable[[], Any]) -> None:
+    """Run the event loop until the condition holds."""
+    while not condition():  # noqa: ASYNC110 - the condition belongs to the code under test
         await asyncio.sleep(0.001)
 
 
-async def turns(count: int = 20) -> None:
+async def yield_to_loop(count: int = 20) -> None:
+    """Let the event loop run `count` iterations."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
-def busy(work: Callable[[], None], s: float) -> None:
-    """The loop does `work` in a read of something else, and then stands still in it for so long."""
-    loop, (here, there) = asyncio.get_running_loop(), socket.socketpair()
+def block_loop(work: Callable[[], None], seconds: float) -> None:
+    """Call `work` in the read callback of an unrelated socket, then block the event loop there for `seconds`."""
+    loop = asyncio.get_running_loop()
+    reading, writing = socket.socketpair()
 
-    def read() -> None:
-        loop.remove_reader(here)
-        here.close()
-        there.close()
+    def on_readable() -> None:
+        loop.remove_reader(reading)
+        reading.close()
+        writing.close()
         work()
-        time.sleep(s)
+        time.sleep(seconds)
 
-    loop.add_reader(here, read)
-    there.send(b"x")
+    loop.add_reader(reading, on_readable)
+    writing.send(b"x")
 
 
-class Side:
-    """One connection as its far end holds it: nothing is read, said or closed but by the test."""
+class PeerConnection:
+    """The peer's end of one connection. It reads, sends and closes only when the test calls for it."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    async def line(self) -> dict[str, Any]:
-        said: dict[str, Any] = msgspec.json.decode(await self.reader.readline())
-        return said
+    async def read_message(self) -> dict[str, Any]:
+        """Return the next line, decoded from JSON."""
+        message: dict[str, Any] = msgspec.json.decode(await self.reader.readline())
+        return message
 
-    async def question(self) -> str:
-        """The path of an HTTP request."""
+    async def read_request_path(self) -> str:
+        """Read the head of an HTTP request and return its path."""
         return (await self.reader.readuntil(b"\r\n\r\n")).split(b" ")[1].decode()
 
-    def say(self, *said: bytes | dict[str, Any]) -> None:
-        """In one write."""
-        self.writer.write(b"".join(x if isinstance(x, bytes) else msgspec.json.encode(x) + b"\n" for x in said))
+    def send(self, *messages: bytes | dict[str, Any]) -> None:
+        """Send raw bytes and JSON lines in one write."""
+        self.writer.write(b"".join(x if isinstance(x, bytes) else msgspec.json.encode(x) + b"\n" for x in messages))
 
-    def tell(self, *rows: tuple[str, dict[str, Any]]) -> None:
-        self.say(*({"jsonrpc": "2.0", "method": method, "params": params} for method, params in rows))
+    def send_notifications(self, *notifications: tuple[str, dict[str, Any]]) -> None:
+        """Send JSON-RPC notifications, each given by its method and parameters, in one write."""
+        self.send(*({"jsonrpc": "2.0", "method": method, "params": params} for method, params in notifications))
 
-    def answer(self, body: bytes, head: bytes = b"") -> None:
-        self.say(b"HTTP/1.1 200 OK\r\n" + (head or b"Content-Length: %d\r\n" % len(body)) + b"\r\n" + body)
+    def send_answer(self, body: bytes, headers: bytes = b"") -> None:
+        """Send an HTTP answer with status 200; its headers are the content length unless `headers` replaces it."""
+        self.send(b"HTTP/1.1 200 OK\r\n" + (headers or b"Content-Length: %d\r\n" % len(body)) + b"\r\n" + body)
 
-    def now(self, *said: bytes) -> None:
-        """In the kernel's hands at once, also while the loop stands still."""
+    def send_at_once(self, *messages: bytes) -> None:
+        """Pass the bytes to the kernel synchronously, which works also while the event loop is blocked."""
         raw = socket.socket(fileno=os.dup(self.writer.get_extra_info("socket").fileno()))
-        raw.sendall(b"".join(said))
+        raw.sendall(b"".join(messages))
         raw.close()
 
     def close(self) -> None:
+        """Close the connection after the buffered data is sent."""
         self.writer.close()
 
     def reset(self) -> None:
+        """Abort the connection with a TCP reset."""
         raw: socket.socket = self.writer.get_extra_info("socket")
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
-    async def gone(self) -> None:
-        """Returns once the other end has let go of it."""
+    async def wait_closed(self) -> None:
+        """Return once the other end has closed the connection; received data is discarded."""
         with contextlib.suppress(ConnectionError):
             while await self.reader.read(65_536):
                 pass
 
 
-class Stand:
-    """A listening address. `next`: the next connection that came."""
+class StandInServer:
+    """A server on a loopback port whose connections are controlled by the test.
+
+    `accepted`: connections that `next_connection` has not returned yet. `connections`: all accepted connections.
+    """
 
     def __init__(self) -> None:
-        self.came: asyncio.Queue[Side] = asyncio.Queue()
-        self.sides: list[Side] = []
+        self.accepted: asyncio.Queue[PeerConnection] = asyncio.Queue()
+        self.connections: list[PeerConnection] = []
 
-    async def __aenter__(self) -> Stand:
-        def came(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            self.sides.append(Side(reader, writer))
-            self.came.put_nowait(self.sides[-1])
+    async def __aenter__(self) -> StandInServer:
+        def on_accepted(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            self.connections.append(PeerConnection(reader, writer))
+            self.accepted.put_nowait(self.connections[-1])
 
-        self.server = await asyncio.start_server(came, "127.0.0.1", 0)
-        self.where: Address = ("127.0.0.1", self.server.sockets[0].getsockname()[1])
+        self.server = await asyncio.start_server(on_accepted, "127.0.0.1", 0)
+        self.address: Address = ("127.0.0.1", self.server.sockets[0].getsockname()[1])
         return self
 
-    async def __aexit__(self, *why: object) -> None:
+    async def __aexit__(self, *exception: object) -> None:
         self.server.close()
-        for side in self.sides:
-            side.writer.transport.abort()
+        for connection in self.connections:
+            connection.writer.transport.abort()
+
+    async def next_connection(self) -> PeerConnection:
+        """Wait for the next accepted connection and return it."""
+        return await self.accepted.get()
 
-    async def next(self) -> Side:
-        return await self.came.get()
 
+class ConnectionAttempts:
+    """Counts the connection attempts of the running event loop, and holds them back for the test.
 
-class Dials:
-    """Dials of this loop. `early` holds a dial back before it begins, `late` once it is up, before its dialler goes on.
-    `let` releases. `count`, `over`: of dials begun and ended, by address."""
+    `hold_before_connect` holds an attempt back before it begins; `hold_after_connect` holds it back when the connection
+    is established, before the caller continues. `release` ends both. `started`, `ended`: number of attempts by address.
+    """
 
     def __init__(self) -> None:
         self.loop: Any = asyncio.get_running_loop()
-        self.real: Callable[..., Awaitable[Any]] = self.loop.create_connection
-        self.loop.create_connection = self.dial
-        self.held: dict[tuple[str, Address], asyncio.Event] = {}
-        self.count: dict[Address, int] = {}
-        self.over: dict[Address, int] = {}
+        self.create_connection: Callable[..., Awaitable[Any]] = self.loop.create_connection
+        self.loop.create_connection = self.connect
+        self.holds: dict[tuple[str, Address], asyncio.Event] = {}
+        self.started: dict[Address, int] = {}
+        self.ended: dict[Address, int] = {}
 
-    def early(self, where: Address) -> None:
-        self.held["early", where] = asyncio.Event()
+    def hold_before_connect(self, address: Address) -> None:
+        self.holds["before", address] = asyncio.Event()
 
-    def late(self, where: Address) -> None:
-        self.held["late", where] = asyncio.Event()
+    def hold_after_connect(self, address: Address) -> None:
+        self.holds["after", address] = asyncio.Event()
 
-    def let(self, where: Address) -> None:
-        for when in ("early", "late"):
-            if event := self.held.pop((when, where), None):
+    def release(self, address: Address) -> None:
+        for stage in ("before", "after"):
+            if event := self.holds.pop((stage, address), None):
                 event.set()
 
-    async def wait(self, when: str, where: Address) -> None:
-        if event := self.held.get((when, where)):
+    async def wait_released(self, stage: str, address: Address) -> None:
+        if event := self.holds.get((stage, address)):
             await event.wait()
 
-    async def dial(self, factory: Any, host: str, port: int) -> Any:
-        where = (host, port)
-        self.count[where] = self.count.get(where, 0) + 1
+    async def connect(self, factory: Any, host: str, port: int) -> Any:
+        """Replace the event loop's `create_connection`."""
+        address = (host, port)
+        self.started[address] = self.started.get(address, 0) + 1
         try:
-            await self.wait("early", where)
-            up = await self.real(factory, host, port)
-            await self.wait("late", where)
-            return up
+            await self.wait_released("before", address)
+            established = await self.create_connection(factory, host, port)
+            await self.wait_released("after", address)
+            return established
         finally:
-            self.over[where] = self.over.get(where, 0) + 1
+            self.ended[address] = self.ended.get(address, 0) + 1
 
 
-async def nobody() -> Address:
-    """An address where nobody listens."""
-    async with Stand() as stand:
-        return stand.where
+async def unused_address() -> Address:
+    """Return an address on which no server listens."""
+    async with StandInServer() as server:
+        return server.address
--- a/tests/health_check/test_checker.py
+++ b/tests/health_check/test_checker.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from forced_order import FOR_EVER, Side, Stand, clock, nobody, play, until
+from forced_order import LONG_TIMEOUT_MS, PeerConnection, StandInServer, clock, run_async, until, unused_address
 
 from corallanding import interface as api
 from corallanding.health_check.checker import HealthChecker
@@ -16,21 +16,23 @@
 
 
 def health_checker(results: list[api.HealthCheckResult], **options: Any) -> HealthChecker:
-    return HealthChecker(results.append, clock, "/load", load_in_body=True, **{"timeout_ms": FOR_EVER, **options})
+    return HealthChecker(
+        results.append, clock, "/load", load_in_body=True, **{"timeout_ms": LONG_TIMEOUT_MS, **options}
+    )
 
 
 @pytest.mark.parametrize(
     ("parts", "end", "expected"),
     [
-        ([OK_ANSWER], Side.close, api.HealthCheckOutcome.OK),
-        ([OK_ANSWER[:-9]], Side.close, api.HealthCheckOutcome.RESET),
-        ([], Side.reset, api.HealthCheckOutcome.RESET),
-        ([b"+OK\r\n"], Side.close, api.HealthCheckOutcome.OTHER),
-        ([OK_ANSWER, OK_ANSWER], Side.reset, api.HealthCheckOutcome.OK),
-        ([b"HTTP/1.1 503 No\r\n\r\n"], Side.close, api.HealthCheckOutcome.FULL),
-        ([b"HTTP/1.1 200 OK\r\n\r\nbusy=0.5"], Side.close, api.HealthCheckOutcome.OK),
-        ([b"HTTP/1.1 200 OK\r\n\r\nbusy=0.5"], Side.reset, api.HealthCheckOutcome.RESET),
-        ([b"HTTP/1.1"], Side.close, api.HealthCheckOutcome.RESET),
+        ([OK_ANSWER], PeerConnection.close, api.HealthCheckOutcome.OK),
+        ([OK_ANSWER[:-9]], PeerConnection.close, api.HealthCheckOutcome.RESET),
+        ([], PeerConnection.reset, api.HealthCheckOutcome.RESET),
+        ([b"+OK\r\n"], PeerConnection.close, api.HealthCheckOutcome.OTHER),
+        ([OK_ANSWER, OK_ANSWER], PeerConnection.reset, api.HealthCheckOutcome.OK),
+        ([b"HTTP/1.1 503 No\r\n\r\n"], PeerConnection.close, api.HealthCheckOutcome.FULL),
+        ([b"HTTP/1.1 200 OK\r\n\r\nbusy=0.5"], PeerConnection.close, api.HealthCheckOutcome.OK),
+        ([b"HTTP/1.1 200 OK\r\n\r\nbusy=0.5"], PeerConnection.reset, api.HealthCheckOutcome.RESET),
+        ([b"HTTP/1.1"], PeerConnection.close, api.HealthCheckOutcome.RESET),
     ],
 )
 def test_check_when_the_connection_ends_during_or_after_the_answer_then_it_has_one_result(
@@ -38,19 +40,19 @@
 ) -> None:
     async def scenario() -> None:
         results: list[api.HealthCheckResult] = []
-        async with Stand() as stand:
+        async with StandInServer() as server:
             checker = health_checker(results)
-            checker.check(7, address_text(stand.where))
-            side = await stand.next()
-            assert await side.question() == "/load"
+            checker.check(7, address_text(server.address))
+            peer = await server.next_connection()
+            assert await peer.read_request_path() == "/load"
             for part in parts:
-                side.now(part)
-            end(side)
+                peer.send_at_once(part)
+            end(peer)
             await until(lambda: results and not checker.running)
             assert [(result.host, result.outcome) for result in results] == [(7, expected)]
             assert not results[0].load or results[0].load == {"busy": 0.5}
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_check_when_it_raises_then_it_is_reported_and_its_host_can_be_checked_again() -> None:
@@ -69,34 +71,34 @@
         assert len(errors) == 1
         assert not checker.running
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_check_when_the_address_is_invalid_or_nobody_listens_then_the_host_is_unreachable() -> None:
     async def scenario() -> None:
         results: list[api.HealthCheckResult] = []
         checker = health_checker(results)
-        unused = await nobody()
+        unused = await unused_address()
         for host, address in enumerate(("", "here", address_text(unused), "127.0.0.1:99999")):
             checker.check(host, address)
         await until(lambda: len(results) == 4)
         assert {result.outcome for result in results} == {api.HealthCheckOutcome.UNREACHABLE}
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_checks_when_stopped_then_none_is_reported() -> None:
     async def scenario() -> None:
         results: list[api.HealthCheckResult] = []
-        async with Stand() as stand:
+        async with StandInServer() as server:
             checker = health_checker(results, max_in_flight=1)
-            checker.check(1, address_text(stand.where))
-            checker.check(2, address_text(stand.where))
-            side = await stand.next()
+            checker.check(1, address_text(server.address))
+            checker.check(2, address_text(server.address))
+            peer = await server.next_connection()
             checker.stop()
-            await side.gone()
+            await peer.wait_closed()
             await until(lambda: not checker.running)
             assert not results
-            assert len(stand.sides) == 1
+            assert len(server.connections) == 1
 
-    play(scenario)
+    run_async(scenario)
--- a/tests/platform/test_planted_races.py
+++ b/tests/platform/test_planted_races.py
@@ -10,7 +10,7 @@
 import forced_order
 import msgspec
 import pytest
-from forced_order import Side
+from forced_order import PeerConnection
 
 from corallanding import connection
 from corallanding.collector import server
@@ -204,11 +204,15 @@
 REINTRODUCED_RACES: list[tuple[Callable[[Patch], None], Callable[[Path], None]]] = [
     (
         adopted_late,
-        lambda tmp_path: call_connection_tests.test_connection_when_it_breaks_at_once_then_no_call_uses_it(Side.reset),
+        lambda tmp_path: call_connection_tests.test_connection_when_it_breaks_at_once_then_no_call_uses_it(
+            PeerConnection.reset
+        ),
     ),
     (
         adopted_late,
-        lambda tmp_path: subscription_tests.test_watch_when_it_breaks_at_once_then_it_is_requested_again(Side.close),
+        lambda tmp_path: subscription_tests.test_watch_when_it_breaks_at_once_then_it_is_requested_again(
+            PeerConnection.close
+        ),
     ),
     (
         attempt_not_cancelled,
@@ -284,7 +288,7 @@
     (
         body_length_required,
         lambda tmp_path: answer_tests.test_body_when_it_has_no_length_then_it_ends_with_the_connection(
-            Side.close, [b"17"]
+            PeerConnection.close, [b"17"]
         ),
     ),
     (deep_json_raises, lambda tmp_path: list_tests.test_answer_when_nested_without_end_then_it_is_rejected()),
@@ -294,7 +298,7 @@
     ),
     (
         end_of_discarded_connection_reported,
-        lambda tmp_path: connection_end(Side.close),
+        lambda tmp_path: connection_end(PeerConnection.close),
     ),
 ]
 
@@ -306,7 +310,7 @@
     reintroduce: Callable[[Patch], None], run_test: Callable[[Path], None], monkeypatch: Patch, tmp_path: Path
 ) -> None:
     run_test(tmp_path)
-    monkeypatch.setattr(forced_order, "LONG", 1.0)
+    monkeypatch.setattr(forced_order, "TEST_TIMEOUT_SECONDS", 1.0)
     reintroduce(monkeypatch)
     with pytest.raises((AssertionError, TimeoutError, RecursionError, ConnectionError, asyncio.IncompleteReadError)):
         run_test(tmp_path)
--- a/tests/platform/test_program.py
+++ b/tests/platform/test_program.py
@@ -14,7 +14,7 @@
 
 import pytest
 from platform_samples import CONFIG_FILE, list_entry, slice_report
-from platform_standins import LONG, Agent, Hosts, Process, Relay, free, until
+from platform_standins import TEST_TIMEOUT_SECONDS, Agent, Hosts, Process, Relay, free, until
 
 from corallanding.resp import encode
 
@@ -29,7 +29,7 @@
         """Assert that the controller answers a heartbeat."""
         reader, writer = await self.steward.connect()
         writer.write(encode(["hb"]))
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             assert await reader.readexactly(len(encode(["hb_ok"]))) == encode(["hb_ok"])
         writer.close()
 
@@ -190,12 +190,12 @@
         for n in range(300):
             unidentified.append(await fixture.steward.connect())
             unidentified[-1][1].write(messages[n % len(messages)])
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             for unidentified_reader, _ in unidentified:
                 with contextlib.suppress(ConnectionError):
                     await unidentified_reader.read()  # returns when the controller has closed the connection
         writer.write(encode(slice_report(route="lookup")) + encode(["hb"]))
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             assert await reader.readexactly(len(encode(["hb_ok"]))) == encode(["hb_ok"])
         await fixture.check_heartbeat()
         for _, open_writer in [*unidentified, (reader, writer)]:
@@ -218,7 +218,7 @@
         env={**os.environ, "LB_CONFIG": str(path)},
         capture_output=True,
         text=True,
-        timeout=LONG,
+        timeout=TEST_TIMEOUT_SECONDS,
     )
     assert result.returncode == 2
     assert result.stderr.count("\n") == 1
--- a/tests/platform/test_start.py
+++ b/tests/platform/test_start.py
@@ -9,7 +9,7 @@
 
 import msgspec
 import pytest
-from forced_order import Side, Stand, play, until
+from forced_order import PeerConnection, StandInServer, run_async, until
 from platform_samples import CONFIG_FILE, attach, owner
 from platform_standins import Process, free
 
@@ -27,20 +27,20 @@
     async def scenario() -> None:
         async with controller_harness(tmp_path) as harness:
             for _ in range(2 * resets):
-                (await harness.relay.next()).reset()
+                (await harness.relay.next_connection()).reset()
             answered_calls = 0
             while not harness.controller.server or not harness.controller.server.is_ready:
-                side = await harness.relay.next()
-                message = await side.line()
+                peer = await harness.relay.next_connection()
+                message = await peer.read_message()
                 if message["method"] == "relay.watch":
-                    side.say(RESULT)
-                    side.tell(attach(0), owner(2), PING)
+                    peer.send(RESULT)
+                    peer.send_notifications(attach(0), owner(2), PING)
                     await until(lambda: harness.controller.server and harness.controller.server.is_ready)
                 else:
                     answered_calls += 1
-                    side.say(taken(message["id"], len(message["params"]["ops"])))
+                    peer.send(taken(message["id"], len(message["params"]["ops"])))
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_start_when_the_relay_is_silent_then_heartbeats_are_answered_after_the_maximum_start_time(
@@ -50,13 +50,13 @@
 
     async def scenario() -> None:
         async with controller_harness(tmp_path) as harness:
-            side = Side(*await asyncio.open_connection(*harness.listening_address()))
-            side.say(encode(["hb"]))
-            assert await side.reader.readexactly(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
-            side.say(encode(["attach"]))
-            assert await side.reader.read() == REJECT
+            peer = PeerConnection(*await asyncio.open_connection(*harness.listening_address()))
+            peer.send(encode(["hb"]))
+            assert await peer.reader.readexactly(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
+            peer.send(encode(["attach"]))
+            assert await peer.reader.read() == REJECT
 
-    play(scenario)
+    run_async(scenario)
 
 
 class PipeConfiguredProcess(Process):
@@ -72,33 +72,41 @@
 
 def test_reload_when_signalled_during_the_start_then_the_new_configuration_is_used(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Stand() as relay, Stand() as agent, Stand() as new_relay, Stand() as new_agent:
+        async with (
+            StandInServer() as relay,
+            StandInServer() as agent,
+            StandInServer() as new_relay,
+            StandInServer() as new_agent,
+        ):
             process = PipeConfiguredProcess({**CONFIG_FILE, "listen": "127.0.0.1:1"}, tmp_path / "config.json")
             pipe = await process.start_reading()
             old = {
                 **CONFIG_FILE,
                 "listen": free(),
-                "discovery": address_text(agent.where),
-                "store": {"address": address_text(relay.where)},
+                "discovery": address_text(agent.address),
+                "store": {"address": address_text(relay.address)},
             }
             new = {
                 **old,
-                "discovery": address_text(new_agent.where),
-                "store": {"address": address_text(new_relay.where)},
+                "discovery": address_text(new_agent.address),
+                "store": {"address": address_text(new_relay.address)},
             }
             (tmp_path / "new.json").write_bytes(msgspec.json.encode(new))
             os.replace(tmp_path / "new.json", process.path)
             process.signal(signal.SIGHUP)
             os.write(pipe, msgspec.json.encode(old))
             os.close(pipe)
-            assert "index=" in await (await new_agent.next()).question()
-            assert (await (await new_relay.next()).line())["method"] in ("relay.watch", "relay.apply")
+            assert "index=" in await (await new_agent.next_connection()).read_request_path()
+            assert (await (await new_relay.next_connection()).read_message())["method"] in (
+                "relay.watch",
+                "relay.apply",
+            )
             process.signal(signal.SIGTERM)
             code, log = await process.end()
             assert code == 0, log
             assert "Traceback" not in log, log
 
-    play(scenario)
+    run_async(scenario)
 
 
 @pytest.mark.parametrize("stop_signal", [signal.SIGTERM, signal.SIGINT])
@@ -112,4 +120,4 @@
         assert code == -stop_signal
         assert log == ""
 
-    play(scenario)
+    run_async(scenario)
--- a/tests/platform/test_stop_and_reload.py
+++ b/tests/platform/test_stop_and_reload.py
@@ -7,7 +7,16 @@
 
 import msgspec
 import pytest
-from forced_order import FOR_EVER, Dials, Side, Stand, nobody, play, turns, until
+from forced_order import (
+    LONG_TIMEOUT_MS,
+    ConnectionAttempts,
+    PeerConnection,
+    StandInServer,
+    run_async,
+    until,
+    unused_address,
+    yield_to_loop,
+)
 from platform_samples import attach, entry, list_entry, owner
 
 from corallanding import interface as api
@@ -18,56 +27,56 @@
 
 def test_stop_when_called_then_no_step_call_or_connection_begins(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with controller_harness(tmp_path, FOR_EVER) as harness, Stand() as other:
+        async with controller_harness(tmp_path, LONG_TIMEOUT_MS) as harness, StandInServer() as other:
             await harness.complete_start()
             call = await harness.start_drain()
-            dials, steps = Dials(), harness.controller.inbox.step_count
+            attempts, steps = ConnectionAttempts(), harness.controller.inbox.step_count
             harness.controller.stop()
             harness.controller.stop()
-            await harness.watch.gone()
-            await harness.poll.gone()
+            await harness.watch.wait_closed()
+            await harness.poll.wait_closed()
             change_addresses(harness, other, other)
             due = harness.controller.decisions.due_at_ms
             harness.controller.on_events([api.ProxyLeft(0)])
-            await turns()
+            await yield_to_loop()
             assert harness.controller.decisions.due_at_ms == due
             assert not harness.run_task.done(), "the call in flight may complete"
-            harness.call.say(taken(call["id"], len(call["params"]["ops"])))
+            harness.call.send(taken(call["id"], len(call["params"]["ops"])))
             await harness.run_task
             assert harness.controller.inbox.step_count == steps
-            assert not dials.count
+            assert not attempts.started
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_stop_when_not_ready_then_no_heartbeat_is_answered(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with controller_harness(tmp_path) as harness:
-            side = Side(*await asyncio.open_connection(*harness.listening_address()))
-            side.say(encode(["hb"]))
+            peer = PeerConnection(*await asyncio.open_connection(*harness.listening_address()))
+            peer.send(encode(["hb"]))
             await until(lambda: harness.controller.server and harness.controller.server.unidentified)
             harness.controller.stop()
             harness.controller.set_ready()  # the start timer may fire in the same loop iteration
-            side.writer.write_eof()
-            assert await side.reader.read() == b""
+            peer.writer.write_eof()
+            assert await peer.reader.read() == b""
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_stop_when_a_call_is_in_flight_then_it_completes_and_no_other_begins(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with controller_harness(tmp_path, FOR_EVER) as harness:
+        async with controller_harness(tmp_path, LONG_TIMEOUT_MS) as harness:
             await harness.complete_start()
             call = await harness.start_drain()
-            harness.watch.tell(owner(3), entry(3, 1))
+            harness.watch.send_notifications(owner(3), entry(3, 1))
             harness.controller.stop()
-            await turns()
+            await yield_to_loop()
             assert not harness.run_task.done()
-            harness.call.say(taken(call["id"], len(call["params"]["ops"])))
+            harness.call.send(taken(call["id"], len(call["params"]["ops"])))
             await harness.run_task
             assert await harness.call.reader.read() == b""
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_stop_when_the_relay_never_answers_then_it_ends_after_the_answer_timeout(tmp_path: Path) -> None:
@@ -78,14 +87,14 @@
             harness.controller.stop()
             await harness.run_task
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_reload_when_nothing_changed_or_the_file_is_invalid_then_connections_stay(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with controller_harness(tmp_path) as harness:
             await harness.complete_start()
-            dials = Dials()
+            attempts = ConnectionAttempts()
             harness.controller.reload()
             valid = harness.path.read_bytes()
             for content in (valid[:90], b"", b"[" * 5_000, b"\xff", valid.replace(b"discovery", b"discovers")):
@@ -93,72 +102,72 @@
                 harness.controller.reload()
             harness.path.unlink()
             harness.controller.reload()
-            await turns()
-            assert not dials.count
+            await yield_to_loop()
+            assert not attempts.started
             assert harness.controller.subscription.current
             assert harness.controller.discovery.connection
 
-    play(scenario)
+    run_async(scenario)
 
 
 @pytest.mark.parametrize("which", ["relay", "agent"])
 def test_reload_when_one_address_changes_then_only_that_one_is_connected(tmp_path: Path, which: str) -> None:
     async def scenario() -> None:
-        async with controller_harness(tmp_path) as harness, Stand() as new:
+        async with controller_harness(tmp_path) as harness, StandInServer() as new:
             await harness.complete_start()
-            dials = Dials()
+            attempts = ConnectionAttempts()
             change_addresses(harness, **{which: new})
-            side = await new.next()
+            peer = await new.next_connection()
             if which == "agent":
-                await side.question()
-                await harness.poll.gone()
+                await peer.read_request_path()
+                await harness.poll.wait_closed()
             else:
-                assert (await side.line())["method"] == "relay.watch"
-                side.say(RESULT)
-                side.tell(attach(0), owner(2), entry(2, 1), PING)
-                await harness.watch.gone()
-            assert set(dials.count) == {new.where}
+                assert (await peer.read_message())["method"] == "relay.watch"
+                peer.send(RESULT)
+                peer.send_notifications(attach(0), owner(2), entry(2, 1), PING)
+                await harness.watch.wait_closed()
+            assert set(attempts.started) == {new.address}
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_reload_when_addresses_change_twice_then_the_last_ones_are_used(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with controller_harness(tmp_path) as harness, Stand() as wrong, Stand() as right:
+        async with controller_harness(tmp_path) as harness, StandInServer() as wrong, StandInServer() as right:
             await harness.complete_start()
-            dials = Dials()
-            dials.early(wrong.where)
+            attempts = ConnectionAttempts()
+            attempts.hold_before_connect(wrong.address)
             change_addresses(harness, wrong, wrong)
-            await until(lambda: dials.count.get(wrong.where) == 2)
+            await until(lambda: attempts.started.get(wrong.address) == 2)
             change_addresses(harness, right, right)
-            dials.let(wrong.where)
+            attempts.release(wrong.address)
             first_words = set()
             for _ in range(2):
-                side = await right.next()
-                first_words.add((await side.reader.readline()).split()[0])
+                peer = await right.next_connection()
+                first_words.add((await peer.reader.readline()).split()[0])
             assert len(first_words) == 2
             assert b"GET" in first_words
-            await turns()
-            for side in wrong.sides:
-                await side.gone()
+            await yield_to_loop()
+            for peer in wrong.connections:
+                await peer.wait_closed()
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_reload_when_nobody_listens_at_the_new_addresses_then_the_old_connections_stay(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with controller_harness(tmp_path) as harness:
             await harness.complete_start()
-            dials, unused = Dials(), await nobody()
+            attempts, unused = ConnectionAttempts(), await unused_address()
             change_addresses(harness, agent=unused)
-            await until(lambda: dials.over.get(unused))
-            harness.poll.answer(
+            await until(lambda: attempts.ended.get(unused))
+            harness.poll.send_answer(
                 msgspec.json.encode({"seq": 2, "whole": False, "hosts": [list_entry("s-1", "terminating")]})
             )
-            assert "index=2" in await harness.poll.question()
+            assert "index=2" in await harness.poll.read_request_path()
             change_addresses(harness, relay=unused)
-            await until(lambda: dials.over[unused] >= 3)
-            harness.watch.tell(attach(1))
+            await until(lambda: attempts.ended[unused] >= 3)
+            harness.watch.send_notifications(attach(1))
             await until(lambda: 1 in harness.controller.relay_view.proxies)
 
-    play(scenario)
+    run_async(scenario)
--- a/tests/platform_standins.py
+++ b/tests/platform_standins.py
@@ -16,11 +16,11 @@
 
 import msgspec
 
-LONG = 30.0  # s: what should take moments may take so long on a busy machine
+TEST_TIMEOUT_SECONDS = 30.0  # s: what should take moments may take so long on a busy machine
 
 
 async def until(true: Callable[[], Any], what: str) -> None:
-    async with asyncio.timeout(LONG):
+    async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
         while not true():
             await asyncio.sleep(0.01)
     assert true(), what
@@ -220,13 +220,13 @@
     async def end(self) -> tuple[int, str]:
         """Its exit code and its log."""
         assert self.process.stderr
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             log = await self.process.stderr.read()
             return await self.process.wait(), log.decode()
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         host, _, port = str(self.config["listen"]).rpartition(":")
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             while True:
                 try:
                     return await asyncio.open_connection(host, int(port))
--- a/tests/relay/support.py
+++ b/tests/relay/support.py
@@ -6,7 +6,7 @@
 from contextlib import asynccontextmanager
 from typing import Any, NamedTuple
 
-from forced_order import FOR_EVER, Address, Side, Stand, clock, until
+from forced_order import LONG_TIMEOUT_MS, Address, PeerConnection, StandInServer, clock, until
 from platform_samples import HOSTS, SETTINGS, ZONES
 
 from corallanding import interface as api
@@ -16,7 +16,11 @@
 from corallanding.relay.subscription_connection import Subscription, WatchTimings
 
 A, B, C = HOSTS[:3]
-NO_TIMEOUTS = {"silence_timeout_ms": FOR_EVER, "initial_quiet_ms": FOR_EVER, "connect_timeout_ms": FOR_EVER}
+NO_TIMEOUTS = {
+    "silence_timeout_ms": LONG_TIMEOUT_MS,
+    "initial_quiet_ms": LONG_TIMEOUT_MS,
+    "connect_timeout_ms": LONG_TIMEOUT_MS,
+}
 
 
 class RecordingCaller:
@@ -24,7 +28,7 @@
 
     def __init__(self, address: Address, **overrides: Any) -> None:
         self.calls, self.confirmed = PendingCalls(["lookup"]), list[Any]()
-        overrides = {"answer_timeout_ms": FOR_EVER, "connect_timeout_ms": FOR_EVER, **overrides}
+        overrides = {"answer_timeout_ms": LONG_TIMEOUT_MS, "connect_timeout_ms": LONG_TIMEOUT_MS, **overrides}
         self.client = CallConnection(address, self.calls, clock, self.confirmed.extend, **overrides)
 
     def send_order(self, slice_id: int) -> None:
@@ -35,24 +39,24 @@
 class OpenCall(NamedTuple):
     """A caller that has sent its first order. peer: the relay's end of the connection, which has not read the call."""
 
-    server: Stand
+    server: StandInServer
     caller: RecordingCaller
-    peer: Side
+    peer: PeerConnection
 
 
 @asynccontextmanager
 async def open_call(**overrides: Any) -> AsyncIterator[OpenCall]:
     """Send an order on slice 1 on a new connection, which is closed at the end."""
-    async with Stand() as server:
-        caller = RecordingCaller(server.where, **overrides)
+    async with StandInServer() as server:
+        caller = RecordingCaller(server.address, **overrides)
         caller.send_order(1)
-        yield OpenCall(server, caller, await server.next())
+        yield OpenCall(server, caller, await server.next_connection())
         caller.client.close()
 
 
-async def receive_call(peer: Side, *slices: int) -> int:
+async def receive_call(peer: PeerConnection, *slices: int) -> int:
     """Check that the next call has orders on exactly these slices, and return its id."""
-    call = await peer.line()
+    call = await peer.read_message()
     assert [order["table"] for order in call["params"]["ops"]] == list(slices)
     return int(call["id"])
 
@@ -88,18 +92,20 @@
         return events
 
 
-async def accept_watch(server: Stand) -> Side:
+async def accept_watch(server: StandInServer) -> PeerConnection:
     """Accept the next connection and receive its watch request."""
-    peer = await server.next()
-    assert (await peer.line())["method"] == "relay.watch"
+    peer = await server.next_connection()
+    assert (await peer.read_message())["method"] == "relay.watch"
     return peer
 
 
-async def send_initial_state(watch: RecordingWatch, server: Stand, *rows: tuple[str, dict[str, Any]]) -> Side:
+async def send_initial_state(
+    watch: RecordingWatch, server: StandInServer, *rows: tuple[str, dict[str, Any]]
+) -> PeerConnection:
     """Accept a watch, send these notifications and a ping, and wait until the initial state is complete."""
     peer = await accept_watch(server)
-    peer.say(RESULT)
-    peer.tell(*rows, PING)
+    peer.send(RESULT)
+    peer.send_notifications(*rows, PING)
     await until(lambda: watch.client.current and watch.client.candidate is None)
     return peer
 
--- a/tests/relay/test_call_connection.py
+++ b/tests/relay/test_call_connection.py
@@ -11,123 +11,123 @@
 
 import msgspec
 import pytest
-from forced_order import Dials, Side, Stand, play, turns, until
+from forced_order import ConnectionAttempts, PeerConnection, StandInServer, run_async, until, yield_to_loop
 
 from corallanding import interface as api
 from corallanding.relay.pending_calls import PendingCalls
 from tests.relay.support import A, B, C, RecordingCaller, receive_call, taken
 
 
-@pytest.mark.parametrize("end", [Side.close, Side.reset])
+@pytest.mark.parametrize("end", [PeerConnection.close, PeerConnection.reset])
 def test_connection_when_it_breaks_at_once_then_no_call_uses_it(
-    end: Callable[[Side], None],
+    end: Callable[[PeerConnection], None],
 ) -> None:
     async def scenario() -> None:
-        dials = Dials()
-        async with Stand() as server:
-            caller = RecordingCaller(server.where)
-            dials.late(server.where)
+        attempts = ConnectionAttempts()
+        async with StandInServer() as server:
+            caller = RecordingCaller(server.address)
+            attempts.hold_after_connect(server.address)
             caller.send_order(1)
-            peer = await server.next()
+            peer = await server.next_connection()
             end(peer)
-            await peer.gone()
-            await turns()
-            dials.let(server.where)
-            next_peer = await server.next()
-            next_peer.say(taken(await receive_call(next_peer, 1)))
+            await peer.wait_closed()
+            await yield_to_loop()
+            attempts.release(server.address)
+            next_peer = await server.next_connection()
+            next_peer.send(taken(await receive_call(next_peer, 1)))
             await until(lambda: caller.confirmed)
             caller.client.close()
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_attempt_when_established_after_close_then_no_connection_is_left() -> None:
     async def scenario() -> None:
-        dials = Dials()
-        async with Stand() as server:
-            caller = RecordingCaller(server.where)
-            dials.early(server.where)
+        attempts = ConnectionAttempts()
+        async with StandInServer() as server:
+            caller = RecordingCaller(server.address)
+            attempts.hold_before_connect(server.address)
             caller.send_order(1)
-            await until(lambda: dials.count.get(server.where))
+            await until(lambda: attempts.started.get(server.address))
             caller.client.close()
-            dials.let(server.where)
-            await turns()
+            attempts.release(server.address)
+            await yield_to_loop()
             assert caller.client.connection is None
-            for peer in server.sides:
-                await peer.gone()
+            for peer in server.connections:
+                await peer.wait_closed()
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_attempt_when_the_address_changes_then_the_new_address_is_used_at_once() -> None:
     async def scenario() -> None:
-        dials = Dials()
-        async with Stand() as old, Stand() as new:
-            caller = RecordingCaller(old.where)
-            dials.early(old.where)
+        attempts = ConnectionAttempts()
+        async with StandInServer() as old, StandInServer() as new:
+            caller = RecordingCaller(old.address)
+            attempts.hold_before_connect(old.address)
             caller.send_order(1)
-            await until(lambda: dials.count.get(old.where))
-            caller.client.set_address(new.where)
-            peer = await new.next()
-            peer.say(taken(await receive_call(peer, 1)))
+            await until(lambda: attempts.started.get(old.address))
+            caller.client.set_address(new.address)
+            peer = await new.next_connection()
+            peer.send(taken(await receive_call(peer, 1)))
             await until(lambda: caller.confirmed)
             caller.client.close()
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_call_when_the_address_changes_then_it_ends_at_the_old_one() -> None:
     async def scenario() -> None:
-        async with Stand() as old, Stand() as new:
-            caller = RecordingCaller(old.where)
+        async with StandInServer() as old, StandInServer() as new:
+            caller = RecordingCaller(old.address)
             caller.send_order(1)
-            peer = await old.next()
+            peer = await old.next_connection()
             call_id = await receive_call(peer, 1)
-            caller.client.set_address(new.where)
+            caller.client.set_address(new.address)
             caller.send_order(2)
-            await turns()
-            assert new.came.empty()
-            peer.say(taken(call_id))
-            new_peer = await new.next()
-            new_peer.say(taken(await receive_call(new_peer, 2)))
-            await peer.gone()
+            await yield_to_loop()
+            assert new.accepted.empty()
+            peer.send(taken(call_id))
+            new_peer = await new.next_connection()
+            new_peer.send(taken(await receive_call(new_peer, 2)))
+            await peer.wait_closed()
             await until(lambda: len(caller.confirmed) == 2)
             caller.client.close()
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_finish_when_a_call_is_in_flight_then_no_other_begins() -> None:
     async def scenario() -> None:
-        async with Stand() as server:
-            caller = RecordingCaller(server.where)
+        async with StandInServer() as server:
+            caller = RecordingCaller(server.address)
             caller.send_order(1)
-            peer = await server.next()
+            peer = await server.next_connection()
             call_id = await receive_call(peer, 1)
             caller.send_order(2)
             caller.client.finish()
             caller.send_order(3)
             assert not caller.client.finished.is_set()
-            peer.say(taken(call_id))
+            peer.send(taken(call_id))
             await caller.client.finished.wait()
             assert caller.confirmed == [api.SetWeight(1, A, 1.0)]
             caller.client.close()
             assert await peer.reader.read() == b"", "no data is sent after the last call"
 
-    play(scenario)
+    run_async(scenario)
 
 
 def test_finish_when_no_answer_arrives_then_it_ends_at_the_answer_timeout() -> None:
     async def scenario() -> None:
-        async with Stand() as server:
-            caller = RecordingCaller(server.where, answer_timeout_ms=30.0)
+        async with StandInServer() as server:
+            caller = RecordingCaller(server.address, answer_timeout_ms=30.0)
             caller.send_order(1)
-            await receive_call(await server.next(), 1)
+            await receive_call(await server.next_connection(), 1)
             caller.client.finish()
             await caller.client.finished.wait()
             caller.client.close()
 
-    play(scenario)
+    run_async(scenario)
 
 
 class SliceScenario:
