--- a/tests/controller/support.py
+++ b/tests/controller/support.py
@@ -6,7 +6,7 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from sockets import Peer
+from sockets import RawProxyConnection
 
 from corallanding.wire import frames
 
@@ -23,9 +23,9 @@
     asyncio.run(run_with_timeout())
 
 
-async def send_heartbeats(*peers: Peer) -> None:
+async def send_heartbeats(*peers: RawProxyConnection) -> None:
     """Send heartbeats on connections until cancelled."""
     while True:
         for peer in peers:
-            peer.say(frames.Heartbeat(1.0))
+            peer.send(frames.Heartbeat(1.0))
         await asyncio.sleep(0.05)
--- a/tests/controller/test_acceptor.py
+++ b/tests/controller/test_acceptor.py
@@ -66,21 +66,21 @@
     async def scenario() -> None:
         config = CONFIG.replace("beat_ms = 100", "beat_ms = 100\n  accepts_per_s = 200\n  strangers_most = 4")
         async with Running(tmp_path, config=config) as running, asyncio.timeout(25):
-            good = await running.joined(1)
+            good = await running.join_proxy(1)
             is_done = False
 
             async def reconnect_repeatedly(client: int) -> None:
                 while not is_done:
-                    peer = await running.peer()
+                    peer = await running.connect_proxy()
                     if sends_hello:
-                        peer.hello(2 + client % 3)
+                        peer.send_hello(2 + client % 3)
                     peer.writer.close()
 
             tasks = [asyncio.create_task(reconnect_repeatedly(client)) for client in range(8)]
             for number in range(1, 30):
-                running.do(api.SetWeight(0, number, 1.0), api.PublishVersion(number))
-                await good.until(frames.Orders, lambda frame, number=number: frame.version == number)
-                good.say(frames.Ack(number))
+                running.apply_actions(api.SetWeight(0, number, 1.0), api.PublishVersion(number))
+                await good.wait_for_frame(frames.Orders, lambda frame, number=number: frame.version == number)
+                good.send(frames.Ack(number))
                 await asyncio.sleep(0.03)
             is_done = True
             for task in tasks:
--- a/tests/controller/test_engine.py
+++ b/tests/controller/test_engine.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sockets import Scripted
+from sockets import ScriptedAssigner
 
 from corallanding import interface as api
 from corallanding.controller.engine import Engine
@@ -18,10 +18,12 @@
 )
 
 
-def make_engine(settings: api.Settings = SETTINGS, stored: StoreContents | None = None) -> tuple[Engine, Scripted]:
+def make_engine(
+    settings: api.Settings = SETTINGS, stored: StoreContents | None = None
+) -> tuple[Engine, ScriptedAssigner]:
     addresses = {h: f"127.0.0.1:{h}" for h in (10, 11, 12)}
-    engine = Engine(settings, 1, stored or StoreContents(2), range(settings.slice_count), addresses, Scripted)
-    assert isinstance(engine.assigner, Scripted)
+    engine = Engine(settings, 1, stored or StoreContents(2), range(settings.slice_count), addresses, ScriptedAssigner)
+    assert isinstance(engine.assigner, ScriptedAssigner)
     return engine, engine.assigner
 
 
@@ -41,7 +43,7 @@
 
 def test_events_when_a_step_is_late_then_delivered_in_the_order_of_their_times() -> None:
     engine, assigner = make_engine()
-    assigner.todo = [api.StartTimer(50.0, 5), api.StartTimer(20.0, 6)]
+    assigner.next_actions = [api.StartTimer(50.0, 5), api.StartTimer(20.0, 6)]
     run_step(engine, 100.0)
     engine.add_event(110.0, api.TimerFired(1))
     engine.add_event(130.0, api.TimerFired(2))
@@ -60,7 +62,7 @@
     engine, assigner = make_engine()
     for proxy in (1, 2):
         engine.on_proxy_joined(0.0, hello(proxy))
-    assigner.todo = [api.SetWeight(0, 10, 1.0), api.SetWeight(1, 11, 1.0), api.PublishVersion(7)]
+    assigner.next_actions = [api.SetWeight(0, 10, 1.0), api.SetWeight(1, 11, 1.0), api.PublishVersion(7)]
     writes = engine.decide(10.0)
     assert writes == StoreWrites(1, ((0, 10, 1.0), (1, 11, 1.0)))
     [send] = engine.publish(True)
@@ -80,7 +82,11 @@
 def test_actions_when_the_slice_is_not_owned_then_dropped_and_counted() -> None:
     engine, assigner = make_engine()
     engine.on_slice_lost(0.0, 3)
-    assigner.todo = [api.SetWeight(3, 10, 1.0), api.SetAdmission(3, 0, 0.5, api.RetryMode.NEVER), api.ResetTable(3)]
+    assigner.next_actions = [
+        api.SetWeight(3, 10, 1.0),
+        api.SetAdmission(3, 0, 0.5, api.RetryMode.NEVER),
+        api.ResetTable(3),
+    ]
     writes, _outputs = run_step(engine, 10.0)
     assert engine.discarded_actions == 3
     assert not writes.entries
@@ -94,11 +100,11 @@
 def test_store_when_it_fails_then_messages_are_sent_and_tables_are_stored_later() -> None:
     engine, assigner = make_engine()
     engine.on_proxy_joined(0.0, hello(1))
-    assigner.todo = [api.SetWeight(0, 10, 1.0)]
+    assigner.next_actions = [api.SetWeight(0, 10, 1.0)]
     writes, outputs = run_step(engine, 10.0, stored=False)
     assert len(outputs) == 1
     assert engine.unsaved_tables == {0: {10: 1.0}}
-    assigner.todo = [api.SetWeight(0, 11, 1.0), api.SetWeight(0, 10, 0.0), api.ResetTable(2)]
+    assigner.next_actions = [api.SetWeight(0, 11, 1.0), api.SetWeight(0, 10, 0.0), api.ResetTable(2)]
     writes, _ = run_step(engine, 20.0, stored=False)
     assert set(writes.entries) == {(0, 10, 0.0), (0, 11, 1.0)}
     assert writes.resets == (2,)
@@ -133,7 +139,7 @@
     engine, assigner = make_engine(api.Settings(REQUEST_CLASSES, slice_count=0, proxy_count=3))
     for proxy in (1, 2, 3):
         engine.on_proxy_joined(0.0, hello(proxy))
-    assigner.todo = [
+    assigner.next_actions = [
         api.SetWeight(5, 10, 1.0),
         api.SetWeight(6, 11, 1.0),
         api.AssignTable(1, 5, 0),
@@ -146,7 +152,7 @@
     assert isinstance(order, frames.Orders)
     assert order.lines == [(5, 10, 1.0)]
     assert order.assigned_tables == [(5, 0)]
-    assigner.todo = [api.SetWeight(6, 11, 0.0), api.PublishVersion(1, to_all_proxies=True)]
+    assigner.next_actions = [api.SetWeight(6, 11, 0.0), api.PublishVersion(1, to_all_proxies=True)]
     _, outputs = run_step(engine, 20.0)
     assert {s.proxies for s in outputs if isinstance(s, SendFrame)} == {(2,), (1, 3)}
     [tables] = decode(engine.on_proxy_joined(30.0, hello(1)))
--- a/tests/controller/test_operation.py
+++ b/tests/controller/test_operation.py
@@ -19,19 +19,29 @@
 def test_http_server_when_limits_are_exceeded_then_rejected_with_a_status(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Running(tmp_path) as running:
-            running.do(api.SetWeight(0, 10, 1.0))
+            running.apply_actions(api.SetWeight(0, 10, 1.0))
             await asyncio.sleep(0.05)
-            status, body = await running.get("GET /tables HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+            status, body = await running.send_http_request(
+                "GET /tables HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
+            )
             assert status == 200
             assert msgspec.json.decode(body.split(b"\r\n\r\n")[1])["tables"]["0"] == {"10": 1.0}
-            assert (await running.get("GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"))[0] == 200
-            assert (await running.get("GET /nothing HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"))[0] == 404
-            assert (await running.get("POST /tables HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"))[0] == 405
-            assert (await running.get("no http at all\r\n\r\n"))[0] == 400
-            assert (await running.get("GET / HTTP/1.1\r\nHost: x\r\nHost: x\r\nX: " + "y" * 2000))[0] == 431
-            assert (await running.get("GET /tables HTTP/1.1\r\nHost: x\r\nX-Slow"))[0] == 408
-            connections = [await asyncio.open_connection("127.0.0.1", running.door) for _ in range(4)]
-            assert (await running.get("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 503
+            assert (await running.send_http_request("GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"))[
+                0
+            ] == 200
+            assert (await running.send_http_request("GET /nothing HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"))[
+                0
+            ] == 404
+            assert (await running.send_http_request("POST /tables HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"))[
+                0
+            ] == 405
+            assert (await running.send_http_request("no http at all\r\n\r\n"))[0] == 400
+            assert (await running.send_http_request("GET / HTTP/1.1\r\nHost: x\r\nHost: x\r\nX: " + "y" * 2000))[
+                0
+            ] == 431
+            assert (await running.send_http_request("GET /tables HTTP/1.1\r\nHost: x\r\nX-Slow"))[0] == 408
+            connections = [await asyncio.open_connection("127.0.0.1", running.http_port) for _ in range(4)]
+            assert (await running.send_http_request("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 503
             for _, writer in connections:
                 writer.close()
 
@@ -108,7 +118,7 @@
             assert first.steward.peers.transport
             first.steward.peers.transport.socket.sendto(b"\xc1 rubbish", ("127.0.0.1", ports[1]))
             first.steward.peers.transport.socket.sendto(msgspec.msgpack.encode([7, b"x"]), ("127.0.0.1", ports[1]))
-            first.do(api.SendToPeer(None, b"hi"), api.SendToPeer(1, b"there"), api.SendToPeer(5, b"nobody"))
+            first.apply_actions(api.SendToPeer(None, b"hi"), api.SendToPeer(1, b"there"), api.SendToPeer(5, b"nobody"))
             await until(lambda: sum(isinstance(e, api.PeerMessage) for e in second.module.told) == 2)
             received = [e for e in second.module.told if isinstance(e, api.PeerMessage)]
             assert received == [api.PeerMessage(0, b"hi"), api.PeerMessage(0, b"there")]
--- a/tests/controller/test_overload.py
+++ b/tests/controller/test_overload.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from sockets import CONFIG, Running, Scripted, until
+from sockets import CONFIG, Running, ScriptedAssigner, until
 
 from corallanding import interface as api
 from corallanding.controller.overload import OverloadDetector, OverloadLimits
@@ -49,7 +49,7 @@
     assert not detector.is_overloaded
 
 
-class SlowAssigner(Scripted):
+class SlowAssigner(ScriptedAssigner):
     """An assigner whose timer steps take more time than is available."""
 
     deferrable_timer = 0
@@ -73,17 +73,21 @@
     async def scenario() -> None:
         config = CONFIG.replace("steward {\n", "steward {\n  late_ms = 50\n  put_off_most_ms = 1000\n")
         async with Running(tmp_path, decider=SlowAssigner, config=config) as running, asyncio.timeout(20):
-            peer = await running.joined(1)
+            peer = await running.join_proxy(1)
             await until(lambda: running.steward.engine.overload.is_overloaded)
             assigner = running.module
             assert isinstance(assigner, SlowAssigner)
             previous_count, started_at = len(assigner.timer_steps), time.monotonic()
             for number in range(10):
-                peer.say(frames.Heartbeat())
-                running.do(api.SetWeight(0, 10 + number, 1.0), api.Cordon(number, True), api.PublishVersion(number + 1))
-                order = await peer.until(frames.Orders, lambda frame, number=number: frame.version == number + 1)
+                peer.send(frames.Heartbeat())
+                running.apply_actions(
+                    api.SetWeight(0, 10 + number, 1.0), api.Cordon(number, True), api.PublishVersion(number + 1)
+                )
+                order = await peer.wait_for_frame(
+                    frames.Orders, lambda frame, number=number: frame.version == number + 1
+                )
                 assert order.cordons == [(number, True)]
-                peer.say(frames.Ack(number + 1))
+                peer.send(frames.Ack(number + 1))
             elapsed_s = time.monotonic() - started_at
             assert len(assigner.timer_steps) - previous_count <= elapsed_s / 0.1 + 2, "timer steps kept their rate"
             assert running.steward.engine.overload.delayed_timers > 0
--- a/tests/controller/test_proxy_connections.py
+++ b/tests/controller/test_proxy_connections.py
@@ -18,14 +18,14 @@
     async def scenario() -> None:
         async with Running(tmp_path) as running:
             running.steward.host_sources.on_host_rows(True, 1, ROWS)
-            first, second = await running.joined(1), await running.joined(2)
-            running.do(api.SetWeight(0, 10, 1.0), api.PublishVersion(5))
+            first, second = await running.join_proxy(1), await running.join_proxy(2)
+            running.apply_actions(api.SetWeight(0, 10, 1.0), api.PublishVersion(5))
             for peer in (first, second):
-                order = await peer.until(frames.Orders)
+                order = await peer.wait_for_frame(frames.Orders)
                 assert order.lines == [(0, 10, 1.0)]
                 assert order.version == 5
                 assert order.addresses == {10: "127.0.0.1:10"}
-            second.say(frames.Ack(5))
+            second.send(frames.Ack(5))
             await until(lambda: any(isinstance(e, api.VersionAcked) for e in running.module.told))
             [acked] = [e for e in running.module.told if isinstance(e, api.VersionAcked)]
             assert (acked.proxy, acked.version) == (2, 5)
@@ -55,13 +55,13 @@
 ) -> None:
     async def scenario() -> None:
         async with Running(tmp_path) as running:
-            other = await running.joined(2)
-            peer = await running.peer()
+            other = await running.join_proxy(2)
+            peer = await running.connect_proxy()
             peer.writer.write(data)
             heartbeats = asyncio.create_task(send_heartbeats(other))
-            assert await peer.ended() == code
-            running.do(api.SetWeight(1, 10, 1.0))
-            assert (await other.until(frames.Orders)).lines == [(1, 10, 1.0)]
+            assert await peer.wait_close_code() == code
+            running.apply_actions(api.SetWeight(1, 10, 1.0))
+            assert (await other.wait_for_frame(frames.Orders)).lines == [(1, 10, 1.0)]
             heartbeats.cancel()
             metrics_text = running.steward.metrics.exposition().decode()
             assert f'corallanding_links_closed_total{{reason="{code}"}} 1.0' in metrics_text
@@ -72,15 +72,15 @@
 def test_proxy_number_when_in_use_then_the_process_that_uses_it_keeps_it(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Running(tmp_path) as running:
-            first = await running.joined(1, session="old")
+            first = await running.join_proxy(1, session="old")
             heartbeats = asyncio.create_task(send_heartbeats(first))
-            second = await running.peer()
-            second.hello(1, session="new")
-            assert await second.ended() == "number-in-use"
+            second = await running.connect_proxy()
+            second.send_hello(1, session="new")
+            assert await second.wait_close_code() == "number-in-use"
             heartbeats.cancel()  # the old process hangs: its silence timeout frees the number
-            await first.ended()
-            again = await running.joined(1, session="new")
-            assert not again.closed
+            await first.wait_close_code()
+            again = await running.join_proxy(1, session="new")
+            assert not again.is_closed
 
     play(scenario())
 
@@ -88,17 +88,17 @@
 def test_ack_when_sent_on_a_replaced_connection_then_ignored(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Running(tmp_path) as running:
-            old = await running.joined(1)
-            running.do(api.SetWeight(0, 10, 1.0), api.PublishVersion(5))
-            await old.until(frames.Orders)
-            new = await running.joined(1)  # the same process on a new connection, which replaces the old one
-            old.say(frames.Ack(5))
-            assert await old.ended() == "superseded"
-            new.say(frames.Heartbeat(1.0))
+            old = await running.join_proxy(1)
+            running.apply_actions(api.SetWeight(0, 10, 1.0), api.PublishVersion(5))
+            await old.wait_for_frame(frames.Orders)
+            new = await running.join_proxy(1)  # the same process on a new connection, which replaces the old one
+            old.send(frames.Ack(5))
+            assert await old.wait_close_code() == "superseded"
+            new.send(frames.Heartbeat(1.0))
             await asyncio.sleep(0.05)
             assert not [e for e in running.module.told if isinstance(e, api.VersionAcked)]
-            new.say(frames.Ack(5))  # the version was sent on the old connection, so an ack on the new one is invalid
-            assert await new.ended() == "out-of-place"
+            new.send(frames.Ack(5))  # the version was sent on the old connection, so an ack on the new one is invalid
+            assert await new.wait_close_code() == "out-of-place"
             event_names = [
                 type(e).__name__ for e in running.module.told if isinstance(e, api.ProxyJoined | api.ProxyLeft)
             ]
@@ -111,7 +111,7 @@
     async def scenario() -> None:
         channel_settings = "channel {\n  queue_most_lines = 1e8\n  rate_lines_per_s = 1e9\n}\n"
         async with Running(tmp_path, channel_settings) as running:
-            slow, good = await running.joined(1), await running.joined(2)
+            slow, good = await running.join_proxy(1), await running.join_proxy(2)
             heartbeats = asyncio.create_task(send_heartbeats(slow, good))
 
             async def drain() -> None:
@@ -120,7 +120,9 @@
 
             drain_task = asyncio.create_task(drain())
             for _ in range(400):
-                running.do(*[api.SetWeight(table % 4, h, 1.0) for table in range(4) for h in range(100, 600)])
+                running.apply_actions(
+                    *[api.SetWeight(table % 4, h, 1.0) for table in range(4) for h in range(100, 600)]
+                )
                 await asyncio.sleep(0.004)
                 if 1 not in running.steward.connections.proxies:
                     break
@@ -129,8 +131,8 @@
             assert 'reason="not-reading"} 1.0' in running.steward.metrics.exposition().decode()
             heartbeats.cancel()
             drain_task.cancel()
-            rejoined = await running.joined(1)
-            tables = next(frame for frame in rejoined.got if isinstance(frame, frames.Tables))
+            rejoined = await running.join_proxy(1)
+            tables = next(frame for frame in rejoined.received if isinstance(frame, frames.Tables))
             assert len(tables.tables[0][1]) == 500, "a proxy that reconnects receives all entries"
 
     play(scenario())
@@ -140,11 +142,11 @@
     async def scenario() -> None:
         channel_settings = "channel {\n  queue_most_lines = 60\n  rate_lines_per_s = 10\n}\n"
         async with Running(tmp_path, channel_settings) as running:
-            first = await running.joined(1)
+            first = await running.join_proxy(1)
             for index in range(6):
-                running.do(*[api.SetWeight(index % 4, h, 1.0) for h in range(20)])
+                running.apply_actions(*[api.SetWeight(index % 4, h, 1.0) for h in range(20)])
                 await asyncio.sleep(0.02)
-            assert await first.ended() == "overrun"
+            assert await first.wait_close_code() == "overrun"
             assert running.steward.channel.max_queued_lines <= 60
             assert running.steward.channel.queued_lines == 0
 
@@ -154,9 +156,9 @@
 def test_joins_when_many_arrive_at_once_then_admitted_at_the_configured_rate(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Running(tmp_path, config=CONFIG.replace("most = 8", "most = 60\n  reads_per_s = 40")) as running:
-            peers = [await running.peer() for _ in range(40)]
+            peers = [await running.connect_proxy() for _ in range(40)]
             for number, peer in enumerate(peers):
-                peer.hello(number)
+                peer.send_hello(number)
             await asyncio.sleep(0.1)
             early_count = len(running.steward.engine.proxy_zones)
             heartbeats = asyncio.create_task(send_heartbeats(*peers))
--- a/tests/controller/test_quota_service.py
+++ b/tests/controller/test_quota_service.py
@@ -27,7 +27,7 @@
             assert cluster.quota
             assert transport
             quota = cluster.quota
-            running.do(api.CheckHealth(7), api.CheckHealth(7))
+            running.apply_actions(api.CheckHealth(7), api.CheckHealth(7))
             await until(lambda: sum(isinstance(event, api.HealthCheckResult) for event in running.module.told) == 2)
             outcomes = [event.outcome for event in running.module.told if isinstance(event, api.HealthCheckResult)]
             assert outcomes == [api.HealthCheckOutcome.FULL] * 2, (
@@ -48,7 +48,7 @@
                 for data in (b"", b"\x92\x01\xc4\x01\xc1", msgspec.msgpack.encode([0, b"\xc1\x95"])):
                     unknown.sendto(data, transport.socket.getsockname())
                 await until(lambda: controller.metrics.dropped_peer_datagrams._value.get() == before + 3)
-            _, page = await running.get("GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")
+            _, page = await running.send_http_request("GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")
             assert b'corallanding_budget_in_use{budget="probes"}' in page
             assert b"corallanding_budget_divider 0.0" in page
         assert len((tmp_path / "uses").read_text().splitlines()) >= 5
--- a/tests/controller/test_restart.py
+++ b/tests/controller/test_restart.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from sockets import CONFIG, Peer, Running, until
+from sockets import CONFIG, RawProxyConnection, Running, until
 
 from corallanding.assignment import Assigner
 from corallanding.controller.recovery import boot_id
@@ -42,54 +42,54 @@
     return text.replace('level = "error"', 'level = "info"\n  format = "json"') + "probe {\n  allowed = false\n}\n"
 
 
-async def read_again(peer: Peer) -> frames.Tables | None:
+async def read_again(peer: RawProxyConnection) -> frames.Tables | None:
     """Read all tables again; return None if they do not arrive in time."""
     # Successive reads are delayed longer each time, on a busy machine beyond the silence timeout of connections.
-    peer.say(frames.TablesRequest())
-    before = sum(isinstance(frame, frames.Tables) for frame in peer.got)
+    peer.send(frames.TablesRequest())
+    before = sum(isinstance(frame, frames.Tables) for frame in peer.received)
     for _ in range(MAX_ATTEMPTS):
-        peer.say(frames.Heartbeat())
+        peer.send(frames.Heartbeat())
         with contextlib.suppress(TimeoutError):
-            await peer.until(type(None), within=0.1)
-        found = [frame for frame in peer.got if isinstance(frame, frames.Tables)]
+            await peer.wait_for_frame(type(None), timeout_seconds=0.1)
+        found = [frame for frame in peer.received if isinstance(frame, frames.Tables)]
         if len(found) > before:
             return found[-1]
     return None
 
 
-async def join(port: int) -> tuple[Peer, frames.Tables]:
+async def join(port: int) -> tuple[RawProxyConnection, frames.Tables]:
     """Return a joined proxy, and its tables once each of them has a host."""
-    peer = Peer(*await asyncio.open_connection("127.0.0.1", port))
-    peer.hello(1)
-    tables = await peer.until(frames.Tables)
+    peer = RawProxyConnection(*await asyncio.open_connection("127.0.0.1", port))
+    peer.send_hello(1)
+    tables = await peer.wait_for_frame(frames.Tables)
     while not all(row for _, row in tables.tables) or len(tables.tables) < SLICE_COUNT:
         tables = await read_again(peer) or tables
-    peer.got = []  # versions older than the last read must not be acknowledged
+    peer.received = []  # versions older than the last read must not be acknowledged
     return peer, tables
 
 
-def ack_and_find_reduced_admission(peer: Peer) -> bool:
+def ack_and_find_reduced_admission(peer: RawProxyConnection) -> bool:
     """Acknowledge received messages up to one that reduces admission; return whether there is one."""
-    for frame in peer.got:
+    for frame in peer.received:
         if isinstance(frame, frames.Orders):
             if frame.version >= 0:
-                peer.say(frames.Ack(frame.version))
+                peer.send(frames.Ack(frame.version))
             if any(amount < 0.9 for _, _, amount, _ in frame.levels):
                 return True
-    peer.got = [frame for frame in peer.got if not isinstance(frame, frames.Orders)]
+    peer.received = [frame for frame in peer.received if not isinstance(frame, frames.Orders)]
     return False
 
 
-async def report_late_hosts(peer: Peer) -> None:
+async def report_late_hosts(peer: RawProxyConnection) -> None:
     """Report that all hosts are late until fewer requests are admitted."""
     hosts = [(host, 40, 10, 2500.0) for host in range(HOST_COUNT)]
     slices = [(slice_number, 0, 40, 10) for slice_number in range(SLICE_COUNT)]
     for _ in range(MAX_ATTEMPTS):
-        peer.say(frames.UsageReport(1000.0, hosts, slices))
+        peer.send(frames.UsageReport(1000.0, hosts, slices))
         if ack_and_find_reduced_admission(peer):
             return
         with contextlib.suppress(TimeoutError):
-            await peer.until(type(None), within=0.2)
+            await peer.wait_for_frame(type(None), timeout_seconds=0.2)
     raise AssertionError("admission was not reduced")
 
 
--- a/tests/registry/test_shared_slices.py
+++ b/tests/registry/test_shared_slices.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from sockets import CONFIG, Peer, Running, until
+from sockets import CONFIG, RawProxyConnection, Running, until
 
 from corallanding.assignment import Assigner
 from corallanding.lab.registry import Registry
@@ -33,18 +33,18 @@
         self.tables: dict[int, dict[int, float]] = {}
         self.withdrawn: set[int] = set()
 
-    async def listen(self, peer: Peer) -> None:
+    async def listen(self, peer: RawProxyConnection) -> None:
         handled_frames = 0
         while True:
             data = await peer.reader.read(65536)
             if not data:
                 return
-            peer.got += peer.frames.feed(data)
-            for frame in peer.got[handled_frames:]:
+            peer.received += peer.frame_reader.feed(data)
+            for frame in peer.received[handled_frames:]:
                 handled_frames += 1
                 self.on_frame(peer, frame)
 
-    def on_frame(self, peer: Peer, frame: Any) -> None:
+    def on_frame(self, peer: RawProxyConnection, frame: Any) -> None:
         if isinstance(frame, frames.Tables):
             for slice_id, lines in frame.tables:
                 self.tables[slice_id] = dict(lines)
@@ -52,9 +52,9 @@
         elif isinstance(frame, frames.Orders):
             self.apply_orders(frame)
             if frame.version >= 0:
-                peer.say(frames.Ack(frame.version))
+                peer.send(frames.Ack(frame.version))
         elif isinstance(frame, frames.Heartbeat):
-            peer.say(frames.Heartbeat(1.0))
+            peer.send(frames.Heartbeat(1.0))
 
     def apply_orders(self, orders: Any) -> None:
         for slice_id, host, weight in orders.lines:
@@ -106,8 +106,8 @@
     tasks = []
     async with controllers[0], controllers[1]:
         for controller, proxy in zip(controllers, proxies, strict=True):
-            peer = await controller.peer()
-            peer.hello(1)
+            peer = await controller.connect_proxy()
+            peer.send_hello(1)
             tasks.append(asyncio.create_task(proxy.listen(peer)))
         await until(lambda: are_complete(proxies, {0, 1}), 15)
         stored = {
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""A steward in this process on real sockets, and raw peers that speak to it byte by byte."""
+"""A controller that runs in the process of the tests on real sockets, and raw connections to it."""
 
 from __future__ import annotations
 
@@ -54,107 +54,125 @@
 """
 
 
-class Scripted:
-    """A decider that hands out what a test puts into `todo` at its next step."""
+class ScriptedAssigner:
+    """An assigner whose next step returns `next_actions`; `told` holds the events that it received."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        self.todo: list[api.Action] = []
+        self.next_actions: list[api.Action] = []
         self.told: list[api.Event] = []
 
     def step(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
         self.told += events
-        todo, self.todo = self.todo, []
-        return todo
+        actions = self.next_actions
+        self.next_actions = []
+        return actions
 
 
-class Peer:
-    """One raw connection to the steward's link."""
+class RawProxyConnection:
+    """A proxy's end of one connection to the controller. It sends only the frames that the test passes to it."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
-        self.frames = frames.FrameReader(frames.proxy_decoder, 16 << 20)
-        self.got: list[Any] = []
-        self.closed = False
-
-    def say(self, *said: frames.Frame) -> None:
-        self.writer.write(b"".join(frames.encode(f) for f in said))
-
-    def hello(self, f: int, session: str = "", **more: Any) -> None:
-        self.say(frames.Hello(frames.PROTOCOL_VERSION, f, session or f"{f}-1", **more))
-
-    async def until(self, kind: type, wanted: Callable[[Any], bool] = lambda f: True, within: float = 5.0) -> Any:
-        """The next frame of a kind; everything that came stands in `got`."""
-        async with asyncio.timeout(within):
-            seen = 0
+        self.frame_reader = frames.FrameReader(frames.proxy_decoder, 16 << 20)
+        self.received: list[Any] = []
+        self.is_closed = False
+
+    def send(self, *sent_frames: frames.Frame) -> None:
+        """Send the frames in one write."""
+        self.writer.write(b"".join(frames.encode(frame) for frame in sent_frames))
+
+    def send_hello(self, proxy: int, session: str = "", **fields: Any) -> None:
+        """Send the hello of a proxy; its session defaults to the proxy's first one."""
+        self.send(frames.Hello(frames.PROTOCOL_VERSION, proxy, session or f"{proxy}-1", **fields))
+
+    async def wait_for_frame(
+        self, kind: type, is_wanted: Callable[[Any], bool] = lambda frame: True, timeout_seconds: float = 5.0
+    ) -> Any:
+        """Return the first frame of a kind in `received`, waiting for it if necessary.
+
+        Raises EOFError when the controller closes the connection, and TimeoutError.
+        """
+        async with asyncio.timeout(timeout_seconds):
+            checked = 0
             while True:
-                for f in self.got[seen:]:
-                    seen += 1
-                    if isinstance(f, kind) and wanted(f):
-                        return f
+                for frame in self.received[checked:]:
+                    checked += 1
+                    if isinstance(frame, kind) and is_wanted(frame):
+                        return frame
                 data = await self.reader.read(65536)
                 if not data:
-                    self.closed = True
-                    raise EOFError(f"closed after {[type(f).__name__ for f in self.got]}")
-                self.got += self.frames.feed(data)
+                    self.is_closed = True
+                    raise EOFError(f"closed after {[type(frame).__name__ for frame in self.received]}")
+                self.received += self.frame_reader.feed(data)
 
-    async def ended(self, within: float = 5.0) -> str:
-        """Waits for the end of the link; the code of the last word."""
+    async def wait_close_code(self, timeout_seconds: float = 5.0) -> str:
+        """Wait until the connection ends; return the code of the last goodbye frame, or "none"."""
         with contextlib.suppress(EOFError, ConnectionError):
-            await self.until(type(None), within=within)
-        return next((f.code for f in reversed(self.got) if isinstance(f, frames.Goodbye)), "none")
+            await self.wait_for_frame(type(None), timeout_seconds=timeout_seconds)
+        return next((frame.code for frame in reversed(self.received) if isinstance(frame, frames.Goodbye)), "none")
 
 
 class Running:
-    """A controller that runs in this process; port, door: where it listens for proxies and for HTTP."""
+    """A running controller. It listens for proxies on `proxy_port` and for HTTP requests on `http_port`.
 
-    def __init__(self, tmp: Path, text: str = "", decider: Any = Scripted, config: str = CONFIG) -> None:
-        path = tmp / "s.hcl"
-        path.write_text(config % (tmp / "s.db") + text)
+    `text` is appended to the configuration.
+    """
+
+    def __init__(self, directory: Path, text: str = "", decider: Any = ScriptedAssigner, config: str = CONFIG) -> None:
+        path = directory / "s.hcl"
+        path.write_text(config % (directory / "s.db") + text)
         self.path = path
         self.steward = Controller(load_controller(path), decider, config_path=str(path))
 
     async def __aenter__(self) -> Running:
         await self.steward.start()
-        self.port, self.door = (s.sockets[0].getsockname()[1] for s in self.steward.network.servers)
+        self.proxy_port, self.http_port = (
+            server.sockets[0].getsockname()[1] for server in self.steward.network.servers
+        )
         return self
 
-    async def __aexit__(self, *why: object) -> None:
+    async def __aexit__(self, *exception: object) -> None:
         self.steward.stop()
         await asyncio.sleep(0.02)
 
     @property
-    def module(self) -> Scripted:
-        module = self.steward.engine.assigner
-        assert isinstance(module, Scripted)
-        return module
-
-    def do(self, *actions: api.Action) -> None:
-        self.module.todo += actions
+    def module(self) -> ScriptedAssigner:
+        """The controller's scripted assigner."""
+        assigner = self.steward.engine.assigner
+        assert isinstance(assigner, ScriptedAssigner)
+        return assigner
+
+    def apply_actions(self, *actions: api.Action) -> None:
+        """Let the assigner return the actions in its next step, and request that step."""
+        self.module.next_actions += actions
         self.steward.engine.add_event(self.steward.clock(), api.TimerFired(99))
         self.steward.timer.request_step()
 
-    async def peer(self) -> Peer:
-        return Peer(*await asyncio.open_connection("127.0.0.1", self.port))
+    async def connect_proxy(self) -> RawProxyConnection:
+        """Open a connection on which nothing is sent yet."""
+        return RawProxyConnection(*await asyncio.open_connection("127.0.0.1", self.proxy_port))
 
-    async def joined(self, f: int, **more: Any) -> Peer:
-        peer = await self.peer()
-        peer.hello(f, **more)
-        await peer.until(frames.Tables)
+    async def join_proxy(self, proxy: int, **fields: Any) -> RawProxyConnection:
+        """Open a connection, send the hello of a proxy and wait for the tables."""
+        peer = await self.connect_proxy()
+        peer.send_hello(proxy, **fields)
+        await peer.wait_for_frame(frames.Tables)
         return peer
 
-    async def get(self, text: str) -> tuple[int, bytes]:
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.door)
-        writer.write(text.encode())
+    async def send_http_request(self, request: str) -> tuple[int, bytes]:
+        """Send an HTTP request as it stands; return the status, 0 without an answer, and the complete answer."""
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.http_port)
+        writer.write(request.encode())
         async with asyncio.timeout(5):
             data = await reader.read()
         writer.close()
         return int(data.split()[1]) if data else 0, data
 
 
-async def until(wanted: Callable[[], Any], within: float = 5.0) -> None:
-    """Wait until a condition holds; raises TimeoutError after `within` seconds."""
-    async with asyncio.timeout(within):
+async def until(condition: Callable[[], Any], timeout_seconds: float = 5.0) -> None:
+    """Wait until the condition holds. Raises TimeoutError after `timeout_seconds`."""
+    async with asyncio.timeout(timeout_seconds):
         while True:
-            if wanted():
+            if condition():
                 return
             await asyncio.sleep(0.005)
