--- a/tests/platform/test_start.py
+++ b/tests/platform/test_start.py
@@ -11,7 +11,7 @@
 import pytest
 from forced_order import PeerConnection, StandInServer, run_async, until
 from platform_samples import CONFIG_FILE, attach, owner
-from platform_standins import Process, free
+from platform_standins import ControllerProcess, free_address
 
 from corallanding.collector.session import HEARTBEAT_ANSWER, REJECT
 from corallanding.platform import service
@@ -59,7 +59,7 @@
     run_async(scenario)
 
 
-class PipeConfiguredProcess(Process):
+class PipeConfiguredProcess(ControllerProcess):
     """A controller that reads its configuration from a pipe, so that the test controls when it is received."""
 
     async def start_reading(self) -> int:
@@ -82,7 +82,7 @@
             pipe = await process.start_reading()
             old = {
                 **CONFIG_FILE,
-                "listen": free(),
+                "listen": free_address(),
                 "discovery": address_text(agent.address),
                 "store": {"address": address_text(relay.address)},
             }
@@ -93,7 +93,7 @@
             }
             (tmp_path / "new.json").write_bytes(msgspec.json.encode(new))
             os.replace(tmp_path / "new.json", process.path)
-            process.signal(signal.SIGHUP)
+            process.send_signal(signal.SIGHUP)
             os.write(pipe, msgspec.json.encode(old))
             os.close(pipe)
             assert "index=" in await (await new_agent.next_connection()).read_request_path()
@@ -101,8 +101,8 @@
                 "relay.watch",
                 "relay.apply",
             )
-            process.signal(signal.SIGTERM)
-            code, log = await process.end()
+            process.send_signal(signal.SIGTERM)
+            code, log = await process.wait_exit()
             assert code == 0, log
             assert "Traceback" not in log, log
 
@@ -114,8 +114,8 @@
     async def scenario() -> None:
         process = PipeConfiguredProcess(dict(CONFIG_FILE), tmp_path / "config.json")
         pipe = await process.start_reading()
-        process.signal(stop_signal)
-        code, log = await process.end()
+        process.send_signal(stop_signal)
+        code, log = await process.wait_exit()
         os.close(pipe)
         assert code == -stop_signal
         assert log == ""
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -16,7 +16,7 @@
 import pytest
 from platform_standins import until
 
-from tests.platform.test_program import Day, day
+from tests.platform.test_program import PlatformSetup, run_scenario
 
 ROOT = Path(__file__).parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
@@ -71,18 +71,18 @@
 ) -> None:
     report_path = tmp_path / "report.json"
 
-    async def scenario(setup: Day) -> None:
-        await until(lambda: setup.relay.calls, "the first call")
-        setup.agent.change(setup.row("s-0", "terminating"))
-        await until(setup.sound, "a drain")
-        setup.steward.signal(signal.SIGHUP)
-        setup.agent.change(setup.row("s-1", "terminating"))
-        await until(setup.sound, "a drain after SIGHUP")
-        pid = setup.steward.process.pid
+    async def scenario(setup: PlatformSetup) -> None:
+        await until(lambda: setup.relay.executed_calls, "the first call")
+        setup.agent.update_hosts(setup.host_entry("s-0", "terminating"))
+        await until(setup.has_valid_tables, "a drain")
+        setup.controller.send_signal(signal.SIGHUP)
+        setup.agent.update_hosts(setup.host_entry("s-1", "terminating"))
+        await until(setup.has_valid_tables, "a drain after SIGHUP")
+        pid = setup.controller.process.pid
         assert not Path(f"/proc/{pid}/task/{pid}/children").read_text().split(), "a child process"
         assert "libc.so" in Path(f"/proc/{pid}/maps").read_text(), "linked dynamically against the C library"
 
-    day(tmp_path, scenario, [sys.executable, "-c", AUDITED_RUN, str(report_path)])
+    run_scenario(tmp_path, scenario, [sys.executable, "-c", AUDITED_RUN, str(report_path)])
     violations, modules = msgspec.json.decode(report_path.read_bytes())
     assert violations == []
     libraries = {m.split(".")[0] for m in modules} - sys.stdlib_module_names - {"corallanding", "__mp_main__"}
