--- a/tests/collector/test_server.py
+++ b/tests/collector/test_server.py
@@ -9,7 +9,7 @@
 
 import pytest
 from forced_order import PeerConnection, block_loop, run_async, until, yield_to_loop
-from platform_samples import host_report, intake, slice_report
+from platform_samples import host_report, report_intake, slice_report
 
 from corallanding.collector import server as server_module
 from corallanding.collector.server import CollectorServer
@@ -26,7 +26,7 @@
     def __init__(self, max_unidentified: int = 16) -> None:
         self.events: list[Any] = []
         self.server = CollectorServer(
-            ("127.0.0.1", 0), intake({3}), max_unidentified, self.events.extend, lambda text: None
+            ("127.0.0.1", 0), report_intake({3}), max_unidentified, self.events.extend, lambda text: None
         )
 
     async def connect(self, *messages: bytes) -> PeerConnection:
--- a/tests/collector/test_session.py
+++ b/tests/collector/test_session.py
@@ -3,7 +3,17 @@
 from __future__ import annotations
 
 import pytest
-from platform_samples import HOSTS, SETTINGS, ZONES, collector, host_report, intake, owner, slice_report, told
+from platform_samples import (
+    HOSTS,
+    SETTINGS,
+    ZONES,
+    add_initial_notifications,
+    collector_session,
+    host_report,
+    owner,
+    report_intake,
+    slice_report,
+)
 
 from corallanding import interface as api
 from corallanding.collector.session import REJECT, CollectorSession
@@ -17,13 +27,13 @@
     It must remain the same object when a connection replaces the view's state.
     """
     view = RelayView(SETTINGS, ZONES)
-    peer = collector(intake(view.tables))
+    peer = collector_session(report_intake(view.tables))
     first = InitialState()
-    told(view, first, owner(3))
+    add_initial_notifications(view, first, owner(3))
     view.replace_state(first)
     assert peer.feed(encode(slice_report())).reports == [api.SliceUsageReport(3, 1, 9, 2, 500.0)]
     second = InitialState()
-    told(view, second, owner(4))
+    add_initial_notifications(view, second, owner(4))
     view.replace_state(second)
     assert peer.feed(encode(slice_report())).reports == []
     assert peer.feed(encode(slice_report(shard=4))).reports == [api.SliceUsageReport(4, 1, 9, 2, 500.0)]
@@ -31,7 +41,7 @@
 
 def test_slice_report_when_more_are_unanswered_than_received_then_it_is_accepted() -> None:
     """A request received two seconds ago times out in this interval: total 0, errors 1."""
-    peer = collector(intake({3}))
+    peer = collector_session(report_intake({3}))
     assert peer.feed(encode(slice_report(total=0, errors=1))).reports == [api.SliceUsageReport(3, 1, 0, 1, 500.0)]
     assert not peer.intake.rejected
 
@@ -62,7 +72,7 @@
     ],
 )
 def test_report_when_invalid_then_only_it_is_rejected(report: list[str], reason: str) -> None:
-    peer = collector(intake({3}))
+    peer = collector_session(report_intake({3}))
     result = peer.feed(encode(host_report()) + encode(report) + encode(slice_report()))
     assert [type(event) for event in result.reports] == [api.HostUsageReport, api.SliceUsageReport]
     assert not result.close_reason
@@ -70,7 +80,7 @@
 
 
 def test_report_when_valid_then_every_field_is_in_the_event() -> None:
-    result = collector(intake({3})).feed(encode(host_report(metrics="inflight:7,util:0.61")))
+    result = collector_session(report_intake({3})).feed(encode(host_report(metrics="inflight:7,util:0.61")))
     assert result.reports == [api.HostUsageReport(0, HOSTS[1], 9, 2, 41.5, 500.0, {"inflight": 7.0, "util": 0.61})]
 
 
@@ -88,19 +98,19 @@
     ],
 )
 def test_session_when_the_first_message_is_invalid_then_it_is_rejected_and_ends(message: bytes) -> None:
-    result = CollectorSession(intake({3})).feed(message)
+    result = CollectorSession(report_intake({3})).feed(message)
     assert result.close_reason
     assert result.answer == REJECT
     assert not result.reports
 
 
 def test_collector_when_bytes_cannot_be_parsed_then_it_ends_without_an_answer() -> None:
-    result = collector(intake({3})).feed(encode(slice_report()) + b"garbage")
+    result = collector_session(report_intake({3})).feed(encode(slice_report()) + b"garbage")
     assert result.close_reason
     assert result.answer == b""
     assert len(result.reports) == 1
 
 
 def test_heartbeat_when_requested_on_any_connection_then_it_is_owed() -> None:
-    assert CollectorSession(intake(set())).feed(encode(["hb"]) * 2).heartbeats == 2
-    assert collector(intake(set())).feed(encode(["hb"])).heartbeats == 1
+    assert CollectorSession(report_intake(set())).feed(encode(["hb"]) * 2).heartbeats == 2
+    assert collector_session(report_intake(set())).feed(encode(["hb"])).heartbeats == 1
--- a/tests/platform_samples.py
+++ b/tests/platform_samples.py
@@ -1,4 +1,4 @@
-"""Samples for tests of the platform: settings, configuration, names, and builders of messages."""
+"""Samples for the tests of the platform: settings, configuration, names, and builders of messages."""
 
 from __future__ import annotations
 
@@ -24,48 +24,57 @@
 HOSTS = [number(f"s-{n}") for n in range(6)]
 
 
-def intake(slices: set[int] | dict[int, dict[int, float]]) -> ReportIntake:
+def report_intake(slices: set[int] | dict[int, dict[int, float]]) -> ReportIntake:
+    """Return an intake of usage reports for these owned slices."""
     return ReportIntake(SETTINGS, NameTables(ZONES, {"lookup": 0, "claim": 1}), set(HOSTS), slices)
 
 
-def collector(of: ReportIntake, zone: str = "a") -> CollectorSession:
-    peer = CollectorSession(of)
-    assert not peer.feed(encode(["telemetry", "locality", zone])).close_reason
-    return peer
+def collector_session(intake: ReportIntake, zone: str = "a") -> CollectorSession:
+    """Return a session whose collector identified itself for a zone."""
+    session = CollectorSession(intake)
+    assert not session.feed(encode(["telemetry", "locality", zone])).close_reason
+    return session
 
 
 def host_report(**other: object) -> list[str]:
-    f = {"locality": "a", "endpoint": "s-1", "total": 9, "errors": 2, "rtt": 41.5, "interval": 500.0, **other}
-    return ["upstream_stats", *(str(x) for pair in f.items() if pair[1] is not None for x in pair)]
+    """Return the fields of a usage report on a host; None in `other` omits a field."""
+    fields = {"locality": "a", "endpoint": "s-1", "total": 9, "errors": 2, "rtt": 41.5, "interval": 500.0, **other}
+    return ["upstream_stats", *(str(x) for pair in fields.items() if pair[1] is not None for x in pair)]
 
 
 def slice_report(**other: object) -> list[str]:
-    f = {"shard": 3, "route": "claim", "total": 9, "errors": 2, "interval": 500.0, **other}
-    return ["range_stats", *(str(x) for pair in f.items() if pair[1] is not None for x in pair)]
-
-
-def told(news: RelayView, s: InitialState, *rows: tuple[str, dict[str, object]]) -> None:
-    """Lines of what stands on a new connection."""
-    for method, params in rows:
-        news.add_initial(
-            s, parse_notification(msgspec.json.encode({"jsonrpc": "2.0", "method": method, "params": params}))
+    """Return the fields of a usage report on a slice; None in `other` omits a field."""
+    fields = {"shard": 3, "route": "claim", "total": 9, "errors": 2, "interval": 500.0, **other}
+    return ["range_stats", *(str(x) for pair in fields.items() if pair[1] is not None for x in pair)]
+
+
+def add_initial_notifications(
+    view: RelayView, state: InitialState, *notifications: tuple[str, dict[str, object]]
+) -> None:
+    """Add notifications to the initial state of a new connection."""
+    for method, params in notifications:
+        view.add_initial(
+            state, parse_notification(msgspec.json.encode({"jsonrpc": "2.0", "method": method, "params": params}))
         )
 
 
 def attach(node: int) -> tuple[str, dict[str, object]]:
+    """Return the notification that a proxy joined."""
     return ("attach", {"node": node, "locality": "a", "w": 2.5, "cold": True})
 
 
-def owner(shard: int, on: bool = True) -> tuple[str, dict[str, object]]:
-    return ("owner", {"shard": shard, "set": on})
+def owner(shard: int, is_owned: bool = True) -> tuple[str, dict[str, object]]:
+    """Return the notification that a slice was assigned or withdrawn."""
+    return ("owner", {"shard": shard, "set": is_owned})
 
 
 def entry(shard: int, host: int, w: float = 1.0) -> tuple[str, dict[str, object]]:
+    """Return the notification of a host's weight in the table of a slice."""
     return ("entry", {"shard": shard, "endpoint": f"s-{host}", "w": w})
 
 
 def list_entry(host: str, health: str = "in_service", **other: Any) -> dict[str, Any]:
-    """A row of a host list as discovery sends it."""
+    """Return an entry of a host list as discovery sends it."""
     fields = {"host": host, "dial": "127.0.0.1:8081", "site": "a", "class": "m2", "block": 3, "health": health}
     return {**fields, "share": 1.0, "born_ms": 0, **other}
 
--- a/tests/relay/test_subscription.py
+++ b/tests/relay/test_subscription.py
@@ -13,7 +13,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from platform_samples import HOSTS, SETTINGS, ZONES, attach, entry, owner, told
+from platform_samples import HOSTS, SETTINGS, ZONES, add_initial_notifications, attach, entry, owner
 
 from corallanding import interface as api
 from corallanding.assignment import Assigner
@@ -33,7 +33,7 @@
 
 def report_state(view: RelayView, *rows: Row, unconfirmed: Sequence[TableOrder] = ()) -> list[api.Event]:
     state = InitialState()
-    told(view, state, *rows)
+    add_initial_notifications(view, state, *rows)
     return view.replace_state(state, unconfirmed)
 
 
@@ -111,7 +111,7 @@
             stored[order.slice] = apply_orders(stored[order.slice], [order])
             if n < confirmed:
                 view.on_order_confirmed(order)
-    told(view, state, attach(1), attach(2), *reported)
+    add_initial_notifications(view, state, attach(1), attach(2), *reported)
     assert view.replace_state(state, orders[confirmed:]) == []
     for order in orders[confirmed:]:
         view.on_order_confirmed(order)
--- a/tests/stored_samples.py
+++ b/tests/stored_samples.py
@@ -1,8 +1,10 @@
-"""What the files of `fixtures/before-rename` were written from: one value of each kind, and the engine whose state the
-snapshot and the handover hold.
+"""The values from which the files of `fixtures/before-rename` were written.
 
-What is stored under the names of its fields is built by position here, so that a renamed attribute changes nothing.
-What is sent as an array is built by name: there the order is the wire."""
+There is one value of each kind, and the engine whose state is in the snapshot and the handover.
+
+Values that are stored under the names of their fields are built by position here, so that renaming an attribute changes
+nothing. Values that are sent as arrays are built by name, since their order is the wire format.
+"""
 
 from __future__ import annotations
 
@@ -31,12 +33,12 @@
 from corallanding.wire import frames
 from corallanding.wire.link_state import LinkLimits, LinkState
 
-HOSTS, SLICES, FORWARDERS = 6, 12, 4
-START = 1e9
-ADDRESSES = {host: f"127.0.0.1:{9000 + host}" for host in range(HOSTS)}
-STARTED = {host: 1.7e12 + host for host in range(HOSTS)}
+HOST_COUNT, SLICE_COUNT, PROXY_COUNT = 6, 12, 4
+START_MS = 1e9
+ADDRESSES = {host: f"127.0.0.1:{9000 + host}" for host in range(HOST_COUNT)}
+HOST_STARTED_AT = {host: 1.7e12 + host for host in range(HOST_COUNT)}
 
-OPERATIONS = (
+REQUEST_CLASSES = (
     api.RequestClass("quote", api.Idempotency.IDEMPOTENT, "all", 5000.0, 3.0, 0.1, 1200.0, 3000.0),
     api.RequestClass(
         "order", api.Idempotency.IDEMPOTENT_WITH_KEY, "zone", 4000.0, 9.0, 0.2, 800.0, 2500.0, True, False
@@ -44,9 +46,9 @@
     api.RequestClass("ship", api.Idempotency.SIDE_EFFECTING, "cell", 3000.0, 7.0, 0.3, 700.0, 2000.0, True, True),
 )
 
-# Every field has a value of its own, so that two that change places are seen.
+# Every field has a different value, so that a swap of two fields is detected.
 EVERY_SETTING = api.Settings(
-    OPERATIONS,
+    REQUEST_CLASSES,
     *(1, 3, 5, 2, 11, 17, True, 1.5, "weights", True, 2.5, 3.5, "fraction", 2, 4.5, "p3c", 7, 5001.0, 3001.0, True),
     *(10001.0, 0.25, 3002.0, 4.25, 10002.0, 8.5, 10003.0, 13, 10004.0, 201.0, 501.0, 1001.0, 401.0, True, True),
     *(0.5, 0.75, 0.875, ("cpu", "queue"), 1.25),
@@ -156,7 +158,7 @@
     ),
 }
 
-FROM_FORWARDER: dict[str, Any] = {
+PROXY_FRAMES: dict[str, Any] = {
     "hello": frames.Hello(
         version=1,
         proxy=2,
@@ -181,7 +183,7 @@
     "unwait": frames.JobWithdrawal(ticket=1, is_abandoned=True),
 }
 
-FROM_STEWARD: dict[str, Any] = {
+CONTROLLER_FRAMES: dict[str, Any] = {
     "welcome": frames.Welcome(
         version=1,
         controller=2,
@@ -227,7 +229,7 @@
     "go": frames.JobRelease(ticket=1, outcome="go"),
 }
 
-FEED = FeedState(
+FEED_STATE = FeedState(
     "digest",
     4711,
     9400,
@@ -245,12 +247,12 @@
 )
 
 SETTINGS = api.Settings(
-    (OPERATIONS[0],),
-    slice_count=SLICES,
+    (REQUEST_CLASSES[0],),
+    slice_count=SLICE_COUNT,
     max_queued_lines=900.0,
     channel_lines_per_second=400.0,
     may_check_health=True,
-    proxy_count=FORWARDERS,
+    proxy_count=PROXY_COUNT,
     max_messages=14,
     message_window_ms=4000.0,
     admission="fraction",
@@ -258,104 +260,116 @@
 CHANNEL = ChannelLimits(400.0, 8.0, 900.0, 14, 4000.0)
 
 
-class Rig:
-    """An engine with its channel and joins, without sockets. What happens in a turn is drawn by the turn's number."""
+class EngineHarness:
+    """An engine with its channel and join admission, without sockets.
+
+    It runs turns of random events; the number of a turn is the seed of its events.
+    """
 
-    def __init__(self, life: int, tables: dict[int, dict[int, float]] | None = None) -> None:
-        found = StoreContents(life, 0, tables or {})
-        self.engine = Engine(SETTINGS, 3, found, range(SLICES), dict(ADDRESSES), Assigner)
-        self.channel, self.joins = Channel(CHANNEL), JoinAdmission(20.0, 300.0, 2000.0, START)
-        self.now = START
-        self.said: list[str] = []
+    def __init__(self, incarnation: int, tables: dict[int, dict[int, float]] | None = None) -> None:
+        contents = StoreContents(incarnation, 0, tables or {})
+        self.engine = Engine(SETTINGS, 3, contents, range(SLICE_COUNT), dict(ADDRESSES), Assigner)
+        self.channel = Channel(CHANNEL)
+        self.joins = JoinAdmission(20.0, 300.0, 2000.0, START_MS)
+        self.now = START_MS
+        self.outputs: list[str] = []
         self.steps: list[Any] = []
 
-    def begin(self) -> None:
-        entries = tuple(api.HostEntry(host) for host in range(HOSTS))
+    def start(self) -> None:
+        """Start the engine with all hosts, and join all proxies."""
+        entries = tuple(api.HostEntry(host) for host in range(HOST_COUNT))
         self.engine.start(self.now, api.HostListUpdate(api.HostListKind.FULL, 1, entries))
-        for forwarder in range(FORWARDERS):
-            self.join(forwarder)
-
-    def join(self, forwarder: int) -> None:
-        self.channel.join(forwarder)
-        frame = self.engine.on_proxy_joined(self.now, frames.Hello(1, forwarder, f"{forwarder}"))
-        self.said.append(f"{forwarder} tables {frame.hex()}")
-
-    def turn(self, number: int) -> None:
-        chance, engine = random.Random(f"turn {number}"), self.engine
-        self.now += chance.choice((60.0, 125.0, 300.0))
-        for forwarder in range(FORWARDERS):
-            if chance.random() < 0.05:
-                self.joins.request(self.now, forwarder)
-            if chance.random() < 0.1:
-                self.channel.set_blocked(forwarder, is_blocked=chance.random() < 0.5)
-        for forwarder in self.joins.admit_due(self.now):
-            self.join(forwarder)
-        if chance.random() < 0.15:
-            entry = api.HostEntry(chance.randrange(HOSTS), 0, 0, 0, chance.choice(("draining", "up")))
+        for proxy in range(PROXY_COUNT):
+            self.join(proxy)
+
+    def join(self, proxy: int) -> None:
+        self.channel.join(proxy)
+        frame = self.engine.on_proxy_joined(self.now, frames.Hello(1, proxy, f"{proxy}"))
+        self.outputs.append(f"{proxy} tables {frame.hex()}")
+
+    def run_turn(self, number: int) -> None:
+        """Advance the time, pass random events to the engine, and record what it sends."""
+        rng = random.Random(f"turn {number}")
+        engine = self.engine
+        self.now += rng.choice((60.0, 125.0, 300.0))
+        for proxy in range(PROXY_COUNT):
+            if rng.random() < 0.05:
+                self.joins.request(self.now, proxy)
+            if rng.random() < 0.1:
+                self.channel.set_blocked(proxy, is_blocked=rng.random() < 0.5)
+        for proxy in self.joins.admit_due(self.now):
+            self.join(proxy)
+        if rng.random() < 0.15:
+            entry = api.HostEntry(rng.randrange(HOST_COUNT), 0, 0, 0, rng.choice(("draining", "up")))
             engine.add_event(self.now, api.HostListUpdate(api.HostListKind.CHANGES, number, (entry,)))
-        if chance.random() < 0.5:
-            met = [(host, 9, 9 if host == 3 else chance.choice((0, 0, 9)), 900.0) for host in range(HOSTS)]
-            came = [(slice, 0, chance.randrange(20), 0) for slice in range(SLICES)]
-            engine.on_usage_report(self.now, chance.randrange(FORWARDERS), frames.UsageReport(1000.0, met, came))
-        if chance.random() < 0.4:
-            engine.add_event(self.now, api.VersionAcked(chance.randrange(FORWARDERS), number // 8, 5.0))
+        if rng.random() < 0.5:
+            hosts = [(host, 9, 9 if host == 3 else rng.choice((0, 0, 9)), 900.0) for host in range(HOST_COUNT)]
+            slices = [(slice, 0, rng.randrange(20), 0) for slice in range(SLICE_COUNT)]
+            engine.on_usage_report(self.now, rng.randrange(PROXY_COUNT), frames.UsageReport(1000.0, hosts, slices))
+        if rng.random() < 0.4:
+            engine.add_event(self.now, api.VersionAcked(rng.randrange(PROXY_COUNT), number // 8, 5.0))
         engine.decide(self.now)
         self.steps.append(engine.last_step)
-        for output in engine.publish(chance.random() < 0.9):
+        for output in engine.publish(rng.random() < 0.9):
             if isinstance(output, SendFrame):
                 message = Message(output.frame, output.cost_lines, output.version, self.now, output.orders)
                 self.channel.submit(message, output.proxies, is_urgent=output.is_urgent)
             else:
-                self.said.append(f"output {[*vars(output).values()]}")
-        for forwarder, message in self.channel.take_due(self.now):
-            self.said.append(f"{forwarder} {message.frame.hex()}")
-
-    def turns(self, first: int, last: int) -> None:
-        for number in range(first, last):
-            self.turn(number)
-
-    def add_helper(self) -> None:
-        """Slice 0 gets a second host, as under high demand, which these turns do not bring about."""
-        module = self.engine.assigner
-        assert isinstance(module, Assigner)
-        one, host = module.slices[0], module.hosts[2]
-        assert host not in one.weights
-        one.replicas.append(host)
-        one.weights[host] = self.engine.published.tables[0][2] = 1.0
+                self.outputs.append(f"output {[*vars(output).values()]}")
+        for proxy, message in self.channel.take_due(self.now):
+            self.outputs.append(f"{proxy} {message.frame.hex()}")
+
+    def run_turns(self, first: int, end: int) -> None:
+        """Run the turns from `first` up to, but without, `end`."""
+        for number in range(first, end):
+            self.run_turn(number)
+
+    def add_replica(self) -> None:
+        """Give slice 0 a second host, as under a high demand, which these turns do not produce."""
+        assigner = self.engine.assigner
+        assert isinstance(assigner, Assigner)
+        slice_state, host = assigner.slices[0], assigner.hosts[2]
+        assert host not in slice_state.weights
+        slice_state.replicas.append(host)
+        slice_state.weights[host] = self.engine.published.tables[0][2] = 1.0
 
     def state(self) -> ControllerState:
-        found = capture_state(self.engine, 1, "boot", 5.0, {(3, 1.0): 7.0, (4, 2.0): 8.0}, 2)
-        assert found
-        return found
-
-
-def links() -> list[ConnectionState]:
-    """Two links: one with half a frame and marks that are out, one that has said no more than hello."""
-    busy, idle = LinkState(LinkLimits(), START), LinkState(LinkLimits(), START + 1.0)
-    beat = frames.encode(frames.Heartbeat(3.5))
-    busy.receive(START + 2.0, frames.encode(frames.Hello(1, 1, "one", 0, 9.5, True, 4, 5, 3)) + beat[:6])
-    busy.add_unacked(START + 3.0, 40)
-    busy.add_unacked(START + 4.0, 41)
-    idle.receive(START + 5.0, frames.encode(frames.Hello(1, 2, "two")))
+        """Return the state for a snapshot."""
+        state = capture_state(self.engine, 1, "boot", 5.0, {(3, 1.0): 7.0, (4, 2.0): 8.0}, 2)
+        assert state
+        return state
+
+
+def connection_states() -> list[ConnectionState]:
+    """Return two connections.
+
+    One received a part of a frame and has unacknowledged versions, the other received only a hello.
+    """
+    busy, idle = LinkState(LinkLimits(), START_MS), LinkState(LinkLimits(), START_MS + 1.0)
+    heartbeat = frames.encode(frames.Heartbeat(3.5))
+    busy.receive(START_MS + 2.0, frames.encode(frames.Hello(1, 1, "one", 0, 9.5, True, 4, 5, 3)) + heartbeat[:6])
+    busy.add_unacked(START_MS + 3.0, 40)
+    busy.add_unacked(START_MS + 4.0, 41)
+    idle.receive(START_MS + 5.0, frames.encode(frames.Hello(1, 2, "two")))
     return [
-        capture_connection(busy, is_joined=True, is_write_paused=False, heartbeat_sent_at=START + 6.0),
-        capture_connection(idle, is_joined=False, is_write_paused=True, heartbeat_sent_at=START + 7.0),
+        capture_connection(busy, is_joined=True, is_write_paused=False, heartbeat_sent_at=START_MS + 6.0),
+        capture_connection(idle, is_joined=False, is_write_paused=True, heartbeat_sent_at=START_MS + 7.0),
     ]
 
 
-def handed(rig: Rig) -> HandoverState:
-    """The rig's own state, and one of each thing that it has not come to."""
-    engine = rig.engine
+def sample_handover(harness: EngineHarness) -> HandoverState:
+    """Return the state of the harness, completed by one of each item that its turns do not produce."""
+    engine = harness.engine
     engine.unsaved_tables, engine.unsaved_resets = {2: {1: 1.0, 3: 0.0}}, {2}
     engine.published.assignments = {1: {2: 3}}
     engine.publisher.leaving_hosts = {5}
     for _, event in EVENTS:
-        engine.add_event(rig.now, event)
+        engine.add_event(harness.now, event)
     engine.usage.add(
-        rig.now, 1, 0, frames.UsageReport(900.0, [(1, 9, 1, 8.0)], [(2, 0, 7, 2)], [(0, 6, 3)]), ADDRESSES, {2}
+        harness.now, 1, 0, frames.UsageReport(900.0, [(1, 9, 1, 8.0)], [(2, 0, 7, 2)], [(0, 6, 3)]), ADDRESSES, {2}
     )
-    rig.joins.request(rig.now, 1)
-    rig.joins.request(rig.now, 2)
-    host_list = HostListState(12, list(ENTRIES), dict(ADDRESSES), dict(STARTED), [0, 1, 5])
-    extras = HandoverExtras(host_list, {1: 0.5, 2: 0.84}, FEED, ("/var/s.rec", 4096))
-    return capture_handover(engine, rig.state(), rig.channel, links(), rig.joins, extras)
+    harness.joins.request(harness.now, 1)
+    harness.joins.request(harness.now, 2)
+    host_list = HostListState(12, list(ENTRIES), dict(ADDRESSES), dict(HOST_STARTED_AT), [0, 1, 5])
+    extras = HandoverExtras(host_list, {1: 0.5, 2: 0.84}, FEED_STATE, ("/var/s.rec", 4096))
+    return capture_handover(engine, harness.state(), harness.channel, connection_states(), harness.joins, extras)
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -94,7 +94,7 @@
     store = SqliteStore(tmp_path / "store.sqlite")
     contents = store.open()
     addresses = {host: samples.ADDRESSES[host] for host in (0, 1, 5)}
-    started = {host: samples.STARTED[host] for host in (0, 1, 5)}
+    started = {host: samples.HOST_STARTED_AT[host] for host in (0, 1, 5)}
     # The store has the start times in `starts`, in wall-clock time, and not in the entries.
     listed = tuple(replace(entry, online_since=0.0) for entry in samples.ENTRIES)
     assert contents == StoreContents(3, 42, {1: {2: 1.0}, 7: {0: 1.0}}, listed, 9, addresses, started)
@@ -109,7 +109,7 @@
     store.open()
     store.write(41, [(1, 2, 1.0), (1, 3, 0.5), (4, 5, 0.25)])
     store.write(42, [(1, 3, 0.0), (7, 0, 1.0)], [4])
-    store.save_host_list(9, samples.ENTRIES, samples.ADDRESSES, samples.STARTED)
+    store.save_host_list(9, samples.ENTRIES, samples.ADDRESSES, samples.HOST_STARTED_AT)
     store.close()
     assert sql_dump(tmp_path / "store.sqlite") == (FIXTURES / "store.sql").read_text()
 
@@ -255,14 +255,16 @@
     state = file.read(FIXTURES / "snapshot.bin", ControllerState)
     check_state(state, 1, samples.SETTINGS, "boot", 2)
     tables = json.loads((FIXTURES / "snapshot.tables.json").read_text())
-    rig = samples.Rig(2, {int(table): {int(h): w for h, w in row.items()} for table, row in tables.items()})
+    harness = samples.EngineHarness(
+        2, {int(table): {int(h): w for h, w in row.items()} for table, row in tables.items()}
+    )
     log = record.read_recording(FIXTURES / "snapshot.log")
-    rig.now = log.steps[-1][0]
+    harness.now = log.steps[-1][0]
     assert log.starts_after_snapshot
-    assert restore(rig.engine, state, log.steps, rig.now) == (10, [])
-    rig.turns(82, 122)
+    assert restore(harness.engine, state, log.steps, harness.now) == (10, [])
+    harness.run_turns(82, 122)
     assert (
-        recording_bytes(tmp_path / "next", samples.SETTINGS, 3, rig.steps, True)
+        recording_bytes(tmp_path / "next", samples.SETTINGS, 3, harness.steps, True)
         == (FIXTURES / "snapshot.next").read_bytes()
     )
     again = recording_bytes(tmp_path / "log", log.settings, log.seed, log.steps, True)
@@ -270,13 +272,13 @@
 
 
 def test_snapshot_when_written_then_its_bytes_are_unchanged() -> None:
-    rig = samples.Rig(1)
-    rig.begin()
-    rig.turns(0, 72)
-    rig.add_helper()
-    rig.engine.published.cordoned_hosts, rig.engine.published.assignments = {3}, {1: {2: 3}}
-    rig.engine.start_timer(rig.now + 700.0, 1)
-    assert file.pack(rig.state()) == (FIXTURES / "snapshot.bin").read_bytes()
+    harness = samples.EngineHarness(1)
+    harness.start()
+    harness.run_turns(0, 72)
+    harness.add_replica()
+    harness.engine.published.cordoned_hosts, harness.engine.published.assignments = {3}, {1: {2: 3}}
+    harness.engine.start_timer(harness.now + 700.0, 1)
+    assert file.pack(harness.state()) == (FIXTURES / "snapshot.bin").read_bytes()
 
 
 # ---- the record file ----------------------------------------------------------------------------------------------
@@ -333,26 +335,28 @@
     assert messages["sockets"] == b"3"
     handover = file.unpack(messages["state"], HandoverState)
     check_state(handover.controller, 1, samples.SETTINGS, "boot", 2)
-    rig = samples.Rig(2, {0: {5: 1.0}})
-    rig.now = handover.controller.captured_at
+    harness = samples.EngineHarness(2, {0: {5: 1.0}})
+    harness.now = handover.controller.captured_at
     loaded = load(samples.SETTINGS, handover.controller.assigner)
-    restore_handover(rig.engine, handover, rig.channel, rig.joins, rig.now, loaded)
+    restore_handover(harness.engine, handover, harness.channel, harness.joins, harness.now, loaded)
     rows = msgspec.msgpack.decode(messages["marks"], type=list[StoredRanking])
-    assert load_rankings(loaded.rendezvous, rows) == samples.SLICES
-    assert [event for _, _, event in rig.engine.pending_events][: len(samples.EVENTS)] == [e for _, e in samples.EVENTS]
-    assert capture_channel(rig.channel) == handover.channel
-    rig.turns(72, 110)
-    assert "\n".join(rig.said) + "\n" == (FIXTURES / "handover.next").read_text()
+    assert load_rankings(loaded.rendezvous, rows) == samples.SLICE_COUNT
+    assert [event for _, _, event in harness.engine.pending_events][: len(samples.EVENTS)] == [
+        e for _, e in samples.EVENTS
+    ]
+    assert capture_channel(harness.channel) == handover.channel
+    harness.run_turns(72, 110)
+    assert "\n".join(harness.outputs) + "\n" == (FIXTURES / "handover.next").read_text()
 
 
 def test_handover_when_sent_by_a_new_process_then_its_bytes_are_unchanged() -> None:
-    rig = samples.Rig(1)
-    rig.begin()
-    rig.turns(0, 72)
-    rig.add_helper()
-    handover = samples.handed(rig)
-    assert isinstance(rig.engine.assigner, Assigner)
-    rows = dump_rankings(rig.engine.assigner.rendezvous, range(samples.SLICES))
+    harness = samples.EngineHarness(1)
+    harness.start()
+    harness.run_turns(0, 72)
+    harness.add_replica()
+    handover = samples.sample_handover(harness)
+    assert isinstance(harness.engine.assigner, Assigner)
+    rows = dump_rankings(harness.engine.assigner.rendezvous, range(samples.SLICE_COUNT))
     ours, theirs = socket.socketpair()
     pipe, sent = HandoverPipe(ours), io.BytesIO()
     pipe.send_message("marks", msgspec.msgpack.encode(rows))
@@ -404,22 +408,22 @@
 
 def test_handover_when_unpacked_then_load_reports_and_links_are_complete() -> None:
     handover = file.unpack(handover_messages()["state"], HandoverState)
-    assert handover.load_reports == samples.FEED
+    assert handover.load_reports == samples.FEED_STATE
     assert [row.entry() for row in handover.host_entries] == list(samples.ENTRIES)
-    assert handover.connections == samples.links()
+    assert handover.connections == samples.connection_states()
     busy, idle = LinkState(LinkLimits(), 0.0), LinkState(LinkLimits(), 0.0)
     restore_connection(busy, handover.connections[0])
     restore_connection(idle, handover.connections[1])
-    sent_at = samples.START + 6.0
+    sent_at = samples.START_MS + 6.0
     captured = capture_connection(busy, is_joined=True, is_write_paused=False, heartbeat_sent_at=sent_at)
     assert captured == handover.connections[0]
-    assert busy.receive(samples.START + 9.0, frames.encode(frames.Heartbeat(3.5))[6:]) == [frames.Heartbeat(3.5)]
+    assert busy.receive(samples.START_MS + 9.0, frames.encode(frames.Heartbeat(3.5))[6:]) == [frames.Heartbeat(3.5)]
     assert [version for version, _ in busy.unacked_versions] == [40, 41]
     assert not idle.unacked_versions
     assert idle.hello == frames.Hello(1, 2, "two")
-    rig = samples.Rig(2)
-    restore_channel(rig.channel, handover.channel)
-    assert capture_channel(rig.channel) == handover.channel
+    harness = samples.EngineHarness(2)
+    restore_channel(harness.channel, handover.channel)
+    assert capture_channel(harness.channel) == handover.channel
 
 
 def test_handover_when_unpacked_then_each_array_position_sets_the_same_attribute() -> None:
@@ -536,7 +540,7 @@
 
 @pytest.mark.parametrize("side", ["from_forwarder", "from_steward"])
 def test_frames_when_encoded_then_their_bytes_are_unchanged(side: str) -> None:
-    messages = samples.FROM_FORWARDER if side == "from_forwarder" else samples.FROM_STEWARD
+    messages = samples.PROXY_FRAMES if side == "from_forwarder" else samples.CONTROLLER_FRAMES
     decoder = frames.controller_decoder if side == "from_forwarder" else frames.proxy_decoder
     union = frames.ProxyFrame if side == "from_forwarder" else frames.ControllerFrame
     assert {type(frame) for frame in messages.values()} == set(union.__args__)
@@ -559,12 +563,12 @@
     )
 
 
-@pytest.mark.parametrize("name", [name for name in samples.FROM_FORWARDER if name not in ("hello", "bye")])
+@pytest.mark.parametrize("name", [name for name in samples.PROXY_FRAMES if name not in ("hello", "bye")])
 def test_frame_when_sent_before_hello_then_the_error_has_its_tag(name: str) -> None:
     """The text is sent to the peer in the last frame of the link."""
     link = LinkState(LinkLimits(), 0.0)
     with pytest.raises(frames.UnexpectedFrameError, match=f"^{name} before hello$"):
-        link.receive(1.0, frames.encode(samples.FROM_FORWARDER[name]))
+        link.receive(1.0, frames.encode(samples.PROXY_FRAMES[name]))
 
 
 # ---- metrics ------------------------------------------------------------------------------------------------------
@@ -615,7 +619,7 @@
 
 def test_load_report_counts_when_named_then_the_stored_names_are_used() -> None:
     """The names are values of the label `end` of `corallanding_load_reports`; an intake sends them to its reader."""
-    assert list(samples.FEED.counts.by_name().items()) == [
+    assert list(samples.FEED_STATE.counts.by_name().items()) == [
         *(("counted", 1), ("unlisted", 2), ("former", 3), ("repeated", 4), ("expired", 5), ("doubtful", 6)),
         ("crowded", 7),
     ]
