--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,8 @@
-"""Reads KNOWN-RED.txt: tests that fail for a real fault that is not mended yet. A pytest plugin, used by conftest.
+"""A pytest plugin that reads KNOWN-RED.txt: the tests that fail because of a real fault that is not fixed yet.
 
-A line: `tests/test_x.py::test_name | cause | issue 34`. What is listed has to fail: one that passes fails the run, as
-do a fourth line, a line of another form and a test that does not exist. Each is printed at the end with its cause.
+A line has the form `tests/test_x.py::test_name | cause | issue 34`. A listed test must fail: a run fails if one passes.
+It also fails at a fourth line, at a line of another form and at a test that does not exist. Each listed test is printed
+at the end of the run with its cause.
 """
 
 from __future__ import annotations
@@ -16,41 +17,44 @@
 import pytest
 
 FILE = "KNOWN-RED.txt"
-MOST = 3
+MAX_LINES = 3
 ISSUE = re.compile(r"issue \d+")
 
 
-class BadList(Exception):
-    """The list cannot be used; the text names the line."""
+class KnownFailureListError(Exception):
+    """The list is invalid; the text names the line."""
 
 
 @dataclass(frozen=True)
-class Red:
-    """test: a node id, of a whole function or of one set of its parameters."""
+class KnownFailure:
+    """A listed test. `test` is the node id of a function, with or without one set of its parameters."""
 
     test: str
     cause: str
     issue: str
 
 
-def parse(text: str) -> list[Red]:
-    """Raises BadList."""
-    reds: list[Red] = []
+def parse(text: str) -> list[KnownFailure]:
+    """Parse the list. Raises KnownFailureListError if it is invalid."""
+    known_failures: list[KnownFailure] = []
     for number, line in enumerate(filter(str.strip, text.splitlines()), 1):
         parts = [part.strip() for part in line.split(" | ")]
         if len(parts) != 3 or "::" not in parts[0] or not parts[1] or not ISSUE.fullmatch(parts[2]):
-            raise BadList(f"{FILE}, line {number}: 'TEST | CAUSE | issue N' is expected: {line[:120]!r}")
-        if any(red.test == parts[0] for red in reds):
-            raise BadList(f"{FILE}, line {number}: {parts[0]} is listed twice")
-        reds.append(Red(*parts))
-    if len(reds) > MOST:
-        raise BadList(f"{FILE}: {len(reds)} lines, {MOST} at most are allowed")
-    return reds
-
-
-def check_exists(red: Red, root: Path) -> None:
-    """Raises BadList for a test that is in no file. By the source, so that it holds in any part of the run."""
-    file, _, rest = red.test.partition("::")
+            raise KnownFailureListError(f"{FILE}, line {number}: 'TEST | CAUSE | issue N' is expected: {line[:120]!r}")
+        if any(known_failure.test == parts[0] for known_failure in known_failures):
+            raise KnownFailureListError(f"{FILE}, line {number}: {parts[0]} is listed twice")
+        known_failures.append(KnownFailure(*parts))
+    if len(known_failures) > MAX_LINES:
+        raise KnownFailureListError(f"{FILE}: {len(known_failures)} lines, {MAX_LINES} at most are allowed")
+    return known_failures
+
+
+def check_exists(known_failure: KnownFailure, root: Path) -> None:
+    """Raise KnownFailureListError if no file defines the test.
+
+    The source is read, so that the check also holds if only some tests are run.
+    """
+    file, _, rest = known_failure.test.partition("::")
     path, function = root / file, rest.partition("[")[0].rpartition("::")[2]
     defined = {
         node.name
@@ -58,50 +62,60 @@
         if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef)
     }
     if function not in defined:
-        raise BadList(f"{FILE}: there is no test {red.test}")
+        raise KnownFailureListError(f"{FILE}: there is no test {known_failure.test}")
+
+
+def matches(known_failure: KnownFailure, node_id: str) -> bool:
+    """Return whether a node id is the listed test, or one of its sets of parameters."""
+    return known_failure.test in (node_id, node_id.partition("[")[0])
 
 
-def matches(red: Red, node_id: str) -> bool:
-    return red.test in (node_id, node_id.partition("[")[0])
+def mark_expected_failures(known_failures: list[KnownFailure], items: Iterable[pytest.Item]) -> None:
+    """Mark the listed tests as expected failures.
 
+    If a function was collected, but not with the listed parameters, its tests fail and the message says so.
+    """
+    item_by_node_id = {item.nodeid: item for item in items}
+    for known_failure in known_failures:
+        listed_items = [item for node_id, item in item_by_node_id.items() if matches(known_failure, node_id)]
+        for item in listed_items:
+            item.add_marker(
+                pytest.mark.xfail(reason=f"{FILE}: {known_failure.cause} ({known_failure.issue})", strict=True),
+                append=False,
+            )
+        function = known_failure.test.partition("[")[0]
+        for node_id, item in item_by_node_id.items():
+            if not listed_items and node_id.partition("[")[0] == function:
+                # The test fails, instead of the collection: pytest-xdist would not report an error of a worker.
+                message = f"{FILE}: there is no test {known_failure.test}"
+                item.runtest = partial(pytest.fail, message)  # type: ignore[method-assign]
 
-def mark(reds: list[Red], items: Iterable[pytest.Item]) -> None:
-    """Marks what is listed. A function that was collected, but not with the parameters listed, fails and says so."""
-    seen = {item.nodeid: item for item in items}
-    for red in reds:
-        found = [item for node_id, item in seen.items() if matches(red, node_id)]
-        for item in found:
-            item.add_marker(pytest.mark.xfail(reason=f"{FILE}: {red.cause} ({red.issue})", strict=True), append=False)
-        function = red.test.partition("[")[0]
-        for node_id, item in seen.items():
-            if not found and node_id.partition("[")[0] == function:
-                # By itself, not by an error of the collection: a worker of xdist would only die of that, unheard.
-                item.runtest = partial(pytest.fail, f"{FILE}: there is no test {red.test}")  # type: ignore[method-assign]
 
+class KnownFailuresPlugin:
+    """Marks the known failures of a run and prints them at its end."""
 
-class Plugin:
-    def __init__(self, reds: list[Red]) -> None:
-        self.reds = reds
+    def __init__(self, known_failures: list[KnownFailure]) -> None:
+        self.known_failures = known_failures
 
-    # Before `-m` and `-k` leave any out: a listed test that is left out of this part is none that does not exist.
+    # Runs before `-m` and `-k` deselect tests: a listed test that is deselected does exist.
     @pytest.hookimpl(tryfirst=True)
     def pytest_collection_modifyitems(self, config: pytest.Config, items: list[pytest.Item]) -> None:
         if not any("[" in str(arg) for arg in config.args):
-            mark(self.reds, items)
+            mark_expected_failures(self.known_failures, items)
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
-        if self.reds:
+        if self.known_failures:
             terminalreporter.section("known red")
-            for red in self.reds:
-                terminalreporter.line(f"{red.test}: {red.cause} ({red.issue})")
+            for known_failure in self.known_failures:
+                terminalreporter.line(f"{known_failure.test}: {known_failure.cause} ({known_failure.issue})")
 
 
 def pytest_configure(config: pytest.Config) -> None:
     path = config.rootpath / FILE
     try:
-        reds = parse(path.read_text() if path.exists() else "")
-        for red in reds:
-            check_exists(red, config.rootpath)
-    except BadList as fault:
-        raise pytest.UsageError(str(fault)) from None
-    config.pluginmanager.register(Plugin(reds))
+        known_failures = parse(path.read_text() if path.exists() else "")
+        for known_failure in known_failures:
+            check_exists(known_failure, config.rootpath)
+    except KnownFailureListError as error:
+        raise pytest.UsageError(str(error)) from None
+    config.pluginmanager.register(KnownFailuresPlugin(known_failures))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -96,7 +96,7 @@
     ],
 )
 def test_parse_when_the_list_is_invalid_then_the_error_gives_the_reason(line: str, reason: str) -> None:
-    with pytest.raises(known_red.BadList, match=reason):
+    with pytest.raises(known_red.KnownFailureListError, match=reason):
         known_red.parse(LISTED + line)
 
 
@@ -106,5 +106,5 @@
 
 
 def test_check_exists_when_the_file_is_missing_then_the_test_is_unknown(tmp_path: Path) -> None:
-    with pytest.raises(known_red.BadList, match="there is no test"):
-        known_red.check_exists(known_red.Red("tests/test_y.py::test_bad", "gone", "issue 34"), tmp_path)
+    with pytest.raises(known_red.KnownFailureListError, match="there is no test"):
+        known_red.check_exists(known_red.KnownFailure("tests/test_y.py::test_bad", "gone", "issue 34"), tmp_path)
