--- a/bench/registry.py
+++ b/bench/registry.py
@@ -199,7 +199,7 @@
             if row["state"] == "removed":
                 del self.view[row["host"]]
 
-    def on_source_failure(self, why: str) -> None: ...
+    def on_source_failure(self, reason: str) -> None: ...
 
 
 def source(r: Registry, seat: Seat, k: int) -> Any:
--- a/corallanding/controller/host_sources.py
+++ b/corallanding/controller/host_sources.py
@@ -120,10 +120,10 @@
         self.is_unsaved = True
         self._request_step()
 
-    def on_source_failure(self, why: str) -> None:
+    def on_source_failure(self, reason: str) -> None:
         """Record that the source failed, and notify the assigner if it polls the list."""
         self._context.metrics.host_source_failures.inc()
-        self._context.rate_limited_log.warn("host list source failed", why=why)
+        self._context.rate_limited_log.warn("host list source failed", why=reason)
         if self._context.settings.polls_host_list:
             failure = api.HostListUpdate(api.HostListKind.FAILED, self.view.version)
             self._engine.add_event(self._context.clock(), failure)
--- a/corallanding/endpoints/source.py
+++ b/corallanding/endpoints/source.py
@@ -32,7 +32,7 @@
     def on_host_rows(self, full: bool, version: int, rows: list[Any]) -> None:
         """Process the rows of a full list, or of changes to it."""
 
-    def on_source_failure(self, why: str) -> None:
+    def on_source_failure(self, reason: str) -> None:
         """Handle a source that cannot be reached, or whose data is invalid."""
 
 
--- a/corallanding/health_check/checker.py
+++ b/corallanding/health_check/checker.py
@@ -141,7 +141,7 @@
         self.load_in_body = load_in_body
         self.waiting: deque[tuple[int, str]] = deque()  # host and address
         self.running: set[asyncio.Task[api.HealthCheckResult]] = set()
-        self.most_in_flight_seen = 0
+        self.max_in_flight_seen = 0
 
     def check(self, host: int, address: str) -> None:
         """Start a health check, now or when another one has ended."""
@@ -157,7 +157,7 @@
             host, address = self.waiting.popleft()
             task = asyncio.get_running_loop().create_task(self.run_check(host, address))
             self.running.add(task)
-            self.most_in_flight_seen = max(self.most_in_flight_seen, len(self.running))
+            self.max_in_flight_seen = max(self.max_in_flight_seen, len(self.running))
             task.add_done_callback(partial(self.on_check_done, host, address))
 
     def on_check_done(self, host: int, address: str, task: asyncio.Task[api.HealthCheckResult]) -> None:
--- a/corallanding/platform/service.py
+++ b/corallanding/platform/service.py
@@ -100,7 +100,7 @@
             config.relay, self.relay_view, self.clock, self.on_events, self.calls.unconfirmed_table_orders, self.warn
         )
         self.lost_acks = LostAckRecovery(settings, self.relay_view, self.clock, self.on_events)
-        self.subscription.on_gap_bridged = self.lost_acks.on_gap_bridged
+        self.subscription.on_watch_resumed = self.lost_acks.on_watch_resumed
 
     # ---- start and stop ------------------------------------------------------------------------------------
 
--- a/corallanding/platform/unconfirmed_acks.py
+++ b/corallanding/platform/unconfirmed_acks.py
@@ -36,7 +36,7 @@
         self.last_version = version
         self.last_version_at_ms = now_ms
 
-    def on_gap_bridged(self) -> None:
+    def on_watch_resumed(self) -> None:
         """Assume acks after an interruption of the watch, once all orders sent before must have been applied."""
         settings = self.settings
         queue_ms = settings.max_queued_lines * 1000.0 / settings.channel_lines_per_second
--- a/corallanding/relay/subscription_connection.py
+++ b/corallanding/relay/subscription_connection.py
@@ -54,7 +54,7 @@
         self.unconfirmed_orders = unconfirmed_orders
         self.on_warning = on_warning
         self.timings = timings or WatchTimings()
-        self.on_gap_bridged: Callable[[], None] = lambda: None  # called when the watch resumes after an interruption
+        self.on_watch_resumed: Callable[[], None] = lambda: None  # called when the watch resumes after an interruption
         self.loop = asyncio.get_running_loop()
         self.connector = Connector(
             lambda address: WatchConnection(address, self.on_lines, self.on_connection_ended),
@@ -219,7 +219,7 @@
         self.on_events(self.view.replace_state(state, self.unconfirmed_orders()))
         if self.break_count > self.resumed_break_count:
             self.resumed_break_count = self.break_count
-            self.on_gap_bridged()
+            self.on_watch_resumed()
         self.reconnect()
 
     def on_entries(self) -> None:
--- a/tests/controller/test_health_checks.py
+++ b/tests/controller/test_health_checks.py
@@ -49,7 +49,7 @@
         await until(lambda: len(results) == len(expected) and not checker.running)
         assert {h: e.outcome for h, e in results.items()} == expected
         assert results[0].load == {"rif": 3.0, "q": 1.5}
-        assert checker.most_in_flight_seen == 3
+        assert checker.max_in_flight_seen == 3
         for index in range(20):
             checker.check(100 + index, "127.0.0.1:1")
         assert sum(e.outcome is api.HealthCheckOutcome.OTHER for h, e in results.items() if h >= 100) == 12, (
--- a/tests/discovery/test_damaged_lists.py
+++ b/tests/discovery/test_damaged_lists.py
@@ -12,14 +12,14 @@
 from tests.discovery.support import apply_list, listed_states
 
 
-def test_answer_when_nested_without_end_then_it_is_rejected() -> None:
+def test_answer_when_nested_too_deeply_then_it_is_rejected() -> None:
     with pytest.raises(InvalidAnswerError):
         HostListView(ZONES, KINDS).decode(b'{"seq":1,"whole":true,"hosts":' + b"[" * 5_000 + b"]" * 5_000 + b"}")
 
 
 @pytest.mark.parametrize("health", ["terminating", "terminated"])
 @pytest.mark.parametrize("is_complete", [True, False])
-def test_damaged_entry_when_its_host_leaves_then_that_is_believed(health: str, is_complete: bool) -> None:
+def test_damaged_entry_when_its_host_leaves_then_its_state_is_applied(health: str, is_complete: bool) -> None:
     view = HostListView(ZONES, KINDS)
     apply_list(view, True, list_entry("s-1"), list_entry("s-2"))
     update = apply_list(view, is_complete, list_entry("s-1", health, site="z", share="x"), list_entry("s-2"), version=2)
--- a/tests/endpoints/test_source.py
+++ b/tests/endpoints/test_source.py
@@ -52,8 +52,8 @@
         self.endpoints.apply(0.0, 0.0, full, version, rows)
         self.reports.append((full, version, len(rows)))
 
-    def on_source_failure(self, why: str) -> None:
-        self.reports.append(why)
+    def on_source_failure(self, reason: str) -> None:
+        self.reports.append(reason)
 
     async def until(self, condition: Callable[[], Any]) -> None:
         for _ in range(500):
--- a/tests/platform/support.py
+++ b/tests/platform/support.py
@@ -15,7 +15,7 @@
 
 from corallanding.platform.config import read
 from corallanding.platform.service import PlatformController
-from tests.relay.support import PING, RESULT, taken
+from tests.relay.support import PING, WATCH_RESULT, taken
 
 
 def address_text(address: Address) -> str:
@@ -61,7 +61,7 @@
             peer, message = await self.next_relay_connection()
             if message["method"] == "relay.watch":
                 self.watch = peer
-                peer.send(RESULT)
+                peer.send(WATCH_RESULT)
                 peer.send_notifications(attach(0), owner(2), entry(2, 1), PING)
             else:
                 self.call = peer
--- a/tests/platform/test_planted_races.py
+++ b/tests/platform/test_planted_races.py
@@ -251,11 +251,13 @@
     ),
     (
         old_orders_of_a_reassigned_slice_sent,
-        lambda tmp_path: call_connection_tests.test_slice_when_lost_and_given_back_then_tables_agree("unknown", False),
+        lambda tmp_path: call_connection_tests.test_slice_when_lost_and_assigned_again_then_tables_agree(
+            "unknown", False
+        ),
     ),
     (
         answers_to_other_calls_ignored,
-        lambda tmp_path: call_answer_tests.test_answer_when_doubled_then_the_next_call_is_not_affected(),
+        lambda tmp_path: call_answer_tests.test_answer_when_repeated_then_the_next_call_is_not_affected(),
     ),
     (
         address_change_lost,
@@ -267,7 +269,9 @@
     ),
     (
         quiet_time_restarted_by_every_entry,
-        lambda tmp_path: subscription_tests.test_slice_when_entries_of_others_never_cease_then_it_is_delivered(),
+        lambda tmp_path: (
+            subscription_tests.test_slice_when_entries_of_other_slices_keep_arriving_then_it_is_delivered()
+        ),
     ),
     (
         incomplete_initial_state_used,
@@ -291,10 +295,12 @@
             PeerConnection.close, [b"17"]
         ),
     ),
-    (deep_json_raises, lambda tmp_path: list_tests.test_answer_when_nested_without_end_then_it_is_rejected()),
+    (deep_json_raises, lambda tmp_path: list_tests.test_answer_when_nested_too_deeply_then_it_is_rejected()),
     (
         drain_in_damaged_entry_ignored,
-        lambda tmp_path: list_tests.test_damaged_entry_when_its_host_leaves_then_that_is_believed("terminating", True),
+        lambda tmp_path: list_tests.test_damaged_entry_when_its_host_leaves_then_its_state_is_applied(
+            "terminating", True
+        ),
     ),
     (
         end_of_discarded_connection_reported,
--- a/tests/platform/test_start.py
+++ b/tests/platform/test_start.py
@@ -17,7 +17,7 @@
 from corallanding.platform import service
 from corallanding.resp import encode
 from tests.platform.support import address_text, controller_harness
-from tests.relay.support import PING, RESULT, taken
+from tests.relay.support import PING, WATCH_RESULT, taken
 
 
 @pytest.mark.parametrize("resets", [1, 4])
@@ -33,7 +33,7 @@
                 peer = await harness.relay.next_connection()
                 message = await peer.read_message()
                 if message["method"] == "relay.watch":
-                    peer.send(RESULT)
+                    peer.send(WATCH_RESULT)
                     peer.send_notifications(attach(0), owner(2), PING)
                     await until(lambda: harness.controller.server and harness.controller.server.is_ready)
                 else:
--- a/tests/platform/test_stop_and_reload.py
+++ b/tests/platform/test_stop_and_reload.py
@@ -22,7 +22,7 @@
 from corallanding import interface as api
 from corallanding.resp import encode
 from tests.platform.support import change_addresses, controller_harness
-from tests.relay.support import PING, RESULT, taken
+from tests.relay.support import PING, WATCH_RESULT, taken
 
 
 def test_stop_when_called_then_no_step_call_or_connection_begins(tmp_path: Path) -> None:
@@ -123,7 +123,7 @@
                 await harness.poll.wait_closed()
             else:
                 assert (await peer.read_message())["method"] == "relay.watch"
-                peer.send(RESULT)
+                peer.send(WATCH_RESULT)
                 peer.send_notifications(attach(0), owner(2), entry(2, 1), PING)
                 await harness.watch.wait_closed()
             assert set(attempts.started) == {new.address}
--- a/tests/relay/support.py
+++ b/tests/relay/support.py
@@ -65,7 +65,7 @@
     return {"jsonrpc": "2.0", "id": call_id, "result": {"taken": count}}
 
 
-RESULT = {"jsonrpc": "2.0", "id": 1, "result": True}
+WATCH_RESULT = {"jsonrpc": "2.0", "id": 1, "result": True}
 PING: tuple[str, dict[str, Any]] = ("ping", {})
 
 
@@ -81,7 +81,7 @@
         self.client = Subscription(
             address, self.view, clock, self.events.extend, lambda: [], self.warnings.append, timings
         )
-        self.client.on_gap_bridged = self.on_resumed
+        self.client.on_watch_resumed = self.on_resumed
 
     def on_resumed(self) -> None:
         self.resume_count += 1
@@ -104,7 +104,7 @@
 ) -> PeerConnection:
     """Accept a watch, send these notifications and a ping, and wait until the initial state is complete."""
     peer = await accept_watch(server)
-    peer.send(RESULT)
+    peer.send(WATCH_RESULT)
     peer.send_notifications(*rows, PING)
     await until(lambda: watch.client.current and watch.client.candidate is None)
     return peer
--- a/tests/relay/test_call_answers.py
+++ b/tests/relay/test_call_answers.py
@@ -14,7 +14,7 @@
 from tests.relay.support import open_call, receive_call, taken
 
 
-def test_answer_when_doubled_then_the_next_call_is_not_affected() -> None:
+def test_answer_when_repeated_then_the_next_call_is_not_affected() -> None:
     async def scenario() -> None:
         async with open_call() as (_, caller, peer):
             first = await receive_call(peer, 1)
--- a/tests/relay/test_call_connection.py
+++ b/tests/relay/test_call_connection.py
@@ -185,7 +185,7 @@
 @pytest.mark.parametrize(
     ("outcome", "is_executed"), [("answered", True), ("unknown", True), ("unknown", False), ("throttled", False)]
 )
-def test_slice_when_lost_and_given_back_then_tables_agree(outcome: str, is_executed: bool) -> None:
+def test_slice_when_lost_and_assigned_again_then_tables_agree(outcome: str, is_executed: bool) -> None:
     """In all interleavings of call and ownership changes, the stored table is finally the assumed one."""
     for positions in combinations(range(5), 2):
         scenario = SliceScenario(outcome, is_executed)
--- a/tests/relay/test_subscription_connection.py
+++ b/tests/relay/test_subscription_connection.py
@@ -26,7 +26,7 @@
 
 from corallanding import interface as api
 from corallanding.relay.notifications import InvalidNotificationError, parse_notification
-from tests.relay.support import PING, RESULT, RecordingWatch, accept_watch, proxy_joined, send_initial_state
+from tests.relay.support import PING, WATCH_RESULT, RecordingWatch, accept_watch, proxy_joined, send_initial_state
 
 
 @pytest.mark.parametrize("end", [PeerConnection.close, PeerConnection.reset])
@@ -95,7 +95,7 @@
             watch = RecordingWatch(server.address)
             watch.client.start()
             peer = await accept_watch(server)
-            peer.send(RESULT)
+            peer.send(WATCH_RESULT)
             peer.send_notifications(attach(3), owner(2))
             await until(
                 lambda: (
@@ -113,7 +113,8 @@
 
 
 @pytest.mark.parametrize(
-    "first", [[("send_notifications", PING)], [("send_notifications", PING), ("send", RESULT), ("send", RESULT)]]
+    "first",
+    [[("send_notifications", PING)], [("send_notifications", PING), ("send", WATCH_RESULT), ("send", WATCH_RESULT)]],
 )
 def test_ping_when_before_the_result_then_the_initial_state_is_not_complete(first: list[tuple[str, Any]]) -> None:
     async def scenario() -> None:
@@ -126,7 +127,7 @@
             await yield_to_loop()
             assert not watch.client.has_been_ready
             assert not watch.events
-            peer.send(RESULT)
+            peer.send(WATCH_RESULT)
             peer.send_notifications(attach(3), PING)
             await until(lambda: watch.client.has_been_ready)
             assert watch.take_events() == [proxy_joined(3)]
@@ -179,7 +180,7 @@
     run_async(scenario)
 
 
-def test_slice_when_entries_of_others_never_cease_then_it_is_delivered() -> None:
+def test_slice_when_entries_of_other_slices_keep_arriving_then_it_is_delivered() -> None:
     async def scenario() -> None:
         watch, now, due = RecordingWatch(("127.0.0.1", 1), entries_quiet_ms=30.0), 0.0, list[float]()
 
@@ -208,7 +209,7 @@
             watch.take_events()
             watch.client.set_address(new.address)
             second = await accept_watch(new)
-            second.send(RESULT)
+            second.send(WATCH_RESULT)
             second.send_notifications(attach(3), attach(5), owner(2), entry(2, 1))
             first.send_notifications(attach(4), owner(2, False))
             await until(lambda: len(watch.events) == 2)
@@ -242,7 +243,7 @@
             peer = await accept_watch(server)
             await silent_peer.wait_closed()
             watch.client.timings = replace(watch.client.timings, silence_timeout_ms=LONG_TIMEOUT_MS)
-            peer.send(RESULT)
+            peer.send(WATCH_RESULT)
             peer.send_notifications(attach(3), PING)
             await until(lambda: watch.events)
             watch.client.close()
