--- a/corallanding/collector/reports.py
+++ b/corallanding/collector/reports.py
@@ -12,7 +12,7 @@
 
 from .. import interface as api
 from ..errors import ProtocolError
-from ..host_names import number
+from ..host_names import host_number
 
 MAX_NUMBER_CHARACTERS = 32
 MAX_METRICS = 16
@@ -80,7 +80,7 @@
         """Parse the attempts that proxies of a zone made at a host. Raises RejectedReportError."""
         zone = number_of_name(fields, "locality", self.names.zones)
         try:
-            host = number(required_text(fields, "endpoint"))
+            host = host_number(required_text(fields, "endpoint"))
         except ValueError:
             raise RejectedReportError("endpoint unknown") from None
         if host not in self.hosts:
--- a/corallanding/discovery/host_list.py
+++ b/corallanding/discovery/host_list.py
@@ -14,7 +14,7 @@
 
 from .. import interface as api
 from ..errors import ProtocolError
-from ..host_names import number
+from ..host_names import host_number
 from ..json_errors import JSON_DECODE_ERRORS
 
 HOST_STATES = {
@@ -88,7 +88,7 @@
         """Parse one entry. Raises InvalidAnswerError, whose message names the host and the field."""
         try:
             entry = msgspec.convert(raw, ListEntry)
-            host = number(entry.host)
+            host = host_number(entry.host)
         except (msgspec.ValidationError, ValueError) as error:
             name = raw.get("host", "?") if isinstance(raw, dict) else raw
             raise InvalidAnswerError(f"entry of host {str(name)[:MAX_QUOTED]}: {error}") from None
@@ -126,7 +126,7 @@
         if not isinstance(name, str):
             return None
         try:
-            entry = self.entries.get(number(name))
+            entry = self.entries.get(host_number(name))
         except ValueError:
             return None
         health = fields.get("health")
--- a/corallanding/host_names.py
+++ b/corallanding/host_names.py
@@ -10,7 +10,7 @@
 MAX_NAME_BYTES = 64
 
 
-def number(name: str) -> int:
+def host_number(name: str) -> int:
     """Return the number of a host name. Raises ValueError if the name is empty or longer than `MAX_NAME_BYTES`."""
     raw = name.encode()
     if not 0 < len(raw) <= MAX_NAME_BYTES:
@@ -18,6 +18,6 @@
     return int.from_bytes(b"\x01" + raw, "big")
 
 
-def name(number: int) -> str:
+def host_name(number: int) -> str:
     """Return the name from which `number` was computed."""
     return number.to_bytes((number.bit_length() + 7) // 8, "big")[1:].decode()
--- a/corallanding/platform/endpoint_updates.py
+++ b/corallanding/platform/endpoint_updates.py
@@ -7,7 +7,7 @@
 from .. import interface as api
 from ..discovery.host_list import HostListView, InvalidAnswerError, ListAnswer
 from ..discovery.long_poll import DiscoveryClient
-from ..host_names import name
+from ..host_names import host_name
 from .config import Config
 from .logs import RateLimitedLogger, log
 
@@ -51,7 +51,9 @@
             return False
         update = self.view.apply(answer)
         if self.is_traced and update:
-            rows = " ".join(f"{name(entry.host)}:{entry.state}:{entry.online_since:.0f}" for entry in update.entries)
+            rows = " ".join(
+                f"{host_name(entry.host)}:{entry.state}:{entry.online_since:.0f}" for entry in update.entries
+            )
             log.info("list %d %s %s", update.version, update.kind.value, rows)
         self.log_rejected_entries()
         if update or self.client.on_request:
--- a/corallanding/platform/service.py
+++ b/corallanding/platform/service.py
@@ -13,7 +13,7 @@
 from ..collector.server import CollectorServer
 from ..controller.event_inbox import EventInbox
 from ..health_check.checker import HealthChecker
-from ..host_names import name
+from ..host_names import host_name
 from ..relay.call_connection import CallConnection
 from ..relay.channel import ChannelEstimate
 from ..relay.orders import Order, TableOrder
@@ -184,7 +184,9 @@
     def on_health_check(self, result: api.HealthCheckResult) -> None:
         """Add the result of a health check for the next step."""
         if self.is_traced:
-            log.info("health check of %s: %s after %.0f ms", name(result.host), result.outcome.value, result.latency_ms)
+            log.info(
+                "health check of %s: %s after %.0f ms", host_name(result.host), result.outcome.value, result.latency_ms
+            )
         self.on_events([result])
 
     def on_orders_confirmed(self, orders: list[Order]) -> None:
--- a/corallanding/platform/trace.py
+++ b/corallanding/platform/trace.py
@@ -13,7 +13,7 @@
 from ..controller.event_inbox import EventInbox
 from ..discovery.host_list import HostListView
 from ..discovery.long_poll import DiscoveryClient
-from ..host_names import name
+from ..host_names import host_name
 from ..relay.orders import Order
 from ..relay.pending_calls import PendingCalls
 from ..relay.subscription import RelayView
@@ -57,9 +57,9 @@
 def _describe_order(order: Order) -> str:
     match order:
         case api.SetWeight():
-            return f"{order.slice}{'+' if order.weight > 0 else '-'}{name(order.host)}"
+            return f"{order.slice}{'+' if order.weight > 0 else '-'}{host_name(order.host)}"
         case api.Cordon():
-            return f"{'cordon' if order.is_cordoned else 'uncordon'} {name(order.host)}"
+            return f"{'cordon' if order.is_cordoned else 'uncordon'} {host_name(order.host)}"
         case _:
             return str(order)
 
@@ -101,7 +101,7 @@
     slowest = sorted(listed, key=lambda host: -host.latency_ratio)
     eligible = sum(host.is_eligible for host in assigner.hosts.values())
     worst = " ".join(
-        f"{name(host.id)}:{host.latency_ratio:.2f}/{host.load:.1f}/{host.fair_load:.1f}"
+        f"{host_name(host.id)}:{host.latency_ratio:.2f}/{host.load:.1f}/{host.fair_load:.1f}"
         for host in slowest[:MAX_SHOWN_HOSTS]
     )
     yield (
@@ -116,4 +116,4 @@
         slices = " ".join(
             f"{item.id}:{item.load_per_host:.1f}x{1 + len(item.replicas)}" for item in owned[:MAX_SHOWN_SLICES]
         )
-        yield f"{name(slowest[0].id)} owns {slices}"
+        yield f"{host_name(slowest[0].id)} owns {slices}"
--- a/corallanding/relay/notifications.py
+++ b/corallanding/relay/notifications.py
@@ -8,7 +8,7 @@
 
 from .. import interface as api
 from ..errors import ProtocolError
-from ..host_names import number
+from ..host_names import host_number
 from ..json_errors import JSON_DECODE_ERRORS
 
 VERSION_LIMIT = 65_536  # versions are below this
@@ -97,7 +97,7 @@
     def table_entry(self, params: dict[str, Any]) -> TableEntry:
         """Return one entry of a table."""
         try:
-            host = number(str(params.get("endpoint")))
+            host = host_number(str(params.get("endpoint")))
         except ValueError:
             raise InvalidNotificationError(f"endpoint={params.get('endpoint')!r}") from None
         return TableEntry(self.slice(params), host, non_negative_number(params, "w"))
--- a/corallanding/relay/orders.py
+++ b/corallanding/relay/orders.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from .. import interface as api
-from ..host_names import name
+from ..host_names import host_name
 
 Order = api.SetWeight | api.ResetTable | api.Cordon | api.SetAdmission | api.PublishVersion
 """An action of the assigner that the relay carries out."""
@@ -91,11 +91,11 @@
 def _operation(order: Order, request_classes: list[str]) -> dict[str, Any]:
     match order:
         case api.SetWeight():
-            return {"op": "SET", "table": order.slice, "endpoint": name(order.host), "w": order.weight}
+            return {"op": "SET", "table": order.slice, "endpoint": host_name(order.host), "w": order.weight}
         case api.ResetTable():
             return {"op": "DEL", "table": order.slice}
         case api.Cordon():
-            return {"op": "OUT" if order.is_cordoned else "IN", "endpoint": name(order.host)}
+            return {"op": "OUT" if order.is_cordoned else "IN", "endpoint": host_name(order.host)}
         case api.SetAdmission():
             return _admission(order, request_classes)
         case api.PublishVersion():
--- a/tests/assignment/test_any_settings.py
+++ b/tests/assignment/test_any_settings.py
@@ -14,7 +14,7 @@
 from corallanding.assignment import Assigner
 from corallanding.collector.reports import ReportIntake
 from corallanding.controller.event_inbox import EventInbox
-from corallanding.host_names import number
+from corallanding.host_names import host_number
 from corallanding.platform.config import Config, InvalidConfigError, parse
 from corallanding.relay.channel import ChannelEstimate
 from corallanding.relay.pending_calls import PendingCalls
@@ -147,7 +147,7 @@
 
     def run(self) -> None:
         """Run steps in which hosts are added, drain, fail and are removed, and proxies and slices come and go."""
-        hosts = [number(f"h{index}") for index in range(4)]
+        hosts = [host_number(f"h{index}") for index in range(4)]
         zone_count = max(1, self.settings.zone_count)
         entries = [api.HostEntry(host, index % zone_count, 0, index) for index, host in enumerate(hosts)]
         proxies = range(min(self.settings.proxy_count, 3))
--- a/tests/discovery/support.py
+++ b/tests/discovery/support.py
@@ -11,7 +11,7 @@
 from corallanding import interface as api
 from corallanding.discovery.host_list import HostListView, ListAnswer
 from corallanding.discovery.long_poll import DiscoveryClient
-from corallanding.host_names import name
+from corallanding.host_names import host_name
 
 
 class RecordingReceiver:
@@ -80,4 +80,4 @@
 
 def listed_states(view: HostListView) -> dict[str, str]:
     """Return the states of the hosts in the view, by name."""
-    return {name(host): entry.state for host, entry in view.entries.items()}
+    return {host_name(host): entry.state for host, entry in view.entries.items()}
--- a/tests/discovery/test_host_list.py
+++ b/tests/discovery/test_host_list.py
@@ -9,7 +9,7 @@
 
 from corallanding import interface as api
 from corallanding.discovery.host_list import MAX_REMOVED_HOSTS, HostListView, InvalidAnswerError
-from corallanding.host_names import name, number
+from corallanding.host_names import host_name, host_number
 from tests.discovery.support import apply_list, listed_states
 
 
@@ -20,8 +20,8 @@
         api.HostListKind.FULL,
         1,
         (
-            api.HostEntry(number("s-1"), 0, 0, 3, "up", 1.0, 0.0),
-            api.HostEntry(number("s-2"), 1, 0, 3, "up", 1.0, 1_700_000_000_000.0),
+            api.HostEntry(host_number("s-1"), 0, 0, 3, "up", 1.0, 0.0),
+            api.HostEntry(host_number("s-2"), 1, 0, 3, "up", 1.0, 1_700_000_000_000.0),
         ),
     )
     assert apply_list(view, False, version=2) is None
@@ -33,10 +33,10 @@
     assert change.kind is api.HostListKind.CHANGES
     assert [e.state for e in change.entries] == ["draining", "removed"]
     assert listed_states(view) == {"s-1": "draining"}
-    assert number("s-2") in view.addresses  # a load report or health check of it may still be in progress
+    assert host_number("s-2") in view.addresses  # a load report or health check of it may still be in progress
     full = apply_list(view, True, list_entry("s-3"))
     assert full
-    assert [name(e.host) for e in full.entries] == ["s-3"]
+    assert [host_name(e.host) for e in full.entries] == ["s-3"]
 
 
 @pytest.mark.parametrize(
--- a/tests/platform/test_mutated_messages.py
+++ b/tests/platform/test_mutated_messages.py
@@ -16,7 +16,7 @@
 
 from corallanding import interface as api
 from corallanding.discovery.host_list import HostListView, InvalidAnswerError
-from corallanding.host_names import number
+from corallanding.host_names import host_number
 from corallanding.relay.notifications import InvalidNotificationError, parse_notification
 from corallanding.relay.pending_calls import PendingCalls
 from corallanding.relay.subscription import InitialState, RelayView
@@ -182,7 +182,9 @@
             continue  # a mutation outside the entries: the answer is rejected, or it is a different list
         host = LISTS[index]["hosts"][int(path.split(".")[1])]["host"]
         others = {
-            h: entry for h, entry in expected.entries.items() if h not in (number(host), number("x"), number("s-0"))
+            h: entry
+            for h, entry in expected.entries.items()
+            if h not in (host_number(host), host_number("x"), host_number("s-0"))
         }
         assert {h: entry for h, entry in view.entries.items() if h in others} == others, mutant
 
--- a/tests/platform/test_planted_races.py
+++ b/tests/platform/test_planted_races.py
@@ -190,7 +190,9 @@
 
 def drain_in_damaged_entry_ignored(patch: Patch) -> None:
     patch.setattr(
-        discovery.HostListView, "last_good_entry", lambda self, raw: self.entries.get(discovery.number(raw["host"]))
+        discovery.HostListView,
+        "last_good_entry",
+        lambda self, raw: self.entries.get(discovery.host_number(raw["host"])),
     )
 
 
--- a/tests/platform_samples.py
+++ b/tests/platform_samples.py
@@ -9,7 +9,7 @@
 from corallanding import interface as api
 from corallanding.collector.reports import NameTables, ReportIntake
 from corallanding.collector.session import CollectorSession
-from corallanding.host_names import number
+from corallanding.host_names import host_number
 from corallanding.relay.notifications import parse_notification
 from corallanding.relay.subscription import InitialState, RelayView
 from corallanding.resp import encode
@@ -21,7 +21,7 @@
 SETTINGS = api.Settings(
     (LOOKUP, CLAIM), zone_count=2, slice_count=8, proxy_count=20, report_interval_ms=500.0, may_check_health=True
 )
-HOSTS = [number(f"s-{n}") for n in range(6)]
+HOSTS = [host_number(f"s-{n}") for n in range(6)]
 
 
 def report_intake(slices: set[int] | dict[int, dict[int, float]]) -> ReportIntake:
