--- a/bench/registry.py
+++ b/bench/registry.py
@@ -228,7 +228,7 @@
             if row["state"] == "removed":
                 del self.states[row["host"]]
 
-    def on_source_failure(self, why: str) -> None:
+    def on_source_failure(self, reason: str) -> None:
         """Ignore the failure; the source retries."""
 
 
--- a/corallanding/platform/service.py
+++ b/corallanding/platform/service.py
@@ -13,7 +13,7 @@
 from ..collector.server import CollectorServer
 from ..controller.event_inbox import EventInbox
 from ..health_check.checker import HealthChecker
-from ..host_names import name
+from ..host_names import host_name
 from ..relay.call_connection import CallConnection
 from ..relay.channel import ChannelEstimate
 from ..relay.orders import Order, TableOrder
@@ -100,7 +100,7 @@
             config.relay, self.relay_view, self.clock, self.on_events, self.calls.unconfirmed_table_orders, self.warn
         )
         self.lost_acks = LostAckRecovery(settings, self.relay_view, self.clock, self.on_events)
-        self.subscription.on_gap_bridged = self.lost_acks.on_gap_bridged
+        self.subscription.on_watch_resumed = self.lost_acks.on_watch_resumed
 
     # ---- start and stop ------------------------------------------------------------------------------------
 
@@ -184,7 +184,9 @@
     def on_health_check(self, result: api.HealthCheckResult) -> None:
         """Add the result of a health check for the next step."""
         if self.is_traced:
-            log.info("health check of %s: %s after %.0f ms", name(result.host), result.outcome.value, result.latency_ms)
+            log.info(
+                "health check of %s: %s after %.0f ms", host_name(result.host), result.outcome.value, result.latency_ms
+            )
         self.on_events([result])
 
     def on_orders_confirmed(self, orders: list[Order]) -> None:
--- a/tests/platform/test_planted_races.py
+++ b/tests/platform/test_planted_races.py
@@ -10,7 +10,7 @@
 import forced_order
 import msgspec
 import pytest
-from forced_order import Side
+from forced_order import PeerConnection
 
 from corallanding import connection
 from corallanding.collector import server
@@ -190,7 +190,9 @@
 
 def drain_in_damaged_entry_ignored(patch: Patch) -> None:
     patch.setattr(
-        discovery.HostListView, "last_good_entry", lambda self, raw: self.entries.get(discovery.number(raw["host"]))
+        discovery.HostListView,
+        "last_good_entry",
+        lambda self, raw: self.entries.get(discovery.host_number(raw["host"])),
     )
 
 
@@ -204,11 +206,15 @@
 REINTRODUCED_RACES: list[tuple[Callable[[Patch], None], Callable[[Path], None]]] = [
     (
         adopted_late,
-        lambda tmp_path: call_connection_tests.test_connection_when_it_breaks_at_once_then_no_call_uses_it(Side.reset),
+        lambda tmp_path: call_connection_tests.test_connection_when_it_breaks_at_once_then_no_call_uses_it(
+            PeerConnection.reset
+        ),
     ),
     (
         adopted_late,
-        lambda tmp_path: subscription_tests.test_watch_when_it_breaks_at_once_then_it_is_requested_again(Side.close),
+        lambda tmp_path: subscription_tests.test_watch_when_it_breaks_at_once_then_it_is_requested_again(
+            PeerConnection.close
+        ),
     ),
     (
         attempt_not_cancelled,
@@ -247,11 +253,13 @@
     ),
     (
         old_orders_of_a_reassigned_slice_sent,
-        lambda tmp_path: call_connection_tests.test_slice_when_lost_and_given_back_then_tables_agree("unknown", False),
+        lambda tmp_path: call_connection_tests.test_slice_when_lost_and_assigned_again_then_tables_agree(
+            "unknown", False
+        ),
     ),
     (
         answers_to_other_calls_ignored,
-        lambda tmp_path: call_answer_tests.test_answer_when_doubled_then_the_next_call_is_not_affected(),
+        lambda tmp_path: call_answer_tests.test_answer_when_repeated_then_the_next_call_is_not_affected(),
     ),
     (
         address_change_lost,
@@ -263,7 +271,9 @@
     ),
     (
         quiet_time_restarted_by_every_entry,
-        lambda tmp_path: subscription_tests.test_slice_when_entries_of_others_never_cease_then_it_is_delivered(),
+        lambda tmp_path: (
+            subscription_tests.test_slice_when_entries_of_other_slices_keep_arriving_then_it_is_delivered()
+        ),
     ),
     (
         incomplete_initial_state_used,
@@ -284,17 +294,19 @@
     (
         body_length_required,
         lambda tmp_path: answer_tests.test_body_when_it_has_no_length_then_it_ends_with_the_connection(
-            Side.close, [b"17"]
+            PeerConnection.close, [b"17"]
         ),
     ),
-    (deep_json_raises, lambda tmp_path: list_tests.test_answer_when_nested_without_end_then_it_is_rejected()),
+    (deep_json_raises, lambda tmp_path: list_tests.test_answer_when_nested_too_deeply_then_it_is_rejected()),
     (
         drain_in_damaged_entry_ignored,
-        lambda tmp_path: list_tests.test_damaged_entry_when_its_host_leaves_then_that_is_believed("terminating", True),
+        lambda tmp_path: list_tests.test_damaged_entry_when_its_host_leaves_then_its_state_is_applied(
+            "terminating", True
+        ),
     ),
     (
         end_of_discarded_connection_reported,
-        lambda tmp_path: connection_end(Side.close),
+        lambda tmp_path: connection_end(PeerConnection.close),
     ),
 ]
 
@@ -306,7 +318,7 @@
     reintroduce: Callable[[Patch], None], run_test: Callable[[Path], None], monkeypatch: Patch, tmp_path: Path
 ) -> None:
     run_test(tmp_path)
-    monkeypatch.setattr(forced_order, "LONG", 1.0)
+    monkeypatch.setattr(forced_order, "TEST_TIMEOUT_SECONDS", 1.0)
     reintroduce(monkeypatch)
     with pytest.raises((AssertionError, TimeoutError, RecursionError, ConnectionError, asyncio.IncompleteReadError)):
         run_test(tmp_path)
