--- a/corallanding/assignment/load_estimate.py
+++ b/corallanding/assignment/load_estimate.py
@@ -149,9 +149,9 @@
         host.capacity = self.capacity_of(host)
         host.latency_ratio = latency_ratio(host, self.host_health.min_latency_objective_ms)
         window_ms = self.fleet.feedback_delay_ms if host.is_warming_up else self.fleet.report_window_ms
-        if now_ms - host.taking_since_ms > window_ms:
+        if now_ms - host.taking_window_started_at_ms > window_ms:
             host.slices_taken = 0
-            host.taking_since_ms = now_ms
+            host.taking_window_started_at_ms = now_ms
 
     def _choose_eligible_hosts(self, present: list[Host]) -> list[Host]:
         """Choose the hosts that may own slices, and return the serving hosts, which include failing ones."""
--- a/corallanding/assignment/load_shedding.py
+++ b/corallanding/assignment/load_shedding.py
@@ -48,7 +48,7 @@
         self.placement = placement
         self.fleet = fleet
         self.publication = host_health.publication
-        self.is_shared = host_health.settings.controller_count > 1  # several controllers share the slices
+        self.has_several_controllers = host_health.settings.controller_count > 1
 
     # Hot slices at sites with several controllers.
 
@@ -57,7 +57,7 @@
 
         Only with several controllers: each receives few reports then, and adding one replica at a time is too slow.
         """
-        if not self.is_shared:
+        if not self.has_several_controllers:
             return
         for slice_ in self.slices.values():
             replica_count = len(slice_.replicas)
@@ -123,7 +123,7 @@
         if self.publication.now_ms - host.shed_at_ms <= fleet.feedback_delay_ms:
             # Reports do not show the effect of the last shedding yet. A host far over its fair load continues towards
             # its previous target, as the gate delayed some slices.
-            target_load = host.shed_target_load if is_far_over and self.is_shared else host.load
+            target_load = host.shed_target_load if is_far_over and self.has_several_controllers else host.load
             return SheddingPlan(target_load, fleet.overload_ratio, is_first=False)
         ratio = self._cautious_latency_ratio(host)
         excess = utilization if is_far_over and ratio > CALM_RATIO else 1.0
@@ -135,7 +135,7 @@
 
         With several controllers, each receives reports of only some of the attempts at a host.
         """
-        is_calm = self.is_shared and self.fleet.median_latency_ratio < CALM_RATIO
+        is_calm = self.has_several_controllers and self.fleet.median_latency_ratio < CALM_RATIO
         attempts = host.successes + host.failures
         if not attempts:
             return 0.0
--- a/corallanding/assignment/state.py
+++ b/corallanding/assignment/state.py
@@ -47,7 +47,7 @@
     # Results of decisions.
     is_cordoned: bool = False
     slices_taken: int = 0  # number of slices assigned to it in the current window
-    taking_since_ms: float = -math.inf  # start of that window
+    taking_window_started_at_ms: float = -math.inf  # start of that window
     shed_at_ms: float = -math.inf  # time at which a slice last left it because of overload
     shed_target_load: float = math.inf  # target load of that shedding, in requests per second
     scores: dict[int, float] = field(default_factory=dict)  # cached rendezvous scores that were requested, by slice
--- a/corallanding/channel/channel.py
+++ b/corallanding/channel/channel.py
@@ -127,7 +127,7 @@
     def take_due(self, now_ms: float) -> list[tuple[int, Message]]:
         """Return the messages that are due at `now_ms`, each with its proxy, in sending order.
 
-        Call it again at `next_due_at`, and when a socket accepts data again.
+        Call it again at `next_due_at_ms`, and when a socket accepts data again.
         """
         due: list[tuple[int, Message]] = []
         while self.delayed_queues and self.delayed_queues[0][0] <= now_ms:
@@ -179,7 +179,7 @@
             queue.sent_at_ms.popleft()
         return len(queue.sent_at_ms) >= self.limits.max_messages
 
-    def next_due_at(self, now_ms: float) -> float | None:
+    def next_due_at_ms(self, now_ms: float) -> float | None:
         """Return the time at which `take_due` may return messages; None if none are queued or all wait for sockets."""
         times = []
         if any(self.schedules):
--- a/corallanding/controller/proxy_channel.py
+++ b/corallanding/controller/proxy_channel.py
@@ -49,7 +49,7 @@
         self._send_due(now_ms)
         self._publish_metrics()
         self.pause()
-        next_at_ms = self._channel.next_due_at(now_ms)
+        next_at_ms = self._channel.next_due_at_ms(now_ms)
         if next_at_ms is not None and self._context.lifecycle.is_running:
             delay_s = max(MIN_PUMP_DELAY_S, (next_at_ms - now_ms) / 1000.0)
             self._timer = asyncio.get_running_loop().call_later(delay_s, self.pump)
--- a/corallanding/snapshot/stored_fields.py
+++ b/corallanding/snapshot/stored_fields.py
@@ -24,7 +24,7 @@
     "echo": "health_check_latency_ms",
     "cordoned": "is_cordoned",
     "taken": "slices_taken",
-    "taken_at": "taking_since_ms",
+    "taken_at": "taking_window_started_at_ms",
     "shed_at": "shed_at_ms",
     "goal": "shed_target_load",
     "pooled": "is_eligible",
--- a/tests/assignment/generated_days.py
+++ b/tests/assignment/generated_days.py
@@ -35,7 +35,7 @@
 MakeAssigner = Callable[[api.Settings, int], Any]
 
 
-class Plan(NamedTuple):
+class ScenarioPlan(NamedTuple):
     """Parameters of one generated day: seed, settings that differ from the base, numbers of hosts and slices."""
 
     seed: int
@@ -44,8 +44,8 @@
     slices: int
 
 
-DAYS = [
-    Plan(seed, VARIANTS[seed % len(VARIANTS)], (6, 14, 40, 25)[seed % 4], (12, 30, 90, 160)[seed // 2 % 4])
+SCENARIO_PLANS = [
+    ScenarioPlan(seed, VARIANTS[seed % len(VARIANTS)], (6, 14, 40, 25)[seed % 4], (12, 30, 90, 160)[seed // 2 % 4])
     for seed in range(16)
 ]
 
@@ -63,10 +63,10 @@
     return f"{stored_names.NAMES[type(action)]}({values})".replace("<RetryMode.", "<Retry.")
 
 
-class Day(GeneratedWorld):
+class GeneratedScenario(GeneratedWorld):
     """One generated day, with its assigner and the running checksum of its actions."""
 
-    def __init__(self, make_assigner: MakeAssigner, plan: Plan) -> None:
+    def __init__(self, make_assigner: MakeAssigner, plan: ScenarioPlan) -> None:
         base = {
             "request_classes": (QUOTE, CLAIM),
             "slice_count": plan.slices,
@@ -138,9 +138,9 @@
 
 def run_day(make_assigner: MakeAssigner, seed: int) -> list[int]:
     """Run the day with that seed, and return its checksums."""
-    return Day(make_assigner, DAYS[seed]).run()
+    return GeneratedScenario(make_assigner, SCENARIO_PLANS[seed]).run()
 
 
 def write_golden_days(make_assigner: MakeAssigner) -> None:
     """Write the checksums of this assigner's decisions as the new golden file."""
-    GOLDEN_DAYS.write_text(json.dumps({plan.seed: run_day(make_assigner, plan.seed) for plan in DAYS}) + "\n")
+    GOLDEN_DAYS.write_text(json.dumps({plan.seed: run_day(make_assigner, plan.seed) for plan in SCENARIO_PLANS}) + "\n")
--- a/tests/assignment/test_golden_days.py
+++ b/tests/assignment/test_golden_days.py
@@ -10,12 +10,12 @@
 from corallanding.assignment import Assigner
 from corallanding.assignment.state import Host
 from corallanding.controller.recorder import find_difference, read_recording
-from tests.assignment.generated_days import CHECKSUM_STEPS, DAYS, GOLDEN, golden_checksums, run_day
+from tests.assignment.generated_days import CHECKSUM_STEPS, GOLDEN, SCENARIO_PLANS, golden_checksums, run_day
 
 GOLDEN_CHECKSUMS = golden_checksums()
 
 
-@pytest.mark.parametrize("seed", range(len(DAYS)))
+@pytest.mark.parametrize("seed", range(len(SCENARIO_PLANS)))
 def test_generated_day_when_run_then_every_action_matches_the_golden_checksums(seed: int) -> None:
     checksums = run_day(Assigner, seed)
     golden = GOLDEN_CHECKSUMS[str(seed)]
--- a/tests/channel/test_overtaking.py
+++ b/tests/channel/test_overtaking.py
@@ -113,7 +113,7 @@
     channel.set_blocked(1, is_blocked=True)
     submit(channel, 0.0, make_orders(1, 1, (1, 71, 1.0)), (1,))
     assert channel.take_due(1.0) == []
-    assert channel.next_due_at(1.0) is None
+    assert channel.next_due_at_ms(1.0) is None
     submit(channel, 2.0, make_orders(2, 2, (2, 72, 1.0), (2, 71, 0.0)), (1,), is_urgent=True)
     assert channel.take_due(3.0) == []
     channel.set_blocked(1, is_blocked=False)
--- a/tests/channel/test_pacing.py
+++ b/tests/channel/test_pacing.py
@@ -48,7 +48,7 @@
     for number in range(3):
         channel.submit(Message(b"%d" % number, 1, number, 0.0), (1,))
     assert [message.frame for _, message in channel.take_due(1.0)] == [b"0", b"1"]
-    assert channel.next_due_at(1.0) == 1001.0
+    assert channel.next_due_at_ms(1.0) == 1001.0
     assert channel.take_due(1000.0) == []
     assert [message.frame for _, message in channel.take_due(1001.0)] == [b"2"]
 
--- a/tests/snapshot/test_assigner_state.py
+++ b/tests/snapshot/test_assigner_state.py
@@ -10,7 +10,7 @@
 from corallanding.snapshot import file
 from corallanding.snapshot.assigner_state import AssignerState, AssignerStateError, dump, load
 from corallanding.snapshot.stored_fields import VALUE_PATHS
-from tests.assignment.generated_days import DAYS, QUOTE, Day, Plan, golden_checksums
+from tests.assignment.generated_days import QUOTE, SCENARIO_PLANS, GeneratedScenario, ScenarioPlan, golden_checksums
 
 GOLDEN_CHECKSUMS = golden_checksums()
 
@@ -25,7 +25,7 @@
     {
         # Derived from settings and seed, or shared between components.
         *("settings", "seed", "hosts", "slices", "rendezvous", "may_begin", "handlers", "decision_interval_ms"),
-        *("min_latency_objective_ms", "is_shared"),
+        *("min_latency_objective_ms", "has_several_controllers"),
         # Recomputed within a step, or at the start of each decision.
         *("actions", "is_ordinary_decision_due", "eligible_hosts", "spare_loads", "hosts_with_changed_load"),
     }
@@ -36,10 +36,10 @@
 )
 
 
-class InterruptedDay(Day):
+class InterruptedDay(GeneratedScenario):
     """A generated scenario whose assigner is dumped, serialized and loaded again after every `interval` steps."""
 
-    def __init__(self, plan: Plan, interval: int) -> None:
+    def __init__(self, plan: ScenarioPlan, interval: int) -> None:
         self.interval = interval
         self.steps = 0
         super().__init__(Assigner, plan)
@@ -57,7 +57,7 @@
     ("seed", "interval"), [(0, 1), (1, 7), (2, 13), (5, 50), (7, 97), (11, 31), (15, 400), (12, 1)]
 )
 def test_an_assigner_when_dumped_and_loaded_then_it_behaves_as_if_never_stopped(seed: int, interval: int) -> None:
-    day = InterruptedDay(DAYS[seed], interval)
+    day = InterruptedDay(SCENARIO_PLANS[seed], interval)
     assert day.run() == GOLDEN_CHECKSUMS[str(seed)]
     assert day.steps // interval > 5
 
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -172,7 +172,7 @@
     "echo": lambda h: h.health_check_latency_ms,
     "cordoned": lambda h: h.is_cordoned,
     "taken": lambda h: h.slices_taken,
-    "taken_at": lambda h: h.taking_since_ms,
+    "taken_at": lambda h: h.taking_window_started_at_ms,
     "shed_at": lambda h: h.shed_at_ms,
     "goal": lambda h: h.shed_target_load,
     "pooled": lambda h: h.is_eligible,
