--- a/corallanding/controller/active_recording.py
+++ b/corallanding/controller/active_recording.py
@@ -41,7 +41,7 @@
         """Record one step."""
         if self._recorder is None:
             return
-        self._recorder.write_step(step.now, step.events, step.actions)
+        self._recorder.write_step(step.now_ms, step.events, step.actions)
         if self._recorder.is_stopped:
             self.end(self._recorder.stop_reason)
 
--- a/corallanding/controller/clock.py
+++ b/corallanding/controller/clock.py
@@ -12,15 +12,16 @@
 class Clock:
     """A clock in ms that starts at `ORIGIN_MS` and never decreases, even if its source does.
 
-    source: returns monotonic seconds. zero: the source's reading at `ORIGIN_MS`; restoring a saved state sets it.
+    source: returns monotonic seconds. origin_reading_s: the source's reading at `ORIGIN_MS`; restoring a saved state
+    sets it.
     """
 
     def __init__(self, source: Callable[[], float] = time.monotonic) -> None:
         self.source = source
-        self.zero = source()
+        self.origin_reading_s = source()
         self.last = ORIGIN_MS
 
     def __call__(self) -> float:
         """Return the current time in ms."""
-        self.last = max(self.last, ORIGIN_MS + (self.source() - self.zero) * 1000.0)
+        self.last = max(self.last, ORIGIN_MS + (self.source() - self.origin_reading_s) * 1000.0)
         return self.last
--- a/corallanding/controller/components.py
+++ b/corallanding/controller/components.py
@@ -74,7 +74,7 @@
             overload,
         )
         now_ms = self.context.clock()
-        engine.recall_until = now_ms - 1.0 if has_slice_leases(config) else now_ms + config.forwarders.silence_ms * 2
+        engine.recall_until_ms = now_ms - 1.0 if has_slice_leases(config) else now_ms + config.forwarders.silence_ms * 2
         engine.usage.max_keys = config.reports.keys_most
         return engine
 
@@ -111,7 +111,7 @@
             self._resources.store,
             self.registry,
             self.timer.request_step,
-            self.proxy_admission.greet_all,
+            self.proxy_admission.send_welcome_to_joined,
         )
         self.host_sources = HostSources(
             context,
--- a/corallanding/controller/connection_state.py
+++ b/corallanding/controller/connection_state.py
@@ -16,7 +16,7 @@
 class ConnectionState(msgspec.Struct, array_like=True):
     """The state of one proxy's connection. File descriptors are sent separately, in the same order as these states."""
 
-    began_at: float
+    opened_at_ms: float
     hello: Hello | None
     is_joined: bool
     is_write_paused: bool
@@ -35,7 +35,7 @@
 ) -> ConnectionState:
     """Return the state of a connection."""
     return ConnectionState(
-        began_at=link.opened_at_ms,
+        opened_at_ms=link.opened_at_ms,
         hello=link.hello,
         is_joined=is_joined,
         is_write_paused=is_write_paused,
@@ -52,7 +52,7 @@
 
 def restore_connection(link: LinkState, state: ConnectionState) -> None:
     """Restore the state of a connection into a new link."""
-    link.opened_at_ms = state.began_at
+    link.opened_at_ms = state.opened_at_ms
     link.hello = state.hello
     link.last_received_at_ms = state.last_received_at
     link.unacked_versions = deque((version, sent_at_ms) for version, sent_at_ms in state.unacked_versions)
--- a/corallanding/controller/context.py
+++ b/corallanding/controller/context.py
@@ -18,7 +18,7 @@
 
     CLEAN = 0
     CONFIGURATION = 2
-    MODULE = 3  # the assigner failed
+    ASSIGNER = 3  # the assigner failed
     STORE = 4  # it cannot be opened, or another controller has it open
     ADDRESS = 5
     HANDOVER_FAILED = 6
--- a/corallanding/controller/daemon.py
+++ b/corallanding/controller/daemon.py
@@ -136,7 +136,7 @@
     def _continue_clock(self, handover: HandoverState | None, contents: StoreContents) -> ControllerState | None:
         """Continue the last process's clock; return the state that it left on disk, if usable."""
         if handover:
-            self.context.clock.zero = handover.controller.clock_zero_s
+            self.context.clock.origin_reading_s = handover.controller.clock_zero_s
             return None
         return read_last_state(self.context, contents.start_number, is_trusted=self.is_snapshot_trusted)
 
--- a/corallanding/controller/decision_loop.py
+++ b/corallanding/controller/decision_loop.py
@@ -56,7 +56,7 @@
         except Exception:  # noqa: BLE001 - whatever the assigner raises ends the controller, with its own exit code
             # A failed assigner leaves no state to continue from: a new process starts from the store.
             log.exception("the assigner failed")
-            self._context.lifecycle.request_stop(ExitCode.MODULE)
+            self._context.lifecycle.request_stop(ExitCode.ASSIGNER)
             return
         self._notify_observers()
         if self._persistence.needs_registry_write(started_ms, writes):
--- a/corallanding/controller/engine.py
+++ b/corallanding/controller/engine.py
@@ -81,8 +81,8 @@
 
     def decide(self, now_ms: float) -> StoreWrites:
         """Run the assigner on all events up to `now_ms`; return what must be stored before `publish`."""
-        now_ms = max(now_ms, self.now)  # the assigner's time never decreases, even if the clock does
-        self.now = now_ms
+        now_ms = max(now_ms, self.now_ms)  # the assigner's time never decreases, even if the clock does
+        self.now_ms = now_ms
         self.fire_due_timers(now_ms)
         if now_ms >= self.usage_due_at:
             for report in self.usage.take_due(now_ms):
@@ -190,7 +190,7 @@
         self._changes.to_all_proxies = action.to_all_proxies
 
     def _on_start_timer(self, action: api.StartTimer) -> None:
-        self.start_timer(self.now + action.delay_ms, action.timer)
+        self.start_timer(self.now_ms + action.delay_ms, action.timer)
 
     def _on_check_health(self, action: api.CheckHealth) -> None:
         self.outputs.append(CheckHost(action.host, self.publisher.addresses.get(action.host, "")))
--- a/corallanding/controller/event_inbox.py
+++ b/corallanding/controller/event_inbox.py
@@ -20,9 +20,9 @@
 
 
 class DecisionStep(NamedTuple):
-    """The events of one step and the resulting actions of the assigner. now: ms on the clock."""
+    """The events of one step and the resulting actions of the assigner. now_ms: time on the clock."""
 
-    now: float
+    now_ms: float
     events: list[api.Event]
     actions: list[api.Action]
 
@@ -32,7 +32,7 @@
 
     def __init__(self, assigner: Decider) -> None:
         self.assigner = assigner
-        self.now = 0.0
+        self.now_ms = 0.0
         self.pending_events: list[tuple[float, int, api.Event]] = []  # time, order of arrival, event
         self.timers: list[tuple[float, int, int]] = []  # a heap of due time, order of arrival, timer
         self.last_sequence = 0  # sequence number of the last event or timer that arrived
--- a/corallanding/controller/event_intake.py
+++ b/corallanding/controller/event_intake.py
@@ -40,7 +40,7 @@
             if table in self.owned_slices or not settings.slice_count:
                 self.published.tables[table] = dict(weights)
         self.usage = UsageAggregator(settings)
-        self.recall_until = float("inf")  # ms; no tables are recalled after that
+        self.recall_until_ms = float("inf")  # no tables are recalled after that
         self.recalled_seq = stored.message_number
         self.gained_slices: set[int] = set()  # since the last step; proxies receive all in one message
         self.lost_slices: set[int] = set()
@@ -116,12 +116,12 @@
         left since; the assigner removes those by its host list, as after any start.
         """
         is_from_previous_start = hello.start_number == self.start_number - 1
-        return now_ms <= self.recall_until and is_from_previous_start and hello.seq > self.recalled_seq
+        return now_ms <= self.recall_until_ms and is_from_previous_start and hello.seq > self.recalled_seq
 
     def on_recalled_tables(self, now_ms: float, recalled: frames.HeldTables) -> list[int]:
         """Adopt the tables of the previous process that a proxy holds. Return the slices that changed."""
         is_from_previous_start = recalled.start_number == self.start_number - 1
-        if not is_from_previous_start or recalled.seq <= self.recalled_seq or now_ms > self.recall_until:
+        if not is_from_previous_start or recalled.seq <= self.recalled_seq or now_ms > self.recall_until_ms:
             return []
         self.recalled_seq = recalled.seq
         changed = []
--- a/corallanding/controller/fleet_source.py
+++ b/corallanding/controller/fleet_source.py
@@ -14,12 +14,12 @@
 
 @dataclass
 class ControllerFleetSource:
-    """The `FleetSource` of a running controller. forwarders: connections of proxies by proxy number."""
+    """The `FleetSource` of a running controller. proxies: connections of proxies by proxy number."""
 
     config: ControllerConfig
     view: EndpointList
     engine: Engine
-    forwarders: dict[int, ProxyConnection]
+    proxies: dict[int, ProxyConnection]
     clock: Clock
     proxy_channel: ProxyChannel
 
--- a/corallanding/controller/fleet_view.py
+++ b/corallanding/controller/fleet_view.py
@@ -19,7 +19,7 @@
     config: ControllerConfig
     view: EndpointList
     engine: Engine
-    forwarders: dict[int, ProxyConnection]
+    proxies: dict[int, ProxyConnection]
 
     @property
     def clock(self) -> Callable[[], float]:
@@ -79,7 +79,7 @@
     def proxies_supporting(self, feature: int) -> list[int]:
         """Return the joined proxies whose hello has the bit of this protocol feature."""
         proxies = []
-        for number, connection in self.controller.forwarders.items():
+        for number, connection in self.controller.proxies.items():
             hello = connection.link.hello
             if connection.is_joined and not connection.is_closed and hello and hello.features & feature:
                 proxies.append(number)
@@ -87,12 +87,12 @@
 
     def session_name(self, proxy: int) -> str | None:
         """Return the name of the proxy's process; None if it is not connected or has sent no hello."""
-        connection = self.controller.forwarders.get(proxy)
+        connection = self.controller.proxies.get(proxy)
         return connection.link.hello.session if connection and connection.link.hello else None
 
     def reply(self, proxy: int, frame: frames.Frame) -> None:
         """Send an answer to one proxy at once. Dropped if it is not connected: proxies repeat their queries."""
-        connection = self.controller.forwarders.get(proxy)
+        connection = self.controller.proxies.get(proxy)
         if connection and connection.is_joined:
             connection.send(frames.encode(frame))
 
--- a/corallanding/controller/handover_state.py
+++ b/corallanding/controller/handover_state.py
@@ -179,7 +179,7 @@
     handed_over = [(time_ms, sequence, from_stored_item(raw)) for time_ms, sequence, raw in state.pending_events]
     engine.pending_events = handed_over + engine.pending_events
     engine.proxy_zones = dict(state.proxy_zones)
-    engine.recall_until = now_ms - 1.0  # proxies have the same tables as this process: none are requested back
+    engine.recall_until_ms = now_ms - 1.0  # proxies have the same tables as this process: none are requested back
 
 
 def _restore_usage(engine: Engine, state: HandoverState) -> None:
--- a/corallanding/controller/load_weights.py
+++ b/corallanding/controller/load_weights.py
@@ -94,7 +94,7 @@
         if not find_spec("xds"):
             raise OSError("load_reports needs the extra: pip install 'corallanding[reports]'")
         context = self._context
-        clock_offset_ms = ORIGIN_MS - context.clock.zero * 1000.0
+        clock_offset_ms = ORIGIN_MS - context.clock.origin_reading_s * 1000.0
         self.feed = self._feed_type(
             intake_settings(block),
             feed_policy(block),
--- a/corallanding/controller/proxy_admission.py
+++ b/corallanding/controller/proxy_admission.py
@@ -90,7 +90,7 @@
             self._peers.cluster.on_proxy_joined(link.proxy)
         self._request_step()
 
-    def greet_all(self) -> None:
+    def send_welcome_to_joined(self) -> None:
         """Send every joined proxy the start number, which has changed since it joined."""
         for link in self._registry.joined():
             self._send_welcome(link)
--- a/corallanding/controller/proxy_connections.py
+++ b/corallanding/controller/proxy_connections.py
@@ -135,7 +135,7 @@
             if sock:
                 await loop.connect_accepted_socket(partial(ProxyConnection, self, state), sock)
         # If this process exits too, its proxies must know from which start their tables are.
-        self.proxy_admission.greet_all()
+        self.proxy_admission.send_welcome_to_joined()
         now_ms = self._context.clock()
         for proxy in [number for number in self._engine.proxy_zones if number not in self.registry.proxies]:
             self._channel.leave(proxy)
--- a/corallanding/controller/recovery.py
+++ b/corallanding/controller/recovery.py
@@ -81,7 +81,7 @@
         settings_digest(engine.settings),
         boot,
         clock_zero_s,
-        engine.now,
+        engine.now_ms,
         engine.start_number,
         log_number,
         dump(engine.assigner),
@@ -194,7 +194,7 @@
     """Set the engine's assigner, timers, and published admissions and cordons."""
     engine.assigner = assigner
     engine.step_count = 1
-    engine.now = assigner.publication.now_ms
+    engine.now_ms = assigner.publication.now_ms
     engine.deferrable_timer = getattr(assigner, "deferrable_timer", None)
     engine.published.admissions = replay.admissions
     engine.published.cordoned_hosts = replay.cordoned_hosts
--- a/corallanding/controller/snapshot_keeper.py
+++ b/corallanding/controller/snapshot_keeper.py
@@ -37,7 +37,7 @@
     except (snapshots.SnapshotError, StateMismatchError, OSError) as error:
         log.warning("snapshot not used; starting from the stored tables", why=str(error))
         return None
-    context.clock.zero = state.clock_zero_s
+    context.clock.origin_reading_s = state.clock_zero_s
     return state
 
 
@@ -84,14 +84,19 @@
         """Return the state between two steps; None if the assigner's state cannot be saved."""
         number = self._context.config.steward.number
         return capture_state(
-            self._engine, number, boot_id(), self._context.clock.zero, self._view.first_seen_starts, log_number
+            self._engine,
+            number,
+            boot_id(),
+            self._context.clock.origin_reading_s,
+            self._view.first_seen_starts,
+            log_number,
         )
 
     def on_step(self, step: DecisionStep) -> None:
         """Log one step."""
         if self.step_log is None:
             return
-        self.step_log.write_step(step.now, step.events, step.actions)
+        self.step_log.write_step(step.now_ms, step.events, step.actions)
         if self.step_log.is_stopped:
             # A log with a gap must not be replayed, and without its log the snapshot is outdated.
             log.error("step log ended; the next snapshot starts a new one", why=self.step_log.stop_reason)
--- a/corallanding/controller/store_release.py
+++ b/corallanding/controller/store_release.py
@@ -73,4 +73,4 @@
             self._recording.end("the new process may have written to the recording")
             self._engine.reconcile(self._context.clock(), contents)
         self._pause_control.resume(is_stale=was_opened_elsewhere)
-        self._proxy_admission.greet_all()
+        self._proxy_admission.send_welcome_to_joined()
--- a/tests/controller/support.py
+++ b/tests/controller/support.py
@@ -13,7 +13,7 @@
 ROWS = [{"host": h, "address": f"127.0.0.1:{h}", "state": "up"} for h in (10, 11, 12)]
 
 
-def play(scenario: Coroutine[Any, Any, None]) -> None:
+def run_scenario(scenario: Coroutine[Any, Any, None]) -> None:
     """Run a scenario, for at most 30 seconds."""
 
     async def run_with_timeout() -> None:
--- a/tests/controller/test_engine.py
+++ b/tests/controller/test_engine.py
@@ -52,7 +52,7 @@
     assigner.told.clear()
     engine.add_event(400.0, api.TimerFired(9))
     engine.decide(300.0)  # the engine's time does not decrease with the clock
-    assert engine.now == 500.0
+    assert engine.now_ms == 500.0
     assert assigner.told == [api.TimerFired(9)]
 
 
@@ -113,7 +113,7 @@
 def test_recall_when_the_store_lags_behind_a_proxy_then_its_tables_are_adopted() -> None:
     stored = StoreContents(5, message_number=3, tables={0: {10: 1.0}, 1: {10: 1.0}})
     engine, assigner = make_engine(stored=stored)
-    engine.recall_until = 1000.0
+    engine.recall_until_ms = 1000.0
     assert not engine.needs_recall(0.0, hello(1, start_number=4, seq=3)), "as new as the store"
     assert not engine.needs_recall(0.0, hello(1, start_number=3, seq=9)), "of an older start"
     assert engine.needs_recall(0.0, hello(1, start_number=4, seq=9))
--- a/tests/controller/test_health_checks.py
+++ b/tests/controller/test_health_checks.py
@@ -10,7 +10,7 @@
 from corallanding import interface as api
 from corallanding.controller.clock import Clock
 from corallanding.health_check.checker import HealthChecker
-from tests.controller.support import play
+from tests.controller.support import run_scenario
 
 
 def test_health_check_when_hosts_answer_in_every_way_then_each_outcome_is_reported(tmp_path: Path) -> None:
@@ -57,4 +57,4 @@
         )
         await until(lambda: len(results) == len(expected) + 20)
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/controller/test_operation.py
+++ b/tests/controller/test_operation.py
@@ -13,7 +13,7 @@
 from corallanding import interface as api
 from corallanding.controller.clock import ORIGIN_MS, Clock
 from corallanding.telemetry import configure
-from tests.controller.support import play
+from tests.controller.support import run_scenario
 
 
 def test_http_server_when_limits_are_exceeded_then_rejected_with_a_status(tmp_path: Path) -> None:
@@ -35,7 +35,7 @@
             for _, writer in connections:
                 writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_reload_when_the_file_changed_then_settings_are_applied_or_reported_as_needing_a_restart(
@@ -65,7 +65,7 @@
         assert '"taken": ["forwarders.frame_most_bytes", "log.level"]' in log_output
         assert '"needs_restart": ["reports.every_ms"]' in log_output
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_controller_when_the_assigner_fails_then_it_stops_with_the_exit_code_for_it(tmp_path: Path) -> None:
@@ -79,7 +79,7 @@
         async with Running(tmp_path, decider=FailingAssigner) as running:
             assert await running.steward.wait_stopped() == 3
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_clock_when_its_source_goes_back_then_it_does_not_decrease() -> None:
@@ -114,4 +114,4 @@
             assert received == [api.PeerMessage(0, b"hi"), api.PeerMessage(0, b"there")]
             assert "peer_messages_dropped_total 2.0" in second.steward.metrics.exposition().decode()
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/controller/test_persistence.py
+++ b/tests/controller/test_persistence.py
@@ -10,7 +10,7 @@
 
 from corallanding import interface as api
 from corallanding.wire import frames
-from tests.controller.support import ROWS, play, send_heartbeats
+from tests.controller.support import ROWS, run_scenario, send_heartbeats
 
 
 def test_store_when_it_cannot_write_then_orders_are_still_sent_and_recovered_after_a_restart(tmp_path: Path) -> None:
@@ -47,7 +47,7 @@
                 lambda: sqlite3.connect(tmp_path / "s.db").execute("select * from line").fetchall() == [(0, 11, 1.0)]
             )
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_store_when_it_can_be_written_again_then_it_gets_all_tables(tmp_path: Path) -> None:
@@ -66,4 +66,4 @@
             assert rows == [(10,), (11,), (12,)]
             assert running.steward.engine.unsaved_tables == {}
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/controller/test_proxy_connections.py
+++ b/tests/controller/test_proxy_connections.py
@@ -11,7 +11,7 @@
 
 from corallanding import interface as api
 from corallanding.wire import frames
-from tests.controller.support import ROWS, play, send_heartbeats
+from tests.controller.support import ROWS, run_scenario, send_heartbeats
 
 
 def test_order_when_published_then_proxies_receive_it_and_the_ack_reaches_the_assigner(tmp_path: Path) -> None:
@@ -33,7 +33,7 @@
             db = sqlite3.connect(tmp_path / "s.db")
             assert db.execute("select * from line").fetchall() == [(0, 10, 1.0)]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -66,7 +66,7 @@
             metrics_text = running.steward.metrics.exposition().decode()
             assert f'corallanding_links_closed_total{{reason="{code}"}} 1.0' in metrics_text
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_proxy_number_when_in_use_then_the_process_that_uses_it_keeps_it(tmp_path: Path) -> None:
@@ -82,7 +82,7 @@
             again = await running.joined(1, session="new")
             assert not again.closed
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_ack_when_sent_on_a_replaced_connection_then_ignored(tmp_path: Path) -> None:
@@ -104,7 +104,7 @@
             ]
             assert event_names[:3] == ["ProxyJoined", "ProxyLeft", "ProxyJoined"]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_proxy_when_it_does_not_read_then_it_is_closed_and_others_continue(tmp_path: Path) -> None:
@@ -133,7 +133,7 @@
             tables = next(frame for frame in rejoined.got if isinstance(frame, frames.Tables))
             assert len(tables.tables[0][1]) == 500, "a proxy that reconnects receives all entries"
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_channel_when_full_then_the_connection_is_closed_and_the_queue_stays_bounded(tmp_path: Path) -> None:
@@ -148,7 +148,7 @@
             assert running.steward.channel.max_queued_lines <= 60
             assert running.steward.channel.queued_lines == 0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_joins_when_many_arrive_at_once_then_admitted_at_the_configured_rate(tmp_path: Path) -> None:
@@ -164,4 +164,4 @@
             heartbeats.cancel()
             assert 10 <= early_count < 30
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/controller/test_startup.py
+++ b/tests/controller/test_startup.py
@@ -23,7 +23,7 @@
 from corallanding.controller.snapshot_keeper import SnapshotKeeper
 from corallanding.controller.step_timer import StepTimer
 from corallanding.store import SqliteStore
-from tests.controller.support import play
+from tests.controller.support import run_scenario
 
 # The stop method of each component, in the order of the starts.
 STOPS: list[tuple[type, str]] = [
@@ -88,7 +88,7 @@
             assert stopped == STOPS[::-1], "a second stop does nothing"
             assert await running.steward.wait_stopped() == 0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -125,7 +125,7 @@
         async with Running(tmp_path) as other:
             await until(lambda: other.steward.context.lifecycle.is_ready)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_start_when_a_handover_fails_then_shared_resources_of_the_old_process_are_not_closed(
@@ -140,4 +140,4 @@
         assert stopped == []
         running.steward.stop()
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -425,7 +425,7 @@
 def test_handover_when_unpacked_then_each_array_position_sets_the_same_attribute() -> None:
     handover = file.unpack(handover_messages()["state"], HandoverState)
     assert handover.connections[0] == ConnectionState(
-        began_at=1e9,
+        opened_at_ms=1e9,
         hello=frames.Hello(1, 1, "one", 0, 9.5, True, 4, 5, 3),
         is_joined=True,
         is_write_paused=False,
