--- a/corallanding/cli/main.py
+++ b/corallanding/cli/main.py
@@ -90,7 +90,7 @@
         answer = hand_over(config, config.steward.control or "", command)
         wait_until_healthy(config)
     except UpgradeError as error:
-        skipped = f"; not touched: {', '.join(remaining)}" if remaining else ""
+        skipped = f"; not upgraded: {', '.join(remaining)}" if remaining else ""
         raise fail(f"{path}: {error}{skipped}", UPGRADE_FAILED) from None
     return answer
 
--- a/corallanding/config/models.py
+++ b/corallanding/config/models.py
@@ -122,7 +122,7 @@
                 "store.snapshot_path: cannot be used with registry.charge, where slices move between stewards"
             )
         if (self.roster.address is None) == (self.registry is None):
-            raise ValueError("roster.address or a registry block must stand, and not both")
+            raise ValueError("roster.address or a registry block must be set, but not both")
         if self.registry and self.roster.mode != "pushed":
             raise ValueError("roster.mode must be pushed where a registry block is set")
         # One message with two table entries of every slice must fit for each proxy, or a start cannot be published.
--- a/corallanding/config/sources.py
+++ b/corallanding/config/sources.py
@@ -53,7 +53,7 @@
     def check_kind(self) -> RegistryBlock:
         """Check that related keys are set together and suit the kind of the registry. Raises ValueError."""
         if (self.certificate_file is None) != (self.key_file is None):
-            raise ValueError("certificate_file and key_file stand together")
+            raise ValueError("certificate_file and key_file must be set together")
         if self.certificate_file and not self.ca_file:
             raise ValueError("certificate_file needs ca_file")
         if self.kind == "consul" and self.ca_file:
--- a/corallanding/controller/components.py
+++ b/corallanding/controller/components.py
@@ -59,7 +59,7 @@
         self.snapshots = SnapshotKeeper(context, self.engine, self._resources.view, last_log)
         self.recording = ActiveRecording(context)
         self.health_checks = HealthChecks(context, self.engine, self.peers, request_step)
-        self.registry = RegistrySlices(context, self.engine, self._resources.factories.dial_registry, request_step)
+        self.registry = RegistrySlices(context, self.engine, self._resources.factories.connect_registry, request_step)
 
     def _build_engine(self, contents: StoreContents) -> Engine:
         config = self.context.config
--- a/corallanding/controller/config_reload.py
+++ b/corallanding/controller/config_reload.py
@@ -81,7 +81,7 @@
         try:
             new = load_controller(self._path)
         except ConfigError as error:
-            log.error("reload refused; the old configuration stands", why=str(error))
+            log.error("reload rejected; the old configuration stays in effect", why=str(error))
             return
         changed, applied = self._merge(new)
         configure(self._context.config.log.format, self._context.config.log.level)
--- a/corallanding/controller/daemon.py
+++ b/corallanding/controller/daemon.py
@@ -160,7 +160,7 @@
         stack = self._exit_stack
         stack.callback(self.timer.stop)
         stack.callback(self.components.health_checks.stop)
-        self.host_sources.open(self._resources.factories.dial_registry)
+        self.host_sources.open(self._resources.factories.connect_registry)
         stack.callback(self.network.stop)
         await self.network.start(inherited)
         self.peers.open_transport(inherited)
--- a/corallanding/controller/factories.py
+++ b/corallanding/controller/factories.py
@@ -47,7 +47,7 @@
     """The factories; by default those of the real service."""
 
     listener: ListenerFactory = Listener
-    dial_registry: Callable[[RegistryBlock, Callable[[str], None]], Callable[[], Any]] = dial_etcd
+    connect_registry: Callable[[RegistryBlock, Callable[[str], None]], Callable[[], Any]] = dial_etcd
     feed: type[LoadReportFeed] = LoadReportFeed
     decision_loop: type[DecisionLoop] = DecisionLoop
     proxy_connections: type[ProxyConnections] = ProxyConnections
--- a/corallanding/controller/handover_receiver.py
+++ b/corallanding/controller/handover_receiver.py
@@ -14,7 +14,7 @@
 from ..store import StoreError
 from ..telemetry import log
 from ..upgrade.pipe import HandoverPipe, PipeClosedError, PipeMessage, peer_credentials
-from ..upgrade.state_machine import PROTOCOL, HandoverCommand, HandoverMessage, Phase, Successor
+from ..upgrade.state_machine import HANDOVER_PROTOCOL_VERSION, HandoverCommand, HandoverMessage, Phase, Successor
 from .handover_driver import HandoverSide, TerminationLock, monotonic_ms, stop_at_test_point
 from .handover_state import HandoverState
 from .recovery import StateMismatchError
@@ -51,8 +51,8 @@
 
     async def run(self) -> bool:
         """Take over; return true once this process is active, false if it must exit."""
-        if self.predecessor.user != os.getuid():
-            log.error("handover refused: the other process belongs to another user", user=self.predecessor.user)
+        if self.predecessor.user_id != os.getuid():
+            log.error("handover refused: the other process belongs to another user", user=self.predecessor.user_id)
             return False
         await self.drive(self.state_machine.start(monotonic_ms()))
         if self.state_machine.phase is not Phase.OWNER:
@@ -87,7 +87,7 @@
 
     async def on_peer_lost(self) -> list[HandoverCommand]:
         """Wait until the predecessor has exited: its end of the pipe closes before its store lock is released."""
-        await self._wait_for_exit(self.predecessor.process)
+        await self._wait_for_exit(self.predecessor.process_id)
         return self.state_machine.on_peer_lost()
 
     async def perform(self, command: HandoverCommand) -> list[HandoverCommand] | None:
@@ -105,7 +105,7 @@
     async def _perform(self, command: HandoverCommand) -> list[HandoverCommand] | None:
         match command:
             case HandoverCommand.SEND_READY:
-                self.open_pipe.send_message(HandoverMessage.READY, str(PROTOCOL).encode())
+                self.open_pipe.send_message(HandoverMessage.READY, str(HANDOVER_PROTOCOL_VERSION).encode())
             case HandoverCommand.LOAD:
                 self._load_state()
                 return self.state_machine.on_state_loaded(monotonic_ms(), True)
@@ -118,7 +118,7 @@
                 self.open_pipe.send_message(HandoverMessage.TAKEN)
             case HandoverCommand.SEND_FAILED:
                 self.open_pipe.send_message(HandoverMessage.FAILED, self.failure.encode())
-            case HandoverCommand.END_OTHER:
+            case HandoverCommand.KILL_PEER:
                 return await self._end_predecessor()
         return None
 
@@ -136,11 +136,11 @@
         if not self.termination_lock.acquire():
             return self.state_machine.on_lock_lost()
         try:
-            os.kill(self.predecessor.process, signal.SIGKILL)
+            os.kill(self.predecessor.process_id, signal.SIGKILL)
         except ProcessLookupError:
             pass
         else:
-            await self._wait_for_exit(self.predecessor.process)
+            await self._wait_for_exit(self.predecessor.process_id)
         self.termination_lock.release()
         return None
 
--- a/corallanding/controller/handover_sender.py
+++ b/corallanding/controller/handover_sender.py
@@ -100,7 +100,7 @@
     async def perform(self, command: HandoverCommand) -> list[HandoverCommand] | None:
         """Execute one command of the state machine."""
         try:
-            if command is HandoverCommand.END_OTHER:
+            if command is HandoverCommand.KILL_PEER:
                 return await self._end_successor()
             await self._perform(command)
         except (PipeClosedError, OSError) as error:
--- a/corallanding/controller/host_sources.py
+++ b/corallanding/controller/host_sources.py
@@ -45,14 +45,14 @@
         self.view = view
         self.is_unsaved = False
 
-    def open(self, dial_registry: Callable[[RegistryBlock, Callable[[str], None]], Callable[[], Any]]) -> None:
+    def open(self, connect_registry: Callable[[RegistryBlock, Callable[[str], None]], Callable[[], Any]]) -> None:
         """Create the configured source. Raise OSError for unreadable files, ConfigurationError without an address."""
         config = self._context.config
         if config.registry:
             from ..registry.source import make_source  # gRPC is imported only where a registry is configured
 
             random_source = random.Random(f"{config.steward.seed}:{self._engine.start_number}").random
-            self._source = make_source(config.registry, self, self._context.clock, random_source, dial_registry)
+            self._source = make_source(config.registry, self, self._context.clock, random_source, connect_registry)
             return
         roster = config.roster
         if roster.address is None:
--- a/corallanding/controller/link_monitor.py
+++ b/corallanding/controller/link_monitor.py
@@ -69,7 +69,7 @@
         heartbeat_interval_ms = self._context.config.forwarders.beat_ms
         heartbeat = frames.encode(frames.Heartbeat(now_ms))
         for link in list(self._registry.links):
-            if why := link.link.overdue(now_ms):
+            if why := link.link.close_reason(now_ms):
                 self._context.rate_limited_log.warn("link closed", proxy=link.proxy, why=why)
                 link.close(CloseCode(why.replace(" ", "-")), why)
             elif link.is_joined and now_ms - link.heartbeat_sent_at >= heartbeat_interval_ms:
--- a/corallanding/controller/persistence.py
+++ b/corallanding/controller/persistence.py
@@ -165,7 +165,7 @@
         tables = self._engine.published.tables
         self._engine.unsaved_resets |= set(contents.tables) | set(tables)
         self._engine.unsaved_tables = {slice_: dict(row) for slice_, row in tables.items()}
-        log.info("the store is open again", start_number=contents.start_number, faults=self.error_count)
+        log.info("the store has been reopened", start_number=contents.start_number, faults=self.error_count)
         self._on_success()
         self._on_reopened()
         return True
--- a/corallanding/controller/registry_slices.py
+++ b/corallanding/controller/registry_slices.py
@@ -36,19 +36,19 @@
 class RegistrySlices:
     """The slices that this controller owns by leases in the registry; `table_store` is None if none are used.
 
-    dial_registry: returns a function that opens connections. request_step: requests a decision step.
+    connect_registry: returns a function that opens connections. request_step: requests a decision step.
     """
 
     def __init__(
         self,
         context: Context,
         engine: Engine,
-        dial_registry: Callable[[RegistryBlock, Callable[[str], None]], Callable[[], Any]],
+        connect_registry: Callable[[RegistryBlock, Callable[[str], None]], Callable[[], Any]],
         request_step: Callable[[], None],
     ) -> None:
         self._context = context
         self._engine = engine
-        self._dial_registry = dial_registry
+        self._connect_registry = connect_registry
         self._request_step = request_step
         self._stopping: asyncio.Task[None] | None = None
         self.table_store: TableStore | None = None
@@ -114,5 +114,5 @@
         limits = WatchLimits(block.wait_ms, block.wait_most_ms, block.reads_per_min, block.page)
         controller = self._context.config.steward.number
         config = TableStoreConfig(base, controller, slices, OwnershipTimings(block.lease_ms), limits)
-        connect = self._dial_registry(block, self.on_failure)
+        connect = self._connect_registry(block, self.on_failure)
         return TableStore(config, connect, listener, self._context.clock, rng.random)
--- a/corallanding/lab/fleet/steward.py
+++ b/corallanding/lab/fleet/steward.py
@@ -155,7 +155,7 @@
     ) -> None:
         self.loop = loop
         self.registry = registry
-        factories = Factories(listener=self.make_listener, dial_registry=self.dial_registry, feed=SimFeed)
+        factories = Factories(listener=self.make_listener, connect_registry=self.connect_registry, feed=SimFeed)
         super().__init__(config, decider, record, None, StoreHandle(store), loop.time, loop.time, factories)
 
     def make_listener(
@@ -171,7 +171,7 @@
         """A listener on the simulated network."""
         return SimListener(self.loop.listen(factory, host, port))
 
-    def dial_registry(self, settings: RegistryBlock, on_warning: Callable[[str], None]) -> Callable[[], Any]:
+    def connect_registry(self, settings: RegistryBlock, on_warning: Callable[[str], None]) -> Callable[[], Any]:
         """A function that makes clients of the simulated registry."""
         from .registry import LocalEtcdConnection
 
--- a/corallanding/registry/errors.py
+++ b/corallanding/registry/errors.py
@@ -19,5 +19,5 @@
     """The ownership of `slices` is lost: nothing of the batch that contains them was written."""
 
     def __init__(self, slices: list[int]) -> None:
-        super().__init__(f"the charge of {len(slices)} slices was lost: {slices[:MAX_SLICES_IN_MESSAGE]}")
+        super().__init__(f"lost the ownership of {len(slices)} slices: {slices[:MAX_SLICES_IN_MESSAGE]}")
         self.slices = slices
--- a/corallanding/registry/ownership_requests.py
+++ b/corallanding/registry/ownership_requests.py
@@ -147,6 +147,6 @@
     if lost:
         raise FencedError(lost)
     if connection is None:
-        raise RegistryUnavailableError("the registry is not reached")
+        raise RegistryUnavailableError("not connected to the registry")
     requests = OwnershipRequests(connection, keys, ownership.controller)
     await requests.write_tables(slices, tables, ownership.fencing_tokens)
--- a/corallanding/registry/source.py
+++ b/corallanding/registry/source.py
@@ -148,7 +148,7 @@
     listener: EndpointListener,
     clock: Callable[[], float],
     random: Callable[[], float],
-    dial_registry: Callable[[RegistryBlock, Callable[[str], None]], EtcdConnector] = etcd_connector,
+    connect_registry: Callable[[RegistryBlock, Callable[[str], None]], EtcdConnector] = etcd_connector,
 ) -> RegistrySource:
     """Return the host source of a configuration. Raises OSError if a credentials file cannot be read."""
     max_reads_per_minute = block.reads_per_min
@@ -157,6 +157,6 @@
         max_reads_per_minute = max(max_reads_per_minute, MIN_CONSUL_READS_PER_MINUTE)
         connect = consul_connector(block, listener.on_source_failure)
     else:
-        connect = dial_registry(block, listener.on_source_failure)
+        connect = connect_registry(block, listener.on_source_failure)
     limits = WatchLimits(block.wait_ms, block.wait_most_ms, max_reads_per_minute, block.page)
     return RegistrySource(connect, block.prefix, listener, clock, random, limits)
--- a/corallanding/upgrade/pipe.py
+++ b/corallanding/upgrade/pipe.py
@@ -30,8 +30,8 @@
 class PeerCredentials(NamedTuple):
     """Process id and user id of the peer of a Unix socket, as reported by the kernel."""
 
-    process: int
-    user: int
+    process_id: int
+    user_id: int
 
 
 class PipeMessage(NamedTuple):
@@ -44,8 +44,8 @@
 def peer_credentials(sock: socket.socket) -> PeerCredentials:
     """Return the credentials of the peer of a Unix socket."""
     raw = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize(CREDENTIALS_FORMAT))
-    process, user, _ = struct.unpack(CREDENTIALS_FORMAT, raw)
-    return PeerCredentials(process, user)
+    process_id, user_id, _ = struct.unpack(CREDENTIALS_FORMAT, raw)
+    return PeerCredentials(process_id, user_id)
 
 
 class HandoverPipe:
--- a/corallanding/upgrade/state_machine.py
+++ b/corallanding/upgrade/state_machine.py
@@ -23,7 +23,7 @@
 from dataclasses import dataclass
 from enum import Enum, StrEnum
 
-PROTOCOL = 1
+HANDOVER_PROTOCOL_VERSION = 1
 
 
 class HandoverMessage(StrEnum):
@@ -47,7 +47,7 @@
     SEND_STATE = "send state"
     CLOSE_STORE = "close store"
     SEND_COMMIT = "send commit"
-    END_OTHER = "end other"  # kill the other process and wait for its exit; requires the termination lock
+    KILL_PEER = "end other"  # kill the other process and wait for its exit; requires the termination lock
     RESUME = "resume"  # become active again; reopen the store if it was closed
     SEND_READY = "send ready"
     LOAD = "load"
@@ -110,8 +110,10 @@
         return self.abort(f"unexpected message {message!r} in phase {self.phase.value}")
 
     def _on_ready(self, protocol: str) -> list[HandoverCommand]:
-        if protocol != str(PROTOCOL):
-            return self.abort(f"the new process uses handover protocol {protocol}, this one uses {PROTOCOL}")
+        if protocol != str(HANDOVER_PROTOCOL_VERSION):
+            return self.abort(
+                f"the new process uses handover protocol {protocol}, this one uses {HANDOVER_PROTOCOL_VERSION}"
+            )
         self.phase = Phase.OFFERED
         return [HandoverCommand.PAUSE, HandoverCommand.SEND_STATE]
 
@@ -132,7 +134,7 @@
             return []
         self.phase = Phase.IDLE
         self.failure = failure
-        return [HandoverCommand.END_OTHER, HandoverCommand.RESUME]
+        return [HandoverCommand.KILL_PEER, HandoverCommand.RESUME]
 
     def on_lock_lost(self) -> list[HandoverCommand]:
         """Exit: the successor holds the termination lock, and is about to kill this process and take over."""
@@ -197,7 +199,7 @@
         """Take over after a timeout. The predecessor is killed first, since a suspended process could resume."""
         if self.phase not in (Phase.WAITING, Phase.CHECKED) or now < self.deadline:
             return []
-        return [HandoverCommand.END_OTHER, *self.on_peer_lost()]
+        return [HandoverCommand.KILL_PEER, *self.on_peer_lost()]
 
     def on_lock_lost(self) -> list[HandoverCommand]:
         """Exit: the predecessor holds the termination lock, and resumes."""
--- a/corallanding/wire/link_state.py
+++ b/corallanding/wire/link_state.py
@@ -126,7 +126,7 @@
         self.unacked_versions.append((version, now))
         return len(self.unacked_versions) <= self.limits.max_unacked_versions
 
-    def overdue(self, now: float) -> str:
+    def close_reason(self, now: float) -> str:
         """Return why the link must be closed at `now`: no hello, no ack, or silence. Empty if it may stay open."""
         if not self.hello:
             return "no hello" if now - self.opened_at_ms > self.limits.hello_timeout_ms else ""
--- a/tests/controller/test_close_codes.py
+++ b/tests/controller/test_close_codes.py
@@ -48,12 +48,12 @@
 
 def test_overdue_link_when_closed_then_each_reason_has_a_close_code() -> None:
     limits = LinkLimits()
-    reasons = [LinkState(limits, 0.0).overdue(limits.hello_timeout_ms + 1.0)]
+    reasons = [LinkState(limits, 0.0).close_reason(limits.hello_timeout_ms + 1.0)]
     link = LinkState(limits, 0.0)
     link.hello = frames.Hello(1, 1, "x")
-    reasons.append(link.overdue(limits.silence_timeout_ms + 1.0))
+    reasons.append(link.close_reason(limits.silence_timeout_ms + 1.0))
     assert link.add_unacked(0.0, 1)
-    reasons.append(link.overdue(limits.ack_timeout_ms + 1.0))
+    reasons.append(link.close_reason(limits.ack_timeout_ms + 1.0))
     assert [CloseCode(reason.replace(" ", "-")) for reason in reasons] == [
         CloseCode.NO_HELLO,
         CloseCode.SILENT,
--- a/tests/controller/test_operation.py
+++ b/tests/controller/test_operation.py
@@ -61,7 +61,7 @@
             assert running.steward.connections.limits.max_frame_bytes == 9999
             assert running.steward.context.settings.report_interval_ms == 1000.0
         log_output = capsys.readouterr().err
-        assert "reload refused; the old configuration stands" in log_output
+        assert "reload rejected; the old configuration stays in effect" in log_output
         assert '"taken": ["forwarders.frame_most_bytes", "log.level"]' in log_output
         assert '"needs_restart": ["reports.every_ms"]' in log_output
 
--- a/tests/registry/test_source_in_controller.py
+++ b/tests/registry/test_source_in_controller.py
@@ -48,10 +48,13 @@
     path = tmp_path / "s.hcl"
     good = (CONFIG % "x.db").replace('roster {\n  address = "127.0.0.1:1"\n}\n', "")
     for block, message in (
-        ("", "roster.address or a registry block must stand"),
+        ("", "roster.address or a registry block must be set"),
         ('registry {\n  address = "1.2.3.4:2379"\n}\n', "registry.address: 1.2.3.4 is not a loopback address"),
         ('registry {\n  address = "127.0.0.1:1"\n  kind = "zk"\n}\n', "registry.kind: input should be 'etcd' or"),
-        ('registry {\n  address = "127.0.0.1:1"\n  key_file = "k"\n}\n', "certificate_file and key_file stand"),
+        (
+            'registry {\n  address = "127.0.0.1:1"\n  key_file = "k"\n}\n',
+            "certificate_file and key_file must be set together",
+        ),
     ):
         path.write_text(good + block)
         with pytest.raises(ConfigError, match=message.replace("(", "[(]")):
--- a/tests/store/test_conformance.py
+++ b/tests/store/test_conformance.py
@@ -158,7 +158,7 @@
     superseded = await store.open()
     await store.write(superseded, INITIAL_TABLES)
     await store.open()
-    with pytest.raises(Exception, match=r"charge|taken|held"):
+    with pytest.raises(Exception, match=r"lost the ownership|taken|held"):
         await store.write(superseded, {0: {66: 1.0}, 1: {66: 1.0}})
     assert await store.read() == INITIAL_TABLES
 
@@ -167,7 +167,7 @@
     controller = await store.open()
     await store.write(controller, INITIAL_TABLES)
     await store.block(True)
-    with pytest.raises(Exception, match=r"locked|UNAVAILABLE|reached"):
+    with pytest.raises(Exception, match=r"locked|UNAVAILABLE|not connected"):
         await store.write(controller, {0: {66: 1.0}, 1: {66: 1.0}})
     await store.block(False)
     assert await store.read() == INITIAL_TABLES
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -58,7 +58,7 @@
 from corallanding.store import SqliteStore, StoreContents
 from corallanding.telemetry.metrics import Metrics
 from corallanding.upgrade.pipe import HandoverPipe
-from corallanding.upgrade.state_machine import PROTOCOL, HandoverCommand, Predecessor, Successor
+from corallanding.upgrade.state_machine import HANDOVER_PROTOCOL_VERSION, HandoverCommand, Predecessor, Successor
 from corallanding.wire import frames
 from corallanding.wire.link_state import LinkLimits, LinkState
 
@@ -461,7 +461,7 @@
 
 def test_handover_when_run_then_the_messages_of_both_processes_are_unchanged() -> None:
     """A process of either version knows the messages of the other."""
-    assert PROTOCOL == 1
+    assert HANDOVER_PROTOCOL_VERSION == 1
     old, new = Predecessor(1000.0), Successor(1000.0)
     old.start(0.0)
     new.start(0.0)
--- a/tests/upgrade/simulation.py
+++ b/tests/upgrade/simulation.py
@@ -7,7 +7,14 @@
 from enum import Enum, auto
 from typing import Any, NamedTuple
 
-from corallanding.upgrade.state_machine import PROTOCOL, HandoverCommand, HandoverMessage, Phase, Predecessor, Successor
+from corallanding.upgrade.state_machine import (
+    HANDOVER_PROTOCOL_VERSION,
+    HandoverCommand,
+    HandoverMessage,
+    Phase,
+    Predecessor,
+    Successor,
+)
 
 TIMEOUT_MS = 2.0
 LAST_TICK = 8.0  # maximum of the simulated clock
@@ -204,7 +211,7 @@
             HandoverCommand.SPAWN: self._spawn,
             HandoverCommand.PAUSE: self._pause,
             HandoverCommand.CLOSE_STORE: self._close_store,
-            HandoverCommand.END_OTHER: self._end_other,
+            HandoverCommand.KILL_PEER: self._end_other,
             HandoverCommand.RESUME: self._resume,
             HandoverCommand.LOAD: self._load,
             HandoverCommand.OPEN_STORE: self._open_store,
@@ -217,7 +224,7 @@
     def _send(self, process: int, message: HandoverMessage) -> None:
         self.has_taken_over = self.has_taken_over or message is HandoverMessage.TAKEN
         if self.is_alive[1 - process]:
-            detail = str(PROTOCOL) if message is HandoverMessage.READY else ""
+            detail = str(HANDOVER_PROTOCOL_VERSION) if message is HandoverMessage.READY else ""
             self.pipes[1 - process].append((message, detail))
 
     def _spawn(self, process: int) -> None:
@@ -239,7 +246,7 @@
         self.pipes[process] = []
         if self.is_alive[1 - process]:
             self.is_kill_pending[1 - process] = True  # takes effect later; this process waits for it
-            self.commands[process].insert(0, HandoverCommand.END_OTHER)
+            self.commands[process].insert(0, HandoverCommand.KILL_PEER)
         else:
             self.lock_owner = None
 
--- a/tests/upgrade/test_handover.py
+++ b/tests/upgrade/test_handover.py
@@ -108,7 +108,7 @@
             code, out = await run_upgrade(first, second, third)
             assert code == 1, out
             assert out.count("ok: handed over") == 1, out
-            assert f"not touched: {third.path}" in out, out
+            assert f"not upgraded: {third.path}" in out, out
             assert len(third.log_entries("ready")) == 1
             assert len(first.log_entries("ready")) == 3
 
--- a/tests/upgrade/test_handover_failures.py
+++ b/tests/upgrade/test_handover_failures.py
@@ -46,7 +46,7 @@
                 await environment.check_drain_reaches_proxies(2)
                 assert environment.count_running_processes() == 1
                 resource.prlimit(environment.process.pid, resource.RLIMIT_FSIZE, limits)
-                await until(lambda: environment.log_entries("the store is open again"), 5)
+                await until(lambda: environment.log_entries("the store has been reopened"), 5)
                 assert environment.log_entries("log lines lost")[0]["lost"] > 0
                 await environment.check_drain_reaches_proxies(3)
                 assert await environment.is_healthy()
--- a/tests/upgrade/test_state_machine.py
+++ b/tests/upgrade/test_state_machine.py
@@ -23,7 +23,7 @@
     """Resumes without ending the other process first."""
 
     def abort(self, failure: str) -> list[HandoverCommand]:
-        return [command for command in super().abort(failure) if command is not HandoverCommand.END_OTHER]
+        return [command for command in super().abort(failure) if command is not HandoverCommand.KILL_PEER]
 
 
 class NeverTakesOver(Successor):
@@ -51,5 +51,5 @@
 def test_predecessor_when_the_protocol_differs_then_it_rejects_the_successor_with_the_number() -> None:
     predecessor = Predecessor(TIMEOUT_MS)
     predecessor.start(0.0)
-    assert predecessor.on_message(0.0, "ready", "7") == [HandoverCommand.END_OTHER, HandoverCommand.RESUME]
+    assert predecessor.on_message(0.0, "ready", "7") == [HandoverCommand.KILL_PEER, HandoverCommand.RESUME]
     assert "protocol 7" in predecessor.failure
--- a/tests/version_pinning/test_version_selection.py
+++ b/tests/version_pinning/test_version_selection.py
@@ -32,7 +32,9 @@
         "a warming host serves only within its share"
     )
     assert select_hosts(5, "quote", 2, {1: 1.0}, warming_only, lambda host: True) == {3: 1.0}
-    assert select_hosts(5, "quote", 1, {4: 1.0}, hosts, never) == {1: 1.0}, "a draining host is not selected"
+    assert select_hosts(5, "quote", 1, {4: 1.0}, hosts, never) == {1: 1.0}, (
+        "a draining host is not selected (rule 3 of docs/pins.md)"
+    )
     not_in_tables = {1: make_host(1, 1, is_in_tables=False), 7: make_host(7, 1)}
     assert select_hosts(5, "quote", 1, {}, not_in_tables, never) == {7: 1.0}, "a host in no table is the last choice"
     assert serving_capacity({"quote": 2, "claim": 2}, hosts.values()) == 1.4
--- a/tests/wire/test_link_state.py
+++ b/tests/wire/test_link_state.py
@@ -45,8 +45,8 @@
 
 def test_link_when_silent_or_without_hello_then_it_is_overdue() -> None:
     link = LinkState(LinkLimits(hello_timeout_ms=100.0, silence_timeout_ms=300.0), 0.0)
-    assert link.overdue(99.0) == ""
-    assert link.overdue(101.0) == "no hello"
+    assert link.close_reason(99.0) == ""
+    assert link.close_reason(101.0) == "no hello"
     link.receive(50.0, frames.encode(HELLO))
-    assert link.overdue(349.0) == ""
-    assert link.overdue(351.0) == "silent"
+    assert link.close_reason(349.0) == ""
+    assert link.close_reason(351.0) == "silent"
