--- a/bench/one_fleet.py
+++ b/bench/one_fleet.py
@@ -127,7 +127,7 @@
 def live_runs(count: int, file: bool) -> dict[str, Any]:
     """One keeper that holds all groups: what a run costs in memory, and its beginning in time, the file among it."""
     now, lone = 1e6, Lone()
-    terms = PinningLimits(max_run_ms=1e9, begins_per_second=1e9)
+    terms = PinningLimits(max_run_ms=1e9, max_new_runs_per_second=1e9)
     with tempfile.TemporaryDirectory() as folder:
         disk = RecordStore(str(Path(folder) / "r.db"), lambda: now) if file else None
         bounds = run_record_limits(terms, 2 * count)
--- a/bench/turn.py
+++ b/bench/turn.py
@@ -18,7 +18,7 @@
 
 from corallanding import interface as api
 from corallanding.assignment import Assigner
-from corallanding.lab.fleet.runs import decider_of
+from corallanding.lab.fleet.runs import load_assigner
 
 from .machine import machine
 from .run import RESULTS
@@ -146,7 +146,7 @@
     ask.add_argument("--turns", type=int, default=60)
     args = ask.parse_args()
     found: dict[str, Any] = {"machine": machine(), "now": [], "before": []}
-    sides = {"now": Assigner, **({"before": decider_of(args.against)} if args.against else {})}
+    sides = {"now": Assigner, **({"before": load_assigner(args.against)} if args.against else {})}
     for size in SIZES:
         for side, row in zip(sides, measure(list(sides.values()), size, args.turns), strict=True):
             found[side].append(row)
--- a/corallanding/controller/cluster.py
+++ b/corallanding/controller/cluster.py
@@ -201,7 +201,7 @@
     def update_metrics(self) -> None:
         """Set the gauges; called before metrics are exported."""
         leader = self.election.leader.controller
-        rejected = self.membership.rejected + self.election.rejected
+        rejected = self.membership.rejected_count + self.election.rejected
         self.metrics.controllers_alive.set(len(self.membership.alive_members()))
         self.metrics.quota_leader.set(NO_LEADER if leader is None else leader)
         self.metrics.rejected_peer_messages.set(rejected + sum(service.rejected for service in self.services))
--- a/corallanding/controller/pinning_service.py
+++ b/corallanding/controller/pinning_service.py
@@ -93,7 +93,7 @@
         self.plan_stamp: PlanStamp | None = None
         self.is_any_host_warming = False
         self.pending: dict[int, PendingRun] = {}  # by number of the core's query
-        peers = records.fleet.queries.others
+        peers = records.fleet.queries.peer_ids
         self.rate_limiter = PeerRateLimiter(peers, config.budgets.words_per_s, context.clock())
         self.rejected_messages = 0
         records.listeners.append(self.on_answers)
@@ -133,7 +133,9 @@
         self.context.metrics.run_answers.labels(answer).inc()
         queries = self.core.queries
         event, now_ms = JournalEvent.RUN_ANSWERED, ActionJournal.now_ms()
-        self.records.journal.write(event, now_ms, queries.me, queries.incarnation, pending.run, answer, number)
+        self.records.journal.write(
+            event, now_ms, queries.controller_id, queries.incarnation, pending.run, answer, number
+        )
         rows = self._version_rows(versions) if versions else []
         frame = frames.RunVersions(pending.query, answer, number, rows, self.register_version)
         self.fleet_view.reply(pending.proxy, frame)
--- a/corallanding/controller/task_service.py
+++ b/corallanding/controller/task_service.py
@@ -46,7 +46,7 @@
             vote_lease_ms=budgets.office_ms,
             max_clock_drift=budgets.drift,
             lease_ms=settings.lease_ms,
-            barred_leases=settings.turn_leases,
+            cooldown_leases=settings.turn_leases,
         )
         self.core = TaskLeases(
             election,
@@ -86,7 +86,7 @@
         core = self.core
         core.wall_clock_ms = tick.wall_ms
         self.context.send(core.tick(tick.now_ms, tick.alive))
-        leader_since_ms = core.allocator.leader_since  # it may have changed with a vote, between two ticks
+        leader_since_ms = core.allocator.leader_since_ms  # it may have changed with a vote, between two ticks
         if leader_since_ms != self.leader_since_ms:
             self.leader_since_ms = leader_since_ms
             log.info("task leadership gained" if leader_since_ms else "task leadership lost")
@@ -133,7 +133,7 @@
         if name in self.core.tasks.specs:
             shard = self.core.tasks.number(name)
             self.core.end_action(self.context.clock(), shard)
-            self.core.give_back_task(shard)
+            self.core.release_task(shard)
 
     def on_message(self, sender: int, message: LeaseRequest | LeaseGrant | FencedAction | ActionRejected) -> None:
         """Handle a request, a grant, an action or the rejection of one."""
--- a/corallanding/lab/fleet/emulate.py
+++ b/corallanding/lab/fleet/emulate.py
@@ -291,8 +291,8 @@
     begun_ms: float  # start of the traffic on the lab's clock
     polls: list[dict[str, float]]  # samples of the first controller
     events: int  # callbacks that the loop ran
-    took: float  # seconds of real time
-    simulated: float  # seconds of simulated time
+    elapsed_s: float  # real time
+    simulated_s: float  # simulated time
 
 
 def emulate(
@@ -317,9 +317,9 @@
         lab = FleetLab(loop, scenario, seed, config, decider_type, record, recorded, Path(folder.name))
         simulated_start = loop.now
         result = await lab.run()
-        took_s = time.perf_counter() - started
+        elapsed_s = time.perf_counter() - started
         return EmulationResult(
-            result, lab.trace.records, lab.begun, lab.polls, loop.events, took_s, loop.now - simulated_start
+            result, lab.trace.records, lab.begun, lab.polls, loop.events, elapsed_s, loop.now - simulated_start
         )
 
     started = time.perf_counter()
--- a/corallanding/lab/fleet/runs.py
+++ b/corallanding/lab/fleet/runs.py
@@ -114,7 +114,7 @@
 
 
 @lru_cache(maxsize=4)
-def decider_of(path: str) -> Callable[[api.Settings, int], Decider]:
+def load_assigner(path: str) -> Callable[[api.Settings, int], Decider]:
     """Load the assigner of another checkout from its package `assignment`. Raises `ImportError`."""
     name = f"corallanding._other_{digest(path)}"
     package = [str(Path(path).parent)] if Path(path).name == "__init__.py" else None
@@ -143,7 +143,7 @@
 def execute_job(job: Job) -> RunResult:
     """Run a job. Raises the errors of the run."""
     setting = job.setting
-    decider = decider_of(setting.module) if setting.module else PUBLISHERS[setting.scenario.publisher]
+    decider = load_assigner(setting.module) if setting.module else PUBLISHERS[setting.scenario.publisher]
     started = time.perf_counter()
     if job.model == LOOPBACK:
         from ..runner import play
@@ -156,7 +156,7 @@
         path = setting.recording
         day = recorded_day(path, setting.trace, setting.scenario.roster.notice_ms) if path else None
         run = emulate(setting.scenario, job.seed, setting.config, decider, recorded=day)
-        result, records, length_s, events = run.result, run.records, run.simulated, run.events
+        result, records, length_s, events = run.result, run.records, run.simulated_s, run.events
         begun_ms = run.begun_ms
     asked, answered = report.service_by_second(records, begun_ms)
     broken_rules = [rule["rule"] for rule in result["rules"] if rule["kept"] is not True]
--- a/corallanding/lease/core.py
+++ b/corallanding/lease/core.py
@@ -41,7 +41,7 @@
         election: LeaderElection,
         tasks: TaskCatalog,
         timings: LeaseTimings,
-        started_at: float,
+        started_at_ms: float,
         *,
         is_election_shared: bool,
         wall_clock_ms: float = 0.0,
@@ -55,8 +55,8 @@
         self.wall_clock_ms = wall_clock_ms
         self.election = election
         self.is_election_shared = is_election_shared
-        self.rate_limiter = PeerRateLimiter(peer_ids, max_messages_per_second, started_at)
-        self.holder = LeaseHolder(incarnation, timings, tasks, started_at)
+        self.rate_limiter = PeerRateLimiter(peer_ids, max_messages_per_second, started_at_ms)
+        self.holder = LeaseHolder(incarnation, timings, tasks, started_at_ms)
         self.allocator = ShardAllocator(timings, tasks, incarnation)
         self.fenced_resource = FencedResource(tasks.count)
         self.rejected = 0  # messages of unknown senders, above the rate limit, or for unknown tasks
@@ -87,7 +87,7 @@
         self.holder.requested_tasks.add(task)
         self.holder.request_soon()
 
-    def give_back_task(self, task: int) -> None:
+    def release_task(self, task: int) -> None:
         """Release a task that is not always wanted."""
         self.holder.requested_tasks.discard(task)
         self.holder.request_soon()
@@ -96,10 +96,10 @@
         """Return whether this controller grants leases at this time. A new term starts without any lease records."""
         term = self.election.term if self.election.is_leader(now_ms) else None
         if term is None:
-            self.allocator.leader_since = None
+            self.allocator.leader_since_ms = None
             self.election.reserve_tokens(0)
             return False
-        if self.allocator.leader_since is None or self.allocator.leader_since < term.leader_since:
+        if self.allocator.leader_since_ms is None or self.allocator.leader_since_ms < term.leader_since_ms:
             self.allocator.epoch = self.election.epoch
             self.allocator.begin_term(now_ms, term.first_round, self.election.first_token(self.wall_clock_ms))
         self.election.reserve_tokens(self.allocator.wanted_max_token)
--- a/corallanding/lease/election.py
+++ b/corallanding/lease/election.py
@@ -19,7 +19,7 @@
 class Term(NamedTuple):
     """The current leadership of this controller: its start (ms) and the lowest round by which others can name it."""
 
-    leader_since: float
+    leader_since_ms: float
     first_round: int
 
 
@@ -98,7 +98,7 @@
         voters: tuple[int, ...],
         timings: ElectionTimings,
         incarnation: int,
-        started_at: float,
+        started_at_ms: float,
         random_fraction: Callable[[], float],
         max_messages_per_second: float = 200.0,
     ) -> None:
@@ -106,9 +106,9 @@
         self.peer_ids = peer_ids
         self.voters = voters
         self.incarnation = incarnation
-        self.voter = Voter(timings, started_at, electorate_digest(voters))
-        self.candidate = Candidate(controller_id, incarnation, voters, timings, random_fraction, started_at)
-        self.rate_limiter = PeerRateLimiter(peer_ids, max_messages_per_second, started_at)
+        self.voter = Voter(timings, started_at_ms, electorate_digest(voters))
+        self.candidate = Candidate(controller_id, incarnation, voters, timings, random_fraction, started_at_ms)
+        self.rate_limiter = PeerRateLimiter(peer_ids, max_messages_per_second, started_at_ms)
         self.dropped_messages = 0  # messages of unknown senders, or above the rate limit
 
     def is_leader(self, now_ms: float) -> bool:
@@ -119,7 +119,7 @@
     def term(self) -> Term | None:
         """The current leadership of this controller, as of the last call of `is_leader`; None without one."""
         candidate = self.candidate
-        return None if candidate.leader_since is None else Term(candidate.leader_since, candidate.round + 1)
+        return None if candidate.leader_since_ms is None else Term(candidate.leader_since_ms, candidate.round + 1)
 
     @property
     def epoch(self) -> int:
--- a/corallanding/lease/lease_holder.py
+++ b/corallanding/lease/lease_holder.py
@@ -36,7 +36,7 @@
     incarnation: int
     timings: LeaseTimings
     tasks: TaskCatalog
-    started_at: float
+    started_at_ms: float
     shards: int = 0  # bit set of the granted shards
     fencing_token: int = 0
     leased_until: float = NEVER
--- a/corallanding/lease/limits.py
+++ b/corallanding/lease/limits.py
@@ -31,11 +31,11 @@
 class LeaseTimings(ElectionTimings):
     """Durations of an election and of the task leases under it.
 
-    A holder whose task made no progress does not request it again for `barred_leases` times `lease_ms`.
+    A holder whose task made no progress does not request it again for `cooldown_leases` times `lease_ms`.
     """
 
     lease_ms: float = 3_000.0
-    barred_leases: float = 2.0
+    cooldown_leases: float = 2.0
 
     @property
     def request_interval_ms(self) -> float:
@@ -45,4 +45,4 @@
     @property
     def cooldown_ms(self) -> float:
         """Time for which a holder that made no progress does not request the task again, in ms."""
-        return self.barred_leases * self.lease_ms
+        return self.cooldown_leases * self.lease_ms
--- a/corallanding/lease/registry_election.py
+++ b/corallanding/lease/registry_election.py
@@ -43,7 +43,7 @@
         self.peer_ids = peer_ids
         self.incarnation = incarnation
         self.ownership = ownership
-        self.leader_since: float | None = None
+        self.leader_since_ms: float | None = None
         self.revision = 0
         self.rejected = 0  # messages of a `VotedElection` at other controllers
 
@@ -52,13 +52,13 @@
         revision = self.ownership.fencing_tokens.get(LEADERSHIP, 0) if self.ownership.has_valid_lease(now_ms) else 0
         if revision != self.revision:
             self.revision = revision
-            self.leader_since = now_ms if revision else None
+            self.leader_since_ms = now_ms if revision else None
         return bool(revision)
 
     @property
     def term(self) -> Term | None:
         """The current leadership of this controller, as of the last call of `is_leader`; None without one."""
-        return None if self.leader_since is None else Term(self.leader_since, self.revision)
+        return None if self.leader_since_ms is None else Term(self.leader_since_ms, self.revision)
 
     @property
     def epoch(self) -> int:
--- a/corallanding/lease/shard_allocator.py
+++ b/corallanding/lease/shard_allocator.py
@@ -64,7 +64,7 @@
     tasks: TaskCatalog
     epoch: int = 0
     first_round: int = 0  # lowest round by which a request can name the current term
-    leader_since: float | None = None
+    leader_since_ms: float | None = None
     learning_until_ms: float = float("inf")  # time by which all leases of the predecessor have expired
     last_token: int = 0
     max_token: int = 0
@@ -86,7 +86,7 @@
 
     def begin_term(self, now_ms: float, first_round: int, first_token: int) -> None:
         """Begin a term, or begin it again after an interruption. Tokens are granted above `first_token`."""
-        self.leader_since = now_ms
+        self.leader_since_ms = now_ms
         self.learning_until_ms = now_ms + self.grant_expiry_ms
         self.first_round = first_round
         self.leases = {}
--- a/corallanding/lease/voting.py
+++ b/corallanding/lease/voting.py
@@ -28,10 +28,10 @@
 
 @dataclass
 class Voter:
-    """One voter. All times are in ms by its own clock; `started_at` is the start of this process."""
+    """One voter. All times are in ms by its own clock; `started_at_ms` is the start of this process."""
 
     timings: ElectionTimings
-    started_at: float
+    started_at_ms: float
     electorate_digest: int
     voted_for: ProcessKey | None = None
     voted_until_ms: float = 0.0
@@ -62,7 +62,7 @@
 
     def _is_free_for(self, now_ms: float, key: ProcessKey, request: VoteRequest) -> bool:
         """Return whether no earlier vote, including one of a previous process, conflicts with this request."""
-        if now_ms < self.started_at + self.timings.expiry_ms(self.timings.vote_lease_ms):
+        if now_ms < self.started_at_ms + self.timings.expiry_ms(self.timings.vote_lease_ms):
             return False
         if key == self.voted_for:
             return request.round > self.voted_round  # otherwise late or repeated: already answered or released
@@ -97,15 +97,15 @@
     voters: tuple[int, ...]
     timings: ElectionTimings
     random_fraction: Callable[[], float]
-    started_at: float
+    started_at_ms: float
     round: int = 0
     requested_at_ms: dict[int, float] = field(default_factory=dict)  # send times of vote requests, by round
-    votes_until: dict[int, float] = field(default_factory=dict)  # time until which its vote is valid, by voter
+    votes_until_ms: dict[int, float] = field(default_factory=dict)  # time until which its vote is valid, by voter
     announced_token: int = 0  # highest fencing token, as announced in vote requests
     announced_tokens: dict[int, int] = field(default_factory=dict)  # token announced in the request, by round
     acknowledged_tokens: dict[int, int] = field(default_factory=dict)  # highest acknowledged token, by voter
     highest_known_token: int = 0  # highest token in replies of voters
-    leader_since: float | None = None  # start of the current leadership of this controller
+    leader_since_ms: float | None = None  # start of the current leadership of this controller
     candidate_since_ms: float | None = None  # start of the current candidacy
     leader_seen_at_ms: float = 0.0  # time of the last message of another leader
     leader: int | None = None  # last known leader; may be this controller
@@ -115,7 +115,7 @@
     backoff_until_ms: float = 0.0
 
     def __post_init__(self) -> None:
-        self.leader_seen_at_ms = self.started_at
+        self.leader_seen_at_ms = self.started_at_ms
 
     @property
     def majority(self) -> int:
@@ -130,20 +130,20 @@
 
     def leader_until_ms(self) -> float:
         """Return the time until which a majority of votes is certainly valid; minus infinity without a majority."""
-        ends = sorted(self.votes_until.values(), reverse=True)
+        ends = sorted(self.votes_until_ms.values(), reverse=True)
         return ends[self.majority - 1] if len(ends) >= self.majority else float("-inf")
 
     def is_leader(self, now_ms: float) -> bool:
         """Return whether this controller leads at `now_ms`; call it before each action, with the time of the action."""
         has_majority = now_ms < self.leader_until_ms()
         if not has_majority:
-            self.leader_since = None
-        elif self.leader_since is None:
+            self.leader_since_ms = None
+        elif self.leader_since_ms is None:
             self._begin_leadership(now_ms)
         return has_majority
 
     def _begin_leadership(self, now_ms: float) -> None:
-        self.leader_since = now_ms
+        self.leader_since_ms = now_ms
         self.candidate_since_ms = None
         self.leader = self.controller_id
         self.leader_epoch = self.incarnation
@@ -159,7 +159,7 @@
             return
         self.is_leader(now_ms)  # an expired leadership ends before the vote counts: another may have led since
         usable_until_ms = requested_at_ms + self.timings.usable_ms(self.timings.vote_lease_ms)
-        self.votes_until[voter] = max(self.votes_until.get(voter, usable_until_ms), usable_until_ms)
+        self.votes_until_ms[voter] = max(self.votes_until_ms.get(voter, usable_until_ms), usable_until_ms)
         self.highest_known_token = max(self.highest_known_token, reply.max_token)
         acknowledged = self.announced_tokens.get(reply.round, 0)
         self.acknowledged_tokens[voter] = max(self.acknowledged_tokens.get(voter, 0), acknowledged)
@@ -219,9 +219,9 @@
 
     def give_up_candidacy(self) -> VoteRelease:
         """Release all votes, including those in flight, so that their voters may vote for another candidate."""
-        self.votes_until.clear()
+        self.votes_until_ms.clear()
         self.requested_at_ms.clear()
-        self.leader_since = None
+        self.leader_since_ms = None
         return VoteRelease(self.incarnation, self.round)
 
     def resign(self) -> VoteRelease:
--- a/corallanding/membership/core.py
+++ b/corallanding/membership/core.py
@@ -42,7 +42,7 @@
         self.random_fraction = random_fraction
         self.view = MembershipView(controller_id, peer_ids, config, started_at_ms)
         self.members = self.view.members
-        self.rejected = 0  # messages that were invalid, above the rate limit, or from unknown senders
+        self.rejected_count = 0  # messages that were invalid, above the rate limit, or from unknown senders
         self.sequence = 0
         self.probe: Probe | None = None
         self.probe_order: list[int] = []
@@ -62,7 +62,7 @@
         """Process a message of a peer. The caller has checked the sender's address against its number."""
         peer = self.members.get(sender)
         if peer is None or not 0 < message.incarnation < MAX_INCARNATION or not peer.rate_limiter.try_take(now_ms):
-            self.rejected += 1
+            self.rejected_count += 1
             return []
         is_new_process = peer.process_incarnation != message.process_incarnation
         peer.process_incarnation = message.process_incarnation
@@ -84,7 +84,7 @@
 
     def _on_ping(self, sender: int, ping: Ping) -> list[Action]:
         if ping.target not in (-1, self.controller_id):
-            self.rejected += 1
+            self.rejected_count += 1
             return []
         return [self._ack(sender, ping.sequence)]
 
--- a/corallanding/quorum_records/queries.py
+++ b/corallanding/quorum_records/queries.py
@@ -73,10 +73,15 @@
     """
 
     def __init__(
-        self, me: int, others: tuple[int, ...], incarnation: int, records: QuorumRecords, limits: QueryLimits
+        self,
+        controller_id: int,
+        peer_ids: tuple[int, ...],
+        incarnation: int,
+        records: QuorumRecords,
+        limits: QueryLimits,
     ) -> None:
-        self.me = me
-        self.others = others
+        self.controller_id = controller_id
+        self.peer_ids = peer_ids
         self.incarnation = incarnation
         self.records = records
         self.limits = limits
@@ -139,9 +144,7 @@
             elif now_ms - query.sent_at_ms >= self.limits.retry_ms:
                 messages += self.send_query(now_ms, number, query)
         self.waiting_queries = {
-            record: requesters
-            for record, requesters in self.waiting_queries.items()
-            if record[0] in self.records.proposers
+            record: waiting for record, waiting in self.waiting_queries.items() if record[0] in self.records.proposers
         }
         return messages
 
@@ -151,11 +154,11 @@
         query.sent_at_ms = now_ms
         message = Query(self.incarnation, number, query.group, query.key, query.kind, query.argument)
         if query.group in self.records.proposers:
-            return self.on_query(now_ms, self.me, message)
+            return self.on_query(now_ms, self.controller_id, message)
         holder = self.last_responders.get(query.group, self.records.holder_of(query.group))
-        if is_first_attempt and holder is not None and holder != self.me:
+        if is_first_attempt and holder is not None and holder != self.controller_id:
             return [OutgoingMessage(holder, message)]
-        return [OutgoingMessage(number, message) for number in self.others]
+        return [OutgoingMessage(number, message) for number in self.peer_ids]
 
     def on_reply(self, sender: int, message: QueryReply) -> None:
         """Process the reply to a query."""
@@ -214,7 +217,7 @@
 
     def reply(self, requester: Requester, number: int, key: int, outcome: Outcome) -> list[OutgoingMessage]:
         """Return the reply to a requester; a reply to this controller itself is processed at once."""
-        if requester.controller == self.me:
+        if requester.controller == self.controller_id:
             self.finish(number, outcome)
             return []
         return [OutgoingMessage(requester.controller, QueryReply(requester.incarnation, number, key, *outcome))]
--- a/corallanding/version_pinning/core.py
+++ b/corallanding/version_pinning/core.py
@@ -84,7 +84,13 @@
         self.wanted_set = wanted_set
         self.capacity_of_set = capacity_of_set
         self.releases = ReleaseCoordinator(
-            queries.me, queries.others, queries.incarnation, queries.records, register_group, limits, on_change
+            queries.controller_id,
+            queries.peer_ids,
+            queries.incarnation,
+            queries.records,
+            register_group,
+            limits,
+            on_change,
         )
         self.workflow_runs = WorkflowRuns(queries, run_groups, limits, lambda: self.releases.register, capacity_of_set)
 
--- a/corallanding/version_pinning/workflow_runs.py
+++ b/corallanding/version_pinning/workflow_runs.py
@@ -88,7 +88,7 @@
     def _take_start_permit(self, now_ms: float, bucket: int) -> bool:
         """Return whether the clients of that bucket may start one more run now, and use up one permit if so."""
         bucket %= self.limits.client_buckets
-        rate = self.limits.begins_per_second
+        rate = self.limits.max_new_runs_per_second
         limiter = self.client_rate_limits.setdefault(bucket, TokenBucket(rate, rate, now_ms))
         return limiter.try_take(now_ms)
 
--- a/tests/lease/test_election_orders.py
+++ b/tests/lease/test_election_orders.py
@@ -74,7 +74,7 @@
     def state_key(self) -> str:
         voters = [
             (
-                voter.started_at,
+                voter.started_at_ms,
                 voter.voted_for,
                 voter.voted_until_ms,
                 voter.voted_round,
@@ -86,8 +86,8 @@
             (
                 candidate.round,
                 sorted(candidate.requested_at_ms.items()),
-                sorted(candidate.votes_until.items()),
-                candidate.leader_since,
+                sorted(candidate.votes_until_ms.items()),
+                candidate.leader_since_ms,
                 candidate.candidate_since_ms,
                 candidate.next_request_at_ms,
             )
@@ -135,7 +135,7 @@
     real = voting.Voter.on_vote_request
 
     def on_request(self: Any, now_ms: float, candidate: int, message: VoteRequest) -> VoteReply:
-        self.started_at = -1e12
+        self.started_at_ms = -1e12
         return real(self, now_ms, candidate, message)
 
     monkeypatch.setattr(voting.Voter, "on_vote_request", on_request)
--- a/tests/lease/test_simulated_faults.py
+++ b/tests/lease/test_simulated_faults.py
@@ -115,5 +115,5 @@
             if not holder_order or holder_order[-1] != controller:
                 holder_order.append(controller)
             if at_ms % 1_500 == 0:
-                world.processes[controller].quota.give_back_task(task)
+                world.processes[controller].quota.release_task(task)
     assert sorted(holder_order) == [0, 1, 2, 3], "each controller held it exactly once, some for more than a second"
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -19,20 +19,20 @@
 def test_message_when_invalid_or_over_the_rate_limit_then_is_rejected_and_counted() -> None:
     protocol = make_membership()
     assert protocol.on_message(0.0, 9, Ping(1, 5, 1, [])) == [], "unknown sender"
-    assert protocol.rejected == 1, "unknown sender"
+    assert protocol.rejected_count == 1, "unknown sender"
     assert protocol.on_message(0.0, 1, Ping(1, 5, 0, [])) == [], "incarnation out of bounds"
-    assert protocol.rejected == 2, "incarnation out of bounds"
+    assert protocol.rejected_count == 2, "incarnation out of bounds"
     assert protocol.on_message(0.0, 1, Ping(1, 5, 1 << 40, [])) == []
-    assert protocol.rejected == 3
+    assert protocol.rejected_count == 3
     assert not [
         action
         for action in protocol.on_message(0.0, 1, Ping(1, 5, 1, [], target=2))
         if isinstance(action, OutgoingMessage)
     ], "addressed to another member"
-    rejected_before = protocol.rejected
+    rejected_before = protocol.rejected_count
     for _ in range(1_000):
         protocol.on_message(1.0, 2, Ping(1, 5, 1, []))
-    assert protocol.rejected - rejected_before > 900
+    assert protocol.rejected_count - rejected_before > 900
     assert protocol.state_of(2) == MemberState.ALIVE
     for message in (Ping(1, 2, 3, [(1, 2, 3)] * (MAX_UPDATES + 1)), Ack(1, 2, 3, [])):
         assert (decode(encode(message)) is None) == bool(message.updates)
--- a/tests/quota/mistakes.py
+++ b/tests/quota/mistakes.py
@@ -73,7 +73,7 @@
     real = voting.Voter.on_vote_request
 
     def on_vote_request(self: voting.Voter, now: float, candidate: int, message: VoteRequest) -> VoteReply:
-        self.started_at = -1e12
+        self.started_at_ms = -1e12
         return real(self, now, candidate, message)
 
     patch.setattr(voting.Voter, "on_vote_request", on_vote_request)
@@ -166,7 +166,7 @@
 
 def count_votes_after_a_release(patch: pytest.MonkeyPatch) -> None:
     def give_up_candidacy(self: voting.Candidate) -> VoteRelease:
-        self.votes_until.clear()
+        self.votes_until_ms.clear()
         return VoteRelease(self.incarnation, self.round)
 
     patch.setattr(voting.Candidate, "give_up_candidacy", give_up_candidacy)
@@ -178,7 +178,7 @@
     def on_vote_reply(self: voting.Candidate, now: float, voter: int, message: VoteReply) -> None:
         real(self, now, voter, message)
         if message.is_granted and message.incarnation == self.incarnation:
-            self.votes_until[voter] = now + self.timings.vote_lease_ms  # from the answer, not from the request
+            self.votes_until_ms[voter] = now + self.timings.vote_lease_ms  # from the answer, not from the request
 
     patch.setattr(voting.Candidate, "on_vote_reply", on_vote_reply)
 
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -197,7 +197,7 @@
     (tmp_path / "day.hcl").write_text(scenario_hcl(SHORT))
     setting = load_setting(tmp_path / "day.hcl", None, tmp_path / "other")
     ours = emulate(SHORT, 2)
-    theirs = emulate(SHORT, 2, decider=runs.decider_of(setting.module))
+    theirs = emulate(SHORT, 2, decider=runs.load_assigner(setting.module))
     assert ours.records == theirs.records
     assert setting.digests[0] != Setting("a", SHORT).digests[0]
     output = CliRunner().invoke(lab, ["compare", str(tmp_path / "day.hcl"), "--module", str(tmp_path)])
--- a/tests/test_mutation.py
+++ b/tests/test_mutation.py
@@ -167,7 +167,7 @@
     for fleet in getattr(world, "fleets", {}).values():
         total += fleet.records.rejected_count + fleet.records.replica.rejected_count + fleet.queries.rejected_count
     total += sum(scheduler.peer_queues.rejected_count for scheduler in getattr(world, "waits", {}).values())
-    return total + sum(process.members.rejected for process in world.processes.values())
+    return total + sum(process.members.rejected_count for process in world.processes.values())
 
 
 def run_mutations(
