--- a/bench/one_fleet.py
+++ b/bench/one_fleet.py
@@ -145,7 +145,7 @@
     `has_file`: whether records are also written to a file.
     """
     now, leases = 1e6, SoleLeaseHolder()
-    limits = PinningLimits(max_run_ms=1e9, begins_per_second=1e9)
+    limits = PinningLimits(max_run_ms=1e9, max_new_runs_per_second=1e9)
     with tempfile.TemporaryDirectory() as folder:
         store = RecordStore(str(Path(folder) / "r.db"), lambda: now) if has_file else None
         record_limits = run_record_limits(limits, 2 * count)
--- a/bench/turn.py
+++ b/bench/turn.py
@@ -19,7 +19,7 @@
 
 from corallanding import interface as api
 from corallanding.assignment import Assigner
-from corallanding.lab.fleet.runs import decider_of
+from corallanding.lab.fleet.runs import load_assigner
 
 from .machine import machine
 from .run import RESULTS
@@ -173,7 +173,7 @@
     parser.add_argument("--turns", type=int, default=60)
     args = parser.parse_args()
     results: dict[str, Any] = {"machine": machine(), "now": [], "before": []}
-    deciders = {"now": Assigner, **({"before": decider_of(args.against)} if args.against else {})}
+    deciders = {"now": Assigner, **({"before": load_assigner(args.against)} if args.against else {})}
     for size in SIZES:
         for side, row in zip(deciders, measure(list(deciders.values()), size, args.turns), strict=True):
             results[side].append(row)
--- a/corallanding/controller/components.py
+++ b/corallanding/controller/components.py
@@ -59,7 +59,7 @@
         self.snapshots = SnapshotKeeper(context, self.engine, self._resources.view, last_log)
         self.recording = ActiveRecording(context)
         self.health_checks = HealthChecks(context, self.engine, self.peers, request_step)
-        self.registry = RegistrySlices(context, self.engine, self._resources.factories.dial_registry, request_step)
+        self.registry = RegistrySlices(context, self.engine, self._resources.factories.connect_registry, request_step)
 
     def _build_engine(self, contents: StoreContents) -> Engine:
         config = self.context.config
@@ -74,7 +74,7 @@
             overload,
         )
         now_ms = self.context.clock()
-        engine.recall_until = now_ms - 1.0 if has_slice_leases(config) else now_ms + config.forwarders.silence_ms * 2
+        engine.recall_until_ms = now_ms - 1.0 if has_slice_leases(config) else now_ms + config.forwarders.silence_ms * 2
         engine.usage.max_keys = config.reports.keys_most
         return engine
 
@@ -111,7 +111,7 @@
             self._resources.store,
             self.registry,
             self.timer.request_step,
-            self.proxy_admission.greet_all,
+            self.proxy_admission.send_welcome_to_joined,
         )
         self.host_sources = HostSources(
             context,
--- a/tests/quota/mistakes.py
+++ b/tests/quota/mistakes.py
@@ -75,7 +75,7 @@
     real = voting.Voter.on_vote_request
 
     def on_vote_request(self: voting.Voter, now_ms: float, candidate: int, message: VoteRequest) -> VoteReply:
-        self.started_at = -1e12
+        self.started_at_ms = -1e12
         return real(self, now_ms, candidate, message)
 
     patch.setattr(voting.Voter, "on_vote_request", on_vote_request)
@@ -177,7 +177,7 @@
 
 def count_votes_after_a_release(patch: pytest.MonkeyPatch) -> None:
     def give_up_candidacy(self: voting.Candidate) -> VoteRelease:
-        self.votes_until.clear()
+        self.votes_until_ms.clear()
         return VoteRelease(self.incarnation, self.round)
 
     patch.setattr(voting.Candidate, "give_up_candidacy", give_up_candidacy)
@@ -189,7 +189,7 @@
     def on_vote_reply(self: voting.Candidate, now_ms: float, voter: int, message: VoteReply) -> None:
         real(self, now_ms, voter, message)
         if message.is_granted and message.incarnation == self.incarnation:
-            self.votes_until[voter] = (
+            self.votes_until_ms[voter] = (
                 now_ms + self.timings.vote_lease_ms
             )  # counted from the reply instead of the request
 
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -58,7 +58,7 @@
 from corallanding.store import SqliteStore, StoreContents
 from corallanding.telemetry.metrics import Metrics
 from corallanding.upgrade.pipe import HandoverPipe
-from corallanding.upgrade.state_machine import PROTOCOL, HandoverCommand, Predecessor, Successor
+from corallanding.upgrade.state_machine import HANDOVER_PROTOCOL_VERSION, HandoverCommand, Predecessor, Successor
 from corallanding.wire import frames
 from corallanding.wire.link_state import LinkLimits, LinkState
 
@@ -172,7 +172,7 @@
     "echo": lambda h: h.health_check_latency_ms,
     "cordoned": lambda h: h.is_cordoned,
     "taken": lambda h: h.slices_taken,
-    "taken_at": lambda h: h.taking_since_ms,
+    "taken_at": lambda h: h.taking_window_started_at_ms,
     "shed_at": lambda h: h.shed_at_ms,
     "goal": lambda h: h.shed_target_load,
     "pooled": lambda h: h.is_eligible,
@@ -429,7 +429,7 @@
 def test_handover_when_unpacked_then_each_array_position_sets_the_same_attribute() -> None:
     handover = file.unpack(handover_messages()["state"], HandoverState)
     assert handover.connections[0] == ConnectionState(
-        began_at=1e9,
+        opened_at_ms=1e9,
         hello=frames.Hello(1, 1, "one", 0, 9.5, True, 4, 5, 3),
         is_joined=True,
         is_write_paused=False,
@@ -465,7 +465,7 @@
 
 def test_handover_when_run_then_the_messages_of_both_processes_are_unchanged() -> None:
     """A process of either version knows the messages of the other."""
-    assert PROTOCOL == 1
+    assert HANDOVER_PROTOCOL_VERSION == 1
     old, new = Predecessor(1000.0), Successor(1000.0)
     old.start(0.0)
     new.start(0.0)
