--- a/examples/bad-day.hcl
+++ b/examples/bad-day.hcl
@@ -1,5 +1,5 @@
-# The bad day: nearly everything that can go wrong with a release, in 50 seconds instead of an hour.
-# Cold starts, list delays and report periods are those of the real yards times time_scale; the rules' limits too.
+# The bad day: nearly every fault that can occur with a release, in 50 seconds instead of an hour.
+# Cold starts, list delays, report periods and the limits of the rules are those of the real yards times time_scale.
 name = "bad-day"
 seconds = 50
 zones = ["north", "south", "east", "west"]
@@ -81,7 +81,7 @@
   lines_per_s = 500
 }
 
-# A few keys draw a quarter of all traffic.
+# A few keys receive a quarter of all traffic.
 fault "hot_key" {
   at_s = 4
   for_s = 9
@@ -98,14 +98,14 @@
   extra = 3
 }
 
-# One host takes work and answers none, while its probes pass.
+# One host accepts requests and answers none, while its health checks pass.
 fault "hang" {
   at_s = 9
   for_s = 14
   part = 0.04
 }
 
-# A third of the forwarders cannot reach the steward, and two hosts drain meanwhile.
+# A third of the forwarders cannot reach the steward while two hosts drain.
 fault "counter_down" {
   at_s = 14
   for_s = 7
@@ -118,21 +118,21 @@
   part = 0.08
 }
 
-# kill -9 of the steward in the middle of a move; a new life two seconds later.
+# kill -9 of the steward in the middle of a move; it is restarted two seconds later.
 fault "steward_kill" {
   at_s = 20
   for_s = 2
   how = "mid-move"
 }
 
-# A fifth of the hosts die at once and come back cold.
+# A fifth of the hosts crash at once and return cold.
 fault "crash" {
   at_s = 28
   for_s = 5
   part = 0.2
 }
 
-# The list calls living hosts gone.
+# The list marks running hosts as gone.
 fault "wrong_list" {
   at_s = 40
   for_s = 4
--- a/examples/budgets.hcl
+++ b/examples/budgets.hcl
@@ -1,6 +1,6 @@
-# Five stewards that know each other and keep budgets together, through a release with cold hosts: the fleet of stewards
-# is cut two to three, one way only, loses and repeats its words; one is stopped for longer than any lease and woken,
-# two are killed, one is started anew faster than anyone notices, a sixth comes and one goes for good.
+# Five stewards share budgets through a release with cold hosts. Their network is partitioned two to three and in one
+# direction only, and loses and repeats messages; one steward is suspended for longer than any lease and resumed,
+# two are killed, one is restarted before others notice, a sixth joins and one leaves permanently.
 name = "budgets"
 seconds = 40
 zones = ["north", "south"]
@@ -67,7 +67,7 @@
 
 budget "cold_slices" {
   whole = 9
-  floor = 1 # a new divider lends none for a span: with long ones, the floor is what a steward has meanwhile
+  floor = 1 # a new allocator grants none for a span: if that is long, a steward has only its floor until then
   per = "host"
   unit = "count"
 }
--- a/examples/days/crash.hcl
+++ b/examples/days/crash.hcl
@@ -1,4 +1,4 @@
-# Three of fifteen hosts die at once and come back cold.
+# Three of fifteen hosts crash at once and return cold.
 name = "crash"
 seconds = 20
 zones = ["north", "south", "east"]
--- a/examples/days/lost-room.hcl
+++ b/examples/days/lost-room.hcl
@@ -1,4 +1,4 @@
-# A machine room, a third of the fleet, is lost in mid-run and comes back cold.
+# A machine room, a third of the fleet, is lost during the run and returns cold.
 name = "lost-room"
 seconds = 24
 zones = ["north", "south", "east"]
--- a/examples/days/slow-host.hcl
+++ b/examples/days/slow-host.hcl
@@ -1,4 +1,4 @@
-# Two hosts are four times slower for a while, and the list says nothing of it.
+# Two hosts are four times slower for a while, which the list does not show.
 name = "slow-host"
 seconds = 20
 zones = ["north", "south", "east"]
--- a/examples/days/tipping.hcl
+++ b/examples/days/tipping.hcl
@@ -1,5 +1,5 @@
-# An overload that tips: one large host at 0.93 of what it can do, clients that give up early and ask again six times.
-# A second of slowness is forgotten at once on some days, and on others never: two outcomes, and no day between.
+# An overload that may become permanent: one large host at 0.93 of its capacity, clients that give up early and retry six times.
+# On some days the fleet recovers at once from a second of slowness, and on others never: two outcomes, and none between.
 name = "tipping"
 seconds = 60.0
 zones = ["all"]
--- a/examples/days/worst-1.hcl
+++ b/examples/days/worst-1.hcl
@@ -1,4 +1,4 @@
-# Found by lab search on quiet.hcl among all kinds of fault, and cut down to what matters.
+# Found by lab search on quiet.hcl among all kinds of fault, and reduced to the faults that matter.
 name = "worst-1"
 seconds = 20.0
 zones = ["north", "south", "east"]
--- a/examples/days/worst-2.hcl
+++ b/examples/days/worst-2.hcl
@@ -1,4 +1,4 @@
-# Found by lab search on quiet.hcl, and cut down to one fault: the list is empty for half of the day.
+# Found by lab search on quiet.hcl, and reduced to one fault: the list is empty for half of the day.
 name = "worst-2"
 seconds = 20.0
 zones = ["north", "south", "east"]
--- a/examples/fleet-day.hcl
+++ b/examples/fleet-day.hcl
@@ -1,6 +1,6 @@
-# The day of all three: a rolling deploy replaces three quarters of the hosts while five stewards keep runs at their versions
-# and let waiting work go in one order, a third of it belonging to runs. The release is taken back and forward; stewards are
-# cut, stopped, killed, started anew, joined by a sixth, and at last all started anew at once.
+# Version pinning, scheduling and shared tasks together: a rolling deploy replaces three quarters of the hosts while five
+# stewards keep runs at their versions and release waiting jobs in one order, a third of them belonging to runs. The release is
+# rolled back and forward; stewards are partitioned, suspended, killed, restarted, joined by a sixth, and at last all restarted at once.
 name = "fleet-day"
 seconds = 44
 zones = ["north", "south"]
--- a/examples/leases.hcl
+++ b/examples/leases.hcl
@@ -1,6 +1,7 @@
-# Five stewards share 65 tasks, one holder each: the fleet of stewards is cut two to three, one way only, loses and repeats
-# its words; one is stopped for longer than any lease and woken, two are killed, one is started anew faster than anyone
-# notices, then all at once; a sixth comes and one goes for good. Every act is written down, and what peers made of it.
+# Five stewards share 65 tasks, each with one holder. Their network is partitioned two to three and in one direction only,
+# and loses and repeats messages; one steward is suspended for longer than any lease and resumed, two are killed, one is
+# restarted before others notice, then all at once; a sixth joins and one leaves permanently. Every act is recorded, with the
+# responses of the peers.
 name = "leases"
 seconds = 38
 zones = ["north", "south"]
--- a/examples/load-reports.hcl
+++ b/examples/load-reports.hcl
@@ -1,5 +1,5 @@
-# Load reports in trouble: a flood at ten times the normal volume during a surge, one sender with figures an hour
-# old, a third silent, clocks off by minutes, a third of the reports lost, a liar, and kill -9 in mid-flood.
+# Faults of load reports: a flood at ten times the normal volume during a surge, one sender with figures an hour
+# old, a third silent, clocks off by minutes, a third of the reports lost, a sender of false figures, and kill -9 during the flood.
 name = "load-reports"
 seconds = 40
 zones = ["north", "south"]
@@ -70,7 +70,7 @@
   processes_most = 32
 }
 
-# Hosts that are slow while the list says nothing of it.
+# Hosts that are slow, which the list does not show.
 fault "slow" {
   at_s = 2
   for_s = 12
@@ -78,7 +78,7 @@
   size = 3
 }
 
-# What they say is an hour old; it says that they are twice as busy as any.
+# Their figures are an hour old and show twice the load of any other host.
 fault "report_stale" {
   at_s = 4
   for_s = 30
--- a/examples/pinned-runs.hcl
+++ b/examples/pinned-runs.hcl
@@ -1,6 +1,7 @@
-# Five stewards; runs of two quotes and a claim keep the set of versions that they began with, through a rolling deploy, a
-# release that is taken back and forward, hosts upgraded in place under their address, cuts between the stewards both ways
-# and one way, one stopped for longer than any lease and woken, two killed, one started anew at once, then all at once.
+# Five stewards; runs of two quotes and a claim keep the set of versions with which they began, through a rolling deploy, a
+# release that is rolled back and forward, hosts upgraded in place under their address, partitions between the stewards in both
+# directions and in one, one steward suspended for longer than any lease and resumed, two killed, one restarted at once, then
+# all at once.
 name = "pinned-runs"
 seconds = 40
 zones = ["north", "south"]
--- a/examples/steward.hcl
+++ b/examples/steward.hcl
@@ -1,4 +1,4 @@
-# The least that a steward needs, and the blocks that most sites set.
+# The blocks that a steward requires, and those that most sites set.
 zones = ["north", "south"]
 
 steward {
--- a/examples/three-stewards.hcl
+++ b/examples/three-stewards.hcl
@@ -1,5 +1,5 @@
-# Three stewards share slices through the stand-in registry; one is killed, one handed over by its end, the registry
-# is away for a while, and hosts drain and die meanwhile.
+# Three stewards share slices through the stand-in registry; one is killed, one hands its slices over when it stops, the
+# registry is unavailable for a while, and hosts drain and crash at the same time.
 name = "three-stewards"
 seconds = 24
 zones = ["north", "south"]
--- a/examples/upgrades.hcl
+++ b/examples/upgrades.hcl
@@ -1,4 +1,4 @@
-# Ten upgrades of the steward in a row under 790 invocations a second, while hosts drain, die and are deployed.
+# Ten upgrades of the steward in a row under 790 invocations a second, while hosts drain, crash and are deployed.
 name = "upgrades"
 seconds = 40
 zones = ["north", "south", "east", "west"]
@@ -80,14 +80,14 @@
   lines_per_s = 500
 }
 
-# Ten handovers, one each 3.5 seconds.
+# Ten handovers, one every 3.5 seconds.
 fault "upgrade" {
   at_s = 3
   for_s = 35
   size = 10
 }
 
-# A rolling deploy of a third of the fleet through most of them.
+# A rolling deploy of a third of the fleet during most of them.
 fault "deploy" {
   at_s = 5
   for_s = 28
@@ -102,14 +102,14 @@
   part = 0.12
 }
 
-# Two hosts die at once and come back cold.
+# Two hosts crash at once and return cold.
 fault "crash" {
   at_s = 20
   for_s = 5
   part = 0.08
 }
 
-# The forwarders stand still for half a second, again and again, by a slot change of their own.
+# The forwarders repeatedly pause for half a second, by a slot change of their own.
 fault "balancer_stall" {
   at_s = 27
   for_s = 6
--- a/examples/waiting.hcl
+++ b/examples/waiting.hcl
@@ -1,6 +1,7 @@
-# Five stewards let go, in one order, what waits at forwarders: two operations of different priority and patience, more than
-# fleet's budget lets through at once, some jobs brought again through another forwarder. Meanwhile the stewards are cut two to
-# three, one way, one is stopped and woken, two are killed, one is started anew at once, then all; links of forwarders drop.
+# Five stewards release, in one order, the jobs that wait at forwarders: two operations of different priority and patience, more
+# than the fleet's budget admits at once, some jobs submitted again through another forwarder. During that the stewards are
+# partitioned two to three and in one direction, one is suspended and resumed, two are killed, one is restarted at once, then all;
+# links of forwarders are lost.
 name = "waiting"
 seconds = 36
 zones = ["north", "south"]
