--- a/corallanding/lab/chance.py
+++ b/corallanding/lab/chance.py
@@ -1,4 +1,4 @@
-"""Chance by what it is for: the same key gives the same draw, however many others were made before."""
+"""Random draws by key: the same key always gives the same draw, independent of how many draws came before."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def uniform(*key: int) -> float:
-    """In [0, 1). The finalizer of splitmix64 (Steele, Lea and Flood, 2014) over the numbers of the key in turn."""
+    """Return a number in [0, 1): the finalizer of splitmix64 (Steele, Lea and Flood, 2014) over the key's numbers."""
     x = 0
-    for k in key:
-        x = (x + k + 0x9E3779B97F4A7C15) & MASK
+    for part in key:
+        x = (x + part + 0x9E3779B97F4A7C15) & MASK
         x = (x ^ x >> 30) * 0xBF58476D1CE4E5B9 & MASK
         x = (x ^ x >> 27) * 0x94D049BB133111EB & MASK
         x ^= x >> 31
@@ -17,8 +17,8 @@
 
 
 def at(lines: list[tuple[int, float]], share: float) -> int:
-    """The host at a share of the lines' weight."""
-    left = share * sum(w for _, w in lines)
+    """Return the host at `share`, in [0, 1), of the cumulative weight of the lines (host, weight)."""
+    left = share * sum(weight for _, weight in lines)
     for host, weight in lines:
         left -= weight
         if left < 0.0:
--- a/corallanding/lab/clients.py
+++ b/corallanding/lab/clients.py
@@ -105,7 +105,7 @@
     open: int = 0
 
     def __post_init__(self) -> None:
-        self.witness = self.trace.witness("clients")
+        self.observer = self.trace.observer("clients")
 
     async def run(self, begun: float) -> None:
         """Plays all arrivals from `begun` (trace clock) on; returns when the last is answered."""
@@ -121,7 +121,7 @@
     def ask(self, k: int) -> None:
         t, operation = self.traffic, int(self.traffic.operation[k])
         self.open += 1
-        self.witness.saw("asked", k, operation, int(t.slice[k]), self.operations[operation].value)
+        self.observer.record("asked", k, operation, int(t.slice[k]), self.operations[operation].value)
         self.attempt(k, operation, 0, clock())
 
     def attempt(self, k: int, operation: int, number: int, begun: float) -> None:
@@ -148,5 +148,5 @@
     def over(self, k: int, operation: int, begun: float, status: str) -> None:
         o, took = self.operations[operation], clock() - begun
         worth = o.value if took <= o.objective else o.value * o.late_value if took <= o.timeout else 0.0
-        self.witness.saw("answered", k, operation, status, took, worth if status == "ok" else 0.0)
+        self.observer.record("answered", k, operation, status, took, worth if status == "ok" else 0.0)
         self.open -= 1
--- a/corallanding/lab/faults.py
+++ b/corallanding/lab/faults.py
@@ -34,8 +34,8 @@
 
 class Faults(HostFaults, PeerFaults):
     def __init__(self, lab: Stage) -> None:
-        self.lab, self.witness = lab, lab.trace.witness("faults")
-        self.draws: dict[int, int] = {}
+        self.lab, self.observer = lab, lab.trace.observer("faults")
+        self.draws_by_fault: dict[int, int] = {}
         self.pending_kills = sum(f.kind == "steward_kill" for f in lab.scenario.fault)
 
     def forwarders(self, f: Fault) -> list[int]:
@@ -47,11 +47,11 @@
 
     async def play(self, f: Fault, begun: float) -> None:
         await asyncio.sleep(max(0.0, begun + f.at_s * 1000.0 - clock()) / 1000.0)
-        self.witness.saw("fault", f.kind, "on", f.for_s)
+        self.observer.record("fault", f.kind, "on", f.for_s)
         acts: Callable[[Fault], Awaitable[None]] = getattr(self, f.kind)
         await acts(f)
         self.pending_kills -= f.kind == "steward_kill"
-        self.witness.saw("fault", f.kind, "off", f.for_s)
+        self.observer.record("fault", f.kind, "off", f.for_s)
 
     # ---- ways ------------------------------------------------------------------------------------------
 
@@ -63,9 +63,9 @@
 
     async def one_sided(self, f: Fault) -> None:
         zone = self.zone(f)
-        self.lab.net.deaf.add(zone)
+        self.lab.net.unreachable.add(zone)
         await self.wait(f)
-        self.lab.net.deaf.discard(zone)
+        self.lab.net.unreachable.discard(zone)
 
     async def slow_link(self, f: Fault) -> None:
         zone = self.zone(f)
--- a/corallanding/lab/forwarder.py
+++ b/corallanding/lab/forwarder.py
@@ -46,7 +46,7 @@
         self.steward_zone, self.rules, self.zones, self.net = steward_zone, rules, zones, net
         self.chance, self.ways = np.random.default_rng([seed, number]), np.random.default_rng([seed, number, 1])
         self.seed = seed
-        self.witness = trace.witness(f"forwarder {number}")
+        self.observer = trace.observer(f"forwarder {number}")
         self.sessions = itertools.count(1)
         self.links = Links(self, stewards)
         self.cut_off = self.down = self.stalled = False
@@ -91,7 +91,7 @@
 
     def stall(self, on: bool) -> None:
         self.stalled = on
-        self.witness.saw("stall", on)
+        self.observer.record("stall", on)
         if not on:
             kept, self.kept = self.kept, []
             for call, *args in kept:
@@ -122,7 +122,7 @@
         self.sums.came(t)
         amount, _ = self.held.level(t.slice, t.operation)
         if amount < 1.0 and self.drawn(t.inv, t.attempt, 0, 0) >= amount:
-            self.witness.saw("refused", t.inv, t.attempt)
+            self.observer.record("refused", t.inv, t.attempt)
             t.done("rate-limited")
             return
         t.timer = asyncio.get_running_loop().call_later((t.until - clock()) / 1000.0, self.give_up, t)
@@ -147,7 +147,7 @@
             if t.tried and not t.unfit:
                 self.end(t, "errored")
                 return
-            self.witness.saw("none", t.slice, t.inv)
+            self.observer.record("none", t.slice, t.inv)
             wait = self.pinned.wait(t) if t.run else self.rules.table_wait
             if t.parked is None:
                 t.parked = clock() + wait
@@ -163,7 +163,7 @@
         conn.out[t.inv, t.attempt, t.again] = t
         self.outstanding[t.host] += 1
         k = self.held.owner.get(t.slice, -1)
-        self.witness.saw("send", t.inv, t.attempt, t.again, t.operation, t.slice, t.host, k)
+        self.observer.record("send", t.inv, t.attempt, t.again, t.operation, t.slice, t.host, k)
         conn.write(
             frames.encode(
                 Invoke(t.inv, t.attempt, t.again, self.number, t.operation, t.slice, t.work, t.run, t.version)
--- a/corallanding/lab/host.py
+++ b/corallanding/lab/host.py
@@ -60,7 +60,7 @@
 class Host:
     def __init__(self, number: int, zone: int, spec: HostSpec, trace: Trace, port: int = 0) -> None:
         self.number, self.zone, self.spec, self.port = number, zone, spec, port
-        self.witness = trace.witness(f"host {number}")
+        self.observer = trace.observer(f"host {number}")
         self.conns: dict[Conn, None] = {}
         self.server: asyncio.Server | None = None
         self.started = 0.0  # wall-clock ms of the process start; 0 is long ago
@@ -96,7 +96,7 @@
         self.pushes.clear()
         self.pushed = 0.0
         s = self.spec
-        self.witness.saw("start", cold, s.cores * s.speed, s.cold_from, s.cold_ms)
+        self.observer.record("start", cold, s.cores * s.speed, s.cold_from, s.cold_ms)
 
     def kill(self) -> None:
         """The process dies: every connection breaks, what ran is gone."""
@@ -110,7 +110,7 @@
         self.room.clear()
         for conn in list(self.conns):
             conn.transport.abort()
-        self.witness.saw("stop")
+        self.observer.record("stop")
 
     def utilization(self, span: float) -> float:
         """Share of its cores that were busy lately, smoothed over `span` ms; a queue shows as more than 1."""
@@ -131,18 +131,18 @@
         if isinstance(frame, Cancel):
             if timer := self.busy.pop(key, None):
                 timer.cancel()
-                self.witness.saw("cancelled", *key)
+                self.observer.record("cancelled", *key)
                 self.fill()
             self.room = deque(x for x in self.room if (x[1].inv, x[1].attempt, x[1].again) != key)
             return
         if frame.version and frame.version not in self.versions.get(frame.operation, []):
-            self.witness.saw("other-version", *key, frame.run, frame.operation, frame.version)
+            self.observer.record("other-version", *key, frame.run, frame.operation, frame.version)
             self.answer(conn, frame, "version")
             return
-        self.witness.saw("take", *key, frame.forwarder, frame.operation, frame.slice, frame.work)
+        self.observer.record("take", *key, frame.forwarder, frame.operation, frame.slice, frame.work)
         if self.cold() and self.overpushed(frame.work):
             # More than it can take for too long: it falls over and stays down.
-            self.witness.saw("fell")
+            self.observer.record("fell")
             self.fallen = True
             self.kill()
             return
@@ -173,11 +173,11 @@
             key = (frame.inv, frame.attempt, frame.again)
             work = frame.work * (1.0 - self.spec.warm_gain if frame.slice in self.warm else 1.0)
             self.warm.add(frame.slice)
-            self.witness.saw("run", *key, frame.forwarder, frame.operation, frame.slice)
+            self.observer.record("run", *key, frame.forwarder, frame.operation, frame.slice)
             if frame.run:
                 served = self.versions.get(frame.operation, [])
                 version = frame.version or max(served, default=0)
-                self.witness.saw("ran", *key, frame.run, frame.operation, version, served)
+                self.observer.record("ran", *key, frame.run, frame.operation, version, served)
             time = work / (self.spec.speed * max(self.vigour(), 0.01)) / 1000.0
             self.busy[key] = asyncio.get_running_loop().call_later(time, self.finish, conn, frame)
 
@@ -191,13 +191,13 @@
         self.fill()
 
     def answer(self, conn: Conn, frame: Invoke, status: str) -> None:
-        self.witness.saw("done", frame.inv, frame.attempt, frame.again, status)
+        self.observer.record("done", frame.inv, frame.attempt, frame.again, status)
         if not conn.transport.is_closing():
             conn.transport.write(frames.encode(Done(frame.inv, frame.attempt, frame.again, status)))
 
     def probed(self, conn: Conn) -> None:
         """A shallow probe: answered beside the queue, also while the work hangs; turned away when draining."""
-        self.witness.saw("probe")
+        self.observer.record("probe")
         status = "503 Draining" if self.draining or self.probes >= self.spec.probes_most else "200 OK"
         load = f"rif={len(self.busy) + len(self.room)} q={len(self.room)}"
         conn.transport.write(f"HTTP/1.1 {status}\r\nX-Load: {load}\r\nContent-Length: 0\r\n\r\n".encode())
--- a/corallanding/lab/host_faults.py
+++ b/corallanding/lab/host_faults.py
@@ -4,13 +4,13 @@
 
 import asyncio
 
-from .drawn import Drawn
+from .drawn import FaultTargets
 from .host import Host, release
 from .scenario import Fault
 from .trace import clock
 
 
-class HostFaults(Drawn):
+class HostFaults(FaultTargets):
     """`on` names hosts; without it a part of those that are up, drawn by the run's seed."""
 
     def some(self, f: Fault, share: float | None = None) -> list[Host]:
@@ -19,7 +19,7 @@
         if f.on:
             return [h for h in up if h.number in f.on]
         count = max(1, round(len(up) * (f.part if share is None else share)))
-        return [up[i] for i in self.order(f, len(up))[:count]]
+        return [up[i] for i in self.draw_order(f, len(up))[:count]]
 
     async def wait(self, f: Fault) -> None:
         await asyncio.sleep(f.for_s)
--- a/corallanding/lab/host_link.py
+++ b/corallanding/lab/host_link.py
@@ -71,7 +71,7 @@
         self.waiting = []
 
     def write(self, data: bytes) -> None:
-        way = self.forwarder.net.way(self.forwarder.zone, self.zone)
+        way = self.forwarder.net.delay_ms(self.forwarder.zone, self.zone)
         if way is None:
             return
         if way > 0:
@@ -88,7 +88,7 @@
     def data_received(self, data: bytes) -> None:
         f = self.forwarder
         for done in self.reader.feed(data):
-            way = f.net.way(self.zone, f.zone)
+            way = f.net.delay_ms(self.zone, f.zone)
             lost = f.net.answers_lost.get(self.host, 0.0)
             if way is None or (lost and f.drawn(done.inv, done.attempt, done.again, 3) < lost):
                 continue
@@ -109,7 +109,7 @@
         f, (name, _, port) = self.forwarder, address.rpartition(":")
         try:
             async with asyncio.timeout(f.rules.dial_timeout / 1000.0):
-                if f.net.way(f.zone, self.zone) is None:
+                if f.net.delay_ms(f.zone, self.zone) is None:
                     await asyncio.sleep(3600)
                 await asyncio.get_running_loop().create_connection(lambda: self, name, int(port))
         except (OSError, TimeoutError):
--- a/corallanding/lab/laid.py
+++ b/corallanding/lab/laid.py
@@ -1,4 +1,4 @@
-"""Whether forwarders hold what stewards have laid."""
+"""Comparison of the tables of proxies with those published by controllers."""
 
 from __future__ import annotations
 
@@ -8,10 +8,14 @@
 from .forwarder import Forwarder
 
 
-async def compare_tables(forwarders: list[Forwarder], laid: Callable[[], Awaitable[dict[int, set[int]]]]) -> int:
-    """Lines of the stewards' tables that a joined forwarder lacks, or has beyond them, once all is quiet. laid: raises
-    OSError if one does not answer."""
-    lost = 0
+async def count_table_differences(
+    forwarders: list[Forwarder], laid: Callable[[], Awaitable[dict[int, set[int]]]]
+) -> int:
+    """Count the table lines in which connected proxies differ from the controllers; wait up to 6 s for equality.
+
+    laid: returns hosts by slice as published by the controllers; raises OSError if a controller does not respond.
+    """
+    differences = 0
     for _ in range(60):
         try:
             tables = await laid()
@@ -19,18 +23,18 @@
             await asyncio.sleep(0.1)
             continue
         joined = [f for f in forwarders if f.joined]
-        lost = sum(len(tables[t] ^ set(f.tables.get(t, ()))) for f in joined for t in tables)
-        if not lost and len(joined) == len(forwarders):
+        differences = sum(len(tables[t] ^ set(f.tables.get(t, ()))) for f in joined for t in tables)
+        if not differences and len(joined) == len(forwarders):
             return 0
         await asyncio.sleep(0.1)
-    return lost
+    return differences
 
 
-async def settle(forwarders: list[Forwarder], slices: int) -> None:
-    """Every forwarder joined, every slice with a line. Raises RuntimeError if that does not come about."""
+async def wait_for_tables(forwarders: list[Forwarder], slices: int) -> None:
+    """Wait until each proxy has a host for every slice. Raises RuntimeError if that takes longer than 10 s."""
     for _ in range(400):
         await asyncio.sleep(0.025)
-        full = [sum(1 for t in f.tables.values() if t) for f in forwarders]
-        if min(full) == slices:
+        filled_slices = [sum(1 for t in f.tables.values() if t) for f in forwarders]
+        if min(filled_slices) == slices:
             return
-    raise RuntimeError(f"tables were not laid within 10 s ({min(full)} of {slices} slices)")
+    raise RuntimeError(f"a proxy has no complete table after 10 s ({min(filled_slices)} of {slices} slices)")
--- a/corallanding/lab/make.py
+++ b/corallanding/lab/make.py
@@ -1,4 +1,4 @@
-"""Forwarders and clients of a run, as the scenario asks for them."""
+"""Construction of the proxies and clients of a run from its scenario."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from .trace import Trace
 from .wait_clients import JobSpec, WaitClients
 
-RUNS, WAITS = 1, 2  # parts of the link that a forwarder speaks
+RUNS, WAITS = 1, 2  # optional parts of the protocol that a proxy supports, as bits
 
 
-def forwarder_of(
+def make_proxy(
     s: Scenario,
     number: int,
     share: float,
@@ -25,7 +25,7 @@
     trace: Trace,
     seed: int,
 ) -> Forwarder:
-    """share: of the traffic."""
+    """Return proxy `number`, which gets `share` of the traffic."""
     rules = Rules(
         s.forwarders.pick,
         s.forwarders.usual_retry,
@@ -40,17 +40,20 @@
     return Forwarder(number, number % len(s.zones), rate, stewards, 0, rules, zones, net, trace, seed, parts)
 
 
-def shares_of(s: Scenario, chance: np.random.Generator) -> tuple[np.ndarray, np.ndarray]:
-    """Of the traffic, by forwarder and by slice."""
+def draw_shares(s: Scenario, chance: np.random.Generator) -> tuple[np.ndarray, np.ndarray]:
+    """Draw the shares of the traffic by proxy and by slice; each sums to 1."""
     n = s.fleet.forwarders
     rates = chance.lognormal(0.0, s.fleet.stream_cv, n) if s.fleet.stream_cv else np.ones(n)
     slices = chance.lognormal(0.0, s.fleet.slice_cv, s.fleet.slices)
     return rates / rates.sum(), slices / slices.sum()
 
 
-def operations_of(s: Scenario) -> list[OperationSpec]:
-    """Those that wait come by clients of their own."""
-    found = [
+def request_classes_of(s: Scenario) -> list[OperationSpec]:
+    """Return the request classes with shares that sum to 1.
+
+    Classes with `waits` get the share 0: their jobs are submitted by `WaitClients`.
+    """
+    request_classes = [
         OperationSpec(
             name,
             0.0 if o.waits else o.share,
@@ -64,26 +67,28 @@
         )
         for name, o in s.operation.items()
     ]
-    total = sum(o.share for o in found)
-    return [OperationSpec(**{**vars(o), "share": o.share / total}) for o in found]
+    total = sum(o.share for o in request_classes)
+    return [OperationSpec(**{**vars(o), "share": o.share / total}) for o in request_classes]
 
 
-def run_clients(
+def make_run_clients(
     s: Scenario, forwarders: list[Forwarder], operations: list[OperationSpec], trace: Trace, seed: int
 ) -> RunClients | None:
+    """Return the clients of workflow runs, if the scenario has any."""
     if s.runs is None:
         return None
     spec = RunSpec(s.runs.per_s, tuple(list(s.operation).index(n) for n in s.runs.steps), s.runs.gap_ms, s.runs.twice)
     return RunClients(forwarders, operations, spec, s.fleet.slices, trace, seed)
 
 
-def wait_clients(
+def make_wait_clients(
     s: Scenario, forwarders: list[Forwarder], operations: list[OperationSpec], trace: Trace, seed: int
 ) -> WaitClients | None:
+    """Return the clients that submit jobs, if the scenario has any."""
     if s.jobs is None:
         return None
     rows = list(enumerate(s.operation.values()))
     waiting = tuple(n for n, o in rows if o.waits)
-    marked = tuple(n for n, o in rows if o.repeat == "fingerprinted")
-    spec = JobSpec(s.jobs.per_s, waiting, marked, s.jobs.again, s.jobs.again_ms, s.jobs.runs)
+    with_idempotency_key = tuple(n for n, o in rows if o.repeat == "fingerprinted")
+    spec = JobSpec(s.jobs.per_s, waiting, with_idempotency_key, s.jobs.again, s.jobs.again_ms, s.jobs.runs)
     return WaitClients(forwarders, operations, spec, s.fleet.slices, trace, seed)
--- a/corallanding/lab/net.py
+++ b/corallanding/lab/net.py
@@ -1,4 +1,7 @@
-"""The ways between stand-ins: delay, loss and cuts by zone. A cut holds what is sent until the try gives up."""
+"""Simulated network between stand-ins: delay, loss and partitions by zone, and the messages of proxies and hosts.
+
+Over a partitioned link nothing arrives: the sender waits until its attempt times out.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,10 @@
 
 
 class Invoke(frames.Frame, tag="invoke"):
-    """Forwarder to host. `attempt`: the client's try; `again`: the forwarder's own repeat within it."""
+    """A request from a proxy to a host.
+
+    `attempt` numbers the client's attempts; `again` numbers the proxy's own retries within one of them.
+    """
 
     inv: int
     attempt: int
@@ -19,17 +25,19 @@
     slice: int
     work: float
     run: str = ""
-    version: int = 0  # 0: whichever the host serves
+    version: int = 0  # 0: any version that the host serves
 
 
 class Cancel(frames.Frame, tag="cancel"):
+    """A cancellation of a request, from the proxy to the host."""
+
     inv: int
     attempt: int
     again: int
 
 
 class Done(frames.Frame, tag="done"):
-    """status: "ok", "error", "full", "draining" or "version"; the last three prove that nothing ran."""
+    """The response of a host: "ok", "error", "full", "draining" or "version"; after the last three nothing ran."""
 
     inv: int
     attempt: int
@@ -42,26 +50,26 @@
 
 
 class Net:
-    """Zones and what ails the ways between them. Times in milliseconds; chance from one seeded generator."""
+    """Faults of the links between zones. Times in ms; all random draws come from one seeded generator."""
 
     def __init__(self, seed: int) -> None:
         self.chance = np.random.default_rng(seed)
-        self.cut: set[int] = set()  # zones without a way to the others
-        self.deaf: set[int] = set()  # zones that nothing reaches from outside (one side of the way is gone)
-        self.slow: dict[int, tuple[float, float]] = {}  # zone: mean delay, loss
-        self.answers_lost: dict[int, float] = {}  # host: share of its answers that are lost
-
-    def way(self, a: int, b: int) -> float | None:
-        """Delay in ms of one message from zone a to zone b; None if it does not arrive."""
-        if a == b:
+        self.cut: set[int] = set()  # zones without any link to the others
+        self.unreachable: set[int] = set()  # zones that receive nothing from others but can send (one-way partition)
+        self.slow: dict[int, tuple[float, float]] = {}  # zone: mean delay in ms, share of lost packets
+        self.answers_lost: dict[int, float] = {}  # host: share of its responses that are lost
+
+    def delay_ms(self, source: int, target: int) -> float | None:
+        """Draw the delay in ms of a message from zone `source` to `target`; return None if it does not arrive."""
+        if source == target:
             return 0.0
-        if a in self.cut or b in self.cut or b in self.deaf:
+        if source in self.cut or target in self.cut or target in self.unreachable:
             return None
         delay = 0.0
-        for zone in (a, b):
+        for zone in (source, target):
             if zone in self.slow:
                 mean, loss = self.slow[zone]
                 delay += float(self.chance.exponential(mean))
                 while self.chance.random() < loss and delay < 5_000:
-                    delay += 200.0  # TCP sends again
+                    delay += 200.0  # TCP retransmits
         return delay
--- a/corallanding/lab/peers.py
+++ b/corallanding/lab/peers.py
@@ -4,12 +4,12 @@
 
 import asyncio
 
-from .drawn import Drawn
+from .drawn import FaultTargets
 from .scenario import Fault
 from .ways import Trouble
 
 
-class PeerFaults(Drawn):
+class PeerFaults(FaultTargets):
     """`on` names stewards; without it a part of them, drawn by the run's seed."""
 
     def stewards(self, f: Fault) -> list[int]:
--- a/corallanding/lab/pinned.py
+++ b/corallanding/lab/pinned.py
@@ -63,14 +63,14 @@
     def told(self, k: int, frame: frames.RunVersions | frames.RunRoutes) -> None:
         if frame.release_set and frame.register_version < self.register and frame.release_set not in self.alive:
             kind = "Pinned" if isinstance(frame, frames.RunVersions) else "Routes"
-            self.forwarder.witness.saw("behind", kind, frame.release_set, frame.register_version, self.register, k)
+            self.forwarder.observer.record("behind", kind, frame.release_set, frame.register_version, self.register, k)
             if isinstance(frame, frames.RunVersions) and (run := self.asked.pop(frame.query, None)) is not None:
                 self.ask(run, k + 1)
             return
         if isinstance(frame, frames.RunRoutes):
             if frame.register_version >= self.register:
                 for number in self.alive.difference(frame.live_sets):
-                    self.forwarder.witness.saw("retired", number, frame.register_version)
+                    self.forwarder.observer.record("retired", number, frame.register_version)
                 self.register, self.alive = frame.register_version, set(frame.live_sets)
             self.routes[k, frame.release_set] = {(s, o): (v, lines, wait) for s, o, v, lines, wait in frame.rows}
             for at, number in [key for key in self.routes if key[0] == k and key[1] not in frame.live_sets]:
@@ -89,7 +89,7 @@
             self.pins[run] = (frame.release_set, dict(frame.versions), clock() + GOOD)
             while len(self.pins) > RUNS_MOST:
                 self.pins.popitem(last=False)
-        self.forwarder.witness.saw("pin", run, frame.outcome, frame.release_set, k)
+        self.forwarder.observer.record("pin", run, frame.outcome, frame.release_set, k)
         for t in [t for t in waiting if not t.ended]:
             if frame.outcome == "pinned":
                 self.go(t)
--- a/corallanding/lab/polling.py
+++ b/corallanding/lab/polling.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from .processes import get
+from .processes import http_get
 from .trace import clock
 
 
@@ -19,7 +19,7 @@
         await asyncio.sleep(0.25)
         life_at_request = life()
         try:
-            _, page = await get(door, "/metrics")
+            _, page = await http_get(door, "/metrics")
         except (OSError, asyncio.IncompleteReadError, IndexError):
             before = (0.0, 0.0)
             continue
--- a/corallanding/lab/processes.py
+++ b/corallanding/lab/processes.py
@@ -1,4 +1,4 @@
-"""Ports and processes of a run: what a lab starts, asks and ends."""
+"""Free ports, HTTP requests to controllers, and controller processes that are not children of the lab."""
 
 from __future__ import annotations
 
@@ -9,25 +9,28 @@
 import socket
 from pathlib import Path
 
-_ports = itertools.count()
+_port_offsets = itertools.count()
 
 
 def free_port() -> int:
-    """From a block of this process's own, below the range from which the kernel draws: labs that run side by side got
-    each other's ports when they let go of one that the kernel had chosen, and bound it later."""
+    """Return a free loopback port of a block reserved for this process, below the range of ephemeral ports.
+
+    Ports chosen by the kernel collided: a lab released such a port and bound it again later, and in between another
+    lab running at the same time could get it. Raises RuntimeError if no port is free.
+    """
     for _ in range(1_000):
-        port = 10_000 + os.getpid() % 700 * 30 + next(_ports) % 30
-        with socket.socket() as s:
+        port = 10_000 + os.getpid() % 700 * 30 + next(_port_offsets) % 30
+        with socket.socket() as candidate:
             try:
-                s.bind(("127.0.0.1", port))
+                candidate.bind(("127.0.0.1", port))
             except OSError:
                 continue
             return port
     raise RuntimeError("no port is free")
 
 
-async def get(port: int, path: str) -> tuple[int, bytes]:
-    """One GET at the steward's door. Raises OSError if it is not there."""
+async def http_get(port: int, path: str) -> tuple[int, bytes]:
+    """Send one GET to a controller's HTTP port; return status and body. Raises OSError if it cannot be reached."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         writer.write(f"GET {path} HTTP/1.1\r\nHost: door\r\nConnection: close\r\n\r\n".encode())
@@ -37,14 +40,15 @@
         writer.close()
 
 
-class Successor:
-    """A steward's process that is no child of this one."""
+class AdoptedProcess:
+    """A controller process that is not a child of the lab, as after an upgrade, with the methods of `Process`."""
 
     def __init__(self, pid: int) -> None:
         self.pid = pid
 
     @property
     def returncode(self) -> int | None:
+        """Return None while the process runs, else 0, as the exit code of another's child is unknown."""
         try:
             state = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()[0]
         except OSError:
@@ -52,16 +56,20 @@
         return 0 if state in "ZX" else None
 
     def send_signal(self, number: int) -> None:
+        """Send a signal unless the process has exited."""
         if self.returncode is None:
             os.kill(self.pid, number)
 
     def terminate(self) -> None:
+        """Send SIGTERM."""
         self.send_signal(signal.SIGTERM)
 
     def kill(self) -> None:
+        """Send SIGKILL."""
         self.send_signal(signal.SIGKILL)
 
     async def wait(self) -> int:
+        """Wait until the process has exited."""
         while self.returncode is None:
             await asyncio.sleep(0.01)
         return 0
--- a/corallanding/lab/roster.py
+++ b/corallanding/lab/roster.py
@@ -38,7 +38,7 @@
     """rows: the truth as far as it has come here; `wrong` changes what is shown of it."""
 
     def __init__(self, trace: Trace, port: int = 0) -> None:
-        self.witness, self.port = trace.witness("roster"), port
+        self.observer, self.port = trace.observer("roster"), port
         self.rows: dict[int, dict[str, Any]] = {}
         self.version, self.down = 1, False
         self.conns: dict[Conn, None] = {}
@@ -59,7 +59,9 @@
     def tell(self, conn: Conn, form: str, rows: dict[int, dict[str, Any]], after: int | None) -> None:
         line = {"form": form, "version": self.version, "hosts": list(rows.values()), "after": after}
         if not conn.transport.is_closing():
-            self.witness.saw("told", form, self.version, [[r["host"], r["state"], r["started"]] for r in rows.values()])
+            self.observer.record(
+                "told", form, self.version, [[r["host"], r["state"], r["started"]] for r in rows.values()]
+            )
             conn.transport.write(json.dumps(line).encode() + b"\n")
 
     def put(self, host: int, **row: Any) -> None:
@@ -121,7 +123,7 @@
             self.registry.store.put(f"{self.PREFIX}{h}".encode(), json.dumps(r).encode())
         if gone or changed:
             told = [[h, "removed", 0.0] for h in gone] + [[h, r["state"], r["started"]] for h, r in changed.items()]
-            self.witness.saw("told", "changes", self.registry.store.revision, told)
+            self.observer.record("told", "changes", self.registry.store.revision, told)
             self.registry.store.poke()
 
     async def fail(self, down: bool) -> None:
--- a/corallanding/lab/run_clients.py
+++ b/corallanding/lab/run_clients.py
@@ -36,7 +36,7 @@
         seed: int,
     ) -> None:
         self.forwarders, self.operations, self.spec, self.slices = forwarders, operations, spec, slices
-        self.witness = trace.witness("clients")
+        self.observer = trace.observer("clients")
         self.chance = np.random.default_rng([seed, 91])
         self.number, self.open = FIRST, 0
 
@@ -68,8 +68,8 @@
         o, begun = self.operations[operation], clock()
         self.number += 1
         inv = self.number
-        self.witness.saw("asked", inv, operation, slice, o.value)
-        self.witness.saw("step", run, step, inv, operation)
+        self.observer.record("asked", inv, operation, slice, o.value)
+        self.observer.record("step", run, step, inv, operation)
         status, attempt = "errored", 0
         while (left := begun + o.timeout - clock()) > 1.0 and attempt < 12:
             done: asyncio.Future[str] = asyncio.get_running_loop().create_future()
@@ -83,5 +83,5 @@
             await asyncio.sleep(0.1 * min(attempt, 4))
         took = clock() - begun
         worth = o.value if took <= o.objective else o.value * o.late_value if took <= o.timeout else 0.0
-        self.witness.saw("answered", inv, operation, status, took, worth if status == "ok" else 0.0)
-        self.witness.saw("stepped", run, step, inv, status)
+        self.observer.record("answered", inv, operation, status, took, worth if status == "ok" else 0.0)
+        self.observer.record("stepped", run, step, inv, status)
--- a/corallanding/lab/runner.py
+++ b/corallanding/lab/runner.py
@@ -17,11 +17,11 @@
 from .forwarder import Forwarder
 from .host import Host, HostSpec
 from .hosts import Hosts
-from .laid import compare_tables, settle
-from .make import forwarder_of, operations_of, run_clients, shares_of, wait_clients
+from .laid import count_table_differences, wait_for_tables
+from .make import draw_shares, make_proxy, make_run_clients, make_wait_clients, request_classes_of
 from .net import Net
 from .polling import hold, poll
-from .processes import Successor, free_port
+from .processes import AdoptedProcess, free_port
 from .reporter import Reporter
 from .roster import RegistryRoster, Roster
 from .run_clients import RunClients
@@ -30,7 +30,7 @@
 from .stage import Stage
 from .steward_processes import StewardProcesses
 from .trace import Trace, clock
-from .verdict import clear, verdict, witnesses
+from .verdict import audit_files, clear, verdict
 from .wait_clients import WaitClients
 from .ways import Ways
 
@@ -72,7 +72,7 @@
         return self.reporter
 
     @property
-    def running(self) -> Mapping[int, asyncio.subprocess.Process | Successor]:
+    def running(self) -> Mapping[int, asyncio.subprocess.Process | AdoptedProcess]:
         return self.own.running
 
     def spec(self, kind: int) -> HostSpec:
@@ -146,16 +146,16 @@
         s = self.scenario
         await self.first_hosts()
         await self.roster.start()
-        rates, slices = shares_of(s, self.chance)
+        rates, slices = draw_shares(s, self.chance)
         stewards = [("127.0.0.1", p) for p in self.ports]
         shared = (self.kept.zones, self.net, self.trace, self.seed)
-        self.forwarders += [forwarder_of(s, k, float(rates[k]), stewards, *shared) for k in range(s.fleet.forwarders)]
-        operations = operations_of(s)
+        self.forwarders += [make_proxy(s, k, float(rates[k]), stewards, *shared) for k in range(s.fleet.forwarders)]
+        operations = request_classes_of(s)
         traffic = self.arrivals(rates, slices, operations)
         spec = ClientSpec(s.traffic.retries, s.traffic.try_share, s.traffic.backoff_ms)
         self.clients = Clients(self.forwarders, operations, spec, traffic, self.trace)
         more = (self.forwarders, operations, self.trace, self.seed)
-        self.run_clients, self.wait_clients = run_clients(s, *more), wait_clients(s, *more)
+        self.run_clients, self.wait_clients = make_run_clients(s, *more), make_wait_clients(s, *more)
 
     def prepare(self) -> None:
         clear(self.out)
@@ -186,7 +186,7 @@
                 self.control,
                 f"127.0.0.1:{self.peer_ports[me]}" if self.ways else "",
                 self.ways.peers(me) if self.ways else None,
-                *witnesses(s, self.named, me),
+                *audit_files(s, self.named, me),
             )
             self.named("steward", me, ".hcl").write_text(text)
 
@@ -206,7 +206,7 @@
             for f in self.forwarders:
                 for work in (f.links.run(), f.links.report()):
                     self.spawn(work)
-            await settle(self.forwarders, s.fleet.slices)
+            await wait_for_tables(self.forwarders, s.fleet.slices)
             self.begun = clock() + 100.0
             self.spawn(self.poll())
             if self.reporter:
@@ -218,7 +218,7 @@
             if self.wait_clients and s.jobs:
                 both.append(self.wait_clients.run(self.begun, s.seconds, s.jobs.drain_s))
             await asyncio.gather(*both, *awaited)
-            self.lost = await compare_tables(self.forwarders, self.laid)
+            self.lost = await count_table_differences(self.forwarders, self.laid)
         finally:
             for f in self.forwarders:
                 f.stopped = True
--- a/corallanding/lab/scenario.py
+++ b/corallanding/lab/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: a fleet, its traffic and its faults, in HCL. Every fault of the vocabulary stands here once."""
+"""Scenarios in HCL: a fleet, its traffic and its faults, with the kinds of faults that can be injected."""
 
 from __future__ import annotations
 
@@ -70,6 +70,8 @@
 
 
 class HostKind(Block):
+    """One kind of host and its share of the fleet."""
+
     share: Annotated[float, Field(gt=0)] = 1.0
     cores: Count = 4
     speed: Annotated[float, Field(gt=0)] = 1.0
@@ -78,6 +80,8 @@
 
 
 class Fleet(Block):
+    """Sizes of the fleet. `slice_cv` and `stream_cv`: variation of load between slices and between proxies."""
+
     hosts: Count
     forwarders: Annotated[int, Field(ge=1, le=4096)]
     slices: Annotated[int, Field(ge=1, le=65_534)]
@@ -88,12 +92,16 @@
 
 
 class OperationTraffic(OperationBlock):
+    """A request class: its settings for the controller, its share of the traffic and its work (mean ms, variation)."""
+
     share: Annotated[float, Field(gt=0, le=1)]
     work_ms: PositiveMs
     cv: Annotated[float, Field(ge=0, le=5)] = 0.5
 
 
 class TrafficBlock(Block):
+    """The request rate and how clients retry."""
+
     per_s: Annotated[float, Field(gt=0, le=1e5)]
     retries: Annotated[int, Field(ge=0, le=10)] = 2
     try_share: Annotated[float, Field(gt=0, le=1)] = 0.8
@@ -101,13 +109,15 @@
 
 
 class RosterTraffic(Block):
+    """How the host list is delivered, and its delay for removals (`notice_ms`) and additions (`add_ms`)."""
+
     mode: Literal["pushed", "on_request"] = "pushed"
     notice_ms: NonNegativeMs = 500.0
     add_ms: NonNegativeMs = 200.0
 
 
 class LoadReportsTraffic(LoadReportsBlock):
-    """The steward's block, and how the stand-in hosts report."""
+    """The controller's block, and how the stand-in hosts send load reports."""
 
     listen: str = "127.0.0.1:0"
     processes: Annotated[int, Field(ge=1, le=4096)] = 1
@@ -117,11 +127,11 @@
     form: Literal["protobuf", "json", "stream"] = "protobuf"
 
 
-SENDING = ("processes", "every_ms", "echo", "signed", "form")
+HOST_REPORT_FIELDS = ("processes", "every_ms", "echo", "signed", "form")
 
 
 class RunsTraffic(Block):
-    """Clients whose invocations form runs. steps: names of operations."""
+    """Clients whose requests form workflow runs. steps: request classes in order; twice: share of repeated steps."""
 
     per_s: Annotated[float, Field(gt=0, le=1e4)]
     steps: Annotated[list[str], Field(min_length=1, max_length=20)]
@@ -130,8 +140,11 @@
 
 
 class JobsTraffic(Block):
-    """Clients whose work may wait: of the operations with `waits`. again: share brought again by another forwarder.
-    runs: share of the jobs that belong to a run. drain_s: that the lab waits for those that still wait at the end."""
+    """Clients that submit jobs of the request classes with `waits`.
+
+    again: share submitted a second time through another proxy, after `again_ms`. runs: share of the jobs that belong to
+    a workflow run. drain_s: how long the lab waits at the end for jobs that are still queued.
+    """
 
     per_s: Annotated[float, Field(gt=0, le=1e4)]
     again: Ratio = 0.1
@@ -141,11 +154,15 @@
 
 
 class Fault(Block):
-    """kind is the label. Times in seconds from the first arrival; part: share of what it strikes; size, extra and
-    how as the vocabulary in `docs/scenarios.md` says; on: numbers instead of a part; steps: stop and start.
+    """One injected fault; the label of the block is its kind.
 
-    until: only for faults of load reports. Ends of reports, as the steward's metrics page names them: the fault
-    outlasts `for_s`, and the run its `seconds`, until the steward's last life has counted some of each."""
+    Times are seconds from the first request. part: share of the possible targets; on: numbers of the targets, in place
+    of a share. The meaning of size, extra and how depends on the kind: see `docs/scenarios.md`.
+
+    until: only for faults of load reports; outcomes of reports as the controller's metrics page names them. The fault
+    continues beyond `for_s`, and the run beyond its `seconds`, until the present incarnation of the controller has
+    counted reports of each outcome.
+    """
 
     kind: str
     at_s: Annotated[float, Field(ge=0, le=3600)]
@@ -158,7 +175,7 @@
     until: list[str] = []
 
     @model_validator(mode="after")
-    def known(self) -> Fault:
+    def check_names(self) -> Fault:
         if self.kind not in KINDS:
             raise ValueError(f"fault {self.kind!r} is not one of {', '.join(KINDS)}")
         if self.until and self.kind not in REPORT_FAULTS:
@@ -169,12 +186,18 @@
 
 
 class Scenario(Block):
+    """A fleet, its traffic, the settings of its controllers and proxies, and the faults to inject."""
+
     name: str
     seconds: Annotated[float, Field(gt=0, le=3600)]
     zones: Annotated[list[str], Field(min_length=1)] = ["all"]
-    time_scale: Annotated[float, Field(gt=0, le=1)] = 1.0  # told only: by how much times were scaled down
+    time_scale: Annotated[float, Field(gt=0, le=1)] = (
+        1.0  # information only: the factor by which times were scaled down
+    )
     publisher: str = "corallanding"
-    stewards: Annotated[int, Field(ge=1, le=16)] = 1  # more than one share slices through the stand-in registry
+    stewards: Annotated[int, Field(ge=1, le=16)] = (
+        1  # several controllers share the slices through the stand-in registry
+    )
     lease_ms: Annotated[float, Field(ge=1000, le=600_000)] = 2000.0
     fleet: Fleet
     host: Annotated[dict[str, HostKind], Field(min_length=1)]
@@ -188,30 +211,30 @@
     probe: HealthCheckBlock = HealthCheckBlock()
     load_reports: LoadReportsTraffic | None = None
     budget: dict[str, BudgetBlock] = {}
-    budgets: BudgetsBlock = BudgetsBlock()  # stewards_most: how many there may ever be
+    budgets: BudgetsBlock = BudgetsBlock()  # stewards_most: the largest number of controllers during the run
     task: dict[str, TaskBlock] = {}
     task_group: dict[str, TaskGroupBlock] = {}
     tasks: TasksBlock = TasksBlock()
     release: dict[str, ReleaseBlock] = {}
     pins: PinsBlock | None = None
     waiting: WaitingBlock = WaitingBlock()
-    records: RecordsBlock | None = None  # path: each steward has a file of its own, whatever stands here
+    records: RecordsBlock | None = None  # path is ignored: each controller has its own file
     runs: RunsTraffic | None = None
     jobs: JobsTraffic | None = None
     fault: list[Fault] = []
 
     @model_validator(mode="after")
-    def peered(self) -> Scenario:
+    def check_references(self) -> Scenario:
         if self.numbers < self.stewards:
             raise ValueError("budgets.stewards_most is less than stewards")
-        for name, one in self.budget.items():
-            one.check(name, self.numbers)
-        groups, lease = self.task_group, self.tasks.lease_ms
-        check_pinning(self.pins, self.release, self.operation, self.task, groups, lease, self.records)
+        for name, budget in self.budget.items():
+            budget.check(name, self.numbers)
+        groups, lease_ms = self.task_group, self.tasks.lease_ms
+        check_pinning(self.pins, self.release, self.operation, self.task, groups, lease_ms, self.records)
         if self.jobs and not any(o.waits for o in self.operation.values()):
             raise ValueError("jobs: no operation waits")
-        if self.runs and (strange := sorted(set(self.runs.steps) - set(self.operation))):
-            raise ValueError(f"runs.steps: no operation {strange[0]!r}")
+        if self.runs and (unknown := sorted(set(self.runs.steps) - set(self.operation))):
+            raise ValueError(f"runs.steps: no operation {unknown[0]!r}")
         for f in self.fault:
             if f.kind in PEER_FAULTS and (self.stewards < 2 or not self.peers):
                 raise ValueError(f"fault {f.kind!r} needs stewards that know each other: several, and a budget or task")
@@ -219,14 +242,15 @@
 
     @property
     def peers(self) -> bool:
-        """Whether stewards know each other."""
+        """Whether controllers exchange messages with each other."""
         return bool(self.budget or self.task or self.task_group)
 
     @property
     def numbers(self) -> int:
-        """Stewards that there may be, those that `steward_grow` starts among them."""
+        """Return the largest number of controllers, including those that the fault `steward_grow` starts."""
         return self.budgets.stewards_most or self.stewards
 
 
 def load_scenario(path: str | Path) -> Scenario:
+    """Load a scenario file. Raises `ConfigError` if it is invalid."""
     return load(path, Scenario)
--- a/corallanding/lab/scenario_text.py
+++ b/corallanding/lab/scenario_text.py
@@ -1,18 +1,20 @@
-"""Scenarios as HCL: the file that reads back to the same, and the configuration of each steward of a run."""
+"""HCL text of a scenario and of the configuration of each controller of a run."""
 
 from __future__ import annotations
 
 import json
 from typing import Any
 
-from .scenario import SENDING, Scenario
+from .scenario import HOST_REPORT_FIELDS, Scenario
 
 
 def hcl_value(value: Any) -> str:
+    """Return an HCL literal."""
     return json.dumps(value)
 
 
 def block(name: str, values: dict[str, Any], label: str = "") -> str:
+    """Return an HCL block; values that are None are left out."""
     head = f'{name} "{label}" {{' if label else f"{name} {{"
     rows = "".join(f"  {k} = {hcl_value(v)}\n" for k, v in values.items() if v is not None)
     return f"{head}\n{rows}}}\n"
@@ -37,7 +39,7 @@
     runs: str = "",
     waits: str = "",
 ) -> str:
-    """The configuration of the steward that serves this scenario. laxer: a sabotage may lift the channel's limits."""
+    """Return the configuration of controller `me`. laxer: lift the limits of the channel."""
     channel = s.channel.model_dump()
     if laxer:
         channel.update(queue_most_lines=1e8, messages_most=0, rate_lines_per_s=1e8)
@@ -45,13 +47,13 @@
         block("operation", {k: v for k, v in o.model_dump().items() if k not in ("share", "work_ms", "cv")}, name)
         for name, o in s.operation.items()
     )
-    loads = ""
+    load_reports = ""
     if s.load_reports:
-        values = {k: v for k, v in s.load_reports.model_dump().items() if k not in SENDING}
-        loads = block("load_reports", {**values, "listen": reports, "key_file": key or None})
-    patience = {"wait_ms": 50, "wait_most_ms": 500, "lease_ms": s.lease_ms}
-    shared = block("registry", {"address": roster, "charge": True, **patience})
-    warm = any(h.warm_gain > 0 for h in s.host.values())
+        values = {k: v for k, v in s.load_reports.model_dump().items() if k not in HOST_REPORT_FIELDS}
+        load_reports = block("load_reports", {**values, "listen": reports, "key_file": key or None})
+    timings = {"wait_ms": 50, "wait_most_ms": 500, "lease_ms": s.lease_ms}
+    shared = block("registry", {"address": roster, "charge": True, **timings})
+    warm_keys = any(h.warm_gain > 0 for h in s.host.values())
     return (
         f"zones = {hcl_value(s.zones)}\n"
         + block(
@@ -69,7 +71,7 @@
         )
         + block("store", {"path": store})
         + (block("roster", {"address": roster, "mode": s.roster.mode}) if s.stewards == 1 else shared)
-        + block("slices", {"count": s.fleet.slices, "warm_keys": warm})
+        + block("slices", {"count": s.fleet.slices, "warm_keys": warm_keys})
         + operations
         + block("rules", s.rules.model_dump())
         + block("channel", channel)
@@ -77,7 +79,7 @@
         + block("forwarders", {**s.forwarders.model_dump(), "count": s.fleet.forwarders})
         + block("probe", s.probe.model_dump())
         + block("door", {"listen": door})
-        + loads
+        + load_reports
         + "".join(block("budget", b.model_dump(), name) for name, b in s.budget.items())
         + (block("budgets", {**s.budgets.model_dump(), "witness": witness or None}) if s.peers else "")
         + tasks_hcl(s, acts)
@@ -87,14 +89,14 @@
 
 
 def waits_hcl(s: Scenario, witness: str = "") -> str:
-    """How waiting work goes, where an operation waits."""
+    """Return the block of job scheduling; empty if no request class has `waits`."""
     if not any(o.waits for o in s.operation.values()):
         return ""
     return block("waiting", {**s.waiting.model_dump(), "witness": witness or None})
 
 
 def pins_hcl(s: Scenario, path: str = "") -> str:
-    """Blocks of records, releases and runs."""
+    """Return the blocks of records, releases and version pinning."""
     out = ""
     if s.records:
         out += block("records", {**s.records.model_dump(), "path": path or s.records.path})
@@ -104,7 +106,7 @@
 
 
 def tasks_hcl(s: Scenario, witness: str = "") -> str:
-    """Blocks of the fleet's tasks."""
+    """Return the blocks of leased tasks."""
     if not (s.task or s.task_group):
         return ""
     out = block("tasks", {**s.tasks.model_dump(), "witness": witness or None})
@@ -114,7 +116,7 @@
 
 
 def scenario_hcl(s: Scenario) -> str:
-    """A scenario as the file that `load_scenario` reads back to the same."""
+    """Return a scenario as text that `load_scenario` reads back to an equal scenario."""
     top = ("name", "seconds", "zones", "time_scale", "publisher", "stewards", "lease_ms")
     out = "".join(f"{k} = {hcl_value(getattr(s, k))}\n" for k in top)
     for name in ("fleet", "traffic", "roster", "rules", "channel", "reports", "forwarders", "probe"):
--- a/corallanding/lab/stage.py
+++ b/corallanding/lab/stage.py
@@ -1,4 +1,4 @@
-"""What a running lab shows to those that act on it: faults, and reports of load. So that neither knows the runner."""
+"""The interface of a running lab for faults and load reports, which therefore do not import the runner."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .host import Host, HostSpec
 from .hosts import Hosts
 from .net import Net
-from .processes import Successor
+from .processes import AdoptedProcess
 from .roster import RegistryRoster, Roster
 from .scenario import Scenario
 from .trace import Trace
@@ -20,12 +20,17 @@
 
 
 class Reports(Protocol):
+    """The sender of load reports. ways: by host, how it reports while a fault applies."""
+
     ways: dict[int, Any]
 
-    async def flood(self, hosts: list[int], times: float, seconds: float) -> None: ...
+    async def flood(self, hosts: list[int], times: float, seconds: float) -> None:
+        """Send `times` the usual volume of reports, in the name of those hosts and of unknown ones."""
 
 
 class Stage(ABC):
+    """A running lab, as faults see it. A controller is given by its number `me`."""
+
     scenario: Scenario
     seed: int
     trace: Trace
@@ -39,46 +44,58 @@
 
     @abstractmethod
     def want(self, number: int) -> None:
-        """That set is to be current at all stewards."""
+        """Make release `number` current in the configuration of all controllers."""
 
     @property
     @abstractmethod
-    def reports(self) -> Reports | None: ...
+    def reports(self) -> Reports | None:
+        """Return the sender of load reports, if the scenario has one."""
 
     @property
     @abstractmethod
-    def running(self) -> Mapping[int, asyncio.subprocess.Process | Successor]: ...
+    def running(self) -> Mapping[int, asyncio.subprocess.Process | AdoptedProcess]:
+        """Return the controller processes started so far, by number."""
 
     @abstractmethod
-    async def add_host(self, zone: int, spec: HostSpec, cold: bool = True, number: int | None = None) -> Host: ...
+    async def add_host(self, zone: int, spec: HostSpec, cold: bool = True, number: int | None = None) -> Host:
+        """Start a new host and list it."""
 
     @abstractmethod
-    async def bring_up(self, h: Host, cold: bool = True) -> None: ...
+    async def bring_up(self, h: Host, cold: bool = True) -> None:
+        """Start a host and list it as up."""
 
     @abstractmethod
-    def registry(self, h: Host, state: str, late: float | None = None) -> None: ...
+    def registry(self, h: Host, state: str, late: float | None = None) -> None:
+        """Change a host's state in the host list, `late` ms from now; None: after the scenario's delay."""
 
     @abstractmethod
-    async def start_steward(self, me: int = 0) -> None: ...
+    async def start_steward(self, me: int = 0) -> None:
+        """Start a controller and wait until it is ready."""
 
     @abstractmethod
-    async def kill_steward(self, me: int = 0) -> bool: ...
+    async def kill_steward(self, me: int = 0) -> bool:
+        """Kill a controller; return False if it was not running."""
 
     @abstractmethod
-    async def end_steward(self, me: int) -> None: ...
+    async def end_steward(self, me: int) -> None:
+        """Shut a controller down gracefully."""
 
     @abstractmethod
-    async def freeze_steward(self, seconds: float, me: int = 0) -> None: ...
+    async def freeze_steward(self, seconds: float, me: int = 0) -> None:
+        """Suspend a controller for some seconds."""
 
     @abstractmethod
-    async def upgrade_steward(self) -> None: ...
+    async def upgrade_steward(self) -> None:
+        """Hand the controller over to a new process."""
 
     @abstractmethod
-    async def hold_store(self, seconds: float) -> None: ...
+    async def hold_store(self, seconds: float) -> None:
+        """Make writes to the store fail for some seconds."""
 
     @abstractmethod
     def reports_counted(self, ends: list[str]) -> bool:
-        """Whether the steward's present life has counted some load reports of each end."""
+        """Return whether the present incarnation of the controller has counted load reports of each outcome."""
 
     @abstractmethod
-    def spawn(self, work: Any) -> asyncio.Task[Any]: ...
+    def spawn(self, work: Any) -> asyncio.Task[Any]:
+        """Run a coroutine as a task of the run."""
--- a/corallanding/lab/standin.py
+++ b/corallanding/lab/standin.py
@@ -1,4 +1,4 @@
-"""The real steward, another decider in the module's place: `python -m corallanding.lab.standin NAME CONFIG [REC]`."""
+"""The real controller with another decider: `python -m corallanding.lab.standin NAME CONFIG [RECORDING]`."""
 
 from __future__ import annotations
 
--- a/corallanding/lab/steward_link.py
+++ b/corallanding/lab/steward_link.py
@@ -46,17 +46,17 @@
 
     def send(self, frame: frames.Frame) -> None:
         f = self.forwarder
-        if self.transport and not self.transport.is_closing() and f.net.way(f.zone, f.steward_zone) is not None:
+        if self.transport and not self.transport.is_closing() and f.net.delay_ms(f.zone, f.steward_zone) is not None:
             self.transport.write(frames.encode(frame))
 
     def data_received(self, data: bytes) -> None:
         f = self.forwarder
-        if f.net.way(f.steward_zone, f.zone) is None:
+        if f.net.delay_ms(f.steward_zone, f.zone) is None:
             return  # the bytes never came; the stream is of no use after the cut
         for frame in self.reader.feed(data):
             self.heard = clock()
             if isinstance(frame, frames.Orders | frames.Tables):
-                f.witness.saw("frame", msgspec.to_builtins(frame), self.k)
+                f.observer.record("frame", msgspec.to_builtins(frame), self.k)
             # The way of a message takes its time, in order (timers alone would swap what falls due together).
             delay = float(f.ways.exponential(f.rules.transit)) if f.rules.transit else 0.0
             self.next_at = max(self.next_at, clock() + delay)
@@ -110,7 +110,7 @@
 
     async def dial(self, k: int) -> None:
         f = self.forwarder
-        if f.net.way(f.zone, f.steward_zone) is None:
+        if f.net.delay_ms(f.zone, f.steward_zone) is None:
             return
         loop, link = asyncio.get_running_loop(), Steward(f, k)
         self.to[k] = link
@@ -153,7 +153,7 @@
             case frames.Tables():
                 f.held.whole(k, frame)
                 if not frame.only_slices:
-                    f.witness.saw("joined", said.life, k)
+                    f.observer.record("joined", said.life, k)
                 self.applied(link, frame.seq, frame.version)
             case frames.Orders():
                 f.held.orders(k, frame)
@@ -169,7 +169,7 @@
     def applied(self, link: Steward, seq: int, mark: int) -> None:
         f = self.forwarder
         f.held.said[link.k].seq = seq
-        f.witness.saw("applied", seq, link.k)
+        f.observer.record("applied", seq, link.k)
         if mark >= 0:
             link.send(frames.Ack(mark))
         f.unpark()
@@ -180,5 +180,5 @@
             self.to[link.k] = None
             if f.held.said[link.k].joined:
                 f.held.said[link.k].joined = False
-                f.witness.saw("left", link.k)
+                f.observer.record("left", link.k)
             f.waits.lost(link.k)
--- a/corallanding/lab/steward_processes.py
+++ b/corallanding/lab/steward_processes.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from .processes import Successor, get
+from .processes import AdoptedProcess, http_get
 from .trace import clock
 
 
@@ -21,7 +21,7 @@
 
     def __init__(self, doors: list[int], publisher: str, named: Callable[[str, int, str], Path]) -> None:
         self.doors, self.publisher, self.named = doors, publisher, named
-        self.running: dict[int, asyncio.subprocess.Process | Successor] = {}
+        self.running: dict[int, asyncio.subprocess.Process | AdoptedProcess] = {}
         self.well: set[Any] = set()  # processes that have said that they are ready
         self.killed: set[Any] = set()  # processes that a fault has ended
 
@@ -40,7 +40,7 @@
             if self.running[me] is not process or process in self.killed:
                 return  # another fault has ended it meanwhile, and starts it again where that is its way
             try:
-                if (await get(self.doors[me], "/healthz"))[0] == 200:
+                if (await http_get(self.doors[me], "/healthz"))[0] == 200:
                     self.well.add(process)
                     return
             except (OSError, asyncio.IncompleteReadError):
@@ -48,7 +48,7 @@
                     break
         raise RuntimeError(f"the steward did not start: see {self.named('steward', me, '.log')}")
 
-    def alive(self, me: int) -> asyncio.subprocess.Process | Successor | None:
+    def alive(self, me: int) -> asyncio.subprocess.Process | AdoptedProcess | None:
         process = self.running.get(me)
         return process if process is not None and process.returncode is None else None
 
@@ -73,7 +73,7 @@
         if not answer.startswith("ok"):
             raise RuntimeError(f"the steward was not handed over: {answer}")
         await self.running[0].wait()
-        self.running[0] = Successor(int(answer.rsplit(" ", 1)[1]))
+        self.running[0] = AdoptedProcess(int(answer.rsplit(" ", 1)[1]))
         return clock() - begun
 
     async def freeze(self, seconds: float, me: int) -> None:
@@ -115,6 +115,6 @@
         for me, door in enumerate(self.doors):
             if self.alive(me) is None:
                 continue  # not there yet, or gone for good
-            _, page = await get(door, "/tables")
+            _, page = await http_get(door, "/tables")
             tables |= {int(t): {int(h) for h in row} for t, row in json.loads(page)["tables"].items()}
         return tables
--- a/corallanding/lab/trace.py
+++ b/corallanding/lab/trace.py
@@ -1,4 +1,7 @@
-"""What each witness saw, in its own order. A witness that ends says how much it saw: a gap shows."""
+"""The trace of a run: events as each participant observed them, numbered per observer.
+
+The last record of an observer holds the number of its records, so that the audit detects gaps and truncation.
+"""
 
 from __future__ import annotations
 
@@ -10,54 +13,68 @@
 
 import msgspec
 
-_clock: Callable[[], float] = time.monotonic
-_wall: Callable[[], float] = time.time
+_clock_s: Callable[[], float] = time.monotonic
+_wall_s: Callable[[], float] = time.time
 
 
 def use(clock: Callable[[], float] = time.monotonic, wall: Callable[[], float] = time.time) -> None:
-    """Other clocks than the machine's, in seconds, for all stand-ins of this process: the emulator's."""
-    global _clock, _wall
-    _clock, _wall = clock, wall
+    """Replace the clocks of all stand-ins of this process, in seconds. The emulator passes its simulated time."""
+    global _clock_s, _wall_s
+    _clock_s = clock
+    _wall_s = wall
 
 
 def clock() -> float:
-    """Milliseconds on the monotonic clock: one clock for all witnesses of a run."""
-    return _clock() * 1000.0
+    """Return the monotonic time in ms; all observers of a run share this clock."""
+    return _clock_s() * 1000.0
 
 
 def wall() -> float:
-    return _wall() * 1000.0
+    """Return the wall clock time in ms since the epoch."""
+    return _wall_s() * 1000.0
+
 
+class Observer:
+    """One participant that records events, named like "host 3", "forwarder 0", "roster" or "clients".
 
-class Witness:
-    """name: "host 3", "forwarder 0", "roster", "clients". Records are (number, time, kind, fields...)."""
+    A record is (name, number, time in ms, kind, fields...).
+    """
 
     def __init__(self, trace: Trace, name: str) -> None:
-        self.trace, self.name, self.count = trace, name, 0
+        self.trace = trace
+        self.name = name
+        self.count = 0
 
-    def saw(self, kind: str, *fields: Any) -> None:
+    def record(self, kind: str, *fields: Any) -> None:
+        """Append one event to the trace."""
         self.count += 1
         self.trace.records.append((self.name, self.count, clock(), kind, *fields))
 
 
 class Trace:
+    """The records of all observers of a run, in the order of their arrival."""
+
     def __init__(self) -> None:
         self.records: list[tuple[Any, ...]] = []
-        self.witnesses: dict[str, Witness] = {}
+        self.observers: dict[str, Observer] = {}
 
-    def witness(self, name: str) -> Witness:
-        return self.witnesses.setdefault(name, Witness(self, name))
+    def observer(self, name: str) -> Observer:
+        """Return the observer of that name; create it at the first call."""
+        return self.observers.setdefault(name, Observer(self, name))
 
     def end(self) -> None:
-        for witness in self.witnesses.values():
-            witness.saw("end", witness.count + 1)
+        """Write the end record of each observer, which holds the number of its records, the end record included."""
+        for observer in self.observers.values():
+            observer.record("end", observer.count + 1)
 
     def save(self, path: Path) -> None:
+        """Write the records as gzipped JSON lines."""
         with gzip.open(path, "wb", compresslevel=3) as file:
             for record in self.records:
                 file.write(msgspec.json.encode(record) + b"\n")
 
 
 def read(path: Path) -> list[list[Any]]:
+    """Read the records of a saved trace."""
     with gzip.open(path) as file:
         return [msgspec.json.decode(line) for line in file]
--- a/corallanding/lab/uses.py
+++ b/corallanding/lab/uses.py
@@ -1,6 +1,7 @@
-"""The audit of budgets: from what was used and when, the most that was in use at any instant. Imports nothing of ours.
+"""The audit of budgets: the most units in use at any instant, from the recorded uses. Imports nothing of the product.
 
-A use is (begin, end, budget, subject, number), times in ms of one clock that all witnesses share.
+A use is (begin, end, budget, subject, units), times in ms of one clock shared by all recorders. A subject is what the
+budget applies to, for instance a host.
 """
 
 from __future__ import annotations
@@ -14,67 +15,72 @@
 Use = tuple[float, float, str, int, int]
 
 
-def most(uses: Iterable[Use], wholes: Mapping[str, int]) -> list[dict[str, Any]]:
-    """One row a budget: `most` in use at an instant on the worst subject, `over_ms` for which more than the whole was,
-    summed over its subjects, and `used_share`: of the whole, on the mean, while anything of a subject was in use.
+def most(uses: Iterable[Use], capacities: Mapping[str, int]) -> list[dict[str, Any]]:
+    """Return one row per budget. capacities: of each budget, in units.
 
-    A use that ends where another begins is not in use with it.
+    `most`: units in use at one instant on the worst subject. `over_ms`: time above the capacity, summed over subjects.
+    `used_share`: mean share of the capacity in use while anything of a subject was in use. A use that ends at the
+    instant at which another begins does not overlap it.
     """
     edges: dict[tuple[str, int], list[tuple[float, int]]] = defaultdict(list)
-    for begin, end, name, subject, number in uses:
-        edges[name, subject] += [(begin, number), (end, -number)]
+    for begin, end, name, subject, units in uses:
+        edges[name, subject] += [(begin, units), (end, -units)]
     empty = {"most": 0, "over_ms": 0.0, "used_share": 0.0, "uses": 0}
-    rows: dict[str, dict[str, Any]] = {name: {"name": name, "whole": w, **empty} for name, w in wholes.items()}
-    area, busy = dict.fromkeys(wholes, 0.0), dict.fromkeys(wholes, 0.0)
+    rows: dict[str, dict[str, Any]] = {
+        name: {"name": name, "whole": capacity, **empty} for name, capacity in capacities.items()
+    }
+    area, busy = dict.fromkeys(capacities, 0.0), dict.fromkeys(capacities, 0.0)
     for (name, _), points in edges.items():
-        row, level, at = rows[name], 0, 0.0
+        row, level, since = rows[name], 0, 0.0
         for t, change in sorted(points):
             if level > 0:
-                area[name] += level * (t - at)
-                busy[name] += t - at
-            if level > wholes[name]:
-                row["over_ms"] += t - at
-            level, at = level + change, t
+                area[name] += level * (t - since)
+                busy[name] += t - since
+            if level > capacities[name]:
+                row["over_ms"] += t - since
+            level, since = level + change, t
             row["most"] = max(row["most"], level)
             row["uses"] += max(0, change)
     for name, row in rows.items():
-        row["used_share"] = round(area[name] / (busy[name] * wholes[name]), 4) if busy[name] else 0.0
+        row["used_share"] = round(area[name] / (busy[name] * capacities[name]), 4) if busy[name] else 0.0
         row["over_ms"] = round(row["over_ms"], 3)
     return list(rows.values())
 
 
-def each_row(path: Path, take: Callable[..., None]) -> bool:
-    """Hands out the rows that a witness wrote; whether the record is whole up to a death, which may cut its last line.
+def for_each_row(path: Path, take: Callable[..., None]) -> bool:
+    """Pass each row of a file to `take`; return whether the file is intact.
 
-    take: raises ValueError or TypeError on a row that is none.
+    A damaged last line is accepted, because a controller that is killed may leave one. take: raises ValueError or
+    TypeError on an invalid row.
     """
     lines = path.read_bytes().split(b"\n")
-    for k, line in enumerate(lines):
+    for number, line in enumerate(lines):
         if not line:
             continue
         try:
             take(*json.loads(line))
         except (ValueError, TypeError):
-            if k < len(lines) - 1:
+            if number < len(lines) - 1:
                 return False
     return True
 
 
-def read(path: Path) -> tuple[list[Use], bool]:
-    """What a steward's witness wrote, and whether it is whole."""
+def read_uses(path: Path) -> tuple[list[Use], bool]:
+    """Return the uses that a controller recorded, and whether the file is intact."""
     uses: list[Use] = []
 
-    def take(begin: float, span: float, name: str, subject: int, number: int) -> None:
-        uses.append((float(begin), float(begin) + float(span), str(name), int(subject), int(number)))
+    def take(begin: float, duration: float, name: str, subject: int, units: int) -> None:
+        uses.append((float(begin), float(begin) + float(duration), str(name), int(subject), int(units)))
 
-    return uses, each_row(path, take)
+    return uses, for_each_row(path, take)
 
 
-def judged(paths: Iterable[Path], wholes: Mapping[str, int]) -> list[dict[str, Any]]:
-    """Rows as `most`, each with `kind`; "not judged" if a record is damaged."""
+def judge_files(paths: Iterable[Path], capacities: Mapping[str, int]) -> list[dict[str, Any]]:
+    """Return the rows of `most`, each with `kind`: "witnessed", or "not judged" if a file is damaged."""
     uses: list[Use] = []
-    whole = True
+    are_intact = True
     for path in paths:
-        found, good = read(path)
-        uses, whole = uses + found, whole and good
-    return [{**row, "kind": "witnessed" if whole else "not judged"} for row in most(uses, wholes)]
+        found, is_intact = read_uses(path)
+        uses = uses + found
+        are_intact = are_intact and is_intact
+    return [{**row, "kind": "witnessed" if are_intact else "not judged"} for row in most(uses, capacities)]
--- a/corallanding/lab/versions.py
+++ b/corallanding/lab/versions.py
@@ -1,8 +1,8 @@
-"""The audit of runs: from what hosts ran and clients were told, whether each run kept the versions it began with.
-Imports nothing of what it judges.
+"""The audit of version pinning: whether each workflow run kept the versions with which it began.
 
-A record is (witness, number, time, kind, fields...). Hosts write "ran" (inv, attempt, again, run, operation, version,
-served): what they were asked for, and whether they serve it; clients "step" and "stepped".
+Imports nothing of what it judges. A record is (observer, number, time, kind, fields...). Hosts write "ran" (inv,
+attempt, again, run, operation, version, served): the requested version and those that the host serves; clients write
+"step" and "stepped".
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any
 
-Sets = Mapping[int, Sequence[int]]  # number: version of each operation
+Sets = Mapping[int, Sequence[int]]  # version of each request class, by number of the release
 
 
 def judge(records: Iterable[Sequence[Any]], sets: Sets, carries: Mapping[int, Iterable[int]]) -> dict[str, Any]:
-    """carries: set to those whose runs may go over to it.
+    """Count violations. carries: for each release those whose runs may migrate to it.
 
-    split_runs: runs whose invocations ran in versions that no one set has, going over to a compatible set left out.
-    wrong_version: invocations that a host ran in a version that it does not serve, or in another than it was asked for.
-    stranded: steps that ended for want of a host or of a pin.
+    split_runs: runs with two pins, or whose requests ran in versions that no single release has, except for migrations
+    to a compatible release. wrong_version: requests that a host ran in a version that it does not serve. stranded:
+    failed steps, for instance because no host served the version or the run got no pin.
     """
     ran: dict[str, set[tuple[int, int]]] = defaultdict(set)
-    ends: Counter[str] = Counter()
-    steps, runs, wrong, refused, behind = 0, set[str](), 0, 0, 0
-    first: dict[str, set[int]] = defaultdict(set)
+    outcomes: Counter[str] = Counter()
+    steps, runs, wrong, refused, fenced = 0, set[str](), 0, 0, 0
+    pinned_sets: dict[str, set[int]] = defaultdict(set)
     retired: set[int] = set()
     for r in records:
         kind = r[3]
@@ -36,36 +36,38 @@
         elif kind == "other-version":
             refused += 1
         elif kind == "behind":
-            behind += 1
+            fenced += 1
         elif kind == "retired":
             retired.add(r[4])
         elif kind == "step":
             runs.add(r[4])
             steps += 1
         elif kind == "stepped":
-            ends[r[7]] += 1
+            outcomes[r[7]] += 1
         elif kind == "pin" and r[5] == "pinned":
-            first[r[4]].add(r[6])
-    split, carried = [], 0
+            pinned_sets[r[4]].add(r[6])
+    split, migrated = [], 0
     for run, seen in ran.items():
-        fits = [s for s, versions in sets.items() if all(versions[o] == v for o, v in seen)]
-        if fits:
+        matching = [s for s, versions in sets.items() if all(versions[o] == v for o, v in seen)]
+        if matching:
             continue
-        over = any(all(v in (sets[s][o], sets[to][o]) for o, v in seen) for to, olds in carries.items() for s in olds)
-        carried += over
-        if not over:
+        is_migrated = any(
+            all(v in (sets[old][o], sets[new][o]) for o, v in seen) for new, olds in carries.items() for old in olds
+        )
+        migrated += is_migrated
+        if not is_migrated:
             split.append(run)
-    told = [run for run, found in first.items() if len(found) > 1]
+    with_two_pins = [run for run, numbers in pinned_sets.items() if len(numbers) > 1]
     return {
         "runs": len(runs),
         "steps": steps,
-        "split_runs": len({*split, *told}),
+        "split_runs": len({*split, *with_two_pins}),
         "wrong_version": wrong,
         "refused_by_host": refused,
-        "refused_by_fence": behind,
-        "stranded": sum(n for end, n in ends.items() if end != "ok"),
-        "ends": dict(sorted(ends.items())),
-        "carried_over": carried,
+        "refused_by_fence": fenced,
+        "stranded": sum(n for end, n in outcomes.items() if end != "ok"),
+        "ends": dict(sorted(outcomes.items())),
+        "carried_over": migrated,
         "retired": sorted(retired),
-        "sets_used": sorted({s for run in first.values() for s in run}),
+        "sets_used": sorted({s for numbers in pinned_sets.values() for s in numbers}),
     }
--- a/corallanding/lab/wait_clients.py
+++ b/corallanding/lab/wait_clients.py
@@ -40,7 +40,7 @@
         seed: int,
     ) -> None:
         self.forwarders, self.operations, self.spec, self.slices = forwarders, operations, spec, slices
-        self.witness = trace.witness("jobs")
+        self.observer = trace.observer("jobs")
         self.chance = np.random.default_rng([seed, 92])
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -58,7 +58,7 @@
             ways = [int(f) for f in c.permutation(len(self.forwarders))]
             again, gap = bool(c.random() < self.spec.again), float(c.exponential(self.spec.gap))
             run = f"job-run-{number}" if c.random() < self.spec.runs else ""
-            self.witness.saw("job", number, operation, bool(run))
+            self.observer.record("job", number, operation, bool(run))
             task = asyncio.create_task(self.one(number, operation, slice, ways, again, gap, run))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
@@ -69,7 +69,7 @@
             task.cancel()
         for f in self.forwarders:
             for number in f.waits.jobs:
-                self.witness.saw("still", number, f.number)
+                self.observer.record("still", number, f.number)
 
     async def one(
         self, number: int, operation: int, slice: int, ways: list[int], again: bool, gap: float, run: str
@@ -96,4 +96,4 @@
 
         mark = f"fp-{number}" if operation in self.spec.marked else ""
         f.waits.come(Job(number, operation, clock(), mark, send, end, run))
-        self.witness.saw("ended", number, attempt, await done)
+        self.observer.record("ended", number, attempt, await done)
--- a/corallanding/lab/waited.py
+++ b/corallanding/lab/waited.py
@@ -1,5 +1,7 @@
-"""The audit's reading of a run of waiting work: what forwarders saw of their jobs, and what stewards wrote of whom they
-let go. Imports nothing of what it judges."""
+"""Input of the audit of job scheduling for one run: what proxies observed of jobs and what controllers dispatched.
+
+Imports nothing of what it judges.
+"""
 
 from __future__ import annotations
 
@@ -8,87 +10,89 @@
 from typing import Any
 
 from .order import Kind, judge
-from .uses import each_row
+from .uses import for_each_row
 
-LATE = 300.0  # ms until all have heard that a steward lets go again
+QUOTA_NOTICE_MS = 300.0  # until all controllers know that one can dispatch again
 
 
-def judged(
+def judge_run(
     records: Iterable[Sequence[Any]], paths: dict[int, Path], kinds: dict[int, Kind], bound: float
 ) -> dict[str, Any]:
-    """records: of the trace. paths: each steward's witness. kinds: operations that wait, by number.
+    """Judge one run. records: the trace. paths: each controller's file. kinds: request classes that wait, by number.
 
-    Order is judged among jobs that belong to no run (those wait for hosts as well), by their first tickets: a second
-    one of the same fingerprint is as old only once its record could be read. `kind` is "not judged" if a
-    steward's record is damaged.
+    The order is judged among jobs that belong to no workflow run (those also wait for hosts), by their first tickets: a
+    second ticket with the same idempotency key gets the age of the first only once its record has been read. `kind` is
+    "not judged" if a controller's file is damaged.
     """
     order = {operation: n for n, operation in enumerate(sorted(kinds))}
-    came: dict[int, tuple[float, int]] = {}
-    pinned, twins, refused, still = set[int](), set[int](), set[int](), set[int]()
-    ends: dict[str, int] = {}
-    holds: dict[tuple[str, int, int], float] = {}
+    submitted: dict[int, tuple[float, int]] = {}
+    pinned, twins, refused, still_queued = set[int](), set[int](), set[int](), set[int]()
+    outcomes: dict[str, int] = {}
+    held_since: dict[tuple[str, int, int], float] = {}
     held: list[tuple[int, int, float, float]] = []
-    asides: dict[tuple[str, int, int], list[tuple[float, float]]] = {}
+    set_aside: dict[tuple[str, int, int], list[tuple[float, float]]] = {}
     went: list[tuple[float, int, int, list[int]]] = []
-    chosen: dict[tuple[str, int, int], float] = {}
-    dry: dict[int, float] = {}
-    dries: list[tuple[int, float, float]] = []
-    first: dict[int, str] = {}
-    whole = True
-    for k, path in paths.items():
+    dispatched_at: dict[tuple[str, int, int], float] = {}
+    dry_since: dict[int, float] = {}
+    dry_spans: list[tuple[int, float, float]] = []
+    first_holder: dict[int, str] = {}
+    are_intact = True
+    for controller, path in paths.items():
 
-        def take(what: str, *row: Any, k: int = k) -> None:
+        def take(what: str, *row: Any, controller: int = controller) -> None:
             at, _, forwarder, ticket = row[:4]
-            key = (f"forwarder {forwarder}", int(ticket), k)
+            key = (f"forwarder {forwarder}", int(ticket), controller)
             if what == "go":
-                chosen[key] = float(at)
-                went.append((float(at), int(ticket), k, [int(n) for n in row[5]]))
+                dispatched_at[key] = float(at)
+                went.append((float(at), int(ticket), controller, [int(n) for n in row[5]]))
             elif what == "dry":
-                dry[k] = float(at)
-            elif what == "wet" and k in dry:
-                dries.append((k, dry.pop(k), float(at) + LATE))
+                dry_since[controller] = float(at)
+            elif what == "wet" and controller in dry_since:
+                dry_spans.append((controller, dry_since.pop(controller), float(at) + QUOTA_NOTICE_MS))
             elif what == "back":
-                asides.setdefault(key, []).append((float(at), float(row[4])))
+                set_aside.setdefault(key, []).append((float(at), float(row[4])))
 
-        whole = each_row(path, take) and whole
-        if k in dry:
-            dries.append((k, dry.pop(k), float("inf")))
+        are_intact = for_each_row(path, take) and are_intact
+        if controller in dry_since:
+            dry_spans.append((controller, dry_since.pop(controller), float("inf")))
     for r in records:
         name, at, kind = r[0], r[2], r[3]
         if kind == "job":
-            came[r[4]] = (at, order[r[5]])
+            submitted[r[4]] = (at, order[r[5]])
             if r[6]:
                 pinned.add(r[4])
         elif kind == "held":
-            if first.setdefault(r[4], name) == name:
-                holds[name, r[4], r[5]] = at
+            if first_holder.setdefault(r[4], name) == name:
+                held_since[name, r[4], r[5]] = at
         elif kind in ("unheld", "went", "twin"):
-            begin = holds.pop((name, r[4], r[5]), None)
+            begin = held_since.pop((name, r[4], r[5]), None)
             if kind == "twin":
                 twins.add(r[4])
             if begin is not None and r[4] not in pinned:
-                until = min(at, chosen.get((name, r[4], r[5]), at))
-                for out, back in sorted(asides.get((name, r[4], r[5]), [])):
-                    held.append((r[4], r[5], begin, min(out, until)))
-                    begin = max(begin, back)
+                until = min(at, dispatched_at.get((name, r[4], r[5]), at))
+                for set_aside_at, eligible_at in sorted(set_aside.get((name, r[4], r[5]), [])):
+                    held.append((r[4], r[5], begin, min(set_aside_at, until)))
+                    begin = max(begin, eligible_at)
                 held.append((r[4], r[5], begin, until))
         elif kind == "not-taken":
             refused.add(r[4])
         elif kind == "still":
-            still.add(r[4])
+            still_queued.add(r[4])
         elif kind == "ended":
-            ends[r[6]] = ends.get(r[6], 0) + 1
-    held += [(job, k, begin, float("inf")) for (_, job, k), begin in holds.items() if job not in pinned]
+            outcomes[r[6]] = outcomes.get(r[6], 0) + 1
+    held += [(job, k, begin, float("inf")) for (_, job, k), begin in held_since.items() if job not in pinned]
     rows = [kinds[operation] for operation in sorted(kinds)]
-    loose = {job: row for job, row in came.items() if job not in pinned}
-    found = judge(rows, loose, held, [w for w in went if w[1] not in pinned], bound, twins | refused | still, dries)
-    # A ticket whose steward died with its word on the way is let go again by the next: by the same forwarder, which has
-    # sent nothing yet. What was sent twice is what hosts ran twice.
+    unpinned = {job: row for job, row in submitted.items() if job not in pinned}
+    found = judge(
+        rows, unpinned, held, [w for w in went if w[1] not in pinned], bound, twins | refused | still_queued, dry_spans
+    )
+    # If a controller dies while its dispatch message is under way, the next one dispatches the ticket again to the same
+    # proxy, which has sent nothing yet. So only jobs that hosts ran twice count as doubled.
     ran: dict[int, set[tuple[int, int, int]]] = {}
     for r in records:
-        if r[3] == "run" and r[4] in came:
+        if r[3] == "run" and r[4] in submitted:
             ran.setdefault(r[4], set()).add((r[4], r[5], r[6]))
-    found["doubled"] = sum(len({a for _, a, _ in tries}) - 1 for tries in ran.values())
-    found["ends"], found["kind"] = dict(sorted(ends.items())), "witnessed" if whole else "not judged"
-    found["of_runs"], found["still"] = len(pinned), len(still)
+    found["doubled"] = sum(len({a for _, a, _ in attempts}) - 1 for attempts in ran.values())
+    found["ends"], found["kind"] = dict(sorted(outcomes.items())), "witnessed" if are_intact else "not judged"
+    found["of_runs"], found["still"] = len(pinned), len(still_queued)
     return found
--- a/corallanding/lab/waits.py
+++ b/corallanding/lab/waits.py
@@ -71,7 +71,7 @@
         """A link is over: what its steward had goes to another, with its age."""
         for job in [j for j in self.jobs.values() if j.at == k]:
             if job.taken:
-                self.forwarder.witness.saw("unheld", job.number, k)
+                self.forwarder.observer.record("unheld", job.number, k)
             job.at, job.taken = -1, False
             asyncio.get_running_loop().call_later(0.05, self.hand, job)
 
@@ -81,7 +81,7 @@
             return
         f = self.forwarder
         if isinstance(frame, frames.JobRelease):
-            f.witness.saw("went" if frame.outcome == "go" else "twin", job.number, k)
+            f.observer.record("went" if frame.outcome == "go" else "twin", job.number, k)
             del self.jobs[job.number]
             if frame.outcome == "go":
                 f.invoke(job.send())
@@ -90,12 +90,12 @@
         elif frame.outcome == "waiting":
             if not job.taken:
                 job.taken = True
-                f.witness.saw("held", job.number, k, frame.max_wait_ms)
+                f.observer.record("held", job.number, k, frame.max_wait_ms)
         elif frame.outcome == "not-now":
             job.at = -1
             asyncio.get_running_loop().call_later(0.2, self.hand, job)
         else:
-            f.witness.saw("not-taken", job.number, frame.outcome)
+            f.observer.record("not-taken", job.number, frame.outcome)
             del self.jobs[job.number]
             job.done(frame.outcome)
 
@@ -104,5 +104,5 @@
         jobs, self.jobs = self.jobs, {}
         for job in jobs.values():
             if job.taken:
-                self.forwarder.witness.saw("unheld", job.number, job.at)
+                self.forwarder.observer.record("unheld", job.number, job.at)
             job.done("errored")
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -303,7 +303,7 @@
     odd["troubles"][0]["kind"] = "earthquake"
     with pytest.raises(ConfigError, match="'earthquake' of the day is not in the vocabulary"):
         from_day(odd, "odd")
-    with pytest.raises(ConfigError, match="no day of the bench: KeyError"):
+    with pytest.raises(ConfigError, match="not a day of the bench: KeyError"):
         from_day({"servers": []}, "odd")
     (tmp_path / "d.json").write_text("{")
     assert CliRunner().invoke(lab, ["scenario", "--from", str(tmp_path / "d.json")]).exit_code == 2
