--- a/corallanding/lab/clients.py
+++ b/corallanding/lab/clients.py
@@ -7,7 +7,7 @@
 
 import numpy as np
 
-from .forwarder import Forwarder, Try
+from .forwarder import Attempt, Proxy
 from .trace import Trace, clock
 
 
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class Hot:
+class LoadChange:
     """From `at` for `length` ms, `share` of the traffic goes to these slices; or work is drawn heavier."""
 
     at: float
@@ -64,7 +64,7 @@
     rates: np.ndarray,
     slices: np.ndarray,
     operations: list[OperationSpec],
-    hots: list[Hot],
+    hots: list[LoadChange],
 ) -> Traffic:
     """rates: each forwarder's share; slices: each slice's share. Both sum to 1."""
     chance = np.random.default_rng([seed, 77])
@@ -96,7 +96,7 @@
 
 @dataclass
 class Clients:
-    forwarders: list[Forwarder]
+    forwarders: list[Proxy]
     operations: list[OperationSpec]
     spec: ClientSpec
     traffic: Traffic
@@ -132,7 +132,9 @@
             return
         f = self.forwarders[int(self.traffic.forwarder[k])]
         slice, work = int(self.traffic.slice[k]), float(self.traffic.work[k])
-        f.invoke(Try(k, number, operation, slice, work, until, lambda s: self.ended(k, operation, number, begun, s)))
+        f.invoke(
+            Attempt(k, number, operation, slice, work, until, lambda s: self.ended(k, operation, number, begun, s))
+        )
 
     def ended(self, k: int, operation: int, number: int, begun: float, status: str) -> None:
         o = self.operations[operation]
--- a/corallanding/lab/faults.py
+++ b/corallanding/lab/faults.py
@@ -1,73 +1,85 @@
-"""What goes wrong, when, and to whom. Each kind is one function of the running lab; `docs/scenarios.md` lists them."""
+"""Fault injection. Each kind of fault is the coroutine of that name in `Faults`; `docs/scenarios.md` describes them."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from .clients import Hot
+from .clients import LoadChange
 from .host_faults import HostFaults
 from .peers import PeerFaults
-from .reporter import Way
+from .reporter import ReportMode
 from .scenario import Fault, Scenario
 from .stage import Stage
 from .trace import clock, wall
 
-UNTIL_TIMEOUT_MS = 60_000.0  # the longest extension of a fault by its `until`
-FLOOD_EXTENSION_S = 1.0
+UNTIL_TIMEOUT_MS = 60_000.0  # longest extension of a fault by its `until`
+FLOOD_EXTENSION_S = 1.0  # length of each further flood while a fault is extended
 
 
-def hots(s: Scenario, slices: list[int]) -> list[Hot]:
-    """Faults that are drawn into the arrivals. slices: numbers in an order drawn by the run's seed."""
-    out = []
+def planned_load_changes(s: Scenario, slices: list[int]) -> list[LoadChange]:
+    """Return the changes of load that faults make; they are part of the arrivals, which are drawn in advance.
+
+    slices: the numbers of all slices in random order.
+    """
+    changes: list[LoadChange] = []
     for f in s.fault:
         at, length = f.at_s * 1000.0, f.for_s * 1000.0
         if f.kind == "hot_key":
             count = max(1, int(f.extra))
-            out.append(Hot(at, length, share=f.size if f.size < 1 else f.part, slices=tuple(slices[:count])))
+            changes.append(LoadChange(at, length, share=f.size if f.size < 1 else f.part, slices=tuple(slices[:count])))
         elif f.kind == "heavy_tail":
-            out.append(Hot(at, length, heavy=f.size, heavy_share=f.extra if f.extra < 1 else 0.02))
+            changes.append(LoadChange(at, length, heavy=f.size, heavy_share=f.extra if f.extra < 1 else 0.02))
         elif f.kind == "grow":
-            out.append(Hot(at, s.seconds * 1000.0, more=max(1.0, f.size)))
-    return out
+            changes.append(LoadChange(at, s.seconds * 1000.0, more=max(1.0, f.size)))
+    return changes
 
 
 class Faults(HostFaults, PeerFaults):
+    """All kinds of faults, applied to a running lab."""
+
     def __init__(self, lab: Stage) -> None:
-        self.lab, self.observer = lab, lab.trace.observer("faults")
+        self.lab = lab
+        self.observer = lab.trace.observer("faults")
         self.draws_by_fault: dict[int, int] = {}
         self.pending_kills = sum(f.kind == "steward_kill" for f in lab.scenario.fault)
 
-    def forwarders(self, f: Fault) -> list[int]:
+    def proxy_numbers(self, f: Fault) -> list[int]:
+        """Return the numbers of the proxies that a fault applies to."""
         return self.numbers(f, len(self.lab.forwarders))
 
     def zone(self, f: Fault) -> int:
+        """Return the zone that a fault applies to: the first of `on`, else the last zone."""
         zones = len(self.lab.scenario.zones)
         return f.on[0] % zones if f.on else zones - 1
 
     async def play(self, f: Fault, begun: float) -> None:
+        """Wait for the start of a fault, inject it and record its begin and end. begun: start of the run in ms."""
         await asyncio.sleep(max(0.0, begun + f.at_s * 1000.0 - clock()) / 1000.0)
         self.observer.record("fault", f.kind, "on", f.for_s)
-        acts: Callable[[Fault], Awaitable[None]] = getattr(self, f.kind)
-        await acts(f)
+        inject: Callable[[Fault], Awaitable[None]] = getattr(self, f.kind)
+        await inject(f)
         self.pending_kills -= f.kind == "steward_kill"
         self.observer.record("fault", f.kind, "off", f.for_s)
 
-    # ---- ways ------------------------------------------------------------------------------------------
+    # ---- links -----------------------------------------------------------------------------------------
 
     async def zone_cut(self, f: Fault) -> None:
+        """Partition a zone from the others."""
         zone = self.zone(f)
         self.lab.net.cut.add(zone)
         await self.wait(f)
         self.lab.net.cut.discard(zone)
 
     async def one_sided(self, f: Fault) -> None:
+        """Drop what is sent to a zone from the others, but not what it sends."""
         zone = self.zone(f)
         self.lab.net.unreachable.add(zone)
         await self.wait(f)
         self.lab.net.unreachable.discard(zone)
 
     async def slow_link(self, f: Fault) -> None:
+        """Delay messages of a zone; size: mean ms, or units of 100 ms if below 10; extra: share of lost packets."""
         zone = self.zone(f)
         delay = f.size * 100.0 if f.size < 10 else f.size
         self.lab.net.slow[zone] = (delay, min(f.extra, 0.5) if f.extra < 1 else 0.0)
@@ -75,25 +87,27 @@
         self.lab.net.slow.pop(zone, None)
 
     async def zone_loss(self, f: Fault) -> None:
+        """Kill all hosts of a zone and, if size exceeds 0.5, its proxies."""
         zone = self.zone(f)
         struck = [h for h in self.lab.hosts.values() if h.zone == zone and h.up]
         with_forwarders = f.size > 0.5 and len(self.lab.scenario.zones) > 1
-        gone = [x for x in self.lab.forwarders if x.zone == zone] if with_forwarders else []
+        struck_proxies = [x for x in self.lab.forwarders if x.zone == zone] if with_forwarders else []
         for h in struck:
             h.kill()
             self.lab.registry(h, "removed")
-        for x in gone:
+        for x in struck_proxies:
             x.restart(True)
         await self.wait(f)
         for h in struck:
             await self.lab.bring_up(h)
-        for x in gone:
+        for x in struck_proxies:
             x.restart(False)
 
-    # ---- forwarders and stewards -----------------------------------------------------------------------
+    # ---- proxies and controllers -----------------------------------------------------------------------
 
     async def counter_down(self, f: Fault) -> None:
-        struck = [self.lab.forwarders[k] for k in self.forwarders(f)]
+        """Disconnect proxies from their controllers; they go on with their last tables."""
+        struck = [self.lab.forwarders[k] for k in self.proxy_numbers(f)]
         for x in struck:
             x.cut_off = True
             x.links.cut()
@@ -102,7 +116,8 @@
             x.cut_off = False
 
     async def balancer_roll(self, f: Fault) -> None:
-        numbers = self.forwarders(f)
+        """Restart proxies in batches. size: share of all proxies per batch; extra: seconds that each batch is down."""
+        numbers = self.proxy_numbers(f)
         batch = max(1, round(len(self.lab.forwarders) * min(f.size, 1.0)))
         for k in range(0, len(numbers), batch):
             struck = [self.lab.forwarders[n] for n in numbers[k : k + batch]]
@@ -114,13 +129,17 @@
             await asyncio.sleep(max(0.2, f.for_s * batch / len(numbers) - f.extra))
 
     async def balancer_stall(self, f: Fault) -> None:
+        """Suspend proxies, or the controller (how "steward"), again and again.
+
+        size: length of a pause in seconds, in ms if above 20; extra: seconds between pauses.
+        """
         end, stall = clock() + f.for_s * 1000.0, f.size / 1000.0 if f.size > 20 else f.size
         if f.how == "steward":
             while clock() < end:
                 await self.lab.freeze_steward(stall)
                 await asyncio.sleep(max(f.extra, 0.2))
             return
-        struck = [self.lab.forwarders[k] for k in self.forwarders(f)]
+        struck = [self.lab.forwarders[k] for k in self.proxy_numbers(f)]
         while clock() < end:
             for x in struck:
                 x.stall(True)
@@ -130,7 +149,10 @@
             await asyncio.sleep(max(f.extra, 0.2))
 
     async def steward_kill(self, f: Fault) -> None:
-        """how "mid-move": once one forwarder has got lines that others have not, or after three seconds."""
+        """Kill a controller and start it again.
+
+        how "mid-move": kill it when one proxy has received a message that others have not, after three seconds at most.
+        """
         before = {x.number: x.seq for x in self.lab.forwarders}
         end = clock() + 3_000.0 if f.how == "mid-move" else 0.0
         while clock() < end:
@@ -141,32 +163,38 @@
                 before = {x.number: x.seq for x in self.lab.forwarders}
             await asyncio.sleep(0.002)
         which = f.on[0] % self.lab.scenario.stewards if f.on else 0
-        died = await self.lab.kill_steward(which)
+        was_running = await self.lab.kill_steward(which)
         await self.wait(f)
-        if died:  # else another fault has killed it, and starts it again
+        if was_running:  # else another fault has killed it and starts it again
             await self.lab.start_steward(which)
 
     async def upgrade(self, f: Fault) -> None:
-        """size handovers to a new process, spread evenly over the time."""
+        """Hand the controller over to a new process `size` times, spread evenly over the fault's duration."""
         for k in range(max(1, round(f.size))):
             if k:
                 await asyncio.sleep(f.for_s / f.size)
             await self.lab.upgrade_steward()
 
     async def store_down(self, f: Fault) -> None:
-        """The store's file cannot be written: another process holds its write lock for the time."""
+        """Make writes to the store fail: another connection holds its write lock."""
         await self.lab.hold_store(f.for_s)
 
-    # ---- the list --------------------------------------------------------------------------------------
+    # ---- the host list ---------------------------------------------------------------------------------
 
     async def roster_down(self, f: Fault) -> None:
+        """Make the source of the host list unavailable."""
         await self.lab.roster.fail(True)
         await self.wait(f)
         await self.lab.roster.fail(False)
 
     async def wrong_list(self, f: Fault) -> None:
+        """Publish a wrong host list.
+
+        how "stale": the list no longer changes; "ghost": it has `size` hosts that do not exist; "empty": it has no
+        hosts; "blink": some hosts disappear and return every `extra` seconds; else they are missing.
+        """
         roster, end = self.lab.roster, clock() + f.for_s * 1000.0
-        struck = {h.number for h in self.some(f)}
+        struck = {h.number for h in self.target_hosts(f)}
         if f.how == "stale":
             roster.frozen = {h: dict(r) for h, r in roster.rows.items()}
         elif f.how == "ghost":
@@ -188,63 +216,71 @@
     # ---- load reports -----------------------------------------------------------------------------------
 
     def extended(self, f: Fault, deadline: float) -> bool:
-        """Whether a fault goes on past its own length, until the deadline at the latest: a kill of the steward is still
-        to come or to be recovered from, or its present life has not counted every end of reports in `until`."""
+        """Return whether a fault continues beyond its duration.
+
+        It does, until the deadline (ms) at most, while a kill of the controller is pending or not recovered from, and
+        while the controller's present incarnation has not counted every outcome of reports in `until`.
+        """
         if not f.until or clock() >= deadline:
             return False
         return self.pending_kills > 0 or not self.lab.reports_counted(f.until)
 
-    async def reporting(self, f: Fault, **how: object) -> None:
-        """Hosts report in another way for a while."""
-        struck = [h.number for h in self.some(f)]
+    async def change_reports(self, f: Fault, **how: object) -> None:
+        """Change how hosts report for the fault's duration. how: fields of `ReportMode`."""
+        struck = [h.number for h in self.target_hosts(f)]
         if self.lab.reports is None:
             return
         for n in struck:
-            self.lab.reports.ways[n] = Way(**how)  # type: ignore[arg-type]
+            self.lab.reports.report_modes[n] = ReportMode(**how)  # type: ignore[arg-type]
         await self.wait(f)
         deadline = clock() + UNTIL_TIMEOUT_MS
         while self.extended(f, deadline):
             await asyncio.sleep(0.1)
         for n in struck:
-            self.lab.reports.ways.pop(n, None)
+            self.lab.reports.report_modes.pop(n, None)
 
     async def report_silent(self, f: Fault) -> None:
-        await self.reporting(f, silent=True)
+        """Send no reports."""
+        await self.change_reports(f, silent=True)
 
     async def report_lying(self, f: Fault) -> None:
-        """how "idle" or "busy"; it says so whatever its load."""
-        await self.reporting(f, says=0.01 if f.how != "busy" else max(f.size, 0.5))
+        """Report a fixed load whatever the real one: how "idle" 0.01, how "busy" `size`, 0.5 at least."""
+        await self.change_reports(f, says=0.01 if f.how != "busy" else max(f.size, 0.5))
 
     async def report_stale(self, f: Fault) -> None:
-        """What it says is `size` seconds old, in figures and clocks; it is busy there, by its size of old."""
-        await self.reporting(f, late=f.size * 1000.0, says=f.extra)
+        """Send reports that are `size` seconds old by their clocks, with the load `extra`."""
+        await self.change_reports(f, late=f.size * 1000.0, says=f.extra)
 
     async def report_skew(self, f: Fault) -> None:
-        """Wall clocks off by up to `size` seconds either way."""
-        await self.reporting(f, skew=f.size * 1000.0)
+        """Shift the wall clocks of hosts by up to `size` seconds in either direction."""
+        await self.change_reports(f, skew=f.size * 1000.0)
 
     async def report_loss(self, f: Fault) -> None:
-        await self.reporting(f, loss=min(f.size, 1.0))
+        """Lose the share `size` of the reports."""
+        await self.change_reports(f, loss=min(f.size, 1.0))
 
     async def report_flood(self, f: Fault) -> None:
-        """`size` times the usual volume of reports, from a process of its own, by the struck hosts and by strangers."""
+        """Send `size` times the usual volume of reports from a separate process, by the targets and unknown hosts."""
         if self.lab.reports is None:
             return
-        struck = [h.number for h in self.some(f)]
+        struck = [h.number for h in self.target_hosts(f)]
         await self.lab.reports.flood(struck, f.size, f.for_s)
         deadline = clock() + UNTIL_TIMEOUT_MS
         while self.extended(f, deadline):
             await self.lab.reports.flood(struck, f.size, FLOOD_EXTENSION_S)
 
-    # ---- in the arrivals -------------------------------------------------------------------------------
+    # ---- clients ---------------------------------------------------------------------------------------
 
     async def hot_key(self, f: Fault) -> None:
+        """Concentrate the traffic on a few slices: see `planned_load_changes`."""
         await self.wait(f)
 
     async def heavy_tail(self, f: Fault) -> None:
+        """Make some requests much more expensive: see `planned_load_changes`."""
         await self.wait(f)
 
     async def give_up(self, f: Fault) -> None:
+        """Divide the timeouts of clients by `size`."""
         self.lab.clients.patience = 1.0 / max(f.size, 1.0)
         await self.wait(f)
         self.lab.clients.patience = 1.0
--- a/corallanding/lab/host_faults.py
+++ b/corallanding/lab/host_faults.py
@@ -1,20 +1,20 @@
-"""What goes wrong with hosts: they die, drain, are replaced, grow, hang, slow down, answer in vain."""
+"""Faults of hosts: crashes, drains, replacement, resizing of the fleet, hangs, slowness and lost responses."""
 
 from __future__ import annotations
 
 import asyncio
 
 from .drawn import FaultTargets
-from .host import Host, release
+from .host import Host, set_paused
 from .scenario import Fault
 from .trace import clock
 
 
 class HostFaults(FaultTargets):
-    """`on` names hosts; without it a part of those that are up, drawn by the run's seed."""
+    """Faults of hosts. `on` names hosts; without it the share `part` of the hosts that are up is drawn."""
 
-    def some(self, f: Fault, share: float | None = None) -> list[Host]:
-        """The hosts that a fault strikes: named, or a share of those up, drawn by the run's seed."""
+    def target_hosts(self, f: Fault, share: float | None = None) -> list[Host]:
+        """Return the hosts that a fault applies to: those named, or a drawn share of those that are up."""
         up = [h for h in self.lab.hosts.values() if h.up and not h.draining]
         if f.on:
             return [h for h in up if h.number in f.on]
@@ -22,10 +22,12 @@
         return [up[i] for i in self.draw_order(f, len(up))[:count]]
 
     async def wait(self, f: Fault) -> None:
+        """Wait for the duration of a fault."""
         await asyncio.sleep(f.for_s)
 
     async def crash(self, f: Fault) -> None:
-        struck = self.some(f)
+        """Kill hosts; start them again at the end."""
+        struck = self.target_hosts(f)
         for h in struck:
             h.kill()
             self.lab.registry(h, "removed")
@@ -34,17 +36,19 @@
             await self.lab.bring_up(h)
 
     async def release(self, f: Fault) -> None:
-        """size: number of a set. how "hosts": hosts that are new from here on serve it; "current": it is to be current
-        at all stewards, by their configuration."""
+        """Roll out release number `size`.
+
+        how "hosts": hosts started from now on serve it; else it becomes current at all controllers by configuration.
+        """
         if f.how == "hosts":
-            self.lab.kept.serving = int(f.size)
+            self.lab.host_fleet.serving = int(f.size)
         else:
-            self.lab.want(int(f.size))
+            self.lab.set_current_release(int(f.size))
 
     async def upgrade_hosts(self, f: Fault) -> None:
-        """In place, under the same address: killed and started anew, serving set `size`, one after the other."""
-        struck = self.some(f)
-        self.lab.kept.serving = int(f.size)
+        """Restart hosts one after the other at the same address, serving release `size`."""
+        struck = self.target_hosts(f)
+        self.lab.host_fleet.serving = int(f.size)
         for h in struck:
             h.kill()
             await asyncio.sleep(min(f.extra, 5.0) / 4.0)
@@ -52,6 +56,7 @@
             await asyncio.sleep(f.for_s / len(struck))
 
     async def retire(self, hosts: list[Host], drain_s: float, successors: bool) -> None:
+        """Drain hosts for some seconds, then kill them; with `successors`, start as many new ones first."""
         for h in hosts:
             self.lab.registry(h, "draining")
         if successors:
@@ -64,30 +69,36 @@
             self.lab.registry(h, "removed")
 
     async def deploy(self, f: Fault) -> None:
-        old = self.some(f, f.part)
-        batch = max(1, round(len(old) * min(f.size, 1.0)))
-        batches = [old[k : k + batch] for k in range(0, len(old), batch)]
+        """Replace hosts in batches. size: share per batch; extra: seconds of draining."""
+        old_hosts = self.target_hosts(f, f.part)
+        batch = max(1, round(len(old_hosts) * min(f.size, 1.0)))
+        batches = [old_hosts[k : k + batch] for k in range(0, len(old_hosts), batch)]
         gap = max(0.0, f.for_s / len(batches) - f.extra)
         for hosts in batches:
             await self.retire([h for h in hosts if h.up], f.extra, successors=True)
             await asyncio.sleep(gap)
 
     async def preempt(self, f: Fault) -> None:
-        await self.retire(self.some(f), f.extra, successors=True)
+        """Replace hosts at once after `extra` seconds of draining."""
+        await self.retire(self.target_hosts(f), f.extra, successors=True)
 
     async def drain(self, f: Fault) -> None:
-        await self.retire(self.some(f), f.for_s, successors=False)
+        """Drain hosts over the fault's duration without replacement."""
+        await self.retire(self.target_hosts(f), f.for_s, successors=False)
 
     async def shrink(self, f: Fault) -> None:
-        await self.retire(self.some(f, 1.0 - 1.0 / max(f.size, 1.0)), f.for_s, successors=False)
+        """Divide the number of hosts by `size`."""
+        await self.retire(self.target_hosts(f, 1.0 - 1.0 / max(f.size, 1.0)), f.for_s, successors=False)
 
     async def grow(self, f: Fault) -> None:
+        """Multiply the number of hosts by `size`."""
         up = [h for h in self.lab.hosts.values() if h.up]
         for k in range(round(len(up) * (max(f.size, 1.0) - 1.0))):
             await self.lab.add_host(up[k % len(up)].zone, up[k % len(up)].spec)
 
     async def hang(self, f: Fault) -> None:
-        struck = self.some(f)
+        """Let hosts accept requests without responding."""
+        struck = self.target_hosts(f)
         for h in struck:
             h.hung = True
         await self.wait(f)
@@ -95,7 +106,8 @@
             h.hung = False
 
     async def slow(self, f: Fault) -> None:
-        struck = self.some(f)
+        """Make hosts slower by the factor `size`."""
+        struck = self.target_hosts(f)
         for h in struck:
             h.slowness = max(1.0, f.size)
         await self.wait(f)
@@ -103,7 +115,8 @@
             h.slowness = 1.0
 
     async def neighbour(self, f: Fault) -> None:
-        struck, end = self.some(f), clock() + f.for_s * 1000.0
+        """Take the share `size` of the hosts' speed, on and off every `extra` seconds, as a noisy neighbour does."""
+        struck, end = self.target_hosts(f), clock() + f.for_s * 1000.0
         while clock() < end:
             for h in struck:
                 h.taken_share = 0.0 if h.taken_share else min(f.size, 0.95)
@@ -112,15 +125,17 @@
             h.taken_share = 0.0
 
     async def pauses(self, f: Fault) -> None:
-        struck, end = self.some(f), clock() + f.for_s * 1000.0
+        """Pause hosts for `size` ms at intervals of `extra` seconds, as garbage collection does."""
+        struck, end = self.target_hosts(f), clock() + f.for_s * 1000.0
         while clock() < end:
-            for on in (True, False):
+            for is_paused in (True, False):
                 for h in struck:
-                    release(h, on)
-                await asyncio.sleep(f.size / 1000.0 if on else max(f.extra, 0.05))
+                    set_paused(h, is_paused)
+                await asyncio.sleep(f.size / 1000.0 if is_paused else max(f.extra, 0.05))
 
     async def answer_lost(self, f: Fault) -> None:
-        struck = self.some(f)
+        """Lose the share `size` of the hosts' responses."""
+        struck = self.target_hosts(f)
         for h in struck:
             self.lab.net.answers_lost[h.number] = min(f.size, 1.0)
         await self.wait(f)
--- a/corallanding/lab/host_link.py
+++ b/corallanding/lab/host_link.py
@@ -1,4 +1,4 @@
-"""A stand-in forwarder's connections to hosts, and one try of an invocation on them."""
+"""A stand-in proxy's connections to hosts, and the attempts of requests on them."""
 
 from __future__ import annotations
 
@@ -12,12 +12,16 @@
 from .net import at_forwarder
 
 if TYPE_CHECKING:
-    from .forwarder import Forwarder
+    from .forwarder import Proxy
 
 
 @dataclass(frozen=True)
-class Rules:
-    """How forwarders act where no order says it. Times in ms; `report_late`: how late its sums go out."""
+class ProxyRules:
+    """Behaviour of proxies that controllers do not set. Times in ms.
+
+    try_aims: latency objectives after which an attempt is retried. ejects: failures in a row that eject a host; 0 for
+    never. transit: mean delay of messages from controllers. report_late: mean delay of usage reports.
+    """
 
     pick: str = "p2c"
     usual_retry: int = 0
@@ -33,7 +37,9 @@
 
 
 @dataclass(eq=False)
-class Try:
+class Attempt:
+    """One attempt of a client, with the proxy's own retries of it. Times are instants in ms."""
+
     inv: int
     attempt: int
     operation: int
@@ -47,66 +53,72 @@
     ended: bool = False
     timer: asyncio.TimerHandle | None = None
     tried: list[int] = field(default_factory=list)
-    unfit: bool = False  # the last host serves another version: nothing ran
-    parked: float | None = None  # until when it waits for a line, once it had to
-    run: str = ""  # the chain of invocations that it belongs to
-    version: int = 0  # that the host is asked for, 0: whichever it serves
-    set: int = 0  # that its run is pinned to
+    wrong_version: bool = False  # the last host serves another version: nothing ran there
+    parked: float | None = None  # until when it waits for a host; None: it has not waited
+    run: str = ""  # workflow run that the request belongs to
+    version: int = 0  # requested version; 0: any that the host serves
+    set: int = 0  # release that the run is pinned to
+
 
+class HostConnection(asyncio.Protocol):
+    """A connection to a host, over the simulated network between the zones."""
 
-class HostConn(asyncio.Protocol):
-    def __init__(self, forwarder: Forwarder, host: int, zone: int) -> None:
-        self.forwarder, self.host, self.zone = forwarder, host, zone
+    def __init__(self, proxy: Proxy, host: int, zone: int) -> None:
+        self.proxy, self.host, self.zone = proxy, host, zone
         self.reader = frames.FrameReader(at_forwarder, 1 << 16)
         self.transport: asyncio.Transport | None = None
-        self.waiting: list[bytes] = []
-        self.out: dict[tuple[int, int, int], Try] = {}
-        self.over = False
+        self.unsent: list[bytes] = []
+        self.in_flight: dict[tuple[int, int, int], Attempt] = {}
+        self.closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         transport = cast(asyncio.Transport, transport)
         self.transport = transport
-        for data in self.waiting:
+        for data in self.unsent:
             transport.write(data)
-        self.waiting = []
+        self.unsent = []
 
     def write(self, data: bytes) -> None:
-        way = self.forwarder.net.delay_ms(self.forwarder.zone, self.zone)
-        if way is None:
+        """Send data with the delay of the link; drop it if the link is partitioned."""
+        delay_ms = self.proxy.net.delay_ms(self.proxy.zone, self.zone)
+        if delay_ms is None:
             return
-        if way > 0:
-            asyncio.get_running_loop().call_later(way / 1000.0, self.put, data)
+        if delay_ms > 0:
+            asyncio.get_running_loop().call_later(delay_ms / 1000.0, self.put, data)
         else:
             self.put(data)
 
     def put(self, data: bytes) -> None:
+        """Write data to the transport, or keep it until the connection is established."""
         if self.transport is None:
-            self.waiting.append(data)
+            self.unsent.append(data)
         elif not self.transport.is_closing():
             self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
-        f = self.forwarder
-        for done in self.reader.feed(data):
-            way = f.net.delay_ms(self.zone, f.zone)
+        f = self.proxy
+        for response in self.reader.feed(data):
+            delay_ms = f.net.delay_ms(self.zone, f.zone)
             lost = f.net.answers_lost.get(self.host, 0.0)
-            if way is None or (lost and f.drawn(done.inv, done.attempt, done.again, 3) < lost):
+            if delay_ms is None or (lost and f.draw(response.inv, response.attempt, response.again, 3) < lost):
                 continue
-            if way > 0:
-                asyncio.get_running_loop().call_later(way / 1000.0, f.answered, self, done)
+            if delay_ms > 0:
+                asyncio.get_running_loop().call_later(delay_ms / 1000.0, f.on_response, self, response)
             else:
-                f.answered(self, done)
+                f.on_response(self, response)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.fail()
 
     def fail(self) -> None:
-        if not self.over:
-            self.over = True
-            self.forwarder.broken(self)
+        """Notify the proxy once that the connection is lost."""
+        if not self.closed:
+            self.closed = True
+            self.proxy.on_connection_lost(self)
 
     async def dial(self, address: str) -> None:
-        f, (name, _, port) = self.forwarder, address.rpartition(":")
+        """Connect, within the proxy's timeout."""
+        f, (name, _, port) = self.proxy, address.rpartition(":")
         try:
             async with asyncio.timeout(f.rules.dial_timeout / 1000.0):
                 if f.net.delay_ms(f.zone, self.zone) is None:
@@ -116,14 +128,14 @@
             self.fail()
 
 
-def pick(f: Forwarder, t: Try, lines: list[tuple[int, float]]) -> int:
-    """Of the lines that it may use, by the rules of the run."""
+def pick_host(f: Proxy, t: Attempt, lines: list[tuple[int, float]]) -> int:
+    """Choose a host by the proxy's load balancing policy. lines: usable hosts and weights."""
     if len(lines) == 1:
         return lines[0][0]
     if f.rules.pick == "rotate":
         return lines[next(f.turns) % len(lines)][0]
-    first = at(lines, f.drawn(t.inv, t.attempt, t.again, 1))
+    first = at(lines, f.draw(t.inv, t.attempt, t.again, 1))
     if f.rules.pick == "random":
         return first
-    second = at(lines, f.drawn(t.inv, t.attempt, t.again, 2))
+    second = at(lines, f.draw(t.inv, t.attempt, t.again, 2))
     return second if f.outstanding[second] < f.outstanding[first] else first
--- a/corallanding/lab/laid.py
+++ b/corallanding/lab/laid.py
@@ -5,12 +5,10 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from .forwarder import Forwarder
+from .forwarder import Proxy
 
 
-async def count_table_differences(
-    forwarders: list[Forwarder], laid: Callable[[], Awaitable[dict[int, set[int]]]]
-) -> int:
+async def count_table_differences(forwarders: list[Proxy], laid: Callable[[], Awaitable[dict[int, set[int]]]]) -> int:
     """Count the table lines in which connected proxies differ from the controllers; wait up to 6 s for equality.
 
     laid: returns hosts by slice as published by the controllers; raises OSError if a controller does not respond.
@@ -30,7 +28,7 @@
     return differences
 
 
-async def wait_for_tables(forwarders: list[Forwarder], slices: int) -> None:
+async def wait_for_tables(forwarders: list[Proxy], slices: int) -> None:
     """Wait until each proxy has a host for every slice. Raises RuntimeError if that takes longer than 10 s."""
     for _ in range(400):
         await asyncio.sleep(0.025)
--- a/corallanding/lab/make.py
+++ b/corallanding/lab/make.py
@@ -5,7 +5,7 @@
 import numpy as np
 
 from .clients import OperationSpec
-from .forwarder import Forwarder, Rules
+from .forwarder import Proxy, ProxyRules
 from .net import Net
 from .run_clients import RunClients, RunSpec
 from .scenario import Scenario
@@ -24,9 +24,9 @@
     net: Net,
     trace: Trace,
     seed: int,
-) -> Forwarder:
+) -> Proxy:
     """Return proxy `number`, which gets `share` of the traffic."""
-    rules = Rules(
+    rules = ProxyRules(
         s.forwarders.pick,
         s.forwarders.usual_retry,
         s.forwarders.try_aims,
@@ -37,7 +37,7 @@
     )
     parts = (RUNS if s.pins else 0) | (WAITS if s.jobs else 0)
     rate = share * s.traffic.per_s
-    return Forwarder(number, number % len(s.zones), rate, stewards, 0, rules, zones, net, trace, seed, parts)
+    return Proxy(number, number % len(s.zones), rate, stewards, 0, rules, zones, net, trace, seed, parts)
 
 
 def draw_shares(s: Scenario, chance: np.random.Generator) -> tuple[np.ndarray, np.ndarray]:
@@ -72,7 +72,7 @@
 
 
 def make_run_clients(
-    s: Scenario, forwarders: list[Forwarder], operations: list[OperationSpec], trace: Trace, seed: int
+    s: Scenario, forwarders: list[Proxy], operations: list[OperationSpec], trace: Trace, seed: int
 ) -> RunClients | None:
     """Return the clients of workflow runs, if the scenario has any."""
     if s.runs is None:
@@ -82,7 +82,7 @@
 
 
 def make_wait_clients(
-    s: Scenario, forwarders: list[Forwarder], operations: list[OperationSpec], trace: Trace, seed: int
+    s: Scenario, forwarders: list[Proxy], operations: list[OperationSpec], trace: Trace, seed: int
 ) -> WaitClients | None:
     """Return the clients that submit jobs, if the scenario has any."""
     if s.jobs is None:
--- a/corallanding/lab/peers.py
+++ b/corallanding/lab/peers.py
@@ -1,4 +1,4 @@
-"""Faults between stewards: their ways, and stewards that are stopped, killed, new, or go for good."""
+"""Faults between controllers: their links, and controllers that are suspended, restarted, added or removed."""
 
 from __future__ import annotations
 
@@ -6,65 +6,70 @@
 
 from .drawn import FaultTargets
 from .scenario import Fault
-from .ways import Trouble
+from .ways import LinkFault
 
 
 class PeerFaults(FaultTargets):
-    """`on` names stewards; without it a part of them, drawn by the run's seed."""
+    """Faults of controllers. `on` names controllers; without it the share `part` of them is drawn."""
 
-    def stewards(self, f: Fault) -> list[int]:
+    def controller_numbers(self, f: Fault) -> list[int]:
+        """Return the numbers of the controllers that a fault applies to."""
         return self.numbers(f, self.lab.scenario.numbers)
 
-    async def ail(self, f: Fault, trouble: Trouble, pairs: list[tuple[int, int]]) -> None:
-        ways = self.lab.ways
-        if ways is None:
-            return  # there are no ways between stewards in this scenario: `Scenario` refuses the fault
-        ways.set(pairs, trouble, True)
+    async def apply_link_fault(self, f: Fault, link_fault: LinkFault, pairs: list[tuple[int, int]]) -> None:
+        """Apply a fault to links between controllers for the fault's duration."""
+        relay = self.lab.peer_relay
+        if relay is None:
+            return  # no links between controllers in this scenario: `Scenario` rejects the fault
+        relay.set(pairs, link_fault, True)
         await asyncio.sleep(f.for_s)
-        ways.set(pairs, trouble, False)
+        relay.set(pairs, link_fault, False)
 
-    def around(self, f: Fault) -> list[tuple[int, int]]:
-        assert self.lab.ways is not None
-        some = set(self.stewards(f))
-        return [(a, b) for a, b in self.lab.ways.every() if a in some or b in some]
+    def links_of(self, f: Fault) -> list[tuple[int, int]]:
+        """Return the links from and to the fault's controllers."""
+        assert self.lab.peer_relay is not None
+        targets = set(self.controller_numbers(f))
+        return [(a, b) for a, b in self.lab.peer_relay.all_links() if a in targets or b in targets]
 
     async def peer_cut(self, f: Fault) -> None:
-        """Between `on` and the rest; how "one-way": nothing from `on` reaches the rest, but all the other way."""
-        assert self.lab.ways is not None
-        await self.ail(f, Trouble(cut=True), self.lab.ways.across(self.stewards(f), f.how == "one-way"))
+        """Partition `on` from the rest; how "one-way": only messages from `on` to the rest are dropped."""
+        assert self.lab.peer_relay is not None
+        await self.apply_link_fault(
+            f, LinkFault(cut=True), self.lab.peer_relay.links_across(self.controller_numbers(f), f.how == "one-way")
+        )
 
     async def peer_loss(self, f: Fault) -> None:
-        """`size`: share of the datagrams to and from `on`."""
-        await self.ail(f, Trouble(loss=min(f.size, 1.0)), self.around(f))
+        """Lose the share `size` of the datagrams to and from `on`."""
+        await self.apply_link_fault(f, LinkFault(loss=min(f.size, 1.0)), self.links_of(f))
 
     async def peer_slow(self, f: Fault) -> None:
-        """`size`: mean ms of the delay; later ones may arrive first."""
-        await self.ail(f, Trouble(mean=f.size), self.around(f))
+        """Delay datagrams by `size` ms on average; they may be reordered."""
+        await self.apply_link_fault(f, LinkFault(mean=f.size), self.links_of(f))
 
     async def peer_repeat(self, f: Fault) -> None:
-        """`size`: share that comes twice, each `extra` ms late on the mean, so that they also change order."""
-        await self.ail(f, Trouble(repeat=min(f.size, 1.0), mean=max(f.extra, 1.0)), self.around(f))
+        """Duplicate the share `size` of datagrams; delay and so reorder all by `extra` ms on average."""
+        await self.apply_link_fault(f, LinkFault(repeat=min(f.size, 1.0), mean=max(f.extra, 1.0)), self.links_of(f))
 
     async def steward_stop(self, f: Fault) -> None:
-        """Stopped and woken, as by a debugger or a machine that swaps."""
-        await asyncio.gather(*(self.lab.freeze_steward(f.for_s, n) for n in self.stewards(f)))
+        """Suspend and resume controllers, as a debugger or a machine that swaps does."""
+        await asyncio.gather(*(self.lab.freeze_steward(f.for_s, n) for n in self.controller_numbers(f)))
 
     async def steward_restart(self, f: Fault) -> None:
-        """kill -9 and a new process at once, faster than anyone notices; `for_s` is not waited for."""
-        for n in self.stewards(f):
+        """Kill controllers and start new processes at once, before others detect the failure; ignores `for_s`."""
+        for n in self.controller_numbers(f):
             if await self.lab.kill_steward(n):
                 self.lab.spawn(self.lab.start_steward(n))
 
     async def steward_grow(self, f: Fault) -> None:
-        """Stewards that are not there come, one after the other over `for_s`."""
-        new = [n for n in self.stewards(f) if n not in self.lab.running]
+        """Start controllers that are not running yet, one after the other over `for_s`."""
+        new = [n for n in self.controller_numbers(f) if n not in self.lab.running]
         for n in new:
             await self.lab.start_steward(n)
             await asyncio.sleep(f.for_s / len(new))
 
     async def steward_shrink(self, f: Fault) -> None:
-        """SIGTERM, for good, one after the other over `for_s`."""
-        gone = self.stewards(f)
-        for n in gone:
+        """Shut controllers down for good with SIGTERM, one after the other over `for_s`."""
+        numbers = self.controller_numbers(f)
+        for n in numbers:
             await self.lab.end_steward(n)
-            await asyncio.sleep(f.for_s / len(gone))
+            await asyncio.sleep(f.for_s / len(numbers))
--- a/corallanding/lab/polling.py
+++ b/corallanding/lab/polling.py
@@ -1,5 +1,8 @@
-"""What the steward says of itself, for charts and for faults that last until it has counted their reports: no
-rule's verdict hangs on it. And its store, held by another."""
+"""Polling of a controller's metrics, and the lock that makes its store fail.
+
+The metrics are for charts, and for faults that last until the controller has counted their load reports. No verdict of
+the audit depends on them.
+"""
 
 from __future__ import annotations
 
@@ -12,14 +15,18 @@
 from .trace import clock
 
 
-async def poll(door: int, begun: float, points: list[dict[str, float]], life: Callable[[], int]) -> None:
-    """life: which life of the steward runs now. A point has the life that ran when the page was asked for."""
-    before = (0.0, 0.0)
+async def poll(http_port: int, begun: float, points: list[dict[str, float]], life: Callable[[], int]) -> None:
+    """Append one point to `points` every 250 ms.
+
+    begun: start of the run in ms. life: returns the number of the controller's present incarnation; a point holds the
+    one at the time of its request.
+    """
+    before = (0.0, 0.0)  # sum and count of the acknowledgement times at the last point
     while True:
         await asyncio.sleep(0.25)
         life_at_request = life()
         try:
-            _, page = await http_get(door, "/metrics")
+            _, page = await http_get(http_port, "/metrics")
         except (OSError, asyncio.IncompleteReadError, IndexError):
             before = (0.0, 0.0)
             continue
@@ -45,8 +52,8 @@
         points.append(point)
 
 
-async def hold(path: Path, seconds: float) -> None:
-    """The file cannot be written meanwhile."""
+async def hold_write_lock(path: Path, seconds: float) -> None:
+    """Hold the write lock of a SQLite file, so that nobody else can write it."""
     db = sqlite3.connect(path, isolation_level=None)
     try:
         db.execute("begin immediate")
--- a/corallanding/lab/reporter.py
+++ b/corallanding/lab/reporter.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Way:
+class ReportMode:
     """How a host reports while a fault strikes it. Times in ms."""
 
     silent: bool = False
@@ -36,7 +36,7 @@
     loss: float = 0.0
 
 
-HONEST = Way()
+ACCURATE = ReportMode()
 
 
 def body(load: float, json_form: bool) -> bytes:
@@ -67,7 +67,7 @@
 class Reporter:
     def __init__(self, lab: Stage, conf: LoadReportsTraffic, port: int, key: bytes) -> None:
         self.lab, self.conf, self.where, self.key = lab, conf, ("127.0.0.1", port), key or None
-        self.ways: dict[int, Way] = {}
+        self.report_modes: dict[int, ReportMode] = {}
         self.sockets: dict[int, Socket] = {}
         self.streams: dict[int, asyncio.StreamWriter] = {}
         self.chance = np.random.default_rng([lab.seed, 5])
@@ -93,7 +93,7 @@
             await asyncio.sleep(max(0.001, wait / 1000.0))
 
     async def report(self, h: Host, process: int) -> None:
-        way = self.ways.get(h.number, HONEST)
+        way = self.report_modes.get(h.number, ACCURATE)
         load = round(h.utilization(self.conf.every_ms * 2), 4)
         if way.silent or (way.loss and self.chance.random() < way.loss):
             return
--- a/corallanding/lab/roster.py
+++ b/corallanding/lab/roster.py
@@ -1,4 +1,4 @@
-"""A stand-in roster: knows only of processes, late, and can be wrong. Speaks the line-JSON of `docs/protocol.md`."""
+"""A stand-in source of the host list, which can be late and wrong. Speaks the line-JSON of `docs/protocol.md`."""
 
 from __future__ import annotations
 
@@ -9,9 +9,11 @@
 from .trace import Trace
 
 
-class Conn(asyncio.Protocol):
+class ListConnection(asyncio.Protocol):
+    """A controller's connection to the host list."""
+
     def __init__(self, roster: Roster) -> None:
-        self.roster, self.held, self.following = roster, b"", False
+        self.roster, self.buffer, self.is_watching = roster, b"", False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         transport = cast(asyncio.Transport, transport)
@@ -19,44 +21,47 @@
         if self.roster.down:
             transport.abort()
             return
-        self.roster.conns[self] = None
+        self.roster.connections[self] = None
 
     def data_received(self, data: bytes) -> None:
-        self.held += data
-        while b"\n" in self.held:
-            line, self.held = self.held.split(b"\n", 1)
-            asked = json.loads(line)
-            self.following = asked["ask"] == "follow" or (self.following and asked["ask"] != "stop")
-            if asked["ask"] in ("follow", "fetch"):
+        self.buffer += data
+        while b"\n" in self.buffer:
+            line, self.buffer = self.buffer.split(b"\n", 1)
+            request = json.loads(line)
+            self.is_watching = request["ask"] == "follow" or (self.is_watching and request["ask"] != "stop")
+            if request["ask"] in ("follow", "fetch"):
                 self.roster.tell(self, "full", self.roster.shown(), None)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.roster.conns.pop(self, None)
+        self.roster.connections.pop(self, None)
 
 
 class Roster:
-    """rows: the truth as far as it has come here; `wrong` changes what is shown of it."""
+    """The host list. rows: its true entries; faults change what is sent of them (`dropped`, `ghosts`, `frozen`)."""
 
     def __init__(self, trace: Trace, port: int = 0) -> None:
         self.observer, self.port = trace.observer("roster"), port
         self.rows: dict[int, dict[str, Any]] = {}
         self.version, self.down = 1, False
-        self.conns: dict[Conn, None] = {}
-        self.dropped: set[int] = set()  # living hosts that a wrong list leaves out
+        self.connections: dict[ListConnection, None] = {}
+        self.dropped: set[int] = set()  # hosts that a wrong list leaves out
         self.ghosts: dict[int, dict[str, Any]] = {}  # hosts that do not exist
-        self.frozen: dict[int, dict[str, Any]] | None = None  # a list that went back in time
+        self.frozen: dict[int, dict[str, Any]] | None = None  # an old list that is sent in place of `rows`
         self.last: dict[int, dict[str, Any]] = {}
 
     async def start(self) -> None:
+        """Listen on the port; 0 chooses one."""
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: Conn(self), "127.0.0.1", self.port)
+        self.server = await loop.create_server(lambda: ListConnection(self), "127.0.0.1", self.port)
         self.port = self.server.sockets[0].getsockname()[1]
 
     def shown(self) -> dict[int, dict[str, Any]]:
+        """Return the entries to send, with the present faults."""
         rows = self.rows if self.frozen is None else self.frozen
         return {h: r for h, r in {**rows, **self.ghosts}.items() if h not in self.dropped}
 
-    def tell(self, conn: Conn, form: str, rows: dict[int, dict[str, Any]], after: int | None) -> None:
+    def tell(self, conn: ListConnection, form: str, rows: dict[int, dict[str, Any]], after: int | None) -> None:
+        """Send entries: a "full" list, or "changes" after version `after`."""
         line = {"form": form, "version": self.version, "hosts": list(rows.values()), "after": after}
         if not conn.transport.is_closing():
             self.observer.record(
@@ -65,7 +70,7 @@
             conn.transport.write(json.dumps(line).encode() + b"\n")
 
     def put(self, host: int, **row: Any) -> None:
-        """A row as the registry now has it; state "removed" takes it out."""
+        """Change a host's entry; the state "removed" deletes it."""
         old = self.rows.get(host, {})
         self.rows[host] = {"host": host, **old, **row}
         if self.rows[host]["state"] == "removed":
@@ -73,7 +78,7 @@
         self.changed()
 
     def changed(self) -> None:
-        """Push what differs from what was shown last."""
+        """Send watchers the difference from what was sent last."""
         rows = self.shown()
         gone = {h: {"host": h, "state": "removed", "started": 0.0, "address": ""} for h in self.last if h not in rows}
         changes = {**gone, **{h: r for h, r in rows.items() if self.last.get(h) != r}}
@@ -81,26 +86,28 @@
         if not changes:
             return
         before, self.version = self.version, self.version + 1
-        for conn in list(self.conns):
-            if conn.following:
+        for conn in list(self.connections):
+            if conn.is_watching:
                 self.tell(conn, "changes", changes, before)
 
     async def stop(self) -> None:
-        """Nothing is left to end."""
+        """Do nothing: connections end with the controllers."""
 
     async def fail(self, down: bool) -> None:
+        """Abort all connections and reject new ones while `down`."""
         self.down = down
         if down:
-            for conn in list(self.conns):
+            for conn in list(self.connections):
                 conn.transport.abort()
 
 
 class RegistryRoster(Roster):
-    """The same list, kept in the stand-in registry: several stewards follow it there."""
+    """The host list in the stand-in registry, where several controllers watch it."""
 
     PREFIX = "/corallanding/hosts/"
 
     async def start(self) -> None:
+        """Start the registry and write the list."""
         from .registry import Registry
 
         self.registry = Registry()
@@ -110,24 +117,26 @@
         self.changed()
 
     def changed(self) -> None:
-        """Write what differs; while the registry is down, nothing can be."""
+        """Write the difference to the registry, unless it is down."""
         if not getattr(self, "up", False):
             return
         rows = self.shown()
-        gone = [h for h in self.last if h not in rows]
+        removed = [h for h in self.last if h not in rows]
         changed = {h: r for h, r in rows.items() if self.last.get(h) != r}
         self.last = {h: dict(r) for h, r in rows.items()}
-        for h in gone:
+        for h in removed:
             self.registry.store.put(f"{self.PREFIX}{h}".encode(), None)
         for h, r in changed.items():
             self.registry.store.put(f"{self.PREFIX}{h}".encode(), json.dumps(r).encode())
-        if gone or changed:
-            told = [[h, "removed", 0.0] for h in gone] + [[h, r["state"], r["started"]] for h, r in changed.items()]
-            self.observer.record("told", "changes", self.registry.store.revision, told)
+        if removed or changed:
+            entries = [[h, "removed", 0.0] for h in removed] + [
+                [h, r["state"], r["started"]] for h, r in changed.items()
+            ]
+            self.observer.record("told", "changes", self.registry.store.revision, entries)
             self.registry.store.poke()
 
     async def fail(self, down: bool) -> None:
-        """The registry stops, or is there again with what it had."""
+        """Stop the registry, or start it again with its data."""
         if down:
             self.up = False
             await self.registry.stop()
@@ -137,5 +146,6 @@
             self.changed()
 
     async def stop(self) -> None:
+        """Stop the registry."""
         if self.up:
             await self.registry.stop()
--- a/corallanding/lab/run_clients.py
+++ b/corallanding/lab/run_clients.py
@@ -9,7 +9,7 @@
 import numpy as np
 
 from .clients import OperationSpec
-from .forwarder import Forwarder, Try
+from .forwarder import Attempt, Proxy
 from .trace import Trace, clock
 
 FIRST = 1_000_000  # numbers of their invocations begin there
@@ -28,7 +28,7 @@
 class RunClients:
     def __init__(
         self,
-        forwarders: list[Forwarder],
+        forwarders: list[Proxy],
         operations: list[OperationSpec],
         spec: RunSpec,
         slices: int,
@@ -75,7 +75,7 @@
             done: asyncio.Future[str] = asyncio.get_running_loop().create_future()
             f = self.forwarders[(way + attempt) % len(self.forwarders)]
             until = clock() + min(left, o.timeout * 0.8)
-            f.invoke(Try(inv, attempt, operation, slice, o.work, until, done.set_result, run=run))
+            f.invoke(Attempt(inv, attempt, operation, slice, o.work, until, done.set_result, run=run))
             status = await done
             if status != "rate-limited" and not (o.idempotent and status in ("errored", "timed-out")):
                 break
--- a/corallanding/lab/runner.py
+++ b/corallanding/lab/runner.py
@@ -13,14 +13,14 @@
 
 from . import report
 from .clients import Clients, ClientSpec, OperationSpec, Traffic, draw
-from .faults import Faults, hots
-from .forwarder import Forwarder
+from .faults import Faults, planned_load_changes
+from .forwarder import Proxy
 from .host import Host, HostSpec
 from .hosts import Hosts
 from .laid import count_table_differences, wait_for_tables
 from .make import draw_shares, make_proxy, make_run_clients, make_wait_clients, request_classes_of
 from .net import Net
-from .polling import hold, poll
+from .polling import hold_write_lock, poll
 from .processes import AdoptedProcess, free_port
 from .reporter import Reporter
 from .roster import RegistryRoster, Roster
@@ -32,7 +32,7 @@
 from .trace import Trace, clock
 from .verdict import audit_files, clear, verdict
 from .wait_clients import WaitClients
-from .ways import Ways
+from .ways import PeerRelay
 
 POLL_FIELDS_NOT_OF_REPORTS = ("t", "life", "waiting", "ack_ms")
 
@@ -44,9 +44,9 @@
         self.chance = np.random.default_rng([seed, 1])
         self.net = Net(seed)
         self.roster = Roster(self.trace) if scenario.stewards == 1 else RegistryRoster(self.trace)
-        self.kept = Hosts(scenario, self.trace, lambda: self.roster)
-        self.hosts = self.kept.hosts
-        self.forwarders: list[Forwarder] = []
+        self.host_fleet = Hosts(scenario, self.trace, lambda: self.roster)
+        self.hosts = self.host_fleet.hosts
+        self.forwarders: list[Proxy] = []
         self.control = ""
         self.upgrades: list[float] = []  # ms that each took
         self.lives = 0
@@ -55,7 +55,7 @@
         self.doors = [self.new_port() for _ in range(scenario.numbers)]
         self.own = StewardProcesses(self.doors, scenario.publisher, self.named)
         self.peer_ports = [self.new_port() for _ in range(scenario.numbers)] if scenario.peers else []
-        self.ways: Ways | None = None
+        self.peer_relay: PeerRelay | None = None
         self.polls: list[dict[str, float]] = []
         self.tasks: set[asyncio.Task[Any]] = set()
         self.begun, self.lost = 0.0, 0
@@ -76,16 +76,16 @@
         return self.own.running
 
     def spec(self, kind: int) -> HostSpec:
-        return self.kept.spec(kind)
+        return self.host_fleet.spec(kind)
 
     async def add_host(self, zone: int, spec: HostSpec, cold: bool = True, number: int | None = None) -> Host:
-        return await self.kept.add(zone, spec, cold, number)
+        return await self.host_fleet.add(zone, spec, cold, number)
 
     async def bring_up(self, h: Host, cold: bool = True) -> None:
-        await self.kept.bring_up(h, cold)
+        await self.host_fleet.bring_up(h, cold)
 
     def registry(self, h: Host, state: str, late: float | None = None) -> None:
-        self.kept.tell(h, state, late)
+        self.host_fleet.tell(h, state, late)
 
     def named(self, stem: str, me: int, ending: str) -> Path:
         """A file of a steward: without its number where there is but one."""
@@ -112,11 +112,11 @@
     async def end_stewards(self) -> None:
         await self.own.end_all(5.0 if self.scenario.stewards == 1 else 0.5)
 
-    def want(self, number: int) -> None:
-        self.own.want(number, self.scenario.numbers)
+    def set_current_release(self, number: int) -> None:
+        self.own.set_current_release(number, self.scenario.numbers)
 
     async def hold_store(self, seconds: float) -> None:
-        await hold(self.out / "store.db", seconds)
+        await hold_write_lock(self.out / "store.db", seconds)
 
     async def poll(self) -> None:
         await poll(self.doors[0], self.begun, self.polls, self.polled_life)
@@ -134,13 +134,15 @@
         return await self.own.laid()
 
     async def first_hosts(self) -> None:
-        await self.kept.first()
+        await self.host_fleet.first()
 
     def arrivals(self, rates: np.ndarray, slices: np.ndarray, operations: list[OperationSpec]) -> Traffic:
         """rates, slices: each forwarder's and each slice's share."""
         s = self.scenario
         order = [int(k) for k in self.chance.permutation(s.fleet.slices)]
-        return draw(self.seed, s.seconds * 1000.0, s.traffic.per_s, rates, slices, operations, hots(s, order))
+        return draw(
+            self.seed, s.seconds * 1000.0, s.traffic.per_s, rates, slices, operations, planned_load_changes(s, order)
+        )
 
     async def build(self) -> None:
         s = self.scenario
@@ -148,7 +150,7 @@
         await self.roster.start()
         rates, slices = draw_shares(s, self.chance)
         stewards = [("127.0.0.1", p) for p in self.ports]
-        shared = (self.kept.zones, self.net, self.trace, self.seed)
+        shared = (self.host_fleet.zones, self.net, self.trace, self.seed)
         self.forwarders += [make_proxy(s, k, float(rates[k]), stewards, *shared) for k in range(s.fleet.forwarders)]
         operations = request_classes_of(s)
         traffic = self.arrivals(rates, slices, operations)
@@ -166,8 +168,8 @@
         if any(f.kind == "upgrade" for f in s.fault):
             self.control = str(Path(tempfile.mkdtemp(prefix="corallanding-")) / "control")
         if self.peer_ports and s.stewards > 1:
-            self.ways = Ways(self.seed, dict(enumerate(self.peer_ports)))
-            self.ways.open()
+            self.peer_relay = PeerRelay(self.seed, dict(enumerate(self.peer_ports)))
+            self.peer_relay.open()
         reports = f"127.0.0.1:{self.reports_port}"
         for me in range(s.numbers):
             listen, door, roster = (f"127.0.0.1:{p}" for p in (self.ports[me], self.doors[me], self.roster.port))
@@ -184,8 +186,8 @@
                 reports_key,
                 me,
                 self.control,
-                f"127.0.0.1:{self.peer_ports[me]}" if self.ways else "",
-                self.ways.peers(me) if self.ways else None,
+                f"127.0.0.1:{self.peer_ports[me]}" if self.peer_relay else "",
+                self.peer_relay.peers(me) if self.peer_relay else None,
                 *audit_files(s, self.named, me),
             )
             self.named("steward", me, ".hcl").write_text(text)
@@ -227,8 +229,8 @@
             if self.reporter:
                 self.reporter.stop()
             await self.end_stewards()
-            if self.ways:
-                self.ways.close()
+            if self.peer_relay:
+                self.peer_relay.close()
             await self.roster.stop()
             for h in self.hosts.values():
                 h.kill()
--- a/corallanding/lab/stage.py
+++ b/corallanding/lab/stage.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from .clients import Clients
-from .forwarder import Forwarder
+from .forwarder import Proxy
 from .host import Host, HostSpec
 from .hosts import Hosts
 from .net import Net
@@ -16,13 +16,13 @@
 from .roster import RegistryRoster, Roster
 from .scenario import Scenario
 from .trace import Trace
-from .ways import Ways
+from .ways import PeerRelay
 
 
 class Reports(Protocol):
-    """The sender of load reports. ways: by host, how it reports while a fault applies."""
+    """The sender of load reports. report_modes: by host, how it reports while a fault applies."""
 
-    ways: dict[int, Any]
+    report_modes: dict[int, Any]
 
     async def flood(self, hosts: list[int], times: float, seconds: float) -> None:
         """Send `times` the usual volume of reports, in the name of those hosts and of unknown ones."""
@@ -37,13 +37,13 @@
     net: Net
     hosts: dict[int, Host]
     roster: Roster | RegistryRoster
-    forwarders: list[Forwarder]
+    forwarders: list[Proxy]
     clients: Clients
-    ways: Ways | None
-    kept: Hosts
+    peer_relay: PeerRelay | None
+    host_fleet: Hosts
 
     @abstractmethod
-    def want(self, number: int) -> None:
+    def set_current_release(self, number: int) -> None:
         """Make release `number` current in the configuration of all controllers."""
 
     @property
--- a/corallanding/lab/wait_clients.py
+++ b/corallanding/lab/wait_clients.py
@@ -9,7 +9,7 @@
 import numpy as np
 
 from .clients import OperationSpec
-from .forwarder import Forwarder, Try
+from .forwarder import Attempt, Proxy
 from .trace import Trace, clock
 from .waits import Job
 
@@ -32,7 +32,7 @@
 class WaitClients:
     def __init__(
         self,
-        forwarders: list[Forwarder],
+        forwarders: list[Proxy],
         operations: list[OperationSpec],
         spec: JobSpec,
         slices: int,
@@ -68,7 +68,7 @@
         for task in list(self.tasks):
             task.cancel()
         for f in self.forwarders:
-            for number in f.waits.jobs:
+            for number in f.jobs.jobs:
                 self.observer.record("still", number, f.number)
 
     async def one(
@@ -91,9 +91,9 @@
             if not done.done():
                 done.set_result(status)
 
-        def send() -> Try:
-            return Try(number, attempt, operation, slice, o.work, clock() + o.timeout, end, run=run)
+        def send() -> Attempt:
+            return Attempt(number, attempt, operation, slice, o.work, clock() + o.timeout, end, run=run)
 
         mark = f"fp-{number}" if operation in self.spec.marked else ""
-        f.waits.come(Job(number, operation, clock(), mark, send, end, run))
+        f.jobs.submit(Job(number, operation, clock(), mark, send, end, run))
         self.observer.record("ended", number, attempt, await done)
--- a/corallanding/lab/waits.py
+++ b/corallanding/lab/waits.py
@@ -1,5 +1,7 @@
-"""A stand-in forwarder's part for work that may wait: keeps the body, hands a ticket to a steward, sends when told.
-Written from `docs/protocol.md`."""
+"""Jobs of a stand-in proxy, written from `docs/protocol.md`.
+
+The proxy keeps the body of a job, submits a ticket to a controller and sends the job when that dispatches it.
+"""
 
 from __future__ import annotations
 
@@ -9,77 +11,87 @@
 from typing import TYPE_CHECKING
 
 from ..wire import frames
-from .host_link import Try
+from .host_link import Attempt
 from .trace import clock
 
 if TYPE_CHECKING:
-    from .forwarder import Forwarder
+    from .forwarder import Proxy
 
 
 @dataclass(eq=False)
 class Job:
-    """number: of the client's own, also its ticket. came: when it came to this forwarder. at: the steward that was
-    asked to take it, -1: none; taken: whether it said so."""
+    """One job.
+
+    number: the client's number, also the ticket. received_at: ms at which this proxy received it. controller_number:
+    where the ticket was submitted; -1 for none. is_admitted: whether that controller has accepted it.
+    """
 
     number: int
     operation: int
-    came: float
+    received_at: float
     fingerprint: str
-    send: Callable[[], Try]
+    send: Callable[[], Attempt]
     done: Callable[[str], None]
     run: str = ""
     set: int = 0
-    at: int = -1
-    taken: bool = False
+    controller_number: int = -1
+    is_admitted: bool = False
+
 
+class JobQueue:
+    """The queued jobs of one proxy."""
 
-class Waits:
-    def __init__(self, forwarder: Forwarder) -> None:
-        self.forwarder = forwarder
+    def __init__(self, proxy: Proxy) -> None:
+        self.proxy = proxy
         self.jobs: dict[int, Job] = {}
 
-    def come(self, job: Job) -> None:
-        if self.forwarder.down:
+    def submit(self, job: Job) -> None:
+        """Accept a job from a client."""
+        if self.proxy.down:
             job.done("errored")
             return
         self.jobs[job.number] = job
-        self.hand(job)
+        self.hand_over(job)
 
-    def hand(self, job: Job) -> None:
-        """To a steward that is joined, spread by number; later, if there is none."""
-        f = self.forwarder
-        if self.jobs.get(job.number) is not job or job.at >= 0 or f.down:
+    def hand_over(self, job: Job) -> None:
+        """Submit the ticket to a joined controller, chosen by the job's number; retry later if there is none."""
+        f = self.proxy
+        if self.jobs.get(job.number) is not job or job.controller_number >= 0 or f.down:
             return
-        up = [k for k, said in enumerate(f.held.said) if said.joined and f.links.to[k]]
+        joined = [k for k, controller in enumerate(f.state.controllers) if controller.joined and f.links.links[k]]
         if job.run and job.run in f.pinned.pins:
             job.set = f.pinned.pins[job.run][0]
-        waited = clock() - job.came
-        if f.stalled or not up:
-            asyncio.get_running_loop().call_later(0.2, self.hand, job)
+        waited = clock() - job.received_at
+        if f.stalled or not joined:
+            asyncio.get_running_loop().call_later(0.2, self.hand_over, job)
             return
-        job.at = up[(job.number + f.number) % len(up)]
-        f.links.send(job.at, frames.JobSubmission(job.number, job.operation, waited, job.fingerprint, job.set))
-        asyncio.get_running_loop().call_later(1.5, self.unanswered, job, job.at)
-
-    def unanswered(self, job: Job, k: int) -> None:
-        if self.jobs.get(job.number) is job and job.at == k and not job.taken:
-            self.forwarder.links.send(k, frames.JobWithdrawal(job.number))
-            job.at = -1
-            self.hand(job)
-
-    def lost(self, k: int) -> None:
-        """A link is over: what its steward had goes to another, with its age."""
-        for job in [j for j in self.jobs.values() if j.at == k]:
-            if job.taken:
-                self.forwarder.observer.record("unheld", job.number, k)
-            job.at, job.taken = -1, False
-            asyncio.get_running_loop().call_later(0.05, self.hand, job)
-
-    def told(self, k: int, frame: frames.JobAdmission | frames.JobRelease) -> None:
+        job.controller_number = joined[(job.number + f.number) % len(joined)]
+        f.links.send(
+            job.controller_number, frames.JobSubmission(job.number, job.operation, waited, job.fingerprint, job.set)
+        )
+        asyncio.get_running_loop().call_later(1.5, self.on_admission_timeout, job, job.controller_number)
+
+    def on_admission_timeout(self, job: Job, k: int) -> None:
+        """Withdraw a ticket that controller `k` has not admitted, and submit it again."""
+        if self.jobs.get(job.number) is job and job.controller_number == k and not job.is_admitted:
+            self.proxy.links.send(k, frames.JobWithdrawal(job.number))
+            job.controller_number = -1
+            self.hand_over(job)
+
+    def on_link_lost(self, k: int) -> None:
+        """Submit the jobs of a lost controller to another one, with their age."""
+        for job in [j for j in self.jobs.values() if j.controller_number == k]:
+            if job.is_admitted:
+                self.proxy.observer.record("unheld", job.number, k)
+            job.controller_number, job.is_admitted = -1, False
+            asyncio.get_running_loop().call_later(0.05, self.hand_over, job)
+
+    def on_message(self, k: int, frame: frames.JobAdmission | frames.JobRelease) -> None:
+        """Handle a controller's decision on a ticket."""
         job = self.jobs.get(frame.ticket)
-        if job is None or job.at != k:
+        if job is None or job.controller_number != k:
             return
-        f = self.forwarder
+        f = self.proxy
         if isinstance(frame, frames.JobRelease):
             f.observer.record("went" if frame.outcome == "go" else "twin", job.number, k)
             del self.jobs[job.number]
@@ -88,21 +100,21 @@
             else:
                 job.done("twin")
         elif frame.outcome == "waiting":
-            if not job.taken:
-                job.taken = True
+            if not job.is_admitted:
+                job.is_admitted = True
                 f.observer.record("held", job.number, k, frame.max_wait_ms)
         elif frame.outcome == "not-now":
-            job.at = -1
-            asyncio.get_running_loop().call_later(0.2, self.hand, job)
+            job.controller_number = -1
+            asyncio.get_running_loop().call_later(0.2, self.hand_over, job)
         else:
             f.observer.record("not-taken", job.number, frame.outcome)
             del self.jobs[job.number]
             job.done(frame.outcome)
 
     def end(self) -> None:
-        """The process dies: bodies are gone with it."""
+        """Fail all jobs: the proxy's process is killed and loses their bodies."""
         jobs, self.jobs = self.jobs, {}
         for job in jobs.values():
-            if job.taken:
-                self.forwarder.observer.record("unheld", job.number, job.at)
+            if job.is_admitted:
+                self.proxy.observer.record("unheld", job.number, job.controller_number)
             job.done("errored")
