--- a/corallanding/lab/commands.py
+++ b/corallanding/lab/commands.py
@@ -15,10 +15,11 @@
 lab = typer.Typer(no_args_is_help=True)
 
 
-def told(result: dict[str, Any]) -> None:
+def print_rules(result: dict[str, Any]) -> None:
+    """Print one line per rule: verdict, worst value, limit and note."""
     for r in result["rules"]:
-        word = {True: "kept", False: "BROKEN", None: "not judged"}[r["kept"]]
-        print(f"  {r['rule']:28} {word:10} worst {r['worst']:>10g}  limit {r['limit']:>10g}  {r['note']}")
+        verdict = {True: "kept", False: "BROKEN", None: "not judged"}[r["kept"]]
+        print(f"  {r['rule']:28} {verdict:10} worst {r['worst']:>10g}  limit {r['limit']:>10g}  {r['note']}")
 
 
 @lab.command("run")
@@ -27,7 +28,7 @@
     out: Annotated[Path, typer.Option("--out", help="folder for results")],
     seed: Annotated[int, typer.Option("--seed")] = 1,
     publisher: Annotated[Optional[str], typer.Option("--publisher", help="another decider")] = None,  # noqa: UP045
-    lift: Annotated[bool, typer.Option("--lift-limits", help="a steward without its channel's limits")] = False,
+    lift_limits: Annotated[bool, typer.Option("--lift-limits", help="a steward without its channel's limits")] = False,
 ) -> None:
     """Play a scenario on loopback. Exit 0 if all rules held, 1 if one broke, 2 on bad input."""
     from .publishers import PUBLISHERS
@@ -36,20 +37,20 @@
 
     try:
         found = load_scenario(scenario)
-    except ConfigError as fault:
-        raise fail(fault) from None
+    except ConfigError as error:
+        raise fail(error) from None
     name = publisher or found.publisher
     if name not in PUBLISHERS:
         raise fail(f"publisher {name!r} is not one of {', '.join(PUBLISHERS)}")
     try:
-        result = play(found.model_copy(update={"publisher": name}), out, seed, lift)
-    except (OSError, RuntimeError) as fault:
-        raise fail(fault, 3) from None
+        result = play(found.model_copy(update={"publisher": name}), out, seed, lift_limits)
+    except (OSError, RuntimeError) as error:
+        raise fail(error, 3) from None
     print(
         f"{found.name}, seed {seed}, {name}: service {result['service']:.3f}, worst 10 s {result['worst_10_s']:.3f}, "
         f"{result['succeeded']} of {result['invocations']} succeeded, {result['doubles']} doubled"
     )
-    told(result)
+    print_rules(result)
     kept = [r["kept"] for r in result["rules"]]
     raise typer.Exit(0 if all(kept) else 1)
 
@@ -67,10 +68,10 @@
     try:
         raw = json.loads(day.read_text())
         found = from_day(raw, day.stem, scale)
-    except (OSError, ValueError) as fault:
-        raise fail(f"{day}: {fault}") from None
-    except ConfigError as fault:
-        raise fail(fault) from None
+    except (OSError, ValueError) as error:
+        raise fail(f"{day}: {error}") from None
+    except ConfigError as error:
+        raise fail(error) from None
     text = scenario_hcl(found)
     if out:
         out.write_text(text)
@@ -89,10 +90,10 @@
     try:
         limits = limits_of(load_scenario(scenario))
         records = read(trace)
-    except (ConfigError, OSError, ValueError, EOFError) as fault:
-        raise fail(fault) from None
+    except (ConfigError, OSError, ValueError, EOFError) as error:
+        raise fail(error) from None
     verdicts, _ = judge(records, limits)
-    told({"rules": [vars(v) for v in verdicts]})
+    print_rules({"rules": [vars(v) for v in verdicts]})
     raise typer.Exit(0 if all(v.kept for v in verdicts) else 1)
 
 
--- a/corallanding/lab/faults.py
+++ b/corallanding/lab/faults.py
@@ -245,19 +245,19 @@
 
     async def report_lying(self, f: Fault) -> None:
         """Report a fixed load whatever the real one: how "idle" 0.01, how "busy" `size`, 0.5 at least."""
-        await self.change_reports(f, says=0.01 if f.how != "busy" else max(f.size, 0.5))
+        await self.change_reports(f, fixed_load=0.01 if f.how != "busy" else max(f.size, 0.5))
 
     async def report_stale(self, f: Fault) -> None:
         """Send reports that are `size` seconds old by their clocks, with the load `extra`."""
-        await self.change_reports(f, late=f.size * 1000.0, says=f.extra)
+        await self.change_reports(f, delay_ms=f.size * 1000.0, fixed_load=f.extra)
 
     async def report_skew(self, f: Fault) -> None:
         """Shift the wall clocks of hosts by up to `size` seconds in either direction."""
-        await self.change_reports(f, skew=f.size * 1000.0)
+        await self.change_reports(f, clock_skew_ms=f.size * 1000.0)
 
     async def report_loss(self, f: Fault) -> None:
         """Lose the share `size` of the reports."""
-        await self.change_reports(f, loss=min(f.size, 1.0))
+        await self.change_reports(f, loss_share=min(f.size, 1.0))
 
     async def report_flood(self, f: Fault) -> None:
         """Send `size` times the usual volume of reports from a separate process, by the targets and unknown hosts."""
--- a/corallanding/lab/forwarder.py
+++ b/corallanding/lab/forwarder.py
@@ -33,8 +33,8 @@
         number: int,
         zone: int,
         rate: float,
-        stewards: list[tuple[str, int]],
-        steward_zone: int,
+        controllers: list[tuple[str, int]],
+        controller_zone: int,
         rules: ProxyRules,
         zones: dict[int, int],
         net: Net,
@@ -43,12 +43,12 @@
         parts: int = 0,
     ) -> None:
         self.number, self.zone, self.rate, self.parts = number, zone, rate, parts
-        self.steward_zone, self.rules, self.zones, self.net = steward_zone, rules, zones, net
+        self.controller_zone, self.rules, self.zones, self.net = controller_zone, rules, zones, net
         self.chance, self.delay_random = np.random.default_rng([seed, number]), np.random.default_rng([seed, number, 1])
         self.seed = seed
         self.observer = trace.observer(f"forwarder {number}")
         self.sessions = itertools.count(1)
-        self.links = ControllerLinks(self, stewards)
+        self.links = ControllerLinks(self, controllers)
         self.cut_off = self.down = self.stalled = False
         self.deferred: list[Any] = []  # calls received while the proxy is stalled
         self.connections: dict[int, HostConnection] = {}
--- a/corallanding/lab/holdings.py
+++ b/corallanding/lab/holdings.py
@@ -22,13 +22,13 @@
 
 
 class ProxyState:
-    """The state of a proxy. stewards: number of controllers. usual_retry: retry mode where no level sets one."""
+    """The state of a proxy. controllers: number of controllers. usual_retry: retry mode where no level sets one."""
 
-    def __init__(self, stewards: int, usual_retry: int) -> None:
+    def __init__(self, controllers: int, usual_retry: int) -> None:
         self.usual_retry = usual_retry
         self.tables: dict[int, dict[int, float]] = {}
         self.owner: dict[int, int] = {}  # slice: number of the controller that owns it
-        self.controllers = [ControllerState() for _ in range(stewards)]
+        self.controllers = [ControllerState() for _ in range(controllers)]
         self.addresses: dict[int, str] = {}
 
     def apply_tables(self, k: int, frame: frames.Tables) -> None:
--- a/corallanding/lab/host.py
+++ b/corallanding/lab/host.py
@@ -8,7 +8,7 @@
 from typing import cast
 
 from ..wire import frames
-from .net import Cancel, Done, Invoke, at_host
+from .net import Cancel, Done, Invoke, host_decoder
 from .trace import Trace, clock
 
 Key = tuple[int, int, int]
@@ -41,7 +41,7 @@
     """
 
     def __init__(self, host: Host) -> None:
-        self.host, self.reader = host, frames.FrameReader(at_host, 1 << 16)
+        self.host, self.reader = host, frames.FrameReader(host_decoder, 1 << 16)
         self.first, self.mode = b"", ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/corallanding/lab/host_link.py
+++ b/corallanding/lab/host_link.py
@@ -9,7 +9,7 @@
 
 from ..wire import frames
 from .chance import at
-from .net import at_forwarder
+from .net import proxy_decoder
 
 if TYPE_CHECKING:
     from .forwarder import Proxy
@@ -65,7 +65,7 @@
 
     def __init__(self, proxy: Proxy, host: int, zone: int) -> None:
         self.proxy, self.host, self.zone = proxy, host, zone
-        self.reader = frames.FrameReader(at_forwarder, 1 << 16)
+        self.reader = frames.FrameReader(proxy_decoder, 1 << 16)
         self.transport: asyncio.Transport | None = None
         self.unsent: list[bytes] = []
         self.in_flight: dict[tuple[int, int, int], Attempt] = {}
--- a/corallanding/lab/net.py
+++ b/corallanding/lab/net.py
@@ -45,8 +45,8 @@
     status: str
 
 
-at_host: msgspec.msgpack.Decoder[Invoke | Cancel] = msgspec.msgpack.Decoder(Invoke | Cancel)
-at_forwarder: msgspec.msgpack.Decoder[Done] = msgspec.msgpack.Decoder(Done)
+host_decoder: msgspec.msgpack.Decoder[Invoke | Cancel] = msgspec.msgpack.Decoder(Invoke | Cancel)
+proxy_decoder: msgspec.msgpack.Decoder[Done] = msgspec.msgpack.Decoder(Done)
 
 
 class Net:
--- a/corallanding/lab/registry.py
+++ b/corallanding/lab/registry.py
@@ -1,8 +1,8 @@
-"""A stand-in registry on loopback: MVCC revisions, watches, leases, compaction and faults, by the etcd v3 API.
+"""A stand-in registry on loopback with the etcd v3 API: MVCC revisions, watches, leases, compaction and faults.
 
-Written from the published API; holds what its clients here need and nothing more. The same store answers Consul's
-blocking reads. Faults: cut every connection, refuse, compact, lag behind, cancel watches, cut answers into fragments,
-restore an older state under a new cluster id, expire tokens, answer slowly.
+Written from the published API, as far as its clients here need it. The same store serves Consul's blocking reads.
+Faults: drop all connections, reject calls, compact, return stale reads, cancel watches, split responses into fragments,
+restore an older state under a new cluster id, expire tokens, respond slowly.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-# Its handlers run in the child between fork and exec, and abort it now and then while calls are open: stewards that
-# this process starts must not die of the stand-in. Children of this process use no gRPC before their exec.
+# The fork handlers of gRPC run in the child between fork and exec and sometimes abort it while calls are open, which
+# would kill controllers started by this process. Its children use no gRPC before their exec.
 os.environ.setdefault("GRPC_ENABLE_FORK_SUPPORT", "0")
 
 import grpc
@@ -25,7 +25,9 @@
 
 
 @dataclass
-class Version:
+class KeyVersion:
+    """The value of a key at one revision, with its create and modification revisions."""
+
     value: bytes
     create: int
     mod: int
@@ -34,37 +36,42 @@
 
 
 @dataclass
-class Faults:
+class RegistryFaults:
+    """The present faults of the registry."""
+
     down: bool = False
-    lag: int = 0  # revisions that reads answer behind
-    fragment: int = 0  # rows an answer to a watch holds at most; 0: no limit
-    token: str = ""  # calls must carry it
-    leaderless: bool = False  # this member has no leader: no write, no lease, no read but serializable ones
-    unanswered: int = 0  # so many transactions are applied and then not answered, as when a leader falls
-    delay: float = 0.0  # seconds before an answer
+    lag: int = 0  # number of revisions by which reads are stale
+    fragment: int = 0  # largest number of events in a watch response; 0: no limit
+    token: str = ""  # token that calls must carry; empty: none
+    leaderless: bool = False  # this member has no leader: it rejects all calls but watches
+    unanswered: int = 0  # transactions to apply without a response, as when a leader fails
+    delay: float = 0.0  # seconds before each response
 
 
 @dataclass
 class Mvcc:
+    """The store: all revisions of all keys, and leases."""
+
     cluster: int = 0xC0FFEE
     revision: int = 1
     compacted: int = 0
-    keys: dict[bytes, Version] = field(default_factory=dict)
-    log: list[tuple[int, bytes, Version | None]] = field(default_factory=list)  # revision, key, what it became
-    leases: dict[int, tuple[float, float]] = field(default_factory=dict)  # lease: ttl s, ends
+    keys: dict[bytes, KeyVersion] = field(default_factory=dict)
+    # Revision, key and new value; None: deleted.
+    log: list[tuple[int, bytes, KeyVersion | None]] = field(default_factory=list)
+    leases: dict[int, tuple[float, float]] = field(default_factory=dict)  # lease: TTL and end in seconds
     next_lease: int = 1000
     calls: dict[str, int] = field(default_factory=dict)
-    faults: Faults = field(default_factory=Faults)
+    faults: RegistryFaults = field(default_factory=RegistryFaults)
     waiters: dict[asyncio.Future[None], None] = field(default_factory=dict)
 
     def poke(self) -> None:
-        """Something changed: wake all that wait."""
+        """Wake all that wait for a change."""
         for waiter in self.waiters:
             if not waiter.done():
                 waiter.set_result(None)
 
     async def wait(self, seconds: float) -> bool:
-        """Until something changes; false if nothing did in time."""
+        """Wait until something changes; return False after a timeout."""
         waiter = asyncio.get_running_loop().create_future()
         self.waiters[waiter] = None
         try:
@@ -74,10 +81,12 @@
             self.waiters.pop(waiter, None)
 
     def count(self, call: str) -> None:
+        """Count a call."""
         self.calls[call] = self.calls.get(call, 0) + 1
 
-    def at(self, revision: int) -> dict[bytes, Version]:
-        view: dict[bytes, Version] = {}
+    def at(self, revision: int) -> dict[bytes, KeyVersion]:
+        """Return all keys as of a revision."""
+        view: dict[bytes, KeyVersion] = {}
         for r, key, v in self.log:
             if r > revision:
                 break
@@ -88,68 +97,76 @@
         return view
 
     def write(self, changes: list[tuple[bytes, bytes | None, int]]) -> int:
-        """One revision with all changes (key, value or None, lease); nothing real, nothing written."""
-        real = [c for c in changes if c[1] is not None or c[0] in self.keys]
-        if not real:
+        """Write all changes (key, value or None, lease) as one revision and return it; no-ops create none."""
+        effective = [c for c in changes if c[1] is not None or c[0] in self.keys]
+        if not effective:
             return self.revision
         self.revision += 1
-        for key, value, lease in real:
+        for key, value, lease in effective:
             old = self.keys.get(key)
             if value is None:
                 self.keys.pop(key, None)
                 self.log.append((self.revision, key, None))
                 continue
             create, version = (old.create, old.version + 1) if old else (self.revision, 1)
-            new = Version(value, create, self.revision, version, lease)
+            new = KeyVersion(value, create, self.revision, version, lease)
             self.keys[key] = new
             self.log.append((self.revision, key, new))
         return self.revision
 
     def put(self, key: bytes, value: bytes | None, lease: int = 0) -> int:
+        """Write one key, or delete it; return the revision."""
         return self.write([(key, value, lease)])
 
     def compact(self, revision: int) -> None:
-        """Forget what was before `revision`; the newest of each key at it stays readable."""
+        """Discard revisions before `revision`; the state at it stays readable."""
         self.compacted = max(self.compacted, revision)
         base = self.at(self.compacted)
         kept = sorted(((v.mod, k, v) for k, v in base.items()), key=lambda x: (x[0], x[1]))
         self.log = [*kept, *(x for x in self.log if x[0] > self.compacted)]
 
     def restore(self, revision: int) -> None:
-        """From a backup: the state of an older revision, under a new cluster id."""
+        """Restore the state of an older revision under a new cluster id, as from a backup."""
         view = self.at(revision)
         self.log = [x for x in self.log if x[0] <= revision]
         self.keys, self.revision, self.cluster = view, revision, self.cluster + 1
 
-    def end_leases(self, now: float) -> None:
+    def expire_leases(self, now: float) -> None:
+        """Revoke leases that have ended."""
         over = [n for n, (_, ends) in self.leases.items() if now >= ends]
         for n in over:
             self.revoke(n)
 
     def elect(self, now: float) -> None:
-        """A new leader: it cannot know how much of each lease has passed, and grants each its whole time anew."""
+        """Elect a new leader, which does not know the age of leases and therefore renews all of them."""
         self.leases = {n: (ttl, now + ttl) for n, (ttl, _) in self.leases.items()}
 
     def revoke(self, lease: int) -> None:
+        """End a lease and delete its keys."""
         self.leases.pop(lease, None)
         self.write([(k, None, 0) for k, v in self.keys.items() if v.lease == lease])
 
 
-def kv(key: bytes, v: Version) -> Any:
+def kv(key: bytes, v: KeyVersion) -> Any:
+    """Return the etcd message of a key."""
     return kv_pb2.KeyValue(
         key=key, value=v.value, create_revision=v.create, mod_revision=v.mod, version=v.version, lease=v.lease
     )
 
 
 class Etcd(rpc_pb2_grpc.KVServicer, rpc_pb2_grpc.WatchServicer, rpc_pb2_grpc.LeaseServicer):  # type: ignore[misc]
-    def __init__(self, store: Mvcc, faults: Faults) -> None:
+    """The handlers of the etcd API for one member."""
+
+    def __init__(self, store: Mvcc, faults: RegistryFaults) -> None:
         self.store, self.faults = store, faults
 
     def header(self, revision: int | None = None) -> Any:
+        """Return the header of a response."""
         s = self.store
         return rpc_pb2.ResponseHeader(cluster_id=s.cluster, revision=s.revision if revision is None else revision)
 
-    async def enter(self, call: str, context: Any) -> None:
+    async def begin_call(self, call: str, context: Any) -> None:
+        """Count a call; delay it or abort it if a fault says so."""
         s = self.store
         s.count(call)
         if s.faults.delay:
@@ -163,18 +180,20 @@
             if meta.get("token") != s.faults.token:
                 await context.abort(grpc.StatusCode.UNAUTHENTICATED, "etcdserver: invalid auth token")
 
-    def rows(self, r: Any, view: dict[bytes, Version]) -> list[bytes]:
+    def rows(self, r: Any, view: dict[bytes, KeyVersion]) -> list[bytes]:
+        """Return the keys of a range request in order."""
         if not r.range_end:
             return [r.key] if r.key in view else []
         open_end = r.range_end == b"\0"
         return sorted(k for k in view if k >= r.key and (open_end or k < r.range_end))
 
     async def Range(self, request: Any, context: Any) -> Any:
-        await self.enter("Range", context)
+        """Serve a read."""
+        await self.begin_call("Range", context)
         s = self.store
         now = max(1, s.revision - s.faults.lag) if request.serializable or s.faults.lag else s.revision
         at = request.revision or now
-        if request.revision and at < s.compacted:  # a member that lags knows of no compaction yet
+        if request.revision and at < s.compacted:  # a member that lags does not know of the compaction yet
             await context.abort(grpc.StatusCode.OUT_OF_RANGE, "etcdserver: mvcc: required revision has been compacted")
         view = s.keys if at == s.revision else s.at(at)
         keys = self.rows(request, view)
@@ -184,38 +203,41 @@
         )
 
     async def Put(self, request: Any, context: Any) -> Any:
-        await self.enter("Put", context)
+        """Serve a write."""
+        await self.begin_call("Put", context)
         if request.lease and request.lease not in self.store.leases:
             await context.abort(grpc.StatusCode.NOT_FOUND, "etcdserver: requested lease not found")
         self.store.put(request.key, request.value, request.lease)
         self.store.poke()
         return rpc_pb2.PutResponse(header=self.header())
 
-    def holds(self, c: Any) -> bool:
+    def compare_holds(self, c: Any) -> bool:
+        """Return whether a condition of a transaction holds."""
         v = self.store.keys.get(c.key)
-        figures = {
+        operands = {
             rpc_pb2.Compare.VERSION: (v.version if v else 0, c.version),
             rpc_pb2.Compare.CREATE: (v.create if v else 0, c.create_revision),
             rpc_pb2.Compare.MOD: (v.mod if v else 0, c.mod_revision),
             rpc_pb2.Compare.VALUE: (v.value if v else b"", c.value),
         }
-        have, want = figures[c.target]
+        actual, expected = operands[c.target]
         return bool(
             {
-                rpc_pb2.Compare.EQUAL: have == want,
-                rpc_pb2.Compare.GREATER: have > want,
-                rpc_pb2.Compare.LESS: have < want,
-                rpc_pb2.Compare.NOT_EQUAL: have != want,
+                rpc_pb2.Compare.EQUAL: actual == expected,
+                rpc_pb2.Compare.GREATER: actual > expected,
+                rpc_pb2.Compare.LESS: actual < expected,
+                rpc_pb2.Compare.NOT_EQUAL: actual != expected,
             }[c.result]
         )
 
     async def Txn(self, request: Any, context: Any) -> Any:
-        await self.enter("Txn", context)
+        """Serve a transaction."""
+        await self.begin_call("Txn", context)
         if len(request.success) > 128 or request.ByteSize() > 1_500_000:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "etcdserver: too many operations in txn request")
-        ok = all(self.holds(c) for c in request.compare)
+        ok = all(self.compare_holds(c) for c in request.compare)
         changes: list[tuple[bytes, bytes | None, int]] = []
-        answers = []
+        responses = []
         for op in request.success if ok else request.failure:
             if op.HasField("request_put"):
                 p = op.request_put
@@ -230,27 +252,29 @@
             if op.HasField("request_range"):
                 keys = self.rows(op.request_range, self.store.keys)
                 found = rpc_pb2.RangeResponse(header=self.header(), kvs=[kv(k, self.store.keys[k]) for k in keys])
-                answers.append(rpc_pb2.ResponseOp(response_range=found))
+                responses.append(rpc_pb2.ResponseOp(response_range=found))
             elif op.HasField("request_put"):
-                answers.append(rpc_pb2.ResponseOp(response_put=rpc_pb2.PutResponse(header=self.header())))
+                responses.append(rpc_pb2.ResponseOp(response_put=rpc_pb2.PutResponse(header=self.header())))
             else:
-                gone = rpc_pb2.DeleteRangeResponse(header=self.header())
-                answers.append(rpc_pb2.ResponseOp(response_delete_range=gone))
+                deleted = rpc_pb2.DeleteRangeResponse(header=self.header())
+                responses.append(rpc_pb2.ResponseOp(response_delete_range=deleted))
         if self.faults.unanswered:
-            # Applied by the old leader, which fell before it could say so.
+            # The old leader applied the transaction and failed before it could respond.
             self.faults.unanswered -= 1
             await context.abort(
                 grpc.StatusCode.UNAVAILABLE, "etcdserver: request timed out, possibly due to previous leader failure"
             )
-        return rpc_pb2.TxnResponse(header=self.header(), succeeded=ok, responses=answers)
+        return rpc_pb2.TxnResponse(header=self.header(), succeeded=ok, responses=responses)
 
     async def Compact(self, request: Any, context: Any) -> Any:
-        await self.enter("Compact", context)
+        """Serve a compaction."""
+        await self.begin_call("Compact", context)
         self.store.compact(request.revision)
         return rpc_pb2.CompactionResponse(header=self.header())
 
     async def Watch(self, request_iterator: Any, context: Any) -> None:
-        await self.enter("Watch", context)
+        """Serve one watch until its client ends it."""
+        await self.begin_call("Watch", context)
         s = self.store
         create = None
         async for request in request_iterator:
@@ -271,14 +295,14 @@
                 )
             )
             return
-        asks = asyncio.create_task(self.progress_asked(request_iterator, context))
+        request_reader = asyncio.create_task(self.read_requests(request_iterator, context))
         try:
             wants_leader = dict(context.invocation_metadata() or ()).get("hasleader") == "true"
-            while not asks.done():
+            while not request_reader.done():
                 if self.faults.leaderless:
                     if wants_leader:
                         await context.abort(grpc.StatusCode.UNAVAILABLE, "etcdserver: no leader")
-                    await asyncio.sleep(0.05)  # the old way: open, and silent for as long as it lasts
+                    await asyncio.sleep(0.05)  # without `hasleader`, the watch stays open but silent
                     continue
                 rows = [x for x in s.log if x[0] >= at and create.key <= x[1] < create.range_end]
                 if rows:
@@ -288,41 +312,46 @@
                 if not changed and create.progress_notify and not [x for x in s.log if x[0] >= at]:
                     await context.write(rpc_pb2.WatchResponse(header=self.header()))
         finally:
-            asks.cancel()
+            request_reader.cancel()
 
-    async def progress_asked(self, requests: Any, context: Any) -> None:
+    async def read_requests(self, requests: Any, context: Any) -> None:
+        """Read further requests of a watch until the client ends it."""
         async for _ in requests:
             pass
 
-    async def send(self, rows: list[tuple[int, bytes, Version | None]], context: Any) -> None:
+    async def send(self, rows: list[tuple[int, bytes, KeyVersion | None]], context: Any) -> None:
+        """Send changes as watch events, in fragments if set."""
         events = [
             kv_pb2.Event(type=kv_pb2.Event.PUT, kv=kv(k, v))
             if v
             else kv_pb2.Event(type=kv_pb2.Event.DELETE, kv=kv_pb2.KeyValue(key=k, mod_revision=r))
             for r, k, v in rows
         ]
-        most = self.store.faults.fragment or len(events)
-        for k in range(0, len(events), most):
-            last = k + most >= len(events)
+        max_events = self.store.faults.fragment or len(events)
+        for k in range(0, len(events), max_events):
+            last = k + max_events >= len(events)
             await context.write(
-                rpc_pb2.WatchResponse(header=self.header(), events=events[k : k + most], fragment=not last)
+                rpc_pb2.WatchResponse(header=self.header(), events=events[k : k + max_events], fragment=not last)
             )
 
     async def LeaseGrant(self, request: Any, context: Any) -> Any:
-        await self.enter("LeaseGrant", context)
+        """Grant a lease."""
+        await self.begin_call("LeaseGrant", context)
         s = self.store
         s.next_lease += 1
         s.leases[s.next_lease] = (float(request.TTL), asyncio.get_running_loop().time() + request.TTL)
         return rpc_pb2.LeaseGrantResponse(header=self.header(), ID=s.next_lease, TTL=request.TTL)
 
     async def LeaseRevoke(self, request: Any, context: Any) -> Any:
-        await self.enter("LeaseRevoke", context)
+        """Revoke a lease."""
+        await self.begin_call("LeaseRevoke", context)
         self.store.revoke(request.ID)
         self.store.poke()
         return rpc_pb2.LeaseRevokeResponse(header=self.header())
 
     async def LeaseKeepAlive(self, request_iterator: Any, context: Any) -> None:
-        await self.enter("LeaseKeepAlive", context)
+        """Renew leases; a response with TTL 0 means that the lease has ended."""
+        await self.begin_call("LeaseKeepAlive", context)
         s = self.store
         async for request in request_iterator:
             if self.faults.leaderless:
@@ -335,20 +364,21 @@
 
 
 class Registry:
-    """The stand-in as a running server. `store` may be changed at will; call `store.poke` after.
+    """The stand-in as a running server. After a change of `store`, call `store.poke`.
 
-    of: another member, whose store this one shares; `faults` are a member's own.
+    of: another member of the cluster, whose store this one shares; each member has its own `faults`.
     """
 
     def __init__(self, port: int = 0, credentials: Any = None, of: Registry | None = None) -> None:
         self.store: Mvcc = of.store if of else Mvcc()
         self.port, self.credentials = port, credentials
-        self.faults = Faults() if of else self.store.faults
+        self.faults = RegistryFaults() if of else self.store.faults
         self.server: Any = None
         self.consul: asyncio.Server | None = None
         self.consul_port = 0
 
     async def start(self) -> None:
+        """Listen for etcd and Consul clients."""
         limits = [
             ("grpc.so_reuseport", 0),
             ("grpc.http2.min_recv_ping_interval_without_data_ms", 5_000),
@@ -371,23 +401,24 @@
         self.clock = asyncio.create_task(self.run_leases())
 
     async def run_leases(self) -> None:
+        """Expire leases until cancelled."""
         while True:
             await asyncio.sleep(0.1)
             before = self.store.revision
-            if not self.store.faults.leaderless:  # without a leader no lease ends
-                self.store.end_leases(asyncio.get_running_loop().time())
+            if not self.store.faults.leaderless:  # without a leader no lease expires
+                self.store.expire_leases(asyncio.get_running_loop().time())
             if self.store.revision != before:
                 self.store.poke()
 
     async def put(self, key: str, value: Any) -> int:
-        """value: anything JSON, raw bytes, or None to delete."""
+        """Write a key and return the revision. value: raw bytes, an object to encode as JSON, or None to delete."""
         raw = value if isinstance(value, bytes) or value is None else json.dumps(value).encode()
         revision = self.store.put(key.encode(), raw)
         self.store.poke()
         return revision
 
     async def stop(self) -> None:
-        """Every connection breaks; the store stays as it is for the next start."""
+        """Drop all connections; the store is kept for the next start."""
         self.clock.cancel()
         if self.consul:
             self.consul.close()
@@ -396,22 +427,23 @@
                     handler.transport.abort()
         await self.server.stop(0)
 
-    # ---- Consul's way ----------------------------------------------------------------------------------
+    # ---- Consul ----------------------------------------------------------------------------------------
 
     async def blocking_read(self, request: web.BaseRequest) -> web.Response:
-        """GET /v1/kv/PREFIX?recurse&index=N&wait=Ns: answers once the index is over N, or the wait is."""
-        asked, s, loop = request.query, self.store, asyncio.get_running_loop()
-        index, wait = int(asked.get("index", 0) or 0), float(asked.get("wait", "0s").rstrip("s") or 0)
+        """Serve GET /v1/kv/PREFIX?recurse&index=N&wait=Ns: respond when the index exceeds N or the wait is over."""
+        query, s, loop = request.query, self.store, asyncio.get_running_loop()
+        index, wait = int(query.get("index", 0) or 0), float(query.get("wait", "0s").rstrip("s") or 0)
         s.count("consul")
         end = loop.time() + wait
         while index and s.revision <= index and (left := end - loop.time()) > 0:
             if not await s.wait(left):
                 break
-        status, body = (500, b"") if s.faults.down else self.kv_page(request.path)
-        told = max(1, s.revision - s.faults.lag)
-        return web.Response(status=status, body=body, headers={"X-Consul-Index": str(told)})
+        status, body = (500, b"") if s.faults.down else self.consul_response(request.path)
+        index = max(1, s.revision - s.faults.lag)
+        return web.Response(status=status, body=body, headers={"X-Consul-Index": str(index)})
 
-    def kv_page(self, path: str) -> tuple[int, bytes]:
+    def consul_response(self, path: str) -> tuple[int, bytes]:
+        """Return the status and the body of a Consul read."""
         prefix = path.removeprefix("/v1/kv/").encode()
         s = self.store
         view = s.at(max(1, s.revision - s.faults.lag)) if s.faults.lag else s.keys
--- a/corallanding/lab/report.py
+++ b/corallanding/lab/report.py
@@ -1,4 +1,4 @@
-"""A run's results: `result.json`, `result.md` and the charts."""
+"""The results of a run: `result.json`, `result.md` and the charts."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 def service_by_second(records: Sequence[Any], begun: float) -> tuple[np.ndarray, np.ndarray]:
-    """Billed value asked for, and answered, by the second in which it was asked."""
+    """Return the requested and the answered priority weight by second of the request."""
     seconds = 1 + int(max((r[2] - begun) / 1000.0 for r in records if r[0] == "clients"))
-    asked, answered, when = np.zeros(seconds), np.zeros(seconds), {}
+    requested, answered, second_of_request = np.zeros(seconds), np.zeros(seconds), {}
     for r in records:
         if r[3] == "asked":
-            when[r[4]] = int((r[2] - begun) / 1000.0)
-            asked[when[r[4]]] += r[7]
+            second_of_request[r[4]] = int((r[2] - begun) / 1000.0)
+            requested[second_of_request[r[4]]] += r[7]
         elif r[3] == "answered":
-            answered[when[r[4]]] += r[8]
-    return asked, answered
+            answered[second_of_request[r[4]]] += r[8]
+    return requested, answered
 
 
 def summary(
@@ -32,41 +32,42 @@
     seed: int,
     name: str,
     verdicts: list[Verdict],
-    doubled: int,
+    duplicated: int,
     operations: list[str],
 ) -> dict[str, Any]:
-    asked, answered = service_by_second(records, begun)
-    worth = [[0.0, 0.0] for _ in operations]
-    moved, forwarders = 0, set()
+    """Return the content of `result.json` that all scenarios have. duplicated: requests that ran twice."""
+    requested, answered = service_by_second(records, begun)
+    value_by_class = [[0.0, 0.0] for _ in operations]
+    moved_lines, forwarders = 0, set()
     for r in records:
         if r[3] == "asked":
-            worth[r[5]][0] += r[7]
+            value_by_class[r[5]][0] += r[7]
         elif r[3] == "answered":
-            worth[r[5]][1] += r[8]
+            value_by_class[r[5]][1] += r[8]
         elif r[3] == "frame":
             forwarders.add(r[0])
             if r[2] >= begun and r[4][0] == "orders":
-                moved += len(r[4][4])
-    by_operation = {o: round(w[1] / w[0], 4) for o, w in zip(operations, worth, strict=True) if w[0]}
+                moved_lines += len(r[4][4])
+    by_operation = {o: round(w[1] / w[0], 4) for o, w in zip(operations, value_by_class, strict=True) if w[0]}
     ends: dict[str, dict[str, int]] = {o: defaultdict(int) for o in operations}
     for r in records:
         if r[3] == "answered":
             ends[operations[r[5]]][r[6]] += 1
     total = sum(sum(e.values()) for e in ends.values())
-    window = min(10, len(asked))
-    spans = [slice(k, k + window) for k in range(len(asked) - window + 1)]
-    rolls = [answered[s].sum() / max(asked[s].sum(), 1e-9) for s in spans]
+    window = min(10, len(requested))
+    spans = [slice(k, k + window) for k in range(len(requested) - window + 1)]
+    window_service = [answered[s].sum() / max(requested[s].sum(), 1e-9) for s in spans]
     return {
         "scenario": name,
         "seed": seed,
         "invocations": total,
         "succeeded": sum(e.get("ok", 0) for e in ends.values()),
-        "service": round(float(answered.sum() / max(asked.sum(), 1e-9)), 4),
-        "worst_10_s": round(float(min(rolls, default=0.0)), 4),
+        "service": round(float(answered.sum() / max(requested.sum(), 1e-9)), 4),
+        "worst_10_s": round(float(min(window_service, default=0.0)), 4),
         "by_operation": by_operation,
         "worst_operation": min(by_operation.values(), default=0.0),
-        "moves": round(moved / max(len(forwarders), 1), 1),  # lines that a forwarder was told, in the mean
-        "doubles": doubled,
+        "moves": round(moved_lines / max(len(forwarders), 1), 1),  # mean number of table lines sent to a proxy
+        "doubles": duplicated,
         "ends": {o: dict(sorted(e.items())) for o, e in ends.items()},
         "rules": [
             {"rule": v.rule, "kept": v.kept, "worst": round(v.worst, 3), "limit": v.limit, "note": v.note}
@@ -75,21 +76,25 @@
     }
 
 
-FIGURES = ("invocations", "succeeded", "service", "worst_10_s", "worst_operation", "moves", "doubles")
+SUMMARY_KEYS = ("invocations", "succeeded", "service", "worst_10_s", "worst_operation", "moves", "doubles")
 
 
 def markdown(result: dict[str, Any], faults: list[str]) -> str:
-    word, rules = {True: "kept", False: "BROKEN", None: "not judged"}, result["rules"]
+    """Return the text of `result.md`."""
+    verdict_names, rules = {True: "kept", False: "BROKEN", None: "not judged"}, result["rules"]
     out = [
         f"# {result['scenario']}, seed {result['seed']} (stand-in hosts on loopback)",
         "",
         "| figure | value |",
         "| --- | --- |",
-        *(f"| {k.replace('_', ' ')} | {result[k]} |" for k in FIGURES),
+        *(f"| {k.replace('_', ' ')} | {result[k]} |" for k in SUMMARY_KEYS),
         "",
         "| rule | verdict | worst | limit | note |",
         "| --- | --- | --- | --- | --- |",
-        *(f"| {r['rule']} | {word[r['kept']]} | {r['worst']:g} | {r['limit']:g} | {r['note']} |" for r in rules),
+        *(
+            f"| {r['rule']} | {verdict_names[r['kept']]} | {r['worst']:g} | {r['limit']:g} | {r['note']} |"
+            for r in rules
+        ),
         "",
         "| operation | ends |",
         "| --- | --- |",
@@ -104,13 +109,13 @@
 def charts(
     out: Path, records: Sequence[Any], begun: float, polls: list[dict[str, float]], faults: Sequence[Any]
 ) -> None:
-    """service.png, load.png, channel.png, publish.png."""
+    """Write service.png, load.png, channel.png, publish.png and reports.png, as far as there is data."""
     import matplotlib
 
     matplotlib.use("Agg")
     import matplotlib.pyplot as plt
 
-    def mark(ax: Any) -> None:
+    def mark_faults(ax: Any) -> None:
         for k, (kind, at, length) in enumerate(faults):
             ax.axvspan(at, at + length, color=f"C{k % 10}", alpha=0.12)
             ax.text(at, ax.get_ylim()[1] * (0.98 - 0.06 * (k % 5)), kind, fontsize=7, va="top")
@@ -121,24 +126,24 @@
         fig.savefig(out / name, dpi=90)
         plt.close(fig)
 
-    asked, answered = service_by_second(records, begun)
+    requested, answered = service_by_second(records, begun)
     fig, ax = plt.subplots(figsize=(10, 4))
-    ax.plot(np.divide(answered, asked, out=np.ones_like(asked), where=asked > 0), color="C0")
+    ax.plot(np.divide(answered, requested, out=np.ones_like(requested), where=requested > 0), color="C0")
     ax.set_ylim(0, 1.05)
     ax.set_ylabel("billed value answered / asked")
-    mark(ax)
+    mark_faults(ax)
     save(fig, "service.png")
 
-    taken: dict[str, np.ndarray] = {}
+    received: dict[str, np.ndarray] = {}
     for r in records:
         if r[3] == "take" and (at := int((r[2] - begun) / 1000.0)) >= 0:
-            row = taken.setdefault(r[0], np.zeros(len(asked)))
+            row = received.setdefault(r[0], np.zeros(len(requested)))
             if at < len(row):
                 row[at] += 1
     fig, ax = plt.subplots(figsize=(10, 4))
-    if taken:
-        names = sorted(taken, key=lambda n: int(n.split()[1]))
-        image = ax.imshow(np.array([taken[n] for n in names]), aspect="auto", origin="lower", cmap="viridis")
+    if received:
+        names = sorted(received, key=lambda n: int(n.split()[1]))
+        image = ax.imshow(np.array([received[n] for n in names]), aspect="auto", origin="lower", cmap="viridis")
         fig.colorbar(image, label="invocations a second")
         ax.set_ylabel("host")
     ax.set_xlabel("seconds")
@@ -156,10 +161,11 @@
         ax.plot([t for t, _ in rows], [v for _, v in rows], ".-", color="C3")
         ax.set_ylabel(label)
         ax.set_ylim(bottom=0, top=max([1.0] + [v for _, v in rows]) * 1.1)
-        mark(ax)
+        mark_faults(ax)
         save(fig, name)
 
 
 def write(out: Path, result: dict[str, Any], faults: list[str]) -> None:
+    """Write `result.json` and `result.md`."""
     (out / "result.json").write_text(json.dumps(result, indent=1) + "\n")
     (out / "result.md").write_text(markdown(result, faults))
--- a/corallanding/lab/runner.py
+++ b/corallanding/lab/runner.py
@@ -1,4 +1,4 @@
-"""Plays a scenario on loopback: a real steward process, stand-ins around it, then the audit's verdict."""
+"""Runs a scenario on loopback: real controller processes with stand-ins around them, then the audit."""
 
 from __future__ import annotations
 
@@ -38,8 +38,10 @@
 
 
 class Lab(Stage):
-    def __init__(self, scenario: Scenario, out: Path, seed: int, laxer: bool = False) -> None:
-        self.scenario, self.out, self.seed, self.laxer = scenario, out, seed, laxer
+    """One run of a scenario. lift_limits: configure controllers without the channel's limits."""
+
+    def __init__(self, scenario: Scenario, out: Path, seed: int, lift_limits: bool = False) -> None:
+        self.scenario, self.out, self.seed, self.lift_limits = scenario, out, seed, lift_limits
         self.trace = Trace()
         self.chance = np.random.default_rng([seed, 1])
         self.net = Net(seed)
@@ -48,12 +50,12 @@
         self.hosts = self.host_fleet.hosts
         self.forwarders: list[Proxy] = []
         self.control = ""
-        self.upgrades: list[float] = []  # ms that each took
+        self.upgrades: list[float] = []  # duration of each in ms
         self.lives = 0
         self.life: dict[int, int] = {}
         self.ports = [self.new_port() for _ in range(scenario.numbers)]
-        self.doors = [self.new_port() for _ in range(scenario.numbers)]
-        self.own = StewardProcesses(self.doors, scenario.publisher, self.named)
+        self.http_ports = [self.new_port() for _ in range(scenario.numbers)]
+        self.processes = StewardProcesses(self.http_ports, scenario.publisher, self.file_of)
         self.peer_ports = [self.new_port() for _ in range(scenario.numbers)] if scenario.peers else []
         self.peer_relay: PeerRelay | None = None
         self.polls: list[dict[str, float]] = []
@@ -65,6 +67,7 @@
         self.reports_port = self.new_port()
 
     def new_port(self) -> int:
+        """Return a free port."""
         return free_port()
 
     @property
@@ -73,9 +76,10 @@
 
     @property
     def running(self) -> Mapping[int, asyncio.subprocess.Process | AdoptedProcess]:
-        return self.own.running
+        return self.processes.running
 
     def spec(self, kind: int) -> HostSpec:
+        """Return the capacity of a kind of host."""
         return self.host_fleet.spec(kind)
 
     async def add_host(self, zone: int, spec: HostSpec, cold: bool = True, number: int | None = None) -> Host:
@@ -87,42 +91,44 @@
     def registry(self, h: Host, state: str, late: float | None = None) -> None:
         self.host_fleet.tell(h, state, late)
 
-    def named(self, stem: str, me: int, ending: str) -> Path:
-        """A file of a steward: without its number where there is but one."""
+    def file_of(self, stem: str, me: int, ending: str) -> Path:
+        """Return the path of a controller's file; its name has no number if there is only one controller."""
         return self.out / (f"{stem}{ending}" if self.scenario.stewards == 1 else f"{stem}{me}{ending}")
 
     async def start_steward(self, me: int = 0) -> None:
         self.lives += 1
         self.life[me] = self.life.get(me, 0) + 1
-        await self.own.start(me, self.life[me])
+        await self.processes.start(me, self.life[me])
 
     async def kill_steward(self, me: int = 0) -> bool:
-        return await self.own.kill(me)
+        return await self.processes.kill(me)
 
     async def upgrade_steward(self) -> None:
-        self.upgrades.append(await self.own.upgrade(self.control))
+        self.upgrades.append(await self.processes.upgrade(self.control))
         self.lives += 1
 
     async def freeze_steward(self, seconds: float, me: int = 0) -> None:
-        await self.own.freeze(seconds, me)
+        await self.processes.freeze(seconds, me)
 
     async def end_steward(self, me: int) -> None:
-        await self.own.end(me)
+        await self.processes.end(me)
 
     async def end_stewards(self) -> None:
-        await self.own.end_all(5.0 if self.scenario.stewards == 1 else 0.5)
+        """Shut all controllers down."""
+        await self.processes.end_all(5.0 if self.scenario.stewards == 1 else 0.5)
 
     def set_current_release(self, number: int) -> None:
-        self.own.set_current_release(number, self.scenario.numbers)
+        self.processes.set_current_release(number, self.scenario.numbers)
 
     async def hold_store(self, seconds: float) -> None:
         await hold_write_lock(self.out / "store.db", seconds)
 
     async def poll(self) -> None:
-        await poll(self.doors[0], self.begun, self.polls, self.polled_life)
+        """Poll the metrics of controller 0 until cancelled."""
+        await poll(self.http_ports[0], self.begun, self.polls, self.polled_life)
 
     def polled_life(self) -> int:
-        """The life of the steward that is polled."""
+        """Return the incarnation number of the polled controller."""
         return self.life.get(0, 0)
 
     def reports_counted(self, ends: list[str]) -> bool:
@@ -130,14 +136,15 @@
         return newest.get("life") == self.polled_life() and all(newest.get(end, 0.0) > 0.0 for end in ends)
 
     async def laid(self) -> dict[int, set[int]]:
-        """Tables as the stewards have them. Raises OSError if one does not answer."""
-        return await self.own.laid()
+        """Return the published hosts by slice. Raises OSError if a controller does not respond."""
+        return await self.processes.laid()
 
     async def first_hosts(self) -> None:
+        """Start the initial hosts."""
         await self.host_fleet.first()
 
     def arrivals(self, rates: np.ndarray, slices: np.ndarray, operations: list[OperationSpec]) -> Traffic:
-        """rates, slices: each forwarder's and each slice's share."""
+        """Draw the arrivals. rates, slices: shares of the proxies and of the slices."""
         s = self.scenario
         order = [int(k) for k in self.chance.permutation(s.fleet.slices)]
         return draw(
@@ -145,6 +152,7 @@
         )
 
     async def build(self) -> None:
+        """Create hosts, host list, proxies and clients."""
         s = self.scenario
         await self.first_hosts()
         await self.roster.start()
@@ -160,10 +168,11 @@
         self.run_clients, self.wait_clients = make_run_clients(s, *more), make_wait_clients(s, *more)
 
     def prepare(self) -> None:
+        """Create and clear the folder of the run."""
         clear(self.out)
 
     def configure(self, reports_key: str) -> None:
-        """Writes each steward's configuration."""
+        """Write the configuration of each controller."""
         s = self.scenario
         if any(f.kind == "upgrade" for f in s.fault):
             self.control = str(Path(tempfile.mkdtemp(prefix="corallanding-")) / "control")
@@ -172,27 +181,30 @@
             self.peer_relay.open()
         reports = f"127.0.0.1:{self.reports_port}"
         for me in range(s.numbers):
-            listen, door, roster = (f"127.0.0.1:{p}" for p in (self.ports[me], self.doors[me], self.roster.port))
-            store = str(self.named("store", me, ".db").resolve())
+            listen, http_address, roster = (
+                f"127.0.0.1:{p}" for p in (self.ports[me], self.http_ports[me], self.roster.port)
+            )
+            store = str(self.file_of("store", me, ".db").resolve())
             text = steward_hcl(
                 s,
                 listen,
-                door,
+                http_address,
                 roster,
                 store,
                 self.seed,
-                self.laxer,
+                self.lift_limits,
                 reports,
                 reports_key,
                 me,
                 self.control,
                 f"127.0.0.1:{self.peer_ports[me]}" if self.peer_relay else "",
                 self.peer_relay.peers(me) if self.peer_relay else None,
-                *audit_files(s, self.named, me),
+                *audit_files(s, self.file_of, me),
             )
-            self.named("steward", me, ".hcl").write_text(text)
+            self.file_of("steward", me, ".hcl").write_text(text)
 
     async def run(self) -> dict[str, Any]:
+        """Run the scenario and return its result. Raises RuntimeError if a stand-in failed."""
         s = self.scenario
         self.prepare()
         await self.build()
@@ -214,12 +226,12 @@
             if self.reporter:
                 self.spawn(self.reporter.run())
             awaited = self.begin_faults()
-            both = [self.clients.run(self.begun)]
+            client_runs = [self.clients.run(self.begun)]
             if self.run_clients:
-                both.append(self.run_clients.run(self.begun, s.seconds))
+                client_runs.append(self.run_clients.run(self.begun, s.seconds))
             if self.wait_clients and s.jobs:
-                both.append(self.wait_clients.run(self.begun, s.seconds, s.jobs.drain_s))
-            await asyncio.gather(*both, *awaited)
+                client_runs.append(self.wait_clients.run(self.begun, s.seconds, s.jobs.drain_s))
+            await asyncio.gather(*client_runs, *awaited)
             self.lost = await count_table_differences(self.forwarders, self.laid)
         finally:
             for f in self.forwarders:
@@ -241,13 +253,14 @@
         return self.judged()
 
     def make_reporter(self, conf: LoadReportsTraffic, key: bytes) -> Reporter:
+        """Return the sender of load reports."""
         return Reporter(self, conf, self.reports_port, key)
 
     def begin_faults(self) -> list[asyncio.Task[Any]]:
-        """Those that the run waits for."""
+        """Start all faults; return the tasks that the run waits for."""
         faults = Faults(self)
-        played = [(fault, self.spawn(faults.play(fault, self.begun))) for fault in self.scenario.fault]
-        return [task for fault, task in played if fault.until]
+        tasks = [(fault, self.spawn(faults.play(fault, self.begun))) for fault in self.scenario.fault]
+        return [task for fault, task in tasks if fault.until]
 
     def spawn(self, work: Any) -> asyncio.Task[Any]:
         task = asyncio.get_running_loop().create_task(work)
@@ -255,8 +268,9 @@
         return task
 
     def judged(self) -> dict[str, Any]:
+        """Audit the run and return its result."""
         s, records = self.scenario, self.trace.records
-        result = verdict(s, records, self.begun, self.seed, self.named)
+        result = verdict(s, records, self.begun, self.seed, self.file_of)
         result["publisher"], result["lives"], result["lines_lost"] = s.publisher, self.lives, self.lost
         if s.load_reports and self.polls:
             result["load_reports"] = {k: v for k, v in self.polls[-1].items() if k not in POLL_FIELDS_NOT_OF_REPORTS}
@@ -264,12 +278,13 @@
         return result
 
     def keep(self, result: dict[str, Any]) -> None:
+        """Write the result, the charts and the trace."""
         s, records = self.scenario, self.trace.records
         report.write(self.out, result, [f"{f.kind} at {f.at_s:g} s" for f in s.fault])
         report.charts(self.out, records, self.begun, self.polls, [(f.kind, f.at_s, f.for_s) for f in s.fault])
         self.trace.save(self.out / "trace.jsonl.gz")
 
 
-def play(scenario: Scenario, out: Path, seed: int, laxer: bool = False) -> dict[str, Any]:
-    """Runs the scenario; returns what `result.json` holds."""
-    return uvloop.run(Lab(scenario, out, seed, laxer).run())
+def play(scenario: Scenario, out: Path, seed: int, lift_limits: bool = False) -> dict[str, Any]:
+    """Run the scenario; return the content of `result.json`."""
+    return uvloop.run(Lab(scenario, out, seed, lift_limits).run())
--- a/corallanding/lab/scenario_text.py
+++ b/corallanding/lab/scenario_text.py
@@ -23,11 +23,11 @@
 def steward_hcl(
     s: Scenario,
     listen: str,
-    door: str,
+    http_address: str,
     roster: str,
     store: str,
     seed: int,
-    laxer: bool,
+    lift_limits: bool,
     reports: str = "",
     key: str = "",
     me: int = 0,
@@ -39,9 +39,9 @@
     runs: str = "",
     waits: str = "",
 ) -> str:
-    """Return the configuration of controller `me`. laxer: lift the limits of the channel."""
+    """Return the configuration of controller `me`. lift_limits: lift the limits of the channel."""
     channel = s.channel.model_dump()
-    if laxer:
+    if lift_limits:
         channel.update(queue_most_lines=1e8, messages_most=0, rate_lines_per_s=1e8)
     operations = "".join(
         block("operation", {k: v for k, v in o.model_dump().items() if k not in ("share", "work_ms", "cv")}, name)
@@ -78,7 +78,7 @@
         + block("reports", s.reports.model_dump())
         + block("forwarders", {**s.forwarders.model_dump(), "count": s.fleet.forwarders})
         + block("probe", s.probe.model_dump())
-        + block("door", {"listen": door})
+        + block("door", {"listen": http_address})
         + load_reports
         + "".join(block("budget", b.model_dump(), name) for name, b in s.budget.items())
         + (block("budgets", {**s.budgets.model_dump(), "witness": witness or None}) if s.peers else "")
--- a/corallanding/lab/steward_link.py
+++ b/corallanding/lab/steward_link.py
@@ -46,12 +46,12 @@
 
     def send(self, frame: frames.Frame) -> None:
         f = self.proxy
-        if self.transport and not self.transport.is_closing() and f.net.delay_ms(f.zone, f.steward_zone) is not None:
+        if self.transport and not self.transport.is_closing() and f.net.delay_ms(f.zone, f.controller_zone) is not None:
             self.transport.write(frames.encode(frame))
 
     def data_received(self, data: bytes) -> None:
         f = self.proxy
-        if f.net.delay_ms(f.steward_zone, f.zone) is None:
+        if f.net.delay_ms(f.controller_zone, f.zone) is None:
             return  # dropped by the partition, after which the stream is unusable
         for frame in self.reader.feed(data):
             self.last_received = clock()
@@ -113,7 +113,7 @@
     async def dial(self, k: int) -> None:
         """Connect to controller `k`, within a second."""
         f = self.proxy
-        if f.net.delay_ms(f.zone, f.steward_zone) is None:
+        if f.net.delay_ms(f.zone, f.controller_zone) is None:
             return
         loop, link = asyncio.get_running_loop(), ControllerLink(f, k)
         self.links[k] = link
--- a/corallanding/lab/stewards/__init__.py
+++ b/corallanding/lab/stewards/__init__.py
@@ -1,1 +1,1 @@
-"""Many stewards together in simulated time, with faults between them; and the audit of what they used."""
+"""Several controllers in simulated time with faults between them, and the input of their audits."""
--- a/corallanding/lab/stewards/figures.py
+++ b/corallanding/lab/stewards/figures.py
@@ -1,4 +1,4 @@
-"""Figures on budgets by fleet size, in simulated time: `corallanding lab budgets`. Hosts and stewards are simulated."""
+"""Cost and recovery time of budgets by fleet size, in simulated time, for `corallanding lab budgets`."""
 
 from __future__ import annotations
 
@@ -12,53 +12,56 @@
 from ..uses import most
 from .world import World, troubled
 
-SPAN, WHOLE = 1_000.0, 60  # ms, rights: a rate of 60 a second
-ENOUGH = 0.8  # of the whole in use
+HOLD_MS = 1_000.0
+RIGHTS_PER_HOLD = 60  # a rate of 60 a second
+RECOVERED_SHARE = 0.8  # share of a capacity in use that counts as recovered
 
 
 def budgets(stewards: int, floors: float) -> dict[str, Budget]:
-    """floors: the share of each whole that is in fixed parts; 0: all is divided by demand, 1: nothing is."""
+    """Return the simulated budgets. floors: share of each capacity in fixed parts; the rest is divided by demand."""
     found = (
-        Budget("moves", max(WHOLE, stewards), 0, stewards, SPAN),
+        Budget("moves", max(RIGHTS_PER_HOLD, stewards), 0, stewards, HOLD_MS),
         Budget("cold", max(12, stewards), 0, stewards, 3_000.0, BudgetScope.HOST),
     )
     return {b.name: replace(b, floor=int(b.capacity * floors / stewards)) for b in found}
 
 
-def uneven(seed: int) -> Callable[[float, int], list[tuple[str, int]]]:
-    """Demand that moves about: every five seconds other stewards want much, and the rest little."""
+def uneven_demand(seed: int) -> Callable[[float, int], list[tuple[str, int]]]:
+    """Return a demand that is high at a few controllers, which change every five seconds, and low at the rest."""
     chance = random.Random(f"demand {seed}")
 
-    def wish(t: float, n: int) -> list[tuple[str, int]]:
+    def demand(t: float, n: int) -> list[tuple[str, int]]:
         share = random.Random(f"{seed} {int(t // 5_000.0)} {n}").random() ** 3
-        wishes = [("moves", 0)] * sum(chance.random() < share for _ in range(2))
-        return wishes + [("cold", chance.randrange(3))] * (chance.random() < 0.2)
+        requests = [("moves", 0)] * sum(chance.random() < share for _ in range(2))
+        return requests + [("cold", chance.randrange(3))] * (chance.random() < 0.2)
 
-    return wish
+    return demand
 
 
 def day(seed: int, stewards: int, floors: float, faults: bool, ms: float = 60_000.0) -> tuple[float, float]:
-    """The share of wishes that were granted, and the ms for which more than a whole was in use."""
-    own = budgets(stewards, floors)
-    w = World(seed, stewards, min(stewards, 5), own, QuotaLimits(), uneven(seed), static=floors == 1.0)
+    """Simulate `ms`; return the share of granted requests and the ms for which a capacity was exceeded."""
+    own_budgets = budgets(stewards, floors)
+    w = World(seed, stewards, min(stewards, 5), own_budgets, QuotaLimits(), uneven_demand(seed), static=floors == 1.0)
     if faults:
         troubled(w, ms)
     w.run(ms)
-    rows = most(w.uses, {name: b.capacity for name, b in own.items()})
+    rows = most(w.uses, {name: b.capacity for name, b in own_budgets.items()})
     return 1.0 - w.refused / max(1, w.wanted), sum(r["over_ms"] for r in rows)
 
 
-def greedy(t: float, n: int) -> list[tuple[str, int]]:
+def excessive_demand(t: float, n: int) -> list[tuple[str, int]]:
+    """Return more requests than the capacity allows."""
     return [("moves", 0)] * 8
 
 
 def share_in_use(w: World, begin: float, end: float, whole: int) -> float:
-    """On the mean of that time."""
+    """Return the mean share of the capacity `whole` in use between two instants."""
     area = sum(max(0.0, min(e, end) - max(b, begin)) * n for b, e, _, _, n in w.uses if e > begin and b < end)
     return area / (end - begin) / whole
 
 
 def until(w: World, wanted: Callable[[], bool], limit: float = 60_000.0) -> float:
+    """Run the world until a condition holds; return the ms, `limit` at most."""
     begun = w.now
     while not wanted():
         if w.now - begun > limit:
@@ -69,18 +72,18 @@
 
 @dataclass(frozen=True)
 class Change:
-    """ms from which on ENOUGH of the whole is in use in each second, all stewards wanting more than there is."""
+    """A change of the fleet and the ms until `RECOVERED_SHARE` of the capacity is in use again, under excess demand."""
 
     what: str
     ms: float
 
 
 def changes(seed: int, stewards: int) -> list[Change]:
-    """One that dies, the divider that dies, a split, a newcomer; each in a world of its own that has settled."""
-    out = []
+    """Measure the recovery from failures, a partition and a new controller, each in a settled world of its own."""
+    found = []
     for what in ("a fifth dies", "the divider dies", "two halves", "one comes"):
-        own = {"moves": Budget("moves", max(WHOLE, 3 * stewards), 0, stewards + 1, SPAN)}
-        w = World(seed, stewards + 1, min(stewards, 5), own, QuotaLimits(), greedy, first=stewards)
+        own_budgets = {"moves": Budget("moves", max(RIGHTS_PER_HOLD, 3 * stewards), 0, stewards + 1, HOLD_MS)}
+        w = World(seed, stewards + 1, min(stewards, 5), own_budgets, QuotaLimits(), excessive_demand, first=stewards)
         w.run(15_000.0)
         divider = next((n for n, p in w.processes.items() if p.quota.is_allocating(p.clock(w.now))), 0)
         if what == "a fifth dies":
@@ -95,23 +98,23 @@
             w.start(stewards)
             held = w.processes[stewards].quota.client
             took = until(w, lambda: any(a.uses.buckets for a in held.accounts.values()))  # noqa: B023
-            out.append(Change("first right of a newcomer", took))
+            found.append(Change("first right of a newcomer", took))
             continue
         begun = w.now
         w.run(begun + 15_000.0)
-        w.uses = [u for u in w.uses if u[1] > begun - SPAN]
-        low = [
+        w.uses = [u for u in w.uses if u[1] > begun - HOLD_MS]
+        below = [
             t
             for t in range(0, 14_000, 100)
-            if share_in_use(w, begun + t, begun + t + SPAN, own["moves"].capacity) < ENOUGH
+            if share_in_use(w, begun + t, begun + t + HOLD_MS, own_budgets["moves"].capacity) < RECOVERED_SHARE
         ]
-        out.append(Change(what, low[-1] + 100.0 if low else 0.0))
-    return out
+        found.append(Change(what, below[-1] + 100.0 if below else 0.0))
+    return found
 
 
 def cost(seed: int, stewards: int, ms: float = 10_000.0) -> tuple[float, float]:
-    """Words and bytes a second and steward, with uneven demand and no fault: mean, and of the one that sent most."""
-    w = World(seed, stewards, min(stewards, 5), budgets(stewards, 0.0), QuotaLimits(), uneven(seed))
+    """Return the mean messages and bytes a second per controller, with uneven demand and without faults."""
+    w = World(seed, stewards, min(stewards, 5), budgets(stewards, 0.0), QuotaLimits(), uneven_demand(seed))
     w.weigh = True
     w.run(ms)
     sent = np.array([w.by.get(n, (0, 0)) for n in range(stewards)], dtype=float) / (ms / 1000.0)
@@ -119,25 +122,25 @@
 
 
 def table(seeds: int, sizes: list[int]) -> str:
-    """The page's figures as Markdown."""
-    out = [
+    """Return cost and recovery times by fleet size as Markdown."""
+    lines = [
         "| stewards | words/s | bytes/s | a fifth dies, ms p50 / p99 | the divider | two halves | a newcomer |",
         "| --- | --- | --- | --- | --- | --- | --- |",
     ]
     for n in sizes:
-        words, size = cost(1, n)
-        found: dict[str, list[float]] = {}
+        messages, size = cost(1, n)
+        recovery_ms: dict[str, list[float]] = {}
         for seed in range(seeds if n <= 20 else max(1, seeds // 10)):
-            for c in changes(seed, n):
-                found.setdefault(c.what, []).append(c.ms)
-        cells = [f"{np.percentile(v, 50):.0f} / {np.percentile(v, 99):.0f}" for v in found.values()]
-        out.append(f"| {n} | {words:.1f} | {size:.0f} | {' | '.join(cells)} |")
-    return "\n".join(out)
+            for change in changes(seed, n):
+                recovery_ms.setdefault(change.what, []).append(change.ms)
+        cells = [f"{np.percentile(v, 50):.0f} / {np.percentile(v, 99):.0f}" for v in recovery_ms.values()]
+        lines.append(f"| {n} | {messages:.1f} | {size:.0f} | {' | '.join(cells)} |")
+    return "\n".join(lines)
 
 
 def compared(seeds: int, stewards: int) -> str:
-    """Division by demand, half in floors, and static parts, under the same demands and faults."""
-    out = [
+    """Compare division by demand, half in floors and static parts under the same demand and faults, as Markdown."""
+    lines = [
         "| day | division | wishes granted, mean | worst day | days with an instant too many |",
         "| --- | --- | --- | --- | --- |",
     ]
@@ -147,5 +150,5 @@
             granted = np.array([d[0] for d in days])
             over = sum(d[1] > 0 for d in days)
             kind = "faults all day" if faults else "calm"
-            out.append(f"| {kind} | {name} | {granted.mean():.3f} | {granted.min():.3f} | {over} of {seeds} |")
-    return "\n".join(out)
+            lines.append(f"| {kind} | {name} | {granted.mean():.3f} | {granted.min():.3f} | {over} of {seeds} |")
+    return "\n".join(lines)
--- a/corallanding/lab/wait_clients.py
+++ b/corallanding/lab/wait_clients.py
@@ -1,5 +1,4 @@
-"""Clients whose work may wait: jobs that come by chance, some brought again with the same fingerprint through another
-forwarder."""
+"""Clients that submit jobs, some of them a second time with the same idempotency key through another proxy."""
 
 from __future__ import annotations
 
@@ -13,87 +12,99 @@
 from .trace import Trace, clock
 from .waits import Job
 
-FIRST = 5_000_000  # numbers of jobs begin there
+FIRST_JOB_NUMBER = 5_000_000  # above the numbers of other requests
 
 
 @dataclass(frozen=True)
 class JobSpec:
-    """operations: those that wait, by number; marked: those of them whose jobs have a fingerprint. again: share of
-    these that is brought again, mean gap ms later. runs: share whose jobs belong to a run."""
+    """operations: numbers of the request classes that wait; with_idempotency_key: those whose jobs have a key.
+
+    again: share of the jobs with a key that is submitted twice, on average `gap_ms` later. runs: share of the jobs
+    that belong to a workflow run.
+    """
 
     per_s: float
     operations: tuple[int, ...]
-    marked: tuple[int, ...]
+    with_idempotency_key: tuple[int, ...]
     again: float
-    gap: float
+    gap_ms: float
     runs: float = 0.0
 
 
 class WaitClients:
+    """The clients of all jobs."""
+
     def __init__(
         self,
-        forwarders: list[Proxy],
+        proxies: list[Proxy],
         operations: list[OperationSpec],
         spec: JobSpec,
         slices: int,
         trace: Trace,
         seed: int,
     ) -> None:
-        self.forwarders, self.operations, self.spec, self.slices = forwarders, operations, spec, slices
+        self.proxies, self.operations, self.spec, self.slices = proxies, operations, spec, slices
         self.observer = trace.observer("jobs")
         self.chance = np.random.default_rng([seed, 92])
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, begun: float, seconds: float, drain: float) -> None:
-        """Jobs for `seconds`; then waits up to `drain` seconds for those that still wait."""
-        at, number = begun, FIRST
+        """Submit jobs for `seconds`; then wait up to `drain` seconds for those still queued."""
+        at, number = begun, FIRST_JOB_NUMBER
         while True:
             at += float(self.chance.exponential(1000.0 / self.spec.per_s))
             if at > begun + seconds * 1000.0:
                 break
             await asyncio.sleep(max(0.0, at - clock()) / 1000.0)
             number += 1
-            c = self.chance
-            operation, slice = int(c.choice(self.spec.operations)), int(c.integers(0, self.slices))
-            ways = [int(f) for f in c.permutation(len(self.forwarders))]
-            again, gap = bool(c.random() < self.spec.again), float(c.exponential(self.spec.gap))
-            run = f"job-run-{number}" if c.random() < self.spec.runs else ""
+            chance = self.chance
+            operation, slice = int(chance.choice(self.spec.operations)), int(chance.integers(0, self.slices))
+            proxy_numbers = [int(f) for f in chance.permutation(len(self.proxies))]
+            again, gap_ms = bool(chance.random() < self.spec.again), float(chance.exponential(self.spec.gap_ms))
+            run = f"job-run-{number}" if chance.random() < self.spec.runs else ""
             self.observer.record("job", number, operation, bool(run))
-            task = asyncio.create_task(self.one(number, operation, slice, ways, again, gap, run))
+            task = asyncio.create_task(self.submit_job(number, operation, slice, proxy_numbers, again, gap_ms, run))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
-        end = clock() + drain * 1000.0
-        while self.tasks and clock() < end:
+        deadline = clock() + drain * 1000.0
+        while self.tasks and clock() < deadline:
             await asyncio.sleep(0.05)
         for task in list(self.tasks):
             task.cancel()
-        for f in self.forwarders:
+        for f in self.proxies:
             for number in f.jobs.jobs:
                 self.observer.record("still", number, f.number)
 
-    async def one(
-        self, number: int, operation: int, slice: int, ways: list[int], again: bool, gap: float, run: str
+    async def submit_job(
+        self, number: int, operation: int, slice: int, proxy_numbers: list[int], again: bool, gap_ms: float, run: str
     ) -> None:
-        both = [self.bring(number, 0, operation, slice, ways[0], run)]
-        if again and len(ways) > 1 and operation in self.spec.marked:
-            both.append(self.later(gap, number, operation, slice, ways[1], run))
-        await asyncio.gather(*both)
-
-    async def later(self, gap: float, number: int, operation: int, slice: int, way: int, run: str) -> None:
-        await asyncio.sleep(gap / 1000.0)
-        await self.bring(number, 1, operation, slice, way, run)
+        """Submit a job, and a second time through another proxy with `again`."""
+        submissions = [self.submit(number, 0, operation, slice, proxy_numbers[0], run)]
+        if again and len(proxy_numbers) > 1 and operation in self.spec.with_idempotency_key:
+            submissions.append(self.submit_later(gap_ms, number, operation, slice, proxy_numbers[1], run))
+        await asyncio.gather(*submissions)
+
+    async def submit_later(
+        self, gap_ms: float, number: int, operation: int, slice: int, proxy_number: int, run: str
+    ) -> None:
+        """Submit a job a second time."""
+        await asyncio.sleep(gap_ms / 1000.0)
+        await self.submit(number, 1, operation, slice, proxy_number, run)
 
-    async def bring(self, number: int, attempt: int, operation: int, slice: int, way: int, run: str) -> None:
-        o, f = self.operations[operation], self.forwarders[way]
+    async def submit(self, number: int, attempt: int, operation: int, slice: int, proxy_number: int, run: str) -> None:
+        """Submit a job through one proxy and wait for its result."""
+        request_class, f = self.operations[operation], self.proxies[proxy_number]
         done: asyncio.Future[str] = asyncio.get_running_loop().create_future()
 
-        def end(status: str) -> None:
+        def on_end(status: str) -> None:
             if not done.done():
                 done.set_result(status)
 
         def send() -> Attempt:
-            return Attempt(number, attempt, operation, slice, o.work, clock() + o.timeout, end, run=run)
+            return Attempt(
+                number, attempt, operation, slice, request_class.work, clock() + request_class.timeout, on_end, run=run
+            )
 
-        mark = f"fp-{number}" if operation in self.spec.marked else ""
-        f.jobs.submit(Job(number, operation, clock(), mark, send, end, run))
+        idempotency_key = f"fp-{number}" if operation in self.spec.with_idempotency_key else ""
+        f.jobs.submit(Job(number, operation, clock(), idempotency_key, send, on_end, run))
         self.observer.record("ended", number, attempt, await done)
--- a/tests/labs.py
+++ b/tests/labs.py
@@ -1,4 +1,4 @@
-"""Labs played side by side by tests, each a program of its own."""
+"""Runs of scenarios for tests, each in a process of its own, side by side."""
 
 from __future__ import annotations
 
@@ -9,23 +9,24 @@
 from pathlib import Path
 from typing import Any
 
-Run = tuple[int, Path, str]  # exit code, its folder, what it said
+Run = tuple[int, Path, str]  # exit code, folder of the results, output
 
 
-def played(out: Path, jobs: Iterable[tuple[str, Path, tuple[str, ...]]]) -> dict[str, Run]:
-    """jobs: name, scenario, further words. Returns once all have ended."""
-    started = {}
-    for name, file, more in jobs:
+def run_scenarios(out: Path, jobs: Iterable[tuple[str, Path, tuple[str, ...]]]) -> dict[str, Run]:
+    """Run all jobs (name, scenario file, further options); return when the last has ended."""
+    processes = {}
+    for name, file, options in jobs:
         command = [sys.executable, "-c", "from corallanding.cli.main import main; main()", "lab", "run", str(file)]
-        started[name] = subprocess.Popen(
-            [*command, "--out", str(out / name), *more], stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True
+        processes[name] = subprocess.Popen(
+            [*command, "--out", str(out / name), *options], stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True
         )
-    done = {}
-    for name, process in started.items():
-        said, _ = process.communicate(timeout=200)
-        done[name] = (process.returncode, out / name, said)
-    return done
+    finished = {}
+    for name, process in processes.items():
+        output, _ = process.communicate(timeout=200)
+        finished[name] = (process.returncode, out / name, output)
+    return finished
 
 
-def rules(folder: Path) -> list[Any]:
+def rule_verdicts(folder: Path) -> list[Any]:
+    """Return for each rule whether it held; None if it was not judged."""
     return [r["kept"] for r in json.loads((folder / "result.json").read_text())["rules"]]
