--- a/corallanding/lab/audit.py
+++ b/corallanding/lab/audit.py
@@ -99,7 +99,9 @@
     granted_at: dict[tuple[int, int], list[float]] = field(
         default_factory=lambda: defaultdict(list)
     )  # controller, slice
-    without_host: list[tuple[float, float, int]] = field(default_factory=list)  # from, to, slice
+    without_host: list[tuple[float, float, int]] = field(
+        default_factory=list
+    )  # begin, end and slice of each span without a host
     stalls: list[tuple[float, float]] = field(default_factory=list)
 
 
--- a/corallanding/lab/commands.py
+++ b/corallanding/lab/commands.py
@@ -1,4 +1,4 @@
-"""`corallanding lab`: run a scenario, compare publishers, turn a bench day into a scenario."""
+"""`corallanding lab`: run a scenario, compare deciders, convert a bench day to a scenario."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
     out: Annotated[Optional[Path], typer.Option("--out", help="the scenario file")] = None,  # noqa: UP045
     scale: Annotated[float, typer.Option("--scale", help="part of the fleet and its traffic")] = 1.0,
 ) -> None:
-    """Turn a day of the bench into a scenario for the real steward."""
+    """Convert a day of the bench to a scenario for the real controller."""
     from .scenario_day import from_day
     from .scenario_text import scenario_hcl
 
@@ -81,7 +81,7 @@
 
 @lab.command("audit")
 def audit(trace: Path, scenario: Annotated[Path, typer.Option("--scenario")]) -> None:
-    """Judge a kept trace again."""
+    """Audit a saved trace again."""
     from .audit import judge
     from .scenario import load_scenario
     from .trace import read
@@ -105,7 +105,7 @@
     seeds: Annotated[int, typer.Option("--seeds", min=1, max=1000)] = 20,
     stewards: Annotated[str, typer.Option("--stewards", help="sizes of the fleet, joined by commas")] = "3,5,20",
 ) -> None:
-    """Figures on budgets of a fleet of stewards, in simulated time: cost, and how soon rights serve again."""
+    """Measure budgets of a fleet of controllers in simulated time: their cost and recovery time."""
     from .stewards.figures import compared, table
 
     try:
--- a/corallanding/lab/faults.py
+++ b/corallanding/lab/faults.py
@@ -18,10 +18,7 @@
 
 
 def planned_load_changes(s: Scenario, slices: list[int]) -> list[LoadChange]:
-    """Return the changes of load that faults make; they are part of the arrivals, which are drawn in advance.
-
-    slices: the numbers of all slices in random order.
-    """
+    """Return the changes of load that faults make in the arrivals. slices: numbers of all slices in random order."""
     changes: list[LoadChange] = []
     for f in s.fault:
         at, length = f.at_s * 1000.0, f.for_s * 1000.0
@@ -36,20 +33,15 @@
 
 
 class Faults(HostFaults, PeerFaults):
-    """All kinds of faults, applied to a running lab."""
-
     def __init__(self, lab: Stage) -> None:
-        self.lab = lab
-        self.observer = lab.trace.observer("faults")
+        self.lab, self.observer = lab, lab.trace.observer("faults")
         self.draws_by_fault: dict[int, int] = {}
         self.pending_kills = sum(f.kind == "steward_kill" for f in lab.scenario.fault)
 
     def proxy_numbers(self, f: Fault) -> list[int]:
-        """Return the numbers of the proxies that a fault applies to."""
         return self.numbers(f, len(self.lab.forwarders))
 
     def zone(self, f: Fault) -> int:
-        """Return the zone that a fault applies to: the first of `on`, else the last zone."""
         zones = len(self.lab.scenario.zones)
         return f.on[0] % zones if f.on else zones - 1
 
@@ -62,10 +54,7 @@
         self.pending_kills -= f.kind == "steward_kill"
         self.observer.record("fault", f.kind, "off", f.for_s)
 
-    # ---- links -----------------------------------------------------------------------------------------
-
     async def zone_cut(self, f: Fault) -> None:
-        """Partition a zone from the others."""
         zone = self.zone(f)
         self.lab.net.cut.add(zone)
         await self.wait(f)
@@ -103,8 +92,6 @@
         for x in struck_proxies:
             x.restart(False)
 
-    # ---- proxies and controllers -----------------------------------------------------------------------
-
     async def counter_down(self, f: Fault) -> None:
         """Disconnect proxies from their controllers; they go on with their last tables."""
         struck = [self.lab.forwarders[k] for k in self.proxy_numbers(f)]
@@ -129,10 +116,7 @@
             await asyncio.sleep(max(0.2, f.for_s * batch / len(numbers) - f.extra))
 
     async def balancer_stall(self, f: Fault) -> None:
-        """Suspend proxies, or the controller (how "steward"), again and again.
-
-        size: length of a pause in seconds, in ms if above 20; extra: seconds between pauses.
-        """
+        """Suspend proxies, or the controller (how "steward"), for `size` s (ms if above 20), every `extra` s."""
         end, stall = clock() + f.for_s * 1000.0, f.size / 1000.0 if f.size > 20 else f.size
         if f.how == "steward":
             while clock() < end:
@@ -149,10 +133,7 @@
             await asyncio.sleep(max(f.extra, 0.2))
 
     async def steward_kill(self, f: Fault) -> None:
-        """Kill a controller and start it again.
-
-        how "mid-move": kill it when one proxy has received a message that others have not, after three seconds at most.
-        """
+        """how "mid-move": wait until some proxies have received a message that others have not, for 3 s at most."""
         before = {x.number: x.seq for x in self.lab.forwarders}
         end = clock() + 3_000.0 if f.how == "mid-move" else 0.0
         while clock() < end:
@@ -179,20 +160,14 @@
         """Make writes to the store fail: another connection holds its write lock."""
         await self.lab.hold_store(f.for_s)
 
-    # ---- the host list ---------------------------------------------------------------------------------
-
     async def roster_down(self, f: Fault) -> None:
-        """Make the source of the host list unavailable."""
         await self.lab.roster.fail(True)
         await self.wait(f)
         await self.lab.roster.fail(False)
 
     async def wrong_list(self, f: Fault) -> None:
-        """Publish a wrong host list.
-
-        how "stale": the list no longer changes; "ghost": it has `size` hosts that do not exist; "empty": it has no
-        hosts; "blink": some hosts disappear and return every `extra` seconds; else they are missing.
-        """
+        """how "stale": the list no longer changes; "ghost": it has `size` hosts that do not exist; "empty": it has no
+        hosts; "blink": some hosts disappear and return every `extra` seconds; else they are missing."""
         roster, end = self.lab.roster, clock() + f.for_s * 1000.0
         struck = {h.number for h in self.target_hosts(f)}
         if f.how == "stale":
@@ -213,14 +188,9 @@
         roster.dropped, roster.ghosts, roster.frozen = set(), {}, None
         roster.changed()
 
-    # ---- load reports -----------------------------------------------------------------------------------
-
     def extended(self, f: Fault, deadline: float) -> bool:
-        """Return whether a fault continues beyond its duration.
-
-        It does, until the deadline (ms) at most, while a kill of the controller is pending or not recovered from, and
-        while the controller's present incarnation has not counted every outcome of reports in `until`.
-        """
+        """Return whether a fault continues beyond its duration: until the deadline (ms) at most, while a kill of the
+        controller is pending or its present incarnation has not counted every outcome of reports in `until`."""
         if not f.until or clock() >= deadline:
             return False
         return self.pending_kills > 0 or not self.lab.reports_counted(f.until)
@@ -240,7 +210,6 @@
             self.lab.reports.report_modes.pop(n, None)
 
     async def report_silent(self, f: Fault) -> None:
-        """Send no reports."""
         await self.change_reports(f, silent=True)
 
     async def report_lying(self, f: Fault) -> None:
@@ -256,7 +225,6 @@
         await self.change_reports(f, clock_skew_ms=f.size * 1000.0)
 
     async def report_loss(self, f: Fault) -> None:
-        """Lose the share `size` of the reports."""
         await self.change_reports(f, loss_share=min(f.size, 1.0))
 
     async def report_flood(self, f: Fault) -> None:
@@ -269,14 +237,10 @@
         while self.extended(f, deadline):
             await self.lab.reports.flood(struck, f.size, FLOOD_EXTENSION_S)
 
-    # ---- clients ---------------------------------------------------------------------------------------
-
     async def hot_key(self, f: Fault) -> None:
-        """Concentrate the traffic on a few slices: see `planned_load_changes`."""
         await self.wait(f)
 
     async def heavy_tail(self, f: Fault) -> None:
-        """Make some requests much more expensive: see `planned_load_changes`."""
         await self.wait(f)
 
     async def give_up(self, f: Fault) -> None:
--- a/corallanding/lab/host.py
+++ b/corallanding/lab/host.py
@@ -74,7 +74,7 @@
         self.connections: dict[HostSideConnection, None] = {}
         self.server: asyncio.Server | None = None
         self.started = 0.0  # wall clock in ms at the start of the process; 0 means long ago
-        self.since = -1e12  # the same instant on the trace's clock
+        self.since = -1e12  # start of the process in ms of the trace's clock
         self.slowness, self.taken_share = 1.0, 0.0
         self.hung = self.draining = self.paused = self.crashed_by_overload = False
         self.busy: dict[Key, asyncio.TimerHandle] = {}
--- a/corallanding/lab/runner.py
+++ b/corallanding/lab/runner.py
@@ -1,4 +1,4 @@
-"""Runs a scenario on loopback: real controller processes with stand-ins around them, then the audit."""
+"""Execution of a scenario on loopback: real controller processes with stand-ins around them, then the audit."""
 
 from __future__ import annotations
 
--- a/corallanding/lab/scenario.py
+++ b/corallanding/lab/scenario.py
@@ -70,8 +70,6 @@
 
 
 class HostKind(Block):
-    """One kind of host and its share of the fleet."""
-
     share: Annotated[float, Field(gt=0)] = 1.0
     cores: Count = 4
     speed: Annotated[float, Field(gt=0)] = 1.0
@@ -100,8 +98,6 @@
 
 
 class TrafficBlock(Block):
-    """The request rate and how clients retry."""
-
     per_s: Annotated[float, Field(gt=0, le=1e5)]
     retries: Annotated[int, Field(ge=0, le=10)] = 2
     try_share: Annotated[float, Field(gt=0, le=1)] = 0.8
@@ -109,11 +105,9 @@
 
 
 class RosterTraffic(Block):
-    """How the host list is delivered, and its delay for removals (`notice_ms`) and additions (`add_ms`)."""
-
     mode: Literal["pushed", "on_request"] = "pushed"
-    notice_ms: NonNegativeMs = 500.0
-    add_ms: NonNegativeMs = 200.0
+    notice_ms: NonNegativeMs = 500.0  # delay of removals
+    add_ms: NonNegativeMs = 200.0  # delay of additions
 
 
 class LoadReportsTraffic(LoadReportsBlock):
@@ -232,12 +226,12 @@
         groups, lease_ms = self.task_group, self.tasks.lease_ms
         check_pinning(self.pins, self.release, self.operation, self.task, groups, lease_ms, self.records)
         if self.jobs and not any(o.waits for o in self.operation.values()):
-            raise ValueError("jobs: no operation waits")
+            raise ValueError("jobs: no operation has waits")
         if self.runs and (unknown := sorted(set(self.runs.steps) - set(self.operation))):
             raise ValueError(f"runs.steps: no operation {unknown[0]!r}")
         for f in self.fault:
             if f.kind in PEER_FAULTS and (self.stewards < 2 or not self.peers):
-                raise ValueError(f"fault {f.kind!r} needs stewards that know each other: several, and a budget or task")
+                raise ValueError(f"fault {f.kind!r} needs several stewards and a budget or a task")
         return self
 
     @property
--- a/corallanding/lab/steward_processes.py
+++ b/corallanding/lab/steward_processes.py
@@ -46,7 +46,7 @@
             except (OSError, asyncio.IncompleteReadError):
                 if process.returncode is not None and process not in self.killed:
                     break
-        raise RuntimeError(f"the steward did not start: see {self.file_of('steward', me, '.log')}")
+        raise RuntimeError(f"controller {me} did not start: see {self.file_of('steward', me, '.log')}")
 
     def alive(self, me: int) -> asyncio.subprocess.Process | AdoptedProcess | None:
         """Return the process if it is running."""
@@ -74,7 +74,7 @@
         answer = (await reader.readline()).decode().strip()
         writer.close()
         if not answer.startswith("ok"):
-            raise RuntimeError(f"the steward was not handed over: {answer}")
+            raise RuntimeError(f"the upgrade of the controller failed: {answer}")
         await self.running[0].wait()
         self.running[0] = AdoptedProcess(int(answer.rsplit(" ", 1)[1]))
         return clock() - begun
--- a/corallanding/lab/stewards/world.py
+++ b/corallanding/lab/stewards/world.py
@@ -1,7 +1,5 @@
-"""Controllers as objects in simulated time, running the real `quota` and `membership` cores.
-
-Clocks drift, datagrams are lost, duplicated, delayed or partitioned, and processes are suspended, killed and restarted.
-"""
+"""Controllers as objects in simulated time, running the real `quota` and `membership` cores. Clocks drift, datagrams
+are lost, duplicated, delayed or partitioned, and processes are suspended, killed and restarted."""
 
 from __future__ import annotations
 
@@ -33,27 +31,21 @@
 
 @dataclass
 class Process:
-    """A controller process, with a clock that starts at `clock_offset` and runs at `rate`."""
-
     quota: Any  # the core under test, with `tick` and `on_message` as of `QuotaManager`
     members: Membership
-    clock_offset: float
+    clock_offset: float  # ms
     rate: float
     alive: bool = True
     stopped: bool = False
     held: list[tuple[str, Any]] = field(default_factory=list)
 
     def clock(self, t: float) -> float:
-        """Return the process's clock at time `t`, in ms."""
         return self.clock_offset + t * self.rate
 
 
 class World:
-    """Controllers, their links and the queue of events.
-
-    numbers: configured controllers; all start at 0 ms, or only the first `first`. static: fixed shares without
-    messages, the baseline. demand(t, controller): budgets and subjects that it would use now, called at every tick.
-    """
+    """numbers: configured controllers; all start at 0 ms, or only the first `first`. static: fixed shares without
+    messages, the baseline. demand(t, controller): budgets and subjects that it would use now, called at every tick."""
 
     def __init__(
         self,
@@ -85,7 +77,6 @@
             self.start(n)
 
     def at(self, t: float, act: Callable[[], None]) -> None:
-        """Schedule a call at time `t`."""
         self.count += 1
         heappush(self.queue, (t, self.count, act))
 
@@ -118,11 +109,9 @@
         return self.make(n, others, self.voters, dict(self.budgets), self.terms, incarnation, clock_at_start, chance)
 
     def kill(self, n: int) -> None:
-        """Kill a process."""
         self.processes.pop(n).alive = False
 
     def stop(self, n: int) -> None:
-        """Suspend a process."""
         self.processes[n].stopped = True
 
     def wake(self, n: int) -> None:
@@ -140,7 +129,6 @@
                 self.take(n, p, *item)
 
     def tick(self, n: int, p: Process) -> None:
-        """Run the cores and schedule the next tick."""
         if not p.alive:
             return
         if p.stopped:
@@ -202,7 +190,6 @@
         self.take(b, p, a, message)
 
     def take(self, n: int, p: Process, sender: int, message: Any) -> None:
-        """Pass a message to the core that it is for."""
         now = p.clock(self.now)
         if isinstance(message, Ping | Ack | PingRequest):
             self.act(n, p.members.on_message(now, sender, message))
@@ -217,15 +204,12 @@
                     self.ways[a, b] = Way(cut=True)
 
     def heal(self) -> None:
-        """End all partitions."""
         self.ways.clear()
 
 
 def troubled(world: World, until: float, longest: float = 9_000.0) -> None:
-    """Schedule faults of all kinds drawn by the world's seed, overlapping, with intervals without faults.
-
-    They last up to `longest` ms; none begins within the last `longest` * 4/3 ms before `until`.
-    """
+    """Schedule faults of all kinds drawn by the world's seed, overlapping, with intervals without faults. They last up
+    to `longest` ms; none begins within the last `longest` * 4/3 ms before `until`."""
     chance, t = random.Random(world.chance.getrandbits(62)), longest / 3.0
     while t < until - longest * 4.0 / 3.0:
         length = chance.uniform(longest / 18.0, longest)
