--- a/corallanding/lab/host_link.py
+++ b/corallanding/lab/host_link.py
@@ -96,16 +96,16 @@
             self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
-        f = self.proxy
+        proxy = self.proxy
         for response in self.reader.feed(data):
-            delay_ms = f.net.delay_ms(self.zone, f.zone)
-            lost = f.net.answers_lost.get(self.host, 0.0)
-            if delay_ms is None or (lost and f.draw(response.inv, response.attempt, response.again, 3) < lost):
+            delay_ms = proxy.net.delay_ms(self.zone, proxy.zone)
+            lost = proxy.net.answers_lost.get(self.host, 0.0)
+            if delay_ms is None or (lost and proxy.draw(response.inv, response.attempt, response.again, 3) < lost):
                 continue
             if delay_ms > 0:
-                asyncio.get_running_loop().call_later(delay_ms / 1000.0, f.on_response, self, response)
+                asyncio.get_running_loop().call_later(delay_ms / 1000.0, proxy.on_response, self, response)
             else:
-                f.on_response(self, response)
+                proxy.on_response(self, response)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.fail()
@@ -118,24 +118,24 @@
 
     async def dial(self, address: str) -> None:
         """Connect, within the proxy's timeout."""
-        f, (name, _, port) = self.proxy, address.rpartition(":")
+        proxy, (name, _, port) = self.proxy, address.rpartition(":")
         try:
-            async with asyncio.timeout(f.rules.dial_timeout / 1000.0):
-                if f.net.delay_ms(f.zone, self.zone) is None:
+            async with asyncio.timeout(proxy.rules.dial_timeout / 1000.0):
+                if proxy.net.delay_ms(proxy.zone, self.zone) is None:
                     await asyncio.sleep(3600)
                 await asyncio.get_running_loop().create_connection(lambda: self, name, int(port))
         except (OSError, TimeoutError):
             self.fail()
 
 
-def pick_host(f: Proxy, t: Attempt, lines: list[tuple[int, float]]) -> int:
+def pick_host(proxy: Proxy, t: Attempt, lines: list[tuple[int, float]]) -> int:
     """Choose a host by the proxy's load balancing policy. lines: usable hosts and weights."""
     if len(lines) == 1:
         return lines[0][0]
-    if f.rules.pick == "rotate":
-        return lines[next(f.turns) % len(lines)][0]
-    first = at(lines, f.draw(t.inv, t.attempt, t.again, 1))
-    if f.rules.pick == "random":
+    if proxy.rules.pick == "rotate":
+        return lines[next(proxy.turns) % len(lines)][0]
+    first = at(lines, proxy.draw(t.inv, t.attempt, t.again, 1))
+    if proxy.rules.pick == "random":
         return first
-    second = at(lines, f.draw(t.inv, t.attempt, t.again, 2))
-    return second if f.outstanding[second] < f.outstanding[first] else first
+    second = at(lines, proxy.draw(t.inv, t.attempt, t.again, 2))
+    return second if proxy.outstanding[second] < proxy.outstanding[first] else first
--- a/corallanding/lab/pinned.py
+++ b/corallanding/lab/pinned.py
@@ -52,13 +52,13 @@
 
     def query(self, run: str, k: int) -> None:
         """Query controller `k`, or the next one that is joined; query another one if no response arrives."""
-        f = self.proxy
-        if f.down or not any(not t.ended for t in self.waiting.get(run, [])):
+        proxy = self.proxy
+        if proxy.down or not any(not t.ended for t in self.waiting.get(run, [])):
             self.waiting.pop(run, None)
             return
-        count, number = len(f.links.links), next(self.numbers)
+        count, number = len(proxy.links.links), next(self.numbers)
         for step in range(count):
-            if f.links.send((k + step) % count, frames.RunQuery(number, run, "lab")):
+            if proxy.links.send((k + step) % count, frames.RunQuery(number, run, "lab")):
                 k = (k + step) % count
                 break
         self.pending_queries[number] = run
--- a/corallanding/lab/run_clients.py
+++ b/corallanding/lab/run_clients.py
@@ -55,7 +55,9 @@
             await asyncio.sleep(max(0.0, at - clock()) / 1000.0)
             n += 1
             gaps = [float(g) for g in self.chance.exponential(self.spec.gap_ms, len(self.spec.steps))]
-            proxy_numbers = [int(f) for f in self.chance.integers(0, len(self.proxies), len(self.spec.steps) + 1)]
+            proxy_numbers = [
+                int(proxy) for proxy in self.chance.integers(0, len(self.proxies), len(self.spec.steps) + 1)
+            ]
             slice, twice = int(self.chance.integers(0, self.slices)), bool(self.chance.random() < self.spec.twice)
             tasks.add(asyncio.create_task(self.run_steps(f"run-{n}", slice, gaps, proxy_numbers, twice)))
         await asyncio.gather(*tasks)
@@ -79,9 +81,11 @@
         status, attempt = "errored", 0
         while (left := begun + request_class.timeout - clock()) > 1.0 and attempt < 12:
             response: asyncio.Future[str] = asyncio.get_running_loop().create_future()
-            f = self.proxies[(proxy_number + attempt) % len(self.proxies)]
+            proxy = self.proxies[(proxy_number + attempt) % len(self.proxies)]
             until = clock() + min(left, request_class.timeout * 0.8)
-            f.invoke(Attempt(inv, attempt, operation, slice, request_class.work, until, response.set_result, run=run))
+            proxy.invoke(
+                Attempt(inv, attempt, operation, slice, request_class.work, until, response.set_result, run=run)
+            )
             status = await response
             if status != "rate-limited" and not (request_class.idempotent and status in ("errored", "timed-out")):
                 break
--- a/corallanding/lab/steward_link.py
+++ b/corallanding/lab/steward_link.py
@@ -29,36 +29,40 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         transport = cast(asyncio.Transport, transport)
         self.transport = transport
-        f = self.proxy
-        controller = f.state.controllers[self.k]
+        proxy = self.proxy
+        controller = proxy.state.controllers[self.k]
         hello = frames.Hello(
             frames.PROTOCOL_VERSION,
-            f.number,
-            f.session,
-            f.zone,
-            f.rate,
-            not f.state.tables,
+            proxy.number,
+            proxy.session,
+            proxy.zone,
+            proxy.rate,
+            not proxy.state.tables,
             controller.incarnation,
             controller.seq,
-            f.parts,
+            proxy.parts,
         )
         self.send(hello)
 
     def send(self, frame: frames.Frame) -> None:
-        f = self.proxy
-        if self.transport and not self.transport.is_closing() and f.net.delay_ms(f.zone, f.controller_zone) is not None:
+        proxy = self.proxy
+        if (
+            self.transport
+            and not self.transport.is_closing()
+            and proxy.net.delay_ms(proxy.zone, proxy.controller_zone) is not None
+        ):
             self.transport.write(frames.encode(frame))
 
     def data_received(self, data: bytes) -> None:
-        f = self.proxy
-        if f.net.delay_ms(f.controller_zone, f.zone) is None:
+        proxy = self.proxy
+        if proxy.net.delay_ms(proxy.controller_zone, proxy.zone) is None:
             return  # dropped by the partition, after which the stream is unusable
         for frame in self.reader.feed(data):
             self.last_received = clock()
             if isinstance(frame, frames.Orders | frames.Tables):
-                f.observer.record("frame", msgspec.to_builtins(frame), self.k)
+                proxy.observer.record("frame", msgspec.to_builtins(frame), self.k)
             # Messages are delayed but keep their order; timers alone would reorder those due at the same time.
-            delay = float(f.delay_random.exponential(f.rules.transit)) if f.rules.transit else 0.0
+            delay = float(proxy.delay_random.exponential(proxy.rules.transit)) if proxy.rules.transit else 0.0
             self.next_delivery = max(self.next_delivery, clock() + delay)
             self.incoming.append((self.next_delivery, frame))
         self.deliver()
@@ -100,22 +104,22 @@
 
     async def run(self) -> None:
         """Connect to each controller until the proxy stops; abort links without traffic for too long."""
-        f = self.proxy
-        while not f.stopped:
-            await asyncio.sleep(f.rules.redial * float(f.chance.uniform(0.7, 1.3)) / 1000.0)
+        proxy = self.proxy
+        while not proxy.stopped:
+            await asyncio.sleep(proxy.rules.redial * float(proxy.chance.uniform(0.7, 1.3)) / 1000.0)
             for k, link in enumerate(self.links):
                 if link and link.transport:
                     if clock() - link.last_received > self.silence_timeout_ms:
                         link.transport.abort()
-                elif not (f.cut_off or f.down or f.stalled):
+                elif not (proxy.cut_off or proxy.down or proxy.stalled):
                     await self.dial(k)
 
     async def dial(self, k: int) -> None:
         """Connect to controller `k`, within a second."""
-        f = self.proxy
-        if f.net.delay_ms(f.zone, f.controller_zone) is None:
+        proxy = self.proxy
+        if proxy.net.delay_ms(proxy.zone, proxy.controller_zone) is None:
             return
-        loop, link = asyncio.get_running_loop(), ControllerLink(f, k)
+        loop, link = asyncio.get_running_loop(), ControllerLink(proxy, k)
         self.links[k] = link
         try:
             await asyncio.wait_for(loop.create_connection(lambda: link, *self.addresses[k]), 1.0)
@@ -124,25 +128,25 @@
 
     async def report(self) -> None:
         """Send heartbeats and usage reports until the proxy stops."""
-        f, last_heartbeat = self.proxy, 0.0
-        while not f.stopped:
+        proxy, last_heartbeat = self.proxy, 0.0
+        while not proxy.stopped:
             await asyncio.sleep(min(self.report_interval_ms, self.heartbeat_ms) / 2000.0)
-            if f.stalled or not f.joined:
+            if proxy.stalled or not proxy.joined:
                 continue
             if clock() - last_heartbeat >= self.heartbeat_ms:
                 last_heartbeat = clock()
                 for link in self.links:
-                    if link and f.state.controllers[link.k].joined:
+                    if link and proxy.state.controllers[link.k].joined:
                         link.send(frames.Heartbeat(last_heartbeat))
-            if clock() - f.sums.window_start >= self.report_interval_ms:
-                f.sums.send()
+            if clock() - proxy.sums.window_start >= self.report_interval_ms:
+                proxy.sums.send()
 
     def on_message(self, link: ControllerLink, frame: Any) -> None:
         """Apply a frame, unless its link has been replaced."""
-        f = self.proxy
+        proxy = self.proxy
         if self.links[link.k] is not link:
             return
-        k, controller = link.k, f.state.controllers[link.k]
+        k, controller = link.k, proxy.state.controllers[link.k]
         match frame:
             case frames.Welcome():
                 controller.next_incarnation = frame.start_number
@@ -154,38 +158,38 @@
                 if controller.joined:
                     # A new process took over from the controller: the proxy's state belongs to its incarnation.
                     controller.incarnation = frame.start_number
-                    f.jobs.on_link_lost(k)  # the new process does not know the queued jobs
+                    proxy.jobs.on_link_lost(k)  # the new process does not know the queued jobs
             case frames.Tables():
-                f.state.apply_tables(k, frame)
+                proxy.state.apply_tables(k, frame)
                 if not frame.only_slices:
-                    f.observer.record("joined", controller.incarnation, k)
+                    proxy.observer.record("joined", controller.incarnation, k)
                 self.on_applied(link, frame.seq, frame.version)
             case frames.Orders():
-                f.state.apply_orders(k, frame)
+                proxy.state.apply_orders(k, frame)
                 self.on_applied(link, frame.seq, frame.version)
             case frames.HeldTablesRequest():
-                tables = [(t, list(lines.items())) for t, lines in f.state.tables.items()]
+                tables = [(t, list(lines.items())) for t, lines in proxy.state.tables.items()]
                 link.send(frames.HeldTables(controller.incarnation, controller.seq, tables))
             case frames.RunVersions() | frames.RunRoutes():
-                f.pinned.on_message(k, frame)
+                proxy.pinned.on_message(k, frame)
             case frames.JobAdmission() | frames.JobRelease():
-                f.jobs.on_message(k, frame)
+                proxy.jobs.on_message(k, frame)
 
     def on_applied(self, link: ControllerLink, seq: int, version: int) -> None:
         """Record and acknowledge an applied message."""
-        f = self.proxy
-        f.state.controllers[link.k].seq = seq
-        f.observer.record("applied", seq, link.k)
+        proxy = self.proxy
+        proxy.state.controllers[link.k].seq = seq
+        proxy.observer.record("applied", seq, link.k)
         if version >= 0:
             link.send(frames.Ack(version))
-        f.retry_parked()
+        proxy.retry_parked()
 
     def on_link_lost(self, link: ControllerLink) -> None:
         """Mark the controller as not joined and submit its jobs elsewhere."""
-        f = self.proxy
+        proxy = self.proxy
         if self.links[link.k] is link:
             self.links[link.k] = None
-            if f.state.controllers[link.k].joined:
-                f.state.controllers[link.k].joined = False
-                f.observer.record("left", link.k)
-            f.jobs.on_link_lost(link.k)
+            if proxy.state.controllers[link.k].joined:
+                proxy.state.controllers[link.k].joined = False
+                proxy.observer.record("left", link.k)
+            proxy.jobs.on_link_lost(link.k)
--- a/corallanding/lab/sums.py
+++ b/corallanding/lab/sums.py
@@ -51,17 +51,17 @@
 
     def send(self) -> None:
         """Send each controller the counts of its slices and start a new window."""
-        f, span = self.proxy, clock() - self.window_start
+        proxy, span = self.proxy, clock() - self.window_start
         by_host, by_slice = self.hosts, self.slices
         self.hosts, self.slices, self.window_start = {}, {}, clock()
-        late = f.rules.report_late * float(f.chance.uniform(0.3, 1.7))
-        for link in f.links.links:
-            if link is None or not f.state.controllers[link.k].joined:
+        late = proxy.rules.report_late * float(proxy.chance.uniform(0.3, 1.7))
+        for link in proxy.links.links:
+            if link is None or not proxy.state.controllers[link.k].joined:
                 continue
             hosts = [
                 (h, int(n), int(bad), good / max(n - bad, 1))
                 for (k, h), (n, bad, good) in by_host.items()
                 if k == link.k
             ]
-            slices = [(s, o, n, bad) for (s, o), (n, bad) in by_slice.items() if f.state.owner.get(s, 0) == link.k]
+            slices = [(s, o, n, bad) for (s, o), (n, bad) in by_slice.items() if proxy.state.owner.get(s, 0) == link.k]
             asyncio.get_running_loop().call_later(late / 1000.0, link.send, frames.UsageReport(span, hosts, slices))
--- a/corallanding/lab/wait_clients.py
+++ b/corallanding/lab/wait_clients.py
@@ -59,7 +59,7 @@
             number += 1
             chance = self.chance
             operation, slice = int(chance.choice(self.spec.operations)), int(chance.integers(0, self.slices))
-            proxy_numbers = [int(f) for f in chance.permutation(len(self.proxies))]
+            proxy_numbers = [int(proxy) for proxy in chance.permutation(len(self.proxies))]
             again, gap_ms = bool(chance.random() < self.spec.again), float(chance.exponential(self.spec.gap_ms))
             run = f"job-run-{number}" if chance.random() < self.spec.runs else ""
             self.observer.record("job", number, operation, bool(run))
@@ -71,9 +71,9 @@
             await asyncio.sleep(0.05)
         for task in list(self.tasks):
             task.cancel()
-        for f in self.proxies:
-            for number in f.jobs.jobs:
-                self.observer.record("still", number, f.number)
+        for proxy in self.proxies:
+            for number in proxy.jobs.jobs:
+                self.observer.record("still", number, proxy.number)
 
     async def submit_job(
         self, number: int, operation: int, slice: int, proxy_numbers: list[int], again: bool, gap_ms: float, run: str
@@ -93,7 +93,7 @@
 
     async def submit(self, number: int, attempt: int, operation: int, slice: int, proxy_number: int, run: str) -> None:
         """Submit a job through one proxy and wait for its result."""
-        request_class, f = self.operations[operation], self.proxies[proxy_number]
+        request_class, proxy = self.operations[operation], self.proxies[proxy_number]
         done: asyncio.Future[str] = asyncio.get_running_loop().create_future()
 
         def on_end(status: str) -> None:
@@ -106,5 +106,5 @@
             )
 
         idempotency_key = f"fp-{number}" if operation in self.spec.with_idempotency_key else ""
-        f.jobs.submit(Job(number, operation, clock(), idempotency_key, send, on_end, run))
+        proxy.jobs.submit(Job(number, operation, clock(), idempotency_key, send, on_end, run))
         self.observer.record("ended", number, attempt, await done)
--- a/corallanding/lab/waits.py
+++ b/corallanding/lab/waits.py
@@ -55,18 +55,20 @@
 
     def hand_over(self, job: Job) -> None:
         """Submit the ticket to a joined controller, chosen by the job's number; retry later if there is none."""
-        f = self.proxy
-        if self.jobs.get(job.number) is not job or job.controller_number >= 0 or f.down:
+        proxy = self.proxy
+        if self.jobs.get(job.number) is not job or job.controller_number >= 0 or proxy.down:
             return
-        joined = [k for k, controller in enumerate(f.state.controllers) if controller.joined and f.links.links[k]]
-        if job.run and job.run in f.pinned.pins:
-            job.set = f.pinned.pins[job.run][0]
+        joined = [
+            k for k, controller in enumerate(proxy.state.controllers) if controller.joined and proxy.links.links[k]
+        ]
+        if job.run and job.run in proxy.pinned.pins:
+            job.set = proxy.pinned.pins[job.run][0]
         waited = clock() - job.received_at
-        if f.stalled or not joined:
+        if proxy.stalled or not joined:
             asyncio.get_running_loop().call_later(0.2, self.hand_over, job)
             return
-        job.controller_number = joined[(job.number + f.number) % len(joined)]
-        f.links.send(
+        job.controller_number = joined[(job.number + proxy.number) % len(joined)]
+        proxy.links.send(
             job.controller_number, frames.JobSubmission(job.number, job.operation, waited, job.fingerprint, job.set)
         )
         asyncio.get_running_loop().call_later(1.5, self.on_admission_timeout, job, job.controller_number)
@@ -91,23 +93,23 @@
         job = self.jobs.get(frame.ticket)
         if job is None or job.controller_number != k:
             return
-        f = self.proxy
+        proxy = self.proxy
         if isinstance(frame, frames.JobRelease):
-            f.observer.record("went" if frame.outcome == "go" else "twin", job.number, k)
+            proxy.observer.record("went" if frame.outcome == "go" else "twin", job.number, k)
             del self.jobs[job.number]
             if frame.outcome == "go":
-                f.invoke(job.send())
+                proxy.invoke(job.send())
             else:
                 job.done("twin")
         elif frame.outcome == "waiting":
             if not job.is_admitted:
                 job.is_admitted = True
-                f.observer.record("held", job.number, k, frame.max_wait_ms)
+                proxy.observer.record("held", job.number, k, frame.max_wait_ms)
         elif frame.outcome == "not-now":
             job.controller_number = -1
             asyncio.get_running_loop().call_later(0.2, self.hand_over, job)
         else:
-            f.observer.record("not-taken", job.number, frame.outcome)
+            proxy.observer.record("not-taken", job.number, frame.outcome)
             del self.jobs[job.number]
             job.done(frame.outcome)
 
