--- a/corallanding/controller/active_recording.py
+++ b/corallanding/controller/active_recording.py
@@ -1,4 +1,4 @@
-"""The recording of all decision steps that the command line requests."""
+"""The recording of decision steps, if the command line requests one (`--record`)."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ActiveRecording:
-    """Writes every step to a file until its size limit is reached; does nothing if no recording was requested."""
+    """Writes every decision step to a file until it reaches `record.most_mb`; does nothing if none was requested."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
@@ -21,18 +21,22 @@
 
     @property
     def position(self) -> tuple[str, int] | None:
-        """Return the path and size in bytes of the recording; None if nothing is recorded."""
+        """Return the path and the size in bytes, at which a successor continues; None if nothing is recorded."""
         return (str(self._recorder.path), self._recorder.written_bytes) if self._recorder else None
 
     def start(self, path: str, seed: int, *, is_restored: bool) -> None:
-        """Start a recording. is_restored: the assigner continues from a restored state. Raises OSError."""
+        """Start a recording at `path`. Raises OSError.
+
+        is_restored: the assigner's state was restored from a snapshot, so the recording is not that of a complete run.
+        """
         self._recorder = Recorder(
             path, self._context.settings, seed, self._max_bytes, starts_after_snapshot=is_restored
         )
 
     def resume(self, path: str, offset: int) -> None:
-        """Continue the predecessor process's recording at `offset` bytes."""
+        """Continue the predecessor process's recording at `offset` bytes; log the error if that fails."""
         try:
+            # The seed 0 is not used: it belongs to the header, which the predecessor has written.
             self._recorder = Recorder(path, self._context.settings, 0, self._max_bytes, resume_at=offset)
         except OSError as error:
             log.error("recording ended", why=str(error))
@@ -46,13 +50,13 @@
             self.end(self._recorder.stop_reason)
 
     def end(self, why: str) -> None:
-        """Stop recording, and log why."""
+        """End the recording while the controller runs on, and log the reason as an error: the rest is missing."""
         if self._recorder:
             log.error("recording ended", why=why)
             self.stop()
             self._recorder = None
 
     def stop(self) -> None:
-        """Close the file."""
+        """Close the file, for instance when the controller exits."""
         if self._recorder:
             self._recorder.close()
--- a/corallanding/controller/engine.py
+++ b/corallanding/controller/engine.py
@@ -1,8 +1,8 @@
-"""Core of a controller: passes events to the assigner, returns writes and messages. Has no I/O and no clock.
+"""Core of a controller: passes events to the assigner, returns writes and outputs. Has no I/O and no clock.
 
-A step has two halves, so that nothing is sent before it is stored: `decide` returns what the store must write, and
-`publish`, which receives whether the store wrote it, returns the messages and all other outputs. The assigner makes
-all decisions.
+A step has two halves, so that the store is written before anything is sent: `decide` returns what to write, and
+`publish` returns the outputs: messages to proxies and peers, health checks, host list requests and log notes. If the
+write fails, the outputs are sent all the same (see `publish`). The assigner makes all decisions.
 """
 
 from __future__ import annotations
@@ -18,15 +18,17 @@
 from .publisher import Publisher, TableChanges
 from .step_outputs import MAX_PEER_PAYLOAD_BYTES, CheckHost, Output, SendFrame, StoreWrites
 
-USAGE_INTERVALS_PER_REPORT = 8  # times per report interval that usage is forwarded and delayed timers are checked
-MESSAGE_NUMBER_GAP = 1_000  # message numbers skipped for messages of another process that wrote to the store
+# Times per report interval that usage is passed to the assigner and delayed timers are checked.
+USAGE_INTERVALS_PER_REPORT = 8
+# Message numbers skipped above the stored one: another process may have sent more messages than it recorded there.
+MESSAGE_NUMBER_GAP = 1_000
 
 
 class Engine(EventIntake):
     """Runs the assigner step by step.
 
-    `addresses` maps a host to "ip:port" and is shared with the host list; `decider` creates the assigner from
-    the settings and the seed.
+    `addresses` maps a host to "ip:port"; the host list updates it in place. `decider` creates the assigner from the
+    settings and the seed. `deferrable_timer` is the number of the assigner's timer that overload may delay, if any.
     """
 
     def __init__(
@@ -43,7 +45,7 @@
         self.deferrable_timer: int | None = getattr(self.assigner, "deferrable_timer", None)
         self.overload = OverloadDetector(overload or OverloadLimits())
         self.usage_due_at = 0.0
-        self.is_store_backing_off = False  # set by the owner while it backs off from a failing store
+        self.is_store_backing_off = False  # set by the decision loop while it waits to retry a failed write
         self.discarded_actions = 0  # actions for slices that this controller does not own
         self.outputs: list[Output] = []  # outputs of the step that is not published yet
         self._changes = TableChanges()  # changes of the step that is being decided
@@ -63,11 +65,11 @@
         }
 
     def _forward_action(self, output: Output) -> None:
-        """Forward an action unchanged."""
+        """Add an action to the outputs unchanged."""
         self.outputs.append(output)
 
     def next_at(self, now_ms: float) -> float | None:
-        """Return when the next step is due without further events, ms; None if only an event makes one due."""
+        """Return the time at which the next step is due, ms; None if no step is due until an event arrives."""
         due_times_ms = [self.timers[0][0]] if self.timers else []
         if self.pending_events or self.outputs or self._should_save():
             due_times_ms.append(now_ms)
@@ -80,7 +82,7 @@
         return bool(self.unsaved_tables or self.unsaved_resets) and not self.is_store_backing_off
 
     def decide(self, now_ms: float) -> StoreWrites:
-        """Run the assigner on all events up to `now_ms`; return what must be stored before `publish`."""
+        """Run the assigner on all pending events and the timers due at `now_ms`; return what to store first."""
         now_ms = max(now_ms, self.now)  # the assigner's time never decreases, even if the clock does
         self.now = now_ms
         self.fire_due_timers(now_ms)
@@ -99,7 +101,7 @@
         return self.settings.report_interval_ms / USAGE_INTERVALS_PER_REPORT
 
     def timer_delay(self, now_ms: float, timer: int) -> float | None:
-        """Return how long to delay the assigner's deferrable timer while the controller is overloaded, ms."""
+        """Return how long to delay a due timer because of overload, ms; None if it fires now."""
         is_delayed = timer == self.deferrable_timer and self.overload.should_delay(now_ms, timer)
         return self._usage_interval_ms() if is_delayed else None
 
@@ -121,7 +123,7 @@
             self.unsaved_tables.setdefault(table, {})[host] = weight
 
     def _send_ownership_changes(self) -> None:
-        """Send proxies the slices gained and lost: one message each, even after taking over hundreds of slices."""
+        """Send proxies one message with all lost slices and one with all gained ones, which may be hundreds."""
         proxies = tuple(self.proxy_zones)
         if self.lost_slices and proxies:
             self.outputs.append(self.publisher.lost_slices_message(sorted(self.lost_slices), proxies))
@@ -154,7 +156,7 @@
         if weight <= 0:
             weights.pop(host, None)
             return
-        if self.settings.has_sole_owner:
+        if self.settings.has_sole_owner:  # a table has exactly one host
             weights.clear()
         weights[host] = weight
 
@@ -193,9 +195,11 @@
         self.start_timer(self.now + action.delay_ms, action.timer)
 
     def _on_check_health(self, action: api.CheckHealth) -> None:
+        # With an empty address the host counts as unreachable: the host list has no address for it.
         self.outputs.append(CheckHost(action.host, self.publisher.addresses.get(action.host, "")))
 
     def _on_send_to_peer(self, action: api.SendToPeer) -> None:
+        # A longer payload is truncated: the transport of the receiver would drop it.
         self.outputs.append(api.SendToPeer(action.peer, action.payload[:MAX_PEER_PAYLOAD_BYTES]))
 
     def reconcile(self, now_ms: float, stored: StoreContents) -> None:
@@ -220,8 +224,8 @@
     def on_writes_fenced(self) -> None:
         """Replace the step's messages after its writes were rejected because another controller owns one of the slices.
 
-        No message of the step may be sent. Proxies receive the tables of the slices that are still owned instead; the
-        step's version is never acknowledged, and the assigner stops waiting for it after a timeout.
+        No message of the step may be sent. Proxies receive the changed tables of the slices still owned instead. The
+        step's version is not sent, so no ack arrives, and the assigner stops waiting for it after a timeout.
         """
         self.outputs = [output for output in self.outputs if not isinstance(output, SendFrame)]
         affected = sorted(table for table in self.unsaved_tables if table in self.owned_slices)
@@ -232,8 +236,8 @@
         """Return the outputs of the step; `stored` is whether the store wrote its tables.
 
         Outputs are sent even if the store failed: a draining host must not wait for a disk. Unsaved entries are written
-        with the next step that finds the store working. If the process exits before that, its successor recalls the
-        tables from the proxies (`needs_recall`).
+        with the next step that finds the store working. If the process exits before that, its successor requests the
+        tables from the proxies (see `EventIntake.needs_recall`).
         """
         if stored:
             self.unsaved_tables = {}
--- a/corallanding/controller/registry_slices.py
+++ b/corallanding/controller/registry_slices.py
@@ -1,4 +1,4 @@
-"""Ownership of slices, and leadership, by leases in the registry, if the configuration says so."""
+"""Leases in the registry: of slices, and of the leadership of the election for quotas and tasks. Both are optional."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
 
 
 class LeadershipLogger:
-    """Logs whether this controller holds the leader's lease; other code queries the lease itself."""
+    """Logs whether this controller holds the leader's lease; the election reads it from the store's ownership state.
+
+    The leader's lease is stored like that of a slice, under its own prefix: its only slice, 0, has no table.
+    """
 
     def __init__(self, on_failure: Callable[[str], None]) -> None:
         self.on_failure = on_failure
@@ -34,9 +37,10 @@
 
 
 class RegistrySlices:
-    """The slices that this controller owns by leases in the registry; `table_store` is None if none are used.
+    """The slices that this controller owns by leases in the registry.
 
-    dial_registry: returns a function that opens connections. request_step: requests a decision step.
+    table_store: leases the slices; None if the configuration assigns them without the registry. dial_registry: returns
+    a function that opens connections. request_step: requests a decision step.
     """
 
     def __init__(
@@ -54,7 +58,7 @@
         self.table_store: TableStore | None = None
 
     def start(self, slices: range) -> None:
-        """Start to acquire leases, if the configuration shares slices through the registry."""
+        """Start to acquire leases, if the configuration divides slices by the registry (`charge`)."""
         block = self._context.config.registry
         if not block or not block.charge:
             return
@@ -64,7 +68,10 @@
         self.table_store.start()
 
     def leadership_store(self) -> TableStore | None:
-        """Return a store, not started, for the leader's lease; None if the registry does not hold that lease."""
+        """Return a store, not started, for the leader's lease; None if the leader is elected by votes instead.
+
+        The lease has its own prefix below that of the slices.
+        """
         block = self._context.config.registry
         if not block or self._context.config.budgets.office != "registry":
             return None
@@ -72,7 +79,10 @@
         return self._make_table_store(block, f"{block.base}office/", range(1), listener, random.SystemRandom())
 
     async def retire(self) -> None:
-        """Release the slices to other controllers; return once that is done or the configured time is over."""
+        """Release the slices to other controllers; return once that is done, or after `retire_within_ms`.
+
+        Slices that are not released by then become free when their lease expires.
+        """
         block = self._context.config.registry
         if not self.table_store or not block:
             return
@@ -84,8 +94,9 @@
             await asyncio.sleep(RETIRE_POLL_S)
 
     def stop(self) -> None:
-        """Close the connection; the leases expire."""
+        """Close the connection. Leases that `retire` has not released expire."""
         if self.table_store:
+            # The event loop keeps only weak references to tasks.
             self._stopping = asyncio.get_running_loop().create_task(self.table_store.stop())
 
     # ---- events from the table store (`registry.table_store.SliceListener`) --------------------------------------
@@ -111,6 +122,7 @@
         from ..registry.table_store import TableStore, TableStoreConfig
         from ..registry.watch_messages import WatchLimits
 
+        # Minimum and maximum backoff in ms, full reads per minute, keys per page.
         limits = WatchLimits(block.wait_ms, block.wait_most_ms, block.reads_per_min, block.page)
         controller = self._context.config.steward.number
         config = TableStoreConfig(base, controller, slices, OwnershipTimings(block.lease_ms), limits)
--- a/corallanding/controller/store_release.py
+++ b/corallanding/controller/store_release.py
@@ -1,4 +1,4 @@
-"""Releases the store and other files to another process, and reopens them if a handover fails."""
+"""Releases the store, host list and record files to a new process, and reopens them if the handover fails."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 class StoreRelease:
-    """Ensures that only one process at a time has the store open; this process is paused while its store is closed."""
+    """Closes and reopens the files of this controller during a handover to a new process.
+
+    Only one process at a time has the store open. This process neither sends nor receives while its store is closed.
+    """
 
     def __init__(
         self,
@@ -38,7 +41,7 @@
         self._recording = recording
 
     def release(self) -> None:
-        """Save unsaved changes and close all files."""
+        """Save the host list, and close the store and the files of the records. The recording stays open."""
         self._host_sources.save()
         self._persistence.release()
         if self._peers.cluster:
@@ -47,8 +50,8 @@
     def reopen_and_resume(self) -> None:
         """Reopen the files after a failed handover, and resume.
 
-        Opening the store is retried later if it fails, for instance on a full disk; tables are published unsaved until
-        then. Raises StoreLockedError if another controller holds the store.
+        If the store cannot be opened, for instance on a full disk, `TablePersistence` retries with backoff; until then
+        tables are published without being stored. Raises StoreLockedError if another process holds the store.
         """
         if not self._persistence.is_released:
             self._pause_control.resume()
@@ -62,15 +65,17 @@
         except StoreError as error:
             log.error("the store cannot be reopened; tables are published unsaved", why=str(error))
             self._persistence.on_failure(self._context.clock(), str(error), 1)
-            self._pause_control.resume(is_stale=True)  # what the new process did is unknown
+            # It is unknown whether the new process has sent tables, so all proxies receive their tables again.
+            self._pause_control.resume(is_stale=True)
             return
         was_opened_elsewhere = self._persistence.on_store_reopened(contents)
         if was_opened_elsewhere:
-            # The new process opened the store, and may have sent and saved orders before it was killed.
+            # Before the new process was killed, it may have sent table changes to proxies and stored them.
             log.warning(
                 "the new process was active before it failed; tables are reloaded", start_number=contents.start_number
             )
             self._recording.end("the new process may have written to the recording")
             self._engine.reconcile(self._context.clock(), contents)
         self._pause_control.resume(is_stale=was_opened_elsewhere)
+        # Opening the store has increased the start number, also if no other process opened it.
         self._proxy_admission.greet_all()
--- a/corallanding/quota/quota_allocator.py
+++ b/corallanding/quota/quota_allocator.py
@@ -132,7 +132,7 @@
         return self.started_at_ms
 
     def _ledger_for(self, now_ms: float, key: BudgetKey, client: ClientId) -> Ledger | None:
-        """Return the ledger of the key, with capacity for the client; None if a bound is reached."""
+        """Return the ledger of the key, which has or can take an entry for the client; None if a bound is reached."""
         ledger = self.ledgers.get(key)
         if ledger is None:
             if len(self.ledgers) >= self.limits.max_accounts:
--- a/corallanding/wire/frames.py
+++ b/corallanding/wire/frames.py
@@ -1,7 +1,8 @@
 """Frames between a proxy and a controller. `docs/protocol.md` specifies the protocol.
 
-Times are in milliseconds; hosts, slices and request classes are identified by the controller's numbers. The tags and
-the order of the fields are the wire format; names of classes and fields are not part of it.
+Times are in milliseconds. Hosts, slices and request classes are identified by the numbers of the host list and of the
+controllers' configuration. The tags and the order of the fields are the wire format; names of classes and fields are
+not part of it. `version` is the version of the protocol in `Hello` and `Welcome`, that of the tables in other frames.
 """
 
 from __future__ import annotations
@@ -67,9 +68,10 @@
 class Hello(Frame, tag="hello"):
     """First frame of a link.
 
-    session: identifies the proxy's process. is_fresh: the proxy has no table of this controller. start_number, seq: of
-    the newest message of this controller that the proxy applied. features: bit mask of optional features: 1 workflow
-    runs, 2 jobs that may wait.
+    session: identifies the proxy's process; a restarted proxy sends another one. zone: number of the proxy's zone.
+    requests_per_second: the proxy's rate of requests. is_fresh: the proxy has no table of this controller.
+    start_number, seq: the newest message that the proxy applied: number of the controller's start that sent it, and
+    sequence number within that start. features: bit mask of optional features: 1 workflow runs, 2 queued jobs.
     """
 
     version: int
@@ -84,7 +86,7 @@
 
 
 class Ack(Frame, tag="ack"):
-    """Confirms that the message with this version, and all earlier ones, are applied."""
+    """Confirms that the message with this table version, and all earlier ones, are applied."""
 
     version: ShortNumber
 
@@ -92,8 +94,9 @@
 class UsageReport(Frame, tag="sums"):
     """Counts of the proxy over the last `span_ms`.
 
-    hosts: [host, attempts, failed, mean latency in ms of the successful ones]; slices: [slice, request class, requests,
-    unanswered]; request_classes (sites without slices): [request class, requests, unanswered].
+    hosts: [host, attempts, failed attempts, mean latency in ms of the successful ones]; a retry is a further attempt of
+    the same request. slices: [slice, request class, requests, requests without a successful attempt]. request_classes
+    (sites without slices): as `slices`, without the slice.
     """
 
     span_ms: Annotated[float, msgspec.Meta(gt=0.0, le=1e9)]
@@ -103,7 +106,10 @@
 
 
 class HeldTables(Frame, tag="held"):
-    """Response to a `HeldTablesRequest`: the proxy's tables as of message `seq` of the start `start_number`."""
+    """Response to a `HeldTablesRequest`: the proxy's tables.
+
+    start_number, seq: the newest message that they include, as in `Hello`. tables: [table, [[host, weight], ...]].
+    """
 
     start_number: Number
     seq: SequenceNumber
@@ -115,7 +121,10 @@
 
 
 class Heartbeat(Frame, tag="beat"):
-    """Heartbeat, from either side. The response of the proxy repeats `sent_at_ms`."""
+    """Heartbeat, from either side.
+
+    sent_at_ms: send time on the sender's clock. A proxy's response to a heartbeat repeats the `sent_at_ms` of that one.
+    """
 
     sent_at_ms: float = 0.0
 
@@ -124,7 +133,12 @@
 
 
 class Welcome(Frame, tag="welcome"):
-    """Response to a hello: the controller's number, its start number, and the intervals that the proxy must use."""
+    """Response to a hello.
+
+    start_number: increases each time the controller opens its store. heartbeat_interval_ms: time between heartbeats of
+    each side. silence_timeout_ms: a connection on which nothing arrives for so long is closed. report_interval_ms: time
+    between usage reports of the proxy. slice_count: number of slices of the site; 0 at sites without slices.
+    """
 
     version: int
     controller: int
@@ -136,15 +150,21 @@
 
 
 LevelRow = tuple[int, int, float, int]
-"""Admission level: table (65535: all), bit mask of the request classes (0: all), amount, retry mode."""
+"""Admission level: table, bit mask of the request classes (0: all), amount to admit, retry mode.
+
+A table number is the number of a slice, or of an assigned table at sites without slices; 65535 means all tables. The
+amount is a fraction of requests or requests per second, depending on `Settings.admission`. Retry modes: `RetryMode`.
+"""
 
 
 class Tables(Frame, tag="tables"):
-    """The stored tables: replaces everything that the proxy has from this controller, including cordons.
+    """The published tables of this controller: all of them after a join, or those of some slices.
 
-    tables: [table, [[host, weight], ...]] for each table that this controller owns; it owns no others. addresses: host
-    to "ip:port" for every host mentioned. assigned_tables (sites without slices): [table, bit mask of the request
-    classes]. only_slices: if not empty, only these slices are replaced and the proxy keeps all others.
+    If `only_slices` is empty, the message replaces everything that the proxy has from this controller, including levels
+    and cordons, and the controller owns no other tables. Else it replaces only the tables of these slices, and the
+    proxy keeps the rest. tables: [table, [[host, weight], ...]]. cordons: hosts that receive no requests. addresses:
+    host to "ip:port" for every host in `tables`. assigned_tables (sites without slices): [table, bit mask of the
+    request classes]. version: as in `Orders`.
     """
 
     seq: int
@@ -158,11 +178,11 @@
 
 
 class Orders(Frame, tag="orders"):
-    """Table changes of one decision step: one message per proxy, applied in the order of the fields.
+    """Changes of the tables, for instance those of one decision step; applied in the order of the fields.
 
     version: the number to acknowledge, or -1. reset_tables: tables to clear first. lines: [table, host, weight]; weight
-    0 removes the line. addresses: "ip:port" of every host in a line with a weight above 0. withdrawn_slices: slices
-    that this controller no longer owns.
+    0 removes the line. cordons: [host, whether it is cordoned from now on]. addresses: host to "ip:port", for every
+    host in a line with a weight above 0. withdrawn_slices: slices that this controller no longer owns.
     """
 
     seq: int
@@ -177,12 +197,17 @@
 
 
 class HeldTablesRequest(Frame, tag="recall"):
-    """Sent between welcome and tables: requests the proxy's tables, which are newer than those that the store returned.
-    The proxy responds with `HeldTables` at once."""
+    """Requests the proxy's tables, because they are newer than those that the controller read from its store.
+
+    Sent between `Welcome` and `Tables`, after a start of the controller. The proxy responds with `HeldTables` at once.
+    """
 
 
 class Goodbye(Frame, tag="bye"):
-    """Last frame of a link, from either side: the reason for closing it."""
+    """Last frame of a link, from either side: the reason for closing it.
+
+    code: a value of `CloseCode` if the controller sends it. text: details for people.
+    """
 
     code: Text
     text: Text = ""
@@ -217,7 +242,7 @@
 """Frames that a controller sends."""
 
 controller_decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(ProxyFrame)
-"""Decodes the frames of proxies, for a controller."""
+"""Used by a controller: decodes the frames that proxies send."""
 
 proxy_decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(ControllerFrame)
-"""Decodes the frames of controllers, for a proxy."""
+"""Used by a proxy: decodes the frames that controllers send."""
