--- a/bench/registry.py
+++ b/bench/registry.py
@@ -1,7 +1,11 @@
-"""The registry client under load: `python -m bench.registry`. Results go to bench/results/registry.json.
+"""Controllers and host sources that read a registry, under load: `python -m bench.registry [NAME ...]`.
 
-Three controller processes share 468 slices of 78 hosts for 130 proxies, which are raw connections in this process; the
-registry is the stand-in, also in this process. Times include its own work and that of the 390 connections.
+Measures the delay of changes to proxies, the takeover from a killed controller, the recovery after outages and restarts
+of the registry, and the throughput of changes. Results go to bench/results/registry.json.
+
+For the delay and the takeover, three controller processes divide 468 slices of 78 hosts, for 130 proxies with one
+connection to each controller. These 390 connections, which only join, ack and send heartbeats, and the registry, the
+emulation in `corallanding.lab.registry`, run in this process. The times include the work of both.
 """
 
 from __future__ import annotations
@@ -34,13 +38,16 @@
 from .turns import CONFIG, TableKeepingProxy
 
 HOSTS, PROXIES, SLICES, CONTROLLERS = 78, 130, 468, 3
-# hosts, proxies, slices
+# Hosts, proxies and slices of the large size.
 LARGE = (200, 300, 1200)
 PREFIX = "/corallanding/hosts/"
 
 
 class LineCountingProxy(TableKeepingProxy):
-    """Proxy connection that sends heartbeats; `lines_by_host` counts table lines by host over all connections."""
+    """Proxy connection that sends heartbeats and counts the entries of its tables.
+
+    `lines_by_host`: number of table entries ("lines") by host, over the tables of all connections.
+    """
 
     lines_by_host: Counter[int] = Counter()
 
@@ -76,7 +83,7 @@
 
 
 def host_value(number: int, state: str = "up") -> dict[str, Any]:
-    """Return the registry value of host `number`."""
+    """Return the value of host `number` in the registry; `state` is "up" or "draining"."""
     return {"address": f"127.0.0.1:{20000 + number}", "state": state}
 
 
@@ -107,7 +114,11 @@
 async def measure_fleet(
     host_count: int = HOSTS, proxy_count: int = PROXIES, slice_count: int = SLICES
 ) -> dict[str, Any]:
-    """Return the delay from a change in the registry to all proxies, and the takeover time after a kill."""
+    """Return the delay from draining a host in the registry until no proxy's table has it, and the takeover time.
+
+    The takeover time is that from killing a controller until three sampled proxies have tables of all slices from the
+    others.
+    """
     LineCountingProxy.lines_by_host = Counter()
     registry, rng = Registry(), np.random.default_rng(1)
     await registry.start()
@@ -164,7 +175,7 @@
                             await asyncio.sleep(0.1)
 
             def all_slices_assigned(controller_ids: list[int]) -> bool:
-                """Return whether each slice has a line at three sampled proxies, from any of these controllers."""
+                """Return whether each slice has an entry at three sampled proxies, from any of these controllers."""
                 return all(
                     len(
                         {
@@ -190,6 +201,7 @@
                 await asyncio.sleep(0.3)
             killed_slices = {slice_id for slice_id, row in links[0][0].tables.items() if row}
             processes[0].send_signal(signal.SIGKILL)
+            # The proxies of this benchmark clear the killed controller's tables, so that only new ones count.
             for link in links[0]:
                 for slice_id in list(link.tables):
                     link.set_hosts(slice_id, set())
@@ -252,7 +264,11 @@
 
 
 async def measure_outages() -> list[dict[str, Any]]:
-    """Return the recovery times after registry outages of several lengths, with the history compacted or not."""
+    """Return the times until a host source has the registry's state again, after outages of several lengths.
+
+    Hosts change during each outage. In half of the runs the registry also compacts its history, so that the source
+    cannot resume its watch and reads all hosts.
+    """
     results = []
     for outage_s in (1.0, 10.0, 60.0):
         for compacted in (False, True):
@@ -273,10 +289,10 @@
             recovery_ms = await wait_until(lambda: receiver.states == registry_states(registry))  # noqa: B023
             results.append(
                 {
-                    "break_s": outage_s,
+                    "break_s": outage_s,  # length of the outage
                     "compacted": compacted,
-                    "true_view_after_ms": round(recovery_ms),
-                    "full_reads": registry.store.calls["Range"],
+                    "true_view_after_ms": round(recovery_ms),  # from the end of the outage
+                    "full_reads": registry.store.calls["Range"],  # including the first one
                 }
             )
             host_source.stop()
@@ -285,7 +301,10 @@
 
 
 async def measure_reconnects() -> dict[str, Any]:
-    """Return the recovery time and the requests of 50 sources after a registry restart."""
+    """Return the time until 50 host sources have the registry's state after its restart, and their requests by kind.
+
+    In the results, "stewards" is the number of sources: each controller has one.
+    """
     registry = Registry()
     await registry.start()
     for host_id in range(HOSTS):
@@ -326,7 +345,10 @@
 
 
 async def measure_throughput() -> dict[str, Any]:
-    """Return changes per second through the complete source and through the bare client stream."""
+    """Return changes per second through a host source, and through the watch of the etcd client without a source.
+
+    Medians of three runs; "ratio" is the first divided by the second.
+    """
     rates: dict[str, list[float]] = {"source": [], "bare": []}
     change_count = 20_000
     for _ in range(3):
@@ -356,7 +378,7 @@
             for index in range(change_count):
                 write_change(registry, index)
             begun_at = time.monotonic()
-            registry.store.poke()
+            registry.store.poke()  # send the changes to the watches
             await wait_until(
                 lambda: (receiver.rows - rows_before if kind == "source" else counter.rows) >= change_count  # noqa: B023
             )
@@ -372,7 +394,10 @@
 
 
 def main() -> None:
-    """Run the measurements that are named on the command line, or all, and update registry.json."""
+    """Run the measurements that are named on the command line, or all, and update registry.json.
+
+    "pace": throughput; "stampede": reconnects after a restart; "breaks": outages; "fleet", "large": delay and takeover.
+    """
     os.environ.setdefault("PYTHONPATH", ".")
     results: dict[str, Any] = {"machine": machine()}
     for name, run in (
--- a/corallanding/controller/engine.py
+++ b/corallanding/controller/engine.py
@@ -115,7 +115,7 @@
         changes = self._changes
         self.outputs += self.publisher.step_messages(changes, tuple(self.proxy_zones))
         if changes.weights or changes.resets or changes.cordons or changes.admissions:
-            self.publisher.drop_cached_frame()
+            self.publisher.drop_cached_frame()  # it holds all tables, for proxies that join
         for table in changes.resets:
             self.unsaved_resets.add(table)
             self.unsaved_tables[table] = {}
--- a/corallanding/lab/fleet/commands.py
+++ b/corallanding/lab/fleet/commands.py
@@ -1,4 +1,8 @@
-"""`corallanding lab compare`, `sweep`, `search`, `predict`, `replay-day`: experiments on the emulated fleet."""
+"""`corallanding lab compare`, `sweep`, `search`, `predict`, `replay-day`, `report`: experiments and their results.
+
+A run is emulated within one process, except that `compare --loopback` and `predict` run real processes on loopback
+sockets. The billed service of a run is the share of requests answered, by priority weight, from 0 to 1.
+"""
 
 from __future__ import annotations
 
@@ -15,21 +19,32 @@
 from ...cli import fail
 from ...config import ConfigError
 
-if TYPE_CHECKING:  # a controller's start imports this file, and must not wait for the imports of experiments
+# The command line imports this file even to start a controller, which must not wait for the imports of experiments.
+if TYPE_CHECKING:
     from .runs import Job, Pool, RunResult
 
-RunsOption = Annotated[int, typer.Option("--runs", min=3, max=1000, help="pairs of runs at most")]
-ResultsOption = Annotated[Path, typer.Option("--kept", help="the file of results; runs that it has are not repeated")]
-WorkersOption = Annotated[int, typer.Option("--workers", min=1, max=64, help="processes")]
-ReportOption = Annotated[Optional[Path], typer.Option("--out", help="a page to write: .html or .md")]  # noqa: UP045
-SeedOption = Annotated[int, typer.Option("--seed", help="the first seed")]
-ErrorOption = Annotated[float, typer.Option("--error", min=0.001, max=0.5, help="probability of a wrong verdict")]
+RunsOption = Annotated[
+    int, typer.Option("--runs", min=3, max=1000, help="maximum number of pairs of runs; for sweep, runs per value")
+]
+ResultsOption = Annotated[Path, typer.Option("--kept", help="file of results; runs stored in it are not repeated")]
+WorkersOption = Annotated[int, typer.Option("--workers", min=1, max=64, help="number of processes that execute runs")]
+ReportOption = Annotated[Optional[Path], typer.Option("--out", help="file for a page of the results: .html or .md")]  # noqa: UP045
+SeedOption = Annotated[
+    int, typer.Option("--seed", help="first seed of the runs; for search, seed of its random choices")
+]
+ErrorOption = Annotated[
+    float, typer.Option("--error", min=0.001, max=0.5, help="maximum probability of a wrong verdict or interval")
+]
 DEFAULT_RESULTS_PATH, DEFAULT_WORKERS = Path("out/runs.db"), max(1, (os.cpu_count() or 2) - 1)
 
 
 @contextmanager
 def reported_errors() -> Iterator[None]:
-    """Exit with a message on bad input, failed runs and Ctrl-C; completed runs stay stored."""
+    """Report bad input, failed runs and Ctrl-C as a message, and exit.
+
+    The exit code is 3 for a failed run and 130, as shells have it, for Ctrl-C. Results of completed runs are stored one
+    by one, so the same command continues after them.
+    """
     from .runs import RunFailedError
 
     try:
@@ -39,7 +54,9 @@
     except RunFailedError as error:
         raise fail(error, 3) from None
     except KeyboardInterrupt:
-        raise fail("interrupted; the same command continues with the remaining runs", 130) from None
+        raise fail(
+            "interrupted; results are stored, and the same command executes only the remaining runs", 130
+        ) from None
 
 
 @contextmanager
@@ -70,29 +87,36 @@
 
 
 def add(lab: typer.Typer) -> None:
-    """Add the commands to `corallanding lab`."""
+    """Add the commands of this file to `lab`, the command group `corallanding lab`."""
     for name, command in COMMANDS.items():
         lab.command(name)(command)
 
 
 def compare(
-    a: Annotated[Path, typer.Argument(help="a scenario, or a controller's configuration (with --day)")],
-    b: Annotated[Optional[Path], typer.Argument(help="the other; without it, --set or --module")] = None,  # noqa: UP045
-    day: Annotated[Optional[Path], typer.Option("--day", help="the scenario that both controllers are run on")] = None,  # noqa: UP045
-    overrides: Annotated[Optional[list[str]], typer.Option("--set", help="KEY=VALUE: what differs in B")] = None,  # noqa: UP045
+    a: Annotated[Path, typer.Argument(help="A: a scenario, or a controller's configuration with --day")],
+    b: Annotated[Optional[Path], typer.Argument(help="B, in the same form; default: A with --set or --module")] = None,  # noqa: UP045
+    day: Annotated[Optional[Path], typer.Option("--day", help="scenario for the configurations")] = None,  # noqa: UP045
+    overrides: Annotated[
+        Optional[list[str]], typer.Option("--set", help="KEY=VALUE to change in B; repeatable")  # noqa: UP045
+    ] = None,
     module: Annotated[
-        Optional[Path], typer.Option("--module", help="checkout whose assigner B uses, with the rest of this version")  # noqa: UP045
+        Optional[Path],  # noqa: UP045
+        typer.Option("--module", help="checkout whose assigner B uses; all other code is this version's"),
     ] = None,
     runs: RunsOption = 40,
-    margin: Annotated[float, typer.Option("--margin", min=0.0, help="differences below this do not matter")] = 0.002,
-    loopback: Annotated[bool, typer.Option("--loopback", help="real runs on sockets; use few --workers")] = False,
+    margin: Annotated[
+        float, typer.Option("--margin", min=0.0, help="difference of billed service that counts as none")
+    ] = 0.002,
+    loopback: Annotated[
+        bool, typer.Option("--loopback", help="run real processes on sockets; use few --workers")
+    ] = False,
     error: ErrorOption = 0.05,
     seed: SeedOption = 1,
     page_path: ReportOption = None,
     results_path: ResultsOption = DEFAULT_RESULTS_PATH,
     workers: WorkersOption = DEFAULT_WORKERS,
 ) -> None:
-    """Compare the billed service of B and A on the same emulated runs, until the answer is clear."""
+    """Compare the billed service of settings B and A in pairs of runs with equal seeds, until the verdict is clear."""
     from . import page
     from .compare import compare as run_comparison
     from .runs import EMULATED, LOOPBACK
@@ -102,14 +126,14 @@
         setting_a = load_setting(a, day)
         setting_b = load_setting(b or a, day, module)
         if b is None and not overrides and module is None:
-            raise ConfigError("B is missing: another file, --set KEY=VALUE or --module CHECKOUT")
+            raise ConfigError("B is missing: name another file, --set KEY=VALUE or --module CHECKOUT")
         setting_b = with_overrides(setting_b, overrides)
         if setting_b.label == setting_a.label:
             setting_b = replace(setting_b, label=f"{setting_b.label} ({module or b})")
         if list(setting_a.scenario.operation) != list(setting_b.scenario.operation):
-            raise ConfigError(f"{b}: operation: not the same as in {a}")
+            raise ConfigError(f"{b}: operation: the names, or their order, differ from {a}")
         if loopback and (setting_a.config or setting_b.config or setting_b.module):
-            raise ConfigError("--loopback: only for scenarios, without --module")
+            raise ConfigError("--loopback: A and B must be scenarios, without --module")
         with pool_with_progress(results_path, workers, runs * 2) as job_pool:
             found = run_comparison(
                 setting_a,
@@ -128,15 +152,15 @@
         for name, difference in found.other_differences.items():
             print(f"  {name.replace('_', ' '):16} {page.signed(difference)}")
         broken_a, broken_b = found.broken_counts
-        print(f"  runs with a broken rule: {broken_a} and {broken_b} of {len(found.results_a)}")
+        print(f"  runs with a broken rule: A {broken_a}, B {broken_b}, of {len(found.results_a)} each")
         if page_path:
             page.comparison_page(found, margin, error).write(page_path)
 
 
 def sweep(
-    file: Annotated[Path, typer.Argument(help="a scenario, or a controller's configuration (with --day)")],
-    key: Annotated[str, typer.Argument(help="the key, e.g. reports.every_ms")],
-    values: Annotated[list[str], typer.Argument(help="its values; the others are compared with the first")],
+    file: Annotated[Path, typer.Argument(help="a scenario, or a controller's configuration with --day")],
+    key: Annotated[str, typer.Argument(help="the setting to change, e.g. reports.every_ms")],
+    values: Annotated[list[str], typer.Argument(help="its values; each is compared with the first")],
     day: Annotated[Optional[Path], typer.Option("--day")] = None,  # noqa: UP045
     runs: RunsOption = 12,
     error: ErrorOption = 0.05,
@@ -145,7 +169,7 @@
     results_path: ResultsOption = DEFAULT_RESULTS_PATH,
     workers: WorkersOption = DEFAULT_WORKERS,
 ) -> None:
-    """Run one key with several values on the same seeds."""
+    """Compare the billed service under several values of one setting, in runs with the same seeds."""
     from . import page
     from .compare import sweep as run_sweep
     from .settings import load_setting, with_override
@@ -167,15 +191,23 @@
     out: Annotated[Path, typer.Option("--out", help="the scenario file to write")],
     day: Annotated[Optional[Path], typer.Option("--day")] = None,  # noqa: UP045
     budget: Annotated[
-        int, typer.Option("--budget", min=20, max=100_000, help="runs for random and mutated candidates")
+        int,
+        typer.Option(
+            "--budget", min=20, max=100_000, help="runs for random and mutated faults; minimizing adds as many at most"
+        ),
     ] = 400,
     max_faults: Annotated[int, typer.Option("--faults", min=1, max=12, help="maximum number of faults")] = 4,
-    kinds: Annotated[Optional[list[str]], typer.Option("--kind", help="only these kinds of fault")] = None,  # noqa: UP045
+    kinds: Annotated[
+        Optional[list[str]], typer.Option("--kind", help="use only this kind of fault; repeatable")  # noqa: UP045
+    ] = None,
     seed: SeedOption = 1,
     results_path: ResultsOption = DEFAULT_RESULTS_PATH,
     workers: WorkersOption = DEFAULT_WORKERS,
 ) -> None:
-    """Search for the worst faults within bounds, minimize them, and write them as a scenario."""
+    """Search for the faults within bounds that reduce the billed service most, and write them as a scenario.
+
+    Faults that contribute little are removed, and the others are made smaller.
+    """
     from ..scenario_text import scenario_hcl
     from .search import RANGES
     from .search import search as run_search
@@ -199,20 +231,21 @@
         out.parent.mkdir(parents=True, exist_ok=True)
         out.write_text(scenario_hcl(found.scenario))
         print(
-            f"{out}: service {found.score:.4f} with {len(found.scores_without_fault)} faults, "
-            f"{found.baseline:.4f} without any; {found.runs} emulated runs"
+            f"{out}: score {found.score:.4f} with {len(found.scores_without_fault)} faults, "
+            f"{found.baseline:.4f} without any (mean billed service, less the share of runs that broke a rule); "
+            f"{found.runs} emulated runs"
         )
         for fault, without in found.scores_without_fault:
-            print(f"  {fault.kind} at {fault.at_s:g} s for {fault.for_s:g} s: without it {without:.4f}")
+            print(f"  {fault.kind} at {fault.at_s:g} s for {fault.for_s:g} s: score without it {without:.4f}")
         if found.broken:
             print(f"  rules broken: {'; '.join(found.broken)}")
-        print(f"  on sockets: corallanding lab run {out} --out out/worst")
+        print(f"  to run it on sockets: corallanding lab run {out} --out out/worst")
 
 
 def predict(
     files: Annotated[list[Path], typer.Argument(help="scenarios")],
-    runs: Annotated[int, typer.Option("--runs", min=5, max=1000, help="emulated runs")] = 40,
-    loopback: Annotated[int, typer.Option("--loopback", min=1, max=1000, help="runs on loopback")] = 20,
+    runs: Annotated[int, typer.Option("--runs", min=5, max=1000, help="emulated runs of each scenario")] = 40,
+    loopback: Annotated[int, typer.Option("--loopback", min=1, max=1000, help="runs of each on loopback sockets")] = 20,
     level: Annotated[float, typer.Option("--level", min=0.5, max=0.99)] = 0.9,
     seed: SeedOption = 1,
     page_path: ReportOption = None,
@@ -220,7 +253,10 @@
     workers: WorkersOption = DEFAULT_WORKERS,
     loopback_workers: Annotated[int, typer.Option("--beside", min=1, max=16, help="concurrent runs on loopback")] = 2,
 ) -> None:
-    """Predict the results of runs on loopback, run them, and count how often the prediction holds."""
+    """Predict results of runs on loopback sockets from emulated runs, and count how many are in the predicted interval.
+
+    The level is the probability with which the interval should contain a run.
+    """
     from . import page
     from .compare import predict as run_prediction
     from .settings import load_setting
@@ -244,22 +280,24 @@
 def replay_day(
     recording: Annotated[Path, typer.Argument(help="a controller's recording (--record)")],
     like: Annotated[
-        Path, typer.Option("--like", help="setting of the recording: a scenario, or a configuration with --day")
+        Path, typer.Option("--like", help="the recorded setting: a scenario, or a configuration with --day")
     ],
-    other: Annotated[Optional[Path], typer.Option("--with", help="the other setting, in the same form")] = None,  # noqa: UP045
-    overrides: Annotated[Optional[list[str]], typer.Option("--set", help="KEY=VALUE in the other setting")] = None,  # noqa: UP045
-    day: Annotated[Optional[Path], typer.Option("--day", help="scenario of both configurations")] = None,  # noqa: UP045
+    other: Annotated[Optional[Path], typer.Option("--with", help="second setting, in the same form")] = None,  # noqa: UP045
+    overrides: Annotated[
+        Optional[list[str]], typer.Option("--set", help="KEY=VALUE to change in the second setting")  # noqa: UP045
+    ] = None,
+    day: Annotated[Optional[Path], typer.Option("--day", help="scenario for the configurations")] = None,  # noqa: UP045
     trace: Annotated[
-        Optional[Path], typer.Option("--trace", help="a trace of the same time span, for exact arrivals")  # noqa: UP045
+        Optional[Path], typer.Option("--trace", help="trace of the same time span, with exact arrival times")  # noqa: UP045
     ] = None,
-    span_s: Annotated[float, typer.Option("--every", min=1.0, help="seconds per table row")] = 60.0,
+    span_s: Annotated[float, typer.Option("--every", min=1.0, help="time span of a table row, s")] = 60.0,
     runs: Annotated[int, typer.Option("--runs", min=1, max=200)] = 3,
     seed: SeedOption = 1,
     page_path: ReportOption = None,
     results_path: ResultsOption = DEFAULT_RESULTS_PATH,
     workers: WorkersOption = DEFAULT_WORKERS,
 ) -> None:
-    """Replay a recording under each setting and show the billed service by spans of time."""
+    """Replay a recording under one setting or two, and show the billed service in each span of time."""
     from . import page
     from .runs import Job
     from .settings import load_setting, with_overrides, with_recording
@@ -281,11 +319,11 @@
 
 
 def report(
-    page_path: Annotated[Path, typer.Option("--out", help="a page: .html or .md")],
+    page_path: Annotated[Path, typer.Option("--out", help="file for the page: .html or .md")],
     results_path: ResultsOption = DEFAULT_RESULTS_PATH,
-    scenario: Annotated[str, typer.Option("--scenario", help="only this one")] = "",
+    scenario: Annotated[str, typer.Option("--scenario", help="only results of this scenario")] = "",
 ) -> None:
-    """Write a page of all results in a file."""
+    """Write a page of all results in the file of results."""
     from . import page
     from .runs import ResultStore
 
@@ -296,7 +334,7 @@
         rows = store.rows(scenario)
         store.close()
         if not rows:
-            raise ConfigError(f"{results_path}: no runs" + (f" of {scenario}" if scenario else ""))
+            raise ConfigError(f"{results_path}: has no results" + (f" of {scenario}" if scenario else ""))
         page.results_page(rows).write(page_path)
         print(f"{page_path}: {len(rows)} runs")
 
--- a/tests/controller/test_proxy_connections.py
+++ b/tests/controller/test_proxy_connections.py
@@ -39,15 +39,17 @@
 @pytest.mark.parametrize(
     ("data", "code"),
     [
-        (b"\xff" * 64, "oversized"),
-        (b"\x00\x00\x00\x05hello", "malformed"),
-        (frames.encode(frames.Heartbeat()), "out-of-place"),
+        (b"\xff" * 64, "oversized"),  # the length field exceeds `frame_most_bytes`
+        (b"\x00\x00\x00\x05hello", "malformed"),  # five bytes that are not a frame
+        (frames.encode(frames.Heartbeat()), "out-of-place"),  # the first frame must be a hello
         (frames.encode(frames.Hello(77, 1, "x")), "unknown-version"),
-        (frames.encode(frames.Hello(1, 1, "x", zone=9)), "malformed"),
-        (frames.encode(frames.Hello(1, 60000, "x")), "full"),
+        (frames.encode(frames.Hello(1, 1, "x", zone=9)), "malformed"),  # there is no zone 9
+        (frames.encode(frames.Hello(1, 60000, "x")), "full"),  # proxy numbers are below `forwarders.most`, here 8
+        # No version was sent that could be acknowledged.
         (frames.encode(frames.Hello(1, 1, "x")) + frames.encode(frames.Ack(3)), "out-of-place"),
+        # The controller has not requested the proxy's tables.
         (frames.encode(frames.Hello(1, 1, "x")) + frames.encode(frames.HeldTables(1, 1, [])), "out-of-place"),
-        (b"", "no-hello"),
+        (b"", "no-hello"),  # nothing arrives within `hello_within_ms`
     ],
 )
 def test_connection_when_it_breaks_the_protocol_then_only_it_is_closed_with_a_reason(
@@ -77,7 +79,7 @@
             second = await running.peer()
             second.hello(1, session="new")
             assert await second.ended() == "number-in-use"
-            heartbeats.cancel()  # the old process hangs: its silence timeout frees the number
+            heartbeats.cancel()  # as if the old process hung: after the silence timeout, its number is free
             await first.ended()
             again = await running.joined(1, session="new")
             assert not again.closed
@@ -97,7 +99,7 @@
             new.say(frames.Heartbeat(1.0))
             await asyncio.sleep(0.05)
             assert not [e for e in running.module.told if isinstance(e, api.VersionAcked)]
-            new.say(frames.Ack(5))  # the version was sent on the old connection, so an ack on the new one is invalid
+            new.say(frames.Ack(5))  # version 5 was sent on the old connection only: the new one awaits no ack
             assert await new.ended() == "out-of-place"
             event_names = [
                 type(e).__name__ for e in running.module.told if isinstance(e, api.ProxyJoined | api.ProxyLeft)
@@ -109,9 +111,10 @@
 
 def test_proxy_when_it_does_not_read_then_it_is_closed_and_others_continue(tmp_path: Path) -> None:
     async def scenario() -> None:
+        # The channel's own limits are out of reach, so that the socket buffer (64 KiB) fills first.
         channel_settings = "channel {\n  queue_most_lines = 1e8\n  rate_lines_per_s = 1e9\n}\n"
         async with Running(tmp_path, channel_settings) as running:
-            slow, good = await running.joined(1), await running.joined(2)
+            slow, good = await running.joined(1), await running.joined(2)  # `slow` sends heartbeats but reads nothing
             heartbeats = asyncio.create_task(send_heartbeats(slow, good))
 
             async def drain() -> None:
@@ -119,7 +122,7 @@
                     await good.reader.read(1 << 20)
 
             drain_task = asyncio.create_task(drain())
-            for _ in range(400):
+            for _ in range(400):  # at most; each step sends 500 hosts in each of the 4 tables
                 running.do(*[api.SetWeight(table % 4, h, 1.0) for table in range(4) for h in range(100, 600)])
                 await asyncio.sleep(0.004)
                 if 1 not in running.steward.connections.proxies:
@@ -141,6 +144,7 @@
         channel_settings = "channel {\n  queue_most_lines = 60\n  rate_lines_per_s = 10\n}\n"
         async with Running(tmp_path, channel_settings) as running:
             first = await running.joined(1)
+            # 6 messages of 20 lines each within 0.12 s: the channel sends about one line in that time, and holds 60.
             for index in range(6):
                 running.do(*[api.SetWeight(index % 4, h, 1.0) for h in range(20)])
                 await asyncio.sleep(0.02)
@@ -157,7 +161,7 @@
             peers = [await running.peer() for _ in range(40)]
             for number, peer in enumerate(peers):
                 peer.hello(number)
-            await asyncio.sleep(0.1)
+            await asyncio.sleep(0.1)  # the burst is 0.25 s of joins, so about 10 + 4 have joined
             early_count = len(running.steward.engine.proxy_zones)
             heartbeats = asyncio.create_task(send_heartbeats(*peers))
             await until(lambda: len(running.steward.engine.proxy_zones) == 40)
--- a/tests/quota/mistakes.py
+++ b/tests/quota/mistakes.py
@@ -1,4 +1,8 @@
-"""Mutations of quotas and of the election. Each removes one step that keeps the capacity from being exceeded."""
+"""Mutations of the code of quotas and of the election, for `test_planted_mistakes`.
+
+Each function patches the code so that it breaks one rule, named in its doc comment, without which the controllers
+together could use more than the capacity.
+"""
 
 from __future__ import annotations
 
@@ -30,6 +34,7 @@
 
 
 def start_grant_lifetime_at_the_answer(patch: pytest.MonkeyPatch) -> None:
+    """Break: the lifetime of a grant begins when its request was sent, not when the grant arrives."""
     real = QuotaClient.on_grant
 
     def on_grant(self: QuotaClient, now_ms: float, message: CapacityGrant) -> bool:
@@ -41,10 +46,15 @@
 
 
 def add_the_clock_drift_to_usable_time(patch: pytest.MonkeyPatch) -> None:
+    """Break: a client uses a grant for less than its lifetime, by the maximum clock drift. 1.3: lengthened by 30 %."""
     patch.setattr(QuotaLimits, "usable_ms", lambda self, span_ms: span_ms * 1.3)
 
 
 def grant_without_learning(patch: pytest.MonkeyPatch) -> None:
+    """Break: a new leader grants only capacity reported to it until all grants of its predecessor have expired.
+
+    Here the term seems to have begun 1e6 ms earlier, so that this learning period is over.
+    """
     real = QuotaAllocator.begin_term
     patch.setattr(
         QuotaAllocator, "begin_term", lambda self, now_ms, first_round=0: real(self, now_ms - 1e6, first_round)
@@ -52,6 +62,7 @@
 
 
 def drop_former_incarnations(patch: pytest.MonkeyPatch) -> None:
+    """Break: grants of earlier processes (incarnations) of a controller count until they expire."""
     real = QuotaAllocator.grant_row
 
     def grant_row(
@@ -68,10 +79,12 @@
 
 
 def use_the_floor_at_once(patch: pytest.MonkeyPatch) -> None:
+    """Break: a client does not use its floor (units without a grant) while those of its previous process are in use."""
     patch.setattr(QuotaClient, "floor", lambda self, now_ms, budget: budget.floor)
 
 
 def vote_at_once_after_a_start(patch: pytest.MonkeyPatch) -> None:
+    """Break: a restarted voter grants no vote while a vote of its previous process may be valid."""
     real = voting.Voter.on_vote_request
 
     def on_vote_request(self: voting.Voter, now_ms: float, candidate: int, message: VoteRequest) -> VoteReply:
@@ -82,6 +95,7 @@
 
 
 def accept_grants_in_any_order(patch: pytest.MonkeyPatch) -> None:
+    """Break: a client ignores a grant whose request is not newer than that of the last accepted grant."""
     real = QuotaClient.on_grant
 
     def on_grant(self: QuotaClient, now_ms: float, message: CapacityGrant) -> bool:
@@ -93,6 +107,8 @@
 
 
 def let_uses_outlast_the_grant(patch: pytest.MonkeyPatch) -> None:
+    """Break: units that stay in use after the grant has expired must fit into the floor."""
+
     def available(self: QuotaClient, now_ms: float, budget: Budget, subject: int = 0) -> int:
         account = self.account(now_ms, budget, subject)
         assert account
@@ -102,6 +118,7 @@
 
 
 def report_no_use_beyond_the_grant(patch: pytest.MonkeyPatch) -> None:
+    """Break: a client reports all units in use beyond its floor, also those above its current grant."""
     real = QuotaClient.request_row
 
     def request_row(self: QuotaClient, now_ms: float, key: BudgetKey) -> RequestRow:
@@ -112,6 +129,7 @@
 
 
 def drop_grants_in_transit(patch: pytest.MonkeyPatch) -> None:
+    """Break: the allocator counts a grant that the client has not accepted yet, as it may still arrive."""
     real = QuotaAllocator.settle
 
     def settle(
@@ -129,6 +147,7 @@
 
 
 def answer_requests_of_a_former_term(patch: pytest.MonkeyPatch) -> None:
+    """Break: the allocator rejects requests that were sent to an earlier leader, or to its own earlier term."""
     real = QuotaAllocator.on_request
 
     def on_request(self: QuotaAllocator, now_ms: float, sender: int, message: CapacityRequest) -> CapacityGrant:
@@ -141,6 +160,7 @@
 
 
 def count_inherited_capacity_again(patch: pytest.MonkeyPatch) -> None:
+    """Break: each client's grant from the previous leader is added once to the capacity that the new one divides."""
     real = QuotaAllocator.grant_row
 
     def grant_row(
@@ -156,10 +176,13 @@
 
 
 def lead_with_half_the_votes(patch: pytest.MonkeyPatch) -> None:
+    """Break: a leader needs more than half of the votes. Here half is enough."""
     patch.setattr(voting.Candidate, "majority", property(lambda self: len(self.voters) // 2))
 
 
 def stay_leader_over_a_pause(patch: pytest.MonkeyPatch) -> None:
+    """Break: a leader whose votes have expired stops allocating, and begins its next term with empty ledgers."""
+
     def is_allocating(self: QuotaManager, now_ms: float) -> bool:
         if self.allocator.started_at_ms is not None:
             return True
@@ -172,10 +195,13 @@
 
 
 def count_only_the_last_grant(patch: pytest.MonkeyPatch) -> None:
+    """Break: the largest grant of a client that has not expired counts, not only its last one."""
     patch.setattr(ClientState, "outstanding", lambda self, now_ms: self.grants[-1].amount if self.grants else 0)
 
 
 def count_votes_after_a_release(patch: pytest.MonkeyPatch) -> None:
+    """Break: a candidate that releases its votes ignores replies to its earlier requests, which may arrive later."""
+
     def give_up_candidacy(self: voting.Candidate) -> VoteRelease:
         self.votes_until.clear()
         return VoteRelease(self.incarnation, self.round)
@@ -184,6 +210,7 @@
 
 
 def start_vote_lease_at_the_answer(patch: pytest.MonkeyPatch) -> None:
+    """Break: a vote is valid from the time when its request was sent, for less than its lease by the clock drift."""
     real = voting.Candidate.on_vote_reply
 
     def on_vote_reply(self: voting.Candidate, now_ms: float, voter: int, message: VoteReply) -> None:
