--- a/corallanding/lab/order.py
+++ b/corallanding/lab/order.py
@@ -2,7 +2,7 @@
 
 Imports nothing of what it judges. All times are ms of one clock. A job's effective priority is its priority plus its
 waiting time divided by `patience`, and far above all others once its longest waiting time has passed. The waiting time
-counts from the first submission at any proxy.
+counts from the first submission, wherever that was made.
 """
 
 from __future__ import annotations
